--- a/crates/fleet/src/detect.rs
+++ b/crates/fleet/src/detect.rs
@@ -26,7 +26,7 @@
 impl Fleet {
     /// Asks helpers once the direct answer is overdue.
     pub(crate) fn ask_helpers(&mut self, now: Time) {
-        let direct = self.settings.direct;
+        let direct = self.settings.direct_timeout;
         let due = |probe: &&Probe| probe.indirect.is_none() && now >= probe.sent + direct;
         let Some(target) = self.probe.as_ref().filter(due).map(|probe| probe.target) else {
             return;
@@ -53,7 +53,7 @@
             .collect();
         for (instance, suspicion) in overdue {
             let heard = self
-                .heard(instance)
+                .last_heard(instance)
                 .filter(|heard| *heard > suspicion.since);
             match heard {
                 Some(heard) => self.postpone(now, instance, heard),
@@ -71,8 +71,8 @@
     /// off judges by pings that it sent since. Of two listed instances neither is a majority
     /// without the other, and each may judge.
     fn may_judge(&self, instance: Instance, suspicion: Suspicion) -> bool {
-        let known = self.known();
-        let reachable = self.reachable();
+        let known = self.listed_count();
+        let reachable = self.reachable_count();
         let few = self.roster.suspicions.len() <= (known / FEW_OF).max(1);
         let clear = few && reachable * CLEAR_OF >= known * CLEAR_PART;
         match self.roster.listed.contains_key(&instance) {
@@ -86,7 +86,7 @@
     /// Notes whether this daemon lacked contact with a majority a short time ago.
     pub(crate) fn note_contact(&mut self, now: Time) {
         let until = self.cut_off.map(|last| last + self.suspicion());
-        if self.reachable() * 2 <= self.known() {
+        if self.reachable_count() * 2 <= self.listed_count() {
             self.cut_off = Some(now);
         } else if until.is_some_and(|until| now >= until) {
             self.cut_off = None;
@@ -102,7 +102,7 @@
         let Some(ping) = self.suspect_ping.take() else {
             return;
         };
-        let silent = self.heard(ping.target) < Some(ping.sent);
+        let silent = self.last_heard(ping.target) < Some(ping.sent);
         let suspicion = self.roster.suspicions.get_mut(&ping.target);
         if let Some(suspicion) = suspicion.filter(|_| silent) {
             suspicion.missed += 1;
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -23,7 +23,7 @@
         let records = peers.range(first..).chain(peers.range(..first));
         let records = records.map(|(_, peer)| peer.member);
         let records = records.filter(|member| member.instance != to);
-        let records = records.take(self.settings.page);
+        let records = records.take(self.settings.page_records);
         let news = std::iter::once(self.me).chain(records).collect();
         self.send(to, Message::Page { news });
     }
@@ -109,11 +109,11 @@
         let mut news = vec![self.me];
         let about = self.roster.peers.get(&to).map(|peer| peer.member);
         news.extend(about.filter(|member| member.state >= State::Suspect));
-        let room = self.settings.news.saturating_sub(news.len());
-        let repeats = self.settings.repeats(self.size());
+        let room = self.settings.max_records.saturating_sub(news.len());
+        let repeats = self.settings.retransmit_limit(self.size());
         news.extend(self.news.take(room, repeats));
-        let room = self.settings.news.saturating_sub(news.len());
-        for _ in 0..room.min(self.settings.filler) {
+        let room = self.settings.max_records.saturating_sub(news.len());
+        for _ in 0..room.min(self.settings.filler_records) {
             news.extend(self.fill());
         }
         news
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -43,7 +43,7 @@
 impl Member {
     /// An upper bound on the encoded size of a record with `bincode`'s variable-length integers,
     /// in bytes: four 64-bit numbers of 9, the state of 1, the version of 5 at most.
-    pub const ENCODED_BYTES: usize = 4 * 9 + 1 + 5;
+    pub const MAX_ENCODED_BYTES: usize = 4 * 9 + 1 + 5;
 
     /// A live member at its first version.
     pub const fn new(
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -48,7 +48,7 @@
 
 impl Message {
     /// An upper bound on the encoded size of a message without its records, in bytes.
-    pub const HEAD_BYTES: usize = 1 + 5 + 9 + 3;
+    pub const MAX_HEADER_BYTES: usize = 1 + 5 + 9 + 3;
 
     /// The records carried, the sender's own first.
     pub fn news(&self) -> &[Member] {
@@ -62,7 +62,7 @@
     }
 
     /// An upper bound on the encoded size, in bytes.
-    pub fn max_bytes(&self) -> usize {
-        Self::HEAD_BYTES + self.news().len() * Member::ENCODED_BYTES
+    pub fn max_encoded_bytes(&self) -> usize {
+        Self::MAX_HEADER_BYTES + self.news().len() * Member::MAX_ENCODED_BYTES
     }
 }
--- a/crates/fleet/src/query.rs
+++ b/crates/fleet/src/query.rs
@@ -13,7 +13,7 @@
 
 impl Fleet {
     /// This daemon's own record.
-    pub const fn me(&self) -> &Member {
+    pub const fn local_member(&self) -> &Member {
         &self.me
     }
 
@@ -56,29 +56,30 @@
 
     /// The members in reach that are not leaving, by their own word or the list's.
     pub fn serving(&self) -> impl Iterator<Item = &Member> + '_ {
-        self.alive().filter(|member| !self.leaving(member.instance))
+        self.alive()
+            .filter(|member| !self.is_leaving(member.instance))
     }
 
     /// When the last direct message of `instance` came; `None` for this daemon itself.
-    pub fn heard(&self, instance: Instance) -> Option<Time> {
+    pub fn last_heard(&self, instance: Instance) -> Option<Time> {
         self.roster.peers.get(&instance).and_then(|peer| peer.heard)
     }
 
     /// How many listed instances were heard directly at or after `since`, this one counted.
-    pub fn heard_since(&self, since: Time) -> usize {
+    pub fn heard_since_count(&self, since: Time) -> usize {
         let listed = self.roster.listed.keys();
-        let heard = listed.filter(|&&instance| self.heard(instance) >= Some(since));
+        let heard = listed.filter(|&&instance| self.last_heard(instance) >= Some(since));
         1 + heard.count()
     }
 
     /// How many listed instances are in contact with this daemon, itself counted.
     ///
     /// Direct messages alone can't tell in time: at constant cost a daemon hears a few members a
-    /// second ([`Fleet::heard_since`]). Counted are the listed members that are not suspected, but
+    /// second ([`Fleet::heard_since_count`]). Counted are the listed members that are not suspected, but
     /// at most the share of the last probes, sent to members drawn at random, that was answered. A
     /// daemon that is cut off with few others sees its probes fail within about a second; one that
     /// is cut off with many sees the far side suspected by all of them.
-    pub fn reachable(&self) -> usize {
+    pub fn reachable_count(&self) -> usize {
         let fine = self.roster.listed.keys().filter(|instance| {
             let state = self
                 .roster
@@ -92,7 +93,7 @@
     }
 
     /// How many instances are listed, this one counted even if it is not.
-    pub fn known(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         1 + self.roster.listed.len()
     }
 
@@ -117,7 +118,7 @@
     }
 
     /// Whether `instance` is known to leave.
-    pub fn leaving(&self, instance: Instance) -> bool {
+    pub fn is_leaving(&self, instance: Instance) -> bool {
         let listed = self
             .roster
             .listed
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -8,32 +8,32 @@
     /// One member is probed per period.
     pub period: Duration,
     /// How long a direct answer is waited for before helpers are asked; below `period`.
-    pub direct: Duration,
+    pub direct_timeout: Duration,
     /// Helpers asked for an indirect probe.
     pub helpers: usize,
     /// Periods from a suspicion to the death in a fleet of up to 16; grows with log2 beyond.
     pub suspect_periods: u32,
     /// Records a message carries at most, the sender's own among them.
-    pub news: usize,
+    pub max_records: usize,
     /// Records besides news and the sender's own that fill up a message, taken in turn.
-    pub filler: usize,
+    pub filler_records: usize,
     /// Records in a page.
-    pub page: usize,
+    pub page_records: usize,
     /// A record is repeated this many times log2 of the members.
-    pub repeats: u32,
+    pub retransmit_factor: u32,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             period: Duration::from_millis(200),
-            direct: Duration::from_millis(80),
+            direct_timeout: Duration::from_millis(80),
             helpers: 3,
             suspect_periods: 4,
-            news: 8,
-            filler: 2,
-            page: 28,
-            repeats: 3,
+            max_records: 8,
+            filler_records: 2,
+            page_records: 28,
+            retransmit_factor: 3,
         }
     }
 }
@@ -50,8 +50,8 @@
     /// The same settings with another period; the direct timeout keeps its share of it.
     #[must_use]
     pub fn with_period(mut self, period: Duration) -> Self {
-        self.direct = self
-            .direct
+        self.direct_timeout = self
+            .direct_timeout
             .mul_f64(period.as_secs_f64() / self.period.as_secs_f64());
         self.period = period;
         self
@@ -65,14 +65,14 @@
     }
 
     /// How long a member of a fleet of `members` stays suspected before it is declared dead.
-    pub fn suspicion(&self, members: usize) -> Duration {
+    pub fn suspicion_timeout(&self, members: usize) -> Duration {
         let scale = (log2(members) / Self::BASE_LOG).max(1.0);
         (self.period * self.suspect_periods).mul_f64(scale)
     }
 
     /// How often a record is repeated in a fleet of `members`.
-    pub fn repeats(&self, members: usize) -> u32 {
-        self.repeats * log2(members + 1).ceil() as u32
+    pub fn retransmit_limit(&self, members: usize) -> u32 {
+        self.retransmit_factor * log2(members + 1).ceil() as u32
     }
 }
 
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -157,7 +157,7 @@
 
     /// How long a member stays suspected in a fleet of the present size.
     pub(crate) fn suspicion(&self) -> Duration {
-        self.settings.suspicion(self.size())
+        self.settings.suspicion_timeout(self.size())
     }
 
     /// Members known, the listed dead ones among them.
@@ -171,7 +171,7 @@
         }
         let probe = self.probe.as_ref();
         let probe = probe.filter(|probe| probe.indirect.is_none());
-        let probe = probe.map(|probe| probe.sent + self.settings.direct);
+        let probe = probe.map(|probe| probe.sent + self.settings.direct_timeout);
         let suspicions = self.roster.suspicions.values();
         let suspicions = suspicions.map(|suspicion| suspicion.deadline);
         suspicions.chain(probe).fold(self.next_period, Time::min)
--- a/crates/fleet/tests/answers.rs
+++ b/crates/fleet/tests/answers.rs
@@ -101,7 +101,7 @@
     let (mut fleet, out) = greeted(seed);
     let (target, _) = pings(&out)[0];
     let helper = (1..COUNT).find(|index| *index != index_of(target)).unwrap();
-    let asked = ASKED + Settings::default().direct;
+    let asked = ASKED + Settings::default().direct_timeout;
     let mut out = Vec::new();
     fleet.step(asked, &mut out);
     let number = out.iter().find_map(|output| match output {
--- a/crates/fleet/tests/figures.rs
+++ b/crates/fleet/tests/figures.rs
@@ -24,7 +24,7 @@
 
 /// Milliseconds from a death until the first and until every other daemon knows of it.
 fn detect(net: &mut Net, victim: usize) -> (u64, u64) {
-    let run: Incarnation = net.fleet(victim).me().incarnation;
+    let run: Incarnation = net.fleet(victim).local_member().incarnation;
     net.kill(victim);
     let others = net.count() - 1;
     let first = net
@@ -87,7 +87,8 @@
         .iter()
         .filter(|seen| seen.member.state == State::Suspect)
         .count();
-    let ended = (0..count).filter(|index| net.dead_at(net.fleet(*index).me().incarnation) > 0);
+    let ended =
+        (0..count).filter(|index| net.dead_at(net.fleet(*index).local_member().incarnation) > 0);
     let ended = ended.count();
     println!(
         "{count} daemons, {loss} in 1000 lost, {seconds} s: {ended} falsely dead, {suspected} suspicions seen"
@@ -136,7 +137,7 @@
     let victims: Vec<usize> = (0..count).filter(|index| index % centres == 0).collect();
     let runs: Vec<Incarnation> = victims
         .iter()
-        .map(|victim| net.fleet(*victim).me().incarnation)
+        .map(|victim| net.fleet(*victim).local_member().incarnation)
         .collect();
     for victim in &victims {
         net.kill(*victim);
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -53,7 +53,7 @@
 fn a_dead_daemon_among_nine_is_found_in_time(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut net = converged(9, seed);
     net.run(Duration::from_millis(seed * 37));
-    let victim = net.fleet(4).me().incarnation;
+    let victim = net.fleet(4).local_member().incarnation;
     net.kill(4);
     let limit = Duration::from_millis(2_500);
     let found = net.run_until(limit, |net| net.dead_at(victim) == 8);
@@ -70,7 +70,7 @@
 #[test]
 fn a_suspected_daemon_refutes() {
     let mut net = converged(9, 4);
-    let target = *net.fleet(3).me();
+    let target = *net.fleet(3).local_member();
     let claim = target.with_state(State::Suspect);
     net.with_fleet(0, |fleet, now| {
         let sender = *fleet.current(instance(1)).expect("known");
@@ -94,9 +94,9 @@
 #[test]
 fn a_restart_replaces_the_former_run() {
     let mut net = converged(9, 5);
-    let former = net.fleet(2).me().incarnation;
+    let former = net.fleet(2).local_member().incarnation;
     net.restart(2, 1);
-    let current = net.fleet(2).me().incarnation;
+    let current = net.fleet(2).local_member().incarnation;
     assert!(net.run_until(SECOND * 2, Net::agreed).is_some());
     for index in (0..9).filter(|index| *index != 2) {
         assert_eq!(net.fleet(index).state(former), Some(State::Dead));
@@ -123,7 +123,7 @@
     let mut net = converged(3, 5);
     net.restart(2, 1);
     net.run(SECOND * 2);
-    let current = *net.fleet(2).me();
+    let current = *net.fleet(2).local_member();
     let former = member(2, 0).with_state(State::Alive);
     net.with_fleet(0, |fleet, now| {
         fleet.receive(
@@ -188,11 +188,11 @@
 #[test]
 fn an_instance_off_the_list_is_forgotten_only_when_it_is_dead() {
     let mut net = converged(9, 8);
-    let victim = net.fleet(8).me().incarnation;
+    let victim = net.fleet(8).local_member().incarnation;
     net.set_list(&entries(0..8));
     net.run(SECOND * 5);
     assert!(net.agreed());
-    assert_eq!(net.fleet(0).known(), 8);
+    assert_eq!(net.fleet(0).listed_count(), 8);
     net.kill(8);
     net.run(SECOND * 3);
     assert_eq!(net.fleet(0).members().count(), 8);
@@ -249,16 +249,16 @@
 fn encoded_messages_stay_below_their_bound() {
     let mut full = member(400, 9).with_state(State::Suspect);
     full.version = u32::MAX;
-    let news = vec![full; Settings::default().page + 1];
+    let news = vec![full; Settings::default().page_records + 1];
     let page = Message::Page { news: news.clone() };
-    assert!(net::encoded(&page) <= page.max_bytes());
-    assert!(page.max_bytes() < 1_400, "a page fits a datagram");
+    assert!(net::encoded(&page) <= page.max_encoded_bytes());
+    assert!(page.max_encoded_bytes() < 1_400, "a page fits a datagram");
     let probe = Message::Probe {
         seq: u32::MAX,
         target: Instance(u64::MAX),
         news,
     };
-    assert!(net::encoded(&probe) <= probe.max_bytes());
+    assert!(net::encoded(&probe) <= probe.max_encoded_bytes());
 }
 
 proptest! {
@@ -281,7 +281,7 @@
         net.run(SECOND * 10);
         // A daemon that loss got declared dead has learnt it; all others agree on the rest.
         for index in 0..count {
-            let me = net.fleet(index).me().incarnation;
+            let me = net.fleet(index).local_member().incarnation;
             prop_assert_eq!(net.fleet(index).declared_dead(), net.dead_at(me) > 0);
         }
         let fit: Vec<usize> = (0..count).filter(|i| !net.fleet(*i).declared_dead()).collect();
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -231,7 +231,9 @@
                 .iter()
                 .filter(|node| node.up && node.inbox.is_none())
         };
-        let up: BTreeSet<Incarnation> = running().map(|node| node.fleet.me().incarnation).collect();
+        let up: BTreeSet<Incarnation> = running()
+            .map(|node| node.fleet.local_member().incarnation)
+            .collect();
         running().all(|node| {
             let fleet = &node.fleet;
             let count = fleet.alive().count();
--- a/crates/fleet/tests/ownership.rs
+++ b/crates/fleet/tests/ownership.rs
@@ -78,7 +78,7 @@
     list[1].leaving = true;
     fleet.set_list(Time::ZERO, &list);
     assert!((0..500).all(|key| fleet.owner(key) != Some(instance(1))));
-    assert!(fleet.leaving(instance(1)));
+    assert!(fleet.is_leaving(instance(1)));
 }
 
 #[test]
--- a/crates/fleet/tests/partitions.rs
+++ b/crates/fleet/tests/partitions.rs
@@ -71,14 +71,16 @@
     for index in 5..9 {
         net.kill(index);
     }
-    let dead = |net: &Net| (5..9).all(|index| net.dead_at(net.fleet(index).me().incarnation) == 5);
+    let dead = |net: &Net| {
+        (5..9).all(|index| net.dead_at(net.fleet(index).local_member().incarnation) == 5)
+    };
     assert!(net.run_until(SECOND * 8, dead).is_some());
 }
 
 #[test]
 fn without_half_of_the_list_a_run_is_declared_dead_once_the_list_drops_it() {
     let mut net = converged(9, 14);
-    let victim = net.fleet(8).me().incarnation;
+    let victim = net.fleet(8).local_member().incarnation;
     for index in 4..9 {
         net.kill(index);
     }
@@ -93,13 +95,13 @@
 #[test]
 fn contact_with_the_list_is_told_within_seconds() {
     let mut net = converged(100, 15);
-    assert_eq!(net.fleet(0).reachable(), 100);
+    assert_eq!(net.fleet(0).reachable_count(), 100);
     net.side[0] = 1;
     net.side[40..].fill(2);
     net.run(SECOND * 3);
-    assert!(net.fleet(0).reachable() < 10, "alone");
-    assert!(net.fleet(1).reachable() < 50, "with 39 of 100");
-    assert!(net.fleet(99).reachable() > 50, "with 60 of 100");
+    assert!(net.fleet(0).reachable_count() < 10, "alone");
+    assert!(net.fleet(1).reachable_count() < 50, "with 39 of 100");
+    assert!(net.fleet(99).reachable_count() > 50, "with 60 of 100");
 }
 
 #[test]
@@ -107,13 +109,13 @@
     let mut net = converged(9, 12);
     net.run(SECOND * 3);
     let since = net.now - SECOND * 3;
-    assert_eq!(net.fleet(0).known(), 9);
-    assert_eq!(net.fleet(0).heard_since(since), 9);
+    assert_eq!(net.fleet(0).listed_count(), 9);
+    assert_eq!(net.fleet(0).heard_since_count(since), 9);
     for index in 5..9 {
         net.side[index] = 1;
     }
     net.run(SECOND * 3);
     let since = net.now - SECOND * 2;
-    assert_eq!(net.fleet(0).heard_since(since), 5);
-    assert_eq!(net.fleet(8).heard_since(since), 4);
+    assert_eq!(net.fleet(0).heard_since_count(since), 5);
+    assert_eq!(net.fleet(8).heard_since_count(since), 4);
 }
--- a/crates/fleet/tests/pauses.rs
+++ b/crates/fleet/tests/pauses.rs
@@ -22,7 +22,7 @@
     let mut net = converged(9, 9);
     net.pause(3);
     net.run(SECOND * 10);
-    assert_eq!(net.dead_at(net.fleet(3).me().incarnation), 8);
+    assert_eq!(net.dead_at(net.fleet(3).local_member().incarnation), 8);
     assert!(
         net.fleet(3).paused(net.now),
         "the gap shows before any step"
@@ -154,8 +154,8 @@
     fleet.step(Time::ZERO, &mut out);
     assert!(!fleet.paused(Time::from_millis(90_000)));
     assert_eq!(fleet.owner(5), Some(instance(0)));
-    assert_eq!(fleet.known(), 1);
-    assert_eq!(fleet.heard_since(Time::ZERO), 1);
+    assert_eq!(fleet.listed_count(), 1);
+    assert_eq!(fleet.heard_since_count(Time::ZERO), 1);
 }
 
 #[test]
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -167,7 +167,7 @@
         let mut outputs = Vec::new();
         let next = fleet.step(now, &mut outputs);
         if fleet.declared_dead() {
-            let started = fleet.me().started + 1;
+            let started = fleet.local_member().started + 1;
             self.join(now, started);
             return (Vec::new(), Vec::new(), now);
         }
--- a/crates/node/src/edits.rs
+++ b/crates/node/src/edits.rs
@@ -129,7 +129,7 @@
     }
 
     fn try_accept(&mut self, number: u64, out: &mut Vec<Action>) {
-        let known = self.members.fleet.known();
+        let known = self.members.fleet.listed_count();
         let Some(edition) = self.tables.desk.editions.get(&number) else {
             return;
         };
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -150,7 +150,7 @@
 
     /// This run of this daemon.
     pub(crate) fn incarnation(&self) -> Incarnation {
-        self.members.fleet.me().incarnation
+        self.members.fleet.local_member().incarnation
     }
 
     /// Seconds of the Unix clock, moved on by the monotonic clock.
--- a/crates/node/src/proofs.rs
+++ b/crates/node/src/proofs.rs
@@ -44,7 +44,7 @@
             return NEWS_FANOUT;
         }
         let rounds = (lease.as_millis() / 2 / NEWS_EVERY.as_millis()).max(1) as usize;
-        let others = self.members.fleet.known() / 2;
+        let others = self.members.fleet.listed_count() / 2;
         NEWS_FANOUT.max(others.div_ceil(rounds))
     }
 
@@ -130,7 +130,7 @@
             .filter_map(|heard| heard.settled)
             .collect();
         points.sort_unstable_by(|a, b| b.cmp(a));
-        let others = self.members.fleet.known() / 2;
+        let others = self.members.fleet.listed_count() / 2;
         others
             .checked_sub(1)
             .and_then(|last| points.get(last).copied())
--- a/crates/node/src/queries.rs
+++ b/crates/node/src/queries.rs
@@ -70,7 +70,7 @@
             heard_ms: self
                 .members
                 .fleet
-                .heard(instance)
+                .last_heard(instance)
                 .map(|heard| millis(now.since(heard))),
         }
     }
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -25,7 +25,7 @@
 impl Node {
     /// Writes the waiting outcomes as one row.
     pub(crate) fn record(&mut self, out: &mut Vec<Action>) {
-        let members = self.members.fleet.known() as u32;
+        let members = self.members.fleet.listed_count() as u32;
         self.timers.record = self.now + EVERY.max(EVERY_PER_MEMBER * members);
         if self.requests.journal.sent.is_some() {
             return;
--- a/crates/node/src/sweeping.rs
+++ b/crates/node/src/sweeping.rs
@@ -64,7 +64,7 @@
     /// Whether this daemon may judge that owners are gone: cut off from the majority, it would take
     /// the whole fleet for dead.
     fn may_sweep(&self) -> bool {
-        let majority = self.members.fleet.reachable() * 2 > self.members.fleet.known();
+        let majority = self.members.fleet.reachable_count() * 2 > self.members.fleet.listed_count();
         majority && !self.members.fleet.paused(self.now)
     }
 
