--- a/crates/customer/src/keeper.rs
+++ b/crates/customer/src/keeper.rs
@@ -26,12 +26,12 @@
     /// Another one does, which may be silent.
     Deputy,
     /// It does not reach most of the instances.
-    Outsider,
+    NoMajority,
 }
 
 /// A question about a customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct QuotaRequest {
     /// Whose quota.
     pub subject: Subject,
     /// How much.
@@ -56,7 +56,7 @@
 
 /// The answer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct QuotaReply {
     /// The decision.
     pub decision: Decision,
     /// Units that are left; below zero where requests wait for those that come free.
@@ -108,17 +108,19 @@
         role: Role,
         limit: Limit,
         tolerance: &Tolerance,
-        ask: &Ask,
-    ) -> Told {
+        ask: &QuotaRequest,
+    ) -> QuotaReply {
         let (limit, start) = match (role, ask.subject) {
-            (Role::Keeper, Subject::Customer(_)) => (limit, tolerance.start(limit)),
+            (Role::Keeper, Subject::Customer(_)) => (limit, tolerance.initial_level(limit)),
             (Role::Deputy, Subject::Customer(_)) => {
-                let limit = tolerance.deputy(limit);
-                (limit, tolerance.start(limit))
+                let limit = tolerance.deputy_limit(limit);
+                (limit, tolerance.initial_level(limit))
             }
             // The limit of a replica must not be exceeded, so a new bucket starts empty.
             (Role::Keeper, Subject::Replica(_)) => (limit, 0.0),
-            (Role::Deputy, Subject::Replica(_)) | (Role::Outsider, _) => return Told::unsure(),
+            (Role::Deputy, Subject::Replica(_)) | (Role::NoMajority, _) => {
+                return QuotaReply::unsure();
+            }
         };
         let bucket = self.buckets.entry((ask.subject, role));
         let bucket = bucket.or_insert_with(|| Bucket::new(since, start));
@@ -145,7 +147,7 @@
                 Decision::Counted
             }
         };
-        Told {
+        QuotaReply {
             decision,
             left: bucket.level(now, limit),
         }
@@ -157,7 +159,7 @@
     }
 }
 
-impl Told {
+impl QuotaReply {
     /// The answer of a daemon that cannot tell.
     pub const fn unsure() -> Self {
         Self {
--- a/crates/customer/src/lib.rs
+++ b/crates/customer/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! Nothing here has input or output. A daemon keeps digests of keys ([`digest::Digest`]), never keys. What counts against the
 //! quota of a customer is kept by one daemon at a time in a [`bucket::Bucket`]; the others ask it, and fall back to a
-//! [`pocket::Pocket`] of their own where it does not answer.
+//! [`local_budget::LocalBudget`] of their own where it does not answer.
 
 pub mod bucket;
 pub mod digest;
 pub mod keeper;
 pub mod list;
-pub mod pocket;
+pub mod local_budget;
 pub mod quota;
 pub mod subject;
--- a/crates/customer/src/list.rs
+++ b/crates/customer/src/list.rs
@@ -12,7 +12,7 @@
 
 /// Names a customer in messages between daemons: a hash of its name, equal in every process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id(pub u64);
+pub struct CustomerId(pub u64);
 
 /// What counts against a quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,14 +41,14 @@
 
 /// All customers, found by the digest of a key.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct List {
+pub struct CustomerList {
     customers: Vec<Customer>,
     /// Index of the customer that holds a key; `None` for a key that several claim.
     by_key: HashMap<Digest, Option<u32>>,
-    by_id: HashMap<Id, u32>,
+    by_id: HashMap<CustomerId, u32>,
 }
 
-impl Id {
+impl CustomerId {
     /// The id of the customer `name`.
     pub fn new(name: &str) -> Self {
         let hash = Sha256::digest(name.as_bytes());
@@ -71,12 +71,12 @@
 
 impl Customer {
     /// Its id.
-    pub fn id(&self) -> Id {
-        Id::new(&self.name)
+    pub fn id(&self) -> CustomerId {
+        CustomerId::new(&self.name)
     }
 }
 
-impl List {
+impl CustomerList {
     /// No customers.
     pub fn new() -> Self {
         Self::default()
@@ -110,7 +110,7 @@
     }
 
     /// The customer `id`.
-    pub fn get(&self, id: Id) -> Option<&Customer> {
+    pub fn get(&self, id: CustomerId) -> Option<&Customer> {
         let index = self.by_id.get(&id)?;
         self.customers.get(*index as usize)
     }
--- a/crates/customer/src/pocket.rs
+++ b/crates/customer/src/local_budget.rs
@@ -11,7 +11,7 @@
 
 /// Units that were admitted unasked.
 #[derive(Debug, Default)]
-pub struct Pocket {
+pub struct LocalBudget {
     spent: VecDeque<Spent>,
     next: u32,
     /// Until then the keeper is asked first: it told that nothing was left.
@@ -21,16 +21,16 @@
 /// One request that was admitted unasked.
 #[derive(Debug, Clone, Copy)]
 struct Spent {
-    number: Number,
+    number: SpendId,
     at: Time,
     units: f64,
 }
 
 /// Names a request that was admitted unasked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Number(u32);
+pub struct SpendId(u32);
 
-impl Pocket {
+impl LocalBudget {
     /// Nothing spent.
     pub fn new() -> Self {
         Self::default()
@@ -43,7 +43,7 @@
         window: Duration,
         allowance: f64,
         units: f64,
-    ) -> Option<Number> {
+    ) -> Option<SpendId> {
         let fits = self.spent(now, window) + units <= allowance;
         (fits && now >= self.strict_until).then(|| self.note(now, units))
     }
@@ -55,17 +55,17 @@
         window: Duration,
         allowance: f64,
         units: f64,
-    ) -> Option<Number> {
+    ) -> Option<SpendId> {
         (self.spent(now, window) < allowance).then(|| self.note(now, units))
     }
 
     /// Forgets a request that the keeper has counted, or that did not run.
-    pub fn settle(&mut self, number: Number) {
+    pub fn settle(&mut self, number: SpendId) {
         self.spent.retain(|spent| spent.number != number);
     }
 
     /// Asks the keeper first for `time`.
-    pub fn ask_first(&mut self, now: Time, time: Duration) {
+    pub fn ask_keeper_first(&mut self, now: Time, time: Duration) {
         self.strict_until = self.strict_until.max(now + time);
     }
 
@@ -81,8 +81,8 @@
         self.spent.iter().map(|spent| spent.units).sum()
     }
 
-    fn note(&mut self, now: Time, units: f64) -> Number {
-        let number = Number(self.next);
+    fn note(&mut self, now: Time, units: f64) -> SpendId {
+        let number = SpendId(self.next);
         self.next = self.next.wrapping_add(1);
         self.spent.push_back(Spent {
             number,
--- a/crates/customer/src/quota.rs
+++ b/crates/customer/src/quota.rs
@@ -34,19 +34,19 @@
 
 impl Tolerance {
     /// Units beyond `limit` in a window.
-    pub fn units(&self, limit: Limit) -> f64 {
+    pub fn tolerated_units(&self, limit: Limit) -> f64 {
         let allowed = limit.rate * self.window.as_secs_f64() + limit.burst;
         self.excess * allowed + self.slack
     }
 
     /// Units in a bucket whose past is not known.
-    pub fn start(&self, limit: Limit) -> f64 {
-        (self.units(limit) * START_PART).min(limit.burst)
+    pub fn initial_level(&self, limit: Limit) -> f64 {
+        (self.tolerated_units(limit) * START_PART).min(limit.burst)
     }
 
     /// The limit of a deputy, which admits while the keeper is silent: half of its part at once, half over the window.
-    pub fn deputy(&self, limit: Limit) -> Limit {
-        let half = self.units(limit) * DEPUTY_PART / 2.0;
+    pub fn deputy_limit(&self, limit: Limit) -> Limit {
+        let half = self.tolerated_units(limit) * DEPUTY_PART / 2.0;
         let rate = half / self.window.as_secs_f64().max(f64::MIN_POSITIVE);
         Limit {
             rate: rate.min(limit.rate),
@@ -55,7 +55,7 @@
     }
 
     /// Units that one of so many daemons may admit in a window without having asked.
-    pub fn pocket(&self, limit: Limit, daemons: usize) -> f64 {
-        self.units(limit) * POCKET_PART / daemons.max(1) as f64
+    pub fn local_budget(&self, limit: Limit, daemons: usize) -> f64 {
+        self.tolerated_units(limit) * POCKET_PART / daemons.max(1) as f64
     }
 }
--- a/crates/customer/src/subject.rs
+++ b/crates/customer/src/subject.rs
@@ -3,13 +3,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::list::Id;
+use crate::list::CustomerId;
 
 /// What a limit applies to, across all daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Subject {
     /// The requests of a customer.
-    Customer(Id),
+    Customer(CustomerId),
     /// The requests sent to a replica, identified by its hash.
     Replica(u64),
 }
@@ -18,7 +18,7 @@
     /// Hashing key that selects the daemon that keeps the count.
     pub const fn key(self) -> u64 {
         match self {
-            Self::Customer(Id(key)) | Self::Replica(key) => key,
+            Self::Customer(CustomerId(key)) | Self::Replica(key) => key,
         }
     }
 }
--- a/crates/customer/tests/bound.rs
+++ b/crates/customer/tests/bound.rs
@@ -3,13 +3,13 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use customer::keeper::Ask;
 use customer::keeper::Decision;
 use customer::keeper::Keeper;
 use customer::keeper::Purpose;
+use customer::keeper::QuotaRequest;
 use customer::keeper::Role;
-use customer::list::Id;
-use customer::pocket::Pocket;
+use customer::list::CustomerId;
+use customer::local_budget::LocalBudget;
 use customer::quota::Limit;
 use customer::quota::Tolerance;
 use customer::subject::Subject;
@@ -18,7 +18,7 @@
 use proptest::prelude::*;
 
 const DAEMONS: usize = 12;
-const CUSTOMER: Id = Id(7);
+const CUSTOMER: CustomerId = CustomerId(7);
 /// Length of one step.
 const STEP_MS: u64 = 50;
 /// Time after which all daemons see who is in reach.
@@ -53,7 +53,7 @@
 /// All daemons, as they know of each other.
 struct World {
     keepers: Vec<Keeper>,
-    pockets: Vec<Pocket>,
+    pockets: Vec<LocalBudget>,
     /// First daemon that is cut off.
     cut_at: usize,
     /// What the daemons take for it.
@@ -67,7 +67,7 @@
     fn new() -> Self {
         Self {
             keepers: (0..DAEMONS).map(|_| Keeper::new()).collect(),
-            pockets: (0..DAEMONS).map(|_| Pocket::new()).collect(),
+            pockets: (0..DAEMONS).map(|_| LocalBudget::new()).collect(),
             cut_at: DAEMONS,
             noticed: DAEMONS,
             changed: vec![Time::ZERO; DAEMONS],
@@ -95,14 +95,14 @@
             self.noticed
         };
         match daemon {
-            _ if 2 * side <= DAEMONS => Role::Outsider,
+            _ if 2 * side <= DAEMONS => Role::NoMajority,
             _ if self.ranked(daemon)[0] == daemon => Role::Keeper,
             _ => Role::Deputy,
         }
     }
 
     fn ask(&mut self, now: Time, daemon: usize, purpose: Purpose, units: f64) -> Option<Decision> {
-        let ask = Ask {
+        let ask = QuotaRequest {
             subject: Subject::Customer(CUSTOMER),
             units,
             purpose,
@@ -129,14 +129,14 @@
 
     /// A daemon's decision, as the gateway takes it.
     fn request(&mut self, now: Time, daemon: usize, units: f64) {
-        let allowance = TOLERANCE.pocket(LIMIT, DAEMONS);
+        let allowance = TOLERANCE.local_budget(LIMIT, DAEMONS);
         if let Some(number) = self.pockets[daemon].spend(now, WINDOW, allowance, units) {
             self.admitted.push((now, units));
             match self.ask(now, daemon, Purpose::Ran, units) {
                 Some(Decision::Counted) => self.pockets[daemon].settle(number),
                 Some(Decision::Overdrawn { free_ms }) => {
                     let free_in = Duration::from_millis(free_ms.into());
-                    self.pockets[daemon].ask_first(now, free_in);
+                    self.pockets[daemon].ask_keeper_first(now, free_in);
                 }
                 _ => {}
             }
@@ -158,7 +158,7 @@
     fn kill(&mut self, now: Time, daemon: usize) {
         self.changed[daemon] = now;
         self.keepers[daemon] = Keeper::new();
-        self.pockets[daemon] = Pocket::new();
+        self.pockets[daemon] = LocalBudget::new();
     }
 
     /// Most units admitted in any window.
@@ -210,7 +210,7 @@
 }
 
 fn allowed() -> f64 {
-    LIMIT.rate * WINDOW.as_secs_f64() + LIMIT.burst + TOLERANCE.units(LIMIT)
+    LIMIT.rate * WINDOW.as_secs_f64() + LIMIT.burst + TOLERANCE.tolerated_units(LIMIT)
 }
 
 proptest! {
--- a/crates/customer/tests/list.rs
+++ b/crates/customer/tests/list.rs
@@ -2,7 +2,7 @@
 
 use customer::digest::Digest;
 use customer::list::Customer;
-use customer::list::List;
+use customer::list::CustomerList;
 use customer::list::Unit;
 use rstest::rstest;
 
@@ -23,14 +23,14 @@
     digests.into_iter()
 }
 
-fn holder<'a>(list: &'a List, key: &str) -> Option<&'a str> {
+fn holder<'a>(list: &'a CustomerList, key: &str) -> Option<&'a str> {
     let customer = list.holder(Digest::new(key.as_bytes()))?;
     Some(&customer.name)
 }
 
 #[test]
 fn each_key_is_its_customers() {
-    let mut list = List::new();
+    let mut list = CustomerList::new();
     assert!(
         list.add(customer("a"), keys(&["k1", "k2", "k1"]))
             .is_empty()
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_key_that_several_claim_is_nobodys() {
-    let mut list = List::new();
+    let mut list = CustomerList::new();
     list.add(customer("a"), keys(&["k1", "k2"]));
     assert_eq!(list.add(customer("b"), keys(&["k1"])), [Digest::new(b"k1")]);
     list.add(customer("c"), keys(&["k1"]));
--- a/crates/customer/tests/replica.rs
+++ b/crates/customer/tests/replica.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use customer::keeper::Ask;
 use customer::keeper::Decision;
 use customer::keeper::Keeper;
 use customer::keeper::Purpose;
+use customer::keeper::QuotaRequest;
 use customer::keeper::Role;
 use customer::quota::Limit;
 use customer::quota::Tolerance;
@@ -26,7 +26,7 @@
 const START: Time = Time::from_millis(10_000);
 
 fn decide(keeper: &mut Keeper, ms: u64, since: Time, role: Role) -> Decision {
-    let ask = Ask {
+    let ask = QuotaRequest {
         subject: Subject::Replica(7),
         units: 1.0,
         purpose: Purpose::Run { patience_ms: 0 },
@@ -60,7 +60,7 @@
 /// Guards against several daemons that grant requests to the same replica independently.
 #[rstest]
 #[case(Role::Deputy)]
-#[case(Role::Outsider)]
+#[case(Role::NoMajority)]
 fn only_the_keeper_grants_requests_to_a_replica(#[case] role: Role) {
     let decision = decide(&mut Keeper::new(), 0, Time::ZERO, role);
     assert_eq!(decision, Decision::Unsure);
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -10,7 +10,7 @@
 use boottime::timer::sleep;
 use customer::keeper::Decision;
 use customer::keeper::Purpose;
-use customer::keeper::Told;
+use customer::keeper::QuotaReply;
 use customer::subject::Subject;
 use http::Response;
 
@@ -75,7 +75,7 @@
 }
 
 fn log_decision(shared: &Shared, job: &Job, demand: Demand, heard: Option<Heard>) {
-    let told = heard.map_or(Told::unsure(), |heard| heard.told);
+    let told = heard.map_or(QuotaReply::unsure(), |heard| heard.told);
     let keeper = heard.map_or(String::new(), |heard| heard.name(shared));
     let customer = job.customer().map_or("", |customer| &customer.name);
     log::info!(kind = "quota", request = job.call.id, customer = customer, units = demand.units as u64, decision = format!("{:?}", told.decision), left = told.left as i64, keeper = keeper, ms = job.age().as_millis() as u64; "a quota was asked");
--- a/crates/gateway/src/quota/asking.rs
+++ b/crates/gateway/src/quota/asking.rs
@@ -7,8 +7,8 @@
 use boottime::timer::timeout;
 use customer::keeper::Decision;
 use customer::keeper::Purpose;
-use customer::keeper::Told;
-use customer::pocket::Number;
+use customer::keeper::QuotaReply;
+use customer::local_budget::SpendId;
 use customer::quota::Limit;
 use customer::subject::Subject;
 use tokio::sync::oneshot;
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Heard {
     /// What was told.
-    pub told: Told,
+    pub told: QuotaReply,
     /// Where the daemon listens that told it; `None` for this one.
     pub keeper: Option<SocketAddr>,
 }
@@ -48,7 +48,7 @@
 }
 
 /// Spends from the own pocket, if the customer has used little of it.
-pub fn spend_unasked(shared: &Shared, demand: Demand) -> Option<Number> {
+pub fn spend_unasked(shared: &Shared, demand: Demand) -> Option<SpendId> {
     let (window, allowance) = pocket(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
@@ -57,7 +57,7 @@
 }
 
 /// Spends from the own pocket, since nobody can be asked.
-pub fn overspend(shared: &Shared, demand: Demand) -> Option<Number> {
+pub fn overspend(shared: &Shared, demand: Demand) -> Option<SpendId> {
     let (window, allowance) = pocket(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
@@ -69,7 +69,7 @@
 fn pocket(shared: &Shared, limit: Limit) -> (Duration, f64) {
     let tolerance = shared.settings().quota_tolerance();
     let daemons = shared.members.borrow().known();
-    (tolerance.window, tolerance.pocket(limit, daemons))
+    (tolerance.window, tolerance.local_budget(limit, daemons))
 }
 
 /// Asks the keeper, and its deputy where the keeper is silent or cannot tell; `None` if neither tells.
@@ -118,7 +118,7 @@
     to: SocketAddr,
     demand: Demand,
     purpose: Purpose,
-) -> Option<Told> {
+) -> Option<QuotaReply> {
     let now = shared.clock.now();
     let (answer, answered) = oneshot::channel();
     let number = rand::random_range(UNANSWERED + 1..=u32::MAX);
--- a/crates/gateway/src/quota/charge.rs
+++ b/crates/gateway/src/quota/charge.rs
@@ -7,7 +7,7 @@
 
 use customer::keeper::Decision;
 use customer::keeper::Purpose;
-use customer::pocket::Number;
+use customer::local_budget::SpendId;
 
 use crate::quota::asking;
 use crate::quotas::Demand;
@@ -31,7 +31,7 @@
     /// The bucket of the daemon that listens there; of this one if `None`.
     Keeper(Option<SocketAddr>),
     /// The own pocket.
-    Pocket(Number),
+    Pocket(SpendId),
 }
 
 impl Charge {
@@ -74,7 +74,7 @@
 }
 
 /// Has a request counted that ran unasked.
-async fn report(shared: Rc<Shared>, demand: Demand, number: Number) {
+async fn report(shared: Rc<Shared>, demand: Demand, number: SpendId) {
     let heard = asking::ask(&shared, demand, Purpose::Ran).await;
     let decision = heard.map(|heard| heard.told.decision);
     let now = shared.clock.now();
@@ -84,7 +84,7 @@
         Some(Decision::Counted) => pocket.settle(number),
         Some(Decision::Overdrawn { free_ms }) => {
             let free_in = Duration::from_millis(free_ms.into());
-            pocket.ask_first(now, free_in.max(STRICT));
+            pocket.ask_keeper_first(now, free_in.max(STRICT));
         }
         // It counts against the pocket until it leaves the window.
         _ => {}
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -3,11 +3,11 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use customer::keeper::Ask;
 use customer::keeper::Keeper;
 use customer::keeper::Purpose;
-use customer::keeper::Told;
-use customer::pocket::Pocket;
+use customer::keeper::QuotaReply;
+use customer::keeper::QuotaRequest;
+use customer::local_budget::LocalBudget;
 use customer::quota::Limit;
 use customer::subject::Subject;
 use ident::Time;
@@ -21,7 +21,7 @@
     /// The buckets that it keeps.
     pub keeper: Keeper,
     /// What it admitted unasked.
-    pub pockets: HashMap<Subject, Pocket>,
+    pub pockets: HashMap<Subject, LocalBudget>,
     /// Questions to other daemons, by number.
     pub pending: HashMap<u32, Pending>,
     /// Daemons that did not answer, and until when they are not asked.
@@ -36,7 +36,7 @@
         /// Repeated in the answer.
         number: u32,
         /// What is asked.
-        ask: Ask,
+        ask: QuotaRequest,
         /// The limit as known to the asker.
         limit: Limit,
     },
@@ -45,7 +45,7 @@
         /// Number of the question.
         number: u32,
         /// What is told.
-        told: Told,
+        told: QuotaReply,
     },
 }
 
@@ -62,7 +62,7 @@
     }
 
     /// What was admitted unasked for `subject`.
-    pub fn pocket(&mut self, subject: Subject) -> &mut Pocket {
+    pub fn pocket(&mut self, subject: Subject) -> &mut LocalBudget {
         self.pockets.entry(subject).or_default()
     }
 }
@@ -80,8 +80,8 @@
 
 impl Demand {
     /// The question to the keeper.
-    pub const fn ask(self, purpose: Purpose) -> Ask {
-        Ask {
+    pub const fn ask(self, purpose: Purpose) -> QuotaRequest {
+        QuotaRequest {
             subject: self.subject,
             units: self.units,
             purpose,
@@ -99,5 +99,5 @@
     /// When it was sent.
     pub sent: Time,
     /// Who waits for the answer.
-    pub answer: oneshot::Sender<Told>,
+    pub answer: oneshot::Sender<QuotaReply>,
 }
--- a/crates/gateway/src/shared/customers.rs
+++ b/crates/gateway/src/shared/customers.rs
@@ -1,6 +1,6 @@
 //! Whose requests are.
 
-use customer::list::List;
+use customer::list::CustomerList;
 use customer::quota::Limit;
 use customer::subject::Subject;
 
@@ -15,7 +15,7 @@
 
 impl Shared {
     /// Gives the largest of `customers` figures of their own in the metrics, while there is room.
-    pub(super) fn name_customers(&self, customers: &List) {
+    pub(super) fn name_customers(&self, customers: &CustomerList) {
         let mut named = self.named_customers.borrow_mut();
         for customer in customers.largest(MAX_NAMED) {
             if named.len() < MAX_NAMED {
--- a/crates/lab/src/quota/run.rs
+++ b/crates/lab/src/quota/run.rs
@@ -100,7 +100,9 @@
         let limit = load.limit_at(admitted[first].0);
         let quota = limit.rate * window.as_secs_f64() + limit.burst;
         worst.0 = worst.0.max(sum / quota);
-        worst.1 = worst.1.max(sum / (quota + load.tolerance.units(limit)));
+        worst.1 = worst
+            .1
+            .max(sum / (quota + load.tolerance.tolerated_units(limit)));
     }
     worst
 }
--- a/crates/lab/src/quota/way.rs
+++ b/crates/lab/src/quota/way.rs
@@ -5,13 +5,13 @@
 
 use customer::bucket::Bucket;
 use customer::bucket::Verdict;
-use customer::keeper::Ask;
 use customer::keeper::Decision;
 use customer::keeper::Keeper;
 use customer::keeper::Purpose;
+use customer::keeper::QuotaRequest;
 use customer::keeper::Role;
-use customer::list::Id;
-use customer::pocket::Pocket;
+use customer::list::CustomerId;
+use customer::local_budget::LocalBudget;
 use customer::quota::Limit;
 use customer::subject::Subject;
 use ident::Time;
@@ -20,7 +20,7 @@
 use crate::quota::load::NOTICE;
 
 /// Name of the customer.
-const CUSTOMER: Id = Id(1);
+const CUSTOMER: CustomerId = CustomerId(1);
 /// Time between two messages of a daemon to all others.
 const PERIOD: Duration = Duration::from_millis(100);
 /// Time that a message takes.
@@ -42,7 +42,7 @@
 struct Daemon {
     bucket: Bucket,
     keeper: Keeper,
-    pocket: Pocket,
+    pocket: LocalBudget,
     /// Units that the others are still to be told of.
     untold: f64,
     /// When it last saw the members change.
@@ -65,9 +65,9 @@
 impl Daemon {
     fn new(now: Time, load: &Load) -> Self {
         Self {
-            bucket: Bucket::new(now, load.tolerance.start(load.limit)),
+            bucket: Bucket::new(now, load.tolerance.initial_level(load.limit)),
             keeper: Keeper::new(),
-            pocket: Pocket::new(),
+            pocket: LocalBudget::new(),
             untold: 0.0,
             changed: now,
         }
@@ -153,7 +153,7 @@
 
     fn asks(&mut self, now: Time, daemon: usize, limit: Limit, units: f64) -> bool {
         let tolerance = self.load.tolerance;
-        let allowance = tolerance.pocket(limit, self.daemons.len());
+        let allowance = tolerance.local_budget(limit, self.daemons.len());
         let pocket = &mut self.daemons[daemon].pocket;
         if let Some(number) = pocket.spend(now, tolerance.window, allowance, units) {
             let told = self.ask(now, daemon, limit, Purpose::Ran, units);
@@ -161,7 +161,7 @@
             match told {
                 Some(Decision::Counted) => pocket.settle(number),
                 Some(Decision::Overdrawn { free_ms }) => {
-                    pocket.ask_first(now, Duration::from_millis(free_ms.into()));
+                    pocket.ask_keeper_first(now, Duration::from_millis(free_ms.into()));
                 }
                 _ => {}
             }
@@ -187,7 +187,7 @@
         purpose: Purpose,
         units: f64,
     ) -> Option<Decision> {
-        let ask = Ask {
+        let ask = QuotaRequest {
             subject: Subject::Customer(CUSTOMER),
             units,
             purpose,
@@ -203,7 +203,7 @@
                 self.messages += 1;
             }
             let role = match to {
-                _ if 2 * self.live(now, to) <= self.daemons.len() => Role::Outsider,
+                _ if 2 * self.live(now, to) <= self.daemons.len() => Role::NoMajority,
                 _ if self.ranked(now, to).first() == Some(&to) => Role::Keeper,
                 _ => Role::Deputy,
             };
--- a/crates/relay/src/plan.rs
+++ b/crates/relay/src/plan.rs
@@ -5,7 +5,7 @@
 
 use customer::digest::Digest;
 use customer::list::Customer;
-use customer::list::List;
+use customer::list::CustomerList;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -21,7 +21,7 @@
     /// Bounds on what a caller may send.
     pub limits: Limits,
     /// The customers; `None` where callers need no API key.
-    pub customers: Option<List>,
+    pub customers: Option<CustomerList>,
     /// Indices of the routes of each host, longest prefix first.
     by_host: HashMap<String, Vec<usize>>,
 }
@@ -183,7 +183,7 @@
 
     /// The same with `customers`, whose API keys callers need.
     #[must_use]
-    pub fn with_customers(self, customers: List) -> Self {
+    pub fn with_customers(self, customers: CustomerList) -> Self {
         Self {
             customers: Some(customers),
             ..self
