--- a/crates/boottime/src/lib.rs
+++ b/crates/boottime/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! - [`Instant`]: a moment on the clock that counts since the machine was started.
 //! - [`Clock`]: times since the start of a process.
-//! - [`timer`]: waiting by that clock; [`timer::Watch`] wakes those that wait when the machine was suspended.
+//! - [`timer`]: waiting by that clock; [`timer::SuspendDetector`] wakes those that wait when the machine was suspended.
 
 mod clock;
 mod instant;
--- a/crates/boottime/src/timer.rs
+++ b/crates/boottime/src/timer.rs
@@ -2,7 +2,7 @@
 //!
 //! The runtime's timers do not count that time, and the system has no others for this clock that need no
 //! descriptor each. So each wait sets a timer of the runtime for what is left, and sets it anew when a
-//! [`Watch`] notices that the machine was suspended.
+//! [`SuspendDetector`] notices that the machine was suspended.
 
 use std::error::Error;
 use std::fmt;
@@ -101,13 +101,13 @@
 
 /// Notices that the machine was suspended. One in each process is asked several times a second.
 #[derive(Debug)]
-pub struct Watch {
+pub struct SuspendDetector {
     /// Both clocks at the last look.
     counting: Instant,
     steady: std::time::Instant,
 }
 
-impl Watch {
+impl SuspendDetector {
     /// A watch from now on.
     pub fn new() -> Self {
         Self {
@@ -117,7 +117,7 @@
     }
 
     /// Wakes all waits if the machine was suspended since the last look; gives for how long.
-    pub fn look(&mut self) -> Option<Duration> {
+    pub fn check(&mut self) -> Option<Duration> {
         let before = std::mem::take(self);
         let passed = self.counting.saturating_duration_since(before.counting);
         let counted = self.steady.saturating_duration_since(before.steady);
@@ -125,18 +125,18 @@
         if suspended < TOLERANCE {
             return None;
         }
-        wake();
+        wake_all();
         Some(suspended)
     }
 }
 
-impl Default for Watch {
+impl Default for SuspendDetector {
     fn default() -> Self {
         Self::new()
     }
 }
 
 /// Has all waits look at the clock again.
-pub fn wake() {
+pub fn wake_all() {
     SUSPENSIONS.notify_waiters();
 }
--- a/crates/boottime/tests/timer.rs
+++ b/crates/boottime/tests/timer.rs
@@ -19,7 +19,7 @@
     tokio::task::yield_now().await;
     thread::sleep(SUSPENDED);
     assert!(!wait.is_finished());
-    timer::wake();
+    timer::wake_all();
     assert_eq!(wait.await.unwrap(), Err(Elapsed));
     assert_eq!(steady.elapsed(), Duration::ZERO);
 }
@@ -30,7 +30,7 @@
     let wait = tokio::spawn(timer::sleep_until(begun + 2 * SUSPENDED));
     tokio::task::yield_now().await;
     thread::sleep(SUSPENDED);
-    timer::wake();
+    timer::wake_all();
     tokio::task::yield_now().await;
     assert!(!wait.is_finished());
     tokio::time::resume();
@@ -49,9 +49,9 @@
 
 #[test]
 fn a_machine_that_was_not_suspended_is_not_said_to_have_been() {
-    let mut watch = timer::Watch::new();
+    let mut watch = timer::SuspendDetector::new();
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(watch.look(), None);
+    assert_eq!(watch.check(), None);
 }
 
 #[test]
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -4,7 +4,7 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-use boottime::timer::Watch;
+use boottime::timer::SuspendDetector;
 use boottime::timer::sleep;
 
 pub use boottime::Clock;
@@ -21,10 +21,10 @@
 
 /// Has all timers count the time for which the machine was suspended, forever.
 pub async fn watch() {
-    let mut suspensions = Watch::new();
+    let mut suspensions = SuspendDetector::new();
     loop {
         sleep(LOOK).await;
-        if let Some(time) = suspensions.look() {
+        if let Some(time) = suspensions.check() {
             log::warn!(step = "clock"; "the machine was suspended for {time:?}");
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -52,7 +52,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use boottime::timer::Watch;
+use boottime::timer::SuspendDetector;
 use boottime::timer::sleep;
 use flexi_logger::LogSpecification;
 use flexi_logger::Logger;
@@ -177,7 +177,7 @@
 
 /// Becomes a member once ready, and closes connections that were idle for too long.
 async fn housekeeping(shared: Rc<Shared>) {
-    let mut suspensions = Watch::new();
+    let mut suspensions = SuspendDetector::new();
     loop {
         let joined = shared.members.borrow().joined();
         if !joined && shared.is_ready() {
@@ -188,7 +188,7 @@
         shared.links.sweep();
         let begun = shared.clock.now();
         sleep(HOUSEKEEPING).await;
-        if let Some(time) = suspensions.look() {
+        if let Some(time) = suspensions.check() {
             log::warn!(kind = "suspended", ms = time.as_millis() as u64; "the machine was suspended");
         }
         let slept = shared.clock.now().since(begun);
