--- a/crates/bench/src/slopes/frames.rs
+++ b/crates/bench/src/slopes/frames.rs
@@ -90,7 +90,7 @@
 fn ticket(blocks: usize) -> Ticket {
     Ticket {
         handle: handle(),
-        row: ident::Row::with_parts("model-1", "default", "model-1"),
+        row: ident::Row::from_parts("model-1", "default", "model-1"),
         work: Work::Model {
             prompt_tokens: blocks as u32 * 64,
             max_tokens: 400,
--- a/crates/ident/src/name.rs
+++ b/crates/ident/src/name.rs
@@ -52,7 +52,7 @@
 
 impl Row {
     /// The key of the row for `service`, `class` and `pool`.
-    pub fn with_parts(service: &str, class: &str, pool: &str) -> Self {
+    pub fn from_parts(service: &str, class: &str, pool: &str) -> Self {
         Self::new(&format!("{service}/{class}/{pool}"))
     }
 }
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -118,7 +118,7 @@
 }
 
 fn row(n: u64) -> Row {
-    Row::with_parts("bench", &format!("c{}", n % ROWS), "pool")
+    Row::from_parts("bench", &format!("c{}", n % ROWS), "pool")
 }
 
 fn cell(replicas: u64, busy: u64, full: bool) -> Cell {
--- a/crates/lab/src/workload.rs
+++ b/crates/lab/src/workload.rs
@@ -77,7 +77,7 @@
 
 fn class(name: &'static str, part: f64, prompt: f64, output: f64) -> Class {
     let rule = Rule {
-        row: Row::with_parts("lab", name, "pool"),
+        row: Row::from_parts("lab", name, "pool"),
         share: 1,
         priority: 5,
         ttft: Duration::from_secs(4),
--- a/crates/route/tests/common/mod.rs
+++ b/crates/route/tests/common/mod.rs
@@ -23,7 +23,7 @@
 
 /// The row of most tests.
 pub fn row() -> Row {
-    Row::with_parts("draft", "farmer", "feed")
+    Row::from_parts("draft", "farmer", "feed")
 }
 
 /// A generous rule for `row`.
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -76,7 +76,7 @@
 
     /// The key of the row as a small `Copy` value.
     pub fn id(&self) -> ident::Row {
-        ident::Row::with_parts(&self.service, &self.class, &self.pool)
+        ident::Row::from_parts(&self.service, &self.class, &self.pool)
     }
 
     /// The key of the row, `service/class/pool`.
--- a/crates/table/tests/file.rs
+++ b/crates/table/tests/file.rs
@@ -57,7 +57,7 @@
     assert_eq!(rows[1], lorries);
     assert_eq!(
         lorries.id(),
-        ident::Row::with_parts("lorries", "farmers", "ordering")
+        ident::Row::from_parts("lorries", "farmers", "ordering")
     );
 }
 
