--- a/crates/fleet/src/detect.rs
+++ b/crates/fleet/src/detect.rs
@@ -7,40 +7,40 @@
 use crate::Message;
 use crate::Output;
 use crate::member::State;
-use crate::probe::Indirect;
+use crate::probe::IndirectProbe;
 use crate::probe::Probe;
 use crate::roster::Suspicion;
 
 /// A partition is soon seen as many suspicions; up to one in this many listed instances, they are
 /// taken for deaths.
-const FEW_OF: usize = 16;
-/// While there are few suspicions, contact is asked for with `CLEAR_PART` of `CLEAR_OF` instances.
-const CLEAR_PART: usize = 5;
-/// See [`CLEAR_PART`].
-const CLEAR_OF: usize = 8;
+const FEW_SUSPECTS_DIVISOR: usize = 16;
+/// While there are few suspicions, contact is asked for with `CLEAR_NUMERATOR` of `CLEAR_DENOMINATOR` instances.
+const CLEAR_NUMERATOR: usize = 5;
+/// See [`CLEAR_NUMERATOR`].
+const CLEAR_DENOMINATOR: usize = 8;
 /// Where there are more, a member is judged after this many times the suspicion besides.
-const SETTLE: f64 = 1.5;
+const SETTLE_FACTOR: f64 = 1.5;
 /// Own pings that a member must have left unanswered before it is declared dead.
-const MISSED: u32 = 2;
+const MIN_MISSED_PINGS: u32 = 2;
 
 impl Fleet {
     /// Asks helpers once the direct answer is overdue.
-    pub(crate) fn ask_helpers(&mut self, now: Time) {
+    pub(crate) fn probe_indirectly(&mut self, now: Time) {
         let direct = self.settings.direct_timeout;
         let due = |probe: &&Probe| probe.indirect.is_none() && now >= probe.sent + direct;
         let Some(target) = self.probe.as_ref().filter(due).map(|probe| probe.target) else {
             return;
         };
-        let helpers = self.pick(self.settings.helpers, |member| {
+        let helpers = self.pick_peers(self.settings.helpers, |member| {
             member.state != State::Suspect && member.instance != target
         });
         let seq = self.next_seq();
         for helper in &helpers {
-            let news = self.compose(*helper);
+            let news = self.compose_records(*helper);
             self.send(*helper, Message::Probe { seq, target, news });
         }
         if let Some(probe) = &mut self.probe {
-            probe.indirect = Some(Indirect { seq, helpers });
+            probe.indirect = Some(IndirectProbe { seq, helpers });
         }
     }
 
@@ -56,9 +56,11 @@
                 .last_heard(instance)
                 .filter(|heard| *heard > suspicion.since);
             match heard {
-                Some(heard) => self.postpone(now, instance, heard),
-                None if self.may_judge(instance, suspicion) => self.bury(now, instance),
-                None => self.expire(now, instance, suspicion),
+                Some(heard) => self.extend_suspicion(now, instance, heard),
+                None if self.may_declare_dead(instance, suspicion) => {
+                    self.declare_dead(now, instance)
+                }
+                None => self.mark_out_of_reach(now, instance, suspicion),
             }
         }
     }
@@ -70,35 +72,35 @@
     /// all probes are answered, and once there are more, the rest gets time to show. They lag behind the end of a partition too, so a daemon that was cut
     /// off judges by pings that it sent since. Of two listed instances neither is a majority
     /// without the other, and each may judge.
-    fn may_judge(&self, instance: Instance, suspicion: Suspicion) -> bool {
+    fn may_declare_dead(&self, instance: Instance, suspicion: Suspicion) -> bool {
         let known = self.listed_count();
         let reachable = self.reachable_count();
-        let few = self.roster.suspicions.len() <= (known / FEW_OF).max(1);
-        let clear = few && reachable * CLEAR_OF >= known * CLEAR_PART;
+        let few = self.roster.suspicions.len() <= (known / FEW_SUSPECTS_DIVISOR).max(1);
+        let clear = few && reachable * CLEAR_DENOMINATOR >= known * CLEAR_NUMERATOR;
         match self.roster.listed.contains_key(&instance) {
             false => true,
             true if known <= 2 => true,
-            true if self.cut_off.is_some() || suspicion.missed < MISSED => false,
+            true if self.cut_off_at.is_some() || suspicion.missed < MIN_MISSED_PINGS => false,
             true => clear || (suspicion.expired && reachable * 2 > known),
         }
     }
 
     /// Notes whether this daemon lacked contact with a majority a short time ago.
-    pub(crate) fn note_contact(&mut self, now: Time) {
-        let until = self.cut_off.map(|last| last + self.suspicion());
+    pub(crate) fn update_contact(&mut self, now: Time) {
+        let until = self.cut_off_at.map(|last| last + self.suspicion_timeout());
         if self.reachable_count() * 2 <= self.listed_count() {
-            self.cut_off = Some(now);
+            self.cut_off_at = Some(now);
         } else if until.is_some_and(|until| now >= until) {
-            self.cut_off = None;
+            self.cut_off_at = None;
         }
-        if self.cut_off.is_some() {
+        if self.cut_off_at.is_some() {
             let suspicions = self.roster.suspicions.values_mut();
             suspicions.for_each(|suspicion| suspicion.missed = 0);
         }
     }
 
     /// Counts the last ping of a suspected member as missed, unless that was heard since.
-    pub(crate) fn settle_suspect(&mut self) {
+    pub(crate) fn finish_suspect_ping(&mut self) {
         let Some(ping) = self.suspect_ping.take() else {
             return;
         };
@@ -110,7 +112,7 @@
     }
 
     /// Gives a suspected member that was heard directly one more period; its refutation was lost.
-    fn postpone(&mut self, now: Time, instance: Instance, heard: Time) {
+    fn extend_suspicion(&mut self, now: Time, instance: Instance, heard: Time) {
         let deadline = now + self.settings.period;
         let suspicion = Suspicion {
             since: heard,
@@ -122,11 +124,11 @@
     }
 
     /// Counts a suspected member as out of reach, without a verdict, and looks again later.
-    fn expire(&mut self, now: Time, instance: Instance, suspicion: Suspicion) {
+    fn mark_out_of_reach(&mut self, now: Time, instance: Instance, suspicion: Suspicion) {
         let wait = if suspicion.expired {
             self.settings.period
         } else {
-            self.suspicion().mul_f64(SETTLE)
+            self.suspicion_timeout().mul_f64(SETTLE_FACTOR)
         };
         let deadline = now + wait;
         let next = Suspicion {
@@ -136,34 +138,34 @@
         };
         self.roster.suspicions.insert(instance, next);
         let member = self.roster.peers.get(&instance).map(|peer| peer.member);
-        let lost = member.filter(|_| !suspicion.expired);
-        let lost = lost.map(|member| Output::Changed {
+        let unreachable = member.filter(|_| !suspicion.expired);
+        let unreachable = unreachable.map(|member| Output::Changed {
             member,
             before: Some(member.state),
         });
-        self.outputs.extend(lost);
+        self.outputs.extend(unreachable);
     }
 
     /// Suspects the target of the last probe unless it answered, directly or through a helper.
-    pub(crate) fn settle_probe(&mut self, now: Time) {
+    pub(crate) fn finish_probe(&mut self, now: Time) {
         let Some(probe) = self.probe.take() else {
             return;
         };
         let peer = self.roster.peers.get(&probe.target);
         let peer = peer.filter(|peer| peer.member.incarnation == probe.incarnation);
-        let silent = peer.filter(|peer| peer.heard < Some(probe.sent));
-        self.outcomes.push(silent.is_none());
-        if let Some(held) = silent.map(|peer| peer.member) {
-            self.suspect(now, held);
+        let silent = peer.filter(|peer| peer.last_heard < Some(probe.sent));
+        self.probe_outcomes.push(silent.is_none());
+        if let Some(member) = silent.map(|peer| peer.member) {
+            self.suspect(now, member);
         }
     }
 
     /// Probes the next member in reach; those out of reach are pinged besides.
     pub(crate) fn probe_next(&mut self, now: Time) {
         let roster = &self.roster;
-        let in_reach = |instance| roster.in_reach_at(instance);
+        let is_in_reach = |instance| roster.is_in_reach(instance);
         let all = || roster.in_reach().map(|peer| peer.member.instance).collect();
-        let target = self.round.next(&mut self.rng, in_reach, all);
+        let target = self.probe_order.next(&mut self.rng, is_in_reach, all);
         let Some(target) = target else { return };
         let incarnation = self.roster.peers[&target].member.incarnation;
         let seq = self.ping(target);
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -9,13 +9,13 @@
 use crate::Message;
 use crate::Output;
 use crate::member::State;
-use crate::probe::Asker;
+use crate::probe::Requester;
 use crate::probe::SuspectPing;
 use crate::roster::Peer;
 
 impl Fleet {
     /// Periods between two pulls at most.
-    const MAX_PULL_GAP: u32 = 64;
+    const MAX_PULL_INTERVAL: u32 = 64;
 
     /// Answers a pull.
     pub(crate) fn send_page(&mut self, to: Instance, first: Instance) {
@@ -24,7 +24,7 @@
         let records = records.map(|(_, peer)| peer.member);
         let records = records.filter(|member| member.instance != to);
         let records = records.take(self.settings.page_records);
-        let news = std::iter::once(self.me).chain(records).collect();
+        let news = std::iter::once(self.local).chain(records).collect();
         self.send(to, Message::Page { news });
     }
 
@@ -33,7 +33,7 @@
         let roster = &self.roster;
         let is_suspect = |instance| roster.suspicions.contains_key(&instance);
         let all = || roster.suspicions.keys().copied().collect();
-        let target = self.suspect_round.next(&mut self.rng, is_suspect, all);
+        let target = self.suspect_order.next(&mut self.rng, is_suspect, all);
         if let Some(target) = target {
             self.ping(target);
             self.suspect_ping = Some(SuspectPing { target, sent: now });
@@ -44,11 +44,11 @@
     pub(crate) fn ping_absent(&mut self) {
         let roster = &self.roster;
         let is_absent = |instance| {
-            let present = roster.peers.get(&instance).is_some_and(Peer::present);
+            let present = roster.peers.get(&instance).is_some_and(Peer::is_present);
             roster.listed.contains_key(&instance) && !present
         };
         let all = || roster.absent().collect();
-        let target = self.absent_round.next(&mut self.rng, is_absent, all);
+        let target = self.absent_order.next(&mut self.rng, is_absent, all);
         target.map(|target| self.ping(target));
     }
 
@@ -62,69 +62,73 @@
         let Some(&first) = unknown.choose(&mut self.rng) else {
             return;
         };
-        let helpers = self.pick(1, |member| member.state != State::Suspect);
+        let helpers = self.pick_peers(1, |member| member.state != State::Suspect);
         let Some(&helper) = helpers.first() else {
             return;
         };
-        self.pull_gap = (self.pull_gap * 2).min(Self::MAX_PULL_GAP);
-        self.periods_to_pull = self.pull_gap;
-        let news = self.compose(helper);
+        self.pull_interval = (self.pull_interval * 2).min(Self::MAX_PULL_INTERVAL);
+        self.periods_to_pull = self.pull_interval;
+        let news = self.compose_records(helper);
         self.send(helper, Message::Pull { from: first, news });
     }
 
     /// Pulls again at once if the last page told of a run that was not known.
     pub(crate) fn pull_more(&mut self, before: usize) {
         if self.roster.runs.len() > before {
-            self.pull_gap = 1;
+            self.pull_interval = 1;
             self.periods_to_pull = 0;
             self.pull();
         }
     }
 
     /// Tells a daemon whose run is over so, in place of an answer.
-    pub(crate) fn send_verdict(&mut self, to: Instance, over: Member) {
-        let news = vec![self.me, over];
+    pub(crate) fn notify_ended_run(&mut self, to: Instance, ended: Member) {
+        let news = vec![self.local, ended];
         self.send(to, Message::Page { news });
     }
 
     pub(crate) fn ping(&mut self, to: Instance) -> u32 {
         let seq = self.next_seq();
-        let news = self.compose(to);
+        let news = self.compose_records(to);
         self.send(to, Message::Ping { seq, news });
         seq
     }
 
     /// Up to `count` present peers for which `fits` holds.
-    pub(crate) fn pick(&mut self, count: usize, fits: impl Fn(&Member) -> bool) -> Vec<Instance> {
+    pub(crate) fn pick_peers(
+        &mut self,
+        count: usize,
+        matches: impl Fn(&Member) -> bool,
+    ) -> Vec<Instance> {
         let present = self.roster.present().map(|peer| &peer.member);
-        let fitting: Vec<Instance> = present
-            .filter(|member| fits(member))
+        let matching: Vec<Instance> = present
+            .filter(|member| matches(member))
             .map(|member| member.instance)
             .collect();
-        fitting.sample(&mut self.rng, count).copied().collect()
+        matching.sample(&mut self.rng, count).copied().collect()
     }
 
     /// The records for a message to `to`: this daemon's own, what `to` must refute, news, filler.
-    pub(crate) fn compose(&mut self, to: Instance) -> Vec<Member> {
-        let mut news = vec![self.me];
+    pub(crate) fn compose_records(&mut self, to: Instance) -> Vec<Member> {
+        let mut news = vec![self.local];
         let about = self.roster.peers.get(&to).map(|peer| peer.member);
         news.extend(about.filter(|member| member.state >= State::Suspect));
-        let room = self.settings.max_records.saturating_sub(news.len());
-        let repeats = self.settings.retransmit_limit(self.size());
-        news.extend(self.news.take(room, repeats));
-        let room = self.settings.max_records.saturating_sub(news.len());
-        for _ in 0..room.min(self.settings.filler_records) {
-            news.extend(self.fill());
+        let free = self.settings.max_records.saturating_sub(news.len());
+        let retransmit_limit = self.settings.retransmit_limit(self.member_count());
+        news.extend(self.updates.take(free, retransmit_limit));
+        let free = self.settings.max_records.saturating_sub(news.len());
+        for _ in 0..free.min(self.settings.filler_records) {
+            news.extend(self.next_filler());
         }
         news
     }
 
     /// The next record to fill a message up with.
-    fn fill(&mut self) -> Option<Member> {
+    fn next_filler(&mut self) -> Option<Member> {
         let peers = &self.roster.peers;
         let known = |instance| peers.contains_key(&instance);
         let all = || peers.keys().copied().collect();
-        let next = self.filler.next(&mut self.rng, known, all)?;
+        let next = self.filler_order.next(&mut self.rng, known, all)?;
         peers.get(&next).map(|peer| peer.member)
     }
 
@@ -138,19 +142,24 @@
         self.outputs.push(Output::Send { to, message });
     }
 
-    pub(crate) fn relay(&mut self, asker: Instance, asker_seq: u32, target: Instance) {
+    pub(crate) fn relay_probe(
+        &mut self,
+        requester: Instance,
+        requester_seq: u32,
+        target: Instance,
+    ) {
         let seq = self.next_seq();
-        let asker = Asker {
-            instance: asker,
-            seq: asker_seq,
+        let requester = Requester {
+            instance: requester,
+            seq: requester_seq,
         };
-        self.relays.push(seq, target, asker);
-        let news = self.compose(target);
+        self.relays.push(seq, target, requester);
+        let news = self.compose_records(target);
         self.send(target, Message::Ping { seq, news });
     }
 
     pub(crate) fn acknowledge(&mut self, to: Instance, seq: u32) {
-        let news = self.compose(to);
+        let news = self.compose_records(to);
         self.send(to, Message::Ack { seq, news });
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -38,15 +38,15 @@
 pub mod owner;
 pub mod settings;
 
-mod claim;
-mod clock;
 mod detect;
 mod gossip;
-mod news;
+mod merge;
+mod pause;
 mod probe;
 mod query;
 mod roster;
 mod swim;
+mod updates;
 
 pub use member::Member;
 pub use message::Message;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -76,11 +76,11 @@
     }
 
     /// Whether this claim overrides `held`, a record of the same incarnation.
-    pub fn overrides(&self, held: &Self) -> bool {
-        match (self.state, held.state) {
+    pub fn overrides(&self, current: &Self) -> bool {
+        match (self.state, current.state) {
             (_, State::Dead) => false,
             (State::Dead, _) => true,
-            _ => (self.version, self.state) > (held.version, held.state),
+            _ => (self.version, self.state) > (current.version, current.state),
         }
     }
 }
--- a/crates/fleet/src/clock.rs
+++ b/crates/fleet/src/pause.rs
@@ -12,48 +12,48 @@
 
 /// When the next step was planned, and what is not known since a gap.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Clock {
-    planned: Option<Time>,
-    slack: Duration,
+pub(crate) struct PauseDetector {
+    planned_step: Option<Time>,
+    tolerance: Duration,
     /// The first sequence number sent after the last gap, until it or a later one that was sent is answered.
-    unanswered: Option<u32>,
+    first_unanswered: Option<u32>,
 }
 
-impl Clock {
-    pub(crate) const fn new(slack: Duration) -> Self {
+impl PauseDetector {
+    pub(crate) const fn new(tolerance: Duration) -> Self {
         Self {
-            planned: None,
-            slack,
-            unanswered: None,
+            planned_step: None,
+            tolerance,
+            first_unanswered: None,
         }
     }
 
     /// Whether the planned step is overdue.
-    pub(crate) fn overdue(&self, now: Time) -> bool {
-        self.planned
-            .is_some_and(|planned| now > planned + self.slack)
+    pub(crate) fn is_overdue(&self, now: Time) -> bool {
+        self.planned_step
+            .is_some_and(|planned_step| now > planned_step + self.tolerance)
     }
 
     /// Notes a gap; `seq` is the next sequence number.
-    pub(crate) fn resume(&mut self, now: Time, seq: u32) {
-        self.planned = Some(now);
-        self.unanswered = Some(seq);
+    pub(crate) fn record_pause(&mut self, now: Time, seq: u32) {
+        self.planned_step = Some(now);
+        self.first_unanswered = Some(seq);
     }
 
-    pub(crate) fn plan(&mut self, next: Time) {
-        self.planned = Some(next);
+    pub(crate) fn plan_step(&mut self, next: Time) {
+        self.planned_step = Some(next);
     }
 
     /// Notes an answer to the message `seq`; `next` is the next sequence number. Other numbers than those
     /// from the gap up to there tell nothing of the time after the gap.
-    pub(crate) fn answered(&mut self, seq: u32, next: u32) {
+    pub(crate) fn handle_ack(&mut self, seq: u32, next: u32) {
         let sent_since = |first| seq.wrapping_sub(first) < next.wrapping_sub(first);
-        if self.unanswered.is_some_and(sent_since) {
-            self.unanswered = None;
+        if self.first_unanswered.is_some_and(sent_since) {
+            self.first_unanswered = None;
         }
     }
 
-    pub(crate) fn paused(&self, now: Time) -> bool {
-        self.unanswered.is_some() || self.overdue(now)
+    pub(crate) fn is_paused(&self, now: Time) -> bool {
+        self.first_unanswered.is_some() || self.is_overdue(now)
     }
 }
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -16,12 +16,12 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) sent: Time,
     /// Set once helpers have been asked.
-    pub(crate) indirect: Option<Indirect>,
+    pub(crate) indirect: Option<IndirectProbe>,
 }
 
 /// The part of a probe that helpers were asked for.
 #[derive(Debug, Clone)]
-pub(crate) struct Indirect {
+pub(crate) struct IndirectProbe {
     /// Differs from [`Probe::seq`]: an instance that has the target's address now answers the direct ping under its own
     /// name, and if it is a helper too, that answer would count as the target's.
     pub(crate) seq: u32,
@@ -49,13 +49,13 @@
 struct Relay {
     seq: u32,
     target: Instance,
-    asker: Instance,
-    asker_seq: u32,
+    requester: Instance,
+    requester_seq: u32,
 }
 
 /// To whom and under which number an answer is passed on.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Asker {
+pub(crate) struct Requester {
     pub(crate) instance: Instance,
     pub(crate) seq: u32,
 }
@@ -69,38 +69,38 @@
 impl Relays {
     const CAPACITY: usize = 64;
 
-    pub(crate) fn push(&mut self, seq: u32, target: Instance, asker: Asker) {
+    pub(crate) fn push(&mut self, seq: u32, target: Instance, requester: Requester) {
         if self.relays.len() == Self::CAPACITY {
             self.relays.pop_front();
         }
         let relay = Relay {
             seq,
             target,
-            asker: asker.instance,
-            asker_seq: asker.seq,
+            requester: requester.instance,
+            requester_seq: requester.seq,
         };
         self.relays.push_back(relay);
     }
 
-    /// The asker for whom `target` answered `seq`.
-    pub(crate) fn take(&mut self, seq: u32, target: Instance) -> Option<Asker> {
-        let is_it = |relay: &Relay| relay.seq == seq && relay.target == target;
-        let index = self.relays.iter().position(is_it)?;
+    /// The requester for whom `target` answered `seq`.
+    pub(crate) fn take(&mut self, seq: u32, target: Instance) -> Option<Requester> {
+        let matches = |relay: &Relay| relay.seq == seq && relay.target == target;
+        let index = self.relays.iter().position(matches)?;
         let relay = self.relays.remove(index)?;
-        Some(Asker {
-            instance: relay.asker,
-            seq: relay.asker_seq,
+        Some(Requester {
+            instance: relay.requester,
+            seq: relay.requester_seq,
         })
     }
 }
 
 /// The outcomes of the last probes.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Outcomes {
+pub(crate) struct ProbeOutcomes {
     answered: VecDeque<bool>,
 }
 
-impl Outcomes {
+impl ProbeOutcomes {
     /// Probes remembered; they were sent to as many members drawn at random.
     const CAPACITY: usize = 6;
 
@@ -116,7 +116,7 @@
     }
 
     /// How many of `others` answer, judged by the last probes and rounded up.
-    pub(crate) fn scale(&self, others: usize) -> usize {
+    pub(crate) fn estimate_answering(&self, others: usize) -> usize {
         let answered = self.answered.iter().filter(|answered| **answered).count();
         (others * answered).div_ceil(self.answered.len().max(1))
     }
@@ -124,25 +124,25 @@
 
 /// Targets in random order; each comes once before any comes again.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Round {
-    left: Vec<Instance>,
+pub(crate) struct RoundRobin {
+    remaining: Vec<Instance>,
 }
 
-impl Round {
+impl RoundRobin {
     /// The next target for which `valid` holds; `all` lists the targets of a new round.
     pub(crate) fn next(
         &mut self,
         rng: &mut Pcg64Mcg,
-        valid: impl Fn(Instance) -> bool,
-        all: impl FnOnce() -> Vec<Instance>,
+        is_valid: impl Fn(Instance) -> bool,
+        refill: impl FnOnce() -> Vec<Instance>,
     ) -> Option<Instance> {
-        while let Some(target) = self.left.pop() {
-            if valid(target) {
+        while let Some(target) = self.remaining.pop() {
+            if is_valid(target) {
                 return Some(target);
             }
         }
-        self.left = all();
-        self.left.shuffle(rng);
-        self.left.pop()
+        self.remaining = refill();
+        self.remaining.shuffle(rng);
+        self.remaining.pop()
     }
 }
--- a/crates/fleet/src/query.rs
+++ b/crates/fleet/src/query.rs
@@ -14,12 +14,12 @@
 impl Fleet {
     /// This daemon's own record.
     pub const fn local_member(&self) -> &Member {
-        &self.me
+        &self.local
     }
 
     /// All members known, this daemon first, the dead ones still listed among them.
     pub fn members(&self) -> impl Iterator<Item = &Member> + '_ {
-        std::iter::once(&self.me).chain(self.roster.peers.values().map(|peer| &peer.member))
+        std::iter::once(&self.local).chain(self.roster.peers.values().map(|peer| &peer.member))
     }
 
     /// The state of a run; a former run of an instance is dead. `None` if it was never heard of
@@ -30,28 +30,28 @@
 
     /// The run of `instance` that is known last, dead or not.
     pub fn current(&self, instance: Instance) -> Option<&Member> {
-        if instance == self.me.instance {
-            return Some(&self.me);
+        if instance == self.local.instance {
+            return Some(&self.local);
         }
         self.roster.peers.get(&instance).map(|peer| &peer.member)
     }
 
     /// The record of a run.
     pub fn by_incarnation(&self, incarnation: Incarnation) -> Option<&Member> {
-        if incarnation == self.me.incarnation {
-            return Some(&self.me);
+        if incarnation == self.local.incarnation {
+            return Some(&self.local);
         }
         match self.roster.runs.get(&incarnation) {
             Some(instance) => self.current(*instance),
-            None => self.roster.past.get(incarnation),
+            None => self.roster.ended_runs.get(incarnation),
         }
     }
 
     /// The members in reach, this daemon among them unless it was declared dead: alive, leaving,
     /// or suspected for less than the suspicion lasts.
     pub fn alive(&self) -> impl Iterator<Item = &Member> + '_ {
-        let me = std::iter::once(&self.me).filter(|me| me.state != State::Dead);
-        me.chain(self.roster.in_reach().map(|peer| &peer.member))
+        let local = std::iter::once(&self.local).filter(|local| local.state != State::Dead);
+        local.chain(self.roster.in_reach().map(|peer| &peer.member))
     }
 
     /// The members in reach that are not leaving, by their own word or the list's.
@@ -62,7 +62,10 @@
 
     /// When the last direct message of `instance` came; `None` for this daemon itself.
     pub fn last_heard(&self, instance: Instance) -> Option<Time> {
-        self.roster.peers.get(&instance).and_then(|peer| peer.heard)
+        self.roster
+            .peers
+            .get(&instance)
+            .and_then(|peer| peer.last_heard)
     }
 
     /// How many listed instances were heard directly at or after `since`, this one counted.
@@ -80,7 +83,7 @@
     /// daemon that is cut off with few others sees its probes fail within about a second; one that
     /// is cut off with many sees the far side suspected by all of them.
     pub fn reachable_count(&self) -> usize {
-        let fine = self.roster.listed.keys().filter(|instance| {
+        let unsuspected = self.roster.listed.keys().filter(|instance| {
             let state = self
                 .roster
                 .peers
@@ -89,7 +92,9 @@
             matches!(state, Some(State::Alive | State::Leaving))
         });
         let others = self.roster.listed.len();
-        1 + fine.count().min(self.outcomes.scale(others))
+        1 + unsuspected
+            .count()
+            .min(self.probe_outcomes.estimate_answering(others))
     }
 
     /// How many instances are listed, this one counted even if it is not.
@@ -124,14 +129,14 @@
             .listed
             .get(&instance)
             .is_some_and(|entry| entry.leaving);
-        listed || self.says_leaving(instance)
+        listed || self.announced_leaving(instance)
     }
 
     /// Whether peers declared this run dead, or a newer run of this instance was heard of.
     ///
     /// The driver then gives the incarnation up; this fleet takes no further part.
     pub const fn declared_dead(&self) -> bool {
-        matches!(self.me.state, State::Dead)
+        matches!(self.local.state, State::Dead)
     }
 
     /// Whether this daemon was stopped for a while and no peer has answered it since.
@@ -140,7 +145,7 @@
     /// [`Fleet::declared_dead`] among it, is not known until it ends.
     pub fn paused(&self, now: Time) -> bool {
         let alone = self.roster.listed.is_empty() && self.roster.present().next().is_none();
-        !alone && self.clock.paused(now)
+        !alone && self.pause_detector.is_paused(now)
     }
 
     /// Bytes of state held, estimated from the sizes of the records.
@@ -149,14 +154,14 @@
         let records = self.roster.peers.len() * size_of::<(Instance, Peer)>()
             + self.roster.listed.len() * size_of::<(Instance, crate::entry::Entry)>()
             + self.roster.runs.len() * size_of::<(Incarnation, Instance)>()
-            + self.roster.past.len() * size_of::<(Incarnation, Member, Incarnation)>()
-            + self.news.len() * size_of::<(Instance, Member, u64)>();
+            + self.roster.ended_runs.len() * size_of::<(Incarnation, Member, Incarnation)>()
+            + self.updates.len() * size_of::<(Instance, Member, u64)>();
         size_of::<Self>() + records * 4 / 3
     }
 
-    fn says_leaving(&self, instance: Instance) -> bool {
-        if instance == self.me.instance {
-            return self.me.state == State::Leaving;
+    fn announced_leaving(&self, instance: Instance) -> bool {
+        if instance == self.local.instance {
+            return self.local.state == State::Leaving;
         }
         self.roster
             .peers
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -16,7 +16,7 @@
 pub(crate) struct Peer {
     pub(crate) member: Member,
     /// When its last direct message came.
-    pub(crate) heard: Option<Time>,
+    pub(crate) last_heard: Option<Time>,
     /// Whether this run was ever known to leave; a suspicion hides that state.
     pub(crate) leaving: bool,
 }
@@ -26,12 +26,12 @@
         let leaving = member.state == State::Leaving;
         Self {
             member,
-            heard: None,
+            last_heard: None,
             leaving,
         }
     }
 
-    pub(crate) fn present(&self) -> bool {
+    pub(crate) fn is_present(&self) -> bool {
         self.member.state != State::Dead
     }
 }
@@ -49,12 +49,12 @@
 
 /// Runs that are over, the latest last.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Past {
+pub(crate) struct EndedRuns {
     members: BTreeMap<Incarnation, Member>,
     order: VecDeque<Incarnation>,
 }
 
-impl Past {
+impl EndedRuns {
     /// Runs remembered; several days' worth at 400 daemons with 160 restarts a day.
     const CAPACITY: usize = 1024;
 
@@ -87,28 +87,28 @@
     pub(crate) suspicions: BTreeMap<Instance, Suspicion>,
     pub(crate) listed: BTreeMap<Instance, Entry>,
     pub(crate) runs: BTreeMap<Incarnation, Instance>,
-    pub(crate) past: Past,
+    pub(crate) ended_runs: EndedRuns,
 }
 
 impl Roster {
     /// Puts a new run in place of the former one of its instance, which it returns.
-    pub(crate) fn put(&mut self, member: Member) -> Option<Member> {
+    pub(crate) fn insert_run(&mut self, member: Member) -> Option<Member> {
         let former = self.peers.insert(member.instance, Peer::new(member));
         self.suspicions.remove(&member.instance);
         self.runs.insert(member.incarnation, member.instance);
-        former.map(|peer| self.retire(peer.member))
+        former.map(|peer| self.end_run(peer.member))
     }
 
     /// Forgets `instance`; its run is remembered as over.
     pub(crate) fn remove(&mut self, instance: Instance) {
         self.suspicions.remove(&instance);
         let peer = self.peers.remove(&instance);
-        peer.map(|peer| self.retire(peer.member));
+        peer.map(|peer| self.end_run(peer.member));
     }
 
     /// Instances of the list that are not present: never heard of, or dead.
     pub(crate) fn absent(&self) -> impl Iterator<Item = Instance> + '_ {
-        let present = |instance: &Instance| self.peers.get(instance).is_some_and(Peer::present);
+        let present = |instance: &Instance| self.peers.get(instance).is_some_and(Peer::is_present);
         self.listed
             .keys()
             .copied()
@@ -125,39 +125,39 @@
 
     /// Members that are not dead.
     pub(crate) fn present(&self) -> impl Iterator<Item = &Peer> + '_ {
-        self.peers.values().filter(|peer| peer.present())
+        self.peers.values().filter(|peer| peer.is_present())
     }
 
     /// Members that are neither dead nor suspected beyond their time.
     pub(crate) fn in_reach(&self) -> impl Iterator<Item = &Peer> + '_ {
         self.present()
-            .filter(|peer| !self.lost(peer.member.instance))
+            .filter(|peer| !self.is_out_of_reach(peer.member.instance))
     }
 
     /// Whether `instance` is among the members in reach.
-    pub(crate) fn in_reach_at(&self, instance: Instance) -> bool {
-        let present = self.peers.get(&instance).is_some_and(Peer::present);
-        present && !self.lost(instance)
+    pub(crate) fn is_in_reach(&self, instance: Instance) -> bool {
+        let present = self.peers.get(&instance).is_some_and(Peer::is_present);
+        present && !self.is_out_of_reach(instance)
     }
 
-    fn lost(&self, instance: Instance) -> bool {
+    fn is_out_of_reach(&self, instance: Instance) -> bool {
         let suspicion = self.suspicions.get(&instance);
         suspicion.is_some_and(|suspicion| suspicion.expired)
     }
 
     /// Forgets dead members that are off the list.
-    pub(crate) fn prune(&mut self) {
+    pub(crate) fn remove_unlisted_dead(&mut self) {
         let gone = self.peers.iter();
-        let gone = gone.filter(|(key, peer)| !peer.present() && !self.listed.contains_key(key));
+        let gone = gone.filter(|(key, peer)| !peer.is_present() && !self.listed.contains_key(key));
         let gone: Vec<Instance> = gone.map(|(key, _)| *key).collect();
         for instance in gone {
             self.remove(instance);
         }
     }
 
-    fn retire(&mut self, member: Member) -> Member {
+    fn end_run(&mut self, member: Member) -> Member {
         self.runs.remove(&member.incarnation);
-        self.past.push(member);
+        self.ended_runs.push(member);
         member
     }
 }
--- a/crates/fleet/src/news.rs
+++ b/crates/fleet/src/updates.rs
@@ -9,58 +9,64 @@
 
 /// A record and how often it has been sent.
 #[derive(Debug, Clone)]
-struct Item {
+struct QueuedUpdate {
     member: Member,
-    sent: u32,
+    transmissions: u32,
 }
 
-impl Item {
+impl QueuedUpdate {
     /// Whether the record tells no more than that a run began.
-    fn begins(&self) -> bool {
+    fn is_new_run(&self) -> bool {
         self.member.state == State::Alive && self.member.version == 0
     }
 }
 
 /// The records to spread, at most one for each instance.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Queue {
-    items: BTreeMap<Instance, Item>,
+pub(crate) struct UpdateQueue {
+    updates: BTreeMap<Instance, QueuedUpdate>,
 }
 
-impl Queue {
+impl UpdateQueue {
     /// Spreads `member`, in place of what was spread of its instance before.
     pub(crate) fn push(&mut self, member: Member) {
-        self.items.insert(member.instance, Item { member, sent: 0 });
+        self.updates.insert(
+            member.instance,
+            QueuedUpdate {
+                member,
+                transmissions: 0,
+            },
+        );
     }
 
     /// Takes up to `room` records and drops those sent `repeats` times.
     ///
     /// Least sent first, but beginnings of runs last: when many daemons start together these would
     /// hold up the news of a death, and a newcomer makes itself known by its own messages as well.
-    pub(crate) fn take(&mut self, room: usize, repeats: u32) -> Vec<Member> {
-        let items = self.items.iter();
-        let mut order: Vec<(bool, u32, Instance)> = items
-            .map(|(instance, item)| (item.begins(), item.sent, *instance))
+    pub(crate) fn take(&mut self, max_count: usize, retransmit_limit: u32) -> Vec<Member> {
+        let updates = self.updates.iter();
+        let mut order: Vec<(bool, u32, Instance)> = updates
+            .map(|(instance, update)| (update.is_new_run(), update.transmissions, *instance))
             .collect();
         order.sort_unstable();
-        order.truncate(room);
+        order.truncate(max_count);
         let picked = order
             .into_iter()
-            .filter_map(|(_, _, instance)| self.send(instance, repeats));
+            .filter_map(|(_, _, instance)| self.transmit(instance, retransmit_limit));
         picked.collect()
     }
 
     /// The number of records still to spread.
     pub(crate) fn len(&self) -> usize {
-        self.items.len()
+        self.updates.len()
     }
 
-    fn send(&mut self, instance: Instance, repeats: u32) -> Option<Member> {
-        let item = self.items.get_mut(&instance)?;
-        item.sent += 1;
-        let member = item.member;
-        if item.sent >= repeats {
-            self.items.remove(&instance);
+    fn transmit(&mut self, instance: Instance, retransmit_limit: u32) -> Option<Member> {
+        let update = self.updates.get_mut(&instance)?;
+        update.transmissions += 1;
+        let member = update.member;
+        if update.transmissions >= retransmit_limit {
+            self.updates.remove(&instance);
         }
         Some(member)
     }
