--- a/crates/fleet/src/detect.rs
+++ b/crates/fleet/src/detect.rs
@@ -1,4 +1,4 @@
-//! Probing, suspicion and death.
+//! Failure detection: probes, suspicions and declarations of death.
 
 use ident::Instance;
 use ident::Time;
@@ -11,20 +11,21 @@
 use crate::probe::Probe;
 use crate::roster::Suspicion;
 
-/// A partition is soon seen as many suspicions; up to one in this many listed instances, they are
-/// taken for deaths.
+/// Up to one suspicion for this many listed instances counts as few. A partition soon causes many
+/// suspicions, so few of them are taken for single deaths.
 const FEW_SUSPECTS_DIVISOR: usize = 16;
-/// While there are few suspicions, contact is asked for with `CLEAR_NUMERATOR` of `CLEAR_DENOMINATOR` instances.
+/// With few suspicions, `CLEAR_NUMERATOR` of `CLEAR_DENOMINATOR` listed instances must be reachable.
 const CLEAR_NUMERATOR: usize = 5;
 /// See [`CLEAR_NUMERATOR`].
 const CLEAR_DENOMINATOR: usize = 8;
-/// Where there are more, a member is judged after this many times the suspicion besides.
+/// With more suspicions, a member may be declared dead only after this multiple of the suspicion
+/// timeout in addition.
 const SETTLE_FACTOR: f64 = 1.5;
-/// Own pings that a member must have left unanswered before it is declared dead.
+/// Pings from this daemon that a member must leave unanswered before it is declared dead.
 const MIN_MISSED_PINGS: u32 = 2;
 
 impl Fleet {
-    /// Asks helpers once the direct answer is overdue.
+    /// Asks helpers to ping the probed member once its direct answer is overdue.
     pub(crate) fn probe_indirectly(&mut self, now: Time) {
         let direct = self.settings.direct_timeout;
         let due = |probe: &&Probe| probe.indirect.is_none() && now >= probe.sent + direct;
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Judges the suspected members that did not refute in time.
+    /// Handles suspected members that did not refute the suspicion in time.
     pub(crate) fn expire_suspicions(&mut self, now: Time) {
         let suspicions = self.roster.suspicions.iter();
         let overdue = suspicions.filter(|(_, suspicion)| now >= suspicion.deadline);
@@ -57,22 +58,21 @@
                 .filter(|heard| *heard > suspicion.since);
             match heard {
                 Some(heard) => self.extend_suspicion(now, instance, heard),
-                None if self.may_declare_dead(instance, suspicion) => {
-                    self.declare_dead(now, instance)
-                }
+                None if self.may_declare(instance, suspicion) => self.declare_dead(now, instance),
                 None => self.mark_out_of_reach(now, instance, suspicion),
             }
         }
     }
 
-    /// Whether this daemon may declare `instance` dead: it is off the list, or this daemon is on
-    /// the larger side of whatever partition there may be.
+    /// Whether this daemon may declare `instance` dead: the instance is not listed, or this daemon
+    /// is on the majority side of any partition.
     ///
-    /// Suspicions lag behind a partition: while there are few of them they are believed only if nearly
-    /// all probes are answered, and once there are more, the rest gets time to show. They lag behind the end of a partition too, so a daemon that was cut
-    /// off judges by pings that it sent since. Of two listed instances neither is a majority
-    /// without the other, and each may judge.
-    fn may_declare_dead(&self, instance: Instance, suspicion: Suspicion) -> bool {
+    /// Suspicions lag behind the start of a partition: while there are few, a death is declared only
+    /// if nearly all probes are answered; once there are more, the remaining ones get time to appear.
+    /// They also lag behind the end of a partition, so a daemon that was cut off counts only pings
+    /// that it sent afterwards. Of two listed instances, neither is a majority without the other, so
+    /// each may declare the other dead.
+    fn may_declare(&self, instance: Instance, suspicion: Suspicion) -> bool {
         let known = self.listed_count();
         let reachable = self.reachable_count();
         let few = self.roster.suspicions.len() <= (known / FEW_SUSPECTS_DIVISOR).max(1);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Notes whether this daemon lacked contact with a majority a short time ago.
+    /// Tracks whether this daemon recently lacked contact with a majority.
     pub(crate) fn update_contact(&mut self, now: Time) {
         let until = self.cut_off_at.map(|last| last + self.suspicion_timeout());
         if self.reachable_count() * 2 <= self.listed_count() {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Counts the last ping of a suspected member as missed, unless that was heard since.
+    /// Counts the last ping of a suspected member as missed unless a message came from it since.
     pub(crate) fn finish_suspect_ping(&mut self) {
         let Some(ping) = self.suspect_ping.take() else {
             return;
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Gives a suspected member that was heard directly one more period; its refutation was lost.
+    /// Extends the suspicion by a period for a member that has sent a message since it was suspected:
+    /// its refutation was lost.
     fn extend_suspicion(&mut self, now: Time, instance: Instance, heard: Time) {
         let deadline = now + self.settings.period;
         let suspicion = Suspicion {
@@ -123,7 +124,7 @@
         self.roster.suspicions.insert(instance, suspicion);
     }
 
-    /// Counts a suspected member as out of reach, without a verdict, and looks again later.
+    /// Marks a suspected member as out of reach without declaring it dead, and checks it again later.
     fn mark_out_of_reach(&mut self, now: Time, instance: Instance, suspicion: Suspicion) {
         let wait = if suspicion.expired {
             self.settings.period
@@ -146,7 +147,8 @@
         self.outputs.extend(unreachable);
     }
 
-    /// Suspects the target of the last probe unless it answered, directly or through a helper.
+    /// Finishes the last probe: suspects its target unless that answered, directly or through a
+    /// helper.
     pub(crate) fn finish_probe(&mut self, now: Time) {
         let Some(probe) = self.probe.take() else {
             return;
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Probes the next member in reach; those out of reach are pinged besides.
+    /// Probes the next member in reach. Members out of reach are pinged by [`Fleet::ping_suspect`].
     pub(crate) fn probe_next(&mut self, now: Time) {
         let roster = &self.roster;
         let is_in_reach = |instance| roster.is_in_reach(instance);
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -3,14 +3,14 @@
 use ident::Instance;
 use ident::Zone;
 
-/// One entry instance as the platform lists it; the list lags.
+/// One entry instance in the platform's list, which may be out of date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
     /// The instance.
     pub instance: Instance,
     /// Its data centre.
     pub zone: Zone,
-    /// Whether the platform says that it is leaving.
+    /// Whether the platform lists it as leaving.
     pub leaving: bool,
 }
 
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What is sent to whom.
+//! Composes and sends messages to other members.
 
 use ident::Instance;
 use ident::Time;
@@ -14,7 +14,7 @@
 use crate::roster::Peer;
 
 impl Fleet {
-    /// Periods between two pulls at most.
+    /// Maximum number of periods between two pulls.
     const MAX_PULL_INTERVAL: u32 = 64;
 
     /// Answers a pull.
@@ -28,7 +28,7 @@
         self.send(to, Message::Page { news });
     }
 
-    /// Pings one suspected member, so that it learns of the suspicion.
+    /// Pings one suspected member, so that it can refute the suspicion.
     pub(crate) fn ping_suspect(&mut self, now: Time) {
         let roster = &self.roster;
         let is_suspect = |instance| roster.suspicions.contains_key(&instance);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Pings one listed instance that is dead or was never heard of.
+    /// Pings one listed instance that is dead or unknown.
     pub(crate) fn ping_absent(&mut self) {
         let roster = &self.roster;
         let is_absent = |instance| {
@@ -52,7 +52,7 @@
         target.map(|target| self.ping(target));
     }
 
-    /// Asks a member for a page that begins with a listed instance that was never heard of.
+    /// Requests a page of records that starts at a listed but unknown instance.
     pub(crate) fn pull(&mut self) {
         self.periods_to_pull = self.periods_to_pull.saturating_sub(1);
         if self.periods_to_pull > 0 {
@@ -72,7 +72,8 @@
         self.send(helper, Message::Pull { from: first, news });
     }
 
-    /// Pulls again at once if the last page told of a run that was not known.
+    /// Pulls again at once if the last page contained an unknown run; `before` is the number of runs
+    /// known before it.
     pub(crate) fn pull_more(&mut self, before: usize) {
         if self.roster.runs.len() > before {
             self.pull_interval = 1;
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Tells a daemon whose run is over so, in place of an answer.
+    /// Sends a daemon the death record of its own run instead of an answer.
     pub(crate) fn notify_ended_run(&mut self, to: Instance, ended: Member) {
         let news = vec![self.local, ended];
         self.send(to, Message::Page { news });
@@ -94,7 +95,7 @@
         seq
     }
 
-    /// Up to `count` present peers for which `fits` holds.
+    /// Up to `count` random present peers for which `matches` holds.
     pub(crate) fn pick_peers(
         &mut self,
         count: usize,
@@ -108,7 +109,8 @@
         matching.sample(&mut self.rng, count).copied().collect()
     }
 
-    /// The records for a message to `to`: this daemon's own, what `to` must refute, news, filler.
+    /// The records for a message to `to`: this daemon's own, that of `to` if `to` has to refute it,
+    /// updates, and filler.
     pub(crate) fn compose_records(&mut self, to: Instance) -> Vec<Member> {
         let mut news = vec![self.local];
         let about = self.roster.peers.get(&to).map(|peer| peer.member);
@@ -123,7 +125,7 @@
         news
     }
 
-    /// The next record to fill a message up with.
+    /// The next record to fill up a message.
     fn next_filler(&mut self) -> Option<Member> {
         let peers = &self.roster.peers;
         let known = |instance| peers.contains_key(&instance);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! Records of members.
+//! Records of members and the rules by which one overrides another.
 
 use std::cmp::Ordering;
 
@@ -8,18 +8,18 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is known of a member.
+/// State of a member.
 ///
-/// Ordered by how one claim overrides another at the same version of the same incarnation.
+/// At the same version of the same incarnation, a later variant overrides an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
     /// It answers.
     Alive,
-    /// It answers, takes nothing new and finishes what is in progress.
+    /// It answers, but accepts no new work and finishes what is in progress.
     Leaving,
-    /// It failed to answer and has not refuted that yet; it still counts as present.
+    /// It failed to answer and has not refuted the suspicion yet; it still counts as present.
     Suspect,
-    /// It is gone, or so it was decided; final for the incarnation.
+    /// It ended or was declared dead; final for the incarnation.
     Dead,
 }
 
@@ -34,9 +34,9 @@
     pub started: u64,
     /// The data centre.
     pub zone: Zone,
-    /// What is known of it.
+    /// Its last known state.
     pub state: State,
-    /// Raised by the member itself each time it refutes a suspicion or begins to leave.
+    /// Incremented by the member itself each time it refutes a suspicion or begins to leave.
     pub version: u32,
 }
 
@@ -45,7 +45,7 @@
     /// in bytes: four 64-bit numbers of 9, the state of 1, the version of 5 at most.
     pub const MAX_ENCODED_BYTES: usize = 4 * 9 + 1 + 5;
 
-    /// A live member at its first version.
+    /// An alive member at version 0.
     pub const fn new(
         instance: Instance,
         incarnation: Incarnation,
@@ -75,12 +75,12 @@
         run(self).cmp(&run(other))
     }
 
-    /// Whether this claim overrides `held`, a record of the same incarnation.
-    pub fn overrides(&self, current: &Self) -> bool {
-        match (self.state, current.state) {
+    /// Whether this record overrides `held`, a record of the same incarnation.
+    pub fn overrides(&self, held: &Self) -> bool {
+        match (self.state, held.state) {
             (_, State::Dead) => false,
             (State::Dead, _) => true,
-            _ => (self.version, self.state) > (current.version, current.state),
+            _ => (self.version, self.state) > (held.version, held.state),
         }
     }
 }
--- a/crates/fleet/src/merge.rs
+++ b/crates/fleet/src/merge.rs
@@ -1,4 +1,4 @@
-//! What a record heard of a member changes.
+//! Merges records of members into the local view.
 
 use ident::Instance;
 use ident::Time;
@@ -11,13 +11,13 @@
 use crate::roster::Suspicion;
 
 impl Fleet {
-    /// Takes a record in, from whomever it comes.
+    /// Merges a record from any source.
     pub(crate) fn merge(&mut self, now: Time, record: Member) {
         if record.instance == self.local.instance {
             self.merge_own(record);
             return;
         }
-        if self.roster.ended_runs.get(record.incarnation).is_some() {
+        if self.roster.ended.get(record.incarnation).is_some() {
             return;
         }
         match self
@@ -26,12 +26,8 @@
             .get(&record.instance)
             .map(|peer| peer.member)
         {
-            Some(current) if current.incarnation == record.incarnation => {
-                self.apply(now, current, record)
-            }
-            Some(current) if record.run_order(&current).is_lt() => {
-                self.roster.ended_runs.push(record)
-            }
+            Some(held) if held.incarnation == record.incarnation => self.apply(now, held, record),
+            Some(held) if record.run_order(&held).is_lt() => self.roster.ended.push(record),
             None if record.state == State::Dead => self.merge_ended_run(record),
             Some(_) | None => self.replace_run(now, record),
         }
@@ -39,17 +35,17 @@
 
     /// Declares the suspected `instance` dead.
     pub(crate) fn declare_dead(&mut self, now: Time, instance: Instance) {
-        let current = self.roster.peers.get(&instance).map(|peer| peer.member);
-        if let Some(current) = current {
-            self.apply(now, current, current.with_state(State::Dead));
+        let held = self.roster.peers.get(&instance).map(|peer| peer.member);
+        if let Some(held) = held {
+            self.apply(now, held, held.with_state(State::Dead));
         }
     }
 
-    /// Suspects `instance`, if it is still the run `member`.
-    pub(crate) fn suspect(&mut self, now: Time, current: Member) {
-        let suspect = current.with_state(State::Suspect);
-        if suspect.overrides(&current) {
-            self.apply(now, current, suspect);
+    /// Suspects the run of `held` unless it is already suspected or dead.
+    pub(crate) fn suspect(&mut self, now: Time, held: Member) {
+        let suspect = held.with_state(State::Suspect);
+        if suspect.overrides(&held) {
+            self.apply(now, held, suspect);
         }
     }
 
@@ -77,16 +73,16 @@
         });
     }
 
-    /// Takes in the end of a run that was not known to have begun.
+    /// Merges a death record of a run that was unknown.
     fn merge_ended_run(&mut self, record: Member) {
         if self.roster.listed.contains_key(&record.instance) {
             self.roster.insert_run(record);
         } else {
-            self.roster.ended_runs.push(record);
+            self.roster.ended.push(record);
         }
     }
 
-    /// Takes in a run that was not known, in place of a former one if there was one.
+    /// Adds a new run of an instance; the previous run, if any, is dead.
     fn replace_run(&mut self, now: Time, record: Member) {
         let former = self.roster.insert_run(record);
         let ended = former.filter(|former| former.state != State::Dead);
@@ -100,26 +96,26 @@
         self.record_change(now, record, None);
     }
 
-    /// Takes in a record of the run `member`.
-    fn apply(&mut self, now: Time, current: Member, record: Member) {
-        if !record.overrides(&current) {
+    /// Applies `record` to the same run's record `held` if it overrides that.
+    fn apply(&mut self, now: Time, held: Member, record: Member) {
+        if !record.overrides(&held) {
             return;
         }
         let peer = self
             .roster
             .peers
-            .entry(current.instance)
-            .or_insert_with(|| Peer::new(current));
+            .entry(held.instance)
+            .or_insert_with(|| Peer::new(held));
         peer.member = Member {
             state: record.state,
             version: record.version,
-            ..current
+            ..held
         };
         peer.leaving |= record.state == State::Leaving;
-        self.record_change(now, record, Some(current.state));
+        self.record_change(now, record, Some(held.state));
     }
 
-    /// Starts or ends the suspicion, spreads the record and puts the change out.
+    /// Starts or ends the suspicion, queues the record for dissemination and outputs the change.
     fn record_change(&mut self, now: Time, member: Member, before: Option<State>) {
         let deadline = now + self.suspicion_timeout();
         let suspicions = &mut self.roster.suspicions;
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between daemons.
+//! Messages of the membership protocol.
 
 use ident::Instance;
 use serde::Deserialize;
@@ -9,37 +9,37 @@
 /// A message; `news` begins with the sender's own record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks the receiver to answer with an `Ack`.
+    /// Requests an `Ack`.
     Ping {
-        /// Repeated in the answer.
+        /// Sequence number, repeated in the answer.
         seq: u32,
         /// Records of members.
         news: Vec<Member>,
     },
-    /// The answer, from the member itself or through a helper.
+    /// Answers a `Ping`, or a `Probe` on behalf of its target.
     Ack {
-        /// The number of the message answered.
+        /// Sequence number of the message answered.
         seq: u32,
         /// Records of members.
         news: Vec<Member>,
     },
-    /// Asks the receiver to ping `target` and to pass its answer on.
+    /// Asks the receiver to ping `target` and to forward its answer.
     Probe {
-        /// Repeated in the answer.
+        /// Sequence number, repeated in the answer.
         seq: u32,
         /// The member to ping.
         target: Instance,
         /// Records of members.
         news: Vec<Member>,
     },
-    /// Asks for a page of the records from `from` on, in the order of instances, wrapping round.
+    /// Requests a page of records in the order of instances, wrapping around.
     Pull {
-        /// Where the page begins.
+        /// The first instance of the page.
         from: Instance,
         /// Records of members.
         news: Vec<Member>,
     },
-    /// A page of records.
+    /// Answers a `Pull`; also carries the record of an ended run to that run.
     Page {
         /// Records of members.
         news: Vec<Member>,
@@ -50,7 +50,7 @@
     /// An upper bound on the encoded size of a message without its records, in bytes.
     pub const MAX_HEADER_BYTES: usize = 1 + 5 + 9 + 3;
 
-    /// The records carried, the sender's own first.
+    /// The records in the message, the sender's own first.
     pub fn news(&self) -> &[Member] {
         match self {
             Self::Ping { news, .. }
--- a/crates/fleet/src/output.rs
+++ b/crates/fleet/src/output.rs
@@ -1,4 +1,4 @@
-//! What a step puts out.
+//! Outputs of a protocol step, for the driver to act on.
 
 use ident::Instance;
 
@@ -6,7 +6,7 @@
 use crate::Message;
 use crate::member::State;
 
-/// One output.
+/// A message to send or a change of membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Send `message` to `to`; it may be lost, duplicated or reordered.
@@ -16,12 +16,12 @@
         /// The message.
         message: Message,
     },
-    /// A member appeared, its state changed, or (both states `Suspect`) it went out of reach
+    /// A member appeared or its state changed. If both states are `Suspect`, it went out of reach
     /// without being declared dead.
     Changed {
         /// The member with its new state.
         member: Member,
-        /// Its state before; `None` if it was not known.
+        /// Its previous state; `None` if it was unknown.
         before: Option<State>,
     },
 }
--- a/crates/fleet/src/owner.rs
+++ b/crates/fleet/src/owner.rs
@@ -13,7 +13,7 @@
     candidates.max_by_key(|instance| (weight(key, *instance), *instance))
 }
 
-/// The first `count` of `candidates` for `key`: the owner, and those that follow it in turn when it is gone.
+/// The first `count` of `candidates` for `key`: the owner, followed by its successors in order.
 pub fn rank(key: u64, candidates: impl Iterator<Item = Instance>, count: usize) -> Vec<Instance> {
     let mut all: Vec<Instance> = candidates.collect();
     all.sort_unstable_by_key(|instance| Reverse((weight(key, *instance), *instance)));
@@ -21,7 +21,7 @@
     all
 }
 
-/// The weight of `instance` for `key`; equal in every process.
+/// The weight of `instance` for `key`, the same in every process.
 fn weight(key: u64, instance: Instance) -> u64 {
     mix(mix(key) ^ instance.0)
 }
--- a/crates/fleet/src/pause.rs
+++ b/crates/fleet/src/pause.rs
@@ -1,21 +1,20 @@
-//! Gaps in the driver's steps.
+//! Detects pauses of the process.
 //!
-//! A daemon may be stopped for longer than its peers wait for it. When it runs again, the time
-//! that passed says nothing about the peers: their answers may lie unread in its sockets. The gap
-//! shows in a step that comes later than planned by more than a period. From then on the daemon
-//! counts as paused until a peer has answered a ping sent after the gap; messages that were
-//! waiting in the sockets do not answer such a ping.
+//! A daemon may be stopped for longer than its peers wait for it. When it resumes, the elapsed time
+//! says nothing about the peers: their answers may be unread in its sockets. A pause is detected
+//! when a step runs more than a period late. The daemon then counts as paused until a peer answers
+//! a ping sent after the pause; messages that were buffered in the sockets cannot be such answers.
 
 use std::time::Duration;
 
 use ident::Time;
 
-/// When the next step was planned, and what is not known since a gap.
+/// Compares each step with its planned time and tracks whether a peer has answered since a pause.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PauseDetector {
     planned_step: Option<Time>,
     tolerance: Duration,
-    /// The first sequence number sent after the last gap, until it or a later one that was sent is answered.
+    /// The first sequence number sent after the last pause, until it or a later one is answered.
     first_unanswered: Option<u32>,
 }
 
@@ -34,7 +33,7 @@
             .is_some_and(|planned_step| now > planned_step + self.tolerance)
     }
 
-    /// Notes a gap; `seq` is the next sequence number.
+    /// Records a pause that ends now; `seq` is the next sequence number.
     pub(crate) fn record_pause(&mut self, now: Time, seq: u32) {
         self.planned_step = Some(now);
         self.first_unanswered = Some(seq);
@@ -44,8 +43,8 @@
         self.planned_step = Some(next);
     }
 
-    /// Notes an answer to the message `seq`; `next` is the next sequence number. Other numbers than those
-    /// from the gap up to there tell nothing of the time after the gap.
+    /// Handles an answer to the message `seq`; `next` is the next sequence number. Sequence numbers
+    /// that were not sent between the pause and now are ignored: such answers may predate the pause.
     pub(crate) fn handle_ack(&mut self, seq: u32, next: u32) {
         let sent_since = |first| seq.wrapping_sub(first) < next.wrapping_sub(first);
         if self.first_unanswered.is_some_and(sent_since) {
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes in progress, those passed on for others, and the order of targets.
+//! Probes in progress, pings on behalf of other members, and the order of targets.
 
 use std::collections::VecDeque;
 
@@ -19,17 +19,18 @@
     pub(crate) indirect: Option<IndirectProbe>,
 }
 
-/// The part of a probe that helpers were asked for.
+/// The indirect part of a probe, sent through helpers.
 #[derive(Debug, Clone)]
 pub(crate) struct IndirectProbe {
-    /// Differs from [`Probe::seq`]: an instance that has the target's address now answers the direct ping under its own
-    /// name, and if it is a helper too, that answer would count as the target's.
+    /// Differs from [`Probe::seq`]: another instance that took over the target's address answers the
+    /// direct ping under its own name. If it is also a helper, its answer would otherwise count as
+    /// the target's.
     pub(crate) seq: u32,
     pub(crate) helpers: Vec<Instance>,
 }
 
 impl Probe {
-    /// Whether an answer of `from` to the message `seq` is the target's, by itself or through a helper.
+    /// Whether an answer from `from` to the message `seq` is the target's, direct or through a helper.
     pub(crate) fn is_answered(&self, from: Instance, seq: u32) -> bool {
         let direct = from == self.target && seq == self.seq;
         let indirect = self.indirect.as_ref();
@@ -37,7 +38,7 @@
     }
 }
 
-/// The ping of a suspected member in this period.
+/// This period's ping to a suspected member.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SuspectPing {
     pub(crate) target: Instance,
@@ -53,14 +54,14 @@
     requester_seq: u32,
 }
 
-/// To whom and under which number an answer is passed on.
+/// The member that requested a ping, and the sequence number of its request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Requester {
     pub(crate) instance: Instance,
     pub(crate) seq: u32,
 }
 
-/// Pings on behalf of others, the oldest dropped first.
+/// Unanswered pings on behalf of others; the oldest is dropped first.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Relays {
     relays: VecDeque<Relay>,
@@ -82,7 +83,7 @@
         self.relays.push_back(relay);
     }
 
-    /// The requester for whom `target` answered `seq`.
+    /// Removes the relayed ping that `target` answered and returns its requester.
     pub(crate) fn take(&mut self, seq: u32, target: Instance) -> Option<Requester> {
         let matches = |relay: &Relay| relay.seq == seq && relay.target == target;
         let index = self.relays.iter().position(matches)?;
@@ -101,7 +102,7 @@
 }
 
 impl ProbeOutcomes {
-    /// Probes remembered; they were sent to as many members drawn at random.
+    /// Number of probes remembered; each went to another random member.
     const CAPACITY: usize = 6;
 
     pub(crate) fn push(&mut self, answered: bool) {
@@ -115,21 +116,21 @@
         self.answered.clear();
     }
 
-    /// How many of `others` answer, judged by the last probes and rounded up.
+    /// Estimates from the last probes how many of `others` answer, rounded up.
     pub(crate) fn estimate_answering(&self, others: usize) -> usize {
         let answered = self.answered.iter().filter(|answered| **answered).count();
         (others * answered).div_ceil(self.answered.len().max(1))
     }
 }
 
-/// Targets in random order; each comes once before any comes again.
+/// Targets in random order; each is returned once before any is repeated.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RoundRobin {
     remaining: Vec<Instance>,
 }
 
 impl RoundRobin {
-    /// The next target for which `valid` holds; `all` lists the targets of a new round.
+    /// The next target for which `is_valid` holds; `refill` lists the targets of a new round.
     pub(crate) fn next(
         &mut self,
         rng: &mut Pcg64Mcg,
--- a/crates/fleet/src/query.rs
+++ b/crates/fleet/src/query.rs
@@ -1,4 +1,4 @@
-//! What a driver may ask of a fleet.
+//! Queries on the membership state.
 
 use ident::Incarnation;
 use ident::Instance;
@@ -17,18 +17,18 @@
         &self.local
     }
 
-    /// All members known, this daemon first, the dead ones still listed among them.
+    /// All known members, this daemon first, including dead ones that are still listed.
     pub fn members(&self) -> impl Iterator<Item = &Member> + '_ {
         std::iter::once(&self.local).chain(self.roster.peers.values().map(|peer| &peer.member))
     }
 
-    /// The state of a run; a former run of an instance is dead. `None` if it was never heard of
-    /// or forgotten long after its end.
+    /// The state of a run; earlier runs of an instance are dead. `None` if it is unknown or has been
+    /// forgotten long after its end.
     pub fn state(&self, incarnation: Incarnation) -> Option<State> {
         self.by_incarnation(incarnation).map(|member| member.state)
     }
 
-    /// The run of `instance` that is known last, dead or not.
+    /// The latest known run of `instance`, dead or not.
     pub fn current(&self, instance: Instance) -> Option<&Member> {
         if instance == self.local.instance {
             return Some(&self.local);
@@ -43,24 +43,24 @@
         }
         match self.roster.runs.get(&incarnation) {
             Some(instance) => self.current(*instance),
-            None => self.roster.ended_runs.get(incarnation),
+            None => self.roster.ended.get(incarnation),
         }
     }
 
-    /// The members in reach, this daemon among them unless it was declared dead: alive, leaving,
-    /// or suspected for less than the suspicion lasts.
+    /// The members in reach: alive, leaving, or suspected for less than the suspicion timeout.
+    /// Includes this daemon unless it was declared dead.
     pub fn alive(&self) -> impl Iterator<Item = &Member> + '_ {
         let local = std::iter::once(&self.local).filter(|local| local.state != State::Dead);
         local.chain(self.roster.in_reach().map(|peer| &peer.member))
     }
 
-    /// The members in reach that are not leaving, by their own word or the list's.
+    /// The members in reach that are leaving neither by their own record nor by the list.
     pub fn serving(&self) -> impl Iterator<Item = &Member> + '_ {
         self.alive()
             .filter(|member| !self.is_leaving(member.instance))
     }
 
-    /// When the last direct message of `instance` came; `None` for this daemon itself.
+    /// When the last direct message from `instance` was received; `None` for this daemon itself.
     pub fn last_heard(&self, instance: Instance) -> Option<Time> {
         self.roster
             .peers
@@ -68,20 +68,20 @@
             .and_then(|peer| peer.last_heard)
     }
 
-    /// How many listed instances were heard directly at or after `since`, this one counted.
+    /// Number of listed instances, including this one, with a direct message at or after `since`.
     pub fn heard_since_count(&self, since: Time) -> usize {
         let listed = self.roster.listed.keys();
         let heard = listed.filter(|&&instance| self.last_heard(instance) >= Some(since));
         1 + heard.count()
     }
 
-    /// How many listed instances are in contact with this daemon, itself counted.
+    /// Estimated number of listed instances in contact with this daemon, including itself.
     ///
-    /// Direct messages alone can't tell in time: at constant cost a daemon hears a few members a
-    /// second ([`Fleet::heard_since_count`]). Counted are the listed members that are not suspected, but
-    /// at most the share of the last probes, sent to members drawn at random, that was answered. A
-    /// daemon that is cut off with few others sees its probes fail within about a second; one that
-    /// is cut off with many sees the far side suspected by all of them.
+    /// Direct messages alone ([`Fleet::heard_since_count`]) are too slow an indicator: at constant
+    /// cost, only a few members send one each second. The estimate counts the listed members that
+    /// are not suspected, capped by the share of recent probes of random members that was answered.
+    /// A daemon cut off with few others sees its probes fail within about a second; one cut off with
+    /// many others sees the other side suspected by all of them.
     pub fn reachable_count(&self) -> usize {
         let unsuspected = self.roster.listed.keys().filter(|instance| {
             let state = self
@@ -97,17 +97,17 @@
             .min(self.probe_outcomes.estimate_answering(others))
     }
 
-    /// How many instances are listed, this one counted even if it is not.
+    /// Number of listed instances, including this one even if it is not listed.
     pub fn listed_count(&self) -> usize {
         1 + self.roster.listed.len()
     }
 
-    /// The owner of `key` among the serving members; suspected ones count until they are dead.
+    /// The owner of `key` among the serving members, which include suspected ones still in reach.
     pub fn owner(&self, key: u64) -> Option<Instance> {
         self.owner_excluding(key, &[])
     }
 
-    /// The owner of `key` among the serving members without `excluded`.
+    /// The owner of `key` among the serving members other than `excluded`.
     pub fn owner_excluding(&self, key: u64, excluded: &[Instance]) -> Option<Instance> {
         let candidates = self.serving().map(|member| member.instance);
         owner::choose(
@@ -122,7 +122,7 @@
         owner::choose(key, candidates.map(|member| member.instance))
     }
 
-    /// Whether `instance` is known to leave.
+    /// Whether `instance` is leaving, by its own record or by the list.
     pub fn is_leaving(&self, instance: Instance) -> bool {
         let listed = self
             .roster
@@ -132,29 +132,29 @@
         listed || self.announced_leaving(instance)
     }
 
-    /// Whether peers declared this run dead, or a newer run of this instance was heard of.
+    /// Whether peers declared this run dead, or a newer run of this instance exists.
     ///
-    /// The driver then gives the incarnation up; this fleet takes no further part.
+    /// The driver must then give up the incarnation; this fleet takes no further part.
     pub const fn declared_dead(&self) -> bool {
         matches!(self.local.state, State::Dead)
     }
 
-    /// Whether this daemon was stopped for a while and no peer has answered it since.
+    /// Whether this daemon was paused and no peer has answered it since.
     ///
-    /// Stays true if there are listed instances but none answers. What happened meanwhile,
-    /// [`Fleet::declared_dead`] among it, is not known until it ends.
+    /// Stays true while there are listed instances but none answers. Until it ends, changes during
+    /// the pause are unknown, including [`Fleet::declared_dead`].
     pub fn paused(&self, now: Time) -> bool {
         let alone = self.roster.listed.is_empty() && self.roster.present().next().is_none();
         !alone && self.pause_detector.is_paused(now)
     }
 
-    /// Bytes of state held, estimated from the sizes of the records.
+    /// Estimated size of the state in bytes.
     pub fn state_bytes(&self) -> usize {
-        // A B-tree node is half to wholly full; a third is added for what is left empty.
+        // B-tree nodes are between half full and full; a third is added for the unused part.
         let records = self.roster.peers.len() * size_of::<(Instance, Peer)>()
             + self.roster.listed.len() * size_of::<(Instance, crate::entry::Entry)>()
             + self.roster.runs.len() * size_of::<(Incarnation, Instance)>()
-            + self.roster.ended_runs.len() * size_of::<(Incarnation, Member, Incarnation)>()
+            + self.roster.ended.len() * size_of::<(Incarnation, Member, Incarnation)>()
             + self.updates.len() * size_of::<(Instance, Member, u64)>();
         size_of::<Self>() + records * 4 / 3
     }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,4 +1,4 @@
-//! The members known, the list, and runs that are over.
+//! The known members, the platform's list, and ended runs.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,13 +11,13 @@
 use crate::entry::Entry;
 use crate::member::State;
 
-/// A member and what this daemon noted of it.
+/// A member and local observations of it.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
     pub(crate) member: Member,
-    /// When its last direct message came.
+    /// When its last direct message was received.
     pub(crate) last_heard: Option<Time>,
-    /// Whether this run was ever known to leave; a suspicion hides that state.
+    /// Whether this run has ever been `Leaving`; the state `Suspect` hides that.
     pub(crate) leaving: bool,
 }
 
@@ -36,18 +36,18 @@
     }
 }
 
-/// The time that a suspected member has left.
+/// An unrefuted suspicion of a member.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Suspicion {
     pub(crate) since: Time,
     pub(crate) deadline: Time,
-    /// Whether it did not refute in time, but this daemon could not tell who is cut off.
+    /// Whether it was not refuted in time, but this daemon could not tell which side is cut off.
     pub(crate) expired: bool,
-    /// Own pings that it left unanswered, counted while this daemon was not cut off.
+    /// Pings from this daemon left unanswered, counted while this daemon is not cut off.
     pub(crate) missed: u32,
 }
 
-/// Runs that are over, the latest last.
+/// Ended runs, the latest last.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct EndedRuns {
     members: BTreeMap<Incarnation, Member>,
@@ -55,7 +55,7 @@
 }
 
 impl EndedRuns {
-    /// Runs remembered; several days' worth at 400 daemons with 160 restarts a day.
+    /// Number of runs remembered: several days' worth for 400 daemons with 160 restarts a day.
     const CAPACITY: usize = 1024;
 
     pub(crate) fn push(&mut self, member: Member) {
@@ -79,19 +79,19 @@
     }
 }
 
-/// All that is known of the fleet besides this daemon itself.
+/// All known members except this daemon.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Roster {
     pub(crate) peers: BTreeMap<Instance, Peer>,
-    /// The present members that are suspected.
+    /// Suspicions of present members.
     pub(crate) suspicions: BTreeMap<Instance, Suspicion>,
     pub(crate) listed: BTreeMap<Instance, Entry>,
     pub(crate) runs: BTreeMap<Incarnation, Instance>,
-    pub(crate) ended_runs: EndedRuns,
+    pub(crate) ended: EndedRuns,
 }
 
 impl Roster {
-    /// Puts a new run in place of the former one of its instance, which it returns.
+    /// Inserts a new run and returns the previous run of its instance.
     pub(crate) fn insert_run(&mut self, member: Member) -> Option<Member> {
         let former = self.peers.insert(member.instance, Peer::new(member));
         self.suspicions.remove(&member.instance);
@@ -99,14 +99,14 @@
         former.map(|peer| self.end_run(peer.member))
     }
 
-    /// Forgets `instance`; its run is remembered as over.
+    /// Removes `instance`; its run is remembered as ended.
     pub(crate) fn remove(&mut self, instance: Instance) {
         self.suspicions.remove(&instance);
         let peer = self.peers.remove(&instance);
         peer.map(|peer| self.end_run(peer.member));
     }
 
-    /// Instances of the list that are not present: never heard of, or dead.
+    /// Listed instances that are unknown or dead.
     pub(crate) fn absent(&self) -> impl Iterator<Item = Instance> + '_ {
         let present = |instance: &Instance| self.peers.get(instance).is_some_and(Peer::is_present);
         self.listed
@@ -115,7 +115,7 @@
             .filter(move |instance| !present(instance))
     }
 
-    /// Instances of the list without any record.
+    /// Listed instances without any record.
     pub(crate) fn unknown(&self) -> impl Iterator<Item = Instance> + '_ {
         self.listed
             .keys()
@@ -128,13 +128,13 @@
         self.peers.values().filter(|peer| peer.is_present())
     }
 
-    /// Members that are neither dead nor suspected beyond their time.
+    /// Members that are neither dead nor suspected for longer than the suspicion timeout.
     pub(crate) fn in_reach(&self) -> impl Iterator<Item = &Peer> + '_ {
         self.present()
             .filter(|peer| !self.is_out_of_reach(peer.member.instance))
     }
 
-    /// Whether `instance` is among the members in reach.
+    /// Whether `instance` is in reach.
     pub(crate) fn is_in_reach(&self, instance: Instance) -> bool {
         let present = self.peers.get(&instance).is_some_and(Peer::is_present);
         present && !self.is_out_of_reach(instance)
@@ -145,7 +145,7 @@
         suspicion.is_some_and(|suspicion| suspicion.expired)
     }
 
-    /// Forgets dead members that are off the list.
+    /// Removes dead members that are not listed.
     pub(crate) fn remove_unlisted_dead(&mut self) {
         let gone = self.peers.iter();
         let gone = gone.filter(|(key, peer)| !peer.is_present() && !self.listed.contains_key(key));
@@ -157,7 +157,7 @@
 
     fn end_run(&mut self, member: Member) -> Member {
         self.runs.remove(&member.incarnation);
-        self.ended_runs.push(member);
+        self.ended.push(member);
         member
     }
 }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -2,24 +2,24 @@
 
 use std::time::Duration;
 
-/// Intervals and bounds; the same for all daemons of a fleet.
+/// Intervals and bounds; must be the same for all daemons of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
     /// One member is probed per period.
     pub period: Duration,
-    /// How long a direct answer is waited for before helpers are asked; below `period`.
+    /// Time to wait for a direct answer before helpers are asked; less than `period`.
     pub direct_timeout: Duration,
-    /// Helpers asked for an indirect probe.
+    /// Number of helpers asked for an indirect probe.
     pub helpers: usize,
-    /// Periods from a suspicion to the death in a fleet of up to 16; grows with log2 beyond.
+    /// Periods from suspicion to death in a fleet of up to 16 members; grows with log2 above that.
     pub suspect_periods: u32,
-    /// Records a message carries at most, the sender's own among them.
+    /// Maximum number of records in a message, including the sender's own.
     pub max_records: usize,
-    /// Records besides news and the sender's own that fill up a message, taken in turn.
+    /// Maximum number of other records, taken in turn, that fill up a message after its updates.
     pub filler_records: usize,
-    /// Records in a page.
+    /// Maximum number of records in a page, besides the sender's own.
     pub page_records: usize,
-    /// A record is repeated this many times log2 of the members.
+    /// An update is sent this many times log2 of the number of members.
     pub retransmit_factor: u32,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl Settings {
-    /// log2 of the fleet up to which suspicions last `suspect_periods`.
+    /// log2 of the fleet size up to which a suspicion lasts `suspect_periods`.
     const BASE_LOG: f64 = 4.0;
 
     /// The default settings.
@@ -47,7 +47,7 @@
         Self::default()
     }
 
-    /// The same settings with another period; the direct timeout keeps its share of it.
+    /// The same settings with another period; the direct timeout scales with it.
     #[must_use]
     pub fn with_period(mut self, period: Duration) -> Self {
         self.direct_timeout = self
@@ -57,20 +57,20 @@
         self
     }
 
-    /// The same settings with another count of periods from suspicion to death.
+    /// The same settings with another number of periods from suspicion to death.
     #[must_use]
     pub const fn with_suspect_periods(mut self, periods: u32) -> Self {
         self.suspect_periods = periods;
         self
     }
 
-    /// How long a member of a fleet of `members` stays suspected before it is declared dead.
+    /// Time from suspicion to death in a fleet of `members`.
     pub fn suspicion_timeout(&self, members: usize) -> Duration {
         let scale = (log2(members) / Self::BASE_LOG).max(1.0);
         (self.period * self.suspect_periods).mul_f64(scale)
     }
 
-    /// How often a record is repeated in a fleet of `members`.
+    /// How many times an update is sent in a fleet of `members`.
     pub fn retransmit_limit(&self, members: usize) -> u32 {
         self.retransmit_factor * log2(members + 1).ceil() as u32
     }
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -1,4 +1,4 @@
-//! The protocol as its driver sees it: messages in, steps, outputs.
+//! The protocol's interface to its driver: received messages, steps and outputs.
 
 use std::time::Duration;
 
@@ -36,27 +36,28 @@
     pub(crate) next_period: Time,
     pub(crate) probe: Option<Probe>,
     pub(crate) probe_outcomes: ProbeOutcomes,
-    /// When contact with a majority was last found lacking; `None` once that is long ago.
+    /// When this daemon last lacked contact with a majority; `None` after a suspicion timeout with
+    /// contact.
     pub(crate) cut_off_at: Option<Time>,
     pub(crate) suspect_ping: Option<SuspectPing>,
     pub(crate) relays: Relays,
     pub(crate) probe_order: RoundRobin,
-    /// Takes the suspected members in turn.
+    /// Order in which suspected members are pinged.
     pub(crate) suspect_order: RoundRobin,
-    /// Takes the absent instances in turn.
+    /// Order in which absent instances are pinged.
     pub(crate) absent_order: RoundRobin,
-    /// Takes the members that fill up messages in turn.
+    /// Order of the records that fill up messages.
     pub(crate) filler_order: RoundRobin,
-    /// Periods between two pulls; doubled by each, reset by a new list or a page of use.
+    /// Periods between two pulls; doubled by each pull, reset by a new list or a page with unknown runs.
     pub(crate) pull_interval: u32,
     pub(crate) periods_to_pull: u32,
 }
 
 impl Fleet {
-    /// Records taken from one message at most.
+    /// Maximum number of records merged from one message.
     const MAX_RECORDS: usize = 64;
 
-    /// A fleet that knows of `me` alone.
+    /// A fleet that consists of `local` alone.
     pub fn new(local: Member, settings: Settings, seed: u64) -> Self {
         Self {
             local,
@@ -66,8 +67,8 @@
             pause_detector: PauseDetector::new(settings.period),
             outputs: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            // Starts at a part of the incarnation, which is random: counted from zero, an answer to the previous run
-            // would match.
+            // Starts at the low bits of the incarnation, which is random: if each run started at
+            // zero, an answer to the previous run would match.
             seq: local.incarnation.0 as u32,
             next_period: Time::ZERO,
             probe: None,
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Takes the platform's list, which lags: an instance that it lacks is forgotten only once it
-    /// is dead, and one that has not been heard of yet is pinged.
+    /// Applies the platform's list. The list may be out of date: an instance that it lacks is
+    /// removed only once it is dead, and a listed instance that is unknown is pinged.
     pub fn set_list(&mut self, _now: Time, entries: &[Entry]) {
         let others = entries
             .iter()
@@ -100,7 +101,7 @@
         self.periods_to_pull = 0;
     }
 
-    /// Announces that this daemon takes nothing new.
+    /// Announces that this daemon accepts no new work.
     pub fn leave(&mut self, _now: Time) {
         if self.local.state != State::Alive {
             return;
@@ -114,7 +115,7 @@
         });
     }
 
-    /// Takes a message in; [`Fleet::step`] is to be called right after it.
+    /// Handles a received message; [`Fleet::step`] must be called right after it.
     pub fn receive(&mut self, now: Time, from: Instance, message: &Message) {
         self.reset_after_pause(now);
         let news = message.news();
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Does what is due, appends what is to be sent and what changed, and returns the time of the
-    /// next step.
+    /// Runs what is due, appends messages to send and state changes to `out`, and returns the time
+    /// of the next step.
     pub fn step(&mut self, now: Time, out: &mut Vec<Output>) -> Time {
         self.reset_after_pause(now);
         if !self.declared_dead() {
@@ -155,12 +156,12 @@
         next
     }
 
-    /// How long a member stays suspected in a fleet of the present size.
+    /// Time from suspicion to death at the current fleet size.
     pub(crate) fn suspicion_timeout(&self) -> Duration {
         self.settings.suspicion_timeout(self.member_count())
     }
 
-    /// Members known, the listed dead ones among them.
+    /// Number of known members, including dead ones that are still listed.
     pub(crate) fn member_count(&self) -> usize {
         1 + self.roster.peers.len()
     }
@@ -177,7 +178,7 @@
         suspicions.chain(probe).fold(self.next_period, Time::min)
     }
 
-    /// After a gap, gives every member that is waited for its whole time again.
+    /// After a pause, discards probes in progress and restarts the time of every suspicion.
     fn reset_after_pause(&mut self, now: Time) {
         if !self.pause_detector.is_overdue(now) {
             return;
@@ -193,13 +194,13 @@
         suspicions.for_each(|suspicion| suspicion.deadline = deadline);
     }
 
-    /// The record of the run of `sender`, if that is over.
+    /// The death record of the run of `sender`, if that run has ended.
     fn ended_run(&self, sender: &Member) -> Option<Member> {
         let member = self.by_incarnation(sender.incarnation).copied();
         member.filter(|member| member.state == State::Dead)
     }
 
-    /// Notes a direct message of `from`.
+    /// Records that a direct message came from `from`.
     fn record_contact(&mut self, now: Time, from: Instance) {
         if let Some(peer) = self.roster.peers.get_mut(&from) {
             peer.last_heard = Some(now);
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Settles the last probe and begins the next one, when the period is over.
+    /// Finishes the last probe and starts the next one if the period is over.
     fn begin_period(&mut self, now: Time) {
         if now < self.next_period {
             return;
--- a/crates/fleet/src/updates.rs
+++ b/crates/fleet/src/updates.rs
@@ -1,4 +1,4 @@
-//! Records that are being spread.
+//! Queue of member records to disseminate.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::Member;
 use crate::member::State;
 
-/// A record and how often it has been sent.
+/// A record and the number of times it has been sent.
 #[derive(Debug, Clone)]
 struct QueuedUpdate {
     member: Member,
@@ -15,20 +15,20 @@
 }
 
 impl QueuedUpdate {
-    /// Whether the record tells no more than that a run began.
+    /// Whether the record only announces a new run.
     fn is_new_run(&self) -> bool {
         self.member.state == State::Alive && self.member.version == 0
     }
 }
 
-/// The records to spread, at most one for each instance.
+/// The records to disseminate, at most one for each instance.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct UpdateQueue {
     updates: BTreeMap<Instance, QueuedUpdate>,
 }
 
 impl UpdateQueue {
-    /// Spreads `member`, in place of what was spread of its instance before.
+    /// Queues `member`, replacing any queued record of the same instance.
     pub(crate) fn push(&mut self, member: Member) {
         self.updates.insert(
             member.instance,
@@ -39,10 +39,11 @@
         );
     }
 
-    /// Takes up to `room` records and drops those sent `repeats` times.
+    /// Takes up to `max_count` records and drops those sent `retransmit_limit` times.
     ///
-    /// Least sent first, but beginnings of runs last: when many daemons start together these would
-    /// hold up the news of a death, and a newcomer makes itself known by its own messages as well.
+    /// The least sent records come first, but those that only announce a new run come last: when
+    /// many daemons start together, these would delay death records, and a new member also
+    /// announces itself through its own messages.
     pub(crate) fn take(&mut self, max_count: usize, retransmit_limit: u32) -> Vec<Member> {
         let updates = self.updates.iter();
         let mut order: Vec<(bool, u32, Instance)> = updates
@@ -56,7 +57,7 @@
         picked.collect()
     }
 
-    /// The number of records still to spread.
+    /// The number of queued records.
     pub(crate) fn len(&self) -> usize {
         self.updates.len()
     }
