--- a/crates/fleet/tests/answers.rs
+++ b/crates/fleet/tests/answers.rs
@@ -1,6 +1,6 @@
-//! An answer to a ping was known by its number alone. Numbers begin anew with each run of a daemon, so an answer to the
-//! run before was taken for one to the present run; and where an instance was gone and another one had its address, the
-//! answer of that one counted as the answer of the first.
+//! Matching of acks to pings. When acks were matched by sequence number alone, and each run started
+//! at the same number, an ack to the previous run of a daemon counted for the current run, and an
+//! ack from an instance that had taken over the target's address counted as the target's.
 
 mod net;
 
@@ -16,13 +16,13 @@
 use net::member;
 use rstest::rstest;
 
-/// Daemons that know each other.
+/// Number of daemons.
 const COUNT: usize = 3;
-/// When the first probe is sent, after the others were heard.
-const ASKED: Time = Time::from_millis(1);
+/// When the first probe is sent, after messages from all others.
+const FIRST_STEP: Time = Time::from_millis(1);
 
-/// A daemon that has heard of all others and has taken one step.
-fn greeted(seed: u64) -> (Fleet, Vec<Output>) {
+/// A daemon that knows all others, and the outputs of its first step.
+fn fleet_with_pings(seed: u64) -> (Fleet, Vec<Output>) {
     let mut fleet = Fleet::new(member(0, 0), Settings::default(), seed);
     fleet.set_list(Time::ZERO, &entries(0..COUNT));
     for index in 1..COUNT {
@@ -30,11 +30,11 @@
         fleet.receive(Time::ZERO, instance(index), &Message::Page { news });
     }
     let mut out = Vec::new();
-    fleet.step(ASKED, &mut out);
+    fleet.step(FIRST_STEP, &mut out);
     (fleet, out)
 }
 
-/// Numbers of the pings in `out`, and to whom they go.
+/// Targets and sequence numbers of the pings in `out`.
 fn pings(out: &[Output]) -> Vec<(Instance, u32)> {
     let pings = out.iter().filter_map(|output| match output {
         Output::Send {
@@ -46,8 +46,8 @@
     pings.collect()
 }
 
-/// The last number under which `fleet` asks in `periods` periods, from `start` on.
-fn last_number(fleet: &mut Fleet, start: Time, periods: u32) -> u32 {
+/// The sequence number of the last ping that `fleet` sends in `periods` periods from `start`.
+fn last_ping_seq(fleet: &mut Fleet, start: Time, periods: u32) -> u32 {
     let end = start + Settings::default().period * periods;
     let mut out = Vec::new();
     let mut next = start;
@@ -67,68 +67,72 @@
     Message::Ack { seq, news }
 }
 
-/// Runs the daemon until it judges its first probe; whether it suspects `target` then.
+/// Runs the daemon to the end of its first probe; returns whether it then suspects `target`.
 fn suspects(fleet: &mut Fleet, target: Instance) -> bool {
-    let end = ASKED + Settings::default().period;
-    let mut next = ASKED;
+    let end = FIRST_STEP + Settings::default().period;
+    let mut next = FIRST_STEP;
     while next <= end {
         next = fleet.step(next, &mut Vec::new());
     }
-    let held = fleet.current(target).map(|held| held.state);
-    held == Some(State::Suspect)
+    let record = fleet.current(target).map(|record| record.state);
+    record == Some(State::Suspect)
 }
 
 #[rstest]
-fn the_answer_of_another_instance_is_not_that_of_the_one_asked(#[values(1, 2, 3, 4)] seed: u64) {
-    let (mut fleet, out) = greeted(seed);
+fn an_ack_from_another_instance_is_ignored(#[values(1, 2, 3, 4)] seed: u64) {
+    let (mut fleet, out) = fleet_with_pings(seed);
     let (target, seq) = pings(&out)[0];
     let other = (1..COUNT).find(|index| *index != index_of(target)).unwrap();
-    fleet.receive(ASKED, instance(other), &ack(other, seq));
+    fleet.receive(FIRST_STEP, instance(other), &ack(other, seq));
     assert!(suspects(&mut fleet, target));
 }
 
 #[rstest]
-fn the_answer_of_the_one_asked_counts(#[values(1, 2, 3, 4)] seed: u64) {
-    let (mut fleet, out) = greeted(seed);
+fn an_ack_from_the_target_counts(#[values(1, 2, 3, 4)] seed: u64) {
+    let (mut fleet, out) = fleet_with_pings(seed);
     let (target, seq) = pings(&out)[0];
     let answer = ack(index_of(target), seq);
-    fleet.receive(ASKED, target, &answer);
+    fleet.receive(FIRST_STEP, target, &answer);
     assert!(!suspects(&mut fleet, target));
 }
 
 #[rstest]
-fn the_answer_through_a_helper_counts(#[values(1, 2, 3, 4)] seed: u64) {
-    let (mut fleet, out) = greeted(seed);
+fn an_ack_through_a_helper_counts(#[values(1, 2, 3, 4)] seed: u64) {
+    let (mut fleet, out) = fleet_with_pings(seed);
     let (target, _) = pings(&out)[0];
     let helper = (1..COUNT).find(|index| *index != index_of(target)).unwrap();
-    let asked = ASKED + Settings::default().direct_timeout;
+    let indirect_step = FIRST_STEP + Settings::default().direct_timeout;
     let mut out = Vec::new();
-    fleet.step(asked, &mut out);
-    let number = out.iter().find_map(|output| match output {
+    fleet.step(indirect_step, &mut out);
+    let probe_seq = out.iter().find_map(|output| match output {
         Output::Send {
             to,
             message: Message::Probe { seq, .. },
         } if *to == instance(helper) => Some(*seq),
         _ => None,
     });
-    fleet.receive(asked, instance(helper), &ack(helper, number.unwrap()));
+    fleet.receive(
+        indirect_step,
+        instance(helper),
+        &ack(helper, probe_seq.unwrap()),
+    );
     assert!(!suspects(&mut fleet, target));
 }
 
-/// A daemon that stood still judges nobody until it was answered again. What a peer answered to the run before may still
-/// lie in the sockets.
+/// A paused daemon must not suspect others until it is answered again, and acks to its previous run
+/// may still be buffered in the sockets.
 #[rstest]
-fn an_answer_to_the_run_before_does_not_end_a_pause(#[values(1, 2, 3, 4)] seed: u64) {
-    let (mut former, _) = greeted(seed);
-    let old = last_number(&mut former, ASKED, 20);
+fn an_ack_to_the_previous_run_does_not_end_a_pause(#[values(1, 2, 3, 4)] seed: u64) {
+    let (mut previous, _) = fleet_with_pings(seed);
+    let previous_seq = last_ping_seq(&mut previous, FIRST_STEP, 20);
     let mut fleet = Fleet::new(member(0, 1), Settings::default(), seed);
     fleet.set_list(Time::ZERO, &entries(0..COUNT));
     fleet.step(Time::ZERO, &mut Vec::new());
-    let woken = Time::from_millis(5_000);
-    fleet.receive(woken, instance(1), &ack(1, old));
-    assert!(fleet.paused(woken));
-    let own = last_number(&mut fleet, woken, 1);
-    let answered = woken + Settings::default().period;
-    fleet.receive(answered, instance(1), &ack(1, own));
+    let resumed = Time::from_millis(5_000);
+    fleet.receive(resumed, instance(1), &ack(1, previous_seq));
+    assert!(fleet.paused(resumed));
+    let own_seq = last_ping_seq(&mut fleet, resumed, 1);
+    let answered = resumed + Settings::default().period;
+    fleet.receive(answered, instance(1), &ack(1, own_seq));
     assert!(!fleet.paused(answered));
 }
--- a/crates/fleet/tests/figures.rs
+++ b/crates/fleet/tests/figures.rs
@@ -1,6 +1,6 @@
-//! Figures of the membership protocol in virtual time, with bounds on them.
+//! Measures the membership protocol in virtual time and checks the results against bounds.
 //!
-//! Run with `--nocapture` to see them.
+//! Run with `--nocapture` to print the results.
 
 mod net;
 
@@ -22,17 +22,17 @@
     net
 }
 
-/// Milliseconds from a death until the first and until every other daemon knows of it.
-fn detect(net: &mut Net, victim: usize) -> (u64, u64) {
+/// Milliseconds from a death until the first daemon and until all others detect it.
+fn measure_detection(net: &mut Net, victim: usize) -> (u64, u64) {
     let run: Incarnation = net.fleet(victim).local_member().incarnation;
     net.kill(victim);
     let others = net.count() - 1;
     let first = net
         .run_until(SECOND * 10, |net| net.dead_at(run) > 0)
-        .expect("found");
+        .expect("no daemon detected the death");
     let rest = net
         .run_until(SECOND * 10, |net| net.dead_at(run) == others)
-        .expect("known");
+        .expect("not all daemons detected the death");
     (first.as_millis() as u64, (first + rest).as_millis() as u64)
 }
 
@@ -45,18 +45,18 @@
 #[case(9, 200, 1_500, 2_500)]
 #[case(100, 20, 2_500, 3_500)]
 #[case(400, 2, 3_500, 4_500)]
-fn a_death_is_known_in_time(
+fn a_death_is_detected_in_time(
     #[case] count: usize,
     #[case] trials: u64,
     #[case] median_ms: u64,
-    #[case] most_ms: u64,
+    #[case] max_ms: u64,
 ) {
     let mut firsts = Vec::new();
     let mut alls = Vec::new();
     for seed in 0..trials {
         let mut net = converged(count, seed);
         net.run(Duration::from_millis(seed * 17 % 200));
-        let (first, all) = detect(&mut net, count / 2);
+        let (first, all) = measure_detection(&mut net, count / 2);
         firsts.push(first);
         alls.push(all);
     }
@@ -65,7 +65,7 @@
     println!(
         "{count} daemons, {trials} deaths: first {first:?} ms, all {all:?} ms (p50, p99, max)"
     );
-    assert!(all[0] <= median_ms && all[2] <= most_ms);
+    assert!(all[0] <= median_ms && all[2] <= max_ms);
 }
 
 #[rstest]
@@ -73,19 +73,19 @@
 #[case(9, 50, 600, 1)]
 #[case(100, 10, 60, 0)]
 #[case(100, 50, 60, 1)]
-fn loss_ends_hardly_any_run(
+fn message_loss_causes_few_false_deaths(
     #[case] count: usize,
     #[case] loss: u32,
     #[case] seconds: u32,
-    #[case] most: usize,
+    #[case] max_ended: usize,
 ) {
     let mut net = converged(count, 77);
-    net.loss = loss;
+    net.loss_permille = loss;
     net.run(SECOND * seconds);
     let suspected = net
-        .seen
+        .changes
         .iter()
-        .filter(|seen| seen.member.state == State::Suspect)
+        .filter(|change| change.member.state == State::Suspect)
         .count();
     let ended =
         (0..count).filter(|index| net.dead_at(net.fleet(*index).local_member().incarnation) > 0);
@@ -93,7 +93,7 @@
     println!(
         "{count} daemons, {loss} in 1000 lost, {seconds} s: {ended} falsely dead, {suspected} suspicions seen"
     );
-    assert!(ended <= most);
+    assert!(ended <= max_ended);
 }
 
 #[rstest]
@@ -103,38 +103,43 @@
 fn traffic_and_state_are_bounded(
     #[case] count: usize,
     #[case] seconds: u32,
-    #[case] most_bytes: u64,
-    #[case] most_kib: usize,
+    #[case] max_bytes: u64,
+    #[case] max_kib: usize,
 ) {
     let mut net = converged(count, 5);
     net.run(SECOND * 5);
     net.reset_counters();
     let started = Instant::now();
     net.run(SECOND * seconds);
-    let spent = started.elapsed() / (count as u32 * seconds);
+    let cpu_time = started.elapsed() / (count as u32 * seconds);
     let seconds = u64::from(seconds);
     let total: u64 = net.sent.iter().map(|sent| sent.bytes).sum::<u64>() / count as u64 / seconds;
-    let most = net.sent.iter().map(|sent| sent.bytes).max().unwrap_or(0) / seconds;
+    let max_rate = net.sent.iter().map(|sent| sent.bytes).max().unwrap_or(0) / seconds;
     let messages: u64 = net.sent.iter().map(|sent| sent.messages).sum();
     let messages = messages as f64 / count as f64 / seconds as f64;
     let state = net.fleet(0).state_bytes();
     println!(
-        "{count} daemons: {messages:.1} messages, {total} bytes sent a second (most {most}), {state} bytes of state, \
-         {spent:?} of processor time a second with the network's"
+        "{count} daemons: {messages:.1} messages, {total} bytes sent a second (most {max_rate}), {state} bytes of state, \
+         {cpu_time:?} of processor time a second with the network's"
     );
-    assert!(most <= most_bytes);
-    assert!(state <= most_kib * 1024);
+    assert!(max_rate <= max_bytes);
+    assert!(state <= max_kib * 1024);
 }
 
-// With more than a few suspicions at once a daemon waits until it can tell deaths from a
-// partition, so a verdict on a whole data centre takes longer than one on a single daemon.
-// Ownership moves before that, when its members go out of reach.
+// With more than a few suspicions at once, a daemon waits until it can tell deaths from a
+// partition, so declaring a whole data centre dead takes longer than declaring a single daemon.
+// Ownership moves earlier, when the members go out of reach.
 #[rstest]
 #[case(9, 3)]
 #[case(99, 11)]
-fn the_death_of_a_data_centre_is_known_in_time(#[case] count: usize, #[case] centres: usize) {
+fn the_death_of_a_data_centre_is_detected_in_time(
+    #[case] count: usize,
+    #[case] data_centres: usize,
+) {
     let mut net = converged(count, 21);
-    let victims: Vec<usize> = (0..count).filter(|index| index % centres == 0).collect();
+    let victims: Vec<usize> = (0..count)
+        .filter(|index| index % data_centres == 0)
+        .collect();
     let runs: Vec<Incarnation> = victims
         .iter()
         .map(|victim| net.fleet(*victim).local_member().incarnation)
@@ -144,10 +149,12 @@
     }
     let left = count - victims.len();
     let lost = net
-        .run_until(SECOND * 10, Net::agreed)
-        .expect("out of reach everywhere");
+        .run_until(SECOND * 10, Net::all_agree)
+        .expect("victims are not out of reach everywhere");
     let dead = |net: &Net| runs.iter().all(|run| net.dead_at(*run) == left);
-    let rest = net.run_until(SECOND * 10, dead).expect("dead everywhere");
+    let rest = net
+        .run_until(SECOND * 10, dead)
+        .expect("victims are not dead everywhere");
     let known = lost + rest;
     println!(
         "{} of {count} die at once: out of reach after {lost:?}, dead after {known:?}",
@@ -156,12 +163,12 @@
     assert!(lost <= SECOND * 4);
     assert!(known <= SECOND * 6);
     let ended = net
-        .seen
+        .changes
         .iter()
-        .filter(|seen| seen.member.state == State::Dead);
+        .filter(|change| change.member.state == State::Dead);
     assert_eq!(
         ended.count(),
         victims.len() * left,
-        "and nobody else is held dead"
+        "another daemon was declared dead"
     );
 }
--- a/crates/fleet/tests/late.rs
+++ b/crates/fleet/tests/late.rs
@@ -1,5 +1,5 @@
-//! Messages that come twice, late or in another order than they were sent: belief never goes back to an earlier run or
-//! an earlier state of a member.
+//! Messages that are duplicated, delayed or reordered: the record of a member must never go back to
+//! an earlier run or state.
 
 mod net;
 
@@ -26,9 +26,9 @@
 use proptest::proptest;
 use proptest::sample::Index;
 
-/// Daemons, the one that receives among them.
+/// Number of daemons, including the receiver.
 const COUNT: usize = 4;
-/// Runs of each of them.
+/// Runs of each daemon.
 const RUNS: u64 = 3;
 
 /// A record of a member other than the receiver.
@@ -45,7 +45,7 @@
     })
 }
 
-/// A message of a member, which tells of itself as alive first.
+/// A message of a member that begins with its own record in state `Alive`.
 fn message() -> impl Strategy<Value = (Instance, Message)> {
     let head = (1..COUNT, 0..RUNS, 0_u32..4);
     (head, vec(record(), 0..4)).prop_map(|((index, run, version), mut news)| {
@@ -58,15 +58,15 @@
     })
 }
 
-/// How a belief about an instance compares with an earlier one.
-fn order(now: &Member, before: &Member) -> Ordering {
-    let rank = |held: &Member| (held.state == State::Dead, held.version, held.state);
+/// Compares a record of an instance with an earlier one.
+fn compare(now: &Member, before: &Member) -> Ordering {
+    let rank = |record: &Member| (record.state == State::Dead, record.version, record.state);
     now.run_order(before)
         .then_with(|| rank(now).cmp(&rank(before)))
 }
 
-/// What the daemon holds of each other instance.
-fn beliefs(fleet: &Fleet) -> BTreeMap<Instance, Member> {
+/// The daemon's records of the other instances.
+fn records(fleet: &Fleet) -> BTreeMap<Instance, Member> {
     let others = (1..COUNT).map(instance);
     let held = others.filter_map(|name| Some((name, *fleet.current(name)?)));
     held.collect()
@@ -80,25 +80,25 @@
 
 proptest! {
     #[test]
-    fn belief_never_goes_back(
+    fn no_record_goes_back_to_an_earlier_run_or_state(
         messages in vec(message(), 1..24),
         arrivals in vec(any::<Index>(), 1..80),
     ) {
         let mut fleet = receiver();
         for arrival in arrivals {
             let (from, message) = arrival.get(&messages);
-            let before = beliefs(&fleet);
+            let before = records(&fleet);
             fleet.receive(Time::ZERO, *from, message);
-            let now = beliefs(&fleet);
-            for (name, held) in before {
-                prop_assert!(now.contains_key(&name), "forgotten: {held:?}");
-                prop_assert!(order(&now[&name], &held).is_ge(), "{held:?} became {:?}", now[&name]);
+            let now = records(&fleet);
+            for (name, record) in before {
+                prop_assert!(now.contains_key(&name), "forgotten: {record:?}");
+                prop_assert!(compare(&now[&name], &record).is_ge(), "{record:?} became {:?}", now[&name]);
             }
         }
     }
 
     #[test]
-    fn messages_that_come_again_in_any_order_change_nothing(
+    fn messages_repeated_in_any_order_change_nothing(
         messages in vec(message(), 1..24),
         again in vec(any::<Index>(), 1..40),
     ) {
@@ -106,11 +106,11 @@
         for (from, message) in &messages {
             fleet.receive(Time::ZERO, *from, message);
         }
-        let before = beliefs(&fleet);
+        let before = records(&fleet);
         for arrival in again {
             let (from, message) = arrival.get(&messages);
             fleet.receive(Time::ZERO, *from, message);
         }
-        prop_assert_eq!(beliefs(&fleet), before);
+        prop_assert_eq!(records(&fleet), before);
     }
 }
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership among fleets on a network in virtual time.
+//! Membership changes in a simulated network.
 
 mod net;
 
@@ -30,27 +30,27 @@
 #[case(100, 5)]
 fn a_cold_start_converges(#[case] count: usize, #[case] seconds: u32) {
     let mut net = Net::new(count, 7);
-    assert!(net.run_until(SECOND * seconds, Net::agreed).is_some());
+    assert!(net.run_until(SECOND * seconds, Net::all_agree).is_some());
     net.run(SECOND * 5);
-    assert!(net.agreed());
+    assert!(net.all_agree());
     assert!(
-        net.seen
+        net.changes
             .iter()
-            .all(|seen| seen.member.state == State::Alive)
+            .all(|change| change.member.state == State::Alive)
     );
 }
 
 #[test]
-fn a_newcomer_is_known_and_knows_all_within_two_seconds() {
+fn a_new_member_is_known_and_knows_all_within_two_seconds() {
     let mut net = converged(100, 3);
     net.kill(5);
     net.run(SECOND * 10);
     net.restart(5, 1);
-    assert!(net.run_until(SECOND * 2, Net::agreed).is_some());
+    assert!(net.run_until(SECOND * 2, Net::all_agree).is_some());
 }
 
 #[rstest]
-fn a_dead_daemon_among_nine_is_found_in_time(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+fn a_dead_daemon_among_nine_is_detected_in_time(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut net = converged(9, seed);
     net.run(Duration::from_millis(seed * 37));
     let victim = net.fleet(4).local_member().incarnation;
@@ -59,47 +59,47 @@
     let found = net.run_until(limit, |net| net.dead_at(victim) == 8);
     assert!(found.is_some(), "not dead everywhere after {limit:?}");
     assert_eq!(
-        net.seen
+        net.changes
             .iter()
-            .filter(|seen| seen.member.state == State::Dead)
+            .filter(|change| change.member.state == State::Dead)
             .count(),
         8
     );
 }
 
 #[test]
-fn a_suspected_daemon_refutes() {
+fn a_suspected_daemon_refutes_the_suspicion() {
     let mut net = converged(9, 4);
     let target = *net.fleet(3).local_member();
-    let claim = target.with_state(State::Suspect);
+    let suspicion = target.with_state(State::Suspect);
     net.with_fleet(0, |fleet, now| {
-        let sender = *fleet.current(instance(1)).expect("known");
+        let sender = *fleet.current(instance(1)).expect("member must be known");
         let message = Message::Page {
-            news: vec![sender, claim],
+            news: vec![sender, suspicion],
         };
         fleet.receive(now, instance(1), &message);
         assert_eq!(fleet.state(target.incarnation), Some(State::Suspect));
     });
     net.run(SECOND * 3);
     for index in 0..9 {
-        let held = net
+        let record = net
             .fleet(index)
             .by_incarnation(target.incarnation)
-            .expect("known");
-        assert_eq!(held.state, State::Alive);
-        assert_eq!(held.version, target.version + 1);
+            .expect("member must be known");
+        assert_eq!(record.state, State::Alive);
+        assert_eq!(record.version, target.version + 1);
     }
 }
 
 #[test]
 fn a_restart_replaces_the_former_run() {
     let mut net = converged(9, 5);
-    let former = net.fleet(2).local_member().incarnation;
+    let previous = net.fleet(2).local_member().incarnation;
     net.restart(2, 1);
     let current = net.fleet(2).local_member().incarnation;
-    assert!(net.run_until(SECOND * 2, Net::agreed).is_some());
+    assert!(net.run_until(SECOND * 2, Net::all_agree).is_some());
     for index in (0..9).filter(|index| *index != 2) {
-        assert_eq!(net.fleet(index).state(former), Some(State::Dead));
+        assert_eq!(net.fleet(index).state(previous), Some(State::Dead));
         assert_eq!(net.fleet(index).state(current), Some(State::Alive));
         assert_eq!(
             net.fleet(index).current(instance(2)).map(|m| m.incarnation),
@@ -107,12 +107,12 @@
         );
     }
     let ended = net
-        .seen
+        .changes
         .iter()
-        .filter(|seen| seen.member.incarnation == former);
+        .filter(|change| change.member.incarnation == previous);
     assert_eq!(
         ended
-            .filter(|seen| seen.member.state == State::Dead)
+            .filter(|change| change.member.state == State::Dead)
             .count(),
         8
     );
@@ -124,17 +124,17 @@
     net.restart(2, 1);
     net.run(SECOND * 2);
     let current = *net.fleet(2).local_member();
-    let former = member(2, 0).with_state(State::Alive);
+    let previous = member(2, 0).with_state(State::Alive);
     net.with_fleet(0, |fleet, now| {
         fleet.receive(
             now,
             instance(2),
             &Message::Ping {
                 seq: 9,
-                news: vec![former],
+                news: vec![previous],
             },
         );
-        assert_eq!(fleet.state(former.incarnation), Some(State::Dead));
+        assert_eq!(fleet.state(previous.incarnation), Some(State::Dead));
         assert_eq!(fleet.current(instance(2)), Some(&current));
     });
 }
@@ -144,7 +144,7 @@
     let mut net = converged(9, 6);
     net.with_fleet(1, Fleet::leave);
     net.run(SECOND * 2);
-    assert!(net.agreed());
+    assert!(net.all_agree());
     for index in 0..9 {
         let fleet = net.fleet(index);
         assert_eq!(
@@ -155,11 +155,11 @@
         assert!((0..1_000).all(|key| fleet.owner(key) != Some(instance(1))));
     }
     net.run(SECOND * 30);
-    assert!(net.agreed());
+    assert!(net.all_agree());
     assert_eq!(
-        net.seen
+        net.changes
             .iter()
-            .filter(|seen| seen.member.state == State::Dead)
+            .filter(|change| change.member.state == State::Dead)
             .count(),
         0
     );
@@ -191,7 +191,7 @@
     let victim = net.fleet(8).local_member().incarnation;
     net.set_list(&entries(0..8));
     net.run(SECOND * 5);
-    assert!(net.agreed());
+    assert!(net.all_agree());
     assert_eq!(net.fleet(0).listed_count(), 8);
     net.kill(8);
     net.run(SECOND * 3);
@@ -232,17 +232,20 @@
         net.run(SECOND * 30);
         net.reset_counters();
         net.run(SECOND * 20);
-        let most = net.sent.iter().map(|sent| sent.messages).max().unwrap_or(0);
+        let max_rate = net.sent.iter().map(|sent| sent.messages).max().unwrap_or(0);
         let total: u64 = net.sent.iter().map(|sent| sent.messages).sum();
-        (total as f64 / count as f64 / 20.0, most as f64 / 20.0)
+        (total as f64 / count as f64 / 20.0, max_rate as f64 / 20.0)
     };
     let (small, _) = rate(9);
-    let (large, most) = rate(100);
+    let (large, max_rate) = rate(100);
     assert!(
         (large - small).abs() < 0.5,
         "{small} and {large} messages a second"
     );
-    assert!(most < 16.0, "{most} messages a second at one daemon");
+    assert!(
+        max_rate < 16.0,
+        "{max_rate} messages a second at one daemon"
+    );
 }
 
 #[test]
@@ -251,63 +254,63 @@
     full.version = u32::MAX;
     let news = vec![full; Settings::default().page_records + 1];
     let page = Message::Page { news: news.clone() };
-    assert!(net::encoded(&page) <= page.max_encoded_bytes());
+    assert!(net::encoded_len(&page) <= page.max_encoded_bytes());
     assert!(page.max_encoded_bytes() < 1_400, "a page fits a datagram");
     let probe = Message::Probe {
         seq: u32::MAX,
         target: Instance(u64::MAX),
         news,
     };
-    assert!(net::encoded(&probe) <= probe.max_encoded_bytes());
+    assert!(net::encoded_len(&probe) <= probe.max_encoded_bytes());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn with_loss_the_running_daemons_agree_again(
+    fn running_daemons_agree_again_after_message_loss(
         seed in any::<u64>(),
         count in 2_usize..20,
         loss in 0_u32..50,
     ) {
         let mut net = Net::new(count, seed);
-        net.loss = loss;
+        net.loss_permille = loss;
         net.run(SECOND * 10);
         net.kill(0);
         net.run(SECOND * 10);
         net.restart(0, 1);
         net.run(SECOND * 10);
-        net.loss = 0;
+        net.loss_permille = 0;
         net.run(SECOND * 10);
-        // A daemon that loss got declared dead has learnt it; all others agree on the rest.
+        // Daemons that were declared dead because of message loss know it; the others agree.
         for index in 0..count {
             let me = net.fleet(index).local_member().incarnation;
             prop_assert_eq!(net.fleet(index).declared_dead(), net.dead_at(me) > 0);
         }
-        let fit: Vec<usize> = (0..count).filter(|i| !net.fleet(*i).declared_dead()).collect();
-        for index in &fit {
-            prop_assert_eq!(net.fleet(*index).alive().count(), fit.len());
+        let remaining: Vec<usize> = (0..count).filter(|i| !net.fleet(*i).declared_dead()).collect();
+        for index in &remaining {
+            prop_assert_eq!(net.fleet(*index).alive().count(), remaining.len());
         }
     }
 
     #[test]
-    fn no_run_comes_back_and_no_version_goes_down(seed in any::<u64>(), loss in 0_u32..300) {
+    fn no_dead_run_comes_back_and_no_version_decreases(seed in any::<u64>(), loss in 0_u32..300) {
         let mut net = Net::new(7, seed);
-        net.loss = loss;
+        net.loss_permille = loss;
         net.run(SECOND * 5);
-        // The restarted daemon begins with an empty view, so what it saw before does not count.
-        net.seen.retain(|seen| seen.by != 1);
+        // The restarted daemon starts with an empty view, so its earlier changes are ignored.
+        net.changes.retain(|change| change.observer != 1);
         net.restart(1, 1);
         net.run(SECOND * 5);
         net.kill(2);
         net.run(SECOND * 10);
         for by in 0..7 {
             let mut last = std::collections::BTreeMap::new();
-            for seen in net.seen.iter().filter(|seen| seen.by == by) {
-                let member = seen.member;
+            for change in net.changes.iter().filter(|change| change.observer == by) {
+                let member = change.member;
                 let before = last.insert(member.incarnation, member);
                 if let Some(before) = before {
-                    prop_assert!(before.state != State::Dead, "came back: {:?}", seen);
+                    prop_assert!(before.state != State::Dead, "came back: {:?}", change);
                     prop_assert!(member.version >= before.version);
                 }
             }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! A network of fleets in virtual time.
+//! Simulates a network of daemons in virtual time.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -25,22 +25,23 @@
 
 /// A second.
 pub const SECOND: Duration = Duration::from_secs(1);
-/// One-way delay of every message, in microseconds, and what is added to it at most at random.
+/// Minimum one-way delay of a message, in microseconds.
 const DELAY_US: u64 = 1_500;
+/// Upper bound of the random delay added to each message, in microseconds.
 const JITTER_US: u64 = 1_000;
-/// Bytes of IP and UDP headers, counted for each message.
+/// Size of the IP and UDP headers, added to each message.
 const HEADER_BYTES: usize = 28;
 
-/// A change of state seen at one daemon.
+/// A change of a member's state, as seen by one daemon.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct Change {
     pub at: Time,
-    pub by: usize,
+    pub observer: usize,
     pub member: Member,
     pub before: Option<State>,
 }
 
-/// What one daemon sent.
+/// Traffic sent by one daemon.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sent {
     pub messages: u64,
@@ -58,25 +59,25 @@
     fleet: Fleet,
     next: Time,
     up: bool,
-    /// Messages that wait while the daemon is paused; `None` if it runs.
+    /// Messages buffered while the daemon is paused; `None` if it runs.
     inbox: Option<Vec<(Instance, Message)>>,
 }
 
-/// Daemons with a network between them.
+/// Daemons connected by a simulated network.
 #[derive(Debug)]
 pub struct Net {
     pub now: Time,
-    pub seen: Vec<Seen>,
+    pub changes: Vec<Change>,
     pub sent: Vec<Sent>,
-    /// Messages lost, in thousandths.
-    pub loss: u32,
-    /// Side of each daemon; messages between two sides are lost.
-    pub side: Vec<usize>,
+    /// Share of messages lost, in thousandths.
+    pub loss_permille: u32,
+    /// Partition of each daemon; messages between partitions are lost.
+    pub partition: Vec<usize>,
     nodes: Vec<Node>,
-    names: BTreeMap<Instance, usize>,
+    index_by_instance: BTreeMap<Instance, usize>,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
     events: BTreeMap<u64, Event>,
-    ticket: u64,
+    event_id: u64,
     rng: Pcg64Mcg,
     settings: Settings,
 }
@@ -106,7 +107,7 @@
 }
 
 impl Net {
-    /// `count` daemons that all start at once with the whole list.
+    /// `count` daemons that start within 200 ms with the complete list.
     pub fn new(count: usize, seed: u64) -> Self {
         Self::with_settings(count, seed, Settings::default())
     }
@@ -114,15 +115,15 @@
     pub fn with_settings(count: usize, seed: u64, settings: Settings) -> Self {
         let mut net = Self {
             now: Time::from_millis(1),
-            seen: Vec::new(),
+            changes: Vec::new(),
             sent: vec![Sent::default(); count],
-            loss: 0,
-            side: vec![0; count],
+            loss_permille: 0,
+            partition: vec![0; count],
             nodes: Vec::new(),
-            names: (0..count).map(|index| (instance(index), index)).collect(),
+            index_by_instance: (0..count).map(|index| (instance(index), index)).collect(),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            ticket: 0,
+            event_id: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             settings,
         };
@@ -138,7 +139,7 @@
                 inbox: None,
             });
             let start = net.now + Duration::from_micros(net.rng.random_range(0..200_000));
-            net.plan(index, start);
+            net.schedule_step(index, start);
         }
         net
     }
@@ -151,7 +152,7 @@
         &self.nodes[index].fleet
     }
 
-    /// Lets the daemon do something besides protocol steps, and steps it then.
+    /// Runs `act` on a daemon, followed by a protocol step.
     pub fn with_fleet(&mut self, index: usize, act: impl FnOnce(&mut Fleet, Time)) {
         act(&mut self.nodes[index].fleet, self.now);
         self.step(index);
@@ -178,15 +179,15 @@
             up: true,
             inbox: None,
         };
-        self.plan(index, self.now);
+        self.schedule_step(index, self.now);
     }
 
-    /// Stops the daemon; what is sent to it waits.
+    /// Pauses the daemon; messages to it are buffered.
     pub fn pause(&mut self, index: usize) {
         self.nodes[index].inbox = Some(Vec::new());
     }
 
-    /// Lets the daemon run again and read what waited, before any step.
+    /// Resumes the daemon, which reads the buffered messages before its next step.
     pub fn resume(&mut self, index: usize) {
         let inbox = self.nodes[index].inbox.take().unwrap_or_default();
         for (from, message) in inbox {
@@ -197,13 +198,13 @@
 
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(&Reverse((at, ticket))) = self.queue.peek() {
+        while let Some(&Reverse((at, event_id))) = self.queue.peek() {
             if at > end {
                 break;
             }
             self.queue.pop();
             self.now = at;
-            match self.events.remove(&ticket) {
+            match self.events.remove(&event_id) {
                 Some(Event::Step(index)) if self.nodes[index].next == at => self.step(index),
                 Some(Event::Message(to, from, message)) => self.deliver(to, from, message),
                 _ => {}
@@ -212,7 +213,7 @@
         self.now = end;
     }
 
-    /// Runs until `done` holds, looking every 10 ms; `None` if it does not within `limit`.
+    /// Runs until `done` holds, checked every 10 ms; `None` if that takes longer than `limit`.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
         while !done(self) {
@@ -224,8 +225,8 @@
         Some(self.now.since(start))
     }
 
-    /// Whether every running daemon holds exactly the running ones to be in reach.
-    pub fn agreed(&self) -> bool {
+    /// Whether each running daemon sees exactly the running daemons as in reach.
+    pub fn all_agree(&self) -> bool {
         let running = || {
             self.nodes
                 .iter()
@@ -241,7 +242,7 @@
         })
     }
 
-    /// How many running daemons hold `incarnation` dead.
+    /// Number of running daemons for which `incarnation` is dead.
     pub fn dead_at(&self, incarnation: Incarnation) -> usize {
         let nodes = self.nodes.iter().filter(|node| node.up);
         nodes
@@ -249,31 +250,31 @@
             .count()
     }
 
-    /// Runs until all agree, looking every 200 ms.
+    /// Runs until all daemons agree, checked every 200 ms.
     pub fn converge(&mut self, limit: Duration) {
         let start = self.now;
-        while !self.agreed() {
-            assert!(self.now.since(start) < limit, "the fleet converges");
+        while !self.all_agree() {
+            assert!(self.now.since(start) < limit, "the fleet did not converge");
             self.run(Duration::from_millis(200));
         }
     }
 
     pub fn reset_counters(&mut self) {
         self.sent.fill(Sent::default());
-        self.seen.clear();
+        self.changes.clear();
     }
 
-    fn plan(&mut self, index: usize, at: Time) {
+    fn schedule_step(&mut self, index: usize, at: Time) {
         if self.nodes[index].next != at {
             self.nodes[index].next = at;
-            self.push(at, Event::Step(index));
+            self.schedule(at, Event::Step(index));
         }
     }
 
-    fn push(&mut self, at: Time, event: Event) {
-        self.ticket += 1;
-        self.events.insert(self.ticket, event);
-        self.queue.push(Reverse((at, self.ticket)));
+    fn schedule(&mut self, at: Time, event: Event) {
+        self.event_id += 1;
+        self.events.insert(self.event_id, event);
+        self.queue.push(Reverse((at, self.event_id)));
     }
 
     fn step(&mut self, index: usize) {
@@ -283,15 +284,15 @@
         }
         let mut out = Vec::new();
         let next = node.fleet.step(self.now, &mut out);
-        assert!(next > self.now, "a step must not ask for another at once");
-        self.plan(index, next);
+        assert!(next > self.now, "a step must not schedule another at once");
+        self.schedule_step(index, next);
         for output in out {
             match output {
                 Output::Send { to, message } => self.send(index, to, message),
                 Output::Changed { member, before } => {
-                    self.seen.push(Seen {
+                    self.changes.push(Change {
                         at: self.now,
-                        by: index,
+                        observer: index,
                         member,
                         before,
                     });
@@ -302,14 +303,14 @@
 
     fn send(&mut self, from: usize, to: Instance, message: Message) {
         self.sent[from].messages += 1;
-        self.sent[from].bytes += (encoded(&message) + HEADER_BYTES) as u64;
-        let lost = self.rng.random_range(0..1_000) < self.loss;
-        let target = self.names.get(&to).copied();
-        let target = target.filter(|target| self.side[*target] == self.side[from]);
+        self.sent[from].bytes += (encoded_len(&message) + HEADER_BYTES) as u64;
+        let lost = self.rng.random_range(0..1_000) < self.loss_permille;
+        let target = self.index_by_instance.get(&to).copied();
+        let target = target.filter(|target| self.partition[*target] == self.partition[from]);
         if let Some(target) = target.filter(|_| !lost) {
             let delay = DELAY_US + self.rng.random_range(0..JITTER_US);
             let at = self.now + Duration::from_micros(delay);
-            self.push(at, Event::Message(target, instance(from), message));
+            self.schedule(at, Event::Message(target, instance(from), message));
         }
     }
 
@@ -327,12 +328,12 @@
 }
 
 /// The size of `message` as `bincode` writes it.
-pub fn encoded(message: &Message) -> usize {
+pub fn encoded_len(message: &Message) -> usize {
     let bytes = bincode::serde::encode_to_vec(message, bincode::config::standard());
-    bytes.expect("a message serialises").len()
+    bytes.expect("the message cannot be serialized").len()
 }
 
-/// `count` daemons that know each other.
+/// `count` daemons after convergence, with counters reset.
 pub fn converged(count: usize, seed: u64) -> Net {
     let mut net = Net::new(count, seed);
     net.converge(SECOND * 30);
--- a/crates/fleet/tests/ownership.rs
+++ b/crates/fleet/tests/ownership.rs
@@ -16,7 +16,7 @@
 use proptest::prop_assert_eq;
 use proptest::proptest;
 
-/// The daemon `me` that knows `count` daemons.
+/// The view of daemon `me` in a fleet of `count` daemons.
 fn fleet(me: usize, count: usize) -> Fleet {
     let mut fleet = Fleet::new(member(me, 0), Settings::default(), 1);
     for index in (0..count).filter(|index| *index != me) {
@@ -29,15 +29,15 @@
     fleet
 }
 
-fn told(fleet: &mut Fleet, by: usize, about: usize, state: State) {
-    let mut claim = member(about, 0).with_state(state);
-    claim.version = u32::from(state == State::Leaving);
-    let news = vec![member(by, 0), claim];
+fn receive_record(fleet: &mut Fleet, by: usize, about: usize, state: State) {
+    let mut record = member(about, 0).with_state(state);
+    record.version = u32::from(state == State::Leaving);
+    let news = vec![member(by, 0), record];
     fleet.receive(Time::ZERO, instance(by), &Message::Page { news });
 }
 
 #[test]
-fn all_daemons_name_the_same_owner() {
+fn all_daemons_compute_the_same_owner() {
     let fleets: Vec<Fleet> = (0..9).map(|me| fleet(me, 9)).collect();
     for key in 0..1_000 {
         let owner = fleets[0].owner(key);
@@ -64,10 +64,10 @@
     let mut fleet = fleet(0, 9);
     let key = (0..1_000)
         .find(|key| fleet.owner(*key) == Some(instance(4)))
-        .expect("some key");
-    told(&mut fleet, 1, 4, State::Suspect);
+        .expect("no key owned by instance 4");
+    receive_record(&mut fleet, 1, 4, State::Suspect);
     assert_eq!(fleet.owner(key), Some(instance(4)));
-    told(&mut fleet, 1, 4, State::Dead);
+    receive_record(&mut fleet, 1, 4, State::Dead);
     assert_ne!(fleet.owner(key), Some(instance(4)));
 }
 
@@ -100,7 +100,7 @@
         let before = fleet(0, count);
         let mut after = before.clone();
         let witness = if victim == 1 { 2 } else { 1 };
-        told(&mut after, witness, victim, State::Dead);
+        receive_record(&mut after, witness, victim, State::Dead);
         for key in keys {
             let expected = match before.owner(key) {
                 Some(owner) if owner == instance(victim) => {
@@ -116,7 +116,7 @@
     fn the_owner_in_a_zone_lies_in_it(count in 3_usize..30, key in any::<u64>()) {
         let fleet = fleet(0, count);
         for index in 0..3 {
-            let owner = fleet.owner_in(zone(index), key).expect("a member");
+            let owner = fleet.owner_in(zone(index), key).expect("data centre must have a member");
             prop_assert!(fleet.current(owner).is_some_and(|m| m.zone == zone(index)));
         }
     }
--- a/crates/fleet/tests/partitions.rs
+++ b/crates/fleet/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Fleets that are cut into parts, and contact with the list.
+//! Network partitions and the count of reachable instances.
 
 mod net;
 
@@ -21,11 +21,11 @@
     #[case] smaller: usize,
 ) {
     let mut net = converged(count, 11 + count as u64);
-    net.side[..smaller].fill(1);
+    net.partition[..smaller].fill(1);
     net.run(SECOND * 20);
     assert_eq!(net.fleet(0).alive().count(), smaller);
     assert_eq!(net.fleet(count - 1).alive().count(), count - smaller);
-    net.side.fill(0);
+    net.partition.fill(0);
     net.run(SECOND * 10);
     for index in 0..count {
         assert_eq!(net.fleet(index).declared_dead(), index < smaller);
@@ -36,7 +36,7 @@
 fn a_partition_without_a_larger_side_ends_no_run() {
     let mut net = converged(9, 11);
     for index in 0..9 {
-        net.side[index] = index / 3;
+        net.partition[index] = index / 3;
     }
     net.run(SECOND * 20);
     assert!((0..9).all(|index| net.fleet(index).alive().count() == 3));
@@ -46,9 +46,13 @@
         .map(|member| member.instance)
         .collect::<Vec<_>>();
     assert!((0..500).all(|key| net.fleet(0).owner(key).is_some_and(|o| own.contains(&o))));
-    net.side.fill(0);
-    assert!(net.run_until(SECOND * 5, Net::agreed).is_some());
-    assert!(net.seen.iter().all(|seen| seen.member.state != State::Dead));
+    net.partition.fill(0);
+    assert!(net.run_until(SECOND * 5, Net::all_agree).is_some());
+    assert!(
+        net.changes
+            .iter()
+            .all(|change| change.member.state != State::Dead)
+    );
 }
 
 #[rstest]
@@ -56,9 +60,9 @@
 #[case(100)]
 fn a_single_daemon_that_was_cut_off_ends_no_run_but_its_own(#[case] count: usize) {
     let mut net = converged(count, 31);
-    net.side[0] = 1;
+    net.partition[0] = 1;
     net.run(SECOND * 10);
-    net.side.fill(0);
+    net.partition.fill(0);
     net.run(SECOND * 10);
     for index in 0..count {
         assert_eq!(net.fleet(index).declared_dead(), index == 0);
@@ -93,11 +97,11 @@
 }
 
 #[test]
-fn contact_with_the_list_is_told_within_seconds() {
+fn reachable_count_follows_a_partition_within_seconds() {
     let mut net = converged(100, 15);
     assert_eq!(net.fleet(0).reachable_count(), 100);
-    net.side[0] = 1;
-    net.side[40..].fill(2);
+    net.partition[0] = 1;
+    net.partition[40..].fill(2);
     net.run(SECOND * 3);
     assert!(net.fleet(0).reachable_count() < 10, "alone");
     assert!(net.fleet(1).reachable_count() < 50, "with 39 of 100");
@@ -112,7 +116,7 @@
     assert_eq!(net.fleet(0).listed_count(), 9);
     assert_eq!(net.fleet(0).heard_since_count(since), 9);
     for index in 5..9 {
-        net.side[index] = 1;
+        net.partition[index] = 1;
     }
     net.run(SECOND * 3);
     let since = net.now - SECOND * 2;
--- a/crates/fleet/tests/pauses.rs
+++ b/crates/fleet/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! Daemons that stood still or were started again.
+//! Daemons that were paused or restarted.
 
 mod net;
 
@@ -18,16 +18,16 @@
 use rstest::rstest;
 
 #[test]
-fn a_paused_daemon_learns_that_it_was_declared_dead_and_kills_nobody() {
+fn a_paused_daemon_learns_that_it_was_declared_dead_and_declares_nobody_dead() {
     let mut net = converged(9, 9);
     net.pause(3);
     net.run(SECOND * 10);
     assert_eq!(net.dead_at(net.fleet(3).local_member().incarnation), 8);
     assert!(
         net.fleet(3).paused(net.now),
-        "the gap shows before any step"
+        "the pause must be detected before any step"
     );
-    net.seen.clear();
+    net.changes.clear();
     net.resume(3);
     net.run(SECOND);
     assert!(net.fleet(3).declared_dead());
@@ -36,13 +36,13 @@
             .serving()
             .any(|member| member.instance == instance(3))
     );
-    let judged = net
-        .seen
+    let declared = net
+        .changes
         .iter()
-        .filter(|seen| seen.by == 3 && seen.member.instance != instance(3));
+        .filter(|change| change.observer == 3 && change.member.instance != instance(3));
     assert_eq!(
-        judged
-            .filter(|seen| seen.member.state == State::Dead)
+        declared
+            .filter(|change| change.member.state == State::Dead)
             .count(),
         0
     );
@@ -59,18 +59,18 @@
     assert!(!net.fleet(3).paused(net.now));
     assert!(!net.fleet(3).declared_dead());
     net.run(SECOND * 3);
-    assert!(net.agreed());
+    assert!(net.all_agree());
     assert_eq!(
-        net.seen
+        net.changes
             .iter()
-            .filter(|seen| seen.member.state == State::Dead)
+            .filter(|change| change.member.state == State::Dead)
             .count(),
         0
     );
 }
 
 #[test]
-fn messages_that_waited_during_a_pause_do_not_end_it() {
+fn messages_buffered_during_a_pause_do_not_end_it() {
     let settings = Settings::default();
     let mut fleet = Fleet::new(member(0, 0), settings, 1);
     let mut out = Vec::new();
@@ -83,11 +83,11 @@
     fleet.receive(Time::from_millis(10), instance(1), &hello);
     fleet.step(Time::from_millis(10), &mut out);
     let before = pings(&out);
-    let late = Time::from_millis(9_000);
-    assert!(fleet.paused(late));
+    let resumed = Time::from_millis(9_000);
+    assert!(fleet.paused(resumed));
     for seq in before {
         fleet.receive(
-            late,
+            resumed,
             instance(1),
             &Message::Ack {
                 seq,
@@ -95,29 +95,29 @@
             },
         );
     }
-    fleet.receive(late, instance(1), &hello);
-    assert!(fleet.paused(late));
+    fleet.receive(resumed, instance(1), &hello);
+    assert!(fleet.paused(resumed));
     out.clear();
-    fleet.step(late, &mut out);
-    assert!(fleet.paused(late));
-    let seq = *pings(&out).last().expect("a ping after the gap");
+    fleet.step(resumed, &mut out);
+    assert!(fleet.paused(resumed));
+    let seq = *pings(&out).last().expect("no ping after the pause");
     fleet.receive(
-        late,
+        resumed,
         instance(1),
         &Message::Ack {
             seq,
             news: vec![member(1, 0)],
         },
     );
-    assert!(!fleet.paused(late));
+    assert!(!fleet.paused(resumed));
 }
 
-/// A daemon asked its peers who is there, was started again, and was paused soon after. Runs number
-/// their pings from zero, so a late answer to the earlier run had a higher number than any ping of
-/// the new one, and passed for the answer to a ping sent after the pause: the daemon counted as
-/// heard by its peers, and decided again.
+/// Guards against an ack to the previous run that ends a pause. When each run numbered its pings
+/// from zero, a late ack to the previous run could have a higher number than any ping of a daemon
+/// that was restarted and then paused, and passed for the answer to a ping sent after the pause. The
+/// daemon then made decisions again without contact with its peers.
 #[test]
-fn an_answer_to_a_ping_that_this_run_never_sent_does_not_end_a_pause() {
+fn an_ack_to_a_ping_that_this_run_never_sent_does_not_end_a_pause() {
     let mut fleet = Fleet::new(member(0, 0), Settings::default(), 1);
     let mut out = Vec::new();
     fleet.set_list(Time::ZERO, &entries(0..2));
@@ -129,11 +129,11 @@
     };
     fleet.receive(Time::from_millis(10), instance(1), &hello);
     fleet.step(Time::from_millis(10), &mut out);
-    let late = Time::from_millis(9_000);
-    fleet.step(late, &mut out);
-    let seq = pings(&out).into_iter().max().expect("a ping was sent") + 1;
-    fleet.receive(late, instance(1), &Message::Ack { seq, news });
-    assert!(fleet.paused(late));
+    let resumed = Time::from_millis(9_000);
+    fleet.step(resumed, &mut out);
+    let seq = pings(&out).into_iter().max().expect("no ping was sent") + 1;
+    fleet.receive(resumed, instance(1), &Message::Ack { seq, news });
+    assert!(fleet.paused(resumed));
 }
 
 fn pings(out: &[Output]) -> Vec<u32> {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_lone_daemon_is_never_paused_and_owns_all() {
+fn a_lone_daemon_is_never_paused_and_owns_all_keys() {
     let mut fleet = Fleet::new(member(0, 0), Settings::default(), 1);
     let mut out = Vec::new();
     fleet.step(Time::ZERO, &mut out);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_newer_run_of_the_own_instance_ends_this_one() {
+fn a_newer_run_of_the_same_instance_ends_this_one() {
     let mut fleet = Fleet::new(member(0, 0), Settings::default(), 1);
     let news = vec![member(1, 0), member(0, 1)];
     fleet.receive(Time::ZERO, instance(1), &Message::Page { news });
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_forgotten_run_still_gets_its_verdict() {
+fn a_removed_run_still_receives_its_death_record() {
     let mut net = converged(3, 2);
     net.pause(2);
     net.run(SECOND * 5);
