--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -9,17 +9,17 @@
     /// The instance.
     pub instance: Instance,
     /// Its data centre.
-    pub zone: Zone,
+    pub data_centre: Zone,
     /// Whether the platform lists it as leaving.
     pub leaving: bool,
 }
 
 impl Entry {
-    /// A live instance in `zone`.
-    pub const fn new(instance: Instance, zone: Zone) -> Self {
+    /// A live instance in `data_centre`.
+    pub const fn new(instance: Instance, data_centre: Zone) -> Self {
         Self {
             instance,
-            zone,
+            data_centre,
             leaving: false,
         }
     }
--- a/crates/fleet/src/query.rs
+++ b/crates/fleet/src/query.rs
@@ -116,9 +116,9 @@
         )
     }
 
-    /// The owner of `key` among the serving members of `zone`.
-    pub fn owner_in(&self, zone: Zone, key: u64) -> Option<Instance> {
-        let candidates = self.serving().filter(|member| member.zone == zone);
+    /// The owner of `key` among the serving members of `data_centre`.
+    pub fn owner_in(&self, data_centre: Zone, key: u64) -> Option<Instance> {
+        let candidates = self.serving().filter(|member| member.zone == data_centre);
         owner::choose(key, candidates.map(|member| member.instance))
     }
 
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -23,7 +23,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// A second.
+/// One second.
 pub const SECOND: Duration = Duration::from_secs(1);
 /// Minimum one-way delay of a message, in microseconds.
 const DELAY_US: u64 = 1_500;
@@ -86,7 +86,7 @@
     Instance::new(&format!("entry-{index}"))
 }
 
-pub fn zone(index: usize) -> Zone {
+pub fn data_centre(index: usize) -> Zone {
     Zone::new(["osijek-a", "vinkovci-b", "dakovo-c"][index % 3])
 }
 
@@ -96,13 +96,13 @@
         instance(index),
         incarnation,
         1_790_000_000_000 + run,
-        zone(index),
+        data_centre(index),
     )
 }
 
 pub fn entries(indices: impl Iterator<Item = usize>) -> Vec<Entry> {
     indices
-        .map(|index| Entry::new(instance(index), zone(index)))
+        .map(|index| Entry::new(instance(index), data_centre(index)))
         .collect()
 }
 
--- a/crates/fleet/tests/ownership.rs
+++ b/crates/fleet/tests/ownership.rs
@@ -8,9 +8,9 @@
 use fleet::entry::Entry;
 use fleet::member::State;
 use ident::Time;
+use net::data_centre;
 use net::instance;
 use net::member;
-use net::zone;
 use proptest::prelude::any;
 use proptest::prop_assert;
 use proptest::prop_assert_eq;
@@ -74,7 +74,9 @@
 #[test]
 fn an_instance_that_the_list_says_is_leaving_owns_nothing() {
     let mut fleet = fleet(0, 3);
-    let mut list: Vec<Entry> = (0..3).map(|i| Entry::new(instance(i), zone(i))).collect();
+    let mut list: Vec<Entry> = (0..3)
+        .map(|i| Entry::new(instance(i), data_centre(i)))
+        .collect();
     list[1].leaving = true;
     fleet.set_list(Time::ZERO, &list);
     assert!((0..500).all(|key| fleet.owner(key) != Some(instance(1))));
@@ -82,9 +84,9 @@
 }
 
 #[test]
-fn a_zone_without_members_has_no_owner() {
+fn a_data_centre_without_members_has_no_owner() {
     let fleet = fleet(0, 2);
-    assert_eq!(fleet.owner_in(zone(2), 7), None);
+    assert_eq!(fleet.owner_in(data_centre(2), 7), None);
     let all: Vec<_> = (0..2).map(instance).collect();
     assert_eq!(fleet.owner_excluding(7, &all), None);
 }
@@ -113,11 +115,11 @@
     }
 
     #[test]
-    fn the_owner_in_a_zone_lies_in_it(count in 3_usize..30, key in any::<u64>()) {
+    fn the_owner_in_a_data_centre_belongs_to_it(count in 3_usize..30, key in any::<u64>()) {
         let fleet = fleet(0, count);
         for index in 0..3 {
-            let owner = fleet.owner_in(zone(index), key).expect("data centre must have a member");
-            prop_assert!(fleet.current(owner).is_some_and(|m| m.zone == zone(index)));
+            let owner = fleet.owner_in(data_centre(index), key).expect("data centre must have a member");
+            prop_assert!(fleet.current(owner).is_some_and(|m| m.zone == data_centre(index)));
         }
     }
 }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -88,7 +88,7 @@
     fn entries(&self) -> Vec<Entry> {
         let seats = self.members.seats.values().map(|seat| Entry {
             instance: seat.instance,
-            zone: seat.zone,
+            data_centre: seat.zone,
             leaving: seat.leaving,
         });
         seats.collect()
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -21,7 +21,7 @@
         .iter()
         .map(|instance| Entry {
             instance: *instance,
-            zone: settings.zone,
+            data_centre: settings.zone,
             leaving: false,
         })
         .collect();
