--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -12,7 +12,7 @@
 use boottime::timer::timeout;
 use fleet::Message;
 use ident::Time;
-use relay::claims::Told;
+use relay::claims::ClaimUpdate;
 use relay::quarantine::Record;
 use serde::Deserialize;
 use serde::Serialize;
@@ -77,7 +77,7 @@
         news: News,
     },
     /// What the sender's runs at decode replicas hold.
-    Claims(Told),
+    Claims(ClaimUpdate),
     /// Requests under which replicas ended.
     Quarantine(Vec<Record>),
     /// What customers use of their quotas.
@@ -143,7 +143,7 @@
 }
 
 /// Tells the daemon at `peer` what this one's runs hold.
-pub async fn tell(shared: &Shared, peer: SocketAddr, told: Told) {
+pub async fn tell(shared: &Shared, peer: SocketAddr, told: ClaimUpdate) {
     transmit(shared, peer, Content::Claims(told)).await;
 }
 
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -20,8 +20,8 @@
 use platform::caller::Hop;
 use platform::caller::Task;
 use relay::fingerprint::Fingerprint;
-use relay::permit::Allowance;
 use relay::permit::Permit;
+use relay::permit::RequestPermits;
 use relay::permit::Work;
 use relay::plan::Caller;
 use relay::plan::Route;
@@ -67,7 +67,7 @@
     /// What it takes from its customer's quota.
     pub charge: Option<Charge>,
     /// Leave for sends to replicas.
-    pub allowance: RefCell<Allowance>,
+    pub allowance: RefCell<RequestPermits>,
     /// Replicas that it was sent to.
     sent_to: RefCell<HashSet<Key>>,
     shared: Rc<Shared>,
@@ -109,7 +109,7 @@
             returned,
             answering: Cell::new(false),
             charge: None,
-            allowance: RefCell::new(Allowance::new()),
+            allowance: RefCell::new(RequestPermits::new()),
             sent_to: RefCell::default(),
             shared: Rc::clone(shared),
             done: false,
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -19,7 +19,7 @@
 use ident::Zone;
 use rand::seq::IteratorRandom;
 use rand::seq::SliceRandom;
-use relay::directory::Entry;
+use relay::directory::Endpoint;
 
 use crate::card::Card;
 
@@ -250,14 +250,14 @@
     }
 
     /// Instances that callers are told of: members that are neither leaving nor suspected.
-    pub fn open(&self) -> Vec<Entry> {
+    pub fn open(&self) -> Vec<Endpoint> {
         let Some(fleet) = &self.fleet else {
             return Vec::new();
         };
         let alive = fleet.alive().filter(|member| member.state == State::Alive);
         alive
             .filter_map(|member| self.card(member.instance))
-            .map(|card| Entry {
+            .map(|card| Endpoint {
                 data_centre: card.data_centre,
                 address: card.callers,
                 capacity: card.capacity,
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use platform::engine as wire;
 use platform::engine::Reservation;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
 use relay::plan::Engine;
 use relay::replica::Stage;
 use relay::server::Key;
@@ -159,7 +159,7 @@
     let size = job.size(made);
     let read = shared.read_time(&job.service, size.prompt);
     let idle = kind.idle_part(job.route.objective, job.age(), read.unwrap_or_default());
-    let ask = Ask {
+    let ask = MemoryDemand {
         curve: shared.runs.borrow().ask(&job.service, size),
         spreads: placing.spreads,
         spare: kind.terms(usual(shared)).spare.max(idle),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -8,7 +8,7 @@
 
 use customer::quota::Tolerance;
 use launch::error::Error;
-use relay::budget::Rule;
+use relay::budget::RetryPolicy;
 use serde::Deserialize;
 
 /// Settings of one daemon.
@@ -237,8 +237,8 @@
     }
 
     /// The bound on retries.
-    pub fn retry_rule(&self) -> Rule {
-        Rule {
+    pub fn retry_rule(&self) -> RetryPolicy {
+        RetryPolicy {
             ratio: self.retry.ratio,
             slack: self.retry.slack,
             window: Duration::from_secs_f64(self.retry.window_s),
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -18,17 +18,17 @@
 
 use ident::Time;
 use ident::Zone;
-use relay::budget::Budget;
+use relay::budget::RetryBudget;
 use relay::claims::Claims;
-use relay::line::Line;
 use relay::overload::Overload;
 use relay::plan::Plan;
 use relay::pool::Pool;
 use relay::quarantine::Quarantine;
-use relay::runs::Id;
+use relay::runs::RunId;
 use relay::runs::Runs;
 use relay::server::Key;
-use relay::timing::Patience;
+use relay::timing::CallerTimeouts;
+use relay::wait_queue::WaitQueue;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
@@ -93,9 +93,9 @@
     /// Requests whose records the store is to keep.
     pub unkept: Outbox,
     /// By run, where it is to go on.
-    pub orders: RefCell<HashMap<Id, watch::Sender<Option<Key>>>>,
+    pub orders: RefCell<HashMap<RunId, watch::Sender<Option<Key>>>>,
     /// Generations that wait for a place.
-    pub line: RefCell<Line>,
+    pub line: RefCell<WaitQueue>,
     /// A run of this daemon ended, or another generation's turn came.
     pub room: Notify,
     /// A run began or moved, or a prompt is being read or was read.
@@ -109,11 +109,11 @@
     plan: RefCell<Option<Rc<Plan>>>,
     /// Customers that have figures of their own in the metrics.
     named_customers: RefCell<HashSet<String>>,
-    budgets: RefCell<HashMap<String, Budget>>,
+    budgets: RefCell<HashMap<String, RetryBudget>>,
     /// Mean time of a decode replica for an answer, by service.
     lengths: RefCell<HashMap<String, Duration>>,
     /// How long callers wait, by route.
-    patiences: RefCell<HashMap<String, Patience>>,
+    patiences: RefCell<HashMap<String, CallerTimeouts>>,
     overload: RefCell<Overload>,
     near: Zone,
     own: Card,
@@ -167,7 +167,7 @@
             untold: Outbox::new(),
             unkept: Outbox::new(),
             orders: RefCell::new(HashMap::new()),
-            line: RefCell::new(Line::new()),
+            line: RefCell::new(WaitQueue::new()),
             room: Notify::new(),
             runs_changed: Notify::new(),
             restarts: Notify::new(),
--- a/crates/gateway/src/shared/choice.rs
+++ b/crates/gateway/src/shared/choice.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use ident::Zone;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
 use relay::plan::Route;
 use relay::replica::Stage;
-use relay::score::Want;
+use relay::score::Criteria;
 use relay::server::Key;
 
 use crate::shared::Shared;
@@ -33,7 +33,7 @@
         tried: &[Key],
         near: Zone,
     ) -> Option<Key> {
-        let want = Want {
+        let want = Criteria {
             service,
             stage,
             tried,
@@ -46,8 +46,8 @@
 
     /// The decode replica to send a generation to, which asks for so much memory; `None` if none that
     /// was not tried has room.
-    pub fn choose_room(&self, service: &str, tried: &[Key], ask: Ask) -> Option<Key> {
-        let want = Want {
+    pub fn choose_room(&self, service: &str, tried: &[Key], ask: MemoryDemand) -> Option<Key> {
+        let want = Criteria {
             service,
             stage: Some(Stage::Decode),
             tried,
--- a/crates/gateway/src/shared/knowledge.rs
+++ b/crates/gateway/src/shared/knowledge.rs
@@ -5,12 +5,12 @@
 
 use customer::subject::Subject;
 use ident::Time;
-use relay::belief::Belief;
-use relay::belief::Change;
 use relay::plan::Plan;
 use relay::replica::Birth;
 use relay::replica::Source;
 use relay::replica::Update;
+use relay::replica_state::ReplicaState;
+use relay::replica_state::StateChange;
 use relay::server::Key;
 
 use crate::news::News;
@@ -86,11 +86,11 @@
         self.tell_changes("answer", &changes);
     }
 
-    fn tell_changes(&self, source: &'static str, changes: &[Change]) {
+    fn tell_changes(&self, source: &'static str, changes: &[StateChange]) {
         let version = self.replicas_version();
         for change in changes {
             log::info!(kind = "replica", replica = change.id, belief = format!("{:?}", change.now), version = version, source = source; "a replica changed");
-            if change.now == Belief::Restarted {
+            if change.now == ReplicaState::Restarted {
                 self.forget_earlier(&change.id);
             }
         }
--- a/crates/gateway/src/shared/overload.rs
+++ b/crates/gateway/src/shared/overload.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ident::Time;
-use relay::directory::Breadth;
+use relay::directory::Scope;
 use relay::overload::Overload;
 
 use crate::shared::Shared;
@@ -40,12 +40,8 @@
     }
 
     /// Which instances callers are told of.
-    pub fn breadth(&self) -> Breadth {
+    pub fn breadth(&self) -> Scope {
         let spreads = self.overload.borrow().spreads(self.clock.now());
-        if spreads {
-            Breadth::All
-        } else {
-            Breadth::Large
-        }
+        if spreads { Scope::All } else { Scope::Large }
     }
 }
--- a/crates/gateway/src/shared/retries.rs
+++ b/crates/gateway/src/shared/retries.rs
@@ -1,6 +1,6 @@
 //! Budgets of retries, by service.
 
-use relay::budget::Rule;
+use relay::budget::RetryPolicy;
 use relay::permit::Permit;
 use relay::permit::Work;
 
@@ -8,7 +8,7 @@
 use crate::shared::Shared;
 
 impl Shared {
-    pub(super) fn rule(&self) -> Rule {
+    pub(super) fn rule(&self) -> RetryPolicy {
         self.settings.borrow().retry_rule()
     }
 
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -19,8 +19,8 @@
 use platform::engine;
 use platform::engine::Report;
 use platform::store::Rows;
-use relay::balance::Balance;
-use relay::balance::Due;
+use relay::balance::Rebalance;
+use relay::balance::StageBalancer;
 use relay::replica::Replica;
 use relay::replica::Stage;
 use relay::server::Key;
@@ -54,7 +54,7 @@
 
 /// Watches the division of each model's replicas, forever.
 pub async fn run(shared: Rc<Shared>) {
-    let mut balances: HashMap<String, Balance> = HashMap::new();
+    let mut balances: HashMap<String, StageBalancer> = HashMap::new();
     loop {
         sleep(PERIOD).await;
         let share = shared.settings().prefill_share;
@@ -66,13 +66,13 @@
         let engines = services.filter_map(|(name, service)| Some((name, service.engine?)));
         for (service, engine) in engines {
             let balance = balances.entry(service.clone());
-            let balance = balance.or_insert_with(|| Balance::new(engine.stage_change));
+            let balance = balance.or_insert_with(|| StageBalancer::new(engine.stage_change));
             look(&shared, service, balance, share).await;
         }
     }
 }
 
-async fn look(shared: &Shared, service: &str, balance: &mut Balance, share: f64) {
+async fn look(shared: &Shared, service: &str, balance: &mut StageBalancer, share: f64) {
     let now = shared.clock.now();
     let counts = shared.pool.borrow().counts(now, service);
     let due = balance.due(now, counts, share);
@@ -127,7 +127,7 @@
 }
 
 /// Orders to the least loaded replicas of the other stage that carry none out at present.
-async fn prepare(shared: &Shared, service: &str, due: Due) -> Vec<Order> {
+async fn prepare(shared: &Shared, service: &str, due: Rebalance) -> Vec<Order> {
     let from = match due.stage {
         Stage::Prefill => Stage::Decode,
         Stage::Decode => Stage::Prefill,
--- a/crates/gateway/src/track.rs
+++ b/crates/gateway/src/track.rs
@@ -7,12 +7,12 @@
 use boottime::Instant;
 use boottime::timer::timeout_at;
 use rand::seq::IndexedRandom;
-use relay::rescue;
-use relay::rescue::Move;
-use relay::runs::Id;
+use relay::claim_publisher::ClaimPublisher;
+use relay::migration;
+use relay::migration::Move;
+use relay::runs::RunId;
 use relay::runs::Size;
 use relay::server::Key;
-use relay::teller::Teller;
 use tokio::sync::watch;
 
 use crate::gossip;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct Track {
     shared: Rc<Shared>,
-    id: Id,
+    id: RunId,
     /// Tokens in one event.
     event_tokens: u64,
     orders: watch::Receiver<Option<Key>>,
@@ -61,7 +61,7 @@
     }
 
     /// Its id among the runs.
-    pub const fn id(&self) -> Id {
+    pub const fn id(&self) -> RunId {
         self.id
     }
 
@@ -146,7 +146,7 @@
 
 /// Looks after the runs, forever.
 pub async fn run(shared: Rc<Shared>) {
-    let mut teller = Teller::new();
+    let mut teller = ClaimPublisher::new();
     let mut next_look = Instant::now();
     loop {
         let changed = shared.runs_changed.notified();
@@ -169,7 +169,7 @@
     let Some(plan) = plan else { return };
     let moves = {
         let pool = shared.pool.borrow();
-        rescue::due(now, &pool, &runs, &claims, |run, from, ask| {
+        migration::due(now, &pool, &runs, &claims, |run, from, ask| {
             let service = &runs.get(run)?.service;
             let engine = plan.services.get(service)?.engine?;
             let to = engine
@@ -186,7 +186,7 @@
     }
 }
 
-async fn tell(shared: &Shared, teller: &mut Teller) {
+async fn tell(shared: &Shared, teller: &mut ClaimPublisher) {
     let now = shared.clock.now();
     let due = teller.due(now, &shared.runs.borrow(), &shared.pool.borrow());
     let Some(told) = due else { return };
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/turn.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use relay::line::Ticket;
+use relay::wait_queue::Ticket;
 
 use crate::shared::Shared;
 
--- a/crates/lab/src/decode/daemon.rs
+++ b/crates/lab/src/decode/daemon.rs
@@ -5,21 +5,21 @@
 use ident::Instance;
 use ident::Time;
 use ident::Zone;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
+use relay::claim_publisher::ClaimPublisher;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Told;
+use relay::migration;
+use relay::migration::Move;
 use relay::pool::Pool;
 use relay::replica::Replica;
 use relay::replica::Snapshot;
 use relay::replica::Stage;
-use relay::rescue;
-use relay::rescue::Move;
-use relay::runs::Id;
+use relay::runs::RunId;
 use relay::runs::Runs;
 use relay::runs::Size;
-use relay::score::Want;
+use relay::score::Criteria;
 use relay::server::Key;
-use relay::teller::Teller;
 
 /// Name of the only service.
 const SERVICE: &str = "llm";
@@ -32,7 +32,7 @@
     /// Its own runs.
     pub runs: Runs,
     claims: Claims,
-    teller: Teller,
+    teller: ClaimPublisher,
 }
 
 impl Daemon {
@@ -51,7 +51,7 @@
             pool,
             runs: Runs::new(),
             claims: Claims::new(),
-            teller: Teller::new(),
+            teller: ClaimPublisher::new(),
         }
     }
 
@@ -69,7 +69,7 @@
         spreads: Option<f64>,
         draw: impl Fn() -> f64,
     ) -> Option<Key> {
-        let ask = spreads.map(|spreads| Ask {
+        let ask = spreads.map(|spreads| MemoryDemand {
             curve: self.runs.ask(SERVICE, size),
             spreads,
             spare: 0.0,
@@ -78,7 +78,7 @@
     }
 
     /// Begins a run at `key`.
-    pub fn begin(&mut self, now: Time, key: Key, size: Size) -> Id {
+    pub fn begin(&mut self, now: Time, key: Key, size: Size) -> RunId {
         let id = self.runs.begin(SERVICE, key, size);
         self.pool.begin(key, size.prompt + size.estimate);
         self.pool.foresee(now, key, &self.runs, &self.claims);
@@ -86,7 +86,7 @@
     }
 
     /// Ends it.
-    pub fn end(&mut self, now: Time, id: Id, size: Size, complete: bool) {
+    pub fn end(&mut self, now: Time, id: RunId, size: Size, complete: bool) {
         let Some(key) = self.runs.get(id).map(|entry| entry.server) else {
             return;
         };
@@ -103,24 +103,24 @@
             return Vec::new();
         }
         let pool = &self.pool;
-        rescue::due(now, pool, &self.runs, &self.claims, |_, from, ask| {
+        migration::due(now, pool, &self.runs, &self.claims, |_, from, ask| {
             pool.choose(now, &want(&[from], Some(ask)), || 0.0)
         })
     }
 
     /// What the others are told, if it is time.
-    pub fn tell(&mut self, now: Time) -> Option<Told> {
+    pub fn tell(&mut self, now: Time) -> Option<ClaimUpdate> {
         self.teller.due(now, &self.runs, &self.pool)
     }
 
     /// Takes what the daemon `peer` told.
-    pub fn hear(&mut self, now: Time, peer: usize, told: Told) {
+    pub fn hear(&mut self, now: Time, peer: usize, told: ClaimUpdate) {
         self.claims.take(now, Instance(peer as u64), told);
     }
 }
 
-fn want(tried: &[Key], ask: Option<Ask>) -> Want<'_> {
-    Want {
+fn want(tried: &[Key], ask: Option<MemoryDemand>) -> Criteria<'_> {
+    Criteria {
         service: SERVICE,
         stage: Some(Stage::Decode),
         tried,
--- a/crates/lab/src/decode/run.rs
+++ b/crates/lab/src/decode/run.rs
@@ -6,9 +6,9 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use relay::claims::Told;
-use relay::rescue::Move;
-use relay::runs::Id;
+use relay::claims::ClaimUpdate;
+use relay::migration::Move;
+use relay::runs::RunId;
 use relay::runs::Size;
 use relay::server::Key;
 
@@ -63,12 +63,12 @@
     /// Its prompt is read until then; `reserved` tokens are kept for it.
     Reads {
         until: f64,
-        id: Id,
+        id: RunId,
         key: Key,
         reserved: f64,
     },
     /// It is at work at a replica.
-    Runs { id: Id },
+    Runs { id: RunId },
     /// It is refused and comes back then.
     Away { until: f64 },
     /// It has ended.
@@ -76,7 +76,7 @@
 }
 
 /// Claims on their way.
-type Mail = (f64, usize, Told);
+type Mail = (f64, usize, ClaimUpdate);
 
 struct World {
     setup: Setup,
@@ -345,7 +345,7 @@
     }
 
     /// Has the run `id` go on at `to`.
-    fn relocate(&mut self, daemon: usize, id: Id, to: Key) {
+    fn relocate(&mut self, daemon: usize, id: RunId, to: Key) {
         let is_it =
             |request: &Request| matches!(request.state, State::Runs { id: own } if own == id);
         let mut requests = self.requests.iter();
--- a/crates/lab/src/site/run.rs
+++ b/crates/lab/src/site/run.rs
@@ -14,7 +14,7 @@
 use relay::replica::Replica;
 use relay::replica::Snapshot;
 use relay::replica::Stage;
-use relay::score::Want;
+use relay::score::Criteria;
 use relay::server::Key;
 
 use crate::site::engine::Engine;
@@ -272,7 +272,7 @@
     }
 
     fn choose(&mut self, now: f64, daemon: usize, stage: Stage, tried: &[Key]) -> Option<Key> {
-        let want = Want {
+        let want = Criteria {
             service: "llm",
             stage: Some(stage),
             tried,
--- a/crates/relay/examples/decide.rs
+++ b/crates/relay/examples/decide.rs
@@ -9,18 +9,18 @@
 use ident::Instance;
 use ident::Time;
 use ident::Zone;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
 use relay::claims;
 use relay::claims::Claim;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Told;
 use relay::pool::Pool;
 use relay::replica::Replica;
 use relay::replica::Snapshot;
 use relay::replica::Stage;
 use relay::runs::Runs;
 use relay::runs::Size;
-use relay::score::Want;
+use relay::score::Criteria;
 use relay::server::Key;
 
 /// Fleets: decode replicas, and runs at all of them.
@@ -67,12 +67,12 @@
         let curve = own.ask("llm", SIZE);
         let told = told
             .map(|replica| Claim::new(claims::hash(&replica.to_string(), None), 1, 0, 100, &curve));
-        claims.take(now, Instance(peer as u64), Told::all(told.collect()));
+        claims.take(now, Instance(peer as u64), ClaimUpdate::all(told.collect()));
     }
     let begun = Instant::now();
     pool.foresee_all(now, &own, &claims);
     let look = begun.elapsed();
-    let ask = Ask {
+    let ask = MemoryDemand {
         curve: own.ask("llm", SIZE),
         spreads: 3.0,
         spare: 0.0,
@@ -100,8 +100,8 @@
     keys
 }
 
-fn want(tried: &[Key], ask: Option<Ask>) -> Want<'_> {
-    Want {
+fn want(tried: &[Key], ask: Option<MemoryDemand>) -> Criteria<'_> {
+    Criteria {
         service: "llm",
         stage: Some(Stage::Decode),
         tried,
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -16,7 +16,7 @@
 
 /// What a run asks of the memory of a replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ask {
+pub struct MemoryDemand {
     /// What it will hold.
     pub curve: Curve,
     /// Standard deviations of the forecast that the room has to last for.
@@ -25,7 +25,7 @@
     pub spare: f64,
 }
 
-impl Ask {
+impl MemoryDemand {
     /// Whether `server`, which holds `memory` tokens, has room.
     pub fn fits(&self, now: Time, server: &Server, memory: u64) -> bool {
         self.used(now, server, memory) <= 1.0 - self.spare
--- a/crates/relay/src/balance.rs
+++ b/crates/relay/src/balance.rs
@@ -33,7 +33,7 @@
 
 /// A change that is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Due {
+pub struct Rebalance {
     /// The stage that lacks replicas.
     pub stage: Stage,
     /// Replicas of the other stage that are to change to it; one at least.
@@ -42,7 +42,7 @@
 
 /// Replicas of one service that take requests, by stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Counts {
+pub struct StageCounts {
     /// Those that read prompts.
     pub prefill: usize,
     /// Those that make tokens.
@@ -51,7 +51,7 @@
 
 /// The division of one service, watched over time.
 #[derive(Debug)]
-pub struct Balance {
+pub struct StageBalancer {
     /// Time that a replica takes to change.
     change: Duration,
     /// What is off, if anything is.
@@ -69,7 +69,7 @@
     total: usize,
 }
 
-impl Balance {
+impl StageBalancer {
     /// Nothing seen yet; a replica takes `change` to change its stage.
     pub const fn new(change: Duration) -> Self {
         Self {
@@ -81,7 +81,7 @@
 
     /// The change that is to be ordered now, if any; `share` is the part of the replicas that are to
     /// read prompts, the reserve not counted.
-    pub fn due(&mut self, now: Time, counts: Counts, share: f64) -> Option<Due> {
+    pub fn due(&mut self, now: Time, counts: StageCounts, share: f64) -> Option<Rebalance> {
         let Some(due) = lacking(counts, share) else {
             self.off = None;
             return None;
@@ -131,8 +131,8 @@
 
 /// The change that brings the division right, if one stage has one replica too many. A single
 /// missing prefill replica is no lack.
-fn lacking(counts: Counts, share: f64) -> Option<Due> {
-    let Counts { prefill, decode } = counts;
+fn lacking(counts: StageCounts, share: f64) -> Option<Rebalance> {
+    let StageCounts { prefill, decode } = counts;
     let total = prefill + decode;
     let wanted = wanted(total, share);
     let (stage, missing) = match prefill {
@@ -148,5 +148,5 @@
     };
     let most = (total as f64 * part) as usize;
     let count = missing.clamp(1, most.max(1));
-    Some(Due { stage, count })
+    Some(Rebalance { stage, count })
 }
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -1,4 +1,4 @@
-//! Budget of retries: this daemon's share of what all daemons together may send.
+//! RetryBudget of retries: this daemon's share of what all daemons together may send.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 /// What all daemons together may retry.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rule {
+pub struct RetryPolicy {
     /// Retries for each request of callers.
     pub ratio: f64,
     /// Retries besides, over all daemons.
@@ -29,25 +29,25 @@
 
 /// Requests and retries of one service at this daemon.
 #[derive(Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     requests: VecDeque<Time>,
     retries: VecDeque<Time>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// An unused budget.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Counts a request of a caller.
-    pub fn request(&mut self, now: Time, rule: &Rule) {
+    pub fn request(&mut self, now: Time, rule: &RetryPolicy) {
         forget(&mut self.requests, now, rule.window);
         self.requests.push_back(now);
     }
 
     /// Takes one retry out of the budget, if one is left; `daemons` share the slack.
-    pub fn take(&mut self, now: Time, rule: &Rule, daemons: usize) -> Option<Permit> {
+    pub fn take(&mut self, now: Time, rule: &RetryPolicy, daemons: usize) -> Option<Permit> {
         if self.left(now, rule, daemons) < 1.0 {
             return None;
         }
@@ -56,7 +56,7 @@
     }
 
     /// Retries that are left at `now`, a time since the start of the process.
-    pub fn left(&mut self, now: Time, rule: &Rule, daemons: usize) -> f64 {
+    pub fn left(&mut self, now: Time, rule: &RetryPolicy, daemons: usize) -> f64 {
         forget(&mut self.requests, now, rule.window);
         forget(&mut self.retries, now, rule.window);
         let earned = self.requests.len() as f64 * rule.ratio * RATIO_PART;
--- a/crates/relay/src/teller.rs
+++ b/crates/relay/src/claim_publisher.rs
@@ -10,8 +10,8 @@
 use ident::Time;
 
 use crate::claims::Claim;
-use crate::claims::Reading;
-use crate::claims::Told;
+use crate::claims::ClaimUpdate;
+use crate::claims::PrefillBacklog;
 use crate::pool::Pool;
 use crate::runs::Runs;
 use crate::server::Key;
@@ -36,7 +36,7 @@
 
 /// What was told, and when.
 #[derive(Debug, Default)]
-pub struct Teller {
+pub struct ClaimPublisher {
     last: Time,
     last_all: Time,
     /// By the hash of the replica.
@@ -47,14 +47,14 @@
     silent: Vec<u64>,
 }
 
-impl Teller {
+impl ClaimPublisher {
     /// Nothing told yet.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// What is to be told at `now`, if anything.
-    pub fn due(&mut self, now: Time, runs: &Runs, pool: &Pool) -> Option<Told> {
+    pub fn due(&mut self, now: Time, runs: &Runs, pool: &Pool) -> Option<ClaimUpdate> {
         let all = now.since(self.last_all) >= ALL_PERIOD;
         if !all && now.since(self.last) < PAUSE {
             return None;
@@ -62,7 +62,7 @@
         let counts = count(runs, pool);
         let read: BTreeMap<u64, u32> = pool.readings().map(|r| (r.replica, r.tokens)).collect();
         let claim = |(replica, count): (&u64, &Count)| runs.claim(now, count.key, *replica);
-        let reading = |(replica, tokens): (&u64, &u32)| Reading {
+        let reading = |(replica, tokens): (&u64, &u32)| PrefillBacklog {
             replica: *replica,
             tokens: *tokens,
         };
@@ -75,7 +75,7 @@
             false if same => return None,
             true => {
                 let claims = counts.iter().filter_map(claim).collect();
-                Told::all(claims).with_readings(read.iter().map(reading).collect())
+                ClaimUpdate::all(claims).with_readings(read.iter().map(reading).collect())
             }
             false => {
                 let changed = counts
@@ -88,7 +88,7 @@
                     .filter(|(replica, tokens)| self.read.get(replica) != Some(tokens));
                 let over = self.read.keys().filter(|hash| !read.contains_key(hash));
                 let over = over.map(|hash| reading((hash, &0)));
-                Told::changed(changed.filter_map(claim).chain(ended).collect())
+                ClaimUpdate::changed(changed.filter_map(claim).chain(ended).collect())
                     .with_readings(begun.map(reading).chain(over).collect())
             }
         };
--- a/crates/relay/src/claims.rs
+++ b/crates/relay/src/claims.rs
@@ -79,7 +79,7 @@
 
 /// What all other daemons together hold at one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Others {
+pub struct PeerUsage {
     /// What they will hold.
     pub curve: Curve,
     /// Their runs.
@@ -92,7 +92,7 @@
 
 /// Prompts that one daemon has sent to one replica to be read, and that are not read yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reading {
+pub struct PrefillBacklog {
     /// Hash of the replica's id and birth, by [`hash`].
     pub replica: u64,
     /// Their tokens; 0 if none is left.
@@ -101,18 +101,18 @@
 
 /// What a daemon tells of its runs and of the prompts that it has read.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Told {
+pub struct ClaimUpdate {
     /// Whether it is all of them; else those at replicas where something changed since it told last.
     pub all: bool,
     /// Its runs, by replica.
     pub claims: Vec<Claim>,
     /// Its prompts that are being read, by replica.
-    pub readings: Vec<Reading>,
+    pub readings: Vec<PrefillBacklog>,
     /// Hashes of replicas that have not answered it lately.
     pub silent: Vec<u64>,
 }
 
-impl Told {
+impl ClaimUpdate {
     /// All runs.
     pub fn all(claims: Vec<Claim>) -> Self {
         Self {
@@ -137,7 +137,7 @@
 
     /// The same with prompts that are being read.
     #[must_use]
-    pub fn with_readings(self, readings: Vec<Reading>) -> Self {
+    pub fn with_readings(self, readings: Vec<PrefillBacklog>) -> Self {
         Self { readings, ..self }
     }
 }
@@ -147,7 +147,7 @@
 pub struct Claims {
     /// In a fixed order, so that sums of the same claims are the same to the last bit.
     told: BTreeMap<Instance, BTreeMap<u64, Fresh<Claim>>>,
-    readings: BTreeMap<Instance, BTreeMap<u64, Fresh<Reading>>>,
+    readings: BTreeMap<Instance, BTreeMap<u64, Fresh<PrefillBacklog>>>,
 }
 
 /// Something and when it was told.
@@ -164,7 +164,7 @@
     }
 
     /// Takes what `peer` tells.
-    pub fn take(&mut self, now: Time, peer: Instance, told: Told) {
+    pub fn take(&mut self, now: Time, peer: Instance, told: ClaimUpdate) {
         let claims = self.told.entry(peer).or_default();
         let readings = self.readings.entry(peer).or_default();
         if told.all {
@@ -209,8 +209,8 @@
     }
 
     /// What the others hold at the replica with the hash `replica`.
-    pub fn others(&self, now: Time, replica: u64) -> Others {
-        let mut others = Others::default();
+    pub fn others(&self, now: Time, replica: u64) -> PeerUsage {
+        let mut others = PeerUsage::default();
         let told = self.told.values().filter_map(|claims| claims.get(&replica));
         for fresh in told.filter(|fresh| fresh.counts(now)) {
             others.add(&fresh.what, now.since(fresh.at));
@@ -219,8 +219,8 @@
     }
 
     /// The same for all replicas at once, by their hashes.
-    pub fn all_others(&self, now: Time) -> HashMap<u64, Others> {
-        let mut all: HashMap<u64, Others> = HashMap::new();
+    pub fn all_others(&self, now: Time) -> HashMap<u64, PeerUsage> {
+        let mut all: HashMap<u64, PeerUsage> = HashMap::new();
         let told = self.told.values().flat_map(BTreeMap::values);
         for fresh in told.filter(|fresh| fresh.counts(now)) {
             let others = all.entry(fresh.what.replica).or_default();
@@ -247,7 +247,7 @@
     }
 }
 
-impl Others {
+impl PeerUsage {
     fn add(&mut self, claim: &Claim, age: Duration) {
         let curve = claim.curve().later(age.as_secs_f64());
         self.curve = self.curve.plus(&curve);
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -19,7 +19,7 @@
 
 /// An instance that takes callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Entry {
+pub struct Endpoint {
     /// Its data centre.
     pub data_centre: Zone,
     /// Where callers connect.
@@ -30,7 +30,7 @@
 
 /// Which instances of a data centre callers are told of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Breadth {
+pub enum Scope {
     /// The large ones, if there are enough.
     Large,
     /// All.
@@ -39,14 +39,14 @@
 
 /// The addresses for a caller in `near`: those instances of its data centre that `breadth` says if
 /// there are enough, else all.
-pub fn answer(entries: &[Entry], near: Option<Zone>, breadth: Breadth) -> Vec<SocketAddr> {
+pub fn answer(entries: &[Endpoint], near: Option<Zone>, breadth: Scope) -> Vec<SocketAddr> {
     let own = entries
         .iter()
         .filter(|entry| near == Some(entry.data_centre));
-    let own: Vec<Entry> = own.copied().collect();
+    let own: Vec<Endpoint> = own.copied().collect();
     let large = match breadth {
-        Breadth::Large => large(&own, &own),
-        Breadth::All => Vec::new(),
+        Scope::Large => large(&own, &own),
+        Scope::All => Vec::new(),
     };
     let told = match (large.len(), own.len()) {
         (count, all) if count >= ENOUGH && count < all.min(LARGE_ENOUGH) => {
@@ -61,7 +61,7 @@
 }
 
 /// Those of `entries` that have at least [`LARGE`] of the capacity of the largest one in `own`.
-fn large(entries: &[Entry], own: &[Entry]) -> Vec<Entry> {
+fn large(entries: &[Endpoint], own: &[Endpoint]) -> Vec<Endpoint> {
     let largest = own.iter().map(|entry| entry.capacity).max();
     let least = f64::from(largest.unwrap_or_default()) * LARGE;
     let large = entries
--- a/crates/relay/src/forecast.rs
+++ b/crates/relay/src/forecast.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::length::Length;
+use crate::length::LengthDistribution;
 
 /// Moments ahead that are looked at, in seconds; closer together where decisions are near. An answer
 /// takes some seconds; what comes after the last moment is decided when it is nearer.
@@ -51,7 +51,7 @@
     }
 
     /// What it will hold, where answers are as long as `length` says.
-    pub fn curve(&self, length: &Length) -> Curve {
+    pub fn curve(&self, length: &LengthDistribution) -> Curve {
         let now = length.beyond(self.made, self.estimate);
         let mut curve = Curve::default();
         for (index, ahead) in AHEAD.into_iter().enumerate() {
--- a/crates/relay/src/length.rs
+++ b/crates/relay/src/length.rs
@@ -20,12 +20,12 @@
 
 /// Distribution of the ratio of tokens made to tokens estimated.
 #[derive(Debug, Clone)]
-pub struct Length {
+pub struct LengthDistribution {
     weights: [f64; BINS],
     total: f64,
 }
 
-impl Length {
+impl LengthDistribution {
     /// The assumption before any answer ended.
     pub fn new() -> Self {
         let density = |bin: usize| {
@@ -73,7 +73,7 @@
     }
 }
 
-impl Default for Length {
+impl Default for LengthDistribution {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -14,37 +14,37 @@
 //! - [`event`]: cutting a stream into whole events, so that it can be resumed.
 //! - [`length`]: how long answers become, learnt from those that ended.
 //! - [`forecast`]: what runs will hold of a replica's memory over the next seconds.
-//! - [`runs`], [`claims`]: the runs of this daemon, and what the others told of theirs; [`teller`]: what
+//! - [`runs`], [`claims`]: the runs of this daemon, and what the others told of theirs; [`claim_publisher`]: what
 //!   they are told, and when.
-//! - [`line`]: who goes first among the generations that wait at one daemon.
+//! - [`wait_queue`]: who goes first among the generations that wait at one daemon.
 //! - [`timing`]: whether a generation can still be in time, and what one that cannot leaves to others.
 //! - [`admission`]: whether a replica has room for a run, now and until it ends.
-//! - [`rescue`]: which run goes on elsewhere before the memory of its replica ends.
+//! - [`migration`]: which run goes on elsewhere before the memory of its replica ends.
 //! - [`overload`]: whether instances have more work than they can do.
 //! - [`directory`]: which instances callers are told to connect to.
 
 pub mod admission;
 pub mod attempt;
 pub mod balance;
-pub mod belief;
 pub mod budget;
+pub mod claim_publisher;
 pub mod claims;
 pub mod directory;
 pub mod event;
 pub mod fingerprint;
 pub mod forecast;
-mod gone;
 pub mod length;
-pub mod line;
+pub mod migration;
 pub mod overload;
 pub mod permit;
 pub mod plan;
 pub mod pool;
 pub mod quarantine;
 pub mod replica;
-pub mod rescue;
+pub mod replica_state;
 pub mod runs;
 pub mod score;
 pub mod server;
-pub mod teller;
 pub mod timing;
+mod tombstones;
+pub mod wait_queue;
--- a/crates/relay/src/rescue.rs
+++ b/crates/relay/src/migration.rs
@@ -10,10 +10,10 @@
 use ident::Time;
 
 use crate::admission;
-use crate::admission::Ask;
+use crate::admission::MemoryDemand;
 use crate::claims::Claims;
 use crate::pool::Pool;
-use crate::runs::Id;
+use crate::runs::RunId;
 use crate::runs::Runs;
 use crate::server::Key;
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Move {
     /// The run.
-    pub run: Id,
+    pub run: RunId,
     /// Where it is to go.
     pub to: Key,
 }
@@ -43,7 +43,7 @@
     pool: &Pool,
     runs: &Runs,
     claims: &Claims,
-    mut choose: impl FnMut(Id, Key, Ask) -> Option<Key>,
+    mut choose: impl FnMut(RunId, Key, MemoryDemand) -> Option<Key>,
 ) -> Vec<Move> {
     let servers: BTreeSet<Key> = runs.iter().map(|(_, entry)| entry.server).collect();
     let ending = servers
@@ -54,7 +54,7 @@
         let Some(run) = newest(now, pool, runs, claims, key) else {
             continue;
         };
-        let ask = Ask {
+        let ask = MemoryDemand {
             curve: runs.curve(now, run),
             spreads: SPREADS,
             spare: SPARE,
@@ -77,7 +77,7 @@
 }
 
 /// The newest run at `key`, if it is one of this daemon's and can be moved.
-fn newest(now: Time, pool: &Pool, runs: &Runs, claims: &Claims, key: Key) -> Option<Id> {
+fn newest(now: Time, pool: &Pool, runs: &Runs, claims: &Claims, key: Key) -> Option<RunId> {
     let here = runs.iter().filter(|(_, entry)| entry.server == key);
     let movable = here.filter(|(_, entry)| entry.is_movable(now));
     let (id, entry) = movable.max_by_key(|(_, entry)| entry.started())?;
--- a/crates/relay/src/permit.rs
+++ b/crates/relay/src/permit.rs
@@ -2,7 +2,7 @@
 //!
 //! All daemons together may send only so many requests a second time. A send takes a [`Permit`], and
 //! there are two sources of them: each request has one for its first run and one for the first read of its
-//! prompt, and all others come out of the [`crate::budget::Budget`].
+//! prompt, and all others come out of the [`crate::budget::RetryBudget`].
 
 /// Leave for one send; spent by it.
 #[derive(Debug)]
@@ -22,7 +22,7 @@
 
 /// The permits that one request holds.
 #[derive(Debug)]
-pub struct Allowance {
+pub struct RequestPermits {
     run: Option<Permit>,
     read: Option<Permit>,
 }
@@ -33,7 +33,7 @@
     }
 }
 
-impl Allowance {
+impl RequestPermits {
     /// The permits of a request that was not sent yet.
     pub const fn new() -> Self {
         Self {
@@ -68,7 +68,7 @@
     }
 }
 
-impl Default for Allowance {
+impl Default for RequestPermits {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -14,17 +14,17 @@
 use slotmap::SecondaryMap;
 use slotmap::SlotMap;
 
-use crate::balance::Counts;
+use crate::balance::StageCounts;
 use crate::claims::Claims;
-use crate::gone::Gone;
 use crate::replica::Load;
 use crate::replica::Replica;
 use crate::replica::Stage;
 use crate::runs::Runs;
 use crate::score;
-use crate::score::Want;
+use crate::score::Criteria;
 use crate::server::Key;
 use crate::server::Server;
+use crate::tombstones::Tombstones;
 
 /// Replicas that are weighed for one request, drawn anew each time where there are more; the best of
 /// so many is among the best fiftieth of all, and weighing 930 took 77 us in place of 16.
@@ -54,7 +54,7 @@
     memory: HashMap<String, u64>,
     /// Hash of the list, until the list changes.
     digest: Cell<Option<u64>>,
-    gone: Gone,
+    gone: Tombstones,
 }
 
 impl Pool {
@@ -122,7 +122,7 @@
     }
 
     /// Replicas of `service` that take requests, by stage.
-    pub fn counts(&self, now: Time, service: &str) -> Counts {
+    pub fn counts(&self, now: Time, service: &str) -> StageCounts {
         let count = |stage| {
             let servers = self.servers.values();
             let fitting = servers.filter(|server| {
@@ -132,7 +132,7 @@
             });
             fitting.count()
         };
-        Counts {
+        StageCounts {
             prefill: count(Stage::Prefill),
             decode: count(Stage::Decode),
         }
@@ -277,7 +277,7 @@
     /// The replica for `want` with the lowest score, `None` if there is none.
     ///
     /// `draw` gives evenly distributed numbers in `0.0..1.0`.
-    pub fn choose(&self, now: Time, want: &Want<'_>, draw: impl Fn() -> f64) -> Option<Key> {
+    pub fn choose(&self, now: Time, want: &Criteria<'_>, draw: impl Fn() -> f64) -> Option<Key> {
         let memory = self.memory(want.service);
         let fitting = self.servers.iter();
         let mut fitting: Vec<(Key, &Server)> = fitting
--- a/crates/relay/src/pool/incarnation.rs
+++ b/crates/relay/src/pool/incarnation.rs
@@ -5,11 +5,11 @@
 
 use ident::Time;
 
-use crate::belief::Belief;
-use crate::belief::Change;
 use crate::pool::Pool;
 use crate::replica::Birth;
 use crate::replica::Replica;
+use crate::replica_state::ReplicaState;
+use crate::replica_state::StateChange;
 use crate::server::Key;
 
 impl Pool {
@@ -20,21 +20,21 @@
         now: Time,
         key: Key,
         replica: &Replica,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<StateChange>,
     ) {
         if let Some(server) = self.servers.remove(key) {
             self.restarted.insert(key, server.hash);
         }
         self.insert(now, replica);
-        changes.push(Change {
+        changes.push(StateChange {
             id: replica.id.clone(),
-            now: Belief::Restarted,
+            now: ReplicaState::Restarted,
         });
     }
 
     /// Notes that the replica behind `key` told `birth` in an answer; the changes if that is a later
     /// incarnation than the one that is listed.
-    pub fn answered(&mut self, now: Time, key: Key, birth: Option<Birth>) -> Vec<Change> {
+    pub fn answered(&mut self, now: Time, key: Key, birth: Option<Birth>) -> Vec<StateChange> {
         let mut changes = Vec::new();
         let Some(server) = self.servers.get(key) else {
             return changes;
--- a/crates/relay/src/pool/list.rs
+++ b/crates/relay/src/pool/list.rs
@@ -6,8 +6,6 @@
 
 use ident::Time;
 
-use crate::belief::Belief;
-use crate::belief::Change;
 use crate::pool::Pool;
 use crate::replica::Delta;
 use crate::replica::Lapsing;
@@ -15,6 +13,8 @@
 use crate::replica::Snapshot;
 use crate::replica::Source;
 use crate::replica::Update;
+use crate::replica_state::ReplicaState;
+use crate::replica_state::StateChange;
 use crate::server::Key;
 use crate::server::Server;
 
@@ -80,7 +80,7 @@
 
     /// Takes news; `None` if they are older than what was taken before, or change a version that is
     /// not reached yet.
-    pub fn take(&mut self, now: Time, source: Source, update: &Update) -> Option<Vec<Change>> {
+    pub fn take(&mut self, now: Time, source: Source, update: &Update) -> Option<Vec<StateChange>> {
         match update {
             Update::All(snapshot) => self.take_snapshot(now, source, snapshot),
             Update::Changed(delta) => self.take_delta(now, source, delta),
@@ -89,13 +89,13 @@
 
     /// Applies a snapshot read from the store. Returns `None` if it is older than the current
     /// version.
-    pub fn apply(&mut self, now: Time, snapshot: &Snapshot) -> Option<Vec<Change>> {
+    pub fn apply(&mut self, now: Time, snapshot: &Snapshot) -> Option<Vec<StateChange>> {
         self.take_snapshot(now, Source::Store, snapshot)
     }
 
     /// Applies a delta read from the store. Returns `None` if it is older than the current version,
     /// or if its base version has not been reached yet.
-    pub fn apply_delta(&mut self, now: Time, delta: &Delta) -> Option<Vec<Change>> {
+    pub fn apply_delta(&mut self, now: Time, delta: &Delta) -> Option<Vec<StateChange>> {
         self.take_delta(now, Source::Store, delta)
     }
 
@@ -104,7 +104,7 @@
         now: Time,
         source: Source,
         snapshot: &Snapshot,
-    ) -> Option<Vec<Change>> {
+    ) -> Option<Vec<StateChange>> {
         if snapshot.version < self.version {
             return None;
         }
@@ -128,7 +128,7 @@
         Some(changes)
     }
 
-    fn take_delta(&mut self, now: Time, source: Source, delta: &Delta) -> Option<Vec<Change>> {
+    fn take_delta(&mut self, now: Time, source: Source, delta: &Delta) -> Option<Vec<StateChange>> {
         if delta.version < self.version || delta.since > self.version {
             return None;
         }
@@ -168,11 +168,11 @@
         self.digest.set(None);
     }
 
-    fn list(&mut self, now: Time, replica: &Replica, changes: &mut Vec<Change>) {
+    fn list(&mut self, now: Time, replica: &Replica, changes: &mut Vec<StateChange>) {
         let belief = if replica.draining {
-            Belief::Draining
+            ReplicaState::Draining
         } else {
-            Belief::Ready
+            ReplicaState::Ready
         };
         let known = self.by_id.get(&replica.id).copied();
         let known = known.map(|key| (key, replica.compare(self.servers[key].replica.birth)));
@@ -186,7 +186,7 @@
                 self.insert(now, replica);
             }
         }
-        changes.push(Change {
+        changes.push(StateChange {
             id: replica.id.clone(),
             now: belief,
         });
@@ -228,7 +228,7 @@
 
     /// Marks a replica as lapsing because a peer reported it. Ignored for a replica recorded as
     /// gone, since the outage may have affected only the peer.
-    fn lapse(&mut self, now: Time, lapsing: &Lapsing, changes: &mut Vec<Change>) {
+    fn lapse(&mut self, now: Time, lapsing: &Lapsing, changes: &mut Vec<StateChange>) {
         let id = &lapsing.replica.id;
         let key = match self.by_id.get(id) {
             Some(key) => *key,
@@ -239,9 +239,9 @@
         let is_same = lapsing.replica.compare(server.replica.birth) == Ordering::Equal;
         if is_same && server.lapses.is_none() {
             server.lapses = Some(now + lapsing.left);
-            changes.push(Change {
+            changes.push(StateChange {
                 id: id.clone(),
-                now: Belief::Lapsed,
+                now: ReplicaState::Lapsed,
             });
         }
     }
@@ -255,7 +255,7 @@
         now: Time,
         source: Source,
         missing: impl Fn(&str) -> bool,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<StateChange>,
     ) {
         let outage = self.outage.filter(|_| source == Source::Store);
         let returns_until = outage.map(|outage| outage + LAPSE_GRACE);
@@ -269,9 +269,9 @@
                 (None, _) if !is_missing => {}
                 (None, Some(until)) if !server.replica.draining => {
                     server.lapses = Some(until);
-                    changes.push(Change {
+                    changes.push(StateChange {
                         id: id.to_owned(),
-                        now: Belief::Lapsed,
+                        now: ReplicaState::Lapsed,
                     });
                 }
                 _ => gone.push(key),
@@ -281,9 +281,9 @@
             if let Some(server) = self.servers.remove(key) {
                 self.by_id.remove(&server.replica.id);
                 self.gone.push(self.version, &server.replica.id);
-                changes.push(Change {
+                changes.push(StateChange {
                     id: server.replica.id,
-                    now: Belief::Gone,
+                    now: ReplicaState::Gone,
                 });
             }
         }
--- a/crates/relay/src/pool/reads.rs
+++ b/crates/relay/src/pool/reads.rs
@@ -5,7 +5,7 @@
 use ident::Time;
 
 use crate::claims::Claims;
-use crate::claims::Reading;
+use crate::claims::PrefillBacklog;
 use crate::pool::Pool;
 use crate::replica::Stage;
 use crate::server::Key;
@@ -66,11 +66,11 @@
     }
 
     /// What this daemon has sent to be read, by replica.
-    pub fn readings(&self) -> impl Iterator<Item = Reading> + '_ {
+    pub fn readings(&self) -> impl Iterator<Item = PrefillBacklog> + '_ {
         let servers = self.servers.values();
         let reading = servers
             .filter(|server| server.replica.stage == Some(Stage::Prefill) && server.tokens > 0);
-        reading.map(|server| Reading {
+        reading.map(|server| PrefillBacklog {
             replica: server.hash,
             tokens: server.tokens.min(u64::from(u32::MAX)) as u32,
         })
--- a/crates/relay/src/belief.rs
+++ b/crates/relay/src/replica_state.rs
@@ -2,16 +2,16 @@
 
 /// A change of what this daemon believes of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
+pub struct StateChange {
     /// Id of the replica.
     pub id: String,
     /// What it is now.
-    pub now: Belief,
+    pub now: ReplicaState,
 }
 
 /// What this daemon believes of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Belief {
+pub enum ReplicaState {
     /// It may be sent requests.
     Ready,
     /// It takes nothing new.
--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -10,12 +10,12 @@
 use crate::claims::Claim;
 use crate::forecast::Curve;
 use crate::forecast::Run;
-use crate::length::Length;
+use crate::length::LengthDistribution;
 use crate::server::Key;
 
 new_key_type! {
     /// A run of this daemon.
-    pub struct Id;
+    pub struct RunId;
 }
 
 /// Seconds that an answer as long as estimated takes until some were seen.
@@ -40,7 +40,7 @@
 
 /// One run of this daemon.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct RunState {
     /// Its service.
     pub service: String,
     /// Its replica.
@@ -59,7 +59,7 @@
 /// What was learnt of the answers of one service.
 #[derive(Debug, Default)]
 struct Learnt {
-    length: Length,
+    length: LengthDistribution,
     /// Mean tokens a second.
     pace: Option<f64>,
 }
@@ -67,13 +67,13 @@
 /// All runs of this daemon.
 #[derive(Debug, Default)]
 pub struct Runs {
-    entries: SlotMap<Id, Entry>,
+    entries: SlotMap<RunId, RunState>,
     learnt: HashMap<String, Learnt>,
     /// Until when no run leaves a replica, since it did not move one.
     unmoved: SecondaryMap<Key, Time>,
 }
 
-impl Entry {
+impl RunState {
     /// When it began to make tokens at its replica; `None` before.
     pub fn started(&self) -> Option<Time> {
         self.started.map(|(at, _)| at)
@@ -103,11 +103,11 @@
     }
 
     /// Notes that a run of `size` gets a place at `server`.
-    pub fn begin(&mut self, service: &str, server: Key, size: Size) -> Id {
+    pub fn begin(&mut self, service: &str, server: Key, size: Size) -> RunId {
         if !self.learnt.contains_key(service) {
             self.learnt.insert(service.to_owned(), Learnt::default());
         }
-        self.entries.insert(Entry {
+        self.entries.insert(RunState {
             service: service.to_owned(),
             server,
             size,
@@ -119,14 +119,14 @@
     }
 
     /// Notes that the replica of `id` reads its prompt.
-    pub fn reads(&mut self, id: Id) {
+    pub fn reads(&mut self, id: RunId) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.reads = true;
         }
     }
 
     /// Notes that `tokens` came.
-    pub fn made(&mut self, now: Time, id: Id, tokens: u64) {
+    pub fn made(&mut self, now: Time, id: RunId, tokens: u64) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.made += tokens as f64;
             entry.reads = false;
@@ -137,7 +137,7 @@
     }
 
     /// Notes that the run goes on at `server`.
-    pub fn moved(&mut self, id: Id, server: Key) {
+    pub fn moved(&mut self, id: RunId, server: Key) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.server = server;
             entry.started = None;
@@ -145,14 +145,14 @@
     }
 
     /// Leaves the run where it is until `until`.
-    pub fn settle(&mut self, id: Id, until: Time) {
+    pub fn settle(&mut self, id: RunId, until: Time) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.settled = Some(until);
         }
     }
 
     /// Notes that the replica of `id` did not move it, or may not have: no run leaves it until `until`.
-    pub fn keep(&mut self, id: Id, until: Time) {
+    pub fn keep(&mut self, id: RunId, until: Time) {
         if let Some(entry) = self.entries.get(id) {
             self.unmoved.insert(entry.server, until);
         }
@@ -164,7 +164,7 @@
     }
 
     /// Notes that the run is over; if it is `complete`, its length is learnt.
-    pub fn end(&mut self, now: Time, id: Id, complete: bool) {
+    pub fn end(&mut self, now: Time, id: RunId, complete: bool) {
         let Some(entry) = self.entries.remove(id) else {
             return;
         };
@@ -182,23 +182,23 @@
     }
 
     /// The run `id`.
-    pub fn get(&self, id: Id) -> Option<&Entry> {
+    pub fn get(&self, id: RunId) -> Option<&RunState> {
         self.entries.get(id)
     }
 
     /// All runs.
-    pub fn iter(&self) -> impl Iterator<Item = (Id, &Entry)> {
+    pub fn iter(&self) -> impl Iterator<Item = (RunId, &RunState)> {
         self.entries.iter()
     }
 
     /// Tokens that `id` holds now.
-    pub fn held(&self, id: Id) -> u64 {
+    pub fn held(&self, id: RunId) -> u64 {
         let entry = self.entries.get(id);
         entry.map_or(0, |entry| entry.size.prompt + entry.made as u64)
     }
 
     /// Tokens that `id` has made.
-    pub fn made_by(&self, id: Id) -> u64 {
+    pub fn made_by(&self, id: RunId) -> u64 {
         self.entries.get(id).map_or(0, |entry| entry.made as u64)
     }
 
@@ -209,12 +209,12 @@
         let run = run(size, size.made as f64, pace);
         match learnt {
             Some(learnt) => run.curve(&learnt.length),
-            None => run.curve(&Length::new()),
+            None => run.curve(&LengthDistribution::new()),
         }
     }
 
     /// What the run `id` will hold.
-    pub fn curve(&self, now: Time, id: Id) -> Curve {
+    pub fn curve(&self, now: Time, id: RunId) -> Curve {
         let Some(entry) = self.entries.get(id) else {
             return Curve::default();
         };
--- a/crates/relay/src/score.rs
+++ b/crates/relay/src/score.rs
@@ -3,7 +3,7 @@
 use ident::Time;
 use ident::Zone;
 
-use crate::admission::Ask;
+use crate::admission::MemoryDemand;
 use crate::replica::Stage;
 use crate::server::Key;
 use crate::server::Server;
@@ -35,7 +35,7 @@
 
 /// What a request asks of a replica.
 #[derive(Debug, Clone, Copy)]
-pub struct Want<'a> {
+pub struct Criteria<'a> {
     /// Name of the service.
     pub service: &'a str,
     /// Part in serving a model; `None` for a plain application.
@@ -45,10 +45,10 @@
     /// Data centre of this daemon.
     pub near: Zone,
     /// What it asks of the memory of a decode replica, if that is to be looked at.
-    pub ask: Option<Ask>,
+    pub ask: Option<MemoryDemand>,
 }
 
-impl Want<'_> {
+impl Criteria<'_> {
     /// Whether `server` may be chosen.
     pub(crate) fn fits(&self, now: Time, key: Key, server: &Server) -> bool {
         server.usable(now)
@@ -71,7 +71,7 @@
 /// and `draw` gives evenly distributed numbers in `0.0..1.0`.
 pub(crate) fn best(
     now: Time,
-    want: &Want<'_>,
+    want: &Criteria<'_>,
     candidates: &[(Key, &Server)],
     memory: Option<u64>,
     draw: impl Fn() -> f64,
@@ -86,7 +86,7 @@
 }
 
 /// What speaks against a replica besides its load and its pace.
-fn against(now: Time, want: &Want<'_>, server: &Server) -> f64 {
+fn against(now: Time, want: &Criteria<'_>, server: &Server) -> f64 {
     let near = server.replica.data_centre == want.near;
     let distance = if near { 0.0 } else { DISTANCE };
     let cold = if server.replica.cold { COLD } else { 0.0 };
@@ -119,7 +119,7 @@
 }
 
 /// Part of the replica that is in use: of its memory for a decode replica, else of its places.
-fn used(now: Time, want: &Want<'_>, server: &Server, memory: Option<u64>) -> f64 {
+fn used(now: Time, want: &Criteria<'_>, server: &Server, memory: Option<u64>) -> f64 {
     let slots = f64::from(server.replica.slots.max(1));
     let load = server.load(now);
     let queued = server.unread.map(|_| server.queued() as f64 / USUAL_TOKENS);
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -6,7 +6,7 @@
 use slotmap::new_key_type;
 
 use crate::claims;
-use crate::claims::Others;
+use crate::claims::PeerUsage;
 use crate::forecast::Curve;
 use crate::replica::Load;
 use crate::replica::Replica;
@@ -146,7 +146,7 @@
     }
 
     /// Takes what the runs of `others` will hold, in place of all that was known.
-    pub(crate) const fn expect(&mut self, others: Others) {
+    pub(crate) const fn expect(&mut self, others: PeerUsage) {
         self.forecast = others.curve;
         self.told_runs = others.runs;
         self.known_runs = others.runs;
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -81,11 +81,11 @@
 /// A caller that comes back says how long it will still wait, so that its limit is shorter than that of a
 /// new one by the time since it came first.
 #[derive(Debug, Default)]
-pub struct Patience {
+pub struct CallerTimeouts {
     limits: VecDeque<Duration>,
 }
 
-impl Patience {
+impl CallerTimeouts {
     /// Nothing known yet.
     pub fn new() -> Self {
         Self::default()
--- a/crates/relay/src/gone.rs
+++ b/crates/relay/src/tombstones.rs
@@ -7,14 +7,14 @@
 
 /// Replicas that are no longer listed, so that peers can be told of changes alone.
 #[derive(Debug, Default)]
-pub(crate) struct Gone {
+pub(crate) struct Tombstones {
     /// Ids with the version at which they were missing, in order.
     pub(crate) ids: VecDeque<(u64, String)>,
     /// The version from which on `ids` is complete.
     pub(crate) since: u64,
 }
 
-impl Gone {
+impl Tombstones {
     /// Returns whether `id` is recorded as no longer listed.
     pub(crate) fn contains(&self, id: &str) -> bool {
         self.ids.iter().any(|(_, gone_id)| gone_id == id)
--- a/crates/relay/src/line.rs
+++ b/crates/relay/src/wait_queue.rs
@@ -18,12 +18,12 @@
 
 /// Those who wait, by service, the first come first.
 #[derive(Debug, Default)]
-pub struct Line {
+pub struct WaitQueue {
     waiting: HashMap<String, BTreeSet<Ticket>>,
     next: u64,
 }
 
-impl Line {
+impl WaitQueue {
     /// Nobody waits.
     pub fn new() -> Self {
         Self::default()
--- a/crates/relay/tests/admission.rs
+++ b/crates/relay/tests/admission.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use ident::Time;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
 use relay::claims::Claims;
 use relay::pool::Pool;
 use relay::replica::Load;
@@ -27,7 +27,7 @@
     pool
 }
 
-fn choose(pool: &Pool, ask: Option<Ask>) -> Option<Key> {
+fn choose(pool: &Pool, ask: Option<MemoryDemand>) -> Option<Key> {
     let want = common::want("llm", Some(Stage::Decode), &[], ask);
     pool.choose(NOW, &want, || 0.0)
 }
@@ -38,7 +38,7 @@
     let mut runs = Runs::new();
     let mut count = 0;
     loop {
-        let ask = Ask {
+        let ask = MemoryDemand {
             curve: runs.ask("llm", SIZE),
             spreads,
             spare,
@@ -75,7 +75,7 @@
 fn runs_that_only_the_replica_tells_of_count() {
     let mut pool = pool(30_000);
     let key = choose(&pool, None).unwrap();
-    let ask = Ask {
+    let ask = MemoryDemand {
         curve: Runs::new().ask("llm", SIZE),
         spreads: 0.0,
         spare: 0.0,
--- a/crates/relay/tests/balance.rs
+++ b/crates/relay/tests/balance.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use ident::Time;
-use relay::balance::Balance;
-use relay::balance::Counts;
-use relay::balance::Due;
+use relay::balance::Rebalance;
+use relay::balance::StageBalancer;
+use relay::balance::StageCounts;
 use relay::balance::wanted;
 use relay::replica::Stage;
 use rstest::rstest;
@@ -18,13 +18,13 @@
     START + Duration::from_millis(ms)
 }
 
-const fn counts(prefill: usize, decode: usize) -> Counts {
-    Counts { prefill, decode }
+const fn counts(prefill: usize, decode: usize) -> StageCounts {
+    StageCounts { prefill, decode }
 }
 
 /// What is due at `ms` if the division was `counts` all the time.
-fn due(counts: Counts, ms: u64) -> Option<Due> {
-    let mut balance = Balance::new(CHANGE);
+fn due(counts: StageCounts, ms: u64) -> Option<Rebalance> {
+    let mut balance = StageBalancer::new(CHANGE);
     balance.due(START, counts, SHARE);
     balance.due(after(ms), counts, SHARE)
 }
@@ -50,8 +50,8 @@
 #[case::too_few_replicas(counts(2, 0), None)]
 #[case::a_quarter_at_once(counts(40, 20), Some((Stage::Decode, 15)))]
 #[case::no_more_than_missing(counts(14, 46), Some((Stage::Decode, 2)))]
-fn what_is_due_in_the_end(#[case] counts: Counts, #[case] expected: Option<(Stage, usize)>) {
-    let expected = expected.map(|(stage, count)| Due { stage, count });
+fn what_is_due_in_the_end(#[case] counts: StageCounts, #[case] expected: Option<(Stage, usize)>) {
+    let expected = expected.map(|(stage, count)| Rebalance { stage, count });
     assert_eq!(due(counts, 10_000), expected);
 }
 
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_change_is_followed_by_a_pause() {
-    let mut balance = Balance::new(CHANGE);
+    let mut balance = StageBalancer::new(CHANGE);
     balance.due(START, counts(40, 20), SHARE);
     balance.ordered(after(2_000));
     for ms in (2_000..11_000).step_by(500) {
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_division_that_is_right_again_starts_anew() {
-    let mut balance = Balance::new(CHANGE);
+    let mut balance = StageBalancer::new(CHANGE);
     balance.due(START, counts(4, 5), SHARE);
     balance.due(after(1_000), counts(3, 6), SHARE);
     assert_eq!(balance.due(after(2_000), counts(4, 5), SHARE), None);
@@ -86,7 +86,7 @@
 /// At a common start replicas register one after the other.
 #[test]
 fn a_division_is_looked_at_anew_while_replicas_are_added() {
-    let mut balance = Balance::new(CHANGE);
+    let mut balance = StageBalancer::new(CHANGE);
     for (ms, prefill, decode) in [(0, 20, 30), (800, 30, 52), (1_600, 49, 91), (2_400, 49, 91)] {
         assert_eq!(balance.due(after(ms), counts(prefill, decode), SHARE), None);
     }
--- a/crates/relay/tests/birth.rs
+++ b/crates/relay/tests/birth.rs
@@ -6,11 +6,10 @@
 
 use ident::Instance;
 use ident::Time;
-use relay::belief::Belief;
 use relay::claims;
 use relay::claims::Claim;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Told;
 use relay::forecast::Curve;
 use relay::pool::Pool;
 use relay::replica::Birth;
@@ -20,6 +19,7 @@
 use relay::replica::Source;
 use relay::replica::Stage;
 use relay::replica::Update;
+use relay::replica_state::ReplicaState;
 use relay::runs::Runs;
 use relay::runs::Size;
 use relay::server::Key;
@@ -51,7 +51,7 @@
 }
 
 /// Takes a list with this incarnation alone; the beliefs that changed.
-fn list(pool: &mut Pool, version: u64, birth: Option<u64>) -> Vec<Belief> {
+fn list(pool: &mut Pool, version: u64, birth: Option<u64>) -> Vec<ReplicaState> {
     let snapshot = common::snapshot(version, vec![replica(birth, Stage::Decode)]);
     let changes = pool.apply(NOW, &snapshot).unwrap_or_default();
     changes.into_iter().map(|change| change.now).collect()
@@ -77,7 +77,7 @@
     let mut pool = pool(Some(FIRST));
     let first = key(&pool).unwrap();
     let beliefs = list(&mut pool, 2, Some(SECOND));
-    assert_eq!(beliefs, [Belief::Restarted, Belief::Ready]);
+    assert_eq!(beliefs, [ReplicaState::Restarted, ReplicaState::Ready]);
     assert!(pool.get(first).is_none());
     assert!(pool.has_restarted(first));
     assert!(!pool.has_restarted(key(&pool).unwrap()));
@@ -157,7 +157,7 @@
     assert!(pool.answered(NOW, first, Some(Birth(FIRST))).is_empty());
     assert!(pool.answered(NOW, first, None).is_empty());
     let changes = pool.answered(NOW, first, Some(Birth(SECOND)));
-    assert_eq!(changes[0].now, Belief::Restarted);
+    assert_eq!(changes[0].now, ReplicaState::Restarted);
     // The list still names the earlier one.
     assert!(list(&mut pool, 2, Some(FIRST)).is_empty());
     assert_eq!(birth(&pool), Some(SECOND));
@@ -175,7 +175,7 @@
     runs.begin("llm", key(&pool).unwrap(), SIZE);
     let hash = claims::hash("i-1", Some(Birth(FIRST)));
     let claim = Claim::new(hash, 3, 0, 10, &Curve::flat(20_000.0));
-    claims.take(NOW, Instance(7), Told::all(vec![claim]));
+    claims.take(NOW, Instance(7), ClaimUpdate::all(vec![claim]));
     pool.foresee_all(NOW, &runs, &claims);
     list(&mut pool, 2, Some(SECOND));
     pool.foresee_all(NOW, &runs, &claims);
--- a/crates/relay/tests/budget.rs
+++ b/crates/relay/tests/budget.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use ident::Time;
-use relay::budget::Budget;
-use relay::budget::Rule;
+use relay::budget::RetryBudget;
+use relay::budget::RetryPolicy;
 
-const RULE: Rule = Rule {
+const RULE: RetryPolicy = RetryPolicy {
     ratio: 0.2,
     slack: 30.0,
     window: Duration::from_secs(10),
 };
 
-fn taken(budget: &mut Budget, now: Time, daemons: usize) -> usize {
+fn taken(budget: &mut RetryBudget, now: Time, daemons: usize) -> usize {
     (0..1_000)
         .take_while(|_| budget.take(now, &RULE, daemons).is_some())
         .count()
@@ -24,7 +24,7 @@
         let mut sum = 0.0;
         let mut requests = 0.0;
         for _ in 0..daemons {
-            let mut budget = Budget::new();
+            let mut budget = RetryBudget::new();
             for _ in 0..20 {
                 budget.request(Time::ZERO, &RULE);
                 requests += 1.0;
@@ -38,7 +38,7 @@
 
 #[test]
 fn retries_come_back_after_the_window() {
-    let mut budget = Budget::new();
+    let mut budget = RetryBudget::new();
     let first = taken(&mut budget, Time::from_millis(60_000), 3);
     assert!(budget.take(Time::from_millis(69_900), &RULE, 3).is_none());
     assert_eq!(taken(&mut budget, Time::from_millis(70_100), 3), first);
@@ -50,9 +50,9 @@
     for daemons in [1, 3, 9] {
         let mut sum = 0;
         for _ in 0..daemons {
-            let mut before = Budget::new();
+            let mut before = RetryBudget::new();
             sum += taken(&mut before, Time::from_millis(60_000), daemons);
-            let mut after = Budget::new();
+            let mut after = RetryBudget::new();
             for ms in [0, 3_000, 9_900] {
                 sum += taken(&mut after, Time::from_millis(ms), daemons);
             }
--- a/crates/relay/tests/teller.rs
+++ b/crates/relay/tests/claim_publisher.rs
@@ -6,15 +6,15 @@
 
 use ident::Instance;
 use ident::Time;
+use relay::claim_publisher::ClaimPublisher;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Told;
 use relay::pool::Pool;
 use relay::replica::Stage;
-use relay::runs::Id;
+use relay::runs::RunId;
 use relay::runs::Runs;
 use relay::runs::Size;
 use relay::server::Key;
-use relay::teller::Teller;
 
 const START: Time = Time::from_millis(100_000);
 const SIZE: Size = Size {
@@ -30,7 +30,7 @@
     pool: Pool,
     keys: Vec<Key>,
     runs: Runs,
-    teller: Teller,
+    teller: ClaimPublisher,
 }
 
 impl World {
@@ -44,15 +44,15 @@
             pool,
             keys,
             runs: Runs::new(),
-            teller: Teller::new(),
+            teller: ClaimPublisher::new(),
         }
     }
 
-    fn begin(&mut self, replica: usize) -> Id {
+    fn begin(&mut self, replica: usize) -> RunId {
         self.runs.begin("llm", self.keys[replica], SIZE)
     }
 
-    fn due(&mut self, ms: u64) -> Option<Told> {
+    fn due(&mut self, ms: u64) -> Option<ClaimUpdate> {
         let now = START + Duration::from_millis(ms);
         self.teller.due(now, &self.runs, &self.pool)
     }
@@ -67,7 +67,7 @@
     pool.choose(START, &want, || 0.0)
 }
 
-fn changed(told: Option<Told>) -> usize {
+fn changed(told: Option<ClaimUpdate>) -> usize {
     let told = told.unwrap();
     assert!(!told.all);
     told.claims.len()
--- a/crates/relay/tests/claims.rs
+++ b/crates/relay/tests/claims.rs
@@ -6,8 +6,8 @@
 use ident::Time;
 use relay::claims;
 use relay::claims::Claim;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Told;
 use relay::forecast::Curve;
 use rstest::rstest;
 
@@ -42,12 +42,12 @@
     claims.take(
         START,
         peer(1),
-        Told::all(vec![claim(HERE, 2, 500, 16_000.0)]),
+        ClaimUpdate::all(vec![claim(HERE, 2, 500, 16_000.0)]),
     );
     claims.take(
         START,
         peer(2),
-        Told::all(vec![
+        ClaimUpdate::all(vec![
             claim(HERE, 1, 300, 8_000.0),
             claim("i-2", 1, 1, 8_000.0),
         ]),
@@ -64,9 +64,9 @@
     claims.take(
         START,
         peer(1),
-        Told::all(vec![claim(HERE, 2, 500, 16_000.0)]),
+        ClaimUpdate::all(vec![claim(HERE, 2, 500, 16_000.0)]),
     );
-    claims.take(after(100), peer(1), Told::all(Vec::new()));
+    claims.take(after(100), peer(1), ClaimUpdate::all(Vec::new()));
     assert_eq!(claims.others(after(100), here()).runs, 0);
     assert_eq!(claims.active().count(), 0);
 }
@@ -77,7 +77,7 @@
     claims.take(
         START,
         peer(1),
-        Told::all(vec![claim(HERE, 2, 500, 16_000.0)]),
+        ClaimUpdate::all(vec![claim(HERE, 2, 500, 16_000.0)]),
     );
     assert_eq!(claims.others(after(1_000), here()).runs, 2);
     assert_eq!(claims.others(after(1_300), here()).runs, 0);
@@ -91,7 +91,7 @@
     claims.take(
         START,
         peer(1),
-        Told::all(vec![claim(HERE, 1, 300, 8_000.0)]),
+        ClaimUpdate::all(vec![claim(HERE, 1, 300, 8_000.0)]),
     );
     let newest = claims.others(after(200), here()).newest;
     assert_eq!(newest, Some(Duration::from_millis(500)));
@@ -103,7 +103,7 @@
     claims.take(
         START,
         peer(1),
-        Told::all(vec![claim(HERE, 1, u16::MAX, 8_000.0)]),
+        ClaimUpdate::all(vec![claim(HERE, 1, u16::MAX, 8_000.0)]),
     );
     assert_eq!(claims.others(START, here()).newest, None);
 }
@@ -114,7 +114,11 @@
 #[case(1e9)]
 fn figures_of_any_size_can_be_told(#[case] tokens: f64) {
     let mut claims = Claims::new();
-    claims.take(START, peer(1), Told::all(vec![claim(HERE, 1, 0, tokens)]));
+    claims.take(
+        START,
+        peer(1),
+        ClaimUpdate::all(vec![claim(HERE, 1, 0, tokens)]),
+    );
     let told = claims.others(START, here()).curve.peak(0.0);
     assert!(told <= tokens + 16.0);
     assert!(told >= tokens.min(1_000_000.0) - 16.0);
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -4,12 +4,12 @@
 
 use ident::Time;
 use ident::Zone;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
 use relay::pool::Pool;
 use relay::replica::Replica;
 use relay::replica::Snapshot;
 use relay::replica::Stage;
-use relay::score::Want;
+use relay::score::Criteria;
 use relay::server::Key;
 
 /// A replica of `service` that takes requests.
@@ -55,9 +55,9 @@
     service: &'a str,
     stage: Option<Stage>,
     tried: &'a [Key],
-    ask: Option<Ask>,
-) -> Want<'a> {
-    Want {
+    ask: Option<MemoryDemand>,
+) -> Criteria<'a> {
+    Criteria {
         service,
         stage,
         tried,
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -3,24 +3,24 @@
 use std::net::SocketAddr;
 
 use ident::Zone;
-use relay::directory::Breadth;
-use relay::directory::Entry;
+use relay::directory::Endpoint;
+use relay::directory::Scope;
 use relay::directory::answer;
 
-fn entry(data_centre: &str, port: u16) -> Entry {
+fn entry(data_centre: &str, port: u16) -> Endpoint {
     sized(data_centre, port, 250)
 }
 
-fn sized(data_centre: &str, port: u16, capacity: u32) -> Entry {
-    Entry {
+fn sized(data_centre: &str, port: u16, capacity: u32) -> Endpoint {
+    Endpoint {
         data_centre: Zone::new(data_centre),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         capacity,
     }
 }
 
-fn ports(entries: &[Entry], near: Option<&str>) -> Vec<u16> {
-    let told = answer(entries, near.map(Zone::new), Breadth::Large);
+fn ports(entries: &[Endpoint], near: Option<&str>) -> Vec<u16> {
+    let told = answer(entries, near.map(Zone::new), Scope::Large);
     told.iter().map(SocketAddr::port).collect()
 }
 
@@ -39,7 +39,7 @@
 
 #[test]
 fn no_more_are_told_than_callers_take() {
-    let entries: Vec<Entry> = (1..=100).map(|port| entry("a", port)).collect();
+    let entries: Vec<Endpoint> = (1..=100).map(|port| entry("a", port)).collect();
     assert_eq!(ports(&entries, Some("a")).len(), 64);
 }
 
@@ -62,7 +62,7 @@
     let others = [sized("a", 1, 120), sized("a", 6, 250), sized("b", 7, 500)];
     let entries = [&large[..], &others].concat();
     assert_eq!(ports(&entries, Some("a")), [2, 3, 4, 5, 6]);
-    let all = answer(&entries, Some(Zone::new("a")), Breadth::All);
+    let all = answer(&entries, Some(Zone::new("a")), Scope::All);
     assert_eq!(all.len(), 6);
 }
 
--- a/crates/relay/tests/forecast.rs
+++ b/crates/relay/tests/forecast.rs
@@ -2,7 +2,7 @@
 
 use relay::forecast::Curve;
 use relay::forecast::Run;
-use relay::length::Length;
+use relay::length::LengthDistribution;
 
 fn run(made: f64) -> Run {
     Run {
@@ -16,13 +16,13 @@
 
 /// `count` runs that have made `made` tokens.
 fn runs(count: usize, made: f64) -> Curve {
-    let one = run(made).curve(&Length::new());
+    let one = run(made).curve(&LengthDistribution::new());
     (0..count).fold(Curve::default(), |sum, _| sum.plus(&one))
 }
 
 #[test]
 fn a_run_holds_its_prompt_and_what_it_made() {
-    let curve = run(640.0).curve(&Length::new());
+    let curve = run(640.0).curve(&LengthDistribution::new());
     assert!((curve.mean()[0] - 5_640.0).abs() < 1.0);
     assert!(curve.spread()[0] < 1.0);
 }
@@ -48,13 +48,13 @@
 
 #[test]
 fn a_run_that_made_the_most_is_over_at_once() {
-    let curve = run(8_000.0).curve(&Length::new());
+    let curve = run(8_000.0).curve(&LengthDistribution::new());
     assert!(curve.mean()[1..].iter().all(|mean| *mean < 1.0));
 }
 
 #[test]
 fn a_run_longer_than_any_before_goes_on_for_a_while() {
-    let mut length = Length::new();
+    let mut length = LengthDistribution::new();
     for _ in 0..2_000 {
         length.note(2_000.0, 4_000.0);
     }
@@ -81,7 +81,7 @@
         pace: 120.0,
         ..run(100.0)
     };
-    let one = small.curve(&Length::new());
+    let one = small.curve(&LengthDistribution::new());
     let ten = (0..10).fold(Curve::default(), |sum, _| sum.plus(&one));
     assert!(ten.peak(3.0) <= 10.0 * 6_000.0);
     assert!(ten.peak(3.0) <= f64::from(ten.most()[5]) + 1.0);
--- a/crates/relay/tests/length.rs
+++ b/crates/relay/tests/length.rs
@@ -1,18 +1,18 @@
 //! How long answers become is learnt from those that ended.
 
-use relay::length::Length;
+use relay::length::LengthDistribution;
 
 const ESTIMATE: f64 = 1_000.0;
 
 #[test]
 fn before_any_answer_half_of_them_are_longer_than_estimated() {
-    let share = Length::new().beyond(ESTIMATE, ESTIMATE);
+    let share = LengthDistribution::new().beyond(ESTIMATE, ESTIMATE);
     assert!((share - 0.5).abs() < 0.01, "{share}");
 }
 
 #[test]
 fn fewer_and_fewer_are_longer() {
-    let length = Length::new();
+    let length = LengthDistribution::new();
     let shares: Vec<f64> = (0..40)
         .map(|step| length.beyond(f64::from(step) * 100.0, ESTIMATE))
         .collect();
@@ -23,7 +23,7 @@
 
 #[test]
 fn long_answers_after_short_ones_are_learnt() {
-    let mut length = Length::new();
+    let mut length = LengthDistribution::new();
     for _ in 0..200 {
         length.note(500.0, ESTIMATE);
     }
@@ -36,7 +36,7 @@
 
 #[test]
 fn estimates_that_turn_bad_widen_what_is_expected() {
-    let mut length = Length::new();
+    let mut length = LengthDistribution::new();
     for _ in 0..200 {
         length.note(ESTIMATE, ESTIMATE);
     }
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_ratio_beyond_all_bounds_does_no_harm() {
-    let mut length = Length::new();
+    let mut length = LengthDistribution::new();
     length.note(1.0, 1e9);
     length.note(1e9, 1.0);
     length.note(5.0, 0.0);
--- a/crates/relay/tests/rescue.rs
+++ b/crates/relay/tests/migration.rs
@@ -6,20 +6,20 @@
 
 use ident::Instance;
 use ident::Time;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
 use relay::claims;
 use relay::claims::Claim;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Told;
 use relay::forecast::Curve;
+use relay::migration;
+use relay::migration::Move;
 use relay::pool::Pool;
 use relay::replica::Stage;
-use relay::rescue;
-use relay::rescue::Move;
-use relay::runs::Id;
+use relay::runs::RunId;
 use relay::runs::Runs;
 use relay::runs::Size;
-use relay::score::Want;
+use relay::score::Criteria;
 use relay::server::Key;
 
 const START: Time = Time::from_millis(100_000);
@@ -51,7 +51,7 @@
         }
     }
 
-    fn want(tried: &[Key], ask: Option<Ask>) -> Want<'_> {
+    fn want(tried: &[Key], ask: Option<MemoryDemand>) -> Criteria<'_> {
         common::want("llm", Some(Stage::Decode), tried, ask)
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// A run at the replica `id` that has made `made` tokens, begun 50 ms after the one before.
-    fn run(&mut self, id: &str, made: u64) -> Id {
+    fn run(&mut self, id: &str, made: u64) -> RunId {
         let key = self.key(id);
         let run = self.runs.begin("llm", key, SIZE);
         self.now = self.now + Duration::from_millis(50);
@@ -79,7 +79,7 @@
     fn due(&mut self) -> Vec<Move> {
         self.pool.foresee_all(self.now, &self.runs, &self.claims);
         let pool = &self.pool;
-        rescue::due(self.now, pool, &self.runs, &self.claims, |_, from, ask| {
+        migration::due(self.now, pool, &self.runs, &self.claims, |_, from, ask| {
             pool.choose(self.now, &Self::want(&[from], Some(ask)), || 0.0)
         })
     }
@@ -93,7 +93,7 @@
             &Curve::flat(tokens),
         );
         self.claims
-            .take(self.now, Instance(9), Told::all(vec![claim]));
+            .take(self.now, Instance(9), ClaimUpdate::all(vec![claim]));
     }
 }
 
@@ -137,7 +137,7 @@
     }
     let key = world.key("0");
     world.runs.begin("llm", key, SIZE);
-    let moved: Vec<Id> = world.due().iter().map(|due| due.run).collect();
+    let moved: Vec<RunId> = world.due().iter().map(|due| due.run).collect();
     assert_eq!(moved, [runs[4]]);
 }
 
--- a/crates/relay/tests/permit.rs
+++ b/crates/relay/tests/permit.rs
@@ -6,12 +6,12 @@
 use proptest::collection::vec;
 use proptest::prelude::any;
 use proptest::proptest;
-use relay::budget::Budget;
-use relay::budget::Rule;
-use relay::permit::Allowance;
+use relay::budget::RetryBudget;
+use relay::budget::RetryPolicy;
+use relay::permit::RequestPermits;
 use relay::permit::Work;
 
-const RULE: Rule = Rule {
+const RULE: RetryPolicy = RetryPolicy {
     ratio: 0.2,
     slack: 30.0,
     window: Duration::from_secs(10),
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_request_may_be_run_and_have_its_prompt_read_once() {
-    let mut allowance = Allowance::new();
+    let mut allowance = RequestPermits::new();
     for work in [Work::Run, Work::Read] {
         assert!(allowance.take(work).is_some());
         assert!(allowance.take(work).is_none());
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_permit_that_was_not_used_can_be_used_again() {
-    let mut allowance = Allowance::new();
+    let mut allowance = RequestPermits::new();
     let permit = allowance.take(Work::Run).unwrap();
     assert!(!allowance.has(Work::Run));
     allowance.put(Work::Run, permit);
@@ -43,14 +43,14 @@
     fn sends_beyond_the_first_stay_below_the_rule(
         failures in vec(vec(any::<(bool, bool)>(), 0..6), 1..300),
     ) {
-        let mut budgets: Vec<Budget> = (0..DAEMONS).map(|_| Budget::new()).collect();
+        let mut budgets: Vec<RetryBudget> = (0..DAEMONS).map(|_| RetryBudget::new()).collect();
         let (mut requests, mut sends) = (0, 0);
         for (number, tries) in failures.iter().enumerate() {
             let now = Time::from_millis(number as u64);
             let budget = &mut budgets[number % DAEMONS];
             budget.request(now, &RULE);
             requests += 1;
-            let mut allowance = Allowance::new();
+            let mut allowance = RequestPermits::new();
             for (is_read, left) in tries {
                 let work = if *is_read { Work::Read } else { Work::Run };
                 if !allowance.has(work) {
--- a/crates/relay/tests/pool.rs
+++ b/crates/relay/tests/pool.rs
@@ -5,7 +5,6 @@
 use std::time::Duration;
 
 use ident::Time;
-use relay::belief::Belief;
 use relay::pool::Pool;
 use relay::replica::Delta;
 use relay::replica::Replica;
@@ -13,7 +12,8 @@
 use relay::replica::Source;
 use relay::replica::Stage;
 use relay::replica::Update;
-use relay::score::Want;
+use relay::replica_state::ReplicaState;
+use relay::score::Criteria;
 use relay::server::Key;
 use rstest::rstest;
 
@@ -29,7 +29,7 @@
     common::snapshot(version, ids.iter().map(|id| replica(id)).collect())
 }
 
-fn want(tried: &[Key]) -> Want<'_> {
+fn want(tried: &[Key]) -> Criteria<'_> {
     common::want("app", None, tried, None)
 }
 
@@ -57,7 +57,7 @@
     let mut leaving = snapshot(2, &["one"]);
     leaving.replicas[0].draining = true;
     let changes = pool.apply(START, &leaving).unwrap();
-    assert_eq!(changes[0].now, Belief::Draining);
+    assert_eq!(changes[0].now, ReplicaState::Draining);
     assert_eq!(chosen(&pool, START, &[]), None);
 }
 
@@ -83,7 +83,7 @@
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one"]));
     let changes = pool.apply(after(600), &snapshot(2, &[])).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(chosen(&pool, after(600), &[]), None);
 }
 
@@ -95,12 +95,12 @@
     pool.apply(BEFORE_OUTAGE, &snapshot(1, &["one"]));
     pool.note_outage(after(0));
     let changes = pool.apply(after(1_500), &snapshot(2, &[])).unwrap();
-    assert_eq!(changes[0].now, Belief::Lapsed);
+    assert_eq!(changes[0].now, ReplicaState::Lapsed);
     assert_eq!(chosen(&pool, after(1_600), &[]).as_deref(), Some("one"));
     // The bound holds between two readings of the list as well.
     assert_eq!(chosen(&pool, after(2_000), &[]), None);
     let changes = pool.apply(after(2_100), &snapshot(3, &[])).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    assert_eq!(changes[0].now, ReplicaState::Gone);
 }
 
 #[test]
@@ -172,7 +172,7 @@
     let mut list = snapshot(1, &["one"]);
     list.replicas[0].stage = Some(Stage::Prefill);
     pool.apply(START, &list);
-    let decode = Want {
+    let decode = Criteria {
         stage: Some(Stage::Decode),
         ..want(&[])
     };
@@ -263,7 +263,7 @@
         ..Delta::default()
     };
     let changes = pool.apply_delta(after(3_500), &nothing).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(told(&pool, 5).gone, ["one"]);
 }
 
@@ -338,7 +338,7 @@
     asker.note_outage(after(1_100));
     if is_lapsing {
         let changes = asker.apply(after(1_150), &snapshot(1, &[])).unwrap();
-        assert_eq!(changes[0].now, Belief::Lapsed);
+        assert_eq!(changes[0].now, ReplicaState::Lapsed);
     }
     let update = if is_snapshot {
         Update::All(reader.snapshot(after(1_200)))
@@ -346,7 +346,7 @@
         reader.update(after(1_200), 1)
     };
     let changes = asker.take(after(1_200), Source::Peer, &update).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(chosen(&asker, after(1_200), &[]), None);
 }
 
@@ -363,7 +363,7 @@
     let update = reader.update(after(1_200), 1);
     let changes = asker.take(after(1_200), Source::Peer, &update).unwrap();
     assert_eq!(changes.len(), 1);
-    assert_eq!(changes[0].now, Belief::Lapsed);
+    assert_eq!(changes[0].now, ReplicaState::Lapsed);
     assert_eq!(chosen(&asker, after(1_200), &[]).as_deref(), Some("one"));
 }
 
@@ -374,7 +374,7 @@
     pool.apply(START, &snapshot(1, &["one"]));
     pool.note_outage(after(1_200));
     let changes = pool.apply(after(1_600), &snapshot(2, &[])).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(chosen(&pool, after(1_600), &[]), None);
 }
 
@@ -391,14 +391,14 @@
     }
     reader.note_outage(after(800));
     let changes = reader.apply(after(1_000), &snapshot(2, &[])).unwrap();
-    assert_eq!(changes[0].now, Belief::Lapsed);
+    assert_eq!(changes[0].now, ReplicaState::Lapsed);
     let update = if is_snapshot {
         Update::All(reader.snapshot(after(1_000)))
     } else {
         reader.update(after(1_000), 1)
     };
     let changes = asker.take(after(1_000), Source::Peer, &update).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(chosen(&asker, after(1_000), &[]), None);
 }
 
--- a/crates/relay/tests/readings.rs
+++ b/crates/relay/tests/readings.rs
@@ -6,15 +6,15 @@
 
 use ident::Instance;
 use ident::Time;
+use relay::claim_publisher::ClaimPublisher;
 use relay::claims;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Reading;
-use relay::claims::Told;
+use relay::claims::PrefillBacklog;
 use relay::pool::Pool;
 use relay::replica::Stage;
 use relay::runs::Runs;
 use relay::server::Key;
-use relay::teller::Teller;
 
 const NOW: Time = Time::from_millis(100_000);
 const PROMPT: u64 = 5_200;
@@ -31,15 +31,15 @@
     pool.choose(NOW, &want, || 0.5).unwrap()
 }
 
-fn reading(replica: usize, tokens: u32) -> Reading {
-    Reading {
+fn reading(replica: usize, tokens: u32) -> PrefillBacklog {
+    PrefillBacklog {
         replica: claims::hash(&replica.to_string(), None),
         tokens,
     }
 }
 
-fn told(readings: &[Reading]) -> Told {
-    Told::changed(Vec::new()).with_readings(readings.to_vec())
+fn told(readings: &[PrefillBacklog]) -> ClaimUpdate {
+    ClaimUpdate::changed(Vec::new()).with_readings(readings.to_vec())
 }
 
 #[test]
@@ -68,7 +68,7 @@
     assert_eq!(unread(&claims), 14_000);
     claims.take(NOW, Instance(1), told(&[reading(0, 0)]));
     assert_eq!(unread(&claims), 5_000);
-    let all = Told::all(Vec::new()).with_readings(vec![reading(3, 700)]);
+    let all = ClaimUpdate::all(Vec::new()).with_readings(vec![reading(3, 700)]);
     claims.take(NOW, Instance(1), all);
     assert_eq!(unread(&claims), 700);
     let late = NOW + Duration::from_secs(2);
@@ -116,7 +116,7 @@
 fn what_is_read_is_told_when_it_begins_and_when_it_ends() {
     let mut pool = pool(2);
     let runs = Runs::new();
-    let mut teller = Teller::new();
+    let mut teller = ClaimPublisher::new();
     assert!(teller.due(NOW, &runs, &pool).is_none());
     let key = choose(&pool);
     pool.begin(key, PROMPT);
--- a/crates/relay/tests/reads.rs
+++ b/crates/relay/tests/reads.rs
@@ -6,12 +6,12 @@
 use ident::Time;
 use relay::claims;
 use relay::claims::Claim;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Told;
 use relay::forecast::Curve;
 use relay::pool::Pool;
 use relay::replica::Stage;
-use relay::runs::Id;
+use relay::runs::RunId;
 use relay::runs::Runs;
 use relay::runs::Size;
 use relay::server::Key;
@@ -45,7 +45,7 @@
         }
     }
 
-    fn run(&mut self) -> Id {
+    fn run(&mut self) -> RunId {
         self.runs.begin("llm", self.decode, SIZE)
     }
 
@@ -98,6 +98,8 @@
         u16::MAX,
         &Curve::flat(5_000.0),
     );
-    world.claims.take(NOW, Instance(1), Told::all(vec![claim]));
+    world
+        .claims
+        .take(NOW, Instance(1), ClaimUpdate::all(vec![claim]));
     assert!(!world.may_read());
 }
--- a/crates/relay/tests/refusals.rs
+++ b/crates/relay/tests/refusals.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use ident::Time;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
 use relay::claims::Claims;
 use relay::pool::Pool;
 use relay::replica::Stage;
-use relay::runs::Id;
+use relay::runs::RunId;
 use relay::runs::Runs;
 use relay::runs::Size;
 use relay::server::Key;
@@ -35,7 +35,7 @@
     pool: Pool,
     runs: Runs,
     claims: Claims,
-    ends: Vec<(u64, Id)>,
+    ends: Vec<(u64, RunId)>,
     asks: usize,
     refused: usize,
     begun: usize,
@@ -57,7 +57,7 @@
     }
 
     fn choose(&self, now: Time, tried: &[Key]) -> Option<Key> {
-        let ask = Ask {
+        let ask = MemoryDemand {
             curve: self.runs.ask("llm", SIZE),
             spreads: 3.0,
             spare: 0.0,
@@ -93,7 +93,7 @@
     }
 
     fn end_due(&mut self, ms: u64) {
-        let due: Vec<(u64, Id)> = self.ends.extract_if(.., |(at, _)| *at <= ms).collect();
+        let due: Vec<(u64, RunId)> = self.ends.extract_if(.., |(at, _)| *at <= ms).collect();
         for (_, run) in due {
             self.runs.end(START, run, false);
         }
--- a/crates/relay/tests/score.rs
+++ b/crates/relay/tests/score.rs
@@ -7,7 +7,7 @@
 use ident::Time;
 use relay::pool::Pool;
 use relay::replica::Stage;
-use relay::score::Want;
+use relay::score::Criteria;
 use relay::server::Key;
 use rstest::rstest;
 
@@ -22,7 +22,7 @@
     START + Duration::from_millis(ms)
 }
 
-fn want(stage: Option<Stage>, tried: &[Key]) -> Want<'_> {
+fn want(stage: Option<Stage>, tried: &[Key]) -> Criteria<'_> {
     common::want("app", stage, tried, None)
 }
 
--- a/crates/relay/tests/timing.rs
+++ b/crates/relay/tests/timing.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use relay::timing::CallerTimeouts;
 use relay::timing::Kind;
-use relay::timing::Patience;
 use relay::timing::Terms;
 use rstest::rstest;
 
@@ -44,7 +44,7 @@
 
 #[test]
 fn callers_that_came_back_are_known_by_their_limits() {
-    let mut patience = Patience::new();
+    let mut patience = CallerTimeouts::new();
     for number in 0..200 {
         // New callers wait for 11.9 to 14 s; three in ten have come back after 3 s.
         let new = 11_900 + number * 97 % 2_100;
@@ -63,7 +63,7 @@
 
 #[test]
 fn one_caller_with_a_long_limit_makes_no_other_late() {
-    let mut patience = Patience::new();
+    let mut patience = CallerTimeouts::new();
     for _ in 0..50 {
         assert_eq!(patience.waited(Duration::from_secs(4)), Duration::ZERO);
     }
