--- a/crates/gateway/src/asides.rs
+++ b/crates/gateway/src/asides.rs
@@ -26,7 +26,7 @@
     }
     let near = request.uri().query().and_then(directory::data_centre);
     let open = shared.members.borrow().open();
-    let told = relay::directory::answer(&open, near, shared.breadth());
+    let told = relay::directory::select_addresses(&open, near, shared.breadth());
     if told.is_empty() {
         return own::answer(
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/gateway/src/flow.rs
+++ b/crates/gateway/src/flow.rs
@@ -148,7 +148,7 @@
         if bytes.is_empty() {
             return true;
         }
-        let events = event::count(&bytes);
+        let events = event::count_events(&bytes);
         self.events += events;
         if let Some(track) = &self.track {
             track.events(events);
--- a/crates/gateway/src/flow/next.rs
+++ b/crates/gateway/src/flow/next.rs
@@ -128,7 +128,7 @@
         let last_event = self.splitter.resume(self.job.call.last_event).ok()?;
         let (shared, job) = (&self.shared, &self.job);
         let in_budget = || shared.allow(job, Work::Run);
-        let next = self.attempt.after(Sent::Lost, in_budget);
+        let next = self.attempt.next_step(Sent::Lost, in_budget);
         if next != Next::Retry {
             return None;
         }
@@ -157,6 +157,6 @@
         let runs = self.shared.runs.borrow();
         self.track
             .as_ref()
-            .map_or(0, |track| runs.made_by(track.id()))
+            .map_or(0, |track| runs.generated_tokens(track.id()))
     }
 }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -234,12 +234,18 @@
             let peer = sender.instance();
             let reads = told.all || !told.readings.is_empty();
             if !told.silent.is_empty() {
-                shared.pool.borrow_mut().hear_silent(now, &told.silent);
+                shared
+                    .pool
+                    .borrow_mut()
+                    .apply_silent_report(now, &told.silent);
             }
             let mut claims = shared.claims.borrow_mut();
-            claims.take(now, peer, told);
+            claims.apply(now, peer, told);
             if reads {
-                shared.pool.borrow_mut().take_readings(now, &claims);
+                shared
+                    .pool
+                    .borrow_mut()
+                    .update_pending_prefills(now, &claims);
             }
         }
     }
--- a/crates/gateway/src/guard.rs
+++ b/crates/gateway/src/guard.rs
@@ -42,7 +42,7 @@
 impl Claim {
     /// Counts one more request of `tokens` at the replica `key`, which `reads` its prompt and no more.
     pub fn new(shared: &Rc<Shared>, key: Key, tokens: u64, reads: bool) -> Self {
-        shared.pool.borrow_mut().begin(key, tokens);
+        shared.pool.borrow_mut().start_request(key, tokens);
         if reads {
             shared.runs_changed.notify_one();
         }
@@ -57,7 +57,10 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        self.shared.pool.borrow_mut().end(self.key, self.tokens);
+        self.shared
+            .pool
+            .borrow_mut()
+            .end_request(self.key, self.tokens);
         if self.reads {
             self.shared.runs_changed.notify_one();
         }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -196,15 +196,15 @@
         size.prompt + size.estimate
     }
 
-    /// What the generation asks of a decode replica, after `made` tokens were made.
-    pub fn size(&self, made: u64) -> Size {
-        let (prompt, most) = self.call.tokens.unwrap_or_default();
-        let estimate = self.call.expected_output.unwrap_or(most / 2);
+    /// What the generation asks of a decode replica, after `generated` tokens were generated.
+    pub fn size(&self, generated: u64) -> Size {
+        let (prompt, max_tokens) = self.call.tokens.unwrap_or_default();
+        let estimate = self.call.expected_output.unwrap_or(max_tokens / 2);
         Size {
             prompt,
-            estimate: estimate.min(most),
-            most,
-            made,
+            estimate: estimate.min(max_tokens),
+            max_tokens,
+            generated,
         }
     }
 
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -158,9 +158,9 @@
     let placing = shared.settings().placing;
     let size = job.size(made);
     let read = shared.read_time(&job.service, size.prompt);
-    let idle = kind.idle_part(job.route.objective, job.age(), read.unwrap_or_default());
+    let idle = kind.required_idle_share(job.route.objective, job.age(), read.unwrap_or_default());
     let ask = MemoryDemand {
-        curve: shared.runs.borrow().ask(&job.service, size),
+        curve: shared.runs.borrow().forecast(&job.service, size),
         spreads: placing.spreads,
         spare: kind.terms(usual(shared)).spare.max(idle),
     };
@@ -175,16 +175,22 @@
         match reserve(shared, tokens, key, engine.max_reservation).await {
             Asked::Room(reserved) => {
                 let now = shared.clock.now();
-                shared.pool.borrow_mut().roomy(now, key);
+                shared.pool.borrow_mut().record_room(now, key);
                 return Some(Place {
                     key,
                     reserved: Some(reserved),
                     track: Some(track),
                 });
             }
-            Asked::NoRoom => shared.pool.borrow_mut().full(shared.clock.now(), key),
+            Asked::NoRoom => shared
+                .pool
+                .borrow_mut()
+                .record_full(shared.clock.now(), key),
             Asked::Failed(cause) => {
-                shared.pool.borrow_mut().note(shared.clock.now(), key, true);
+                shared
+                    .pool
+                    .borrow_mut()
+                    .record_result(shared.clock.now(), key, true);
                 shared.note_silent(key);
                 log::info!(kind = "reserve", request = job.call.id, cause = cause; "a replica did not answer");
             }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -70,8 +70,8 @@
             return without_replica(shared, &mut job, &attempt, failure);
         };
         tried.push(key);
-        attempt.sent();
-        let may_leave = attempt.may_move_on();
+        attempt.record_send();
+        let may_leave = attempt.may_fail_over();
         let sent = send_to(shared, &job, key, permit, may_leave, &tried).await;
         if matches!(&sent, Sent::Answered(answer) if answer.status.is_success()) {
             shared.note_served(job.fingerprint);
@@ -80,7 +80,7 @@
             Sent::Overdue => {
                 return finish(&mut job, "overdue", own::overdue, "no answer in time");
             }
-            Sent::Left => attempt.after(Outcome::Lost, || true),
+            Sent::Left => attempt.next_step(Outcome::Lost, || true),
             Sent::Answered(answer) if is_failure(&job, &answer) => {
                 let (cause, status) = ("its own failure", answer.status.as_u16());
                 send::note(shared, &job, key, Outcome::Failed, cause, status);
@@ -103,7 +103,7 @@
 }
 
 fn after(shared: &Shared, job: &Job, attempt: &mut Attempt, outcome: Outcome) -> Next {
-    attempt.after(outcome, || shared.allow(job, Work::Run))
+    attempt.next_step(outcome, || shared.allow(job, Work::Run))
 }
 
 /// How one send ended.
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -158,7 +158,7 @@
         .map(|server| server.replica.address)
         .ok_or(Outcome::NotSent)?;
     let begun = Instant::now();
-    let before = shared.pool.borrow().queued(key);
+    let before = shared.pool.borrow().queued_tokens(key);
     let reply = send::send(shared, job, key, Task::Prefill, None, permit).await?;
     let exchanges_before = reply.link.exchanges_before();
     let read = send::whole(shared, reply, MAX_PREFILL_ANSWER).await;
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -24,7 +24,7 @@
 /// Forgets records whose time is over, forever.
 pub async fn sweep(shared: Rc<Shared>) {
     loop {
-        shared.quarantine.borrow_mut().sweep(clock::unix());
+        shared.quarantine.borrow_mut().remove_expired(clock::unix());
         sleep(SWEEP_PERIOD).await;
     }
 }
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -76,7 +76,7 @@
             return Err(without_place(attempt));
         };
         tried.push(key);
-        attempt.sent();
+        attempt.record_send();
         let sent = send::send(shared, job, key, task, place.reservation(), permit);
         let outcome = match sent.await {
             Ok(reply) => {
@@ -85,7 +85,7 @@
             }
             Err(outcome) => outcome,
         };
-        match attempt.after(outcome, || shared.allow(job, Work::Run)) {
+        match attempt.next_step(outcome, || shared.allow(job, Work::Run)) {
             Next::Retry => {}
             next => return Err(next),
         }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -137,10 +137,13 @@
         return Err(foreign(shared, job, key, &head, &link));
     }
     if let Some(load) = head.load {
-        shared.pool.borrow_mut().told(shared.clock.now(), key, load);
+        shared
+            .pool
+            .borrow_mut()
+            .record_load(shared.clock.now(), key, load);
     }
     if head.other_replica {
-        shared.pool.borrow_mut().replaced(key);
+        shared.pool.borrow_mut().mark_replaced(key);
     }
     // An unsigned answer may come from an intermediary, so it cannot lift a limit.
     if head.limit.is_some() || head.genuine {
@@ -198,7 +201,7 @@
     }
     let now = shared.clock.now();
     let mut pool = shared.pool.borrow_mut();
-    pool.note(now, key, true);
+    pool.record_result(now, key, true);
     let replica = pool.get(key).map_or("", |server| &server.replica.id);
     shared.metrics.send(match outcome {
         Outcome::NotSent => "not-sent",
@@ -214,7 +217,7 @@
 /// Notes that a send to `key` ended well.
 pub fn note_success(shared: &Shared, key: Key) {
     let now = shared.clock.now();
-    shared.pool.borrow_mut().note(now, key, false);
+    shared.pool.borrow_mut().record_result(now, key, false);
     shared.metrics.send("answered");
 }
 
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -227,7 +227,7 @@
         metrics.quarantined.set(quarantined as u64);
         metrics.replicas_age.set(self.replicas_age().as_secs_f64());
         for (service, budget) in self.budgets.borrow_mut().iter_mut() {
-            let left = budget.left(now, &self.rule(), members.sharers());
+            let left = budget.remaining(now, &self.rule(), members.sharers());
             metrics.retries_left(service, left);
         }
     }
--- a/crates/gateway/src/shared/choice.rs
+++ b/crates/gateway/src/shared/choice.rs
@@ -25,20 +25,20 @@
         self.choose_near(service, stage, tried, self.near)
     }
 
-    /// The same, preferring replicas of the data centre `near`.
+    /// The same, preferring replicas of `data_centre`.
     pub fn choose_near(
         &self,
         service: &str,
         stage: Option<Stage>,
         tried: &[Key],
-        near: Zone,
+        data_centre: Zone,
     ) -> Option<Key> {
         let want = Criteria {
             service,
             stage,
             tried,
-            near,
-            ask: None,
+            data_centre,
+            demand: None,
         };
         let pool = self.pool.borrow();
         pool.choose(self.clock.now(), &want, rand::random)
@@ -51,8 +51,8 @@
             service,
             stage: Some(Stage::Decode),
             tried,
-            near: self.near,
-            ask: Some(ask),
+            data_centre: self.near,
+            demand: Some(ask),
         };
         let pool = self.pool.borrow();
         pool.choose(self.clock.now(), &want, rand::random)
@@ -90,13 +90,13 @@
 
     /// Whether the decode replica `key` may read a prompt itself.
     pub fn may_read(&self, key: Key) -> bool {
-        self.pool.borrow().may_read(key)
+        self.pool.borrow().may_prefill(key)
     }
 
     /// Part of the prompts that decode replicas are to read, since `key` is slow or fails.
     pub fn own_reads(&self, key: Key, tokens: u64, objective: Duration) -> f64 {
         let pool = self.pool.borrow();
-        pool.own_reads(self.clock.now(), key, tokens, objective)
+        pool.decode_prefill_share(self.clock.now(), key, tokens, objective)
     }
 
     /// Time until a prompt of `tokens` of `service` is read at the replica that is best for it; `None` if
@@ -104,19 +104,21 @@
     pub fn read_time(&self, service: &str, tokens: u64) -> Option<Duration> {
         let key = self.choose(service, Some(Stage::Prefill), &[])?;
         let pool = self.pool.borrow();
-        pool.read_time(self.clock.now(), key, tokens)
+        pool.estimate_prefill_time(self.clock.now(), key, tokens)
     }
 
     /// Notes that `key` took `took` to read `tokens`, those that waited before them included.
     pub fn note_read(&self, key: Key, took: Duration, tokens: u64) {
         let now = self.clock.now();
-        self.pool.borrow_mut().note_read(now, key, took, tokens);
+        self.pool
+            .borrow_mut()
+            .record_prefill(now, key, took, tokens);
     }
 
     /// Notes that `key` took `took` for `units` of work.
     pub fn note_pace(&self, key: Key, took: Duration, units: f64) {
         let now = self.clock.now();
-        self.pool.borrow_mut().note_pace(now, key, took, units);
+        self.pool.borrow_mut().record_work(now, key, took, units);
     }
 
     /// Notes how long a decode replica was at work on an answer of `service`.
@@ -148,12 +150,14 @@
         let mut patiences = self.patiences.borrow_mut();
         let patience = patiences.entry(route.name.clone()).or_default();
         let least = self.answer_length(service).mul_f64(COME_BACK_FROM);
-        patience.waited(limit) >= least.max(route.objective)
+        patience.estimate_waited(limit) >= least.max(route.objective)
     }
 
     /// Notes that `key` did not answer a question, and has the other daemons told.
     pub fn note_silent(&self, key: Key) {
-        self.pool.borrow_mut().silent(self.clock.now(), key);
+        self.pool
+            .borrow_mut()
+            .record_no_answer(self.clock.now(), key);
         self.runs_changed.notify_one();
     }
 
--- a/crates/gateway/src/shared/knowledge.rs
+++ b/crates/gateway/src/shared/knowledge.rs
@@ -70,7 +70,7 @@
     pub fn take_replicas(&self, source: Source, read_at: Time, update: &Update) {
         let version = update.version();
         let now = self.clock.now();
-        let changes = self.pool.borrow_mut().take(now, source, update);
+        let changes = self.pool.borrow_mut().apply_update(now, source, update);
         let Some(changes) = changes else {
             log::info!(kind = "replicas", version = version, source = source.name(); "older news of the replicas are ignored");
             return;
@@ -82,7 +82,7 @@
     /// Takes from an answer of `key` when its replica started.
     pub fn note_birth(&self, key: Key, birth: Option<Birth>) {
         let now = self.clock.now();
-        let changes = self.pool.borrow_mut().answered(now, key, birth);
+        let changes = self.pool.borrow_mut().update_birth(now, key, birth);
         self.tell_changes("answer", &changes);
     }
 
@@ -119,7 +119,7 @@
     /// What a peer is told whose replicas stand at `version` and have the hash `digest`.
     pub fn newer_replicas(&self, version: u64, digest: u64) -> Option<Update> {
         let pool = self.pool.borrow();
-        pool.newer(self.clock.now(), version, digest)
+        pool.update_for_peer(self.clock.now(), version, digest)
     }
 
     /// Notes that the replicas are the same as those that a peer has from `version`, which was read
@@ -152,7 +152,7 @@
             pool.digest() == digest,
             self.replicas_age(),
             self.store_lost.get(),
-            self.overload.borrow().is_near(self.clock.now()),
+            self.overload.borrow().is_reported(self.clock.now()),
         )
     }
 
--- a/crates/gateway/src/shared/quarantine.rs
+++ b/crates/gateway/src/shared/quarantine.rs
@@ -21,7 +21,7 @@
     /// the replica ended.
     pub fn inquire(&self, fingerprint: Fingerprint, key: Key) {
         // One that leaves by plan breaks off what it has not finished.
-        let Some(replica) = self.pool.borrow().missed(key) else {
+        let Some(replica) = self.pool.borrow().unplanned_loss(key) else {
             return;
         };
         self.inquiries.open(key, replica, fingerprint);
@@ -63,7 +63,7 @@
         let now = clock::unix();
         let mut served = Vec::new();
         for record in records {
-            let change = self.quarantine.borrow_mut().take(now, record);
+            let change = self.quarantine.borrow_mut().merge(now, record);
             self.log_change(source, record.fingerprint, change);
             if change == Change::Served {
                 let quarantine = self.quarantine.borrow();
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -74,7 +74,7 @@
 
 async fn look(shared: &Shared, service: &str, balance: &mut StageBalancer, share: f64) {
     let now = shared.clock.now();
-    let counts = shared.pool.borrow().counts(now, service);
+    let counts = shared.pool.borrow().stage_counts(now, service);
     let due = balance.due(now, counts, share);
     let owns = shared.members.borrow().owns(Pool::new(service).0);
     let Some(due) = due.filter(|_| owns) else {
@@ -89,7 +89,7 @@
     let (fence, written) = match claimed {
         Ok(claimed) => claimed,
         Err(cause) => {
-            balance.failed();
+            balance.order_failed();
             log::warn!(kind = "order", service = service, stage = format!("{:?}", due.stage), cause = cause; "no order is given");
             return;
         }
@@ -112,9 +112,9 @@
         }
     }
     if given {
-        balance.ordered(now);
+        balance.order_sent(now);
     } else {
-        balance.failed();
+        balance.order_failed();
     }
 }
 
@@ -144,7 +144,7 @@
         match report(shared, &replica).await {
             Ok(report) if report.busy => {}
             // What it counted is of another incarnation than the one that is listed.
-            Ok(report) if replica.compare(report.birth) != Ordering::Equal => {}
+            Ok(report) if replica.compare_incarnation(report.birth) != Ordering::Equal => {}
             Ok(report) => orders.push(Order {
                 replica,
                 taken: report.orders,
--- a/crates/gateway/src/track.rs
+++ b/crates/gateway/src/track.rs
@@ -67,7 +67,7 @@
 
     /// Notes that the replica reads the prompt itself.
     pub fn reads(&self, server: Key) {
-        self.shared.runs.borrow_mut().reads(self.id);
+        self.shared.runs.borrow_mut().mark_prefilling(self.id);
         self.shared.foresee(server);
         self.shared.runs_changed.notify_one();
     }
@@ -76,12 +76,15 @@
     pub fn events(&self, events: u64) {
         let now = self.shared.clock.now();
         let tokens = events * self.event_tokens;
-        self.shared.runs.borrow_mut().made(now, self.id, tokens);
+        self.shared
+            .runs
+            .borrow_mut()
+            .record_tokens(now, self.id, tokens);
     }
 
     /// Notes that the run goes on at `server`.
     pub fn moved(&mut self, server: Key) {
-        self.shared.runs.borrow_mut().moved(self.id, server);
+        self.shared.runs.borrow_mut().record_move(self.id, server);
         self.orders.mark_unchanged();
         self.shared.foresee(server);
         self.shared.runs_changed.notify_one();
@@ -90,13 +93,16 @@
     /// Leaves the run where it is for `pause`.
     pub fn settle(&self, pause: Duration) {
         let until = self.shared.clock.now() + pause;
-        self.shared.runs.borrow_mut().settle(self.id, until);
+        self.shared.runs.borrow_mut().block_moves(self.id, until);
     }
 
     /// Notes that the replica did not move the run: no other is moved from there for `pause`.
     pub fn keep(&self, pause: Duration) {
         let until = self.shared.clock.now() + pause;
-        self.shared.runs.borrow_mut().keep(self.id, until);
+        self.shared
+            .runs
+            .borrow_mut()
+            .block_moves_from_replica(self.id, until);
     }
 
     /// Notes that the run ended with its last event.
@@ -140,7 +146,9 @@
     pub fn foresee(&self, server: Key) {
         let now = self.clock.now();
         let (runs, claims) = (self.runs.borrow(), self.claims.borrow());
-        self.pool.borrow_mut().foresee(now, server, &runs, &claims);
+        self.pool
+            .borrow_mut()
+            .update_forecast(now, server, &runs, &claims);
     }
 }
 
@@ -162,14 +170,17 @@
 
 fn look(shared: &Shared) {
     let now = shared.clock.now();
-    shared.claims.borrow_mut().sweep(now);
+    shared.claims.borrow_mut().remove_expired(now);
     let (runs, claims) = (shared.runs.borrow(), shared.claims.borrow());
-    shared.pool.borrow_mut().foresee_all(now, &runs, &claims);
+    shared
+        .pool
+        .borrow_mut()
+        .update_all_forecasts(now, &runs, &claims);
     let plan = shared.plan().filter(|_| shared.settings().placing.moves);
     let Some(plan) = plan else { return };
     let moves = {
         let pool = shared.pool.borrow();
-        migration::due(now, &pool, &runs, &claims, |run, from, ask| {
+        migration::due_moves(now, &pool, &runs, &claims, |run, from, ask| {
             let service = &runs.get(run)?.service;
             let engine = plan.services.get(service)?.engine?;
             let to = engine
@@ -203,7 +214,7 @@
         return peers;
     }
     let claims = shared.claims.borrow();
-    let active = claims.active().filter_map(|peer| members.peer(peer));
+    let active = claims.active_peers().filter_map(|peer| members.peer(peer));
     let mut to: Vec<SocketAddr> = active.take(MAX_TOLD).collect();
     for drawn in peers.sample(&mut rand::rng(), DRAWN) {
         if !to.contains(drawn) {
--- a/crates/lab/src/decode/daemon.rs
+++ b/crates/lab/src/decode/daemon.rs
@@ -70,7 +70,7 @@
         draw: impl Fn() -> f64,
     ) -> Option<Key> {
         let ask = spreads.map(|spreads| MemoryDemand {
-            curve: self.runs.ask(SERVICE, size),
+            curve: self.runs.forecast(SERVICE, size),
             spreads,
             spare: 0.0,
         });
@@ -80,8 +80,9 @@
     /// Begins a run at `key`.
     pub fn begin(&mut self, now: Time, key: Key, size: Size) -> RunId {
         let id = self.runs.begin(SERVICE, key, size);
-        self.pool.begin(key, size.prompt + size.estimate);
-        self.pool.foresee(now, key, &self.runs, &self.claims);
+        self.pool.start_request(key, size.prompt + size.estimate);
+        self.pool
+            .update_forecast(now, key, &self.runs, &self.claims);
         id
     }
 
@@ -91,19 +92,21 @@
             return;
         };
         self.runs.end(now, id, complete);
-        self.pool.end(key, size.prompt + size.estimate);
-        self.pool.foresee(now, key, &self.runs, &self.claims);
+        self.pool.end_request(key, size.prompt + size.estimate);
+        self.pool
+            .update_forecast(now, key, &self.runs, &self.claims);
     }
 
     /// Looks at the memory of all replicas; gives the moves that are due.
     pub fn look(&mut self, now: Time, moves: bool) -> Vec<Move> {
-        self.claims.sweep(now);
-        self.pool.foresee_all(now, &self.runs, &self.claims);
+        self.claims.remove_expired(now);
+        self.pool
+            .update_all_forecasts(now, &self.runs, &self.claims);
         if !moves {
             return Vec::new();
         }
         let pool = &self.pool;
-        migration::due(now, pool, &self.runs, &self.claims, |_, from, ask| {
+        migration::due_moves(now, pool, &self.runs, &self.claims, |_, from, ask| {
             pool.choose(now, &want(&[from], Some(ask)), || 0.0)
         })
     }
@@ -115,17 +118,17 @@
 
     /// Takes what the daemon `peer` told.
     pub fn hear(&mut self, now: Time, peer: usize, told: ClaimUpdate) {
-        self.claims.take(now, Instance(peer as u64), told);
+        self.claims.apply(now, Instance(peer as u64), told);
     }
 }
 
-fn want(tried: &[Key], ask: Option<MemoryDemand>) -> Criteria<'_> {
+fn want(tried: &[Key], demand: Option<MemoryDemand>) -> Criteria<'_> {
     Criteria {
         service: SERVICE,
         stage: Some(Stage::Decode),
         tried,
-        near: Zone::new("here"),
-        ask,
+        data_centre: Zone::new("here"),
+        demand,
     }
 }
 
--- a/crates/lab/src/decode/run.rs
+++ b/crates/lab/src/decode/run.rs
@@ -166,8 +166,8 @@
             size: Size {
                 prompt: prompt as u64,
                 estimate: estimate.min(most) as u64,
-                most: most as u64,
-                made: 0,
+                max_tokens: most as u64,
+                generated: 0,
             },
             total: (answer * length).min(most),
             arrived: self.now,
@@ -265,7 +265,7 @@
                 return;
             }
             tried.push(key);
-            self.daemons[daemon].pool.full(time, key);
+            self.daemons[daemon].pool.record_full(time, key);
         }
         let next = self.now + ROUND_MS;
         self.requests[request].state = match self.requests[request] {
@@ -321,7 +321,7 @@
         request.last = self.now;
         let tokens = self.setup.engine.event_tokens;
         let daemon = &mut self.daemons[request.daemon];
-        daemon.runs.made(time, id, tokens);
+        daemon.runs.record_tokens(time, id, tokens);
         if over {
             daemon.end(time, id, request.size, true);
             request.state = State::Over;
@@ -356,13 +356,13 @@
         };
         let target = self.daemons[daemon].replica(to);
         let source = self.daemons[daemon].replica(from);
-        let held = self.daemons[daemon].runs.held(id) as f64;
+        let held = self.daemons[daemon].runs.held_tokens(id) as f64;
         if !self.replicas[target].reserve(held) {
             return;
         }
         if let Some(work) = self.replicas[source].stop(request) {
             self.replicas[target].begin(self.now, work, held);
-            self.daemons[daemon].runs.moved(id, to);
+            self.daemons[daemon].runs.record_move(id, to);
             self.requests[request].last -= MOVE_MS;
             self.figures.moved += 1;
         }
--- a/crates/lab/src/site/run.rs
+++ b/crates/lab/src/site/run.rs
@@ -204,7 +204,7 @@
                 self.send_to_prefill(now + ROUND_TRIP_MS * asked.len() as f64, job, key);
                 return;
             }
-            self.pools[job.daemon].full(time(now), key);
+            self.pools[job.daemon].record_full(time(now), key);
         }
         if now + ROUND_PAUSE_MS <= job.came + WAIT_MS {
             self.push(now + ROUND_PAUSE_MS, Step::LooksForPlace(job));
@@ -226,11 +226,11 @@
     }
 
     fn send_to_prefill(&mut self, now: f64, job: Job, decode: Key) {
-        self.pools[job.daemon].begin(decode, job.tokens);
+        self.pools[job.daemon].start_request(decode, job.tokens);
         let Some(prefill) = self.choose(now, job.daemon, Stage::Prefill, &[]) else {
             return;
         };
-        self.pools[job.daemon].begin(prefill, job.prompt);
+        self.pools[job.daemon].start_request(prefill, job.prompt);
         let engine = self.engine(job.daemon, prefill);
         let done = self.engines[engine].read(now, job.prompt) + ROUND_TRIP_MS;
         self.push(done, Step::IsRead(job, prefill, decode, now));
@@ -242,17 +242,17 @@
         let took = Duration::from_secs_f64((now - begun) / 1_000.0);
         let running = self.engines[engine].running();
         let pool = &mut self.pools[job.daemon];
-        pool.end(prefill, job.prompt);
-        pool.told(time(now), prefill, load(running));
-        pool.note_read(time(now), prefill, took, job.prompt);
-        pool.note_pace(time(now), prefill, took, job.prompt as f64);
+        pool.end_request(prefill, job.prompt);
+        pool.record_load(time(now), prefill, load(running));
+        pool.record_prefill(time(now), prefill, took, job.prompt);
+        pool.record_work(time(now), prefill, took, job.prompt as f64);
         self.figures.read.saturating_record((now - begun) as u64);
         let transfer = TRANSFER_SETUP_MS + job.prompt as f64 * TOKEN_BYTES / LINK_BYTES_MS;
         let engine = self.engine(job.daemon, decode);
         let step = self.engines[engine].step();
         let first = now + ROUND_TRIP_MS + transfer + step;
         let head = Duration::from_secs_f64((first - now) / 1_000.0);
-        self.pools[job.daemon].note_pace(time(first), decode, head, 1.0);
+        self.pools[job.daemon].record_work(time(first), decode, head, 1.0);
         let waited = first - job.first;
         self.figures.first.saturating_record(waited as u64);
         if waited <= OBJECTIVE_MS {
@@ -268,7 +268,7 @@
     fn end(&mut self, daemon: usize, key: Key, tokens: u64) {
         let engine = self.engine(daemon, key);
         self.engines[engine].release(tokens);
-        self.pools[daemon].end(key, tokens);
+        self.pools[daemon].end_request(key, tokens);
     }
 
     fn choose(&mut self, now: f64, daemon: usize, stage: Stage, tried: &[Key]) -> Option<Key> {
@@ -276,8 +276,8 @@
             service: "llm",
             stage: Some(stage),
             tried,
-            near: Zone::new("here"),
-            ask: None,
+            data_centre: Zone::new("here"),
+            demand: None,
         };
         let draws: Vec<f64> = (0..self.engines.len())
             .map(|_| self.random.random())
--- a/crates/relay/examples/decide.rs
+++ b/crates/relay/examples/decide.rs
@@ -34,8 +34,8 @@
 const SIZE: Size = Size {
     prompt: 5_200,
     estimate: 4_400,
-    most: 8_320,
-    made: 0,
+    max_tokens: 8_320,
+    generated: 0,
 };
 
 fn main() {
@@ -64,16 +64,23 @@
     }
     for peer in 0..PEERS {
         let told = (peer..runs.min(count)).step_by(PEERS);
-        let curve = own.ask("llm", SIZE);
-        let told = told
-            .map(|replica| Claim::new(claims::hash(&replica.to_string(), None), 1, 0, 100, &curve));
-        claims.take(now, Instance(peer as u64), ClaimUpdate::all(told.collect()));
+        let curve = own.forecast("llm", SIZE);
+        let told = told.map(|replica| {
+            Claim::new(
+                claims::incarnation_hash(&replica.to_string(), None),
+                1,
+                0,
+                100,
+                &curve,
+            )
+        });
+        claims.apply(now, Instance(peer as u64), ClaimUpdate::all(told.collect()));
     }
     let begun = Instant::now();
-    pool.foresee_all(now, &own, &claims);
+    pool.update_all_forecasts(now, &own, &claims);
     let look = begun.elapsed();
     let ask = MemoryDemand {
-        curve: own.ask("llm", SIZE),
+        curve: own.forecast("llm", SIZE),
         spreads: 3.0,
         spare: 0.0,
     };
@@ -100,13 +107,13 @@
     keys
 }
 
-fn want(tried: &[Key], ask: Option<MemoryDemand>) -> Criteria<'_> {
+fn want(tried: &[Key], demand: Option<MemoryDemand>) -> Criteria<'_> {
     Criteria {
         service: "llm",
         stage: Some(Stage::Decode),
         tried,
-        near: Zone::new("here"),
-        ask,
+        data_centre: Zone::new("here"),
+        demand,
     }
 }
 
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -73,18 +73,18 @@
     }
 
     /// Whether it may be sent elsewhere while it may still be at work at the present replica.
-    pub fn may_move_on(&self) -> bool {
+    pub fn may_fail_over(&self) -> bool {
         self.mode.repeatable() && self.sends < MAX_SENDS && self.runs + 1 < self.max_runs
     }
 
     /// Notes that the request is sent.
-    pub const fn sent(&mut self) {
+    pub const fn record_send(&mut self) {
         self.sends += 1;
     }
 
     /// What follows `outcome`; `in_budget` takes a retry from the budget and tells whether there
     /// was one.
-    pub fn after(&mut self, outcome: Outcome, in_budget: impl FnOnce() -> bool) -> Next {
+    pub fn next_step(&mut self, outcome: Outcome, in_budget: impl FnOnce() -> bool) -> Next {
         match outcome {
             Outcome::Failed | Outcome::Lost => self.runs += 1,
             Outcome::NotSent | Outcome::NotRun | Outcome::Quarantined | Outcome::Denied => {}
--- a/crates/relay/src/balance.rs
+++ b/crates/relay/src/balance.rs
@@ -107,12 +107,12 @@
     }
 
     /// Notes that no order could be given; the division has to be off for a while again.
-    pub const fn failed(&mut self) {
+    pub const fn order_failed(&mut self) {
         self.off = None;
     }
 
     /// Notes that a change was ordered.
-    pub const fn ordered(&mut self, now: Time) {
+    pub const fn order_sent(&mut self, now: Time) {
         self.last = Some(now);
         self.off = None;
     }
@@ -123,7 +123,7 @@
 }
 
 /// Prefill replicas that `total` replicas are to have.
-pub fn wanted(total: usize, share: f64) -> usize {
+pub fn target_prefill(total: usize, share: f64) -> usize {
     let total_f = total as f64;
     let wanted = (total_f * share + RESERVE * total_f.sqrt()).round() as usize;
     wanted.clamp(1, total.saturating_sub(1).max(1))
@@ -134,7 +134,7 @@
 fn lacking(counts: StageCounts, share: f64) -> Option<Rebalance> {
     let StageCounts { prefill, decode } = counts;
     let total = prefill + decode;
-    let wanted = wanted(total, share);
+    let wanted = target_prefill(total, share);
     let (stage, missing) = match prefill {
         _ if total < 3 => return None,
         prefill if prefill > wanted => (Stage::Decode, prefill - wanted),
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -41,14 +41,14 @@
     }
 
     /// Counts a request of a caller.
-    pub fn request(&mut self, now: Time, rule: &RetryPolicy) {
+    pub fn record_request(&mut self, now: Time, rule: &RetryPolicy) {
         forget(&mut self.requests, now, rule.window);
         self.requests.push_back(now);
     }
 
     /// Takes one retry out of the budget, if one is left; `daemons` share the slack.
     pub fn take(&mut self, now: Time, rule: &RetryPolicy, daemons: usize) -> Option<Permit> {
-        if self.left(now, rule, daemons) < 1.0 {
+        if self.remaining(now, rule, daemons) < 1.0 {
             return None;
         }
         self.retries.push_back(now);
@@ -56,7 +56,7 @@
     }
 
     /// Retries that are left at `now`, a time since the start of the process.
-    pub fn left(&mut self, now: Time, rule: &RetryPolicy, daemons: usize) -> f64 {
+    pub fn remaining(&mut self, now: Time, rule: &RetryPolicy, daemons: usize) -> f64 {
         forget(&mut self.requests, now, rule.window);
         forget(&mut self.retries, now, rule.window);
         let earned = self.requests.len() as f64 * rule.ratio * RATIO_PART;
--- a/crates/relay/src/claim_publisher.rs
+++ b/crates/relay/src/claim_publisher.rs
@@ -60,7 +60,10 @@
             return None;
         }
         let counts = count(runs, pool);
-        let read: BTreeMap<u64, u32> = pool.readings().map(|r| (r.replica, r.tokens)).collect();
+        let read: BTreeMap<u64, u32> = pool
+            .prefill_backlogs()
+            .map(|r| (r.replica, r.tokens))
+            .collect();
         let claim = |(replica, count): (&u64, &Count)| runs.claim(now, count.key, *replica);
         let reading = |(replica, tokens): (&u64, &u32)| PrefillBacklog {
             replica: *replica,
@@ -118,7 +121,7 @@
             making: 0,
         });
         count.runs += 1;
-        count.reads += u16::from(run.is_read());
+        count.reads += u16::from(run.is_prefilling());
         count.making += u16::from(run.started().is_some());
     }
     counts
--- a/crates/relay/src/claims.rs
+++ b/crates/relay/src/claims.rs
@@ -14,8 +14,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::forecast::AHEAD;
 use crate::forecast::Curve;
+use crate::forecast::HORIZONS;
 use crate::replica::Birth;
 
 /// Tokens that the figures of a claim are rounded to; engines give memory in such blocks.
@@ -39,11 +39,11 @@
     /// Milliseconds since the newest of those that make tokens began to; `u16::MAX` if none does.
     pub newest_ms: u16,
     /// Tokens expected at each moment, in units of 16.
-    mean: [u16; AHEAD.len()],
+    mean: [u16; HORIZONS.len()],
     /// Standard deviation, in the same units.
-    spread: [u16; AHEAD.len()],
+    spread: [u16; HORIZONS.len()],
     /// Tokens at each moment if no run ends, in the same units.
-    most: [u16; AHEAD.len()],
+    most: [u16; HORIZONS.len()],
 }
 
 impl Claim {
@@ -85,7 +85,7 @@
     /// Their runs.
     pub runs: u32,
     /// Prompts that the replica reads itself for them.
-    pub reads: u32,
+    pub prefills: u32,
     /// Time since the newest of their runs began to make tokens.
     pub newest: Option<Duration>,
 }
@@ -164,7 +164,7 @@
     }
 
     /// Takes what `peer` tells.
-    pub fn take(&mut self, now: Time, peer: Instance, told: ClaimUpdate) {
+    pub fn apply(&mut self, now: Time, peer: Instance, told: ClaimUpdate) {
         let claims = self.told.entry(peer).or_default();
         let readings = self.readings.entry(peer).or_default();
         if told.all {
@@ -186,14 +186,14 @@
     }
 
     /// Forgets what is too old.
-    pub fn sweep(&mut self, now: Time) {
+    pub fn remove_expired(&mut self, now: Time) {
         sweep(&mut self.told, now);
         sweep(&mut self.readings, now);
     }
 
     /// Tokens that replicas are to read for other daemons, by the replicas' hashes; `None` if no other
     /// daemon is heard of.
-    pub fn unread(&self, now: Time) -> Option<HashMap<u64, u64>> {
+    pub fn pending_prefills(&self, now: Time) -> Option<HashMap<u64, u64>> {
         let readings = self.readings.values().flat_map(BTreeMap::values);
         let mut all: HashMap<u64, u64> = HashMap::new();
         for fresh in readings.filter(|fresh| fresh.counts(now)) {
@@ -203,13 +203,13 @@
     }
 
     /// Daemons whose claims count, that have runs.
-    pub fn active(&self) -> impl Iterator<Item = Instance> + '_ {
+    pub fn active_peers(&self) -> impl Iterator<Item = Instance> + '_ {
         let active = self.told.iter().filter(|(_, claims)| !claims.is_empty());
         active.map(|(peer, _)| *peer)
     }
 
     /// What the others hold at the replica with the hash `replica`.
-    pub fn others(&self, now: Time, replica: u64) -> PeerUsage {
+    pub fn peer_usage(&self, now: Time, replica: u64) -> PeerUsage {
         let mut others = PeerUsage::default();
         let told = self.told.values().filter_map(|claims| claims.get(&replica));
         for fresh in told.filter(|fresh| fresh.counts(now)) {
@@ -219,7 +219,7 @@
     }
 
     /// The same for all replicas at once, by their hashes.
-    pub fn all_others(&self, now: Time) -> HashMap<u64, PeerUsage> {
+    pub fn all_peer_usage(&self, now: Time) -> HashMap<u64, PeerUsage> {
         let mut all: HashMap<u64, PeerUsage> = HashMap::new();
         let told = self.told.values().flat_map(BTreeMap::values);
         for fresh in told.filter(|fresh| fresh.counts(now)) {
@@ -249,10 +249,10 @@
 
 impl PeerUsage {
     fn add(&mut self, claim: &Claim, age: Duration) {
-        let curve = claim.curve().later(age.as_secs_f64());
+        let curve = claim.curve().shifted(age.as_secs_f64());
         self.curve = self.curve.plus(&curve);
         self.runs += u32::from(claim.runs);
-        self.reads += u32::from(claim.reads);
+        self.prefills += u32::from(claim.reads);
         self.newest = youngest(self.newest, claim.newest_ms, age);
     }
 }
@@ -266,7 +266,7 @@
 }
 
 /// The hash by which an incarnation of a replica is named in claims.
-pub fn hash(id: &str, birth: Option<Birth>) -> u64 {
+pub fn incarnation_hash(id: &str, birth: Option<Birth>) -> u64 {
     let seed = birth.map_or(0, |birth| birth.0);
     rapidhash_v3(id.as_bytes()) ^ seed.wrapping_mul(BIRTH_FACTOR)
 }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -39,7 +39,11 @@
 
 /// The addresses for a caller in `near`: those instances of its data centre that `breadth` says if
 /// there are enough, else all.
-pub fn answer(entries: &[Endpoint], near: Option<Zone>, breadth: Scope) -> Vec<SocketAddr> {
+pub fn select_addresses(
+    entries: &[Endpoint],
+    near: Option<Zone>,
+    breadth: Scope,
+) -> Vec<SocketAddr> {
     let own = entries
         .iter()
         .filter(|entry| near == Some(entry.data_centre));
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -151,7 +151,7 @@
 }
 
 /// Events in `bytes`, which begin and end with whole ones.
-pub fn count(bytes: &[u8]) -> u64 {
+pub fn count_events(bytes: &[u8]) -> u64 {
     let lines = bytes.split(|byte| *byte == b'\n');
     lines.filter(|line| line.starts_with(b"id:")).count() as u64
 }
--- a/crates/relay/src/forecast.rs
+++ b/crates/relay/src/forecast.rs
@@ -13,20 +13,20 @@
 
 /// Moments ahead that are looked at, in seconds; closer together where decisions are near. An answer
 /// takes some seconds; what comes after the last moment is decided when it is nearer.
-pub const AHEAD: [f64; 6] = [0.0, 0.3, 0.7, 1.4, 2.4, 4.0];
+pub const HORIZONS: [f64; 6] = [0.0, 0.3, 0.7, 1.4, 2.4, 4.0];
 /// Chance of going on below which a run is taken for one that ends at any moment: more tokens were
 /// made than any answer had lately.
 const RARE: f64 = 0.01;
 /// Seconds that such a run goes on for in the mean.
 const RARE_STAY: f64 = 1.0;
 
-/// Memory over the moments [`AHEAD`], in tokens: what is expected, how far that may be off, and what is
+/// Memory over the moments [`HORIZONS`], in tokens: what is expected, how far that may be off, and what is
 /// held if no run ends. Where answers add little to what a run holds, the last is the closest bound.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Curve {
-    mean: [f32; AHEAD.len()],
-    variance: [f32; AHEAD.len()],
-    most: [f32; AHEAD.len()],
+    mean: [f32; HORIZONS.len()],
+    variance: [f32; HORIZONS.len()],
+    most: [f32; HORIZONS.len()],
 }
 
 /// One run.
@@ -35,37 +35,38 @@
     /// Tokens of its prompt.
     pub prompt: f64,
     /// Tokens that it has made.
-    pub made: f64,
+    pub generated: f64,
     /// Tokens that the caller expects in all.
     pub estimate: f64,
     /// Tokens that it makes at most.
-    pub most: f64,
+    pub max_tokens: f64,
     /// Tokens that it makes in a second.
-    pub pace: f64,
+    pub tokens_per_s: f64,
 }
 
 impl Run {
     /// Tokens that it holds now.
     pub fn held(&self) -> f64 {
-        self.prompt + self.made
+        self.prompt + self.generated
     }
 
     /// What it will hold, where answers are as long as `length` says.
     pub fn curve(&self, length: &LengthDistribution) -> Curve {
-        let now = length.beyond(self.made, self.estimate);
+        let now = length.share_longer_than(self.generated, self.estimate);
         let mut curve = Curve::default();
-        for (index, ahead) in AHEAD.into_iter().enumerate() {
-            let made = self.made + self.pace * ahead;
+        for (index, ahead) in HORIZONS.into_iter().enumerate() {
+            let made = self.generated + self.tokens_per_s * ahead;
             let goes_on = match made {
                 _ if ahead == 0.0 => 1.0,
-                made if made >= self.most => 0.0,
+                made if made >= self.max_tokens => 0.0,
                 _ if now < RARE => (-ahead / RARE_STAY).exp(),
-                made => length.beyond(made, self.estimate) / now,
+                made => length.share_longer_than(made, self.estimate) / now,
             };
             let size = self.prompt + made;
             curve.mean[index] = (goes_on * size) as f32;
             curve.variance[index] = (goes_on * (1.0 - goes_on) * size * size) as f32;
-            curve.most[index] = (self.prompt + made.min(self.most.max(self.made))) as f32;
+            curve.most[index] =
+                (self.prompt + made.min(self.max_tokens.max(self.generated))) as f32;
         }
         curve
     }
@@ -75,18 +76,18 @@
     /// Memory that stays as it is.
     pub const fn flat(tokens: f64) -> Self {
         Self {
-            mean: [tokens as f32; AHEAD.len()],
-            variance: [0.0; AHEAD.len()],
-            most: [tokens as f32; AHEAD.len()],
+            mean: [tokens as f32; HORIZONS.len()],
+            variance: [0.0; HORIZONS.len()],
+            most: [tokens as f32; HORIZONS.len()],
         }
     }
 
     /// What is expected at each moment, how far that may be off as standard deviations, and what is held
     /// if no run ends.
     pub(crate) fn with_spread(
-        mean: [f32; AHEAD.len()],
-        spread: [f32; AHEAD.len()],
-        most: [f32; AHEAD.len()],
+        mean: [f32; HORIZONS.len()],
+        spread: [f32; HORIZONS.len()],
+        most: [f32; HORIZONS.len()],
     ) -> Self {
         Self {
             mean,
@@ -96,17 +97,17 @@
     }
 
     /// Tokens expected at each moment.
-    pub const fn mean(&self) -> [f32; AHEAD.len()] {
+    pub const fn mean(&self) -> [f32; HORIZONS.len()] {
         self.mean
     }
 
     /// Tokens held at each moment if no run ends.
-    pub const fn most(&self) -> [f32; AHEAD.len()] {
+    pub const fn most(&self) -> [f32; HORIZONS.len()] {
         self.most
     }
 
     /// Standard deviation at each moment.
-    pub fn spread(&self) -> [f32; AHEAD.len()] {
+    pub fn spread(&self) -> [f32; HORIZONS.len()] {
         self.variance.map(|variance| variance.max(0.0).sqrt())
     }
 
@@ -114,7 +115,7 @@
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         let mut sum = *self;
-        for index in 0..AHEAD.len() {
+        for index in 0..HORIZONS.len() {
             sum.mean[index] += other.mean[index];
             sum.variance[index] += other.variance[index];
             sum.most[index] += other.most[index];
@@ -124,8 +125,8 @@
 
     /// The curve as it is seen `seconds` later.
     #[must_use]
-    pub fn later(&self, seconds: f64) -> Self {
-        let moments = AHEAD.map(|ahead| ahead + seconds);
+    pub fn shifted(&self, seconds: f64) -> Self {
+        let moments = HORIZONS.map(|ahead| ahead + seconds);
         Self {
             mean: moments.map(|at| between(&self.mean, at)),
             variance: moments.map(|at| between(&self.variance, at)),
@@ -141,7 +142,7 @@
 
     /// The same for the moments up to `seconds` ahead.
     pub fn peak_within(&self, seconds: f64, spreads: f64) -> f64 {
-        let near = (0..AHEAD.len()).filter(|index| AHEAD[*index] <= seconds);
+        let near = (0..HORIZONS.len()).filter(|index| HORIZONS[*index] <= seconds);
         let values = near.map(|index| {
             let spread = f64::from(self.variance[index].max(0.0)).sqrt();
             let surely = f64::from(self.mean[index]) + spreads * spread;
@@ -152,12 +153,12 @@
 }
 
 /// The value at `at` seconds, on straight lines between the moments; the last one holds on.
-fn between(values: &[f32; AHEAD.len()], at: f64) -> f32 {
-    let Some(upper) = AHEAD.iter().position(|ahead| *ahead >= at) else {
-        return values[AHEAD.len() - 1];
+fn between(values: &[f32; HORIZONS.len()], at: f64) -> f32 {
+    let Some(upper) = HORIZONS.iter().position(|ahead| *ahead >= at) else {
+        return values[HORIZONS.len() - 1];
     };
     let lower = upper.saturating_sub(1);
-    let width = (AHEAD[upper] - AHEAD[lower]).max(f64::MIN_POSITIVE);
-    let part = ((at - AHEAD[lower]) / width) as f32;
+    let width = (HORIZONS[upper] - HORIZONS[lower]).max(f64::MIN_POSITIVE);
+    let part = ((at - HORIZONS[lower]) / width) as f32;
     values[lower] + part * (values[upper] - values[lower])
 }
--- a/crates/relay/src/length.rs
+++ b/crates/relay/src/length.rs
@@ -44,7 +44,7 @@
     }
 
     /// Notes that an answer had `made` tokens where `estimate` were expected.
-    pub fn note(&mut self, made: f64, estimate: f64) {
+    pub fn record(&mut self, made: f64, estimate: f64) {
         let kept = 1.0 - 1.0 / MEMORY;
         for weight in &mut self.weights {
             *weight *= kept;
@@ -55,7 +55,7 @@
     }
 
     /// Share of answers that have more than `made` tokens where `estimate` are expected.
-    pub fn beyond(&self, made: f64, estimate: f64) -> f64 {
+    pub fn share_longer_than(&self, made: f64, estimate: f64) -> f64 {
         if made <= 0.0 {
             return 1.0;
         }
--- a/crates/relay/src/migration.rs
+++ b/crates/relay/src/migration.rs
@@ -38,7 +38,7 @@
 
 /// The moves that are due, one for each replica whose memory ends; `choose` finds a replica with room
 /// other than the one named.
-pub fn due(
+pub fn due_moves(
     now: Time,
     pool: &Pool,
     runs: &Runs,
@@ -48,7 +48,7 @@
     let servers: BTreeSet<Key> = runs.iter().map(|(_, entry)| entry.server).collect();
     let ending = servers
         .into_iter()
-        .filter(|key| is_ending(now, pool, *key) && runs.may_leave(now, *key));
+        .filter(|key| is_ending(now, pool, *key) && runs.may_move_from(now, *key));
     let mut moves = Vec::new();
     for key in ending {
         let Some(run) = newest(now, pool, runs, claims, key) else {
@@ -83,7 +83,7 @@
     let (id, entry) = movable.max_by_key(|(_, entry)| entry.started())?;
     let age = now.since(entry.started()?);
     let server = pool.get(key)?;
-    let others = claims.others(now, server.hash);
+    let others = claims.peer_usage(now, server.hash);
     others
         .newest
         .is_none_or(|newest| age <= newest)
--- a/crates/relay/src/overload.rs
+++ b/crates/relay/src/overload.rs
@@ -39,36 +39,36 @@
     }
 
     /// Notes that a timer of this instance came `late`.
-    pub fn note(&mut self, now: Time, late: Duration) {
+    pub fn record_delay(&mut self, now: Time, late: Duration) {
         self.late = self.late.mul_f64(1.0 - STEP) + late.min(LATE_MOST).mul_f64(STEP);
-        if self.is_own() {
-            self.heard(now);
+        if self.is_local() {
+            self.record_report(now);
         }
     }
 
     /// Whether this instance is overloaded.
-    pub fn is_own(&self) -> bool {
+    pub fn is_local(&self) -> bool {
         self.late >= LATE
     }
 
     /// Notes that an instance of the data centre told that it is overloaded.
-    pub fn heard(&mut self, now: Time) {
+    pub fn record_report(&mut self, now: Time) {
         self.heard = Some(now);
-        self.told(now);
+        self.record_relayed_report(now);
     }
 
     /// Notes that an instance heard of one that is overloaded.
-    pub fn told(&mut self, now: Time) {
+    pub fn record_relayed_report(&mut self, now: Time) {
         self.until = Some(now + HOLD);
     }
 
     /// Whether others are to be told that an instance of the data centre is overloaded.
-    pub fn is_near(&self, now: Time) -> bool {
+    pub fn is_reported(&self, now: Time) -> bool {
         self.heard.is_some_and(|at| now.since(at) < RELAY_AGE)
     }
 
     /// Whether callers are to be told of all instances.
-    pub fn spreads(&self, now: Time) -> bool {
+    pub fn lists_all_instances(&self, now: Time) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -122,7 +122,7 @@
     }
 
     /// Replicas of `service` that take requests, by stage.
-    pub fn counts(&self, now: Time, service: &str) -> StageCounts {
+    pub fn stage_counts(&self, now: Time, service: &str) -> StageCounts {
         let count = |stage| {
             let servers = self.servers.values();
             let fitting = servers.filter(|server| {
@@ -163,47 +163,47 @@
 
     /// Brings what the runs at `key` will hold up to date, from this daemon's own `runs` and the
     /// `claims` of others.
-    pub fn foresee(&mut self, now: Time, key: Key, runs: &Runs, claims: &Claims) {
+    pub fn update_forecast(&mut self, now: Time, key: Key, runs: &Runs, claims: &Claims) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
-        server.expect(claims.others(now, server.hash));
+        server.expect(claims.peer_usage(now, server.hash));
         for (id, entry) in runs.iter().filter(|(_, entry)| entry.server == key) {
-            server.add_run(&runs.curve(now, id), entry.is_read());
+            server.add_run(&runs.curve(now, id), entry.is_prefilling());
         }
     }
 
     /// The same for all replicas that make tokens.
-    pub fn foresee_all(&mut self, now: Time, runs: &Runs, claims: &Claims) {
-        self.take_readings(now, claims);
-        let told = claims.all_others(now);
+    pub fn update_all_forecasts(&mut self, now: Time, runs: &Runs, claims: &Claims) {
+        self.update_pending_prefills(now, claims);
+        let told = claims.all_peer_usage(now);
         for server in self.servers.values_mut() {
             let others = told.get(&server.hash);
             server.expect(others.copied().unwrap_or_default());
         }
         for (id, entry) in runs.iter() {
             if let Some(server) = self.servers.get_mut(entry.server) {
-                server.add_run(&runs.curve(now, id), entry.is_read());
+                server.add_run(&runs.curve(now, id), entry.is_prefilling());
             }
         }
     }
 
     /// Notes that another replica answered at the address of `key`.
-    pub fn replaced(&mut self, key: Key) {
+    pub fn mark_replaced(&mut self, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.replaced = true;
         }
     }
 
     /// Notes that a request of `tokens` is sent to `key`.
-    pub fn begin(&mut self, key: Key, tokens: u64) {
+    pub fn start_request(&mut self, key: Key, tokens: u64) {
         if let Some(server) = self.servers.get_mut(key) {
             server.begin(tokens);
         }
     }
 
     /// Notes that a request of `tokens` sent to `key` is over there.
-    pub fn end(&mut self, key: Key, tokens: u64) {
+    pub fn end_request(&mut self, key: Key, tokens: u64) {
         if let Some(server) = self.servers.get_mut(key) {
             server.end(tokens);
         }
@@ -239,7 +239,7 @@
     }
 
     /// Notes whether a send to `key` failed.
-    pub fn note(&mut self, now: Time, key: Key, failed: bool) {
+    pub fn record_result(&mut self, now: Time, key: Key, failed: bool) {
         if let Some(server) = self.servers.get_mut(key) {
             server.note(now, failed);
         }
@@ -247,28 +247,28 @@
 
     /// Notes that `key` took `took` for `units` of work; units are alike for all replicas of one
     /// stage of a service.
-    pub fn note_pace(&mut self, now: Time, key: Key, took: Duration, units: f64) {
+    pub fn record_work(&mut self, now: Time, key: Key, took: Duration, units: f64) {
         if let Some(server) = self.servers.get_mut(key) {
             server.note_pace(now, took.as_secs_f64() / units.max(1.0));
         }
     }
 
     /// Notes that `key` had no room.
-    pub fn full(&mut self, now: Time, key: Key) {
+    pub fn record_full(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.note_full(now);
         }
     }
 
     /// Notes that `key` had room.
-    pub fn roomy(&mut self, now: Time, key: Key) {
+    pub fn record_room(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.note_room(now);
         }
     }
 
     /// Takes the load that `key` told.
-    pub fn told(&mut self, now: Time, key: Key, load: Load) {
+    pub fn record_load(&mut self, now: Time, key: Key, load: Load) {
         if let Some(server) = self.servers.get_mut(key) {
             server.told(now, load);
         }
--- a/crates/relay/src/pool/incarnation.rs
+++ b/crates/relay/src/pool/incarnation.rs
@@ -34,7 +34,7 @@
 
     /// Notes that the replica behind `key` told `birth` in an answer; the changes if that is a later
     /// incarnation than the one that is listed.
-    pub fn answered(&mut self, now: Time, key: Key, birth: Option<Birth>) -> Vec<StateChange> {
+    pub fn update_birth(&mut self, now: Time, key: Key, birth: Option<Birth>) -> Vec<StateChange> {
         let mut changes = Vec::new();
         let Some(server) = self.servers.get(key) else {
             return changes;
@@ -43,7 +43,7 @@
             birth,
             ..server.replica.clone()
         };
-        if replica.compare(server.replica.birth) == Ordering::Greater {
+        if replica.compare_incarnation(server.replica.birth) == Ordering::Greater {
             self.digest.set(None);
             self.restart(now, key, &replica, &mut changes);
         }
@@ -58,7 +58,7 @@
 
     /// Hash of the incarnation behind `key` if it would be missed: `None` if it is leaving, or left the list, by
     /// plan.
-    pub fn missed(&self, key: Key) -> Option<u64> {
+    pub fn unplanned_loss(&self, key: Key) -> Option<u64> {
         match self.servers.get(key) {
             Some(server) => (!server.replica.draining).then_some(server.hash),
             None => self.restarted.get(key).copied(),
--- a/crates/relay/src/pool/list.rs
+++ b/crates/relay/src/pool/list.rs
@@ -26,9 +26,9 @@
     /// What a peer is told whose list is of the version `since` and has the hash `digest`; `None` if
     /// there is nothing to tell. Where lists of one version differ, a peer that is told nothing would
     /// go on with its own until the next change.
-    pub fn newer(&self, now: Time, since: u64, digest: u64) -> Option<Update> {
+    pub fn update_for_peer(&self, now: Time, since: u64, digest: u64) -> Option<Update> {
         match self.version {
-            version if version > since => Some(self.update(now, since)),
+            version if version > since => Some(self.update_since(now, since)),
             version if version == since && digest != self.digest() => {
                 Some(Update::All(self.snapshot(now)))
             }
@@ -37,7 +37,7 @@
     }
 
     /// What a peer is told whose list is of the version `since`: what changed, if that is known.
-    pub fn update(&self, now: Time, since: u64) -> Update {
+    pub fn update_since(&self, now: Time, since: u64) -> Update {
         if since < self.gone.since {
             return Update::All(self.snapshot(now));
         }
@@ -80,7 +80,12 @@
 
     /// Takes news; `None` if they are older than what was taken before, or change a version that is
     /// not reached yet.
-    pub fn take(&mut self, now: Time, source: Source, update: &Update) -> Option<Vec<StateChange>> {
+    pub fn apply_update(
+        &mut self,
+        now: Time,
+        source: Source,
+        update: &Update,
+    ) -> Option<Vec<StateChange>> {
         match update {
             Update::All(snapshot) => self.take_snapshot(now, source, snapshot),
             Update::Changed(delta) => self.take_delta(now, source, delta),
@@ -175,7 +180,12 @@
             ReplicaState::Ready
         };
         let known = self.by_id.get(&replica.id).copied();
-        let known = known.map(|key| (key, replica.compare(self.servers[key].replica.birth)));
+        let known = known.map(|key| {
+            (
+                key,
+                replica.compare_incarnation(self.servers[key].replica.birth),
+            )
+        });
         match known {
             // An entry of an earlier incarnation that came late.
             Some((_, Ordering::Less)) => return,
@@ -236,7 +246,7 @@
             None => self.insert(now, &lapsing.replica),
         };
         let server = &mut self.servers[key];
-        let is_same = lapsing.replica.compare(server.replica.birth) == Ordering::Equal;
+        let is_same = lapsing.replica.compare_incarnation(server.replica.birth) == Ordering::Equal;
         if is_same && server.lapses.is_none() {
             server.lapses = Some(now + lapsing.left);
             changes.push(StateChange {
--- a/crates/relay/src/pool/reads.rs
+++ b/crates/relay/src/pool/reads.rs
@@ -23,12 +23,12 @@
 
 impl Pool {
     /// Tokens that `key` is to read, as far as is known.
-    pub fn queued(&self, key: Key) -> u64 {
+    pub fn queued_tokens(&self, key: Key) -> u64 {
         self.servers.get(key).map_or(0, Server::queued)
     }
 
     /// Notes that `key` took `took` to read `tokens`, those that waited before them included.
-    pub fn note_read(&mut self, now: Time, key: Key, took: Duration, tokens: u64) {
+    pub fn record_prefill(&mut self, now: Time, key: Key, took: Duration, tokens: u64) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
@@ -41,7 +41,7 @@
 
     /// Time that `key` will take to read a prompt of `tokens`, by what it is to read before; `None` if
     /// no prompt was read yet.
-    pub fn read_time(&self, now: Time, key: Key, tokens: u64) -> Option<Duration> {
+    pub fn estimate_prefill_time(&self, now: Time, key: Key, tokens: u64) -> Option<Duration> {
         let server = self.servers.get(key)?;
         let usual = self.read_paces.get(&server.replica.service).copied();
         let pace = server.read_pace(now).or(usual)?;
@@ -51,8 +51,8 @@
     }
 
     /// Takes what other daemons have sent to be read.
-    pub fn take_readings(&mut self, now: Time, claims: &Claims) {
-        let unread = claims.unread(now);
+    pub fn update_pending_prefills(&mut self, now: Time, claims: &Claims) {
+        let unread = claims.pending_prefills(now);
         let told = |hash| {
             unread
                 .as_ref()
@@ -66,7 +66,7 @@
     }
 
     /// What this daemon has sent to be read, by replica.
-    pub fn readings(&self) -> impl Iterator<Item = PrefillBacklog> + '_ {
+    pub fn prefill_backlogs(&self) -> impl Iterator<Item = PrefillBacklog> + '_ {
         let servers = self.servers.values();
         let reading = servers
             .filter(|server| server.replica.stage == Some(Stage::Prefill) && server.tokens > 0);
@@ -78,18 +78,26 @@
 
     /// Whether `decode` may read a prompt itself. A decode replica makes next to no tokens while it reads,
     /// so each read is a pause in all of its streams; two in a row are a long one.
-    pub fn may_read(&self, decode: Key) -> bool {
+    pub fn may_prefill(&self, decode: Key) -> bool {
         let server = self.servers.get(decode);
         server.is_none_or(|server| server.reads == 0 || server.known_runs <= 1)
     }
 
     /// Part of the prompts of `tokens` that a decode replica is to read itself, since the prefill replica
     /// `key` takes long against `objective`.
-    pub fn own_reads(&self, now: Time, key: Key, tokens: u64, objective: Duration) -> f64 {
+    pub fn decode_prefill_share(
+        &self,
+        now: Time,
+        key: Key,
+        tokens: u64,
+        objective: Duration,
+    ) -> f64 {
         let Some(server) = self.servers.get(key) else {
             return 0.0;
         };
-        let read = self.read_time(now, key, tokens).unwrap_or_default();
+        let read = self
+            .estimate_prefill_time(now, key, tokens)
+            .unwrap_or_default();
         let part = read.as_secs_f64() / objective.as_secs_f64().max(f64::EPSILON);
         let slow = (part - SLOW_FROM) / (SLOW_TO - SLOW_FROM);
         slow.max(server.failure_share(now))
--- a/crates/relay/src/pool/silence.rs
+++ b/crates/relay/src/pool/silence.rs
@@ -21,7 +21,7 @@
     }
 
     /// Takes from another daemon which replicas do not answer it.
-    pub fn hear_silent(&mut self, now: Time, silent: &[u64]) {
+    pub fn apply_silent_report(&mut self, now: Time, silent: &[u64]) {
         for server in self.servers.values_mut() {
             if silent.contains(&server.hash) {
                 server.hear_silent(now);
@@ -30,7 +30,7 @@
     }
 
     /// Notes that `key` did not answer a question.
-    pub fn silent(&mut self, now: Time, key: Key) {
+    pub fn record_no_answer(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.note_silent(now);
         }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -210,7 +210,7 @@
     pub fn note_end(&mut self, now: UnixMs, fingerprint: Fingerprint, replica: u64) -> Change {
         let mut record = Record::new(fingerprint);
         record.ends.push(End { replica, at: now });
-        self.take(now, &record)
+        self.merge(now, &record)
     }
 
     /// Notes that `fingerprint` was served; gives its record as it was, if ends were put down to it.
@@ -224,12 +224,12 @@
         }
         let record = self.records.get(&fingerprint);
         let known = record.filter(|record| !record.ends.is_empty()).cloned()?;
-        self.take(now, &Record::served(fingerprint, now));
+        self.merge(now, &Record::served(fingerprint, now));
         Some(known)
     }
 
     /// Takes what another daemon, or the store, told.
-    pub fn take(&mut self, now: UnixMs, told: &Record) -> Change {
+    pub fn merge(&mut self, now: UnixMs, told: &Record) -> Change {
         if told.expires() <= now {
             return Change::None;
         }
@@ -253,7 +253,7 @@
     }
 
     /// Forgets the records whose time is over.
-    pub fn sweep(&mut self, now: UnixMs) {
+    pub fn remove_expired(&mut self, now: UnixMs) {
         let records = self.records.values();
         let over: Vec<Record> = records.filter(|r| r.expires() <= now).cloned().collect();
         for record in over {
--- a/crates/relay/src/replica.rs
+++ b/crates/relay/src/replica.rs
@@ -119,7 +119,7 @@
 impl Replica {
     /// How this incarnation stands to `known`, one of the same id. What does not tell its birth is taken
     /// for the same one.
-    pub fn compare(&self, known: Option<Birth>) -> Ordering {
+    pub fn compare_incarnation(&self, known: Option<Birth>) -> Ordering {
         match (self.birth, known) {
             (Some(told), Some(known)) => told.cmp(&known),
             _ => Ordering::Equal,
--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -33,9 +33,9 @@
     /// Tokens that the caller expects.
     pub estimate: u64,
     /// Tokens that may be made at most.
-    pub most: u64,
+    pub max_tokens: u64,
     /// Tokens that were made before, at another replica.
-    pub made: u64,
+    pub generated: u64,
 }
 
 /// One run of this daemon.
@@ -85,7 +85,7 @@
     }
 
     /// Whether its replica reads its prompt.
-    pub const fn is_read(&self) -> bool {
+    pub const fn is_prefilling(&self) -> bool {
         self.reads
     }
 
@@ -111,7 +111,7 @@
             service: service.to_owned(),
             server,
             size,
-            made: size.made as f64,
+            made: size.generated as f64,
             started: None,
             reads: false,
             settled: None,
@@ -119,14 +119,14 @@
     }
 
     /// Notes that the replica of `id` reads its prompt.
-    pub fn reads(&mut self, id: RunId) {
+    pub fn mark_prefilling(&mut self, id: RunId) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.reads = true;
         }
     }
 
     /// Notes that `tokens` came.
-    pub fn made(&mut self, now: Time, id: RunId, tokens: u64) {
+    pub fn record_tokens(&mut self, now: Time, id: RunId, tokens: u64) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.made += tokens as f64;
             entry.reads = false;
@@ -137,7 +137,7 @@
     }
 
     /// Notes that the run goes on at `server`.
-    pub fn moved(&mut self, id: RunId, server: Key) {
+    pub fn record_move(&mut self, id: RunId, server: Key) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.server = server;
             entry.started = None;
@@ -145,21 +145,21 @@
     }
 
     /// Leaves the run where it is until `until`.
-    pub fn settle(&mut self, id: RunId, until: Time) {
+    pub fn block_moves(&mut self, id: RunId, until: Time) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.settled = Some(until);
         }
     }
 
     /// Notes that the replica of `id` did not move it, or may not have: no run leaves it until `until`.
-    pub fn keep(&mut self, id: RunId, until: Time) {
+    pub fn block_moves_from_replica(&mut self, id: RunId, until: Time) {
         if let Some(entry) = self.entries.get(id) {
             self.unmoved.insert(entry.server, until);
         }
     }
 
     /// Whether runs may leave `server` at `now`.
-    pub fn may_leave(&self, now: Time, server: Key) -> bool {
+    pub fn may_move_from(&self, now: Time, server: Key) -> bool {
         self.unmoved.get(server).is_none_or(|until| *until <= now)
     }
 
@@ -174,7 +174,7 @@
         if !complete || entry.made <= 0.0 {
             return;
         }
-        learnt.length.note(entry.made, entry.size.estimate as f64);
+        learnt.length.record(entry.made, entry.size.estimate as f64);
         if let Some(pace) = entry.pace(now) {
             let mean = learnt.pace.unwrap_or(pace);
             learnt.pace = Some(mean + PACE_STEP * (pace - mean));
@@ -192,21 +192,21 @@
     }
 
     /// Tokens that `id` holds now.
-    pub fn held(&self, id: RunId) -> u64 {
+    pub fn held_tokens(&self, id: RunId) -> u64 {
         let entry = self.entries.get(id);
         entry.map_or(0, |entry| entry.size.prompt + entry.made as u64)
     }
 
     /// Tokens that `id` has made.
-    pub fn made_by(&self, id: RunId) -> u64 {
+    pub fn generated_tokens(&self, id: RunId) -> u64 {
         self.entries.get(id).map_or(0, |entry| entry.made as u64)
     }
 
     /// What a run of `size` of `service` will hold, if it begins now.
-    pub fn ask(&self, service: &str, size: Size) -> Curve {
+    pub fn forecast(&self, service: &str, size: Size) -> Curve {
         let learnt = self.learnt.get(service);
         let pace = learnt.and_then(|learnt| learnt.pace);
-        let run = run(size, size.made as f64, pace);
+        let run = run(size, size.generated as f64, pace);
         match learnt {
             Some(learnt) => run.curve(&learnt.length),
             None => run.curve(&LengthDistribution::new()),
@@ -238,18 +238,18 @@
         let newest_ms = newest.map_or(u16::MAX, |at| {
             now.since(at).as_millis().min(u128::from(u16::MAX - 1)) as u16
         });
-        let reads = here().filter(|(_, run)| run.is_read()).count() as u16;
+        let reads = here().filter(|(_, run)| run.is_prefilling()).count() as u16;
         Some(Claim::new(hash, count, reads, newest_ms, &curve))
     }
 }
 
-fn run(size: Size, made: f64, pace: Option<f64>) -> Run {
+fn run(size: Size, generated: f64, pace: Option<f64>) -> Run {
     let estimate = size.estimate.max(1) as f64;
     Run {
         prompt: size.prompt as f64,
-        made,
+        generated,
         estimate,
-        most: size.most as f64,
-        pace: pace.unwrap_or(estimate / USUAL_ANSWER).max(1.0),
+        max_tokens: size.max_tokens as f64,
+        tokens_per_s: pace.unwrap_or(estimate / USUAL_ANSWER).max(1.0),
     }
 }
--- a/crates/relay/src/score.rs
+++ b/crates/relay/src/score.rs
@@ -43,9 +43,9 @@
     /// Replicas that it was sent to before.
     pub tried: &'a [Key],
     /// Data centre of this daemon.
-    pub near: Zone,
+    pub data_centre: Zone,
     /// What it asks of the memory of a decode replica, if that is to be looked at.
-    pub ask: Option<MemoryDemand>,
+    pub demand: Option<MemoryDemand>,
 }
 
 impl Criteria<'_> {
@@ -60,7 +60,7 @@
 
     /// Whether `server`, whose engine holds `memory` tokens if that is known, has room.
     pub(crate) fn has_room(&self, now: Time, server: &Server, memory: Option<u64>) -> bool {
-        match (self.ask, memory) {
+        match (self.demand, memory) {
             (Some(ask), Some(memory)) => ask.fits(now, server, memory),
             _ => true,
         }
@@ -87,7 +87,7 @@
 
 /// What speaks against a replica besides its load and its pace.
 fn against(now: Time, want: &Criteria<'_>, server: &Server) -> f64 {
-    let near = server.replica.data_centre == want.near;
+    let near = server.replica.data_centre == want.data_centre;
     let distance = if near { 0.0 } else { DISTANCE };
     let cold = if server.replica.cold { COLD } else { 0.0 };
     let full = match server.refusals(now) {
@@ -123,7 +123,7 @@
     let slots = f64::from(server.replica.slots.max(1));
     let load = server.load(now);
     let queued = server.unread.map(|_| server.queued() as f64 / USUAL_TOKENS);
-    match (server.replica.stage, memory, want.ask) {
+    match (server.replica.stage, memory, want.demand) {
         (Some(Stage::Prefill), ..) => queued.unwrap_or(load),
         (Some(Stage::Decode), Some(memory), Some(ask)) => ask.used(now, server, memory),
         (Some(Stage::Decode), Some(memory), None) => {
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -106,7 +106,7 @@
 impl Server {
     pub(crate) fn new(replica: Replica, changed: u64, now: Time) -> Self {
         Self {
-            hash: claims::hash(&replica.id, replica.birth),
+            hash: claims::incarnation_hash(&replica.id, replica.birth),
             replica,
             changed,
             in_flight: 0,
@@ -150,7 +150,7 @@
         self.forecast = others.curve;
         self.told_runs = others.runs;
         self.known_runs = others.runs;
-        self.reads = others.reads;
+        self.reads = others.prefills;
     }
 
     /// Adds a run of this daemon; `is_read` if the replica reads its prompt.
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -66,7 +66,7 @@
     /// The part of a replica's memory that has to be free, beside that of its terms, if the prompt will be
     /// read after `read` by a prefill replica: none if that is soon enough. `age` is the time since the
     /// request came.
-    pub fn idle_part(self, objective: Duration, age: Duration, read: Duration) -> f64 {
+    pub fn required_idle_share(self, objective: Duration, age: Duration, read: Duration) -> f64 {
         let timely = match self {
             Self::New => age + read <= objective.mul_f64(READ_BY),
             Self::Returned => read <= objective.mul_f64(LATE_READ),
@@ -92,7 +92,7 @@
     }
 
     /// Notes a caller's limit; the time that it seems to have waited before.
-    pub fn waited(&mut self, limit: Duration) -> Duration {
+    pub fn estimate_waited(&mut self, limit: Duration) -> Duration {
         self.limits.push_back(limit);
         if self.limits.len() > REMEMBERED {
             self.limits.pop_front();
--- a/crates/relay/tests/admission.rs
+++ b/crates/relay/tests/admission.rs
@@ -16,8 +16,8 @@
 const SIZE: Size = Size {
     prompt: 5_000,
     estimate: 4_000,
-    most: 8_000,
-    made: 0,
+    max_tokens: 8_000,
+    generated: 0,
 };
 
 fn pool(memory: u64) -> Pool {
@@ -39,7 +39,7 @@
     let mut count = 0;
     loop {
         let ask = MemoryDemand {
-            curve: runs.ask("llm", SIZE),
+            curve: runs.forecast("llm", SIZE),
             spreads,
             spare,
         };
@@ -47,7 +47,7 @@
             return count;
         };
         runs.begin("llm", key, SIZE);
-        pool.foresee(NOW, key, &runs, &Claims::new());
+        pool.update_forecast(NOW, key, &runs, &Claims::new());
         count += 1;
     }
 }
@@ -76,7 +76,7 @@
     let mut pool = pool(30_000);
     let key = choose(&pool, None).unwrap();
     let ask = MemoryDemand {
-        curve: Runs::new().ask("llm", SIZE),
+        curve: Runs::new().forecast("llm", SIZE),
         spreads: 0.0,
         spare: 0.0,
     };
@@ -85,6 +85,6 @@
         running: 6,
         waiting: 0,
     };
-    pool.told(NOW, key, load);
+    pool.record_load(NOW, key, load);
     assert!(choose(&pool, Some(ask)).is_none());
 }
--- a/crates/relay/tests/attempt.rs
+++ b/crates/relay/tests/attempt.rs
@@ -36,35 +36,38 @@
     #[case] expected: Next,
 ) {
     let mut attempt = Attempt::new(mode, max_runs);
-    attempt.sent();
-    assert_eq!(attempt.after(outcome, || budget), expected);
+    attempt.record_send();
+    assert_eq!(attempt.next_step(outcome, || budget), expected);
 }
 
 #[test]
 fn a_request_that_may_have_run_stays_so_when_the_next_replica_refuses() {
     let mut attempt = Attempt::new(Mode::Idempotent, 2);
-    attempt.sent();
-    assert_eq!(attempt.after(Outcome::Lost, || true), Next::Retry);
-    attempt.sent();
-    assert_eq!(attempt.after(Outcome::NotRun, || false), Next::Unknown);
+    attempt.record_send();
+    assert_eq!(attempt.next_step(Outcome::Lost, || true), Next::Retry);
+    attempt.record_send();
+    assert_eq!(attempt.next_step(Outcome::NotRun, || false), Next::Unknown);
 }
 
 #[test]
 fn a_request_that_has_run_and_is_held_is_not_refused() {
     let mut attempt = Attempt::new(Mode::Idempotent, 3);
-    attempt.sent();
-    assert_eq!(attempt.after(Outcome::Lost, || true), Next::Retry);
-    attempt.sent();
-    assert_eq!(attempt.after(Outcome::Quarantined, || true), Next::Unknown);
+    attempt.record_send();
+    assert_eq!(attempt.next_step(Outcome::Lost, || true), Next::Retry);
+    attempt.record_send();
+    assert_eq!(
+        attempt.next_step(Outcome::Quarantined, || true),
+        Next::Unknown
+    );
 }
 
 #[test]
 fn no_more_replicas_run_it_than_the_route_allows() {
     let mut attempt = Attempt::new(Mode::Idempotent, 2);
-    attempt.sent();
-    attempt.after(Outcome::Lost, || true);
-    attempt.sent();
-    assert_eq!(attempt.after(Outcome::Lost, || true), Next::Unknown);
+    attempt.record_send();
+    attempt.next_step(Outcome::Lost, || true);
+    attempt.record_send();
+    assert_eq!(attempt.next_step(Outcome::Lost, || true), Next::Unknown);
 }
 
 #[test]
@@ -72,9 +75,9 @@
     let mut attempt = Attempt::new(Mode::Once, 1);
     let mut sends = 0;
     loop {
-        attempt.sent();
+        attempt.record_send();
         sends += 1;
-        if attempt.after(Outcome::NotSent, || true) == Next::Refuse {
+        if attempt.next_step(Outcome::NotSent, || true) == Next::Refuse {
             break;
         }
     }
@@ -93,9 +96,9 @@
     #[case] expected: bool,
 ) {
     let mut attempt = Attempt::new(mode, max_runs);
-    attempt.sent();
-    assert_eq!(attempt.may_move_on(), expected);
-    attempt.after(Outcome::Lost, || true);
-    attempt.sent();
-    assert!(!attempt.may_move_on());
+    attempt.record_send();
+    assert_eq!(attempt.may_fail_over(), expected);
+    attempt.next_step(Outcome::Lost, || true);
+    attempt.record_send();
+    assert!(!attempt.may_fail_over());
 }
--- a/crates/relay/tests/balance.rs
+++ b/crates/relay/tests/balance.rs
@@ -6,7 +6,7 @@
 use relay::balance::Rebalance;
 use relay::balance::StageBalancer;
 use relay::balance::StageCounts;
-use relay::balance::wanted;
+use relay::balance::target_prefill;
 use relay::replica::Stage;
 use rstest::rstest;
 
@@ -38,7 +38,7 @@
 #[case(60, 12)]
 #[case(140, 24)]
 fn the_part_that_reads_prompts(#[case] total: usize, #[case] prefill: usize) {
-    assert_eq!(wanted(total, SHARE), prefill);
+    assert_eq!(target_prefill(total, SHARE), prefill);
 }
 
 #[rstest]
@@ -67,7 +67,7 @@
 fn a_change_is_followed_by_a_pause() {
     let mut balance = StageBalancer::new(CHANGE);
     balance.due(START, counts(40, 20), SHARE);
-    balance.ordered(after(2_000));
+    balance.order_sent(after(2_000));
     for ms in (2_000..11_000).step_by(500) {
         assert_eq!(balance.due(after(ms), counts(40, 20), SHARE), None, "{ms}");
     }
--- a/crates/relay/tests/birth.rs
+++ b/crates/relay/tests/birth.rs
@@ -32,8 +32,8 @@
 const SIZE: Size = Size {
     prompt: 5_000,
     estimate: 400,
-    most: 1_000,
-    made: 0,
+    max_tokens: 1_000,
+    generated: 0,
 };
 
 fn replica(birth: Option<u64>, stage: Stage) -> Replica {
@@ -119,7 +119,7 @@
     };
     pool.apply_delta(NOW, &delta).unwrap();
     let later = NOW + Duration::from_secs(1);
-    assert!(pool.counts(later, "llm").decode == 1);
+    assert!(pool.stage_counts(later, "llm").decode == 1);
 }
 
 #[test]
@@ -127,9 +127,9 @@
     let mut told = pool(Some(FIRST));
     let mut teller = pool(Some(FIRST));
     list(&mut teller, 2, Some(SECOND));
-    let update = teller.newer(NOW, 1, told.digest()).unwrap();
+    let update = teller.update_for_peer(NOW, 1, told.digest()).unwrap();
     assert!(matches!(update, Update::Changed(_)));
-    told.take(NOW, Source::Peer, &update).unwrap();
+    told.apply_update(NOW, Source::Peer, &update).unwrap();
     assert_eq!(birth(&told), Some(SECOND));
     assert_eq!(told.digest(), teller.digest());
 }
@@ -154,17 +154,20 @@
 fn an_answer_tells_of_a_new_incarnation_before_the_list_does() {
     let mut pool = pool(Some(FIRST));
     let first = key(&pool).unwrap();
-    assert!(pool.answered(NOW, first, Some(Birth(FIRST))).is_empty());
-    assert!(pool.answered(NOW, first, None).is_empty());
-    let changes = pool.answered(NOW, first, Some(Birth(SECOND)));
+    assert!(pool.update_birth(NOW, first, Some(Birth(FIRST))).is_empty());
+    assert!(pool.update_birth(NOW, first, None).is_empty());
+    let changes = pool.update_birth(NOW, first, Some(Birth(SECOND)));
     assert_eq!(changes[0].now, ReplicaState::Restarted);
     // The list still names the earlier one.
     assert!(list(&mut pool, 2, Some(FIRST)).is_empty());
     assert_eq!(birth(&pool), Some(SECOND));
     // An answer of the earlier one that comes late.
     let second = key(&pool).unwrap();
-    assert!(pool.answered(NOW, second, Some(Birth(FIRST))).is_empty());
-    assert!(pool.answered(NOW, first, Some(Birth(THIRD))).is_empty());
+    assert!(
+        pool.update_birth(NOW, second, Some(Birth(FIRST)))
+            .is_empty()
+    );
+    assert!(pool.update_birth(NOW, first, Some(Birth(THIRD))).is_empty());
 }
 
 #[test]
@@ -173,15 +176,15 @@
     let mut runs = Runs::new();
     let mut claims = Claims::new();
     runs.begin("llm", key(&pool).unwrap(), SIZE);
-    let hash = claims::hash("i-1", Some(Birth(FIRST)));
+    let hash = claims::incarnation_hash("i-1", Some(Birth(FIRST)));
     let claim = Claim::new(hash, 3, 0, 10, &Curve::flat(20_000.0));
-    claims.take(NOW, Instance(7), ClaimUpdate::all(vec![claim]));
-    pool.foresee_all(NOW, &runs, &claims);
+    claims.apply(NOW, Instance(7), ClaimUpdate::all(vec![claim]));
+    pool.update_all_forecasts(NOW, &runs, &claims);
     list(&mut pool, 2, Some(SECOND));
-    pool.foresee_all(NOW, &runs, &claims);
-    let new = claims::hash("i-1", Some(Birth(SECOND)));
-    assert_eq!(claims.others(NOW, new).runs, 0);
-    assert_eq!(claims.others(NOW, hash).runs, 3);
+    pool.update_all_forecasts(NOW, &runs, &claims);
+    let new = claims::incarnation_hash("i-1", Some(Birth(SECOND)));
+    assert_eq!(claims.peer_usage(NOW, new).runs, 0);
+    assert_eq!(claims.peer_usage(NOW, hash).runs, 3);
     let second = key(&pool).unwrap();
     assert!(runs.iter().all(|(_, run)| run.server != second));
 }
@@ -191,9 +194,9 @@
     let mut pool = pool(Some(FIRST));
     let first = key(&pool).unwrap();
     for _ in 0..9 {
-        pool.note(NOW, first, true);
+        pool.record_result(NOW, first, true);
     }
-    pool.replaced(first);
+    pool.mark_replaced(first);
     assert_eq!(key(&pool), None);
     list(&mut pool, 2, Some(SECOND));
     let second = key(&pool).unwrap();
@@ -205,7 +208,7 @@
 #[test]
 fn a_replica_that_refused_is_used_again_once_its_entry_changes() {
     let mut pool = pool(None);
-    pool.replaced(key(&pool).unwrap());
+    pool.mark_replaced(key(&pool).unwrap());
     assert_eq!(key(&pool), None);
     list(&mut pool, 2, None);
     assert_eq!(key(&pool), None, "nothing changed");
--- a/crates/relay/tests/budget.rs
+++ b/crates/relay/tests/budget.rs
@@ -26,7 +26,7 @@
         for _ in 0..daemons {
             let mut budget = RetryBudget::new();
             for _ in 0..20 {
-                budget.request(Time::ZERO, &RULE);
+                budget.record_request(Time::ZERO, &RULE);
                 requests += 1.0;
             }
             sum += taken(&mut budget, Time::ZERO, daemons) as f64;
--- a/crates/relay/tests/claim_publisher.rs
+++ b/crates/relay/tests/claim_publisher.rs
@@ -20,8 +20,8 @@
 const SIZE: Size = Size {
     prompt: 5_000,
     estimate: 400,
-    most: 1_000,
-    made: 0,
+    max_tokens: 1_000,
+    generated: 0,
 };
 /// Replicas, with a run each at the start.
 const REPLICAS: usize = 70;
@@ -132,8 +132,8 @@
             world.begin(2);
         }
         let told = world.due(ms).unwrap();
-        claims.take(START, Instance(1), told);
+        claims.apply(START, Instance(1), told);
     }
-    let runs = |replica| claims.others(START, world.hash(replica)).runs;
+    let runs = |replica| claims.peer_usage(START, world.hash(replica)).runs;
     assert_eq!([runs(0), runs(1), runs(2)], [0, 1, 1]);
 }
--- a/crates/relay/tests/claims.rs
+++ b/crates/relay/tests/claims.rs
@@ -15,7 +15,7 @@
 const HERE: &str = "i-1";
 
 fn here() -> u64 {
-    claims::hash(HERE, None)
+    claims::incarnation_hash(HERE, None)
 }
 
 fn peer(number: u64) -> Instance {
@@ -24,7 +24,7 @@
 
 fn claim(id: &str, runs: u16, newest_ms: u16, tokens: f64) -> Claim {
     Claim::new(
-        claims::hash(id, None),
+        claims::incarnation_hash(id, None),
         runs,
         0,
         newest_ms,
@@ -39,12 +39,12 @@
 #[test]
 fn claims_of_all_peers_add_up_by_replica() {
     let mut claims = Claims::new();
-    claims.take(
+    claims.apply(
         START,
         peer(1),
         ClaimUpdate::all(vec![claim(HERE, 2, 500, 16_000.0)]),
     );
-    claims.take(
+    claims.apply(
         START,
         peer(2),
         ClaimUpdate::all(vec![
@@ -52,7 +52,7 @@
             claim("i-2", 1, 1, 8_000.0),
         ]),
     );
-    let others = claims.others(START, here());
+    let others = claims.peer_usage(START, here());
     assert_eq!(others.runs, 3);
     assert!((others.curve.peak(0.0) - 24_000.0).abs() < 32.0);
     assert_eq!(others.newest, Some(Duration::from_millis(300)));
@@ -61,51 +61,51 @@
 #[test]
 fn a_newer_claim_replaces_the_older_one() {
     let mut claims = Claims::new();
-    claims.take(
+    claims.apply(
         START,
         peer(1),
         ClaimUpdate::all(vec![claim(HERE, 2, 500, 16_000.0)]),
     );
-    claims.take(after(100), peer(1), ClaimUpdate::all(Vec::new()));
-    assert_eq!(claims.others(after(100), here()).runs, 0);
-    assert_eq!(claims.active().count(), 0);
+    claims.apply(after(100), peer(1), ClaimUpdate::all(Vec::new()));
+    assert_eq!(claims.peer_usage(after(100), here()).runs, 0);
+    assert_eq!(claims.active_peers().count(), 0);
 }
 
 #[test]
 fn claims_of_a_silent_peer_end() {
     let mut claims = Claims::new();
-    claims.take(
+    claims.apply(
         START,
         peer(1),
         ClaimUpdate::all(vec![claim(HERE, 2, 500, 16_000.0)]),
     );
-    assert_eq!(claims.others(after(1_000), here()).runs, 2);
-    assert_eq!(claims.others(after(1_300), here()).runs, 0);
-    claims.sweep(after(1_300));
-    assert_eq!(claims.active().count(), 0);
+    assert_eq!(claims.peer_usage(after(1_000), here()).runs, 2);
+    assert_eq!(claims.peer_usage(after(1_300), here()).runs, 0);
+    claims.remove_expired(after(1_300));
+    assert_eq!(claims.active_peers().count(), 0);
 }
 
 #[test]
 fn runs_grow_older_while_nothing_is_told() {
     let mut claims = Claims::new();
-    claims.take(
+    claims.apply(
         START,
         peer(1),
         ClaimUpdate::all(vec![claim(HERE, 1, 300, 8_000.0)]),
     );
-    let newest = claims.others(after(200), here()).newest;
+    let newest = claims.peer_usage(after(200), here()).newest;
     assert_eq!(newest, Some(Duration::from_millis(500)));
 }
 
 #[test]
 fn a_run_that_makes_no_tokens_yet_is_not_the_newest() {
     let mut claims = Claims::new();
-    claims.take(
+    claims.apply(
         START,
         peer(1),
         ClaimUpdate::all(vec![claim(HERE, 1, u16::MAX, 8_000.0)]),
     );
-    assert_eq!(claims.others(START, here()).newest, None);
+    assert_eq!(claims.peer_usage(START, here()).newest, None);
 }
 
 #[rstest]
@@ -114,12 +114,12 @@
 #[case(1e9)]
 fn figures_of_any_size_can_be_told(#[case] tokens: f64) {
     let mut claims = Claims::new();
-    claims.take(
+    claims.apply(
         START,
         peer(1),
         ClaimUpdate::all(vec![claim(HERE, 1, 0, tokens)]),
     );
-    let told = claims.others(START, here()).curve.peak(0.0);
+    let told = claims.peer_usage(START, here()).curve.peak(0.0);
     assert!(told <= tokens + 16.0);
     assert!(told >= tokens.min(1_000_000.0) - 16.0);
 }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -55,13 +55,13 @@
     service: &'a str,
     stage: Option<Stage>,
     tried: &'a [Key],
-    ask: Option<MemoryDemand>,
+    demand: Option<MemoryDemand>,
 ) -> Criteria<'a> {
     Criteria {
         service,
         stage,
         tried,
-        near: Zone::new("here"),
-        ask,
+        data_centre: Zone::new("here"),
+        demand,
     }
 }
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -5,7 +5,7 @@
 use ident::Zone;
 use relay::directory::Endpoint;
 use relay::directory::Scope;
-use relay::directory::answer;
+use relay::directory::select_addresses;
 
 fn entry(data_centre: &str, port: u16) -> Endpoint {
     sized(data_centre, port, 250)
@@ -20,7 +20,7 @@
 }
 
 fn ports(entries: &[Endpoint], near: Option<&str>) -> Vec<u16> {
-    let told = answer(entries, near.map(Zone::new), Scope::Large);
+    let told = select_addresses(entries, near.map(Zone::new), Scope::Large);
     told.iter().map(SocketAddr::port).collect()
 }
 
@@ -62,7 +62,7 @@
     let others = [sized("a", 1, 120), sized("a", 6, 250), sized("b", 7, 500)];
     let entries = [&large[..], &others].concat();
     assert_eq!(ports(&entries, Some("a")), [2, 3, 4, 5, 6]);
-    let all = answer(&entries, Some(Zone::new("a")), Scope::All);
+    let all = select_addresses(&entries, Some(Zone::new("a")), Scope::All);
     assert_eq!(all.len(), 6);
 }
 
--- a/crates/relay/tests/forecast.rs
+++ b/crates/relay/tests/forecast.rs
@@ -4,13 +4,13 @@
 use relay::forecast::Run;
 use relay::length::LengthDistribution;
 
-fn run(made: f64) -> Run {
+fn run(generated: f64) -> Run {
     Run {
         prompt: 5_000.0,
-        made,
+        generated,
         estimate: 4_000.0,
-        most: 8_000.0,
-        pace: 1_200.0,
+        max_tokens: 8_000.0,
+        tokens_per_s: 1_200.0,
     }
 }
 
@@ -56,7 +56,7 @@
 fn a_run_longer_than_any_before_goes_on_for_a_while() {
     let mut length = LengthDistribution::new();
     for _ in 0..2_000 {
-        length.note(2_000.0, 4_000.0);
+        length.record(2_000.0, 4_000.0);
     }
     let curve = run(7_000.0).curve(&length);
     assert!(curve.mean()[1] > 5_000.0);
@@ -66,9 +66,9 @@
 #[test]
 fn a_curve_seen_later_starts_further_on() {
     let burst = runs(10, 0.0);
-    let later = burst.later(0.3);
+    let later = burst.shifted(0.3);
     assert!((later.mean()[0] - burst.mean()[1]).abs() < 1.0);
-    let much_later = burst.later(60.0);
+    let much_later = burst.shifted(60.0);
     assert!((much_later.mean()[0] - burst.mean()[5]).abs() < 1.0);
 }
 
@@ -77,8 +77,8 @@
 fn no_more_is_asked_for_than_if_no_run_ends() {
     let small = Run {
         estimate: 400.0,
-        most: 1_000.0,
-        pace: 120.0,
+        max_tokens: 1_000.0,
+        tokens_per_s: 120.0,
         ..run(100.0)
     };
     let one = small.curve(&LengthDistribution::new());
--- a/crates/relay/tests/migration.rs
+++ b/crates/relay/tests/migration.rs
@@ -27,8 +27,8 @@
 const SIZE: Size = Size {
     prompt: 5_000,
     estimate: 4_000,
-    most: 8_000,
-    made: 0,
+    max_tokens: 8_000,
+    generated: 0,
 };
 
 struct World {
@@ -72,28 +72,29 @@
         let key = self.key(id);
         let run = self.runs.begin("llm", key, SIZE);
         self.now = self.now + Duration::from_millis(50);
-        self.runs.made(self.now, run, made);
+        self.runs.record_tokens(self.now, run, made);
         run
     }
 
     fn due(&mut self) -> Vec<Move> {
-        self.pool.foresee_all(self.now, &self.runs, &self.claims);
+        self.pool
+            .update_all_forecasts(self.now, &self.runs, &self.claims);
         let pool = &self.pool;
-        migration::due(self.now, pool, &self.runs, &self.claims, |_, from, ask| {
+        migration::due_moves(self.now, pool, &self.runs, &self.claims, |_, from, ask| {
             pool.choose(self.now, &Self::want(&[from], Some(ask)), || 0.0)
         })
     }
 
     fn peer_claims(&mut self, id: &str, newest_ms: u16, tokens: f64) {
         let claim = Claim::new(
-            claims::hash(id, None),
+            claims::incarnation_hash(id, None),
             1,
             0,
             newest_ms,
             &Curve::flat(tokens),
         );
         self.claims
-            .take(self.now, Instance(9), ClaimUpdate::all(vec![claim]));
+            .apply(self.now, Instance(9), ClaimUpdate::all(vec![claim]));
     }
 }
 
@@ -149,7 +150,7 @@
     }
     let first = world.due()[0].run;
     let until = world.now + Duration::from_millis(300);
-    world.runs.settle(first, until);
+    world.runs.block_moves(first, until);
     assert_ne!(world.due()[0].run, first);
     world.now = until;
     assert_eq!(world.due()[0].run, first);
@@ -163,7 +164,7 @@
     }
     let first = world.due()[0].run;
     let until = world.now + Duration::from_millis(300);
-    world.runs.keep(first, until);
+    world.runs.block_moves_from_replica(first, until);
     assert_eq!(world.due(), []);
     world.now = until;
     assert_eq!(world.due()[0].run, first);
--- a/crates/relay/tests/permit.rs
+++ b/crates/relay/tests/permit.rs
@@ -48,7 +48,7 @@
         for (number, tries) in failures.iter().enumerate() {
             let now = Time::from_millis(number as u64);
             let budget = &mut budgets[number % DAEMONS];
-            budget.request(now, &RULE);
+            budget.record_request(now, &RULE);
             requests += 1;
             let mut allowance = RequestPermits::new();
             for (is_read, left) in tries {
--- a/crates/relay/tests/pool.rs
+++ b/crates/relay/tests/pool.rs
@@ -139,7 +139,7 @@
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one"]));
     let key = pool.choose(START, &want(&[]), || 0.0).unwrap();
-    pool.replaced(key);
+    pool.mark_replaced(key);
     assert_eq!(chosen(&pool, START, &[]), None);
 }
 
@@ -148,7 +148,7 @@
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one", "two"]));
     let first = pool.choose(START, &want(&[]), || 0.0).unwrap();
-    pool.begin(first, 0);
+    pool.start_request(first, 0);
     let second = pool.choose(START, &want(&[]), || 0.0).unwrap();
     assert_ne!(first, second);
 }
@@ -160,7 +160,7 @@
     let failing = pool.choose(START, &want(&[]), || 0.0).unwrap();
     let id = pool.get(failing).unwrap().replica.id.clone();
     for _ in 0..3 {
-        pool.note(START, failing, true);
+        pool.record_result(START, failing, true);
     }
     assert_ne!(chosen(&pool, after(1_000), &[]), Some(id));
     assert!(pool.get(failing).unwrap().failure_share(after(30_000)) < 0.01);
@@ -180,7 +180,7 @@
 }
 
 fn told(reader: &Pool, since: u64) -> Delta {
-    match reader.update(after(5_000), since) {
+    match reader.update_since(after(5_000), since) {
         Update::Changed(delta) => delta,
         Update::All(_) => panic!("all are told"),
     }
@@ -199,7 +199,7 @@
     let mut asker = Pool::new();
     asker.apply(START, &snapshot(3, &["one", "two"]));
     asker
-        .take(after(600), Source::Peer, &Update::Changed(delta))
+        .apply_update(after(600), Source::Peer, &Update::Changed(delta))
         .unwrap();
     assert_eq!(asker.digest(), reader.digest());
     assert_eq!(asker.version(), 5);
@@ -210,8 +210,8 @@
 fn a_peer_from_before_the_first_list_is_told_all() {
     let mut reader = Pool::new();
     reader.apply(START, &snapshot(3, &["one"]));
-    assert!(matches!(reader.update(START, 2), Update::All(_)));
-    assert!(matches!(reader.update(START, 0), Update::All(_)));
+    assert!(matches!(reader.update_since(START, 2), Update::All(_)));
+    assert!(matches!(reader.update_since(START, 0), Update::All(_)));
 }
 
 #[test]
@@ -281,8 +281,10 @@
 fn a_peer_that_asks_between_the_end_of_a_lapse_and_the_next_reading_drops_the_replica() {
     let (reader, mut asker) = reader_past_a_lapse();
     let now = after(2_000);
-    let update = reader.newer(now, asker.version(), asker.digest()).unwrap();
-    asker.take(now, Source::Peer, &update);
+    let update = reader
+        .update_for_peer(now, asker.version(), asker.digest())
+        .unwrap();
+    asker.apply_update(now, Source::Peer, &update);
     assert_eq!(asker.replicas().count(), 1);
     assert_eq!(asker.digest(), reader.digest());
 }
@@ -293,10 +295,10 @@
     let mut asker = Pool::new();
     asker.apply(START, &snapshot(2, &["one", "two"]));
     let now = after(2_000);
-    let update = reader.newer(now, 2, asker.digest()).unwrap();
-    asker.take(now, Source::Peer, &update);
+    let update = reader.update_for_peer(now, 2, asker.digest()).unwrap();
+    asker.apply_update(now, Source::Peer, &update);
     assert_eq!(asker.digest(), reader.digest());
-    assert!(reader.newer(now, 2, asker.digest()).is_none());
+    assert!(reader.update_for_peer(now, 2, asker.digest()).is_none());
 }
 
 /// Guards against reusing a departed replica that a peer with an outage reports as lapsing.
@@ -309,11 +311,13 @@
     reader.note_outage(after(1_000));
     reader.apply(after(1_100), &snapshot(3, &["two"]));
     let updates = [
-        reader.update(after(1_200), 2),
+        reader.update_since(after(1_200), 2),
         Update::All(reader.snapshot(after(1_200))),
     ];
     for update in updates {
-        asker.take(after(1_200), Source::Peer, &update).unwrap();
+        asker
+            .apply_update(after(1_200), Source::Peer, &update)
+            .unwrap();
         assert_eq!(chosen(&asker, after(1_200), &[]).unwrap(), "two");
         assert_eq!(asker.replicas().count(), 1);
         let key = asker.choose(after(1_200), &want(&[]), || 0.0).unwrap();
@@ -343,9 +347,11 @@
     let update = if is_snapshot {
         Update::All(reader.snapshot(after(1_200)))
     } else {
-        reader.update(after(1_200), 1)
+        reader.update_since(after(1_200), 1)
     };
-    let changes = asker.take(after(1_200), Source::Peer, &update).unwrap();
+    let changes = asker
+        .apply_update(after(1_200), Source::Peer, &update)
+        .unwrap();
     assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(chosen(&asker, after(1_200), &[]), None);
 }
@@ -360,8 +366,10 @@
     reader.apply(BEFORE_OUTAGE, &snapshot(3, &["one"]));
     reader.note_outage(after(1_000));
     reader.apply(after(1_100), &snapshot(4, &[]));
-    let update = reader.update(after(1_200), 1);
-    let changes = asker.take(after(1_200), Source::Peer, &update).unwrap();
+    let update = reader.update_since(after(1_200), 1);
+    let changes = asker
+        .apply_update(after(1_200), Source::Peer, &update)
+        .unwrap();
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].now, ReplicaState::Lapsed);
     assert_eq!(chosen(&asker, after(1_200), &[]).as_deref(), Some("one"));
@@ -395,9 +403,11 @@
     let update = if is_snapshot {
         Update::All(reader.snapshot(after(1_000)))
     } else {
-        reader.update(after(1_000), 1)
+        reader.update_since(after(1_000), 1)
     };
-    let changes = asker.take(after(1_000), Source::Peer, &update).unwrap();
+    let changes = asker
+        .apply_update(after(1_000), Source::Peer, &update)
+        .unwrap();
     assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(chosen(&asker, after(1_000), &[]), None);
 }
--- a/crates/relay/tests/quarantine.rs
+++ b/crates/relay/tests/quarantine.rs
@@ -54,7 +54,7 @@
     let heard = |order: [usize; LIMIT]| {
         let mut quarantine = Quarantine::new();
         for index in order {
-            quarantine.take(NOW, records[index]);
+            quarantine.merge(NOW, records[index]);
         }
         (is_quarantined(&quarantine), quarantine.digest())
     };
@@ -103,9 +103,9 @@
     other.note_served(NOW, REQUEST);
     for _ in 0..2 {
         let told = teller.get(REQUEST).unwrap().clone();
-        assert_eq!(other.take(NOW, &told), Change::Served);
+        assert_eq!(other.merge(NOW, &told), Change::Served);
     }
-    teller.take(NOW, other.get(REQUEST).unwrap());
+    teller.merge(NOW, other.get(REQUEST).unwrap());
     assert_eq!(teller.digest(), Quarantine::new().digest());
     assert!(teller.get(REQUEST).unwrap().ends.is_empty());
 }
@@ -125,15 +125,15 @@
 #[test]
 fn a_record_is_forgotten_a_day_after_the_last_end() {
     let mut quarantine = after(&[1, 2, 3]);
-    quarantine.sweep(later(Duration::from_hours(23)));
+    quarantine.remove_expired(later(Duration::from_hours(23)));
     assert!(is_quarantined(&quarantine));
     let told = quarantine.get(REQUEST).unwrap().clone();
     let next_day = later(Duration::from_hours(25));
     assert_eq!(quarantine.quarantined_for(next_day, REQUEST), None);
-    quarantine.sweep(next_day);
+    quarantine.remove_expired(next_day);
     assert_eq!((quarantine.quarantined(), quarantine.digest()), (0, 0));
     // Nobody brings it back.
-    assert_eq!(quarantine.take(next_day, &told), Change::None);
+    assert_eq!(quarantine.merge(next_day, &told), Change::None);
 }
 
 #[test]
--- a/crates/relay/tests/reads.rs
+++ b/crates/relay/tests/reads.rs
@@ -20,8 +20,8 @@
 const SIZE: Size = Size {
     prompt: 5_000,
     estimate: 4_000,
-    most: 8_000,
-    made: 0,
+    max_tokens: 8_000,
+    generated: 0,
 };
 
 /// A decode replica.
@@ -50,8 +50,9 @@
     }
 
     fn may_read(&mut self) -> bool {
-        self.pool.foresee_all(NOW, &self.runs, &self.claims);
-        self.pool.may_read(self.decode)
+        self.pool
+            .update_all_forecasts(NOW, &self.runs, &self.claims);
+        self.pool.may_prefill(self.decode)
     }
 }
 
@@ -72,7 +73,7 @@
 fn a_replica_without_streams_reads_on() {
     let mut world = World::new();
     let reading = world.run();
-    world.runs.reads(reading);
+    world.runs.mark_prefilling(reading);
     assert!(world.may_read());
 }
 
@@ -81,9 +82,9 @@
     let mut world = World::new();
     world.run();
     let reading = world.run();
-    world.runs.reads(reading);
+    world.runs.mark_prefilling(reading);
     assert!(!world.may_read());
-    world.runs.made(NOW, reading, 64);
+    world.runs.record_tokens(NOW, reading, 64);
     assert!(world.may_read());
 }
 
@@ -92,7 +93,7 @@
     let mut world = World::new();
     world.run();
     let claim = Claim::new(
-        claims::hash("d", None),
+        claims::incarnation_hash("d", None),
         1,
         1,
         u16::MAX,
@@ -100,6 +101,6 @@
     );
     world
         .claims
-        .take(NOW, Instance(1), ClaimUpdate::all(vec![claim]));
+        .apply(NOW, Instance(1), ClaimUpdate::all(vec![claim]));
     assert!(!world.may_read());
 }
--- a/crates/relay/tests/refusals.rs
+++ b/crates/relay/tests/refusals.rs
@@ -19,8 +19,8 @@
 const SIZE: Size = Size {
     prompt: 5_200,
     estimate: 420,
-    most: 1_020,
-    made: 0,
+    max_tokens: 1_020,
+    generated: 0,
 };
 /// Replicas, of which the first third is leaving, and the list does not tell.
 const REPLICAS: usize = 60;
@@ -58,7 +58,7 @@
 
     fn choose(&self, now: Time, tried: &[Key]) -> Option<Key> {
         let ask = MemoryDemand {
-            curve: self.runs.ask("llm", SIZE),
+            curve: self.runs.forecast("llm", SIZE),
             spreads: 3.0,
             spare: 0.0,
         };
@@ -70,7 +70,8 @@
     fn place(&mut self, ms: u64, leaving: bool) {
         let now = START + Duration::from_millis(ms);
         self.end_due(ms);
-        self.pool.foresee_all(now, &self.runs, &self.claims);
+        self.pool
+            .update_all_forecasts(now, &self.runs, &self.claims);
         let mut tried = Vec::new();
         for _ in 0..ASKS {
             let Some(key) = self.choose(now, &tried) else {
@@ -80,11 +81,11 @@
             let number: usize = self.pool.get(key).unwrap().replica.id.parse().unwrap();
             if leaving && number < LEAVING {
                 self.refused += 1;
-                self.pool.full(now, key);
+                self.pool.record_full(now, key);
                 tried.push(key);
                 continue;
             }
-            self.pool.roomy(now, key);
+            self.pool.record_room(now, key);
             let run = self.runs.begin("llm", key, SIZE);
             self.ends.push((ms + RUN_MS, run));
             self.begun += 1;
@@ -139,7 +140,7 @@
     let mut world = World::new();
     let at = |ms| START + Duration::from_millis(ms);
     let first = world.choose(START, &[]).unwrap();
-    world.pool.full(START, first);
+    world.pool.record_full(START, first);
     assert_ne!(world.choose(at(100), &[]), Some(first));
     // The others are in use now.
     let mut tried = vec![first];
@@ -147,7 +148,9 @@
         world.runs.begin("llm", key, SIZE);
         tried.push(key);
     }
-    world.pool.foresee_all(START, &world.runs, &world.claims);
+    world
+        .pool
+        .update_all_forecasts(START, &world.runs, &world.claims);
     assert_eq!(world.choose(at(300), &[]), Some(first));
 }
 
@@ -157,10 +160,10 @@
     let at = |ms| START + Duration::from_millis(ms);
     let first = world.choose(START, &[]).unwrap();
     for ms in [0, 500, 1_500, 3_000] {
-        world.pool.full(at(ms), first);
+        world.pool.record_full(at(ms), first);
     }
     assert_ne!(world.choose(at(4_000), &[]), Some(first));
-    world.pool.roomy(at(4_000), first);
+    world.pool.record_room(at(4_000), first);
     assert_eq!(world.choose(at(4_000), &[]), Some(first));
 }
 
@@ -171,11 +174,11 @@
     let dark = one.choose(START, &[]).unwrap();
     let hash = one.pool.get(dark).unwrap().hash;
     assert!(one.pool.silent_replicas(START).is_empty());
-    one.pool.silent(START, dark);
+    one.pool.record_no_answer(START, dark);
     assert_eq!(one.pool.silent_replicas(START), [hash]);
     let here = other.choose(START, &[]).unwrap();
     assert_eq!(other.pool.get(here).unwrap().hash, hash);
-    other.pool.hear_silent(START, &[hash]);
+    other.pool.apply_silent_report(START, &[hash]);
     assert_ne!(other.choose(START, &[]), Some(here));
 }
 
@@ -184,8 +187,8 @@
     let mut world = World::new();
     let key = world.choose(START, &[]).unwrap();
     let hash = world.pool.get(key).unwrap().hash;
-    world.pool.roomy(START, key);
-    world.pool.hear_silent(START, &[hash]);
+    world.pool.record_room(START, key);
+    world.pool.apply_silent_report(START, &[hash]);
     assert_eq!(world.choose(START, &[]), Some(key));
 }
 
@@ -193,9 +196,9 @@
 fn an_answer_ends_the_silence() {
     let mut world = World::new();
     let key = world.choose(START, &[]).unwrap();
-    world.pool.silent(START, key);
+    world.pool.record_no_answer(START, key);
     let later = START + Duration::from_millis(100);
-    world.pool.roomy(later, key);
+    world.pool.record_room(later, key);
     assert!(world.pool.silent_replicas(later).is_empty());
 }
 
@@ -204,7 +207,7 @@
     let mut world = World::new();
     let mut tried = Vec::new();
     while let Some(key) = world.choose(START, &tried) {
-        world.pool.silent(START, key);
+        world.pool.record_no_answer(START, key);
         tried.push(key);
     }
     assert_eq!(tried.len(), REPLICAS);
--- a/crates/relay/tests/score.rs
+++ b/crates/relay/tests/score.rs
@@ -52,7 +52,7 @@
 
 fn note(pool: &mut Pool, stage: Option<Stage>, id: &str, ms: u64) {
     let key = key(pool, stage, id);
-    pool.note_pace(START, key, Duration::from_millis(ms), 1.0);
+    pool.record_work(START, key, Duration::from_millis(ms), 1.0);
 }
 
 #[rstest]
@@ -91,7 +91,7 @@
     let mut pool = pool(stage, &["one", "two"]);
     let one = key(&pool, stage, "one");
     let two = key(&pool, stage, "two");
-    pool.note_pace(START, one, Duration::from_millis(200), 11_000.0);
-    pool.note_pace(START, two, Duration::from_millis(20), 1_100.0);
+    pool.record_work(START, one, Duration::from_millis(200), 11_000.0);
+    pool.record_work(START, two, Duration::from_millis(20), 1_100.0);
     assert_eq!(order(&pool, stage, after(500))[0], "one");
 }
--- a/crates/relay/tests/timing.rs
+++ b/crates/relay/tests/timing.rs
@@ -29,7 +29,7 @@
 ) {
     let age = Duration::from_millis(age_ms);
     let read = Duration::from_millis(read_ms);
-    let idle = kind.idle_part(OBJECTIVE, age, read);
+    let idle = kind.required_idle_share(OBJECTIVE, age, read);
     assert_eq!(idle <= 0.0, taken);
 }
 
@@ -52,7 +52,7 @@
             0..3 => Duration::from_millis(new - 3_000),
             _ => Duration::from_millis(new),
         };
-        let waited = patience.waited(limit);
+        let waited = patience.estimate_waited(limit);
         match number % 10 {
             _ if number < 50 => {}
             0..3 => assert!(waited > Duration::from_millis(2_500), "{waited:?}"),
@@ -65,8 +65,14 @@
 fn one_caller_with_a_long_limit_makes_no_other_late() {
     let mut patience = CallerTimeouts::new();
     for _ in 0..50 {
-        assert_eq!(patience.waited(Duration::from_secs(4)), Duration::ZERO);
+        assert_eq!(
+            patience.estimate_waited(Duration::from_secs(4)),
+            Duration::ZERO
+        );
     }
-    patience.waited(Duration::from_mins(10));
-    assert_eq!(patience.waited(Duration::from_secs(4)), Duration::ZERO);
+    patience.estimate_waited(Duration::from_mins(10));
+    assert_eq!(
+        patience.estimate_waited(Duration::from_secs(4)),
+        Duration::ZERO
+    );
 }
