--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -1,4 +1,4 @@
-//! RetryBudget of retries: this daemon's share of what all daemons together may send.
+//! Budget of retries: the share of this daemon in the retries that all daemons together may send.
 
 use std::collections::VecDeque;
 use std::time::Duration;
