--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -19,8 +19,8 @@
 use platform::engine;
 use platform::engine::Report;
 use platform::store::Rows;
-use relay::balance::Balance;
-use relay::balance::Due;
+use relay::balance::Rebalance;
+use relay::balance::StageBalancer;
 use relay::replica::Replica;
 use relay::replica::Stage;
 use relay::server::Key;
@@ -54,7 +54,7 @@
 
 /// Watches the division of each model's replicas, forever.
 pub async fn run(shared: Rc<Shared>) {
-    let mut balances: HashMap<String, Balance> = HashMap::new();
+    let mut balances: HashMap<String, StageBalancer> = HashMap::new();
     loop {
         sleep(PERIOD).await;
         let share = shared.settings().prefill_share;
@@ -66,15 +66,15 @@
         let engines = services.filter_map(|(name, service)| Some((name, service.engine?)));
         for (service, engine) in engines {
             let balance = balances.entry(service.clone());
-            let balance = balance.or_insert_with(|| Balance::new(engine.stage_change));
+            let balance = balance.or_insert_with(|| StageBalancer::new(engine.stage_change));
             look(&shared, service, balance, share).await;
         }
     }
 }
 
-async fn look(shared: &Shared, service: &str, balance: &mut Balance, share: f64) {
+async fn look(shared: &Shared, service: &str, balance: &mut StageBalancer, share: f64) {
     let now = shared.clock.now();
-    let counts = shared.pool.borrow().counts(now, service);
+    let counts = shared.pool.borrow().stage_counts(now, service);
     let due = balance.due(now, counts, share);
     let owns = shared.members.borrow().owns(Pool::new(service).0);
     let Some(due) = due.filter(|_| owns) else {
@@ -89,7 +89,7 @@
     let (fence, written) = match claimed {
         Ok(claimed) => claimed,
         Err(cause) => {
-            balance.failed();
+            balance.order_failed();
             log::warn!(kind = "order", service = service, stage = format!("{:?}", due.stage), cause = cause; "no order is given");
             return;
         }
@@ -112,9 +112,9 @@
         }
     }
     if given {
-        balance.ordered(now);
+        balance.order_sent(now);
     } else {
-        balance.failed();
+        balance.order_failed();
     }
 }
 
@@ -127,7 +127,7 @@
 }
 
 /// Orders to the least loaded replicas of the other stage that carry none out at present.
-async fn prepare(shared: &Shared, service: &str, due: Due) -> Vec<Order> {
+async fn prepare(shared: &Shared, service: &str, due: Rebalance) -> Vec<Order> {
     let from = match due.stage {
         Stage::Prefill => Stage::Decode,
         Stage::Decode => Stage::Prefill,
@@ -144,7 +144,7 @@
         match report(shared, &replica).await {
             Ok(report) if report.busy => {}
             // What it counted is of another incarnation than the one that is listed.
-            Ok(report) if replica.compare(report.birth) != Ordering::Equal => {}
+            Ok(report) if replica.compare_incarnation(report.birth) != Ordering::Equal => {}
             Ok(report) => orders.push(Order {
                 replica,
                 taken: report.orders,
--- a/crates/lab/src/decode/daemon.rs
+++ b/crates/lab/src/decode/daemon.rs
@@ -5,21 +5,21 @@
 use ident::Instance;
 use ident::Time;
 use ident::Zone;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
+use relay::claim_publisher::ClaimPublisher;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Told;
+use relay::migration;
+use relay::migration::Move;
 use relay::pool::Pool;
 use relay::replica::Replica;
 use relay::replica::Snapshot;
 use relay::replica::Stage;
-use relay::rescue;
-use relay::rescue::Move;
-use relay::runs::Id;
+use relay::runs::RunId;
 use relay::runs::Runs;
 use relay::runs::Size;
-use relay::score::Want;
+use relay::score::Criteria;
 use relay::server::Key;
-use relay::teller::Teller;
 
 /// Name of the only service.
 const SERVICE: &str = "llm";
@@ -32,7 +32,7 @@
     /// Its own runs.
     pub runs: Runs,
     claims: Claims,
-    teller: Teller,
+    teller: ClaimPublisher,
 }
 
 impl Daemon {
@@ -51,7 +51,7 @@
             pool,
             runs: Runs::new(),
             claims: Claims::new(),
-            teller: Teller::new(),
+            teller: ClaimPublisher::new(),
         }
     }
 
@@ -69,8 +69,8 @@
         spreads: Option<f64>,
         draw: impl Fn() -> f64,
     ) -> Option<Key> {
-        let ask = spreads.map(|spreads| Ask {
-            curve: self.runs.ask(SERVICE, size),
+        let ask = spreads.map(|spreads| MemoryDemand {
+            curve: self.runs.forecast(SERVICE, size),
             spreads,
             spare: 0.0,
         });
@@ -78,54 +78,57 @@
     }
 
     /// Begins a run at `key`.
-    pub fn begin(&mut self, now: Time, key: Key, size: Size) -> Id {
+    pub fn begin(&mut self, now: Time, key: Key, size: Size) -> RunId {
         let id = self.runs.begin(SERVICE, key, size);
-        self.pool.begin(key, size.prompt + size.estimate);
-        self.pool.foresee(now, key, &self.runs, &self.claims);
+        self.pool.start_request(key, size.prompt + size.estimate);
+        self.pool
+            .update_forecast(now, key, &self.runs, &self.claims);
         id
     }
 
     /// Ends it.
-    pub fn end(&mut self, now: Time, id: Id, size: Size, complete: bool) {
+    pub fn end(&mut self, now: Time, id: RunId, size: Size, complete: bool) {
         let Some(key) = self.runs.get(id).map(|entry| entry.server) else {
             return;
         };
         self.runs.end(now, id, complete);
-        self.pool.end(key, size.prompt + size.estimate);
-        self.pool.foresee(now, key, &self.runs, &self.claims);
+        self.pool.end_request(key, size.prompt + size.estimate);
+        self.pool
+            .update_forecast(now, key, &self.runs, &self.claims);
     }
 
     /// Looks at the memory of all replicas; gives the moves that are due.
     pub fn look(&mut self, now: Time, moves: bool) -> Vec<Move> {
-        self.claims.sweep(now);
-        self.pool.foresee_all(now, &self.runs, &self.claims);
+        self.claims.remove_expired(now);
+        self.pool
+            .update_all_forecasts(now, &self.runs, &self.claims);
         if !moves {
             return Vec::new();
         }
         let pool = &self.pool;
-        rescue::due(now, pool, &self.runs, &self.claims, |_, from, ask| {
+        migration::due_moves(now, pool, &self.runs, &self.claims, |_, from, ask| {
             pool.choose(now, &want(&[from], Some(ask)), || 0.0)
         })
     }
 
     /// What the others are told, if it is time.
-    pub fn tell(&mut self, now: Time) -> Option<Told> {
+    pub fn tell(&mut self, now: Time) -> Option<ClaimUpdate> {
         self.teller.due(now, &self.runs, &self.pool)
     }
 
     /// Takes what the daemon `peer` told.
-    pub fn hear(&mut self, now: Time, peer: usize, told: Told) {
-        self.claims.take(now, Instance(peer as u64), told);
+    pub fn hear(&mut self, now: Time, peer: usize, told: ClaimUpdate) {
+        self.claims.apply(now, Instance(peer as u64), told);
     }
 }
 
-fn want(tried: &[Key], ask: Option<Ask>) -> Want<'_> {
-    Want {
+fn want(tried: &[Key], demand: Option<MemoryDemand>) -> Criteria<'_> {
+    Criteria {
         service: SERVICE,
         stage: Some(Stage::Decode),
         tried,
-        near: Zone::new("here"),
-        ask,
+        data_centre: Zone::new("here"),
+        demand,
     }
 }
 
--- a/crates/relay/src/length.rs
+++ b/crates/relay/src/length.rs
@@ -20,12 +20,12 @@
 
 /// Distribution of the ratio of tokens made to tokens estimated.
 #[derive(Debug, Clone)]
-pub struct Length {
+pub struct LengthDistribution {
     weights: [f64; BINS],
     total: f64,
 }
 
-impl Length {
+impl LengthDistribution {
     /// The assumption before any answer ended.
     pub fn new() -> Self {
         let density = |bin: usize| {
@@ -44,7 +44,7 @@
     }
 
     /// Notes that an answer had `made` tokens where `estimate` were expected.
-    pub fn note(&mut self, made: f64, estimate: f64) {
+    pub fn record(&mut self, made: f64, estimate: f64) {
         let kept = 1.0 - 1.0 / MEMORY;
         for weight in &mut self.weights {
             *weight *= kept;
@@ -55,7 +55,7 @@
     }
 
     /// Share of answers that have more than `made` tokens where `estimate` are expected.
-    pub fn beyond(&self, made: f64, estimate: f64) -> f64 {
+    pub fn share_longer_than(&self, made: f64, estimate: f64) -> f64 {
         if made <= 0.0 {
             return 1.0;
         }
@@ -73,7 +73,7 @@
     }
 }
 
-impl Default for Length {
+impl Default for LengthDistribution {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/relay/tests/rescue.rs
+++ b/crates/relay/tests/migration.rs
@@ -6,20 +6,20 @@
 
 use ident::Instance;
 use ident::Time;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
 use relay::claims;
 use relay::claims::Claim;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Told;
 use relay::forecast::Curve;
+use relay::migration;
+use relay::migration::Move;
 use relay::pool::Pool;
 use relay::replica::Stage;
-use relay::rescue;
-use relay::rescue::Move;
-use relay::runs::Id;
+use relay::runs::RunId;
 use relay::runs::Runs;
 use relay::runs::Size;
-use relay::score::Want;
+use relay::score::Criteria;
 use relay::server::Key;
 
 const START: Time = Time::from_millis(100_000);
@@ -27,8 +27,8 @@
 const SIZE: Size = Size {
     prompt: 5_000,
     estimate: 4_000,
-    most: 8_000,
-    made: 0,
+    max_tokens: 8_000,
+    generated: 0,
 };
 
 struct World {
@@ -51,7 +51,7 @@
         }
     }
 
-    fn want(tried: &[Key], ask: Option<Ask>) -> Want<'_> {
+    fn want(tried: &[Key], ask: Option<MemoryDemand>) -> Criteria<'_> {
         common::want("llm", Some(Stage::Decode), tried, ask)
     }
 
@@ -68,32 +68,33 @@
     }
 
     /// A run at the replica `id` that has made `made` tokens, begun 50 ms after the one before.
-    fn run(&mut self, id: &str, made: u64) -> Id {
+    fn run(&mut self, id: &str, made: u64) -> RunId {
         let key = self.key(id);
         let run = self.runs.begin("llm", key, SIZE);
         self.now = self.now + Duration::from_millis(50);
-        self.runs.made(self.now, run, made);
+        self.runs.record_tokens(self.now, run, made);
         run
     }
 
     fn due(&mut self) -> Vec<Move> {
-        self.pool.foresee_all(self.now, &self.runs, &self.claims);
+        self.pool
+            .update_all_forecasts(self.now, &self.runs, &self.claims);
         let pool = &self.pool;
-        rescue::due(self.now, pool, &self.runs, &self.claims, |_, from, ask| {
+        migration::due_moves(self.now, pool, &self.runs, &self.claims, |_, from, ask| {
             pool.choose(self.now, &Self::want(&[from], Some(ask)), || 0.0)
         })
     }
 
     fn peer_claims(&mut self, id: &str, newest_ms: u16, tokens: f64) {
         let claim = Claim::new(
-            claims::hash(id, None),
+            claims::incarnation_hash(id, None),
             1,
             0,
             newest_ms,
             &Curve::flat(tokens),
         );
         self.claims
-            .take(self.now, Instance(9), Told::all(vec![claim]));
+            .apply(self.now, Instance(9), ClaimUpdate::all(vec![claim]));
     }
 }
 
@@ -137,7 +138,7 @@
     }
     let key = world.key("0");
     world.runs.begin("llm", key, SIZE);
-    let moved: Vec<Id> = world.due().iter().map(|due| due.run).collect();
+    let moved: Vec<RunId> = world.due().iter().map(|due| due.run).collect();
     assert_eq!(moved, [runs[4]]);
 }
 
@@ -149,7 +150,7 @@
     }
     let first = world.due()[0].run;
     let until = world.now + Duration::from_millis(300);
-    world.runs.settle(first, until);
+    world.runs.block_moves(first, until);
     assert_ne!(world.due()[0].run, first);
     world.now = until;
     assert_eq!(world.due()[0].run, first);
@@ -163,7 +164,7 @@
     }
     let first = world.due()[0].run;
     let until = world.now + Duration::from_millis(300);
-    world.runs.keep(first, until);
+    world.runs.block_moves_from_replica(first, until);
     assert_eq!(world.due(), []);
     world.now = until;
     assert_eq!(world.due()[0].run, first);
--- a/crates/relay/tests/timing.rs
+++ b/crates/relay/tests/timing.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use relay::timing::CallerTimeouts;
 use relay::timing::Kind;
-use relay::timing::Patience;
 use relay::timing::Terms;
 use rstest::rstest;
 
@@ -29,7 +29,7 @@
 ) {
     let age = Duration::from_millis(age_ms);
     let read = Duration::from_millis(read_ms);
-    let idle = kind.idle_part(OBJECTIVE, age, read);
+    let idle = kind.required_idle_share(OBJECTIVE, age, read);
     assert_eq!(idle <= 0.0, taken);
 }
 
@@ -44,7 +44,7 @@
 
 #[test]
 fn callers_that_came_back_are_known_by_their_limits() {
-    let mut patience = Patience::new();
+    let mut patience = CallerTimeouts::new();
     for number in 0..200 {
         // New callers wait for 11.9 to 14 s; three in ten have come back after 3 s.
         let new = 11_900 + number * 97 % 2_100;
@@ -52,7 +52,7 @@
             0..3 => Duration::from_millis(new - 3_000),
             _ => Duration::from_millis(new),
         };
-        let waited = patience.waited(limit);
+        let waited = patience.estimate_waited(limit);
         match number % 10 {
             _ if number < 50 => {}
             0..3 => assert!(waited > Duration::from_millis(2_500), "{waited:?}"),
@@ -63,10 +63,16 @@
 
 #[test]
 fn one_caller_with_a_long_limit_makes_no_other_late() {
-    let mut patience = Patience::new();
+    let mut patience = CallerTimeouts::new();
     for _ in 0..50 {
-        assert_eq!(patience.waited(Duration::from_secs(4)), Duration::ZERO);
+        assert_eq!(
+            patience.estimate_waited(Duration::from_secs(4)),
+            Duration::ZERO
+        );
     }
-    patience.waited(Duration::from_mins(10));
-    assert_eq!(patience.waited(Duration::from_secs(4)), Duration::ZERO);
+    patience.estimate_waited(Duration::from_mins(10));
+    assert_eq!(
+        patience.estimate_waited(Duration::from_secs(4)),
+        Duration::ZERO
+    );
 }
