--- a/crates/customer/src/bucket.rs
+++ b/crates/customer/src/bucket.rs
@@ -1,4 +1,4 @@
-//! What is left of a customer's quota (token bucket), as its keeper counts it.
+//! Token bucket with which the keeper of a customer's quota counts usage.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use crate::quota::Limit;
 
-/// Longest time that a caller is told to wait; by then the quota has long been free again, and what was asked for meanwhile
-/// may never come back.
-const MAX_COME_BACK: Duration = Duration::from_secs(10);
+/// Maximum retry time given to a caller. By then the quota has long refilled, and other refused
+/// callers may never retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// What a request is told.
+/// Whether a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It may run after this time.
     Granted {
-        /// Zero unless it uses what comes free only then.
+        /// Zero unless it needs units that are refilled only by then.
         after: Duration,
     },
-    /// It is beyond the quota.
+    /// It exceeds the quota.
     Refused {
-        /// Time until there is room for it, after those that were told before.
+        /// Time until there are enough units for it, behind the callers refused before it.
         come_back: Duration,
     },
 }
@@ -28,9 +28,9 @@
 /// A token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bucket {
-    /// Units that are left; below zero where requests wait for units that come free, or ran unasked.
+    /// Units left; negative if granted requests wait for refill or requests ran without asking.
     level: f64,
-    /// Units that those may take who were told to come back.
+    /// Units expected to be taken by refused callers that were told when to retry.
     promised: f64,
     at: Time,
 }
@@ -45,54 +45,54 @@
         }
     }
 
-    /// Units that are left at `now`.
+    /// Units left at `now`.
     pub fn level(&mut self, now: Time, limit: Limit) -> f64 {
-        let earned = limit.rate * now.since(self.at).as_secs_f64();
-        self.level = (self.level + earned).min(limit.burst);
-        self.promised = (self.promised - earned).max(0.0);
+        let refilled = limit.rate * now.since(self.at).as_secs_f64();
+        self.level = (self.level + refilled).min(limit.burst);
+        self.promised = (self.promised - refilled).max(0.0);
         self.at = self.at.max(now);
         self.level
     }
 
-    /// Takes `units` for a request that waits for `patience` at most.
+    /// Takes `units` for a request that can wait for up to `patience`.
     ///
-    /// One that is larger than the whole bucket may run when it is full.
+    /// A request larger than the bucket may run when the bucket is full.
     pub fn take(&mut self, now: Time, limit: Limit, units: f64, patience: Duration) -> Verdict {
         let level = self.level(now, limit);
         let missing = units.min(limit.burst) - level;
-        let after = time_for(missing, limit);
+        let after = refill_time(missing, limit);
         if after <= patience {
             self.level -= units;
             return Verdict::Granted { after };
         }
-        let come_back = time_for(missing + self.promised, limit);
+        let come_back = refill_time(missing + self.promised, limit);
         self.promised += units.min(limit.burst);
         Verdict::Refused {
-            come_back: come_back.min(MAX_COME_BACK),
+            come_back: come_back.min(MAX_RETRY_AFTER),
         }
     }
 
-    /// Takes `units` for a request that runs already; whether they were left.
+    /// Takes `units` for a request that already ran; returns whether enough were left.
     pub fn debit(&mut self, now: Time, limit: Limit, units: f64) -> bool {
         let level = self.level(now, limit);
         self.level -= units;
         level >= units.min(limit.burst)
     }
 
-    /// Time until something is left.
-    pub fn free_in(&mut self, now: Time, limit: Limit) -> Duration {
-        time_for(-self.level(now, limit), limit)
+    /// Time until the level is no longer negative.
+    pub fn time_until_available(&mut self, now: Time, limit: Limit) -> Duration {
+        refill_time(-self.level(now, limit), limit)
     }
 
-    /// Puts `units` back that were taken for a request that did not run.
-    pub fn give_back(&mut self, now: Time, limit: Limit, units: f64) {
+    /// Returns `units` that were taken for a request that did not run.
+    pub fn refund(&mut self, now: Time, limit: Limit, units: f64) {
         self.level(now, limit);
         self.level = (self.level + units).min(limit.burst);
     }
 }
 
-/// Time in which so many units come free.
-fn time_for(units: f64, limit: Limit) -> Duration {
+/// Time in which `units` are refilled.
+fn refill_time(units: f64, limit: Limit) -> Duration {
     if units <= 0.0 {
         return Duration::ZERO;
     }
--- a/crates/customer/src/digest.rs
+++ b/crates/customer/src/digest.rs
@@ -7,9 +7,9 @@
 use sha2::Digest as _;
 use sha2::Sha256;
 
-/// Bytes of a digest; two of some ten thousand keys do not share so many.
+/// Length of a digest; long enough to rule out collisions among some ten thousand keys.
 const BYTES: usize = 16;
-/// Hexadecimal digits that are shown to people: enough to find a key again, too few to be taken for one.
+/// Hexadecimal digits shown in logs: enough to identify a key, too few to be mistaken for one.
 const SHOWN: usize = 8;
 
 /// The digest of an API key (the first 128 bits of SHA-256).
@@ -25,7 +25,7 @@
         Self(bytes)
     }
 
-    /// Its beginning in hexadecimal, for log lines.
+    /// The first hexadecimal digits, for log lines.
     pub fn prefix(&self) -> String {
         let mut digits = format!("{:032x}", u128::from_be_bytes(self.0));
         digits.truncate(SHOWN);
--- a/crates/customer/src/keeper.rs
+++ b/crates/customer/src/keeper.rs
@@ -1,9 +1,10 @@
-//! The daemon that counts what a customer uses, for all daemons.
+//! The keeper: the daemon that counts a customer's usage for all daemons.
 //!
-//! The live member that rendezvous hashing names keeps the bucket of a customer; the runner-up is its deputy. Both views may be
-//! wrong for a while: members that just came or went are not known everywhere at once. So a daemon that is not the keeper by its
-//! own view, but is asked, admits no more than a deputy does; and one that reaches no majority of the instances admits nothing,
-//! since another part of the fleet may have a keeper, too.
+//! Rendezvous hashing selects the live member that keeps a customer's bucket; the runner-up is its
+//! deputy. Daemons may disagree on both for a while, since membership changes take time to spread.
+//! A daemon that is asked but is not the keeper in its own view therefore admits no more than a
+//! deputy does, and one that does not reach a majority of the instances admits nothing, since
+//! another part of the fleet may also have a keeper.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,72 +19,72 @@
 use crate::quota::Tolerance;
 use crate::subject::Subject;
 
-/// What a daemon may decide on a customer's quota, by its own view of the members.
+/// Role of a daemon for a customer's quota, in its own view of the members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Role {
     /// It keeps the bucket.
     Keeper,
-    /// Another one does, which may be silent.
+    /// Another daemon keeps the bucket, but may be unreachable.
     Deputy,
-    /// It does not reach most of the instances.
+    /// It does not reach a majority of the instances.
     NoMajority,
 }
 
-/// A question about a customer's quota.
+/// A request to the keeper of a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// Whose quota.
+    /// What the limit applies to.
     pub subject: Subject,
-    /// How much.
+    /// Units to take, count or refund.
     pub units: f64,
-    /// What for.
+    /// Which of these to do.
     pub purpose: Purpose,
 }
 
-/// What a question is for.
+/// Purpose of a [`QuotaRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
-    /// A request is to run, and can wait for so many milliseconds.
+    /// Takes units for a request that is about to run.
     Run {
-        /// Longest wait.
+        /// Maximum time that the request can wait, in milliseconds.
         patience_ms: u32,
     },
-    /// A request ran unasked.
+    /// Counts a request that ran without asking the keeper.
     Ran,
-    /// A request for which units were taken did not run.
+    /// Refunds the units of a request that did not run.
     GiveBack,
 }
 
-/// The answer.
+/// The keeper's reply to a [`QuotaRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct QuotaReply {
     /// The decision.
     pub decision: Decision,
-    /// Units that are left; below zero where requests wait for those that come free.
+    /// Units left; negative if granted requests wait for refill or requests ran without asking.
     pub left: f64,
 }
 
 /// A decision on a customer's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
-    /// The request may run after so many milliseconds.
+    /// The request may run after a delay.
     Granted {
-        /// Zero unless it uses what comes free only then.
+        /// The delay in milliseconds; zero unless it needs units that are refilled only by then.
         after_ms: u32,
     },
-    /// The request is beyond the quota.
+    /// The request exceeds the quota.
     Refused {
-        /// Milliseconds until there is room for it.
+        /// Milliseconds until there are enough units for it.
         come_back_ms: u32,
     },
-    /// What ran, or was given back, is counted.
+    /// The usage or the refund is counted.
     Counted,
-    /// What ran is counted, and was beyond the quota.
+    /// The usage is counted and exceeded the quota.
     Overdrawn {
-        /// Milliseconds until something is left.
+        /// Milliseconds until the bucket's level is no longer negative.
         free_ms: u32,
     },
-    /// This daemon cannot tell.
+    /// This daemon cannot decide.
     Unsure,
 }
 
@@ -94,13 +95,13 @@
 }
 
 impl Keeper {
-    /// No bucket yet.
+    /// A keeper without buckets.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Decides on `ask` as `role`, where the customer's quota is `limit` and the members are the same since `since`: before that,
-    /// another daemon may have kept the bucket.
+    /// Decides on `ask` as `role`, with the subject's `limit`. The members have not changed since
+    /// `since`; before that, another daemon may have kept the bucket.
     pub fn decide(
         &mut self,
         now: Time,
@@ -116,7 +117,7 @@
                 let limit = tolerance.deputy_limit(limit);
                 (limit, tolerance.initial_level(limit))
             }
-            // The limit of a replica must not be exceeded, so a new bucket starts empty.
+            // The limit of a replica must never be exceeded, so a new bucket starts empty.
             (Role::Keeper, Subject::Replica(_)) => (limit, 0.0),
             (Role::Deputy, Subject::Replica(_)) | (Role::NoMajority, _) => {
                 return QuotaReply::unsure();
@@ -129,21 +130,21 @@
                 let patience = Duration::from_millis(patience_ms.into());
                 match bucket.take(now, limit, ask.units, patience) {
                     Verdict::Granted { after } => Decision::Granted {
-                        after_ms: whole_ms(after),
+                        after_ms: ceil_ms(after),
                     },
-                    // What a deputy has not left may be left at the keeper.
+                    // The keeper may have units left when the deputy has not.
                     Verdict::Refused { .. } if role == Role::Deputy => Decision::Unsure,
                     Verdict::Refused { come_back } => Decision::Refused {
-                        come_back_ms: whole_ms(come_back),
+                        come_back_ms: ceil_ms(come_back),
                     },
                 }
             }
             Purpose::Ran if bucket.debit(now, limit, ask.units) => Decision::Counted,
             Purpose::Ran => Decision::Overdrawn {
-                free_ms: whole_ms(bucket.free_in(now, limit)),
+                free_ms: ceil_ms(bucket.time_until_available(now, limit)),
             },
             Purpose::GiveBack => {
-                bucket.give_back(now, limit, ask.units);
+                bucket.refund(now, limit, ask.units);
                 Decision::Counted
             }
         };
@@ -160,7 +161,7 @@
 }
 
 impl QuotaReply {
-    /// The answer of a daemon that cannot tell.
+    /// The reply of a daemon that cannot decide.
     pub const fn unsure() -> Self {
         Self {
             decision: Decision::Unsure,
@@ -169,7 +170,7 @@
     }
 }
 
-/// Milliseconds, no less than `time`.
-fn whole_ms(time: Duration) -> u32 {
+/// `time` in milliseconds, rounded up.
+fn ceil_ms(time: Duration) -> u32 {
     u32::try_from(time.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
 }
--- a/crates/customer/src/lib.rs
+++ b/crates/customer/src/lib.rs
@@ -1,8 +1,8 @@
-//! Customers: who holds which API key, and how much of each customer's requests all daemons together admit.
+//! Customers, their API keys, and quotas that hold across all daemons.
 //!
-//! Nothing here has input or output. A daemon keeps digests of keys ([`digest::Digest`]), never keys. What counts against the
-//! quota of a customer is kept by one daemon at a time in a [`bucket::Bucket`]; the others ask it, and fall back to a
-//! [`local_budget::LocalBudget`] of their own where it does not answer.
+//! The crate does no I/O. Daemons store digests of API keys ([`digest::Digest`]), never the keys.
+//! One daemon at a time, the keeper, counts a customer's usage in a [`bucket::Bucket`]; the others
+//! ask it, and fall back to their own [`local_budget::LocalBudget`] if it does not answer.
 
 pub mod bucket;
 pub mod digest;
--- a/crates/customer/src/list.rs
+++ b/crates/customer/src/list.rs
@@ -1,4 +1,4 @@
-//! The customers of one configuration.
+//! The customers of a plan, found by API key or id.
 
 use std::collections::HashMap;
 
@@ -10,18 +10,18 @@
 use crate::digest::Digest;
 use crate::quota::Limit;
 
-/// Names a customer in messages between daemons: a hash of its name, equal in every process.
+/// Identifies a customer in messages between daemons: a hash of its name, the same in every process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CustomerId(pub u64);
 
 /// What counts against a quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unit {
-    /// Each request counts 1.
+    /// Each request counts as 1.
     Requests,
-    /// A generation counts the tokens of its prompt and the most it may make; a call counts `call`.
+    /// A generation counts its prompt tokens plus the maximum number of tokens that it may generate.
     Tokens {
-        /// Tokens that a request counts which names none.
+        /// Tokens counted for a request that states none.
         call: u64,
     },
 }
@@ -29,9 +29,9 @@
 /// A customer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Customer {
-    /// Its name, as replicas are told it.
+    /// Its name, which is also sent to replicas.
     pub name: String,
-    /// Rank of its requests, ahead of the route's; 0 is the most urgent.
+    /// Priority of its requests, which overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
     /// What counts against its quota.
     pub unit: Unit,
@@ -39,11 +39,11 @@
     pub limit: Option<Limit>,
 }
 
-/// All customers, found by the digest of a key.
+/// All customers, indexed by the digests of their keys and by id.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct CustomerList {
     customers: Vec<Customer>,
-    /// Index of the customer that holds a key; `None` for a key that several claim.
+    /// Index of the customer that holds a key; `None` for a key that several customers list.
     by_key: HashMap<Digest, Option<u32>>,
     by_id: HashMap<CustomerId, u32>,
 }
@@ -59,7 +59,7 @@
 }
 
 impl Unit {
-    /// What a request counts that names these tokens of prompt and answer.
+    /// Units counted for a request; `tokens` are its prompt tokens and maximum generated tokens.
     pub fn count(self, tokens: Option<(u64, u64)>) -> f64 {
         match (self, tokens) {
             (Self::Requests, _) => 1.0,
@@ -77,18 +77,18 @@
 }
 
 impl CustomerList {
-    /// No customers.
+    /// An empty list.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds `customer`, which holds keys with these digests; those that another customer claims as well, which nobody holds
-    /// then.
+    /// Adds `customer` with the digests of its keys. Returns the digests that another customer also
+    /// lists; such a key then belongs to nobody.
     pub fn add(&mut self, customer: Customer, keys: impl Iterator<Item = Digest>) -> Vec<Digest> {
         let index = self.customers.len() as u32;
         self.by_id.insert(customer.id(), index);
         self.customers.push(customer);
-        let mut doubled = Vec::new();
+        let mut duplicates = Vec::new();
         for key in keys {
             match self.by_key.insert(key, Some(index)) {
                 // A customer may list a key twice.
@@ -96,11 +96,11 @@
                 Some(Some(holder)) if holder == index => {}
                 Some(_) => {
                     self.by_key.insert(key, None);
-                    doubled.push(key);
+                    duplicates.push(key);
                 }
             }
         }
-        doubled
+        duplicates
     }
 
     /// The customer that holds the key with this digest.
@@ -120,7 +120,7 @@
         self.customers.iter()
     }
 
-    /// The `count` customers with the largest quotas; none counts as the largest.
+    /// The `count` customers with the largest quotas; no quota counts as the largest.
     pub fn largest(&self, count: usize) -> Vec<&Customer> {
         let rate = |customer: &Customer| customer.limit.map_or(f64::INFINITY, |limit| limit.rate);
         let mut all: Vec<&Customer> = self.customers.iter().collect();
@@ -129,12 +129,12 @@
         all
     }
 
-    /// How many there are.
+    /// Number of customers.
     pub fn len(&self) -> usize {
         self.customers.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no customers.
     pub fn is_empty(&self) -> bool {
         self.customers.is_empty()
     }
--- a/crates/customer/src/local_budget.rs
+++ b/crates/customer/src/local_budget.rs
@@ -1,42 +1,42 @@
-//! What a daemon admits of a customer's requests without having asked the keeper of the quota.
+//! Budget from which a daemon admits a customer's requests without asking the keeper of the quota.
 //!
-//! Small requests are told to the keeper afterwards: asking first would cost each call a round trip. Where the keeper cannot be
-//! asked, the pocket is all that a daemon admits, so that daemons that are cut off from each other stay within what is tolerated
-//! together.
+//! Small requests are reported to the keeper afterwards, since asking first would cost each call a
+//! round trip. If the keeper cannot be reached, a daemon admits only its local budget, so that
+//! daemons cut off from each other together stay within the tolerance.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use ident::Time;
 
-/// Units that were admitted unasked.
+/// Units that a daemon admitted without asking, for one customer.
 #[derive(Debug, Default)]
 pub struct LocalBudget {
-    spent: VecDeque<Spent>,
-    next: u32,
-    /// Until then the keeper is asked first: it told that nothing was left.
-    strict_until: Time,
+    expenses: VecDeque<Expense>,
+    next_id: u32,
+    /// Until then the keeper must be asked first, because it reported that the quota was exceeded.
+    ask_keeper_until: Time,
 }
 
-/// One request that was admitted unasked.
+/// A request that was admitted without asking.
 #[derive(Debug, Clone, Copy)]
-struct Spent {
-    number: SpendId,
+struct Expense {
+    id: SpendId,
     at: Time,
     units: f64,
 }
 
-/// Names a request that was admitted unasked.
+/// Identifies a request that was admitted without asking.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SpendId(u32);
 
 impl LocalBudget {
-    /// Nothing spent.
+    /// A budget with nothing spent.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Spends `units` if they fit into what is left of `allowance`, and the keeper need not be asked first.
+    /// Spends `units` if they fit into the rest of `allowance` and the keeper need not be asked first.
     pub fn spend(
         &mut self,
         now: Time,
@@ -45,10 +45,10 @@
         units: f64,
     ) -> Option<SpendId> {
         let fits = self.spent(now, window) + units <= allowance;
-        (fits && now >= self.strict_until).then(|| self.note(now, units))
+        (fits && now >= self.ask_keeper_until).then(|| self.record(now, units))
     }
 
-    /// Spends `units` if anything is left of `allowance`: the last request may go beyond it.
+    /// Spends `units` if anything is left of `allowance`; the last request may exceed it.
     pub fn overspend(
         &mut self,
         now: Time,
@@ -56,39 +56,35 @@
         allowance: f64,
         units: f64,
     ) -> Option<SpendId> {
-        (self.spent(now, window) < allowance).then(|| self.note(now, units))
+        (self.spent(now, window) < allowance).then(|| self.record(now, units))
     }
 
-    /// Forgets a request that the keeper has counted, or that did not run.
-    pub fn settle(&mut self, number: SpendId) {
-        self.spent.retain(|spent| spent.number != number);
+    /// Removes a request that the keeper has counted or that did not run.
+    pub fn settle(&mut self, id: SpendId) {
+        self.expenses.retain(|expense| expense.id != id);
     }
 
-    /// Asks the keeper first for `time`.
+    /// Requires that the keeper is asked first for the next `time`.
     pub fn ask_keeper_first(&mut self, now: Time, time: Duration) {
-        self.strict_until = self.strict_until.max(now + time);
+        self.ask_keeper_until = self.ask_keeper_until.max(now + time);
     }
 
-    /// Units that were spent in the window that ends at `now`.
+    /// Units spent in the window that ends at `now`.
     pub fn spent(&mut self, now: Time, window: Duration) -> f64 {
         while self
-            .spent
+            .expenses
             .front()
-            .is_some_and(|spent| now.since(spent.at) > window)
+            .is_some_and(|expense| now.since(expense.at) > window)
         {
-            self.spent.pop_front();
+            self.expenses.pop_front();
         }
-        self.spent.iter().map(|spent| spent.units).sum()
+        self.expenses.iter().map(|expense| expense.units).sum()
     }
 
-    fn note(&mut self, now: Time, units: f64) -> SpendId {
-        let number = SpendId(self.next);
-        self.next = self.next.wrapping_add(1);
-        self.spent.push_back(Spent {
-            number,
-            at: now,
-            units,
-        });
-        number
+    fn record(&mut self, now: Time, units: f64) -> SpendId {
+        let id = SpendId(self.next_id);
+        self.next_id = self.next_id.wrapping_add(1);
+        self.expenses.push_back(Expense { id, at: now, units });
+        id
     }
 }
--- a/crates/customer/src/subject.rs
+++ b/crates/customer/src/subject.rs
@@ -15,7 +15,7 @@
 }
 
 impl Subject {
-    /// Hashing key that selects the daemon that keeps the count.
+    /// The key that selects its keeper by rendezvous hashing.
     pub const fn key(self) -> u64 {
         match self {
             Self::Customer(CustomerId(key)) | Self::Replica(key) => key,
--- a/crates/customer/tests/bound.rs
+++ b/crates/customer/tests/bound.rs
@@ -1,4 +1,5 @@
-//! What all daemons together admit stays within the quota and what is tolerated beyond it, whatever happens to them.
+//! All daemons together must stay within the quota and its tolerance, also under partitions and
+//! restarts.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,78 +22,81 @@
 const CUSTOMER: CustomerId = CustomerId(7);
 /// Length of one step.
 const STEP_MS: u64 = 50;
-/// Time after which all daemons see who is in reach.
-const NOTICED_MS: u64 = 1_500;
+/// Time after which all daemons know which members are in reach.
+const DETECTION_MS: u64 = 1_500;
 const WINDOW: Duration = Duration::from_secs(8);
 const LIMIT: Limit = Limit {
     rate: 1_000.0,
     burst: 1_000.0,
 };
-/// As the users set it, in parts of their smallest quota.
+/// As in the users' requirements, scaled to their smallest quota.
 const TOLERANCE: Tolerance = Tolerance {
     window: WINDOW,
     excess: 0.1,
     slack: 4_000.0,
 };
 /// Units of the largest request.
-const LARGEST: u64 = 85;
+const MAX_REQUEST_UNITS: u64 = 85;
 
-/// What happens at one moment.
+/// An event of the simulation.
 #[derive(Debug, Clone)]
 enum Event {
-    /// A request comes to a daemon.
+    /// A request arrives at a daemon.
     Request { daemon: usize, units: u64 },
-    /// The daemons from this one on are cut off from the others; nobody is, if there are none.
+    /// The daemons from this index on are cut off from the others; `DAEMONS` heals the partition.
     Cut { from: usize },
-    /// A daemon is killed, and starts again with empty hands.
+    /// A daemon is killed and restarts without state.
     Kill { daemon: usize },
-    /// All are.
+    /// All daemons are killed and restart without state.
     KillAll,
 }
 
-/// All daemons, as they know of each other.
-struct World {
+/// The state of all daemons.
+struct Simulation {
     keepers: Vec<Keeper>,
-    pockets: Vec<LocalBudget>,
-    /// First daemon that is cut off.
-    cut_at: usize,
-    /// What the daemons take for it.
-    noticed: usize,
-    /// When each last saw the members change.
-    changed: Vec<Time>,
+    local_budgets: Vec<LocalBudget>,
+    /// The first daemon that is cut off.
+    first_cut_off: usize,
+    /// The value of `first_cut_off` that the daemons have detected.
+    noticed_cut_off: usize,
+    /// When each daemon last saw the members change.
+    members_since: Vec<Time>,
     admitted: Vec<(Time, f64)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             keepers: (0..DAEMONS).map(|_| Keeper::new()).collect(),
-            pockets: (0..DAEMONS).map(|_| LocalBudget::new()).collect(),
-            cut_at: DAEMONS,
-            noticed: DAEMONS,
-            changed: vec![Time::ZERO; DAEMONS],
+            local_budgets: (0..DAEMONS).map(|_| LocalBudget::new()).collect(),
+            first_cut_off: DAEMONS,
+            noticed_cut_off: DAEMONS,
+            members_since: vec![Time::ZERO; DAEMONS],
             admitted: Vec::new(),
         }
     }
 
     fn is_cut(&self, daemon: usize) -> bool {
-        daemon >= self.cut_at
+        daemon >= self.first_cut_off
     }
 
-    /// The keeper and its deputy, as `daemon` takes them to be: the first ones of its side.
+    /// The keeper and its deputy in the view of `daemon`: the first daemons on its side.
     fn ranked(&self, daemon: usize) -> [usize; 2] {
-        if daemon >= self.noticed {
-            [self.noticed, (self.noticed + 1).min(DAEMONS - 1)]
+        if daemon >= self.noticed_cut_off {
+            [
+                self.noticed_cut_off,
+                (self.noticed_cut_off + 1).min(DAEMONS - 1),
+            ]
         } else {
             [0, 1]
         }
     }
 
     fn role(&self, daemon: usize) -> Role {
-        let side = if daemon >= self.noticed {
-            DAEMONS - self.noticed
+        let side = if daemon >= self.noticed_cut_off {
+            DAEMONS - self.noticed_cut_off
         } else {
-            self.noticed
+            self.noticed_cut_off
         };
         match daemon {
             _ if 2 * side <= DAEMONS => Role::NoMajority,
@@ -112,31 +116,31 @@
                 continue;
             }
             let role = self.role(keeper);
-            let told = self.keepers[keeper].decide(
+            let reply = self.keepers[keeper].decide(
                 now,
-                self.changed[keeper],
+                self.members_since[keeper],
                 role,
                 LIMIT,
                 &TOLERANCE,
                 &ask,
             );
-            if told.decision != Decision::Unsure {
-                return Some(told.decision);
+            if reply.decision != Decision::Unsure {
+                return Some(reply.decision);
             }
         }
         None
     }
 
-    /// A daemon's decision, as the gateway takes it.
+    /// Decides on a request in the same way as the gateway.
     fn request(&mut self, now: Time, daemon: usize, units: f64) {
         let allowance = TOLERANCE.local_budget(LIMIT, DAEMONS);
-        if let Some(number) = self.pockets[daemon].spend(now, WINDOW, allowance, units) {
+        if let Some(spend_id) = self.local_budgets[daemon].spend(now, WINDOW, allowance, units) {
             self.admitted.push((now, units));
             match self.ask(now, daemon, Purpose::Ran, units) {
-                Some(Decision::Counted) => self.pockets[daemon].settle(number),
+                Some(Decision::Counted) => self.local_budgets[daemon].settle(spend_id),
                 Some(Decision::Overdrawn { free_ms }) => {
                     let free_in = Duration::from_millis(free_ms.into());
-                    self.pockets[daemon].ask_keeper_first(now, free_in);
+                    self.local_budgets[daemon].ask_keeper_first(now, free_in);
                 }
                 _ => {}
             }
@@ -146,8 +150,10 @@
             Some(Decision::Granted { .. }) => true,
             Some(_) => false,
             None => {
-                let pocket = &mut self.pockets[daemon];
-                pocket.overspend(now, WINDOW, allowance, units).is_some()
+                let local_budget = &mut self.local_budgets[daemon];
+                local_budget
+                    .overspend(now, WINDOW, allowance, units)
+                    .is_some()
             }
         };
         if admitted {
@@ -156,13 +162,13 @@
     }
 
     fn kill(&mut self, now: Time, daemon: usize) {
-        self.changed[daemon] = now;
+        self.members_since[daemon] = now;
         self.keepers[daemon] = Keeper::new();
-        self.pockets[daemon] = LocalBudget::new();
+        self.local_budgets[daemon] = LocalBudget::new();
     }
 
-    /// Most units admitted in any window.
-    fn worst(&self) -> f64 {
+    /// Maximum number of units admitted in any window.
+    fn max_in_window(&self) -> f64 {
         let in_window = |end: Time| {
             let admitted = self.admitted.iter();
             let inside = admitted.filter(|(at, _)| *at <= end && end.since(*at) < WINDOW);
@@ -177,36 +183,37 @@
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        400 => (0..DAEMONS, 1..=LARGEST).prop_map(|(daemon, units)| Event::Request { daemon, units }),
+        400 => (0..DAEMONS, 1..=MAX_REQUEST_UNITS).prop_map(|(daemon, units)| Event::Request { daemon, units }),
         2 => (1..=DAEMONS).prop_map(|from| Event::Cut { from }),
         1 => (0..DAEMONS).prop_map(|daemon| Event::Kill { daemon }),
     ]
 }
 
-fn play(events: &[Vec<Event>]) -> World {
-    let mut world = World::new();
+fn simulate(events: &[Vec<Event>]) -> Simulation {
+    let mut simulation = Simulation::new();
     let mut cut_since = HashMap::new();
     for (step, events) in events.iter().enumerate() {
         let now = Time::from_millis(10_000 + step as u64 * STEP_MS);
-        if world.noticed != world.cut_at
-            && now.since(cut_since[&world.cut_at]) >= Duration::from_millis(NOTICED_MS)
+        if simulation.noticed_cut_off != simulation.first_cut_off
+            && now.since(cut_since[&simulation.first_cut_off])
+                >= Duration::from_millis(DETECTION_MS)
         {
-            world.noticed = world.cut_at;
-            world.changed = vec![now; DAEMONS];
+            simulation.noticed_cut_off = simulation.first_cut_off;
+            simulation.members_since = vec![now; DAEMONS];
         }
         for event in events {
             match event {
-                Event::Request { daemon, units } => world.request(now, *daemon, *units as f64),
+                Event::Request { daemon, units } => simulation.request(now, *daemon, *units as f64),
                 Event::Cut { from } => {
-                    world.cut_at = *from;
+                    simulation.first_cut_off = *from;
                     cut_since.insert(*from, now);
                 }
-                Event::Kill { daemon } => world.kill(now, *daemon),
-                Event::KillAll => (0..DAEMONS).for_each(|daemon| world.kill(now, daemon)),
+                Event::Kill { daemon } => simulation.kill(now, *daemon),
+                Event::KillAll => (0..DAEMONS).for_each(|daemon| simulation.kill(now, daemon)),
             }
         }
     }
-    world
+    simulation
 }
 
 fn allowed() -> f64 {
@@ -216,16 +223,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    // Ten requests a step of 43 units in the mean ask for eight times the quota; nearly each second the members are cut apart
-    // anew, and each other second one of them is killed.
+    // Ten requests per step of 43 units on average request eight times the quota. A new partition
+    // occurs nearly every second, and a daemon is killed every other second.
     #[test]
-    fn cuts_and_kills_admit_no_more_than_is_tolerated(events in vec(vec(event(), 10), 320)) {
-        let world = play(&events);
-        prop_assert!(world.worst() <= allowed(), "{} of {}", world.worst(), allowed());
+    fn partitions_and_kills_admit_no_more_than_tolerated(events in vec(vec(event(), 10), 320)) {
+        let simulation = simulate(&events);
+        prop_assert!(simulation.max_in_window() <= allowed(), "{} of {}", simulation.max_in_window(), allowed());
     }
 }
 
-/// `requests` a step for so many steps, over all daemons in turn.
+/// `requests` per step for `steps` steps, distributed over all daemons.
 fn load(steps: usize, requests: usize, units: u64) -> Vec<Vec<Event>> {
     let step = |step: usize| {
         let of_step = (0..requests).map(move |number| Event::Request {
@@ -238,31 +245,35 @@
 }
 
 #[test]
-fn a_hot_customer_gets_its_quota_and_no_more() {
-    let world = play(&load(320, 10, 40));
+fn an_overloading_customer_gets_its_quota_and_no_more() {
+    let simulation = simulate(&load(320, 10, 40));
     let quota = LIMIT.rate * WINDOW.as_secs_f64();
-    assert!(world.worst() <= allowed());
-    assert!(world.worst() >= quota, "{}", world.worst());
+    assert!(simulation.max_in_window() <= allowed());
+    assert!(
+        simulation.max_in_window() >= quota,
+        "{}",
+        simulation.max_in_window()
+    );
 }
 
 #[test]
 fn a_customer_within_its_quota_is_never_refused() {
-    // 800 units a second of 1,000.
-    let world = play(&load(320, 1, 40));
-    assert_eq!(world.admitted.len(), 320);
+    // 800 of 1,000 units per second.
+    let simulation = simulate(&load(320, 1, 40));
+    assert_eq!(simulation.admitted.len(), 320);
 }
 
 #[test]
-fn daemons_that_are_killed_together_do_not_start_with_a_burst_each() {
+fn daemons_killed_together_do_not_each_restart_with_a_full_burst() {
     let mut events = load(320, 10, 40);
     events[160].push(Event::KillAll);
-    assert!(play(&events).worst() <= allowed());
+    assert!(simulate(&events).max_in_window() <= allowed());
 }
 
 #[test]
-fn a_minority_that_is_cut_off_stays_within_its_pockets() {
+fn a_minority_partition_stays_within_its_local_budgets() {
     let mut events = load(320, 10, 40);
     events[100].push(Event::Cut { from: 8 });
-    let world = play(&events);
-    assert!(world.worst() <= allowed());
+    let simulation = simulate(&events);
+    assert!(simulation.max_in_window() <= allowed());
 }
--- a/crates/customer/tests/bucket.rs
+++ b/crates/customer/tests/bucket.rs
@@ -1,4 +1,4 @@
-//! The bucket of a customer.
+//! Token buckets: grants, retry times and refunds.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_burst_may_be_used_at_once_and_the_rest_as_it_comes_free() {
+fn the_burst_may_be_used_at_once_and_the_rest_as_it_refills() {
     let mut bucket = Bucket::new(Time::ZERO, LIMIT.burst);
     assert_eq!(take(&mut bucket, 0, 300.0, 0), granted(0));
     let come_back = Duration::from_secs(1);
@@ -37,10 +37,10 @@
 }
 
 #[test]
-fn a_request_that_can_wait_uses_what_comes_free() {
+fn a_request_that_can_wait_uses_units_refilled_meanwhile() {
     let mut bucket = Bucket::new(Time::ZERO, 0.0);
     assert_eq!(take(&mut bucket, 0, 10.0, 100), granted(100));
-    // The next one waits behind it.
+    // The next request would have to wait longer.
     let come_back = Duration::from_millis(200);
     assert_eq!(
         take(&mut bucket, 0, 10.0, 100),
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn callers_are_told_to_come_back_one_after_the_other() {
+fn retry_times_of_refused_requests_are_staggered() {
     let mut bucket = Bucket::new(Time::ZERO, 0.0);
-    let mut told = || match take(&mut bucket, 0, 100.0, 0) {
+    let mut retry_after = || match take(&mut bucket, 0, 100.0, 0) {
         Verdict::Refused { come_back } => come_back.as_secs(),
         Verdict::Granted { .. } => 0,
     };
-    assert_eq!([told(), told(), told()], [1, 2, 3]);
-    // Who comes at the time that it was told finds room.
+    assert_eq!([retry_after(), retry_after(), retry_after()], [1, 2, 3]);
+    // Callers that retry at the given time are granted.
     assert_eq!(take(&mut bucket, 1_000, 100.0, 0), granted(0));
     assert_eq!(take(&mut bucket, 2_000, 100.0, 0), granted(0));
 }
@@ -70,7 +70,7 @@
         Verdict::Refused { come_back }
     );
     assert_eq!(take(&mut bucket, 1_000, 900.0, 0), granted(0));
-    // What it used beyond the bucket is paid back first.
+    // Units used beyond the bucket must be refilled first.
     assert_eq!(
         take(&mut bucket, 6_000, 1.0, 0),
         Verdict::Refused {
@@ -80,18 +80,22 @@
 }
 
 #[rstest]
-// What was given back is there again, and no more than the burst.
+// Refunded units are available again, up to the burst.
 #[case(300.0, 200.0, 300.0)]
 #[case(100.0, 200.0, 100.0)]
-fn what_did_not_run_is_given_back(#[case] level: f64, #[case] units: f64, #[case] after: f64) {
+fn units_of_a_request_that_did_not_run_are_refunded(
+    #[case] level: f64,
+    #[case] units: f64,
+    #[case] after: f64,
+) {
     let mut bucket = Bucket::new(Time::ZERO, level);
     bucket.take(Time::ZERO, LIMIT, units, Duration::from_secs(5));
-    bucket.give_back(Time::ZERO, LIMIT, units);
+    bucket.refund(Time::ZERO, LIMIT, units);
     assert!((bucket.level(Time::ZERO, LIMIT) - after).abs() < 1e-9);
 }
 
 #[test]
-fn a_lower_limit_binds_at_once() {
+fn a_lower_limit_applies_at_once() {
     let mut bucket = Bucket::new(Time::ZERO, LIMIT.burst);
     let lower = Limit {
         rate: 1.0,
--- a/crates/customer/tests/list.rs
+++ b/crates/customer/tests/list.rs
@@ -1,4 +1,4 @@
-//! Whose a key is, and what counts.
+//! Customers by API key, and the units that requests count.
 
 use customer::digest::Digest;
 use customer::list::Customer;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn each_key_is_its_customers() {
+fn each_key_belongs_to_its_customer() {
     let mut list = CustomerList::new();
     assert!(
         list.add(customer("a"), keys(&["k1", "k2", "k1"]))
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_key_that_several_claim_is_nobodys() {
+fn a_key_claimed_by_several_customers_belongs_to_none() {
     let mut list = CustomerList::new();
     list.add(customer("a"), keys(&["k1", "k2"]));
     assert_eq!(list.add(customer("b"), keys(&["k1"])), [Digest::new(b"k1")]);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_digest_shows_no_key() {
+fn debug_output_of_a_digest_does_not_show_the_key() {
     let digest = Digest::new(b"asnmgkcuyj8pjbvk9m68");
     let shown = format!("{digest:?}");
     assert_eq!(shown.len(), "Digest(12345678..)".len());
--- a/crates/customer/tests/replica.rs
+++ b/crates/customer/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Request limits of replicas, as enforced by the keeper of the count.
+//! Request limits of replicas, enforced by the keeper.
 
 use std::time::Duration;
 
@@ -32,8 +32,8 @@
         purpose: Purpose::Run { patience_ms: 0 },
     };
     let now = START + Duration::from_millis(ms);
-    let told = keeper.decide(now, since, role, LIMIT, &TOLERANCE, &ask);
-    told.decision
+    let reply = keeper.decide(now, since, role, LIMIT, &TOLERANCE, &ask);
+    reply.decision
 }
 
 /// Guards against a customer tolerance that is applied to a replica.
