--- a/crates/ident/src/handle.rs
+++ b/crates/ident/src/handle.rs
@@ -1,4 +1,4 @@
-//! The name under which a replica knows one attempt at a request.
+//! Handles, by which replicas identify attempts at requests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,14 +9,14 @@
 use crate::Incarnation;
 use crate::hex;
 
-/// One attempt at a request, unique over all daemons and restarts.
+/// Identifies an attempt at a request, unique across all daemons and restarts.
 ///
-/// Written `<incarnation>-<sequence>`, both in hexadecimal.
+/// Its text form is `<incarnation>-<sequence>`, both in hexadecimal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Handle {
     /// The daemon run that made the attempt.
     pub owner: Incarnation,
-    /// Counts the attempts of that run.
+    /// Sequence number of the attempt in that run.
     pub sequence: u64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A text that is not a handle.
+/// Error for a text that is not a handle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseError(String);
 
--- a/crates/ident/src/hex.rs
+++ b/crates/ident/src/hex.rs
@@ -1,6 +1,7 @@
-//! Numbers in hexadecimal, with one spelling each but for leading zeros.
+//! Strict parsing of hexadecimal numbers.
 
-/// The number in `text`; `None` if it holds anything but digits and the letters `a` to `f`.
+/// Parses `text`; `None` unless it consists only of digits and the letters `a` to `f`, so that each
+/// number has one spelling except for leading zeros.
 pub(crate) fn parse(text: &str) -> Option<u64> {
     let plain = text
         .bytes()
--- a/crates/ident/src/key.rs
+++ b/crates/ident/src/key.rs
@@ -1,8 +1,8 @@
 //! Idempotency keys.
 //!
-//! A key names its runner: the prefix that an address answer hands out holds the incarnation that
-//! alone may start the request, and the time of issue. A repeat of the key therefore reaches the
-//! same runner through whichever instance it arrives, without any agreement between instances.
+//! A key identifies its runner: its prefix, issued in an address answer, holds the only incarnation
+//! that may start the request and the time of issue. A repeated key therefore reaches the same
+//! runner through any instance, without agreement between instances.
 
 use std::fmt;
 use std::fmt::Write;
@@ -23,12 +23,12 @@
 }
 
 impl Prefix {
-    /// The prefix for `runner`, issued at `issued` seconds of the Unix clock.
+    /// The prefix for `runner`, issued at `issued` (Unix seconds).
     pub const fn new(runner: Incarnation, issued: u64) -> Self {
         Self { runner, issued }
     }
 
-    /// Reads the prefix of `key`; `None` if the key does not begin with one.
+    /// Parses the prefix of `key`; `None` if the key does not begin with one or has nothing after it.
     pub fn parse(key: &str) -> Option<Self> {
         let mut parts = key.splitn(3, '.');
         let runner = parts.next().filter(|part| part.len() == 16)?;
@@ -56,7 +56,7 @@
 }
 
 impl Key {
-    /// The longest key text that is taken, in bytes.
+    /// Maximum length of the key text, in bytes.
     pub const MAX_LEN: usize = 128;
 
     /// The key `text` of `customer`.
@@ -67,14 +67,14 @@
         }
     }
 
-    /// The prefix inside the key, if it has one.
+    /// The prefix of the key, if it has one.
     pub fn prefix(&self) -> Option<Prefix> {
         Prefix::parse(&self.text)
     }
 }
 
-/// Customer and text with a slash between them. Slashes of the customer are escaped: outcomes are
-/// recorded under this form, and no two keys may share it.
+/// Customer and text, separated by a slash. Slashes in the customer are escaped: outcomes are
+/// recorded under this form, so no two keys may share it.
 impl fmt::Display for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for letter in self.customer.chars() {
--- a/crates/ident/src/lib.rs
+++ b/crates/ident/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers and time shared by every crate.
+//! Identifiers and time shared by all crates.
 //!
-//! Every identifier is a small `Copy` key. Names of instances, replicas and table rows are hashed
-//! once into 64 bits, so that all daemons agree on the key without exchanging it.
+//! Names of instances, replicas and table rows are hashed to 64-bit `Copy` keys, so that all daemons
+//! compute the same key without exchanging it.
 
 mod handle;
 mod hex;
--- a/crates/ident/src/name.rs
+++ b/crates/ident/src/name.rs
@@ -1,4 +1,4 @@
-//! Keys made from names by a fixed hash.
+//! Identifiers made from names by a fixed hash.
 
 use rapidhash::v3::rapidhash_v3;
 use serde::Deserialize;
@@ -11,7 +11,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The key of `name`; equal names give equal keys in every process.
+            /// The identifier of `name`, the same in every process.
             pub fn new(name: &str) -> Self {
                 Self(rapidhash_v3(name.as_bytes()))
             }
@@ -26,7 +26,7 @@
 }
 
 hashed! {
-    /// An entry instance, by the name in its settings and in the platform's list.
+    /// An entry instance, by its name in its settings and in the platform's list.
     Instance
 }
 hashed! {
@@ -38,7 +38,7 @@
     Zone
 }
 hashed! {
-    /// A customer, by the name a caller presents.
+    /// A customer, by the name that a caller presents.
     Customer
 }
 hashed! {
@@ -46,18 +46,18 @@
     Pool
 }
 hashed! {
-    /// A row of the table, by `service/class/pool`.
+    /// A row of the routing table, by `service/class/pool`.
     Row
 }
 
 impl Row {
-    /// The key of the row for `service`, `class` and `pool`.
+    /// The row for `service`, `class` and `pool`.
     pub fn from_parts(service: &str, class: &str, pool: &str) -> Self {
         Self::new(&format!("{service}/{class}/{pool}"))
     }
 }
 
-/// One run of one daemon: chosen at random at each start, never reused.
+/// A run of a daemon, identified by a random number chosen at each start and never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
--- a/crates/ident/src/time.rs
+++ b/crates/ident/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as the core sees it.
+//! Monotonic time, passed in by drivers.
 
 use std::ops::Add;
 use std::ops::Sub;
@@ -7,9 +7,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A point on the driver's monotonic clock, in microseconds since an origin of its choice.
+/// A time on the driver's monotonic clock, in microseconds since an origin of its choice.
 ///
-/// Never sent to another process: frames carry ages, not points.
+/// Never sent to another process, whose origin differs: frames carry ages instead.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,10 +18,10 @@
 impl Time {
     /// The origin of the clock.
     pub const ZERO: Self = Self(0);
-    /// Later than any point that is reached.
+    /// Later than any time that is reached.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// The point `ms` milliseconds after the origin.
+    /// The time `ms` milliseconds after the origin.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms * 1_000)
     }
@@ -31,7 +31,7 @@
         self.0 / 1_000
     }
 
-    /// Time passed since `earlier`; zero if `earlier` lies ahead.
+    /// Time since `earlier`; zero if `earlier` is later.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/ident/tests/parse.rs
+++ b/crates/ident/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Keys and handles as callers and replicas write them.
+//! Parsing and formatting of idempotency keys and handles.
 
 use ident::Handle;
 use ident::Incarnation;
@@ -13,7 +13,7 @@
 const RUNNER: Incarnation = Incarnation(0x91c5_b8f0_aa31_e2d4);
 
 #[test]
-fn a_prefix_is_read_back() {
+fn a_prefix_round_trips() {
     let prefix = Prefix::new(RUNNER, 0x6930_b2f1);
     assert_eq!(prefix.to_string(), "91c5b8f0aa31e2d4.6930b2f1.");
     let key = Key::new("farm-17", &format!("{prefix}lorry.12"));
@@ -33,7 +33,7 @@
 #[case::signed_runner("+1c5b8f0aa31e2d4.6930b2f1.x")]
 #[case::signed_time("91c5b8f0aa31e2d4.+930b2f1.x")]
 #[case::upper_case("91C5B8F0AA31E2D4.6930B2F1.x")]
-fn a_key_without_a_whole_prefix_has_none(#[case] key: &str) {
+fn a_key_without_a_complete_prefix_has_none(#[case] key: &str) {
     assert_eq!(Prefix::parse(key), None);
 }
 
@@ -45,20 +45,20 @@
 #[case::three_parts("91c5b8f0aa31e2d4-1-2")]
 #[case::signed("91c5b8f0aa31e2d4-+1")]
 #[case::too_large("91c5b8f0aa31e2d4-10000000000000000")]
-fn a_text_that_is_no_handle_is_an_error_that_shows_it(#[case] text: &str) {
+fn an_invalid_handle_is_an_error_that_contains_the_text(#[case] text: &str) {
     let error = text.parse::<Handle>().expect_err("must not be a handle");
     assert!(error.to_string().contains(text));
 }
 
 proptest! {
     #[test]
-    fn every_handle_is_read_back(owner: u64, sequence: u64) {
+    fn every_handle_round_trips(owner: u64, sequence: u64) {
         let handle = Handle::new(Incarnation(owner), sequence);
         prop_assert_eq!(handle.to_string().parse(), Ok(handle));
     }
 
     #[test]
-    fn every_prefix_is_read_back(runner: u64, issued in any::<u32>(), rest in ".{1,90}") {
+    fn every_prefix_round_trips(runner: u64, issued in any::<u32>(), rest in ".{1,90}") {
         let prefix = Prefix::new(Incarnation(runner), issued.into());
         prop_assert_eq!(Prefix::parse(&format!("{prefix}{rest}")), Some(prefix));
     }
@@ -71,7 +71,7 @@
     }
 
     #[test]
-    fn no_text_makes_the_parsers_panic(text: String) {
+    fn parsers_never_panic(text: String) {
         let prefix = Prefix::parse(&text);
         prop_assert!(prefix.is_none() || text.len() > 26);
         let handle = text.parse::<Handle>();
@@ -79,13 +79,13 @@
     }
 }
 
-/// The outcome of a request is recorded and looked up under its key as text. A slash in the name
-/// of a customer made two customers' keys read alike, and one of them could be told the recorded
-/// answer of the other.
+/// Guards against two customers whose keys have the same text. Outcomes are recorded and looked up
+/// by the key's text; with an unescaped slash in its name, a customer could receive the recorded
+/// answer of another.
 #[rstest]
 #[case::slash("farm", "91c5b8f0aa31e2d4.6930b2f1.x/91c5b8f0aa31e2d4.6930b2f1.y")]
 #[case::escaped("farm%2F91c5b8f0aa31e2d4.6930b2f1.x", "91c5b8f0aa31e2d4.6930b2f1.y")]
-fn keys_of_two_customers_never_read_alike(#[case] customer: &str, #[case] text: &str) {
+fn keys_of_two_customers_never_have_the_same_text(#[case] customer: &str, #[case] text: &str) {
     let key = Key::new(
         "farm/91c5b8f0aa31e2d4.6930b2f1.x",
         "91c5b8f0aa31e2d4.6930b2f1.y",
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_key_of_a_plain_customer_reads_as_it_is() {
+fn a_customer_without_special_characters_is_not_escaped() {
     let key = Key::new("farm-17", "a/b%c");
     assert_eq!(key.to_string(), "farm-17/a/b%c");
 }
