--- a/crates/boottime/src/clock.rs
+++ b/crates/boottime/src/clock.rs
@@ -6,7 +6,7 @@
 
 use crate::Instant;
 
-/// Gives times since its start.
+/// Measures times since its creation.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -20,17 +20,17 @@
         }
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Time {
         Time(self.start.elapsed().as_micros() as u64)
     }
 
-    /// When `time` is reached.
+    /// The instant at which `time` is reached.
     pub fn instant(&self, time: Time) -> Instant {
         self.start + time.since(Time::ZERO)
     }
 
-    /// How long it is until `time`; zero if it has passed.
+    /// Duration until `time`; zero if it has passed.
     pub fn until(&self, time: Time) -> Duration {
         time.since(self.now())
     }
--- a/crates/boottime/src/instant.rs
+++ b/crates/boottime/src/instant.rs
@@ -1,4 +1,4 @@
-//! Moments.
+//! Instants on the boot-time clock.
 
 use std::ops::Add;
 use std::ops::Sub;
@@ -7,23 +7,24 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// A moment on the clock that counts since the machine was started, its suspensions included. Never goes back.
+/// An instant on the monotonic clock that counts from the start of the machine and includes
+/// suspension (`CLOCK_BOOTTIME`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// The present moment.
+    /// The current instant.
     pub fn now() -> Self {
         let time = clock_gettime(ClockId::Boottime);
         Self(Duration::new(time.tv_sec as u64, time.tv_nsec as u32))
     }
 
-    /// Time since this moment; zero if it is to come.
+    /// Time since this instant; zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         Self::now().saturating_duration_since(self)
     }
 
-    /// Time from `earlier` to this moment; zero if `earlier` is later.
+    /// Time from `earlier` to this instant; zero if `earlier` is later.
     pub const fn saturating_duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -32,7 +33,7 @@
 impl Add<Duration> for Instant {
     type Output = Self;
 
-    /// The moment `time` later; the latest there is if that is beyond it.
+    /// The instant `time` later, saturating at the maximum.
     fn add(self, time: Duration) -> Self {
         Self(self.0.saturating_add(time))
     }
@@ -41,7 +42,7 @@
 impl Sub<Duration> for Instant {
     type Output = Self;
 
-    /// The moment `time` earlier, but none before the start of the machine.
+    /// The instant `time` earlier, saturating at the start of the machine.
     fn sub(self, time: Duration) -> Self {
         Self(self.0.saturating_sub(time))
     }
--- a/crates/boottime/src/lib.rs
+++ b/crates/boottime/src/lib.rs
@@ -1,12 +1,13 @@
-//! Time and timers that count while the machine is suspended.
+//! Time and timers that include the time for which the machine is suspended.
 //!
-//! The steady clock of the standard library and of the runtime's timers stands meanwhile. A daemon that
-//! measures with it takes a list of seconds ago for fresh, goes on with a lease that has run out, and grants
-//! its callers time that is gone.
+//! The monotonic clock of the standard library and of the runtime's timers stops during suspension.
+//! A daemon that uses it takes an outdated list for fresh, keeps using an expired lease, and gives
+//! its callers time that has already passed.
 //!
-//! - [`Instant`]: a moment on the clock that counts since the machine was started.
+//! - [`Instant`]: an instant on the clock that counts from the start of the machine.
 //! - [`Clock`]: times since the start of a process.
-//! - [`timer`]: waiting by that clock; [`timer::SuspendDetector`] wakes those that wait when the machine was suspended.
+//! - [`timer`]: sleeps and timeouts on that clock; [`timer::SuspendDetector`] wakes them after a
+//!   suspension.
 
 mod clock;
 mod instant;
--- a/crates/boottime/src/timer.rs
+++ b/crates/boottime/src/timer.rs
@@ -1,8 +1,8 @@
-//! Waiting by the clock that counts while the machine is suspended.
+//! Sleeps and timeouts that include the time for which the machine is suspended.
 //!
-//! The runtime's timers do not count that time, and the system has no others for this clock that need no
-//! descriptor each. So each wait sets a timer of the runtime for what is left, and sets it anew when a
-//! [`SuspendDetector`] notices that the machine was suspended.
+//! The runtime's timers do not count that time, and the system's timers for this clock need a file
+//! descriptor each. Each wait therefore sets a runtime timer for the remaining time, and sets it
+//! again when a [`SuspendDetector`] notices that the machine was suspended.
 
 use std::error::Error;
 use std::fmt;
@@ -17,13 +17,13 @@
 
 use crate::Instant;
 
-/// Tells all waits that the machine was suspended.
+/// Notifies all waits that the machine was suspended.
 static SUSPENSIONS: Notify = Notify::const_new();
-/// Difference between the clocks from which on the machine is taken to have been suspended; the two are read one
-/// after the other, and a busy machine may run something else in between.
+/// Minimum difference between the clocks that counts as a suspension. The two clocks are read one
+/// after the other, and a busy machine may run another process in between.
 const TOLERANCE: Duration = Duration::from_millis(20);
 
-/// The time of a limited wait is up.
+/// Error of a timeout that expired before its future ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Elapsed;
 
@@ -44,7 +44,7 @@
 pub async fn sleep_until(end: Instant) {
     loop {
         let mut suspended = pin!(SUSPENSIONS.notified());
-        // From here on, no notice is missed.
+        // From here on, no notification is missed.
         suspended.as_mut().enable();
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Waits for `future`, for `limit` at most; [`Elapsed`] if it did not end in time.
+/// Waits for `future` for up to `limit`; fails with [`Elapsed`] if it does not end in time.
 pub fn timeout<F: Future>(
     limit: Duration,
     future: F,
@@ -65,7 +65,7 @@
     timeout_at(Instant::now() + limit, future)
 }
 
-/// Waits for `future`, until `end` at most; [`Elapsed`] if it did not end in time.
+/// Waits for `future` until `end`; fails with [`Elapsed`] if it does not end in time.
 pub fn timeout_at<F: Future>(
     end: Instant,
     future: F,
@@ -77,8 +77,9 @@
 }
 
 pin_project! {
-    /// A future with a limit. An `async` function would hold the future twice: as an argument, and while it
-    /// waits. A generation waits within several limits and took 40,400 bytes that way, below 16,384 this way.
+    /// A future with a timeout. An `async` function would store the future twice: as an argument and
+    /// while it waits. A generation waits inside several timeouts; its future took 40,400 bytes that
+    /// way and takes less than 16,384 this way.
     struct Limited<F, S> {
         #[pin]
         future: F,
@@ -99,28 +100,28 @@
     }
 }
 
-/// Notices that the machine was suspended. One in each process is asked several times a second.
+/// Detects that the machine was suspended. Each process checks one several times per second.
 #[derive(Debug)]
 pub struct SuspendDetector {
-    /// Both clocks at the last look.
-    counting: Instant,
-    steady: std::time::Instant,
+    /// Both clocks at the last check.
+    boottime: Instant,
+    monotonic: std::time::Instant,
 }
 
 impl SuspendDetector {
-    /// A watch from now on.
+    /// A detector that starts now.
     pub fn new() -> Self {
         Self {
-            counting: Instant::now(),
-            steady: std::time::Instant::now(),
+            boottime: Instant::now(),
+            monotonic: std::time::Instant::now(),
         }
     }
 
-    /// Wakes all waits if the machine was suspended since the last look; gives for how long.
+    /// Wakes all waits if the machine was suspended since the last check; returns for how long.
     pub fn check(&mut self) -> Option<Duration> {
         let before = std::mem::take(self);
-        let passed = self.counting.saturating_duration_since(before.counting);
-        let counted = self.steady.saturating_duration_since(before.steady);
+        let passed = self.boottime.saturating_duration_since(before.boottime);
+        let counted = self.monotonic.saturating_duration_since(before.monotonic);
         let suspended = passed.saturating_sub(counted);
         if suspended < TOLERANCE {
             return None;
@@ -136,7 +137,7 @@
     }
 }
 
-/// Has all waits look at the clock again.
+/// Makes all waits check the clock again.
 pub fn wake_all() {
     SUSPENSIONS.notify_waiters();
 }
--- a/crates/boottime/tests/timer.rs
+++ b/crates/boottime/tests/timer.rs
@@ -1,4 +1,4 @@
-//! Waits while the runtime's clock stands and time passes all the same, as when the machine is suspended.
+//! Waits while the runtime's clock is stopped and time passes, as during suspension.
 
 use std::future::pending;
 use std::thread;
@@ -12,8 +12,8 @@
 const SUSPENDED: Duration = Duration::from_millis(300);
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_that_ended_meanwhile_ends_when_the_suspension_is_noticed() {
-    let steady = tokio::time::Instant::now();
+async fn a_wait_that_expired_during_suspension_ends_when_it_is_noticed() {
+    let runtime_start = tokio::time::Instant::now();
     let end = Instant::now() + SUSPENDED / 2;
     let wait = tokio::spawn(timer::timeout_at(end, pending::<()>()));
     tokio::task::yield_now().await;
@@ -21,13 +21,13 @@
     assert!(!wait.is_finished());
     timer::wake_all();
     assert_eq!(wait.await.unwrap(), Err(Elapsed));
-    assert_eq!(steady.elapsed(), Duration::ZERO);
+    assert_eq!(runtime_start.elapsed(), Duration::ZERO);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_that_lasts_longer_goes_on_for_what_is_left() {
-    let begun = Instant::now();
-    let wait = tokio::spawn(timer::sleep_until(begun + 2 * SUSPENDED));
+async fn a_longer_wait_continues_for_the_remaining_time() {
+    let start = Instant::now();
+    let wait = tokio::spawn(timer::sleep_until(start + 2 * SUSPENDED));
     tokio::task::yield_now().await;
     thread::sleep(SUSPENDED);
     timer::wake_all();
@@ -35,11 +35,11 @@
     assert!(!wait.is_finished());
     tokio::time::resume();
     wait.await.unwrap();
-    assert!(begun.elapsed() >= 2 * SUSPENDED);
+    assert!(start.elapsed() >= 2 * SUSPENDED);
 }
 
 #[tokio::test]
-async fn what_ends_in_time_is_given() {
+async fn a_future_that_ends_in_time_returns_its_output() {
     let limit = Duration::from_hours(1);
     assert_eq!(timer::timeout(limit, async { 7 }).await, Ok(7));
     let past = Instant::now() - Duration::from_secs(1);
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn a_machine_that_was_not_suspended_is_not_said_to_have_been() {
-    let mut watch = timer::SuspendDetector::new();
+fn no_suspension_is_reported_without_one() {
+    let mut detector = timer::SuspendDetector::new();
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(watch.check(), None);
+    assert_eq!(detector.check(), None);
 }
 
 #[test]
-fn moments_are_ordered_and_never_before_the_start() {
+fn instants_are_ordered_and_saturate_at_the_start() {
     let now = Instant::now();
     let later = now + Duration::from_secs(5);
     assert!(later > now);
