--- a/crates/boottime/src/timer.rs
+++ b/crates/boottime/src/timer.rs
@@ -77,9 +77,9 @@
 }
 
 pin_project! {
-    /// A future with a timeout. An `async` function would store the future twice: as an argument and
-    /// while it waits. A generation waits inside several timeouts; its future took 40,400 bytes that
-    /// way and takes less than 16,384 this way.
+    /// A future with a timeout. An `async` function would store the future twice: as an argument
+    /// and while it waits. A generation waits inside several timeouts; its future took 40,400 bytes
+    /// that way and takes less than 16,384 this way.
     struct Limited<F, S> {
         #[pin]
         future: F,
--- a/crates/customer/src/list.rs
+++ b/crates/customer/src/list.rs
@@ -10,7 +10,8 @@
 use crate::digest::Digest;
 use crate::quota::Limit;
 
-/// Identifies a customer in messages between daemons: a hash of its name, the same in every process.
+/// Identifies a customer in messages between daemons: a hash of its name, the same in every
+/// process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CustomerId(pub u64);
 
@@ -19,7 +20,8 @@
 pub enum Unit {
     /// Each request counts as 1.
     Requests,
-    /// A generation counts its prompt tokens plus the maximum number of tokens that it may generate.
+    /// A generation counts its prompt tokens plus the maximum number of tokens that it may
+    /// generate.
     Tokens {
         /// Tokens counted for a request that states none.
         call: u64,
--- a/crates/customer/src/local_budget.rs
+++ b/crates/customer/src/local_budget.rs
@@ -36,7 +36,8 @@
         Self::default()
     }
 
-    /// Spends `units` if they fit into the rest of `allowance` and the keeper need not be asked first.
+    /// Spends `units` if they fit into the rest of `allowance` and the keeper need not be asked
+    /// first.
     pub fn spend(
         &mut self,
         now: Time,
--- a/crates/fleet/src/detect.rs
+++ b/crates/fleet/src/detect.rs
@@ -14,7 +14,8 @@
 /// Up to one suspicion for this many listed instances counts as few. A partition soon causes many
 /// suspicions, so few of them are taken for single deaths.
 const FEW_SUSPECTS_DIVISOR: usize = 16;
-/// With few suspicions, `CLEAR_NUMERATOR` of `CLEAR_DENOMINATOR` listed instances must be reachable.
+/// With few suspicions, `CLEAR_NUMERATOR` of `CLEAR_DENOMINATOR` listed instances must be
+/// reachable.
 const CLEAR_NUMERATOR: usize = 5;
 /// See [`CLEAR_NUMERATOR`].
 const CLEAR_DENOMINATOR: usize = 8;
@@ -67,11 +68,11 @@
     /// Whether this daemon may declare `instance` dead: the instance is not listed, or this daemon
     /// is on the majority side of any partition.
     ///
-    /// Suspicions lag behind the start of a partition: while there are few, a death is declared only
-    /// if nearly all probes are answered; once there are more, the remaining ones get time to appear.
-    /// They also lag behind the end of a partition, so a daemon that was cut off counts only pings
-    /// that it sent afterwards. Of two listed instances, neither is a majority without the other, so
-    /// each may declare the other dead.
+    /// Suspicions lag behind the start of a partition: while there are few, a death is declared
+    /// only if nearly all probes are answered; once there are more, the remaining ones get time to
+    /// appear. They also lag behind the end of a partition, so a daemon that was cut off counts
+    /// only pings that it sent afterwards. Of two listed instances, neither is a majority without
+    /// the other, so each may declare the other dead.
     fn may_declare(&self, instance: Instance, suspicion: Suspicion) -> bool {
         let known = self.listed_count();
         let reachable = self.reachable_count();
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Extends the suspicion by a period for a member that has sent a message since it was suspected:
-    /// its refutation was lost.
+    /// Extends the suspicion by a period for a member that has sent a message since it was
+    /// suspected: its refutation was lost.
     fn extend_suspicion(&mut self, now: Time, instance: Instance, heard: Time) {
         let deadline = now + self.settings.period;
         let suspicion = Suspicion {
@@ -124,7 +125,8 @@
         self.roster.suspicions.insert(instance, suspicion);
     }
 
-    /// Marks a suspected member as out of reach without declaring it dead, and checks it again later.
+    /// Marks a suspected member as out of reach without declaring it dead, and checks it again
+    /// later.
     fn mark_out_of_reach(&mut self, now: Time, instance: Instance, suspicion: Suspicion) {
         let wait = if suspicion.expired {
             self.settings.period
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -72,8 +72,8 @@
         self.send(helper, Message::Pull { from: first, news });
     }
 
-    /// Pulls again at once if the last page contained an unknown run; `before` is the number of runs
-    /// known before it.
+    /// Pulls again at once if the last page contained an unknown run; `before` is the number of
+    /// runs known before it.
     pub(crate) fn pull_more(&mut self, before: usize) {
         if self.roster.runs.len() > before {
             self.pull_interval = 1;
--- a/crates/fleet/src/pause.rs
+++ b/crates/fleet/src/pause.rs
@@ -44,7 +44,8 @@
     }
 
     /// Handles an answer to the message `seq`; `next` is the next sequence number. Sequence numbers
-    /// that were not sent between the pause and now are ignored: such answers may predate the pause.
+    /// that were not sent between the pause and now are ignored: such answers may predate the
+    /// pause.
     pub(crate) fn handle_ack(&mut self, seq: u32, next: u32) {
         let sent_since = |first| seq.wrapping_sub(first) < next.wrapping_sub(first);
         if self.first_unanswered.is_some_and(sent_since) {
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -22,15 +22,16 @@
 /// The indirect part of a probe, sent through helpers.
 #[derive(Debug, Clone)]
 pub(crate) struct IndirectProbe {
-    /// Differs from [`Probe::seq`]: another instance that took over the target's address answers the
-    /// direct ping under its own name. If it is also a helper, its answer would otherwise count as
-    /// the target's.
+    /// Differs from [`Probe::seq`]: another instance that took over the target's address answers
+    /// the direct ping under its own name. If it is also a helper, its answer would otherwise count
+    /// as the target's.
     pub(crate) seq: u32,
     pub(crate) helpers: Vec<Instance>,
 }
 
 impl Probe {
-    /// Whether an answer from `from` to the message `seq` is the target's, direct or through a helper.
+    /// Whether an answer from `from` to the message `seq` is the target's, direct or through a
+    /// helper.
     pub(crate) fn is_answered(&self, from: Instance, seq: u32) -> bool {
         let direct = from == self.target && seq == self.seq;
         let indirect = self.indirect.as_ref();
--- a/crates/fleet/src/query.rs
+++ b/crates/fleet/src/query.rs
@@ -22,8 +22,8 @@
         std::iter::once(&self.local).chain(self.roster.peers.values().map(|peer| &peer.member))
     }
 
-    /// The state of a run; earlier runs of an instance are dead. `None` if it is unknown or has been
-    /// forgotten long after its end.
+    /// The state of a run; earlier runs of an instance are dead. `None` if it is unknown or has
+    /// been forgotten long after its end.
     pub fn state(&self, incarnation: Incarnation) -> Option<State> {
         self.by_incarnation(incarnation).map(|member| member.state)
     }
@@ -80,8 +80,8 @@
     /// Direct messages alone ([`Fleet::heard_since_count`]) are too slow an indicator: at constant
     /// cost, only a few members send one each second. The estimate counts the listed members that
     /// are not suspected, capped by the share of recent probes of random members that was answered.
-    /// A daemon cut off with few others sees its probes fail within about a second; one cut off with
-    /// many others sees the other side suspected by all of them.
+    /// A daemon cut off with few others sees its probes fail within about a second; one cut off
+    /// with many others sees the other side suspected by all of them.
     pub fn reachable_count(&self) -> usize {
         let unsuspected = self.roster.listed.keys().filter(|instance| {
             let state = self
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -48,7 +48,8 @@
     pub(crate) absent_order: RoundRobin,
     /// Order of the records that fill up messages.
     pub(crate) filler_order: RoundRobin,
-    /// Periods between two pulls; doubled by each pull, reset by a new list or a page with unknown runs.
+    /// Periods between two pulls; doubled by each pull, reset by a new list or a page with unknown
+    /// runs.
     pub(crate) pull_interval: u32,
     pub(crate) periods_to_pull: u32,
 }
--- a/crates/fleet/tests/answers.rs
+++ b/crates/fleet/tests/answers.rs
@@ -119,8 +119,8 @@
     assert!(!suspects(&mut fleet, target));
 }
 
-/// A paused daemon must not suspect others until it is answered again, and acks to its previous run
-/// may still be buffered in the sockets.
+/// A paused daemon must not declare others dead until it is answered again, and acks to its
+/// previous run may still be buffered in the sockets.
 #[rstest]
 fn an_ack_to_the_previous_run_does_not_end_a_pause(#[values(1, 2, 3, 4)] seed: u64) {
     let (mut previous, _) = fleet_with_pings(seed);
--- a/crates/fleet/tests/ownership.rs
+++ b/crates/fleet/tests/ownership.rs
@@ -118,7 +118,7 @@
     fn the_owner_in_a_data_centre_belongs_to_it(count in 3_usize..30, key in any::<u64>()) {
         let fleet = fleet(0, count);
         for index in 0..3 {
-            let owner = fleet.owner_in(data_centre(index), key).expect("data centre must have a member");
+            let owner = fleet.owner_in(data_centre(index), key).expect("no owner");
             prop_assert!(fleet.current(owner).is_some_and(|m| m.zone == data_centre(index)));
         }
     }
--- a/crates/fleet/tests/pauses.rs
+++ b/crates/fleet/tests/pauses.rs
@@ -114,8 +114,8 @@
 
 /// Guards against an ack to the previous run that ends a pause. When each run numbered its pings
 /// from zero, a late ack to the previous run could have a higher number than any ping of a daemon
-/// that was restarted and then paused, and passed for the answer to a ping sent after the pause. The
-/// daemon then made decisions again without contact with its peers.
+/// that was restarted and then paused, and passed for the answer to a ping sent after the pause.
+/// The daemon then made decisions again without contact with its peers.
 #[test]
 fn an_ack_to_a_ping_that_this_run_never_sent_does_not_end_a_pause() {
     let mut fleet = Fleet::new(member(0, 0), Settings::default(), 1);
--- a/crates/ident/src/key.rs
+++ b/crates/ident/src/key.rs
@@ -28,7 +28,8 @@
         Self { runner, issued }
     }
 
-    /// Parses the prefix of `key`; `None` if the key does not begin with one or has nothing after it.
+    /// Parses the prefix of `key`; `None` if the key does not begin with one or has nothing after
+    /// it.
     pub fn parse(key: &str) -> Option<Self> {
         let mut parts = key.splitn(3, '.');
         let runner = parts.next().filter(|part| part.len() == 16)?;
--- a/crates/ident/src/lib.rs
+++ b/crates/ident/src/lib.rs
@@ -1,7 +1,7 @@
 //! Identifiers and time shared by all crates.
 //!
-//! Names of instances, replicas and table rows are hashed to 64-bit `Copy` keys, so that all daemons
-//! compute the same key without exchanging it.
+//! Names of instances, replicas and table rows are hashed to 64-bit `Copy` keys, so that all
+//! daemons compute the same key without exchanging it.
 
 mod handle;
 mod hex;
