--- a/crates/gateway/tests/gateway/birth.rs
+++ b/crates/gateway/tests/gateway/birth.rs
@@ -59,7 +59,7 @@
     until("it runs", || decode.seen().len() == 1);
     list(&site, &decode, "llm", "decode", SECOND);
     let told = caller.read();
-    assert!(!told.whole);
+    assert!(!told.complete);
     assert!(begun.elapsed() < SOON);
     assert_eq!(decode.seen().len(), 1);
 }
@@ -79,7 +79,7 @@
     until("it runs", || one.seen().len() == 1);
     list(&site, &two, "llm", "decode", FIRST);
     list(&site, &one, "llm", "decode", SECOND);
-    assert!(caller.read().whole);
+    assert!(caller.read().complete);
     assert!(begun.elapsed() < SOON);
 }
 
@@ -90,7 +90,7 @@
     list(&site, &hangs, "app", "", FIRST);
     let begun = Instant::now();
     let mut caller = site.daemon.caller();
-    caller.begin("POST /book/1", &crate::site::headers("a1"), b"");
+    caller.start_request("POST /book/1", &crate::site::headers("a1"), b"");
     until("it arrives", || hangs.seen().len() == 1);
     list(&site, &hangs, "app", "", SECOND);
     // It may have run, so it is not sent again and not said not to have run.
@@ -109,7 +109,7 @@
     list(&site, &decode, "llm", "decode", FIRST);
     decode.set_born(SECOND);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.whole);
+    assert!(told.complete);
     assert_eq!(decode.seen().len(), 1);
     let restarted = || site.daemon.logged("Restarted").len();
     until("its log line is read", || restarted() > 0);
@@ -147,7 +147,7 @@
         &format!("ratio: 0.0, {little}"),
     );
     let told = generate(&site.daemon, "/resume/1", "a1").read();
-    assert!(told.whole);
+    assert!(told.complete);
     assert_eq!(prefill.seen().len(), 1);
     assert_eq!(one.seen().len() + two.seen().len(), 2);
 }
@@ -174,7 +174,11 @@
         !site.daemon.logged("\"replica\":\"i-2\"").is_empty()
     });
     for number in 0..20 {
-        assert_eq!(site.ask("GET /read/1", &format!("a{number}")).status(), 200);
+        assert_eq!(
+            site.send_and_read("GET /read/1", &format!("a{number}"))
+                .status(),
+            200
+        );
     }
     assert!(replica.seen().len() + late.seen().len() >= 20);
     assert!(site.daemon.logged("cannot be read").len() <= 100);
--- a/crates/gateway/tests/gateway/common/caller.rs
+++ b/crates/gateway/tests/gateway/common/caller.rs
@@ -9,7 +9,7 @@
 use super::http::Message;
 
 /// Longest time that a test waits for an answer; far above what any takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A connection to a daemon.
 #[derive(Debug)]
@@ -22,18 +22,18 @@
     /// Connects to `address`.
     pub fn new(address: SocketAddr) -> io::Result<Self> {
         let socket = TcpStream::connect(address)?;
-        socket.set_read_timeout(Some(PATIENCE))?;
+        socket.set_read_timeout(Some(TIMEOUT))?;
         Ok(Self { socket })
     }
 
     /// Sends a request and reads its answer; an empty message if there was none.
-    pub fn ask(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> Message {
-        self.begin(line, headers, body);
+    pub fn send_and_read(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> Message {
+        self.start_request(line, headers, body);
         self.read()
     }
 
     /// Sends a request.
-    pub fn begin(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) {
+    pub fn start_request(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) {
         let mut text = format!("{line} HTTP/1.1\r\nhost: shop.example\r\n");
         for (name, value) in headers {
             text.extend([name, ": ", value, "\r\n"]);
--- a/crates/gateway/tests/gateway/common/daemon.rs
+++ b/crates/gateway/tests/gateway/common/daemon.rs
@@ -220,7 +220,7 @@
 
 fn get(address: SocketAddr, path: &str) -> Message {
     match Caller::new(address) {
-        Ok(mut caller) => caller.ask(&format!("GET {path}"), &[], b""),
+        Ok(mut caller) => caller.send_and_read(&format!("GET {path}"), &[], b""),
         Err(_) => Message::default(),
     }
 }
--- a/crates/gateway/tests/gateway/common/http.rs
+++ b/crates/gateway/tests/gateway/common/http.rs
@@ -25,7 +25,7 @@
     /// Its body, decoded.
     pub body: Vec<u8>,
     /// Whether the body came to its proper end.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Message {
@@ -75,7 +75,7 @@
 fn read_body(socket: &mut TcpStream, message: &mut Message) {
     let length = message.header("content-length").map(str::to_owned);
     let chunked = message.header("transfer-encoding") == Some("chunked");
-    message.whole = match length.and_then(|length| length.parse().ok()) {
+    message.complete = match length.and_then(|length| length.parse().ok()) {
         Some(length) => {
             message.body = vec![0; length];
             socket.read_exact(&mut message.body).is_ok()
@@ -126,28 +126,28 @@
 
 impl Server {
     /// Serves each connection to a new port of `ip`.
-    pub fn start(ip: &str, each: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Self {
+    pub fn start(ip: &str, handler: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind((ip, 0)).unwrap();
         let server = Self {
             address: listener.local_addr().unwrap(),
             sockets: Arc::default(),
             stopped: Arc::default(),
         };
-        let own = server.clone();
-        let each = Arc::new(each);
+        let acceptor = server.clone();
+        let handler = Arc::new(handler);
         thread::spawn(move || {
             for (number, socket) in listener.incoming().enumerate() {
-                if own.stopped.load(Ordering::SeqCst) {
+                if acceptor.stopped.load(Ordering::SeqCst) {
                     return;
                 }
                 let Ok(mut socket) = socket else { continue };
-                let sockets = Arc::clone(&own.sockets);
+                let sockets = Arc::clone(&acceptor.sockets);
                 if let Ok(copy) = socket.try_clone() {
                     sockets.lock().unwrap().insert(number, copy);
                 }
-                let each = Arc::clone(&each);
+                let handler = Arc::clone(&handler);
                 thread::spawn(move || {
-                    each(&mut socket);
+                    handler(&mut socket);
                     sockets.lock().unwrap().remove(&number);
                 });
             }
@@ -171,8 +171,8 @@
 }
 
 /// Serves each connection to a new port of `ip` in a thread of its own; ends with the process.
-pub fn serve(ip: &str, each: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
-    Server::start(ip, each).address
+pub fn serve(ip: &str, handler: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
+    Server::start(ip, handler).address
 }
 
 /// Sends `bytes`; `false` if the other side is gone.
@@ -181,7 +181,7 @@
 }
 
 /// Whether the other side closes the connection within `limit`.
-pub fn closes(socket: &mut TcpStream, limit: Duration) -> bool {
+pub fn closes_within(socket: &mut TcpStream, limit: Duration) -> bool {
     socket.set_read_timeout(Some(limit)).unwrap();
     let mut byte = [0];
     match socket.read(&mut byte) {
--- a/crates/gateway/tests/gateway/common/replica.rs
+++ b/crates/gateway/tests/gateway/common/replica.rs
@@ -287,7 +287,7 @@
             }
             Act::SendAndHang(bytes) => {
                 http::send(socket, &bytes);
-                if http::closes(socket, Duration::from_secs(30)) {
+                if http::closes_within(socket, Duration::from_secs(30)) {
                     state.left.fetch_add(1, Ordering::SeqCst);
                 }
                 return Left::Closed;
--- a/crates/gateway/tests/gateway/crowded.rs
+++ b/crates/gateway/tests/gateway/crowded.rs
@@ -28,7 +28,7 @@
 /// Sends a call, and gives what the daemon finds out of the replica that broke it off.
 fn verdict(site: &Site) -> String {
     let mut caller = site.daemon.caller();
-    let told = caller.ask("POST /book/1", &headers("c1"), b"");
+    let told = caller.send_and_read("POST /book/1", &headers("c1"), b"");
     assert_eq!(told.status(), 502);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
     until("it is found out", || !verdicts().is_empty());
@@ -65,7 +65,7 @@
 fn a_replica_that_closes_new_connections_and_is_no_longer_listed_has_ended() {
     let replica = breaking(Replica::crowd);
     let site = Site::start("crowded-gone", &[(&replica, "app", "")]);
-    site.ask("POST /book/1", "c1");
+    site.send_and_read("POST /book/1", "c1");
     site.store.remove("servers", "i-1");
     until("it counts", || {
         let ends = site.daemon.logged("a replica ended while at work");
@@ -139,7 +139,7 @@
         assert!(
             generate(&site.daemon, "/resume/1", &format!("b{number}"))
                 .read()
-                .whole
+                .complete
         );
     }
     let sent = one.seen().len() + two.seen().len();
@@ -155,7 +155,7 @@
     } else {
         two.crowd();
     }
-    assert!(caller.read().whole);
+    assert!(caller.read().complete);
     assert_eq!(one.seen().len() + two.seen().len(), sent + 1);
 }
 
--- a/crates/gateway/tests/gateway/ingress.rs
+++ b/crates/gateway/tests/gateway/ingress.rs
@@ -31,7 +31,7 @@
     #[case] status: u16,
 ) {
     let (replica, site) = site(name);
-    let told = site.daemon.caller().ask(line, headers, b"");
+    let told = site.daemon.caller().send_and_read(line, headers, b"");
     assert_eq!(told.status(), status);
     assert!(replica.seen().is_empty());
 }
@@ -40,7 +40,7 @@
 fn a_head_that_is_too_long_is_rejected() {
     let (replica, site) = site("long-head");
     let long = "x".repeat(20_000);
-    let told = site.daemon.caller().ask(
+    let told = site.daemon.caller().send_and_read(
         "GET /read/1",
         &[("Request-Id", "a"), ("X-Long", &long)],
         b"",
@@ -55,9 +55,9 @@
     let (replica, site) = site("smuggled");
     let inner = b"GET /read/2 HTTP/1.1\r\nhost: shop.example\r\nrequest-id: b\r\n\r\n";
     let mut caller = site.daemon.caller();
-    let told = caller.ask("POST /none/1", &[("Request-Id", "a")], inner);
+    let told = caller.send_and_read("POST /none/1", &[("Request-Id", "a")], inner);
     assert_eq!(told.status(), 404);
-    let told = caller.ask("POST /read/1", &[("Request-Id", "c")], inner);
+    let told = caller.send_and_read("POST /read/1", &[("Request-Id", "c")], inner);
     assert_eq!(told.status(), 200);
     let seen = replica.seen();
     assert_eq!(seen.len(), 1);
@@ -82,7 +82,7 @@
     let (_replica, site) = site("slow-head");
     let mut caller = site.daemon.caller();
     http::send(&mut caller.socket, b"GET /read/1 HTTP/1.1\r\nhost: sh");
-    assert!(http::closes(
+    assert!(http::closes_within(
         &mut caller.socket,
         std::time::Duration::from_secs(10)
     ));
@@ -92,7 +92,7 @@
 fn a_connection_may_be_idle_for_longer_than_a_head_may_take() {
     let (_replica, site) = site("idle");
     let mut caller = site.daemon.caller();
-    assert!(!http::closes(
+    assert!(!http::closes_within(
         &mut caller.socket,
         std::time::Duration::from_millis(2_500)
     ));
@@ -102,7 +102,7 @@
         .unwrap();
     assert_eq!(
         caller
-            .ask("GET /read/1", &[("Request-Id", "a")], b"")
+            .send_and_read("GET /read/1", &[("Request-Id", "a")], b"")
             .status(),
         200
     );
--- a/crates/gateway/tests/gateway/keys.rs
+++ b/crates/gateway/tests/gateway/keys.rs
@@ -56,13 +56,13 @@
     Replica::start(id, |request| Act::Send(signed(request, 200, b"x")))
 }
 
-fn ask(site: &Site, line: &str, id: &str, key: &str) -> Message {
+fn send_and_read(site: &Site, line: &str, id: &str, key: &str) -> Message {
     let headers = [
         ("Request-Id", id),
         ("Deadline-Ms", "4000"),
         ("X-Api-Key", key),
     ];
-    site.daemon.caller().ask(line, &headers, b"")
+    site.daemon.caller().send_and_read(line, &headers, b"")
 }
 
 #[test]
@@ -77,7 +77,10 @@
         ("Request-Priority", "0"),
         ("Connection", "keep-alive, X-Api-Key, Tenant"),
     ];
-    let told = site.daemon.caller().ask("POST /read/1", &sent, b"{}");
+    let told = site
+        .daemon
+        .caller()
+        .send_and_read("POST /read/1", &sent, b"{}");
     assert_eq!(told.status(), 200);
     let seen = replica.seen().remove(0);
     assert_eq!(seen.header("tenant"), Some("krmiva"));
@@ -104,10 +107,10 @@
         ("Trailer", "X-Api-Key, Tenant"),
     ];
     let mut caller = site.daemon.caller();
-    caller.begin("POST /draft/1", &sent, b"");
+    caller.start_request("POST /draft/1", &sent, b"");
     let body = format!("2\r\nhi\r\n0\r\nX-Api-Key: {KEY}\r\nTenant: krmiva\r\n\r\n");
     crate::common::http::send(&mut caller.socket, body.as_bytes());
-    assert!(caller.read().whole);
+    assert!(caller.read().complete);
     for seen in [prefill.seen().remove(0), decode.seen().remove(0)] {
         assert_eq!(seen.header("tenant"), Some("farma"), "{}", seen.line);
         assert_eq!(seen.header("x-api-key"), None);
@@ -130,7 +133,10 @@
     let site = start(name, &[(&replica, "app", "")]);
     let mut sent = vec![("Request-Id", "a1")];
     sent.extend(keys.iter().map(|key| ("X-Api-Key", *key)));
-    let told = site.daemon.caller().ask("GET /read/1", &sent, b"");
+    let told = site
+        .daemon
+        .caller()
+        .send_and_read("GET /read/1", &sent, b"");
     assert_eq!(told.status(), 401);
     assert!(String::from_utf8_lossy(&told.body).contains("X-Api-Key"));
     assert!(replica.seen().is_empty());
@@ -144,10 +150,16 @@
     public["routes"][0]["public"] = true.into();
     put(&site, &public);
     let sent = [("Request-Id", "a1"), ("Tenant", "krmiva")];
-    let told = site.daemon.caller().ask("GET /read/1", &sent, b"");
+    let told = site
+        .daemon
+        .caller()
+        .send_and_read("GET /read/1", &sent, b"");
     assert_eq!(told.status(), 200);
     assert_eq!(replica.seen()[0].header("tenant"), None);
-    assert_eq!(ask(&site, "GET /read/1", "a2", NEW_KEY).status(), 200);
+    assert_eq!(
+        send_and_read(&site, "GET /read/1", "a2", NEW_KEY).status(),
+        200
+    );
     assert_eq!(replica.seen()[1].header("x-api-key"), None);
 }
 
@@ -155,7 +167,7 @@
 fn where_there_are_no_customers_such_headers_pass() {
     let replica = echo("i-1");
     let site = Site::start("keys-none", &[(&replica, "app", "")]);
-    assert_eq!(ask(&site, "GET /read/1", "a1", KEY).status(), 200);
+    assert_eq!(send_and_read(&site, "GET /read/1", "a1", KEY).status(), 200);
     assert_eq!(replica.seen()[0].header("x-api-key"), Some(KEY));
 }
 
@@ -166,8 +178,11 @@
     let mut claimed = with_customers(3);
     claimed["tenants"][1]["api-keys"] = json!([OTHER_KEY, KEY]);
     put(&site, &claimed);
-    assert_eq!(ask(&site, "GET /read/1", "a1", KEY).status(), 401);
-    assert_eq!(ask(&site, "GET /read/1", "a2", OTHER_KEY).status(), 200);
+    assert_eq!(send_and_read(&site, "GET /read/1", "a1", KEY).status(), 401);
+    assert_eq!(
+        send_and_read(&site, "GET /read/1", "a2", OTHER_KEY).status(),
+        200
+    );
     assert_eq!(site.daemon.logged("another customer's as well").len(), 1);
 }
 
@@ -176,22 +191,31 @@
     let replica = echo("i-1");
     let site = start("keys-revoked", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
-    let mut ask = |id: &str, key: &str| {
+    let mut send_and_read = |id: &str, key: &str| {
         let sent = [("Request-Id", id), ("X-Api-Key", key)];
-        caller.ask("GET /read/1", &sent, b"").status()
+        caller.send_and_read("GET /read/1", &sent, b"").status()
     };
-    assert_eq!((ask("a1", KEY), ask("a2", NEW_KEY)), (200, 401));
+    assert_eq!(
+        (send_and_read("a1", KEY), send_and_read("a2", NEW_KEY)),
+        (200, 401)
+    );
     let mut changed = with_customers(3);
     changed["tenants"][0]["api-keys"] = json!([NEW_KEY]);
     put(&site, &changed);
-    assert_eq!((ask("a3", KEY), ask("a4", NEW_KEY)), (401, 200));
+    assert_eq!(
+        (send_and_read("a3", KEY), send_and_read("a4", NEW_KEY)),
+        (401, 200)
+    );
     // An older version changes nothing, wherever it comes from.
     site.store.put("op", "config", &with_customers(2));
     site.store.put("op", "config", &json!({"version": 9}));
     until("it is told", || {
         !site.daemon.logged("cannot be read").is_empty()
     });
-    assert_eq!((ask("a5", KEY), ask("a6", NEW_KEY)), (401, 200));
+    assert_eq!(
+        (send_and_read("a5", KEY), send_and_read("a6", NEW_KEY)),
+        (401, 200)
+    );
 }
 
 #[test]
@@ -214,7 +238,7 @@
     let mut caller = started.daemon.caller();
     *site.lock().unwrap() = Some(started);
     let sent = [("Request-Id", "a1"), ("X-Api-Key", KEY)];
-    let told = caller.ask("GET /read/1", &sent, b"");
+    let told = caller.send_and_read("GET /read/1", &sent, b"");
     assert_eq!(told.status(), 401);
     assert_eq!(one.seen().len() + two.seen().len(), 1);
     // The replicas outlast the test, and would keep the daemon.
@@ -238,13 +262,13 @@
         ("Token-Counts", "100,20"),
         ("X-Api-Key", KEY),
     ];
-    caller.begin("POST /draft/1", &sent, b"prompt");
+    caller.start_request("POST /draft/1", &sent, b"prompt");
     until("it runs", || !decode.seen().is_empty());
     let mut revoked = with_customers(3);
     revoked["tenants"][0]["api-keys"] = json!([]);
     put(&site, &revoked);
     let told = caller.read();
-    assert!(told.whole);
+    assert!(told.complete);
     assert!(String::from_utf8_lossy(&told.body).contains("id: 3\n"));
 }
 
@@ -263,10 +287,10 @@
     other.until_ready();
     let mut answers = Vec::new();
     for (id, key) in [("a1", KEY), ("a2", NEW_KEY)] {
-        answers.push(ask(&site, "GET /read/1", id, key));
-        answers.push(ask(&site, "POST /book/1", id, key));
-        answers.push(ask(&site, "POST /draft/1", id, key));
-        answers.push(ask(&site, "GET /nowhere/1", id, key));
+        answers.push(send_and_read(&site, "GET /read/1", id, key));
+        answers.push(send_and_read(&site, "POST /book/1", id, key));
+        answers.push(send_and_read(&site, "POST /draft/1", id, key));
+        answers.push(send_and_read(&site, "GET /nowhere/1", id, key));
     }
     until("all is told", || site.daemon.logged("\"a2\"").len() >= 4);
     let mut written = site.daemon.logged("");
--- a/crates/gateway/tests/gateway/lifecycle.rs
+++ b/crates/gateway/tests/gateway/lifecycle.rs
@@ -26,7 +26,7 @@
     });
     let mut site = Site::start("stopped", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
-    caller.begin("POST /book/1", &crate::site::headers("a1"), b"");
+    caller.start_request("POST /book/1", &crate::site::headers("a1"), b"");
     until("the call arrives", || replica.seen().len() == 1);
     site.daemon.signal(Signal::TERM);
     until("it is not ready", || site.daemon.readiness() == 503);
@@ -56,10 +56,10 @@
     let mut slow = site.config_with_long_streams();
     site.daemon.signal(Signal::TERM);
     std::thread::sleep(Duration::from_millis(2_900));
-    let late = slow.ask("POST /draft/1", &crate::site::headers("a2"), b"prompt");
+    let late = slow.send_and_read("POST /draft/1", &crate::site::headers("a2"), b"prompt");
     assert_eq!(late.status(), 503);
     assert!(late.header("retry-after").is_some());
-    assert!(early.read().whole);
+    assert!(early.read().complete);
     assert!(site.daemon.wait().success());
 }
 
@@ -76,14 +76,14 @@
     until("it is told", || {
         !site.daemon.logged("those in force stay").is_empty()
     });
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
 }
 
 #[test]
 fn metrics_and_log_lines_tell_of_a_request() {
     let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
     let site = Site::start("measured", &[(&replica, "app", "")]);
-    site.ask("GET /read/1", "a-77");
+    site.send_and_read("GET /read/1", "a-77");
     let metrics = site.daemon.metrics();
     assert!(metrics.contains("waxwing_gateway_requests_total{outcome=\"answered\"} 1"));
     assert!(metrics.contains("waxwing_gateway_plan_version 1"));
@@ -100,7 +100,7 @@
         let id = format!("{number:0>200}");
         assert_eq!(
             caller
-                .ask("GET /read/1", &crate::site::headers(&id), b"")
+                .send_and_read("GET /read/1", &crate::site::headers(&id), b"")
                 .status(),
             200
         );
@@ -126,7 +126,7 @@
     let begun = std::time::Instant::now();
     let mut caller = site.daemon.caller();
     for _ in 0..1_000 {
-        assert_eq!(caller.ask("GET /read/1", &[], b"").status(), 400);
+        assert_eq!(caller.send_and_read("GET /read/1", &[], b"").status(), 400);
     }
     let seconds = begun.elapsed().as_secs() as usize + 2;
     assert!(site.daemon.logged("rejected").len() <= 50 * seconds);
@@ -137,11 +137,11 @@
     let replica = Replica::start("i-1", |request| Act::Send(signed(request, 500, b"x")));
     let other = Replica::start("i-2", |request| Act::Send(signed(request, 500, b"x")));
     let site = Site::start("changed", &[(&replica, "app", ""), (&other, "app", "")]);
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 500);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 500);
     assert_eq!(replica.seen().len() + other.seen().len(), 2);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
     // Without a budget a failure is not tried elsewhere.
-    assert_eq!(site.ask("GET /read/1", "a2").status(), 500);
+    assert_eq!(site.send_and_read("GET /read/1", "a2").status(), 500);
     assert_eq!(replica.seen().len() + other.seen().len(), 3);
 }
 
@@ -156,7 +156,7 @@
     until("it is told", || {
         !site.daemon.logged("at the next start").is_empty()
     });
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
 }
 
 const GOOD: &str = r#"
--- a/crates/gateway/tests/gateway/limit.rs
+++ b/crates/gateway/tests/gateway/limit.rs
@@ -21,8 +21,8 @@
 use crate::common::replica::signed;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::ask;
 use crate::site::generate;
+use crate::site::send_and_read;
 
 /// Tolerance of the checks: a factor on the requests that a limit allows, and a number of requests on top.
 const TOLERANCE_FACTOR: f64 = 1.5;
@@ -66,7 +66,7 @@
     while begun.elapsed().as_secs_f64() < seconds {
         let number = statuses.len();
         let daemon = daemons[number % daemons.len()];
-        statuses.push(ask(daemon, path, &format!("p{number}")).status());
+        statuses.push(send_and_read(daemon, path, &format!("p{number}")).status());
         thread::sleep(Duration::from_millis(20));
     }
     (statuses, begun.elapsed().as_secs_f64())
@@ -134,16 +134,16 @@
     let limited = limited_replica("i-limited", 0.5, &enabled());
     let site = Site::start("limit-full", &[(&limited, "app", "")]);
     until("the limit is reached", || {
-        site.ask("POST /book/1", "fill").status() == 503
+        site.send_and_read("POST /book/1", "fill").status() == 503
     });
     let received = limited.seen().len();
-    let refusal = site.ask("POST /book/1", "a1");
+    let refusal = site.send_and_read("POST /book/1", "a1");
     assert_eq!(refusal.status(), 503);
     assert_eq!(limited.seen().len(), received);
     let seconds: f64 = refusal.header("retry-after").unwrap().parse().unwrap();
     assert!((0.01..=4.0).contains(&seconds), "{seconds}");
     until("the replica accepts requests again", || {
-        site.ask("POST /book/1", "again").status() == 200
+        site.send_and_read("POST /book/1", "again").status() == 200
     });
 }
 
@@ -154,14 +154,18 @@
     let limited = limited_replica("i-limited", 1.0, &is_limited);
     let site = Site::start("limit-lifted", &[(&limited, "app", "")]);
     until("the limit is reached", || {
-        site.ask("GET /read/1", "fill").status() == 503
+        site.send_and_read("GET /read/1", "fill").status() == 503
     });
     is_limited.store(false, Ordering::SeqCst);
     until("the replica accepts requests again", || {
-        site.ask("GET /read/1", "again").status() == 200
+        site.send_and_read("GET /read/1", "again").status() == 200
     });
     for number in 0..10 {
-        assert_eq!(site.ask("GET /read/1", &format!("a{number}")).status(), 200);
+        assert_eq!(
+            site.send_and_read("GET /read/1", &format!("a{number}"))
+                .status(),
+            200
+        );
     }
 }
 
@@ -178,7 +182,7 @@
         })
     });
     let site = Site::start("limit-rejects", &[(&limited, "app", "")]);
-    assert_eq!(site.ask("GET /read/1", "a0").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a0").status(), 200);
     is_rejecting.store(true, Ordering::SeqCst);
     let (_, seconds) = send_requests(&[&site.daemon], "GET /read/1", 3.0);
     let received = limited.seen().len();
--- a/crates/gateway/tests/gateway/moves.rs
+++ b/crates/gateway/tests/gateway/moves.rs
@@ -188,7 +188,7 @@
 fn both_are_whole(callers: (Caller, Caller)) {
     for mut caller in [callers.0, callers.1] {
         let told = caller.read();
-        assert!(told.whole, "{}", String::from_utf8_lossy(&told.body));
+        assert!(told.complete, "{}", String::from_utf8_lossy(&told.body));
         assert_eq!(String::from_utf8_lossy(&told.body), texts());
     }
 }
@@ -260,8 +260,8 @@
     let target = target();
     let site = site("move-lost-once-only", &source);
     let (mut older, mut newer) = two_runs(&site, &source, &target, "/draft/1");
-    assert!(!newer.read().whole);
-    assert!(older.read().whole);
+    assert!(!newer.read().complete);
+    assert!(older.read().complete);
     assert!(target.seen().is_empty());
 }
 
@@ -273,7 +273,7 @@
     let site = site("move-lost-unframed", &source);
     let (_older, mut newer) = two_runs(&site, &source, &target, "/draft/1");
     let told = newer.read();
-    assert!(!told.whole, "{}", String::from_utf8_lossy(&told.body));
+    assert!(!told.complete, "{}", String::from_utf8_lossy(&told.body));
     assert!(!source.moves().is_empty());
 }
 
@@ -294,7 +294,7 @@
     let told = newer.read();
     assert!(source.moves().len() >= 2, "{:?}", source.moves());
     assert_ne!(String::from_utf8_lossy(&told.body), texts());
-    assert!(!told.whole, "{}", String::from_utf8_lossy(&told.body));
+    assert!(!told.complete, "{}", String::from_utf8_lossy(&told.body));
 }
 
 #[test]
--- a/crates/gateway/tests/gateway/plain.rs
+++ b/crates/gateway/tests/gateway/plain.rs
@@ -37,7 +37,7 @@
         ("Kv-Backup", "127.0.0.1:1"),
         ("Expect-Instance", "i-other"),
     ];
-    let told = caller.ask("POST /read/a%2fb//c?x=1&y=%20", &sent, b"{\"a\": 1}");
+    let told = caller.send_and_read("POST /read/a%2fb//c?x=1&y=%20", &sent, b"{\"a\": 1}");
     assert_eq!(told.status(), 200);
     assert_eq!(told.body, b"done");
     assert_eq!(told.header("response-seal"), Some("s.1"));
@@ -67,7 +67,7 @@
     let site = Site::start("chunked", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     let sent = [("Request-Id", "a1"), ("Transfer-Encoding", "chunked")];
-    caller.begin("POST /read/1", &sent, b"");
+    caller.start_request("POST /read/1", &sent, b"");
     crate::common::http::send(&mut caller.socket, b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     assert_eq!(caller.read().status(), 200);
     assert_eq!(replica.seen()[0].body, b"abcde");
@@ -78,7 +78,7 @@
     let replica = Replica::start("i-1", |_| Act::SendAndClose(Vec::new()));
     let other = Replica::start("i-2", |_| Act::SendAndClose(Vec::new()));
     let site = Site::start("once", &[(&replica, "app", ""), (&other, "app", "")]);
-    let told = site.ask("POST /book/1", "a1");
+    let told = site.send_and_read("POST /book/1", "a1");
     assert_eq!(told.status(), 502);
     assert_eq!(replica.seen().len() + other.seen().len(), 1);
 }
@@ -94,7 +94,7 @@
     let one = Replica::start("i-1", script.clone());
     let two = Replica::start("i-2", script);
     let site = Site::start("elsewhere", &[(&one, "app", ""), (&two, "app", "")]);
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
     assert_eq!((one.seen().len(), two.seen().len()), (1, 1));
 }
 
@@ -102,7 +102,7 @@
 fn a_failure_of_a_call_that_may_run_once_is_passed_on() {
     let replica = Replica::start("i-1", |request| Act::Send(signed(request, 500, b"no")));
     let site = Site::start("passed", &[(&replica, "app", "")]);
-    let told = site.ask("POST /book/1", "a1");
+    let told = site.send_and_read("POST /book/1", "a1");
     assert_eq!(
         (told.status(), told.body.as_slice()),
         (500, b"no".as_slice())
@@ -114,7 +114,7 @@
 fn a_call_that_no_replica_ran_is_refused_with_a_time_to_come_back() {
     let replica = Replica::start("i-1", |request| Act::Send(not_run(request)));
     let site = Site::start("refused", &[(&replica, "app", "")]);
-    let told = site.ask("POST /book/1", "a1");
+    let told = site.send_and_read("POST /book/1", "a1");
     assert_eq!(told.status(), 503);
     let seconds: f64 = told.header("retry-after").unwrap().parse().unwrap();
     assert!(seconds < 4.0 / 3.0);
@@ -125,13 +125,13 @@
 fn an_answer_without_signature_or_to_another_request_is_not_passed_on() {
     let unsigned = Replica::start("i-1", |_| Act::Send(answer(200, &[], b"x")));
     let site = Site::start("unsigned", &[(&unsigned, "app", "")]);
-    assert_eq!(site.ask("POST /book/1", "a1").status(), 502);
+    assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 502);
     let other = Replica::start("i-2", |_| {
         let headers = [("request-id", "zz"), ("response-seal", "s.1")];
         Act::Send(answer(200, &headers, b"x"))
     });
     let site = Site::start("other-id", &[(&other, "app", "")]);
-    assert_eq!(site.ask("POST /book/1", "a1").status(), 502);
+    assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 502);
 }
 
 #[test]
@@ -142,7 +142,7 @@
         Act::SendAndClose(bytes)
     });
     let site = Site::start("cut", &[(&replica, "app", "")]);
-    assert_eq!(site.ask("POST /book/1", "a1").status(), 502);
+    assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 502);
 }
 
 #[test]
@@ -153,7 +153,7 @@
         Act::SendAndClose(head.into_bytes())
     });
     let site = Site::start("unframed", &[(&replica, "app", "")]);
-    let told = site.ask("POST /book/1", "a1");
+    let told = site.send_and_read("POST /book/1", "a1");
     assert_eq!(
         (told.status(), told.body.as_slice()),
         (200, b"whole".as_slice())
@@ -169,7 +169,7 @@
     });
     let site = Site::start("extra", &[(&replica, "app", "")]);
     for number in 0..5 {
-        let told = site.ask("GET /read/1", &format!("a{number}"));
+        let told = site.send_and_read("GET /read/1", &format!("a{number}"));
         assert_eq!(
             (told.status(), told.body.as_slice()),
             (200, b"mine".as_slice())
@@ -186,7 +186,8 @@
     let site = Site::start("replaced", &[(&gone, "app", ""), (&live, "app", "")]);
     for number in 0..6 {
         assert_eq!(
-            site.ask("POST /book/1", &format!("a{number}")).status(),
+            site.send_and_read("POST /book/1", &format!("a{number}"))
+                .status(),
             200
         );
     }
@@ -199,7 +200,10 @@
     let site = Site::start("overdue", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     let sent = [("Request-Id", "a1"), ("Deadline-Ms", "300")];
-    assert_eq!(caller.ask("POST /book/1", &sent, b"").status(), 504);
+    assert_eq!(
+        caller.send_and_read("POST /book/1", &sent, b"").status(),
+        504
+    );
 }
 
 #[test]
@@ -207,7 +211,7 @@
     let replica = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
     let site = Site::start("left", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
-    caller.begin("POST /book/1", &headers("a1"), b"");
+    caller.start_request("POST /book/1", &headers("a1"), b"");
     until("the call arrives", || replica.seen().len() == 1);
     drop(caller);
     until("the replica is left", || replica.left() == 1);
@@ -223,9 +227,14 @@
     let mut caller = site.daemon.caller();
     for number in 0..3 {
         let id = format!("a{number}");
-        assert_eq!(caller.ask("GET /read/1", &headers(&id), b"").status(), 200);
+        assert_eq!(
+            caller
+                .send_and_read("GET /read/1", &headers(&id), b"")
+                .status(),
+            200
+        );
     }
-    assert!(!crate::common::http::closes(
+    assert!(!crate::common::http::closes_within(
         &mut caller.socket,
         Duration::from_millis(100)
     ));
@@ -237,7 +246,7 @@
     let sound = echo("i-2");
     let site = Site::start("silent", &[(&silent, "app", ""), (&sound, "app", "")]);
     until("the silent one was tried", || {
-        assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+        assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
         !silent.seen().is_empty()
     });
     until("the silent one is left", || silent.left() > 0);
@@ -248,7 +257,7 @@
     let silent = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
     let other = Replica::start("i-2", |_| Act::SendAndHang(Vec::new()));
     let site = Site::start("silent-once", &[(&silent, "app", ""), (&other, "app", "")]);
-    assert_eq!(site.ask("POST /book/1", "a1").status(), 504);
+    assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 504);
     assert_eq!(silent.seen().len() + other.seen().len(), 1);
 }
 
@@ -262,6 +271,6 @@
         &[(&silent, "app", ""), (&other, "app", "")],
     );
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0, slack: 0");
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 504);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 504);
     assert_eq!(silent.seen().len() + other.seen().len(), 1);
 }
--- a/crates/gateway/tests/gateway/quarantine.rs
+++ b/crates/gateway/tests/gateway/quarantine.rs
@@ -28,9 +28,9 @@
 use crate::common::replica::signed;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::ask;
 use crate::site::generate;
 use crate::site::headers;
+use crate::site::send_and_read;
 
 /// Replicas that a request may end before no other one gets it.
 const ENDED: usize = 3;
@@ -80,7 +80,7 @@
 fn crash(daemon: &Daemon, count: usize) {
     for number in 0..count {
         let told = generate(daemon, "/draft/crash", &format!("c{number}")).read();
-        assert!(!told.whole);
+        assert!(!told.complete);
     }
 }
 
@@ -108,7 +108,7 @@
     for number in 0..ENDED {
         // A resumable one ends two replicas an attempt, so that the third attempt is refused.
         let told = generate(&site.daemon, path, &format!("c{number}")).read();
-        assert!(!told.whole || told.status() == 503);
+        assert!(!told.complete || told.status() == 503);
     }
     until_quarantined(&site.daemon);
     for number in 0..ENDED {
@@ -120,7 +120,7 @@
     assert_eq!(answers, [(503, true); ENDED]);
     // Another request is served.
     let told = generate(&site.daemon, "/draft/sound", "s1").read();
-    assert!(told.whole);
+    assert!(told.complete);
 }
 
 /// A call that nobody may repeat ends its replica as well; its caller may send it again.
@@ -130,11 +130,11 @@
     let replicas = applications(script);
     let site = calls("booked", &replicas);
     for number in 0..ENDED {
-        let told = site.ask("POST /book/lorry", &format!("c{number}"));
+        let told = site.send_and_read("POST /book/lorry", &format!("c{number}"));
         assert_eq!(told.status(), 502);
     }
     until_quarantined(&site.daemon);
-    assert_eq!(site.ask("POST /book/lorry", "q1").status(), 503);
+    assert_eq!(site.send_and_read("POST /book/lorry", "q1").status(), 503);
     assert_eq!(runs(&replicas), ENDED);
 }
 
@@ -210,13 +210,13 @@
     };
     let replicas = applications(script);
     let site = calls("failed-first", &replicas);
-    assert_eq!(site.ask("POST /book/lorry", "f1").status(), 500);
+    assert_eq!(site.send_and_read("POST /book/lorry", "f1").status(), 500);
     for number in 0..ENDED {
-        let told = site.ask("POST /book/lorry", &format!("c{number}"));
+        let told = site.send_and_read("POST /book/lorry", &format!("c{number}"));
         assert_eq!(told.status(), 502);
     }
     until_quarantined(&site.daemon);
-    assert_eq!(site.ask("POST /book/lorry", "q1").status(), 503);
+    assert_eq!(site.send_and_read("POST /book/lorry", "q1").status(), 503);
     assert_eq!(runs(&replicas), 1 + ENDED);
 }
 
@@ -273,7 +273,7 @@
         again
     });
     let mut caller = site.daemon.caller();
-    caller.begin("POST /book/lorry", &headers("a1"), b"");
+    caller.start_request("POST /book/lorry", &headers("a1"), b"");
     until("the replica is asked", || asked.load(Ordering::SeqCst));
     thread::sleep(STOPPED);
     site.daemon.signal(Signal::CONT);
@@ -293,12 +293,12 @@
         .map(|number| Replica::start(&format!("i-{number}"), answers))
         .collect();
     let site = calls("popular", &replicas);
-    assert_eq!(site.ask("GET /read/stock", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/stock", "a1").status(), 200);
     // As many as there are replicas, twice: each of these gets one.
     let ids: Vec<String> = (0..2 * replicas.len()).map(|n| format!("w{n}")).collect();
     let mut waiting: Vec<Caller> = ids.iter().map(|_| site.daemon.caller()).collect();
     for (caller, id) in waiting.iter_mut().zip(&ids) {
-        caller.begin("GET /read/stock", &headers(id), b"");
+        caller.start_request("GET /read/stock", &headers(id), b"");
     }
     let hangs = |replica: &Replica| {
         let seen = replica.seen();
@@ -312,6 +312,9 @@
     until("the daemon knows that they ended", || {
         site.daemon.logged("\"presence\":\"Ended\"").len() >= ENDED
     });
-    assert_eq!(ask(&site.daemon, "GET /read/stock", "a2").status(), 200);
+    assert_eq!(
+        send_and_read(&site.daemon, "GET /read/stock", "a2").status(),
+        200
+    );
     assert!(!quarantines(&site.daemon));
 }
--- a/crates/gateway/tests/gateway/quotas.rs
+++ b/crates/gateway/tests/gateway/quotas.rs
@@ -56,13 +56,13 @@
     Replica::start(id, |request| Act::Send(signed(request, 200, b"x")))
 }
 
-fn ask(daemon: &Daemon, id: &str) -> Message {
+fn send_and_read(daemon: &Daemon, id: &str) -> Message {
     let headers = [
         ("Request-Id", id),
         ("Deadline-Ms", "4000"),
         ("X-Api-Key", KEY),
     ];
-    daemon.caller().ask("POST /book/1", &headers, b"")
+    daemon.caller().send_and_read("POST /book/1", &headers, b"")
 }
 
 #[test]
@@ -71,16 +71,16 @@
     let site = start("quota-one", &replica, 50.0, 2 * TOKENS);
     // The bucket of a daemon that has just started holds only what it earned since.
     until("the bucket is full", || {
-        ask(&site.daemon, "fill").status() == 429
+        send_and_read(&site.daemon, "fill").status() == 429
     });
     let ran = replica.seen().len();
-    let told = ask(&site.daemon, "a1");
+    let told = send_and_read(&site.daemon, "a1");
     assert_eq!(told.status(), 429);
     assert_eq!(replica.seen().len(), ran);
     let seconds: f64 = told.header("retry-after").unwrap().parse().unwrap();
     assert!(seconds > 0.0, "{seconds}");
     thread::sleep(Duration::from_secs_f64(seconds));
-    assert_eq!(ask(&site.daemon, "a2").status(), 200);
+    assert_eq!(send_and_read(&site.daemon, "a2").status(), 200);
     let metrics = site.daemon.metrics();
     assert!(
         metrics.contains("customer_requests_total{customer=\"krmiva\",outcome=\"answered\"}"),
@@ -103,13 +103,13 @@
     });
     let site = start("quota-back", &replica, 100.0, TOKENS);
     until("there is room", || {
-        ask(&site.daemon, "fill").status() == 200
+        send_and_read(&site.daemon, "fill").status() == 200
     });
     thread::sleep(Duration::from_millis(1_200));
     full.store(true, Ordering::SeqCst);
-    assert_eq!(ask(&site.daemon, "a1").status(), 503);
+    assert_eq!(send_and_read(&site.daemon, "a1").status(), 503);
     full.store(false, Ordering::SeqCst);
-    assert_eq!(ask(&site.daemon, "a2").status(), 200);
+    assert_eq!(send_and_read(&site.daemon, "a2").status(), 200);
 }
 
 #[test]
@@ -128,7 +128,7 @@
     let statuses: Vec<u16> = (0..12)
         .map(|number| {
             let daemon = [&site.daemon, &other][number % 2];
-            ask(daemon, &format!("a{number}")).status()
+            send_and_read(daemon, &format!("a{number}")).status()
         })
         .collect();
     let ran = statuses.iter().filter(|status| **status == 200).count();
@@ -145,14 +145,17 @@
     let replica = echo("i-1");
     let site = start("quota-lower", &replica, 100_000.0, 100_000);
     until("there is room", || {
-        ask(&site.daemon, "fill").status() == 200
+        send_and_read(&site.daemon, "fill").status() == 200
     });
     for number in 0..5 {
-        assert_eq!(ask(&site.daemon, &format!("a{number}")).status(), 200);
+        assert_eq!(
+            send_and_read(&site.daemon, &format!("a{number}")).status(),
+            200
+        );
     }
     put(&site, &with_quota(3, 1.0, TOKENS));
     let statuses: Vec<u16> = (0..5)
-        .map(|number| ask(&site.daemon, &format!("b{number}")).status())
+        .map(|number| send_and_read(&site.daemon, &format!("b{number}")).status())
         .collect();
     assert_eq!(statuses, [200, 429, 429, 429, 429]);
 }
@@ -174,7 +177,7 @@
         site.daemon.metrics().contains("waxwing_gateway_members 1")
     });
     // They may be at work behind a cut, and nothing is tolerated beyond the quota.
-    let told = ask(&site.daemon, "a1");
+    let told = send_and_read(&site.daemon, "a1");
     assert_eq!(told.status(), 503);
     assert!(told.header("retry-after").is_some());
     assert!(replica.seen().is_empty());
--- a/crates/gateway/tests/gateway/second_answers.rs
+++ b/crates/gateway/tests/gateway/second_answers.rs
@@ -68,7 +68,7 @@
     let site = Site::staged("read-twice", &prefill, &[&decode]);
     for number in 0..6 {
         let told = generate(&site.daemon, "/resume/1", &format!("a{number}")).read();
-        assert!(told.whole && told.status() == 200, "{}", told.line);
+        assert!(told.complete && told.status() == 200, "{}", told.line);
     }
     assert!(prefill.second_answers() > 0);
     for (id, source) in sources(&decode) {
@@ -94,7 +94,7 @@
 fn foreign_answers(site: &Site) -> Vec<(String, String)> {
     let asked = (0..6).map(|number| {
         let id = format!("a{number}");
-        let told = site.ask("GET /read/1", &id);
+        let told = site.send_and_read("GET /read/1", &id);
         let body = String::from_utf8_lossy(&told.body).into_owned();
         (id, told.status(), body)
     });
@@ -118,7 +118,7 @@
     replica.answer_twice_if(|_| true);
     let site = Site::start("unnamed", &[(&replica, "app", "")]);
     assert_eq!(foreign_answers(&site), []);
-    assert_eq!(site.ask("GET /read/1", "last").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "last").status(), 200);
 }
 
 #[test]
@@ -147,7 +147,10 @@
     let replica = application(true);
     replica.answer_twice_if(|_| true);
     let site = Site::start("stutter", &[(&replica, "app", "")]);
-    let status = |number: usize| site.ask("GET /read/1", &format!("a{number}")).status();
+    let status = |number: usize| {
+        site.send_and_read("GET /read/1", &format!("a{number}"))
+            .status()
+    };
     let lost = (0..12).filter(|number| status(*number) != 200).count();
     assert_eq!((lost, replica.second_answers()), (1, 1));
     let metrics = site.daemon.metrics();
@@ -210,7 +213,7 @@
     let mut lost = 0;
     for number in 0..40 {
         let id = format!("a{number}");
-        let told = site.ask("GET /read/1", &id);
+        let told = site.send_and_read("GET /read/1", &id);
         let body = String::from_utf8_lossy(&told.body).into_owned();
         assert!(told.status() != 200 || body == id, "{id}: {body}");
         lost += usize::from(told.status() != 200);
@@ -231,9 +234,9 @@
         Act::Send(answer(200, headers, id(request).as_bytes()))
     });
     let site = Site::start("unnamed-later", &[(&replica, "app", "")]);
-    assert_eq!(site.ask("GET /read/1", "a0").status(), 200);
-    assert_ne!(site.ask("GET /read/1", "a1").status(), 200);
-    assert_eq!(site.ask("GET /read/1", "a2").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a0").status(), 200);
+    assert_ne!(site.send_and_read("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a2").status(), 200);
 }
 
 /// Connections carry one exchange each for some time after a second answer, and several again after that.
@@ -243,14 +246,14 @@
     replica.answer_twice_if(|request| id(request) == "a0");
     let site = Site::start("stutter-ends", &[(&replica, "app", "")]);
     for number in 0..4 {
-        site.ask("GET /read/1", &format!("a{number}"));
+        site.send_and_read("GET /read/1", &format!("a{number}"));
     }
     // One of these asked whether the replica is there.
     until("it has asked", || replica.connections() == 4);
     assert_eq!(replica.second_answers(), 1);
     thread::sleep(TRUSTED_AGAIN);
     for number in 4..8 {
-        let told = site.ask("GET /read/1", &format!("a{number}"));
+        let told = site.send_and_read("GET /read/1", &format!("a{number}"));
         assert_eq!(told.status(), 200);
     }
     assert_eq!(replica.connections(), 5);
--- a/crates/gateway/tests/gateway/second_calls.rs
+++ b/crates/gateway/tests/gateway/second_calls.rs
@@ -106,7 +106,7 @@
     let site = Site::start(name, &[(&decode, "llm", "decode")]);
     let is_lost = |number: &usize| {
         let told = generate(&site.daemon, path, &format!("a{number}")).read();
-        !told.whole || told.status() != 200
+        !told.complete || told.status() != 200
     };
     assert_eq!((0..GENERATIONS).filter(is_lost).count(), lost);
     assert!(site.daemon.logged("a replica did not answer").is_empty());
@@ -120,7 +120,7 @@
     let site = Site::start("reserve-then-stream", &[(&decode, "llm", "decode")]);
     for number in 0..GENERATIONS {
         let told = generate(&site.daemon, "/draft/1", &format!("a{number}")).read();
-        assert!(told.whole && told.status() == 200, "{}", told.line);
+        assert!(told.complete && told.status() == 200, "{}", told.line);
     }
 }
 
@@ -137,7 +137,7 @@
     let site = Site::start(name, &[(&decode, "llm", "decode")]);
     for number in 0..GENERATIONS {
         let told = generate(&site.daemon, path, &format!("a{number}")).read();
-        assert!(told.whole && told.status() == 200, "{}", told.line);
+        assert!(told.complete && told.status() == 200, "{}", told.line);
     }
     assert_eq!(decode.connections(), connections);
 }
@@ -162,7 +162,7 @@
     });
     let site = Site::staged("closes-soon", &prefill, &[&decode]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.whole && told.status() == 200, "{}", told.line);
+    assert!(told.complete && told.status() == 200, "{}", told.line);
     assert_eq!(decode.connections(), 2);
 }
 
@@ -231,7 +231,7 @@
     site.store
         .put("servers", &target.id, &target.row("llm", "decode"));
     for mut caller in callers {
-        assert!(caller.read().whole);
+        assert!(caller.read().complete);
     }
     let moved: Vec<(String, String)> = target.seen().iter().filter_map(memory).collect();
     assert!(moved.len() > 1, "{moved:?}");
@@ -302,7 +302,7 @@
 /// Sends a call whose replica breaks off, and gives the status that its caller sees.
 fn lose(site: &Site, id: &str) -> u16 {
     let mut caller = site.daemon.caller();
-    let told = caller.ask(&format!("POST /book/{id}"), &headers(id), b"");
+    let told = caller.send_and_read(&format!("POST /book/{id}"), &headers(id), b"");
     told.status()
 }
 
--- a/crates/gateway/tests/gateway/site.rs
+++ b/crates/gateway/tests/gateway/site.rs
@@ -96,21 +96,21 @@
     }
 
     /// Sends one request of a new caller and reads the answer.
-    pub fn ask(&self, line: &str, id: &str) -> Message {
-        ask(&self.daemon, line, id)
+    pub fn send_and_read(&self, line: &str, id: &str) -> Message {
+        send_and_read(&self.daemon, line, id)
     }
 
     /// Waits until requests for `path` are no longer answered with `status`.
     pub fn until_not(&self, path: &str, status: u16) {
         until("the answer changes", || {
-            self.ask(&format!("GET {path}"), "probe").status() != status
+            self.send_and_read(&format!("GET {path}"), "probe").status() != status
         });
     }
 }
 
 /// Sends one request of a new caller to `daemon` and reads the answer.
-pub fn ask(daemon: &Daemon, line: &str, id: &str) -> Message {
-    daemon.caller().ask(line, &headers(id), b"")
+pub fn send_and_read(daemon: &Daemon, line: &str, id: &str) -> Message {
+    daemon.caller().send_and_read(line, &headers(id), b"")
 }
 
 /// Headers of a plain request.
@@ -127,7 +127,7 @@
         ("Token-Counts", "1460,80"),
         ("Prompt-Prefix", "5c1e07a2:800,91bd3f06:660"),
     ];
-    caller.begin(&format!("POST {path}"), &headers, b"prompt");
+    caller.start_request(&format!("POST {path}"), &headers, b"prompt");
     caller
 }
 
--- a/crates/gateway/tests/gateway/stream.rs
+++ b/crates/gateway/tests/gateway/stream.rs
@@ -36,7 +36,7 @@
     let decode = Replica::start("i-d", |request| Act::Send(stream(request, 1, 5)));
     let site = Site::staged("staged", &prefill, &[&decode]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.whole);
+    assert!(told.complete);
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
     assert_eq!(told.header("response-seal"), Some("s.1"));
     let read = prefill.seen().remove(0);
@@ -79,7 +79,7 @@
     thread::sleep(Duration::from_millis(400));
     prefill_released.store(true, Ordering::SeqCst);
     let told = caller.read();
-    assert_eq!((told.status(), told.whole), (200, true));
+    assert_eq!((told.status(), told.complete), (200, true));
     assert!(draining.seen().is_empty());
     assert_eq!(other.seen().len(), 1);
 }
@@ -89,7 +89,7 @@
     let decode = Replica::start("i-d", |request| Act::Send(stream(request, 1, 2)));
     let site = Site::start("alone", &[(&decode, "llm", "decode")]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.whole);
+    assert!(told.complete);
     assert_eq!(decode.seen()[0].header("kv-source"), None);
 }
 
@@ -104,7 +104,7 @@
     let two = Replica::start("i-2", script);
     let site = Site::staged("lapsed", &prefill, &[&one, &two]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert_eq!((told.status(), told.whole), (200, true));
+    assert_eq!((told.status(), told.complete), (200, true));
     assert_eq!(one.seen().len() + two.seen().len(), 2);
 }
 
@@ -118,7 +118,7 @@
     let other = Replica::start("i-o", |request| Act::Send(stream(request, 1, 5)));
     let site = Site::start("broken", &[(&decode, "llm", "decode")]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(!told.whole);
+    assert!(!told.complete);
     // A stream that cannot be resumed runs nowhere else.
     assert_eq!((decode.seen().len(), other.seen().len()), (1, 0));
 }
@@ -136,7 +136,7 @@
         &[(&one, "llm", "decode"), (&two, "llm", "decode")],
     );
     let told = generate(&site.daemon, "/resume/1", "a1").read();
-    assert!(told.whole);
+    assert!(told.complete);
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
     assert_eq!(one.seen().len() + two.seen().len(), 2);
 }
@@ -169,7 +169,7 @@
         ("Deadline-Ms", "9000"),
         ("Token-Counts", "100,10"),
     ];
-    caller.begin("POST /resume/1", &headers, b"prompt");
+    caller.start_request("POST /resume/1", &headers, b"prompt");
     let told = caller.read();
     // The route's time is 4 s; the first half of the answer came after 2 s, the rest after 4 s.
     assert_eq!(told.status(), 200);
@@ -191,7 +191,7 @@
     let site = Site::start("no-retry", &replicas);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
     let told = generate(&site.daemon, "/resume/1", "a1").read();
-    assert!(told.whole, "{}", String::from_utf8_lossy(&told.body));
+    assert!(told.complete, "{}", String::from_utf8_lossy(&told.body));
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 4));
     assert_eq!(one.seen().len() + two.seen().len(), 1);
 }
@@ -269,7 +269,7 @@
     let two = Replica::start("i-2", script);
     let site = Site::staged("resumed-late", &prefill, &[&one, &two]);
     let told = generate(&site.daemon, "/resume/1", "a1").read();
-    assert!(told.whole);
+    assert!(told.complete);
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
     let resumed = [one.seen(), two.seen()].concat();
     let resumed = resumed.iter().find(|r| r.header("last-event-id").is_some());
--- a/crates/gateway/tests/gateway/whole.rs
+++ b/crates/gateway/tests/gateway/whole.rs
@@ -69,7 +69,7 @@
     let decode = Replica::start("i-d", |request| unframed(request, 2, b"id: 3\nda"));
     let site = Site::start("unframed-cut", &[(&decode, "llm", "decode")]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert_eq!((told.status(), told.whole), (200, false));
+    assert_eq!((told.status(), told.complete), (200, false));
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let replicas = [(&one, "llm", "decode"), (&two, "llm", "decode")];
     let site = Site::start("unframed-resumed", &replicas);
     let told = generate(&site.daemon, "/resume/1", "a1").read();
-    assert!(told.whole);
+    assert!(told.complete);
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
 }
 
@@ -92,7 +92,7 @@
     let decode = Replica::start("i-d", |request| unframed(request, 2, b""));
     let site = Site::start("unframed", &[(&decode, "llm", "decode")]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.whole);
+    assert!(told.complete);
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 2));
 }
 
@@ -105,7 +105,7 @@
     });
     let site = Site::start("no-empty-line", &[(&decode, "llm", "decode")]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.whole);
+    assert!(told.complete);
     let whole = format!("{}id: 3\ndata: t3\n", texts(1, 2));
     assert_eq!(String::from_utf8_lossy(&told.body), whole);
 }
@@ -139,7 +139,7 @@
 ) {
     let told = resumed(name, rest);
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 2));
-    assert_eq!((told.status(), told.whole), (200, false));
+    assert_eq!((told.status(), told.complete), (200, false));
 }
 
 /// Comments and the line that tells a new version stand before the id.
@@ -147,7 +147,7 @@
 fn an_event_that_follows_the_last_one_is_joined_whatever_stands_before_its_id() {
     let rest = format!(": on\n\nweight-versions: 2\n{}", texts(3, 5));
     let told = resumed("follows", &rest);
-    assert!(told.whole);
+    assert!(told.complete);
     let whole = format!("{}{rest}", texts(1, 2));
     assert_eq!(String::from_utf8_lossy(&told.body), whole);
 }
@@ -179,7 +179,7 @@
     #[case] first: Vec<u8>,
 ) {
     let (told, sent) = cut(name, &first);
-    assert_eq!((told.status(), told.whole, sent), (200, false, 1));
+    assert_eq!((told.status(), told.complete, sent), (200, false, 1));
     assert!(told.body.is_empty() || told.body == first);
 }
 
@@ -267,7 +267,7 @@
 ) {
     let replica = Replica::start("i-a", move |_| Act::Send(text.into()));
     let site = Site::start(name, &[(&replica, "app", "")]);
-    let told = site.ask("POST /book/1", "a1");
+    let told = site.send_and_read("POST /book/1", "a1");
     assert_eq!((told.status(), told.header("response-seal")), (502, None));
 }
 
@@ -284,6 +284,6 @@
         Act::SendAndReset(cut.to_vec(), pause)
     });
     let site = Site::start(name, &[(&replica, "app", "")]);
-    let told = site.ask("POST /book/1", "a1");
+    let told = site.send_and_read("POST /book/1", "a1");
     assert_eq!((told.status(), told.header("response-seal")), (502, None));
 }
--- a/crates/gateway/tests/gateway/world.rs
+++ b/crates/gateway/tests/gateway/world.rs
@@ -12,8 +12,8 @@
 use crate::common::replica::Replica;
 use crate::common::replica::signed;
 use crate::site::Site;
-use crate::site::ask;
 use crate::site::config;
+use crate::site::send_and_read;
 
 fn echo(id: &str) -> Replica {
     Replica::start(id, |request| Act::Send(signed(request, 200, b"x")))
@@ -28,7 +28,7 @@
     site.store.put("servers", "i-1", &replica.row("app", ""));
     until("it answers", || other.readiness() != 0);
     assert_eq!(other.readiness(), 503);
-    let told = ask(&other, "GET /read/1", "a");
+    let told = send_and_read(&other, "GET /read/1", "a");
     assert_eq!(told.status(), 503);
     assert!(told.header("retry-after").is_some());
 }
@@ -37,19 +37,19 @@
 fn a_newer_plan_comes_into_force_and_an_older_one_does_not() {
     let replica = echo("i-1");
     let site = Site::start("plans", &[(&replica, "app", "")]);
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
     let mut newer = config(5);
     newer["routes"][0]["prefix"] = "/renamed/".into();
     site.store.put("op", "config", &newer);
     site.until_not("/read/1", 200);
-    assert_eq!(site.ask("GET /renamed/1", "a2").status(), 200);
+    assert_eq!(site.send_and_read("GET /renamed/1", "a2").status(), 200);
     site.store.put("op", "config", &config(4));
     site.store.put_bytes("op", "config", b"{not a plan");
     until("it is told", || {
         !site.daemon.logged("cannot be read").is_empty()
     });
-    assert_eq!(site.ask("GET /renamed/1", "a3").status(), 200);
-    assert_eq!(site.ask("GET /read/1", "a4").status(), 404);
+    assert_eq!(site.send_and_read("GET /renamed/1", "a3").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a4").status(), 404);
 }
 
 #[test]
@@ -62,7 +62,11 @@
     site.store.put("servers", "i-1", &row);
     until("it is known", || !site.daemon.logged("Draining").is_empty());
     for number in 0..8 {
-        assert_eq!(site.ask("GET /read/1", &format!("a{number}")).status(), 200);
+        assert_eq!(
+            site.send_and_read("GET /read/1", &format!("a{number}"))
+                .status(),
+            200
+        );
     }
     assert!(one.seen().is_empty());
 }
@@ -76,7 +80,7 @@
         !site.daemon.logged("the store does not answer").is_empty()
     });
     assert_eq!(site.daemon.readiness(), 200);
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
     site.store.set_down(false);
     until("it is noticed", || {
         !site.daemon.logged("answers again").is_empty()
@@ -90,7 +94,7 @@
     site.store.set_down(true);
     let late = site.another("late", true);
     late.until_ready();
-    let told = ask(&late, "GET /read/1", "a1");
+    let told = send_and_read(&late, "GET /read/1", "a1");
     assert_eq!(told.status(), 200);
 }
 
@@ -132,7 +136,7 @@
     site.store
         .put("servers", "i-odd", &json!({"service": "app"}));
     until("it is told", || !site.daemon.logged("i-odd").is_empty());
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
 }
 
 /// Connections may fall silent without an end while new ones work; a watch on such a one would
@@ -217,7 +221,7 @@
     list_dead(&site, 40);
     let late = site.another("crowded-too", false);
     late.until_ready();
-    let told = ask(&late, "GET /read/1", "a1");
+    let told = send_and_read(&late, "GET /read/1", "a1");
     assert_eq!(told.status(), 200);
 }
 
--- a/crates/gateway/tests/soak/callers.rs
+++ b/crates/gateway/tests/soak/callers.rs
@@ -126,7 +126,7 @@
     ];
     let address = world.seats[seat].callers;
     match Caller::new(address) {
-        Ok(mut caller) => caller.ask(&format!("POST {FATAL}"), &headers, b""),
+        Ok(mut caller) => caller.send_and_read(&format!("POST {FATAL}"), &headers, b""),
         Err(_) => Message::default(),
     }
 }
@@ -200,7 +200,7 @@
     let kept = open.take().filter(|caller| is_open(world, seat, caller));
     let told = match kept.map_or_else(|| Caller::new(address), Ok) {
         Ok(mut caller) => {
-            let told = caller.ask(line, &headers, b"");
+            let told = caller.send_and_read(line, &headers, b"");
             *open = keeps(&told).then_some(caller);
             told
         }
@@ -209,7 +209,7 @@
     let seen = Told {
         kind,
         status: told.status(),
-        whole: told.whole,
+        whole: told.complete,
         body: String::from_utf8_lossy(&told.body).into_owned(),
         took: (begun.elapsed(), PATIENCE),
         disturbed: world.seats[seat].disturbed_since(begun),
@@ -221,7 +221,7 @@
 /// Whether the connection can be used after this answer.
 fn keeps(told: &Message) -> bool {
     let closes = told.header("connection") == Some("close");
-    told.status() != 0 && told.whole && !closes
+    told.status() != 0 && told.complete && !closes
 }
 
 /// What became of a connection on which no answer is due.
--- a/crates/gateway/tests/soak/main.rs
+++ b/crates/gateway/tests/soak/main.rs
@@ -89,9 +89,9 @@
         }
     });
     let mut caller = Caller::new(server.address).unwrap();
-    assert!(caller.ask("GET /once", &[], b"").whole);
+    assert!(caller.send_and_read("GET /once", &[], b"").complete);
     assert_eq!(Idle::look(&caller), Idle::Open);
-    assert!(caller.ask("GET /twice", &[], b"").whole);
+    assert!(caller.send_and_read("GET /twice", &[], b"").complete);
     assert!(matches!(Idle::look(&caller), Idle::Unasked(_)));
     let other = Caller::new(server.address).unwrap();
     server.stop();
