--- a/crates/gateway/tests/gateway/birth.rs
+++ b/crates/gateway/tests/gateway/birth.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::replica::Act;
 use crate::common::replica::Replica;
@@ -34,10 +34,10 @@
     let before = site.daemon.logged("a replica changed").len();
     let row = row(replica, service, stage, born);
     site.store.put("servers", &replica.id, &row);
-    until("it is believed", || {
+    wait_until("it is believed", || {
         site.daemon.logged("a replica changed").len() > before
     });
-    site.daemon.until_ready();
+    site.daemon.wait_until_ready();
 }
 
 fn begins_and_hangs(request: &Message) -> Act {
@@ -56,7 +56,7 @@
     list(&site, &decode, "llm", "decode", FIRST);
     let begun = Instant::now();
     let mut caller = generate(&site.daemon, "/draft/1", "a1");
-    until("it runs", || decode.seen().len() == 1);
+    wait_until("it runs", || decode.seen().len() == 1);
     list(&site, &decode, "llm", "decode", SECOND);
     let told = caller.read();
     assert!(!told.complete);
@@ -76,7 +76,7 @@
     list(&site, &one, "llm", "decode", FIRST);
     let begun = Instant::now();
     let mut caller = generate(&site.daemon, "/resume/1", "a1");
-    until("it runs", || one.seen().len() == 1);
+    wait_until("it runs", || one.seen().len() == 1);
     list(&site, &two, "llm", "decode", FIRST);
     list(&site, &one, "llm", "decode", SECOND);
     assert!(caller.read().complete);
@@ -91,7 +91,7 @@
     let begun = Instant::now();
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/1", &crate::site::headers("a1"), b"");
-    until("it arrives", || hangs.seen().len() == 1);
+    wait_until("it arrives", || hangs.seen().len() == 1);
     list(&site, &hangs, "app", "", SECOND);
     // It may have run, so it is not sent again and not said not to have run.
     assert_eq!(caller.read().status(), 502);
@@ -112,7 +112,7 @@
     assert!(told.complete);
     assert_eq!(decode.seen().len(), 1);
     let restarted = || site.daemon.logged("Restarted").len();
-    until("its log line is read", || restarted() > 0);
+    wait_until("its log line is read", || restarted() > 0);
     assert_eq!(restarted(), 1);
 }
 
@@ -170,7 +170,7 @@
     site.store.put("servers", "i-own", &own);
     let late = Replica::start("i-2", |request| Act::Send(signed(request, 200, b"x")));
     site.store.put("servers", "i-2", &late.row("app", ""));
-    until("the last one is known", || {
+    wait_until("the last one is known", || {
         !site.daemon.logged("\"replica\":\"i-2\"").is_empty()
     });
     for number in 0..20 {
--- a/crates/gateway/tests/gateway/common/daemon.rs
+++ b/crates/gateway/tests/gateway/common/daemon.rs
@@ -25,9 +25,9 @@
 use super::http::Message;
 
 /// Longest time that a test waits for something to happen.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// Log lines of a daemon that a failed test shows.
-const SHOWN_LINES: usize = 40;
+const MAX_PRINTED_LINES: usize = 40;
 
 /// A daemon; killed when dropped.
 #[derive(Debug)]
@@ -60,41 +60,58 @@
 impl Daemon {
     /// Starts the daemon `name` at `ip`.
     pub fn start(name: &str, ip: &str, store: SocketAddr, seeds: &[&str]) -> Self {
-        Self::start_with(name, ip, store, seeds, "")
+        Self::start_with_settings(name, ip, store, seeds, "")
     }
 
     /// The same with a daemon that is told that the whole system starts for the first time.
     pub fn first_start(name: &str, ip: &str, store: SocketAddr) -> Self {
-        Self::spawn(name, ip, store, &[], "first_start: true\n").read()
+        Self::spawn(name, ip, store, &[], "first_start: true\n").collect_log_lines()
     }
 
     /// Starts the daemon `name` at `ip` with more settings.
-    pub fn start_with(name: &str, ip: &str, store: SocketAddr, seeds: &[&str], more: &str) -> Self {
-        Self::spawn(name, ip, store, seeds, more).read()
+    pub fn start_with_settings(
+        name: &str,
+        ip: &str,
+        store: SocketAddr,
+        seeds: &[&str],
+        extra_settings: &str,
+    ) -> Self {
+        Self::spawn(name, ip, store, seeds, extra_settings).collect_log_lines()
     }
 
-    fn read(mut self) -> Self {
+    fn collect_log_lines(mut self) -> Self {
         let daemon = &mut self;
-        let kept = Arc::clone(&daemon.lines);
+        let collected = Arc::clone(&daemon.lines);
         let output = BufReader::new(daemon.child.stdout.take().unwrap());
         thread::spawn(move || {
             for line in output.lines().map_while(Result::ok) {
-                kept.lock().unwrap().push(line);
+                collected.lock().unwrap().push(line);
             }
         });
         self
     }
 
     /// Starts a daemon whose standard output nobody reads.
-    pub fn start_unread(name: &str, ip: &str, store: SocketAddr, seeds: &[&str]) -> Self {
+    pub fn start_with_unread_output(
+        name: &str,
+        ip: &str,
+        store: SocketAddr,
+        seeds: &[&str],
+    ) -> Self {
         Self::spawn(name, ip, store, seeds, "")
     }
 
-    fn spawn(name: &str, ip: &str, store: SocketAddr, seeds: &[&str], more: &str) -> Self {
+    fn spawn(
+        name: &str,
+        ip: &str,
+        store: SocketAddr,
+        seeds: &[&str],
+        extra_settings: &str,
+    ) -> Self {
         let at = |index: usize| SocketAddr::new(ip.parse().unwrap(), PORTS[index]);
         let seeds: Vec<String> = seeds.iter().map(|ip| format!("\"{ip}:1\"")).collect();
         let settings = format!(
-            "instance: {name}\ndata_centre: here\nlisten:\n  callers: \"{}\"\n  addresses: \"{}\"\n  readiness: \"{}\"\n  metrics: \"{}\"\n  peers: \"{}\"\nstore: \"{store}\"\nseeds: [{}]\nretry: {{ratio: 0.2, slack: 50, window_s: 10}}\ngrace_s: 8\n{more}",
+            "instance: {name}\ndata_centre: here\nlisten:\n  callers: \"{}\"\n  addresses: \"{}\"\n  readiness: \"{}\"\n  metrics: \"{}\"\n  peers: \"{}\"\nstore: \"{store}\"\nseeds: [{}]\nretry: {{ratio: 0.2, slack: 50, window_s: 10}}\ngrace_s: 8\n{extra_settings}",
             at(0),
             at(1),
             at(2),
@@ -124,7 +141,7 @@
     }
 
     /// Its settings file.
-    pub fn settings(&self) -> &PathBuf {
+    pub fn settings_path(&self) -> &PathBuf {
         &self.path
     }
 
@@ -134,8 +151,8 @@
     }
 
     /// Waits until it is ready.
-    pub fn until_ready(&self) -> &Self {
-        until("the daemon is ready", || self.readiness() == 200);
+    pub fn wait_until_ready(&self) -> &Self {
+        wait_until("the daemon is ready", || self.readiness() == 200);
         self
     }
 
@@ -178,18 +195,18 @@
     }
 
     /// Prints its last log lines beside the failure of a test, which cannot be explained without them.
-    fn print_lines(&self) {
+    fn print_last_lines(&self) {
         let lines = self.logged("");
-        let last = lines.len().saturating_sub(SHOWN_LINES);
+        let first_printed = lines.len().saturating_sub(MAX_PRINTED_LINES);
         println!("log of the daemon at {}:", self.callers);
-        for line in &lines[last..] {
+        for line in &lines[first_printed..] {
             println!("{line}");
         }
     }
 
     /// Waits for its end.
-    pub fn wait(&mut self) -> ExitStatus {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let end = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
@@ -204,15 +221,15 @@
     fn drop(&mut self) {
         self.kill();
         if thread::panicking() {
-            self.print_lines();
+            self.print_last_lines();
         }
     }
 }
 
-/// Waits until `holds`.
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !holds() {
+/// Waits until `condition`.
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let end = Instant::now() + TIMEOUT;
+    while !condition() {
         assert!(Instant::now() < end, "waited in vain until {what}");
         thread::sleep(Duration::from_millis(20));
     }
--- a/crates/gateway/tests/gateway/crowded.rs
+++ b/crates/gateway/tests/gateway/crowded.rs
@@ -7,7 +7,7 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
 use crate::common::replica::Act;
@@ -31,7 +31,7 @@
     let told = caller.send_and_read("POST /book/1", &headers("c1"), b"");
     assert_eq!(told.status(), 502);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
-    until("it is found out", || !verdicts().is_empty());
+    wait_until("it is found out", || !verdicts().is_empty());
     verdicts().remove(0)
 }
 
@@ -67,7 +67,7 @@
     let site = Site::start("crowded-gone", &[(&replica, "app", "")]);
     site.send_and_read("POST /book/1", "c1");
     site.store.remove("servers", "i-1");
-    until("it counts", || {
+    wait_until("it counts", || {
         let ends = site.daemon.logged("a replica ended while at work");
         !ends.is_empty()
     });
@@ -90,7 +90,7 @@
     let site = Site::start("hangs", &[(&replica, "app", "")]);
     let told = verdict(&site);
     assert!(told.contains("\"presence\":\"Unknown\""), "{told}");
-    until("it counts", || {
+    wait_until("it counts", || {
         !site
             .daemon
             .logged("a replica ended while at work")
@@ -144,7 +144,7 @@
     }
     let sent = one.seen().len() + two.seen().len();
     let mut caller = generate(&site.daemon, "/resume/1", "a1");
-    until("it is sent", || one.seen().len() + two.seen().len() > sent);
+    wait_until("it is sent", || one.seen().len() + two.seen().len() > sent);
     let last = |replica: &Replica| {
         let seen = replica.seen();
         seen.last()
@@ -177,7 +177,7 @@
     });
     let site = Site::staged("crowded-read", &prefill, &[&decode]);
     let mut caller = generate(&site.daemon, "/draft/1", "a1");
-    until("the prompt is sent", || prefill.seen().len() == 1);
+    wait_until("the prompt is sent", || prefill.seen().len() == 1);
     prefill.crowd();
     assert_eq!(caller.read().status(), 200);
     let seen = decode.seen();
--- a/crates/gateway/tests/gateway/keys.rs
+++ b/crates/gateway/tests/gateway/keys.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
 use crate::common::replica::Act;
@@ -46,7 +46,7 @@
 fn put(site: &Site, config: &Value) {
     site.store.put("op", "config", config);
     let told = format!("\"version\":{}", config["version"]);
-    until("the plan is in force", || {
+    wait_until("the plan is in force", || {
         let plans = site.daemon.logged("\"a plan is in force\"");
         plans.iter().any(|plan| plan.contains(&told))
     });
@@ -209,7 +209,7 @@
     // An older version changes nothing, wherever it comes from.
     site.store.put("op", "config", &with_customers(2));
     site.store.put("op", "config", &json!({"version": 9}));
-    until("it is told", || {
+    wait_until("it is told", || {
         !site.daemon.logged("cannot be read").is_empty()
     });
     assert_eq!(
@@ -263,7 +263,7 @@
         ("X-Api-Key", KEY),
     ];
     caller.start_request("POST /draft/1", &sent, b"prompt");
-    until("it runs", || !decode.seen().is_empty());
+    wait_until("it runs", || !decode.seen().is_empty());
     let mut revoked = with_customers(3);
     revoked["tenants"][0]["api-keys"] = json!([]);
     put(&site, &revoked);
@@ -284,7 +284,7 @@
     ];
     let site = start("keys-hidden", &replicas);
     let other = site.another("keys-hidden-2", true);
-    other.until_ready();
+    other.wait_until_ready();
     let mut answers = Vec::new();
     for (id, key) in [("a1", KEY), ("a2", NEW_KEY)] {
         answers.push(send_and_read(&site, "GET /read/1", id, key));
@@ -292,7 +292,7 @@
         answers.push(send_and_read(&site, "POST /draft/1", id, key));
         answers.push(send_and_read(&site, "GET /nowhere/1", id, key));
     }
-    until("all is told", || site.daemon.logged("\"a2\"").len() >= 4);
+    wait_until("all is told", || site.daemon.logged("\"a2\"").len() >= 4);
     let mut written = site.daemon.logged("");
     written.extend(other.logged(""));
     written.push(site.daemon.metrics());
--- a/crates/gateway/tests/gateway/lifecycle.rs
+++ b/crates/gateway/tests/gateway/lifecycle.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::replica::Act;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
@@ -27,17 +27,17 @@
     let mut site = Site::start("stopped", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/1", &crate::site::headers("a1"), b"");
-    until("the call arrives", || replica.seen().len() == 1);
+    wait_until("the call arrives", || replica.seen().len() == 1);
     site.daemon.signal(Signal::TERM);
-    until("it is not ready", || site.daemon.readiness() == 503);
+    wait_until("it is not ready", || site.daemon.readiness() == 503);
     let told = caller.read();
     assert_eq!(
         (told.status(), told.body.as_slice()),
         (200, b"late".as_slice())
     );
     assert_eq!(told.header("connection"), Some("close"));
-    assert!(site.daemon.wait().success());
-    until("the end is logged", || {
+    assert!(site.daemon.wait_for_exit().success());
+    wait_until("the end is logged", || {
         !site.daemon.logged("stopped").is_empty()
     });
 }
@@ -52,7 +52,7 @@
     });
     let mut site = Site::start("late-stream", &[(&decode, "llm", "decode")]);
     let mut early = generate(&site.daemon, "/draft/1", "a1");
-    until("the request arrives", || decode.seen().len() == 1);
+    wait_until("the request arrives", || decode.seen().len() == 1);
     let mut slow = site.config_with_long_streams();
     site.daemon.signal(Signal::TERM);
     std::thread::sleep(Duration::from_millis(2_900));
@@ -60,7 +60,7 @@
     assert_eq!(late.status(), 503);
     assert!(late.header("retry-after").is_some());
     assert!(early.read().complete);
-    assert!(site.daemon.wait().success());
+    assert!(site.daemon.wait_for_exit().success());
 }
 
 #[test]
@@ -68,12 +68,12 @@
     let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
     let site = Site::start("reloaded", &[(&replica, "app", "")]);
     site.daemon.signal(Signal::HUP);
-    until("it is told", || {
+    wait_until("it is told", || {
         !site.daemon.logged("nothing changed").is_empty()
     });
-    fs::write(site.daemon.settings(), "instance: [").unwrap();
+    fs::write(site.daemon.settings_path(), "instance: [").unwrap();
     site.daemon.signal(Signal::HUP);
-    until("it is told", || {
+    wait_until("it is told", || {
         !site.daemon.logged("those in force stay").is_empty()
     });
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
@@ -87,14 +87,14 @@
     let metrics = site.daemon.metrics();
     assert!(metrics.contains("waxwing_gateway_requests_total{outcome=\"answered\"} 1"));
     assert!(metrics.contains("waxwing_gateway_plan_version 1"));
-    until("it is logged", || site.daemon.logged("a-77").len() >= 2);
+    wait_until("it is logged", || site.daemon.logged("a-77").len() >= 2);
 }
 
 /// Nobody reads the daemon's standard output: lines are dropped and counted, and no request waits.
 #[test]
 fn requests_do_not_wait_for_logs_that_nobody_reads() {
     let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
-    let site = Site::start_unread("unread", &[(&replica, "app", "")]);
+    let site = Site::start_with_unread_output("unread", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     for number in 0..3_000 {
         let id = format!("{number:0>200}");
@@ -122,7 +122,7 @@
 #[test]
 fn improper_requests_do_not_fill_the_logs() {
     let site = Site::start("flooded", &[]);
-    until("it answers", || site.daemon.readiness() != 0);
+    wait_until("it answers", || site.daemon.readiness() != 0);
     let begun = std::time::Instant::now();
     let mut caller = site.daemon.caller();
     for _ in 0..1_000 {
@@ -149,11 +149,11 @@
 fn an_address_that_changes_waits_for_the_next_start() {
     let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
     let site = Site::start("moved", &[(&replica, "app", "")]);
-    let text = fs::read_to_string(site.daemon.settings()).unwrap();
+    let text = fs::read_to_string(site.daemon.settings_path()).unwrap();
     let text = text.replace("data_centre: here", "data_centre: there");
-    fs::write(site.daemon.settings(), text).unwrap();
+    fs::write(site.daemon.settings_path(), text).unwrap();
     site.daemon.signal(Signal::HUP);
-    until("it is told", || {
+    wait_until("it is told", || {
         !site.daemon.logged("at the next start").is_empty()
     });
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
--- a/crates/gateway/tests/gateway/limit.rs
+++ b/crates/gateway/tests/gateway/limit.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 
 use crate::common::daemon::Daemon;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
 use crate::common::replica::Act;
@@ -110,7 +110,7 @@
     let others = [2, 3, 4].map(|number| site.another(&format!("limit-{number}"), true));
     let daemons: Vec<&Daemon> = std::iter::once(&site.daemon).chain(&others).collect();
     for daemon in &daemons {
-        until("the daemons know each other", || {
+        wait_until("the daemons know each other", || {
             daemon.metrics().contains("waxwing_gateway_members 4")
         });
     }
@@ -133,7 +133,7 @@
 fn a_request_is_refused_with_a_time_where_all_limits_are_used_up() {
     let limited = limited_replica("i-limited", 0.5, &enabled());
     let site = Site::start("limit-full", &[(&limited, "app", "")]);
-    until("the limit is reached", || {
+    wait_until("the limit is reached", || {
         site.send_and_read("POST /book/1", "fill").status() == 503
     });
     let received = limited.seen().len();
@@ -142,7 +142,7 @@
     assert_eq!(limited.seen().len(), received);
     let seconds: f64 = refusal.header("retry-after").unwrap().parse().unwrap();
     assert!((0.01..=4.0).contains(&seconds), "{seconds}");
-    until("the replica accepts requests again", || {
+    wait_until("the replica accepts requests again", || {
         site.send_and_read("POST /book/1", "again").status() == 200
     });
 }
@@ -153,11 +153,11 @@
     let is_limited = enabled();
     let limited = limited_replica("i-limited", 1.0, &is_limited);
     let site = Site::start("limit-lifted", &[(&limited, "app", "")]);
-    until("the limit is reached", || {
+    wait_until("the limit is reached", || {
         site.send_and_read("GET /read/1", "fill").status() == 503
     });
     is_limited.store(false, Ordering::SeqCst);
-    until("the replica accepts requests again", || {
+    wait_until("the replica accepts requests again", || {
         site.send_and_read("GET /read/1", "again").status() == 200
     });
     for number in 0..10 {
--- a/crates/gateway/tests/gateway/moves.rs
+++ b/crates/gateway/tests/gateway/moves.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 use crate::common::caller::Caller;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
 use crate::common::replica::Act;
@@ -156,7 +156,7 @@
     engine["moves"] = true.into();
     engine["stride"] = 70.into();
     site.store.put("op", "config", &small);
-    until("the plan is in force", || {
+    wait_until("the plan is in force", || {
         let plans = site.daemon.logged("\"kind\":\"plan\"");
         plans.iter().any(|line| line.contains("\"version\":2"))
     });
@@ -166,11 +166,11 @@
 /// Two generations at the first replica; the second replica is listed when both make tokens.
 fn two_runs(site: &Site, source: &Source, target: &Replica, path: &str) -> (Caller, Caller) {
     let older = generate(&site.daemon, path, "a1");
-    until("the first run begins", || {
+    wait_until("the first run begins", || {
         !site.daemon.logged("\"kind\":\"first\"").is_empty()
     });
     let newer = generate(&site.daemon, path, "a2");
-    until("both runs are there", || {
+    wait_until("both runs are there", || {
         let seen = source.replica.seen().into_iter();
         seen.filter(|request| request.body == b"prompt").count() == 2
     });
@@ -316,9 +316,9 @@
     });
     let site = site("move-left", &source);
     let (older, newer) = two_runs(&site, &source, &target, "/draft/1");
-    until("the run goes on", || !continued(&target).is_empty());
+    wait_until("the run goes on", || !continued(&target).is_empty());
     drop((older, newer));
-    until("the memory is freed", || {
+    wait_until("the memory is freed", || {
         let seen = source.replica.seen();
         let freed = |request: &Message| request.path() == "/api/kv-handle/m1";
         seen.iter().any(freed)
--- a/crates/gateway/tests/gateway/plain.rs
+++ b/crates/gateway/tests/gateway/plain.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::answer;
 use crate::common::replica::Act;
 use crate::common::replica::Replica;
@@ -212,10 +212,10 @@
     let site = Site::start("left", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/1", &headers("a1"), b"");
-    until("the call arrives", || replica.seen().len() == 1);
+    wait_until("the call arrives", || replica.seen().len() == 1);
     drop(caller);
-    until("the replica is left", || replica.left() == 1);
-    until("it is logged", || {
+    wait_until("the replica is left", || replica.left() == 1);
+    wait_until("it is logged", || {
         !site.daemon.logged("caller-left").is_empty()
     });
 }
@@ -245,11 +245,11 @@
     let silent = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
     let sound = echo("i-2");
     let site = Site::start("silent", &[(&silent, "app", ""), (&sound, "app", "")]);
-    until("the silent one was tried", || {
+    wait_until("the silent one was tried", || {
         assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
         !silent.seen().is_empty()
     });
-    until("the silent one is left", || silent.left() > 0);
+    wait_until("the silent one is left", || silent.left() > 0);
 }
 
 #[test]
--- a/crates/gateway/tests/gateway/quarantine.rs
+++ b/crates/gateway/tests/gateway/quarantine.rs
@@ -19,7 +19,7 @@
 
 use crate::common::caller::Caller;
 use crate::common::daemon::Daemon;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::replica::Act;
 use crate::common::replica::Replica;
@@ -91,7 +91,7 @@
 
 /// Waits until it does, for so long that what the daemons tell each other has come; whether the request is
 /// sent on all the same is for the test to see.
-fn until_quarantined(daemon: &Daemon) {
+fn wait_until_quarantined(daemon: &Daemon) {
     let end = Instant::now() + SETTLED;
     while !quarantines(daemon) && Instant::now() < end {
         thread::sleep(Duration::from_millis(20));
@@ -110,7 +110,7 @@
         let told = generate(&site.daemon, path, &format!("c{number}")).read();
         assert!(!told.complete || told.status() == 503);
     }
-    until_quarantined(&site.daemon);
+    wait_until_quarantined(&site.daemon);
     for number in 0..ENDED {
         let told = generate(&site.daemon, path, &format!("q{number}")).read();
         assert!(String::from_utf8_lossy(&told.body).contains("replicas ended"));
@@ -133,7 +133,7 @@
         let told = site.send_and_read("POST /book/lorry", &format!("c{number}"));
         assert_eq!(told.status(), 502);
     }
-    until_quarantined(&site.daemon);
+    wait_until_quarantined(&site.daemon);
     assert_eq!(site.send_and_read("POST /book/lorry", "q1").status(), 503);
     assert_eq!(runs(&replicas), ENDED);
 }
@@ -144,14 +144,14 @@
     let site = site("told", &prefill, &decode);
     let others = [site.another("told-2", true), site.another("told-3", true)];
     for daemon in &others {
-        daemon.until_ready();
+        daemon.wait_until_ready();
     }
     // Each of them sees a replica end, and none sees three.
     crash(&site.daemon, 1);
     crash(&others[0], 1);
     crash(&others[1], 1);
     for daemon in others.iter().chain([&site.daemon]) {
-        until_quarantined(daemon);
+        wait_until_quarantined(daemon);
         generate(daemon, "/draft/crash", "q1").read();
     }
     assert_eq!(runs(&decode), ENDED);
@@ -162,7 +162,7 @@
     let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
     let mut site = site("kept", &prefill, &decode);
     crash(&site.daemon, ENDED);
-    until_quarantined(&site.daemon);
+    wait_until_quarantined(&site.daemon);
     let end = Instant::now() + SETTLED;
     while site.store.keys("quarantine").len() < ENDED && Instant::now() < end {
         thread::sleep(Duration::from_millis(20));
@@ -170,8 +170,8 @@
     // Nobody is left who could tell.
     site.daemon.kill();
     let next = site.another("kept-2", false);
-    next.until_ready();
-    until_quarantined(&next);
+    next.wait_until_ready();
+    wait_until_quarantined(&next);
     generate(&next, "/draft/crash", "q1").read();
     assert_eq!(runs(&decode), ENDED);
 }
@@ -182,8 +182,8 @@
     let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
     let site = site("lifted", &prefill, &decode);
     crash(&site.daemon, ENDED);
-    until_quarantined(&site.daemon);
-    until("it is kept", || {
+    wait_until_quarantined(&site.daemon);
+    wait_until("it is kept", || {
         site.store.keys("quarantine").len() >= ENDED
     });
     let keys = site.store.keys("quarantine");
@@ -193,9 +193,9 @@
     site.store
         .put("quarantine", &row, &(now.as_millis() as u64).into());
     let next = site.another("lifted-2", true);
-    next.until_ready();
+    next.wait_until_ready();
     for daemon in [&next, &site.daemon] {
-        until("it is sent again", || {
+        wait_until("it is sent again", || {
             generate(daemon, "/draft/crash", "l1").read().status() != 503
         });
     }
@@ -215,7 +215,7 @@
         let told = site.send_and_read("POST /book/lorry", &format!("c{number}"));
         assert_eq!(told.status(), 502);
     }
-    until_quarantined(&site.daemon);
+    wait_until_quarantined(&site.daemon);
     assert_eq!(site.send_and_read("POST /book/lorry", "q1").status(), 503);
     assert_eq!(runs(&replicas), 1 + ENDED);
 }
@@ -226,15 +226,15 @@
     let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
     let site = site("unheard", &prefill, &decode);
     crash(&site.daemon, ENDED);
-    until_quarantined(&site.daemon);
+    wait_until_quarantined(&site.daemon);
     // What was told is over by now, and the next daemon learns nothing from the store.
     thread::sleep(Duration::from_millis(1_500));
     for key in site.store.keys("quarantine") {
         site.store.remove("quarantine", &key);
     }
     let next = site.another("unheard-2", true);
-    next.until_ready();
-    until_quarantined(&next);
+    next.wait_until_ready();
+    wait_until_quarantined(&next);
     generate(&next, "/draft/crash", "q1").read();
     assert_eq!(runs(&decode), ENDED);
 }
@@ -274,11 +274,11 @@
     });
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/lorry", &headers("a1"), b"");
-    until("the replica is asked", || asked.load(Ordering::SeqCst));
+    wait_until("the replica is asked", || asked.load(Ordering::SeqCst));
     thread::sleep(STOPPED);
     site.daemon.signal(Signal::CONT);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
-    until("it is found out", || !verdicts().is_empty());
+    wait_until("it is found out", || !verdicts().is_empty());
     assert!(verdicts()[0].contains("\"presence\":\"Here\""));
 }
 
@@ -305,11 +305,11 @@
         seen.iter()
             .any(|request| request.header("request-id") != Some("a1"))
     };
-    until("all are at work", || replicas.iter().all(hangs));
+    wait_until("all are at work", || replicas.iter().all(hangs));
     for replica in replicas.iter().skip(1) {
         replica.crash();
     }
-    until("the daemon knows that they ended", || {
+    wait_until("the daemon knows that they ended", || {
         site.daemon.logged("\"presence\":\"Ended\"").len() >= ENDED
     });
     assert_eq!(
--- a/crates/gateway/tests/gateway/quotas.rs
+++ b/crates/gateway/tests/gateway/quotas.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 use crate::common::daemon::Daemon;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::replica::Act;
 use crate::common::replica::Replica;
@@ -41,12 +41,12 @@
 
 fn put(site: &Site, config: &Value) {
     site.store.put("op", "config", config);
-    until_in_force(&site.daemon, config);
+    wait_until_in_force(&site.daemon, config);
 }
 
-fn until_in_force(daemon: &Daemon, config: &Value) {
+fn wait_until_in_force(daemon: &Daemon, config: &Value) {
     let told = format!("\"version\":{}", config["version"]);
-    until("the plan is in force", || {
+    wait_until("the plan is in force", || {
         let plans = daemon.logged("\"a plan is in force\"");
         plans.iter().any(|plan| plan.contains(&told))
     });
@@ -70,7 +70,7 @@
     let replica = echo("i-1");
     let site = start("quota-one", &replica, 50.0, 2 * TOKENS);
     // The bucket of a daemon that has just started holds only what it earned since.
-    until("the bucket is full", || {
+    wait_until("the bucket is full", || {
         send_and_read(&site.daemon, "fill").status() == 429
     });
     let ran = replica.seen().len();
@@ -102,7 +102,7 @@
         })
     });
     let site = start("quota-back", &replica, 100.0, TOKENS);
-    until("there is room", || {
+    wait_until("there is room", || {
         send_and_read(&site.daemon, "fill").status() == 200
     });
     thread::sleep(Duration::from_millis(1_200));
@@ -117,11 +117,11 @@
     let replica = echo("i-1");
     let site = start("quota-shared", &replica, 200.0, 4 * TOKENS);
     let other = site.another("quota-shared-2", true);
-    until("the daemons know each other", || {
+    wait_until("the daemons know each other", || {
         let both = "waxwing_gateway_members 2";
         other.metrics().contains(both) && site.daemon.metrics().contains(both)
     });
-    until_in_force(&other, &with_quota(2, 200.0, 4 * TOKENS));
+    wait_until_in_force(&other, &with_quota(2, 200.0, 4 * TOKENS));
     // Both may take each other for the keeper until the members are settled.
     thread::sleep(Duration::from_secs(4));
     let begun = Instant::now();
@@ -144,7 +144,7 @@
 fn a_lower_quota_binds() {
     let replica = echo("i-1");
     let site = start("quota-lower", &replica, 100_000.0, 100_000);
-    until("there is room", || {
+    wait_until("there is room", || {
         send_and_read(&site.daemon, "fill").status() == 200
     });
     for number in 0..5 {
@@ -167,13 +167,13 @@
     let mut others: Vec<Daemon> = (2..=3)
         .map(|number| site.another(&format!("quota-cut-{number}"), true))
         .collect();
-    until("the daemons know each other", || {
+    wait_until("the daemons know each other", || {
         site.daemon.metrics().contains("waxwing_gateway_members 3")
     });
     for other in &mut others {
         other.kill();
     }
-    until("they are lost", || {
+    wait_until("they are lost", || {
         site.daemon.metrics().contains("waxwing_gateway_members 1")
     });
     // They may be at work behind a cut, and nothing is tolerated beyond the quota.
--- a/crates/gateway/tests/gateway/second_answers.rs
+++ b/crates/gateway/tests/gateway/second_answers.rs
@@ -13,7 +13,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
 use crate::common::replica::Act;
@@ -249,7 +249,7 @@
         site.send_and_read("GET /read/1", &format!("a{number}"));
     }
     // One of these asked whether the replica is there.
-    until("it has asked", || replica.connections() == 4);
+    wait_until("it has asked", || replica.connections() == 4);
     assert_eq!(replica.second_answers(), 1);
     thread::sleep(TRUSTED_AGAIN);
     for number in 4..8 {
--- a/crates/gateway/tests/gateway/second_calls.rs
+++ b/crates/gateway/tests/gateway/second_calls.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 
 use crate::common::caller::Caller;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
 use crate::common::replica::Act;
@@ -77,7 +77,7 @@
     let mut callers = Vec::new();
     for number in 1..=3 {
         callers.push(generate(&site.daemon, "/draft/1", &format!("a{number}")));
-        until("it has a reservation", || {
+        wait_until("it has a reservation", || {
             reserved.load(Ordering::SeqCst) == number
         });
     }
@@ -207,7 +207,7 @@
     engine["moves"] = true.into();
     engine["stride"] = 70.into();
     site.store.put("op", "config", &small);
-    until("the plan is in force", || {
+    wait_until("the plan is in force", || {
         let plans = site.daemon.logged("\"kind\":\"plan\"");
         plans.iter().any(|line| line.contains("\"version\":2"))
     });
@@ -215,7 +215,7 @@
     let ids = 1..=4;
     ids.map(|number| {
         let caller = generate(&site.daemon, "/draft/1", &format!("a{number}"));
-        until("it runs", || begun(number));
+        wait_until("it runs", || begun(number));
         caller
     })
     .collect()
@@ -281,17 +281,17 @@
     let site = Site::start(&format!("reported-{second}"), &[(&replica, "app", "")]);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
     assert_eq!(lose(&site, "c1"), 502);
-    until("the first one is asked about", || verdicts().len() == 1);
+    wait_until("the first one is asked about", || verdicts().len() == 1);
     gone.store(true, Ordering::SeqCst);
     if second == "i-2" {
         site.store.remove("servers", "i-1");
         site.store.put("servers", "i-2", &replica.row("app", ""));
-        until("the second one is listed", || {
+        wait_until("the second one is listed", || {
             !site.daemon.logged("\"replica\":\"i-2\"").is_empty()
         });
     }
     assert_eq!(lose(&site, "c2"), 502);
-    until("the second one is asked about", || verdicts().len() == 2);
+    wait_until("the second one is asked about", || verdicts().len() == 2);
     assert!(
         verdicts()[1].contains(&format!("\"presence\":\"{presence}\"")),
         "{:?}",
@@ -361,7 +361,7 @@
     quick["services"][1]["engine"]["stage-switch-s"] = 0.1.into();
     site.store.put("op", "config", &quick);
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
-    until("several orders are given", || {
+    wait_until("several orders are given", || {
         given.lock().unwrap().len() >= 3
     });
     let logged = logged_orders(&site, &engine.id);
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -21,7 +21,7 @@
 use tokio::runtime;
 use tokio::task::LocalSet;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http;
 use crate::common::http::Message;
 use crate::common::http::answer;
@@ -74,7 +74,7 @@
     let site = Site::start("fence-twice", &stages.collect::<Vec<_>>());
     site.store.stutter();
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
-    until("orders are given", || !fences(&engines).is_empty());
+    wait_until("orders are given", || !fences(&engines).is_empty());
     let written = site.store.version("orders", "llm");
     assert_eq!(fences(&engines), BTreeSet::from([written]));
 }
@@ -89,7 +89,7 @@
         site.store.put("op", "config", &config(version));
         let more = application(&number);
         site.store.put("servers", &number, &more.row("app", ""));
-        until("the plan and the replica are known", || {
+        wait_until("the plan and the replica are known", || {
             let plan = format!("\"version\":{version}}}");
             let replica = format!("\"replica\":\"{number}\"");
             let logged = site.daemon.logged(&plan);
--- a/crates/gateway/tests/gateway/site.rs
+++ b/crates/gateway/tests/gateway/site.rs
@@ -8,7 +8,7 @@
 use crate::common::caller::Caller;
 use crate::common::daemon::Daemon;
 use crate::common::daemon::new_ip;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::replica::Replica;
 use crate::common::store;
@@ -45,9 +45,9 @@
     }
 
     /// A daemon in front of `replicas` whose log lines nobody reads.
-    pub fn start_unread(name: &str, replicas: &[(&Replica, &str, &str)]) -> Self {
+    pub fn start_with_unread_output(name: &str, replicas: &[(&Replica, &str, &str)]) -> Self {
         Self::with_daemon(replicas, |ip, store| {
-            Daemon::start_unread(name, ip, store, &[])
+            Daemon::start_with_unread_output(name, ip, store, &[])
         })
     }
 
@@ -63,7 +63,7 @@
         let ip = new_ip();
         let daemon = start(&ip, store_address);
         if !replicas.is_empty() {
-            daemon.until_ready();
+            daemon.wait_until_ready();
         }
         Self {
             store,
@@ -87,10 +87,10 @@
 
     /// Changes the settings file, and waits until it is in force.
     pub fn change_settings(&self, before: &str, after: &str) {
-        let text = fs::read_to_string(self.daemon.settings()).unwrap();
+        let text = fs::read_to_string(self.daemon.settings_path()).unwrap();
         assert!(text.contains(before), "{text}");
-        fs::write(self.daemon.settings(), text.replace(before, after)).unwrap();
-        until("the settings are in force", || {
+        fs::write(self.daemon.settings_path(), text.replace(before, after)).unwrap();
+        wait_until("the settings are in force", || {
             !self.daemon.logged("settings in force").is_empty()
         });
     }
@@ -101,8 +101,8 @@
     }
 
     /// Waits until requests for `path` are no longer answered with `status`.
-    pub fn until_not(&self, path: &str, status: u16) {
-        until("the answer changes", || {
+    pub fn wait_while_status(&self, path: &str, status: u16) {
+        wait_until("the answer changes", || {
             self.send_and_read(&format!("GET {path}"), "probe").status() != status
         });
     }
@@ -137,7 +137,7 @@
         let mut longer = config(2);
         longer["routes"][2]["timeout-ms"] = 14_000.into();
         self.store.put("op", "config", &longer);
-        until("the plan is in force", || {
+        wait_until("the plan is in force", || {
             !self.daemon.logged("\"version\":2").is_empty()
         });
         self.daemon.caller()
--- a/crates/gateway/tests/gateway/stages.rs
+++ b/crates/gateway/tests/gateway/stages.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
 use crate::common::replica::Act;
@@ -48,7 +48,7 @@
     let site = Site::start("stages", &stages.collect::<Vec<_>>());
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
     let given = || -> usize { engines.iter().map(|engine| orders(engine).len()).sum() };
-    until("the orders are given", || given() >= AT_ONCE);
+    wait_until("the orders are given", || given() >= AT_ONCE);
     // Longer than the division has to be off, and shorter than the pause after a change.
     thread::sleep(Duration::from_millis(2_500));
     let told: Vec<Vec<Value>> = engines.iter().map(orders).collect();
--- a/crates/gateway/tests/gateway/stream.rs
+++ b/crates/gateway/tests/gateway/stream.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
 use crate::common::replica::Act;
@@ -67,13 +67,13 @@
     let other = Replica::start("i-2", |request| Act::Send(stream(request, 1, 2)));
     let site = Site::staged("left-meanwhile", &prefill, &[&draining]);
     let mut caller = generate(&site.daemon, "/draft/1", "a1");
-    until("the prompt is being read", || !prefill.seen().is_empty());
+    wait_until("the prompt is being read", || !prefill.seen().is_empty());
     let mut row = draining.row("llm", "decode");
     row["state"] = "draining".into();
     site.store.put("servers", "i-1", &row);
     site.store
         .put("servers", "i-2", &other.row("llm", "decode"));
-    until("the daemon has learnt that the replica is draining", || {
+    wait_until("the daemon has learnt that the replica is draining", || {
         !site.daemon.logged("Draining").is_empty()
     });
     thread::sleep(Duration::from_millis(400));
@@ -224,9 +224,9 @@
     });
     let site = Site::start("stream-left", &[(&decode, "llm", "decode")]);
     let caller = generate(&site.daemon, "/draft/1", "a1");
-    until("the request arrives", || decode.seen().len() == 1);
+    wait_until("the request arrives", || decode.seen().len() == 1);
     drop(caller);
-    until("the replica is left", || decode.left() == 1);
+    wait_until("the replica is left", || decode.left() == 1);
 }
 
 /// Without the line, nothing tells why the caller of a stream that cannot be resumed left.
@@ -237,13 +237,13 @@
     });
     let site = Site::start("silent-once-stream", &[(&decode, "llm", "decode")]);
     let caller = generate(&site.daemon, "/draft/1", "a1");
-    until("the silence is told", || {
+    wait_until("the silence is told", || {
         let told = site.daemon.logged("\"kind\":\"silence\"");
         told.iter()
             .any(|line| line.contains("\"answers\":\"true\""))
     });
     drop(caller);
-    until("the replica is left", || decode.left() == 1);
+    wait_until("the replica is left", || decode.left() == 1);
     assert_eq!(decode.seen().len(), 1);
 }
 
--- a/crates/gateway/tests/gateway/whole.rs
+++ b/crates/gateway/tests/gateway/whole.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 
 use crate::common::caller::Caller;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http;
 use crate::common::http::Message;
 use crate::common::replica::Act;
@@ -241,13 +241,13 @@
     let caller = site.config_with_long_streams();
     let (told, ended) = thread::scope(|scope| {
         let caller = scope.spawn(|| old_answer(caller));
-        until("the request arrives", || decode.seen().len() == 1);
+        wait_until("the request arrives", || decode.seen().len() == 1);
         site.daemon.signal(Signal::TERM);
         caller.join().unwrap()
     });
     assert!(told.ends_with(&texts(1, 2)), "{told}");
     assert!(!ended);
-    site.daemon.wait();
+    site.daemon.wait_for_exit();
 }
 
 /// An answer that no caller asked for (a change of protocols) and one whose body is packed are none to pass on, signed
--- a/crates/gateway/tests/gateway/world.rs
+++ b/crates/gateway/tests/gateway/world.rs
@@ -7,7 +7,7 @@
 
 use crate::common::daemon::Daemon;
 use crate::common::daemon::new_ip;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::replica::Act;
 use crate::common::replica::Replica;
 use crate::common::replica::signed;
@@ -26,7 +26,7 @@
     site.store.remove("op", "config");
     let other = site.another("planless", false);
     site.store.put("servers", "i-1", &replica.row("app", ""));
-    until("it answers", || other.readiness() != 0);
+    wait_until("it answers", || other.readiness() != 0);
     assert_eq!(other.readiness(), 503);
     let told = send_and_read(&other, "GET /read/1", "a");
     assert_eq!(told.status(), 503);
@@ -41,11 +41,11 @@
     let mut newer = config(5);
     newer["routes"][0]["prefix"] = "/renamed/".into();
     site.store.put("op", "config", &newer);
-    site.until_not("/read/1", 200);
+    site.wait_while_status("/read/1", 200);
     assert_eq!(site.send_and_read("GET /renamed/1", "a2").status(), 200);
     site.store.put("op", "config", &config(4));
     site.store.put_bytes("op", "config", b"{not a plan");
-    until("it is told", || {
+    wait_until("it is told", || {
         !site.daemon.logged("cannot be read").is_empty()
     });
     assert_eq!(site.send_and_read("GET /renamed/1", "a3").status(), 200);
@@ -60,7 +60,7 @@
     let mut row = one.row("app", "");
     row["state"] = "draining".into();
     site.store.put("servers", "i-1", &row);
-    until("it is known", || !site.daemon.logged("Draining").is_empty());
+    wait_until("it is known", || !site.daemon.logged("Draining").is_empty());
     for number in 0..8 {
         assert_eq!(
             site.send_and_read("GET /read/1", &format!("a{number}"))
@@ -76,13 +76,13 @@
     let replica = echo("i-1");
     let site = Site::start("outage", &[(&replica, "app", "")]);
     site.store.set_down(true);
-    until("it is noticed", || {
+    wait_until("it is noticed", || {
         !site.daemon.logged("the store does not answer").is_empty()
     });
     assert_eq!(site.daemon.readiness(), 200);
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
     site.store.set_down(false);
-    until("it is noticed", || {
+    wait_until("it is noticed", || {
         !site.daemon.logged("answers again").is_empty()
     });
 }
@@ -93,7 +93,7 @@
     let site = Site::start("seed", &[(&replica, "app", "")]);
     site.store.set_down(true);
     let late = site.another("late", true);
-    late.until_ready();
+    late.wait_until_ready();
     let told = send_and_read(&late, "GET /read/1", "a1");
     assert_eq!(told.status(), 200);
 }
@@ -103,11 +103,11 @@
     let replica = echo("i-1");
     let site = Site::start("told", &[(&replica, "app", "")]);
     let other = site.another("hears", true);
-    other.until_ready();
+    other.wait_until_ready();
     // One of the two reads the store for both; the other one hears of it.
     site.store.put("op", "config", &config(7));
     for daemon in [&site.daemon, &other] {
-        until("the plan is in force", || {
+        wait_until("the plan is in force", || {
             !daemon.logged("\"version\":7").is_empty()
         });
     }
@@ -120,12 +120,12 @@
     let other = site.another("named", false);
     let told = |text: &str, daemon: &Daemon| text.contains(&daemon.callers.to_string());
     let both = |text: &str| told(text, &site.daemon) && told(text, &other);
-    until("both are told", || {
+    wait_until("both are told", || {
         both(&site.daemon.addresses()) && both(&other.addresses())
     });
     other.signal(rustix::process::Signal::TERM);
-    until("one is told", || !told(&site.daemon.addresses(), &other));
-    until("its row is gone", || !site.store.has("instances", "named"));
+    wait_until("one is told", || !told(&site.daemon.addresses(), &other));
+    wait_until("its row is gone", || !site.store.has("instances", "named"));
     assert_eq!(other.readiness(), 503);
 }
 
@@ -135,7 +135,7 @@
     let site = Site::start("odd-row", &[(&replica, "app", "")]);
     site.store
         .put("servers", "i-odd", &json!({"service": "app"}));
-    until("it is told", || !site.daemon.logged("i-odd").is_empty());
+    wait_until("it is told", || !site.daemon.logged("i-odd").is_empty());
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
 }
 
@@ -146,14 +146,14 @@
     let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
     let site = Site::start("silent-store", &[(&replica, "app", "")]);
     site.store.silence_open_connections();
-    until("the watch is given up", || {
+    wait_until("the watch is given up", || {
         let given_up = site.daemon.logged("another call had no answer in time");
         !given_up.is_empty()
     });
     let mut moved = config(2);
     moved["routes"][0]["prefix"] = "/moved/".into();
     site.store.put("op", "config", &moved);
-    site.until_not("/moved/1", 404);
+    site.wait_while_status("/moved/1", 404);
 }
 
 /// Number of watch calls for the replicas that `daemon` has sent to the store.
@@ -172,13 +172,13 @@
     let site = Site::start("loses-store", &[(&replica, "app", "")]);
     let (other_store, address) = site.store.at_another_address("127.0.0.1");
     let other = Daemon::start("keeps-store", &new_ip(), address, &[&site.ip]);
-    other.until_ready();
+    other.wait_until_ready();
     let is_reader = |daemon: &Daemon| {
         let before = watch_count(daemon);
         thread::sleep(Duration::from_secs(2));
         watch_count(daemon) > before
     };
-    until("exactly one daemon reads the store", || {
+    wait_until("exactly one daemon reads the store", || {
         is_reader(&site.daemon) != is_reader(&other)
     });
     let (reader, store, asker) = if is_reader(&site.daemon) {
@@ -187,7 +187,7 @@
         (&other, &other_store, &site.daemon)
     };
     store.set_down(true);
-    until("the reader logs that the store does not answer", || {
+    wait_until("the reader logs that the store does not answer", || {
         !reader.logged("the store does not answer").is_empty()
     });
     let before = watch_count(asker);
@@ -198,7 +198,7 @@
 
 /// Lists `count` instances beside those of the test; nobody is there.
 fn list_dead(site: &Site, count: usize) {
-    until("the own row is written", || {
+    wait_until("the own row is written", || {
         site.store.has("instances", "crowded")
     });
     let own = site.store.get("instances", "crowded").unwrap();
@@ -220,7 +220,7 @@
     let site = Site::start("crowded", &[(&replica, "app", "")]);
     list_dead(&site, 40);
     let late = site.another("crowded-too", false);
-    late.until_ready();
+    late.wait_until_ready();
     let told = send_and_read(&late, "GET /read/1", "a1");
     assert_eq!(told.status(), 200);
 }
@@ -244,6 +244,6 @@
     let replica = echo("i-1");
     let site = Site::start("earlier", &[(&replica, "app", "")]);
     let first = site.first_start("first");
-    first.until_ready();
+    first.wait_until_ready();
     assert!(site.store.has("instances", "first"));
 }
--- a/crates/gateway/tests/soak/faults.rs
+++ b/crates/gateway/tests/soak/faults.rs
@@ -91,6 +91,6 @@
     let mut daemon = world.seats[seat].daemon.lock().unwrap();
     world.seats[seat].disturb();
     daemon.signal(Signal::TERM);
-    daemon.wait();
+    daemon.wait_for_exit();
     *daemon = world.seats[seat].start();
 }
--- a/crates/gateway/tests/soak/main.rs
+++ b/crates/gateway/tests/soak/main.rs
@@ -25,7 +25,7 @@
 
 use crate::callers::Idle;
 use crate::common::caller::Caller;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http;
 use crate::common::http::Server;
 use crate::world::End;
@@ -95,7 +95,7 @@
     assert!(matches!(Idle::look(&caller), Idle::Unasked(_)));
     let other = Caller::new(server.address).unwrap();
     server.stop();
-    until("the connection is closed", || {
+    wait_until("the connection is closed", || {
         Idle::look(&other) == Idle::Closed
     });
 }
--- a/crates/gateway/tests/soak/world.rs
+++ b/crates/gateway/tests/soak/world.rs
@@ -15,7 +15,7 @@
 
 use crate::common::daemon::Daemon;
 use crate::common::daemon::new_ip;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::replica::Act;
 use crate::common::replica::Replica;
 use crate::common::replica::stream_head;
@@ -114,7 +114,7 @@
             }
         }
         for seat in world.seats.iter() {
-            seat.daemon.lock().unwrap().until_ready();
+            seat.daemon.lock().unwrap().wait_until_ready();
         }
         world
     }
@@ -258,7 +258,7 @@
 
     /// A new process for it.
     pub fn start(&self) -> Daemon {
-        let daemon = Daemon::start_with(
+        let daemon = Daemon::start_with_settings(
             &self.name,
             &self.ip,
             self.store.address,
@@ -266,7 +266,7 @@
             &customer::settings(),
         );
         // No process takes signals before it has begun to run.
-        until("the daemon starts", || {
+        wait_until("the daemon starts", || {
             !daemon.logged("starting").is_empty()
         });
         self.disturb();
@@ -279,7 +279,7 @@
     let name = format!("soak-{seed}-{}", ip.rsplit('.').next().unwrap_or_default());
     let seeds: Vec<&str> = ips.iter().map(String::as_str).collect();
     let settings = format!("first_start: true\n{}", customer::settings());
-    let daemon = Daemon::start_with(&name, ip, store.address, &seeds, &settings);
+    let daemon = Daemon::start_with_settings(&name, ip, store.address, &seeds, &settings);
     Seat {
         callers: daemon.callers,
         daemon: Mutex::new(daemon),
