--- a/crates/gateway/tests/gateway/birth.rs
+++ b/crates/gateway/tests/gateway/birth.rs
@@ -8,11 +8,11 @@
 
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
-use crate::common::replica::signed;
+use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
 use crate::site::generate;
@@ -40,12 +40,12 @@
     site.daemon.wait_until_ready();
 }
 
-fn begins_and_hangs(request: &Message) -> Act {
-    Act::SendAndHang([stream_head(request), events(1, 2)].concat())
+fn begins_and_hangs(request: &Message) -> Action {
+    Action::SendAndHang([stream_head(request), events(1, 2)].concat())
 }
 
-fn rest(request: &Message) -> Act {
-    Act::Send([stream_head(request), events(3, 5), chunk(b"")].concat())
+fn rest(request: &Message) -> Action {
+    Action::Send([stream_head(request), events(3, 5), chunk(b"")].concat())
 }
 
 /// A replica that was cut off sends no end; without news of its start the caller would wait on.
@@ -56,12 +56,12 @@
     list(&site, &decode, "llm", "decode", FIRST);
     let begun = Instant::now();
     let mut caller = generate(&site.daemon, "/draft/1", "a1");
-    wait_until("it runs", || decode.seen().len() == 1);
+    wait_until("it runs", || decode.requests().len() == 1);
     list(&site, &decode, "llm", "decode", SECOND);
     let told = caller.read();
     assert!(!told.complete);
     assert!(begun.elapsed() < SOON);
-    assert_eq!(decode.seen().len(), 1);
+    assert_eq!(decode.requests().len(), 1);
 }
 
 #[test]
@@ -76,7 +76,7 @@
     list(&site, &one, "llm", "decode", FIRST);
     let begun = Instant::now();
     let mut caller = generate(&site.daemon, "/resume/1", "a1");
-    wait_until("it runs", || one.seen().len() == 1);
+    wait_until("it runs", || one.requests().len() == 1);
     list(&site, &two, "llm", "decode", FIRST);
     list(&site, &one, "llm", "decode", SECOND);
     assert!(caller.read().complete);
@@ -85,32 +85,32 @@
 
 #[test]
 fn a_call_whose_replica_started_again_is_answered_at_once() {
-    let hangs = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
+    let hangs = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("reborn-call", &[]);
     list(&site, &hangs, "app", "", FIRST);
     let begun = Instant::now();
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/1", &crate::site::headers("a1"), b"");
-    wait_until("it arrives", || hangs.seen().len() == 1);
+    wait_until("it arrives", || hangs.requests().len() == 1);
     list(&site, &hangs, "app", "", SECOND);
     // It may have run, so it is not sent again and not said not to have run.
     assert_eq!(caller.read().status(), 502);
     assert!(begun.elapsed() < SOON);
-    assert_eq!(hangs.seen().len(), 1);
+    assert_eq!(hangs.requests().len(), 1);
 }
 
 /// The replica answers the reservation before its new entry is listed.
 #[test]
 fn a_reservation_at_a_new_incarnation_is_used_at_that_one() {
     let decode = Replica::start("i-d", |request| {
-        Act::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     });
     let site = Site::start("reborn-reserved", &[]);
     list(&site, &decode, "llm", "decode", FIRST);
-    decode.set_born(SECOND);
+    decode.set_start_time(SECOND);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
     assert!(told.complete);
-    assert_eq!(decode.seen().len(), 1);
+    assert_eq!(decode.requests().len(), 1);
     let restarted = || site.daemon.logged("Restarted").len();
     wait_until("its log line is read", || restarted() > 0);
     assert_eq!(restarted(), 1);
@@ -118,13 +118,17 @@
 
 #[test]
 fn an_old_entry_that_comes_late_changes_nothing() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start("old-entry", &[]);
     list(&site, &replica, "app", "", SECOND);
     let mut old = row(&replica, "app", "", FIRST);
     old["state"] = "draining".into();
     site.store.put("servers", "i-1", &old);
-    let other = Replica::start("i-2", |request| Act::Send(signed(request, 200, b"x")));
+    let other = Replica::start("i-2", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     list(&site, &other, "app", "", FIRST);
     assert!(site.daemon.logged("Draining").is_empty());
 }
@@ -132,10 +136,12 @@
 /// A prompt that is read once more arrives at the service once more.
 #[test]
 fn the_prompt_of_a_resumed_stream_is_read_again_only_within_the_budget() {
-    let prefill = Replica::prefill("i-p");
+    let prefill = Replica::start_prefill("i-p");
     let script = |request: &Message| match request.header("last-event-id") {
         Some("2") => rest(request),
-        _ => Act::SendAndClose([stream_head(request), events(1, 2), chunk(b"id: 3\nda")].concat()),
+        _ => {
+            Action::SendAndClose([stream_head(request), events(1, 2), chunk(b"id: 3\nda")].concat())
+        }
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
@@ -148,13 +154,15 @@
     );
     let told = generate(&site.daemon, "/resume/1", "a1").read();
     assert!(told.complete);
-    assert_eq!(prefill.seen().len(), 1);
-    assert_eq!(one.seen().len() + two.seen().len(), 2);
+    assert_eq!(prefill.requests().len(), 1);
+    assert_eq!(one.requests().len() + two.requests().len(), 2);
 }
 
 #[test]
 fn entries_of_another_program_hide_no_replica_and_are_told_a_few_times() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start("foreign", &[(&replica, "app", "")]);
     for number in 0..300 {
         let id = format!("foreign-{number}");
@@ -168,7 +176,9 @@
     let mut own = replica.row("app", "");
     own["addr"] = site.daemon.callers.to_string().into();
     site.store.put("servers", "i-own", &own);
-    let late = Replica::start("i-2", |request| Act::Send(signed(request, 200, b"x")));
+    let late = Replica::start("i-2", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     site.store.put("servers", "i-2", &late.row("app", ""));
     wait_until("the last one is known", || {
         !site.daemon.logged("\"replica\":\"i-2\"").is_empty()
@@ -180,6 +190,6 @@
             200
         );
     }
-    assert!(replica.seen().len() + late.seen().len() >= 20);
+    assert!(replica.requests().len() + late.requests().len() >= 20);
     assert!(site.daemon.logged("cannot be read").len() <= 100);
 }
--- a/crates/gateway/tests/gateway/common/replica.rs
+++ b/crates/gateway/tests/gateway/common/replica.rs
@@ -23,7 +23,7 @@
 
 /// What a replica does with a request.
 #[derive(Debug, Clone)]
-pub enum Act {
+pub enum Action {
     /// Sends these bytes and keeps the connection.
     Send(Vec<u8>),
     /// Sends these bytes and closes the connection.
@@ -33,19 +33,19 @@
     /// Sends these bytes, then nothing; notes when the other side closes.
     SendAndHang(Vec<u8>),
     /// Sends parts with a pause before each.
-    Slowly(Vec<Vec<u8>>, Duration),
+    SendSlowly(Vec<Vec<u8>>, Duration),
     /// The same, until the run is stopped; then closes the connection in the midst of the answer.
-    UntilStopped(Vec<Vec<u8>>, Duration, Arc<AtomicBool>),
+    SendUntilStopped(Vec<Vec<u8>>, Duration, Arc<AtomicBool>),
     /// Sends these bytes, then ends with all that it was doing.
     Crash(Vec<u8>),
 }
 
-impl Act {
+impl Action {
     /// The bytes of a whole answer; none where the connection does not outlast it.
     fn bytes(&self) -> Vec<u8> {
         match self {
             Self::Send(bytes) => bytes.clone(),
-            Self::Slowly(parts, _) => parts.concat(),
+            Self::SendSlowly(parts, _) => parts.concat(),
             _ => Vec::new(),
         }
     }
@@ -53,37 +53,37 @@
 
 /// How the second answer to a request comes, on the same connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Second {
+pub struct SecondAnswer {
     /// Time after which it comes, between two answers; without one it comes where the answer to the next request is
     /// due, and ahead of it.
-    pub wait: Option<Duration>,
+    pub delay: Option<Duration>,
     /// Parts in which it comes after that time, which passes between them as well.
     pub parts: usize,
 }
 
-type Script = dyn Fn(&Message) -> Act + Send + Sync;
-type Reports = OnceLock<Box<dyn Fn() -> bool + Send + Sync>>;
-type Calls = OnceLock<Box<dyn Fn(&Message) -> Option<Vec<u8>> + Send + Sync>>;
-type Again = OnceLock<Box<dyn Fn(&Message) -> Option<Second> + Send + Sync>>;
+type Script = dyn Fn(&Message) -> Action + Send + Sync;
+type ReportCondition = OnceLock<Box<dyn Fn() -> bool + Send + Sync>>;
+type CallHandler = OnceLock<Box<dyn Fn(&Message) -> Option<Vec<u8>> + Send + Sync>>;
+type SecondAnswerRule = OnceLock<Box<dyn Fn(&Message) -> Option<SecondAnswer> + Send + Sync>>;
 
 /// What its connections share with the test.
 #[derive(Default)]
 struct State {
-    seen: Mutex<Vec<Message>>,
-    left: AtomicUsize,
+    requests: Mutex<Vec<Message>>,
+    abandoned: AtomicUsize,
     /// When it started, as it tells in answers of its own; 0 if it does not.
-    born: AtomicU64,
-    reports: Reports,
+    start_time_ms: AtomicU64,
+    report_condition: ReportCondition,
     /// Answers to calls of the daemon's own in place of the usual ones.
-    calls: Calls,
+    call_handler: CallHandler,
     /// Which requests are answered twice.
-    again: Again,
+    second_answer_rule: SecondAnswerRule,
     /// Second answers that were sent.
     second_answers: AtomicUsize,
     /// Connections that were opened to it.
     connections: AtomicUsize,
     /// Whether it closes each new connection at once.
-    crowded: AtomicBool,
+    closes_new_connections: AtomicBool,
     /// Reservations that were made.
     holds: AtomicUsize,
 }
@@ -101,7 +101,7 @@
 
 impl Replica {
     /// Starts one that answers by `script`; reservations and reports are answered by itself.
-    pub fn start(id: &str, script: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Self {
+    pub fn start(id: &str, script: impl Fn(&Message) -> Action + Send + Sync + 'static) -> Self {
         let script: Arc<Script> = Arc::new(script);
         let state = Arc::new(State::default());
         let own_state = Arc::clone(&state);
@@ -109,10 +109,10 @@
         let own_server = Arc::clone(&server);
         let started = Server::start("127.0.0.1", move |socket| {
             own_state.connections.fetch_add(1, Ordering::SeqCst);
-            if own_state.crowded.load(Ordering::SeqCst) {
+            if own_state.closes_new_connections.load(Ordering::SeqCst) {
                 return;
             }
-            if connection(socket, &script, &own_state) == Left::Crashed {
+            if serve_connection(socket, &script, &own_state) == ConnectionEnd::Crashed {
                 own_server.wait().stop();
             }
         });
@@ -127,21 +127,24 @@
     }
 
     /// Asks `answers` each time whether a question for its report is answered.
-    pub fn set_reports(&self, answers: impl Fn() -> bool + Send + Sync + 'static) {
-        assert!(self.state.reports.set(Box::new(answers)).is_ok());
+    pub fn answer_reports_if(&self, answers: impl Fn() -> bool + Send + Sync + 'static) {
+        assert!(self.state.report_condition.set(Box::new(answers)).is_ok());
     }
 
     /// Answers a reservation, a report or another call of the daemon's own with what `answers` gives for it, if it
     /// gives anything.
-    pub fn set_calls(&self, answers: impl Fn(&Message) -> Option<Vec<u8>> + Send + Sync + 'static) {
-        assert!(self.state.calls.set(Box::new(answers)).is_ok());
+    pub fn set_call_handler(
+        &self,
+        answers: impl Fn(&Message) -> Option<Vec<u8>> + Send + Sync + 'static,
+    ) {
+        assert!(self.state.call_handler.set(Box::new(answers)).is_ok());
     }
 
     /// Answers those requests twice for which `twice` holds. The second answer comes late: on the same connection,
     /// where the answer to the next request is due, and ahead of it.
     pub fn answer_twice_if(&self, twice: impl Fn(&Message) -> bool + Send + Sync + 'static) {
-        let next = Second {
-            wait: None,
+        let next = SecondAnswer {
+            delay: None,
             parts: 1,
         };
         self.set_second_answers(move |request| twice(request).then_some(next));
@@ -150,24 +153,26 @@
     /// Asks `how` for each request whether it is answered again.
     pub fn set_second_answers(
         &self,
-        how: impl Fn(&Message) -> Option<Second> + Send + Sync + 'static,
+        how: impl Fn(&Message) -> Option<SecondAnswer> + Send + Sync + 'static,
     ) {
-        assert!(self.state.again.set(Box::new(how)).is_ok());
+        assert!(self.state.second_answer_rule.set(Box::new(how)).is_ok());
     }
 
     /// Second answers that it sent.
-    pub fn second_answers(&self) -> usize {
+    pub fn second_answer_count(&self) -> usize {
         self.state.second_answers.load(Ordering::SeqCst)
     }
 
     /// Connections that were opened to it.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.state.connections.load(Ordering::SeqCst)
     }
 
     /// Closes each new connection at once from now on, as one that has too many does.
-    pub fn crowd(&self) {
-        self.state.crowded.store(true, Ordering::SeqCst);
+    pub fn close_new_connections(&self) {
+        self.state
+            .closes_new_connections
+            .store(true, Ordering::SeqCst);
     }
 
     /// Ends it with all that it is doing.
@@ -176,15 +181,15 @@
     }
 
     /// Tells from now on that it started at `ms`.
-    pub fn set_born(&self, ms: u64) {
-        self.state.born.store(ms, Ordering::SeqCst);
+    pub fn set_start_time(&self, ms: u64) {
+        self.state.start_time_ms.store(ms, Ordering::SeqCst);
     }
 
     /// Starts one that reads prompts; their memory is called `k1`.
-    pub fn prefill(id: &str) -> Self {
+    pub fn start_prefill(id: &str) -> Self {
         Self::start(id, |_| {
-            let told = br#"{"kv-handle":"k1","tokens":1460,"version":1}"#;
-            Act::Send(answer(200, &[("content-type", "application/json")], told))
+            let body = br#"{"kv-handle":"k1","tokens":1460,"version":1}"#;
+            Action::Send(answer(200, &[("content-type", "application/json")], body))
         })
     }
 
@@ -199,19 +204,19 @@
     }
 
     /// Requests that it saw, without reservations and reports.
-    pub fn seen(&self) -> Vec<Message> {
-        self.state.seen.lock().unwrap().clone()
+    pub fn requests(&self) -> Vec<Message> {
+        self.state.requests.lock().unwrap().clone()
     }
 
     /// Connections that the other side closed while it hung.
-    pub fn left(&self) -> usize {
-        self.state.left.load(Ordering::SeqCst)
+    pub fn abandoned_count(&self) -> usize {
+        self.state.abandoned.load(Ordering::SeqCst)
     }
 }
 
 /// How a replica left a connection.
 #[derive(Debug, PartialEq)]
-enum Left {
+enum ConnectionEnd {
     /// It closed it, or the other side did.
     Closed,
     /// The whole replica is to end.
@@ -219,131 +224,146 @@
 }
 
 /// Sends an answer a second time once `wait` is over, in `parts` parts; `writing` is held while a whole answer is sent.
-fn send_late(
+fn send_second_answer(
     socket: &TcpStream,
-    writing: &Arc<Mutex<()>>,
+    write_lock: &Arc<Mutex<()>>,
     state: &Arc<State>,
     bytes: Vec<u8>,
-    wait: Duration,
+    delay: Duration,
     parts: usize,
 ) {
     let Ok(mut socket) = socket.try_clone() else {
         return;
     };
-    let (writing, state) = (Arc::clone(writing), Arc::clone(state));
+    let (write_lock, state) = (Arc::clone(write_lock), Arc::clone(state));
     thread::spawn(move || {
-        thread::sleep(wait);
-        let _sent = writing.lock().unwrap();
+        thread::sleep(delay);
+        let _guard = write_lock.lock().unwrap();
         state.second_answers.fetch_add(1, Ordering::SeqCst);
         for (number, part) in bytes.chunks(bytes.len().div_ceil(parts).max(1)).enumerate() {
             if number > 0 {
-                thread::sleep(wait);
+                thread::sleep(delay);
             }
             http::send(&mut socket, part);
         }
     });
 }
 
-fn connection(socket: &mut TcpStream, script: &Arc<Script>, state: &Arc<State>) -> Left {
+fn serve_connection(
+    socket: &mut TcpStream,
+    script: &Arc<Script>,
+    state: &Arc<State>,
+) -> ConnectionEnd {
     let mut second_answer = Vec::new();
-    let writing = Arc::new(Mutex::new(()));
+    let write_lock = Arc::new(Mutex::new(()));
     while let Ok(Some(request)) = http::read(socket) {
-        let _answered = writing.lock().unwrap();
+        let _guard = write_lock.lock().unwrap();
         if !second_answer.is_empty() {
             state.second_answers.fetch_add(1, Ordering::SeqCst);
             http::send(socket, &std::mem::take(&mut second_answer));
         }
-        let Some(act) = act(&request, script, state) else {
+        let Some(action) = choose_action(&request, script, state) else {
             continue;
         };
-        let bytes = act.bytes();
-        let second = state.again.get().and_then(|how| how(&request));
+        let bytes = action.bytes();
+        let second = state.second_answer_rule.get().and_then(|how| how(&request));
         match second {
             Some(_) if bytes.is_empty() => {}
-            Some(Second { wait: None, .. }) => second_answer = bytes,
-            Some(Second {
-                wait: Some(wait),
+            Some(SecondAnswer { delay: None, .. }) => second_answer = bytes,
+            Some(SecondAnswer {
+                delay: Some(delay),
                 parts,
-            }) => send_late(socket, &writing, state, bytes, wait, parts),
+            }) => send_second_answer(socket, &write_lock, state, bytes, delay, parts),
             None => {}
         }
-        match act {
-            Act::Send(bytes) => {
+        match action {
+            Action::Send(bytes) => {
                 if !http::send(socket, &bytes) {
-                    return Left::Closed;
+                    return ConnectionEnd::Closed;
                 }
             }
-            Act::SendAndClose(bytes) => {
+            Action::SendAndClose(bytes) => {
                 http::send(socket, &bytes);
-                return Left::Closed;
+                return ConnectionEnd::Closed;
             }
-            Act::SendAndReset(bytes, pause) => {
+            Action::SendAndReset(bytes, pause) => {
                 http::send(socket, &bytes);
                 thread::sleep(pause);
                 SockRef::from(&*socket)
                     .set_linger(Some(Duration::ZERO))
                     .unwrap();
-                return Left::Closed;
+                return ConnectionEnd::Closed;
             }
-            Act::SendAndHang(bytes) => {
+            Action::SendAndHang(bytes) => {
                 http::send(socket, &bytes);
                 if http::closes_within(socket, Duration::from_secs(30)) {
-                    state.left.fetch_add(1, Ordering::SeqCst);
+                    state.abandoned.fetch_add(1, Ordering::SeqCst);
                 }
-                return Left::Closed;
+                return ConnectionEnd::Closed;
             }
-            Act::UntilStopped(parts, pause, stopped) => {
+            Action::SendUntilStopped(parts, pause, stopped) => {
                 for part in parts {
                     thread::sleep(pause);
                     if stopped.load(Ordering::SeqCst) || !http::send(socket, &part) {
-                        return Left::Closed;
+                        return ConnectionEnd::Closed;
                     }
                 }
             }
-            Act::Crash(bytes) => {
+            Action::Crash(bytes) => {
                 http::send(socket, &bytes);
-                return Left::Crashed;
+                return ConnectionEnd::Crashed;
             }
-            Act::Slowly(parts, pause) => {
+            Action::SendSlowly(parts, pause) => {
                 for part in parts {
                     thread::sleep(pause);
                     if !http::send(socket, &part) {
-                        return Left::Closed;
+                        return ConnectionEnd::Closed;
                     }
                 }
             }
         }
     }
-    Left::Closed
+    ConnectionEnd::Closed
 }
 
 /// What a replica does with `request`; `None` if it does not answer.
-fn act(request: &Message, script: &Arc<Script>, state: &State) -> Option<Act> {
-    if let Some(bytes) = state.calls.get().and_then(|answers| answers(request)) {
-        return Some(Act::Send(bytes));
+fn choose_action(request: &Message, script: &Arc<Script>, state: &State) -> Option<Action> {
+    if let Some(bytes) = state
+        .call_handler
+        .get()
+        .and_then(|answers| answers(request))
+    {
+        return Some(Action::Send(bytes));
     }
     match request.path() {
         "/api/hold-take" => {
             let number = state.holds.fetch_add(1, Ordering::SeqCst) + 1;
-            let mut told = json!({"hold": format!("h{number}")});
-            match state.born.load(Ordering::SeqCst) {
+            let mut body = json!({"hold": format!("h{number}")});
+            match state.start_time_ms.load(Ordering::SeqCst) {
                 0 => {}
-                born => told["born"] = born.into(),
+                start_time => body["born"] = start_time.into(),
             }
-            Some(Act::Send(answer(200, &[], told.to_string().as_bytes())))
+            Some(Action::Send(answer(200, &[], body.to_string().as_bytes())))
+        }
+        "/api/report"
+            if state
+                .report_condition
+                .get()
+                .is_some_and(|answers| !answers()) =>
+        {
+            None
         }
-        "/api/report" if state.reports.get().is_some_and(|answers| !answers()) => None,
-        "/api/report" => Some(Act::Send(answer(200, &[], br#"{"busy":false,"seq":0}"#))),
-        path if path.starts_with("/api/hold-drop/") => Some(Act::Send(answer(200, &[], b""))),
+        "/api/report" => Some(Action::Send(answer(200, &[], br#"{"busy":false,"seq":0}"#))),
+        path if path.starts_with("/api/hold-drop/") => Some(Action::Send(answer(200, &[], b""))),
         _ => {
-            state.seen.lock().unwrap().push(request.clone());
+            state.requests.lock().unwrap().push(request.clone());
             Some(script(request))
         }
     }
 }
 
 /// A signed answer to `request`.
-pub fn signed(request: &Message, status: u16, body: &[u8]) -> Vec<u8> {
+pub fn signed_answer(request: &Message, status: u16, body: &[u8]) -> Vec<u8> {
     let id = request.header("request-id").unwrap_or_default();
     answer(
         status,
@@ -357,7 +377,7 @@
 }
 
 /// An answer that says that the request was not run.
-pub fn not_run(request: &Message) -> Vec<u8> {
+pub fn not_run_answer(request: &Message) -> Vec<u8> {
     let id = request.header("request-id").unwrap_or_default();
     answer(503, &[("request-id", id), ("not-run", "1")], b"")
 }
--- a/crates/gateway/tests/gateway/common/store.rs
+++ b/crates/gateway/tests/gateway/common/store.rs
@@ -25,13 +25,13 @@
     /// Versions at which rows were removed.
     removed: BTreeMap<(String, String), u64>,
     /// Connections opened so far.
-    opened: u64,
+    connections: u64,
     /// Connections with a lower number get no answer any more.
     silent_below: u64,
     /// Calls that came so far.
     calls: u64,
     /// Whether each call is answered twice.
-    stutters: bool,
+    answers_twice: bool,
     /// Second answers that were sent.
     second_answers: u64,
 }
@@ -70,7 +70,7 @@
     pub fn start(ip: &str) -> (Self, SocketAddr) {
         let store = Self::default();
         let own = store.clone();
-        let address = http::serve(ip, move |socket| own.connection(socket));
+        let address = http::serve(ip, move |socket| own.serve_connection(socket));
         (store, address)
     }
 
@@ -82,7 +82,7 @@
             down: Arc::default(),
         };
         let own = store.clone();
-        let address = http::serve(ip, move |socket| own.connection(socket));
+        let address = http::serve(ip, move |socket| own.serve_connection(socket));
         (store, address)
     }
 
@@ -135,19 +135,19 @@
 
     /// Answers each call twice from now on. The second answer comes late: on the same connection, where the answer to
     /// the next call is due, and ahead of it.
-    pub fn stutter(&self) {
-        self.inner.0.lock().unwrap().stutters = true;
+    pub fn answer_twice(&self) {
+        self.inner.0.lock().unwrap().answers_twice = true;
     }
 
     /// Second answers that it sent.
-    pub fn second_answers(&self) -> u64 {
+    pub fn second_answer_count(&self) -> u64 {
         self.inner.0.lock().unwrap().second_answers
     }
 
     /// Connections that were opened, and calls that came, so far.
-    pub fn load(&self) -> (u64, u64) {
+    pub fn connection_and_call_counts(&self) -> (u64, u64) {
         let inner = self.inner.0.lock().unwrap();
-        (inner.opened, inner.calls)
+        (inner.connections, inner.calls)
     }
 
     /// Version of a row; 0 if it does not exist.
@@ -160,18 +160,18 @@
     /// Leaves all connections that are open without further answers; new ones work.
     pub fn silence_open_connections(&self) {
         let mut inner = self.inner.0.lock().unwrap();
-        inner.silent_below = inner.opened;
+        inner.silent_below = inner.connections;
     }
 
     fn is_silent(&self, connection: u64) -> bool {
         connection < self.inner.0.lock().unwrap().silent_below
     }
 
-    fn connection(&self, socket: &mut TcpStream) {
+    fn serve_connection(&self, socket: &mut TcpStream) {
         let number = {
             let mut inner = self.inner.0.lock().unwrap();
-            inner.opened += 1;
-            inner.opened - 1
+            inner.connections += 1;
+            inner.connections - 1
         };
         let mut second_answer = Vec::new();
         while let Ok(Some(request)) = http::read(socket) {
@@ -190,7 +190,7 @@
             if !http::send(socket, &bytes) {
                 return;
             }
-            if self.inner.0.lock().unwrap().stutters {
+            if self.inner.0.lock().unwrap().answers_twice {
                 second_answer = bytes;
             }
         }
@@ -214,7 +214,7 @@
             "/api/rows-feed" => {
                 let after = field("after").parse().unwrap_or(0);
                 let wait = field("wait-ms").parse().unwrap_or(0);
-                self.wait(&field("table"), after, Duration::from_millis(wait));
+                self.wait_for_change(&field("table"), after, Duration::from_millis(wait));
                 (200, self.rows(&field("table"), Some(after)))
             }
             "/api/rows-tx" => self.transact(&request.body),
@@ -222,7 +222,7 @@
         }
     }
 
-    fn wait(&self, table: &str, after: u64, limit: Duration) {
+    fn wait_for_change(&self, table: &str, after: u64, limit: Duration) {
         let inner = self.inner.0.lock().unwrap();
         let unchanged = |inner: &mut Inner| {
             let mut rows = inner.rows.iter();
--- a/crates/gateway/tests/gateway/crowded.rs
+++ b/crates/gateway/tests/gateway/crowded.rs
@@ -10,7 +10,7 @@
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
@@ -41,7 +41,7 @@
     let itself = Arc::clone(&own);
     let replica = Replica::start("i-1", move |_| {
         then(itself.wait());
-        Act::SendAndClose(Vec::new())
+        Action::SendAndClose(Vec::new())
     });
     assert!(own.set(replica.clone()).is_ok());
     replica
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_replica_that_closes_new_connections_has_not_ended() {
-    let replica = breaking(Replica::crowd);
+    let replica = breaking(Replica::close_new_connections);
     let site = Site::start("crowded", &[(&replica, "app", "")]);
     let told = verdict(&site);
     assert!(told.contains("\"presence\":\"Here\""), "{told}");
@@ -63,7 +63,7 @@
 /// Something else takes the connections of one that ended, and the list tells its end.
 #[test]
 fn a_replica_that_closes_new_connections_and_is_no_longer_listed_has_ended() {
-    let replica = breaking(Replica::crowd);
+    let replica = breaking(Replica::close_new_connections);
     let site = Site::start("crowded-gone", &[(&replica, "app", "")]);
     site.send_and_read("POST /book/1", "c1");
     site.store.remove("servers", "i-1");
@@ -86,7 +86,7 @@
 #[test]
 fn a_replica_that_answers_nothing_counts_as_ended() {
     let replica = breaking(|_| ());
-    replica.set_reports(|| false);
+    replica.answer_reports_if(|| false);
     let site = Site::start("hangs", &[(&replica, "app", "")]);
     let told = verdict(&site);
     assert!(told.contains("\"presence\":\"Unknown\""), "{told}");
@@ -102,14 +102,14 @@
 #[test]
 fn a_replica_that_closes_new_connections_has_no_room_and_is_not_silent() {
     let decode = Replica::start("i-d", |request| {
-        Act::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     });
     let site = Site::start("crowded-open", &[(&decode, "llm", "decode")]);
     assert_eq!(
         generate(&site.daemon, "/draft/1", "a1").read().status(),
         200
     );
-    decode.crowd();
+    decode.close_new_connections();
     let told = generate(&site.daemon, "/draft/1", "a2").read();
     let silent = site.daemon.logged("a replica did not answer");
     assert_eq!((told.status(), silent.len()), (503, 0), "{silent:?}");
@@ -121,8 +121,8 @@
 #[test]
 fn a_stream_of_a_replica_that_closes_new_connections_is_not_broken_off_at_the_first_pause() {
     let pausing = |request: &Message| match request.header("last-event-id") {
-        Some(_) => Act::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
-        None => Act::Slowly(
+        Some(_) => Action::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
+        None => Action::SendSlowly(
             vec![
                 [stream_head(request), events(1, 2)].concat(),
                 [events(3, 5), chunk(b"")].concat(),
@@ -142,21 +142,23 @@
                 .complete
         );
     }
-    let sent = one.seen().len() + two.seen().len();
+    let sent = one.requests().len() + two.requests().len();
     let mut caller = generate(&site.daemon, "/resume/1", "a1");
-    wait_until("it is sent", || one.seen().len() + two.seen().len() > sent);
+    wait_until("it is sent", || {
+        one.requests().len() + two.requests().len() > sent
+    });
     let last = |replica: &Replica| {
-        let seen = replica.seen();
+        let seen = replica.requests();
         seen.last()
             .is_some_and(|request| request.header("request-id") == Some("a1"))
     };
     if last(&one) {
-        one.crowd();
+        one.close_new_connections();
     } else {
-        two.crowd();
+        two.close_new_connections();
     }
     assert!(caller.read().complete);
-    assert_eq!(one.seen().len() + two.seen().len(), sent + 1);
+    assert_eq!(one.requests().len() + two.requests().len(), sent + 1);
 }
 
 /// A prompt takes longer than the daemon waits before it asks whether the replica is there. That one takes no more
@@ -170,17 +172,17 @@
             &[("request-id", id)],
             br#"{"kv-handle":"k1","tokens":1460,"version":1}"#,
         );
-        Act::Slowly(vec![told], LONG_READ)
+        Action::SendSlowly(vec![told], LONG_READ)
     });
     let decode = Replica::start("i-d", |request| {
-        Act::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     });
     let site = Site::staged("crowded-read", &prefill, &[&decode]);
     let mut caller = generate(&site.daemon, "/draft/1", "a1");
-    wait_until("the prompt is sent", || prefill.seen().len() == 1);
-    prefill.crowd();
+    wait_until("the prompt is sent", || prefill.requests().len() == 1);
+    prefill.close_new_connections();
     assert_eq!(caller.read().status(), 200);
-    let seen = decode.seen();
+    let seen = decode.requests();
     let given_up = site
         .daemon
         .logged("the prompt is not read, and the replica does not answer");
--- a/crates/gateway/tests/gateway/ingress.rs
+++ b/crates/gateway/tests/gateway/ingress.rs
@@ -3,13 +3,15 @@
 use rstest::rstest;
 
 use crate::common::http;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
-use crate::common::replica::signed;
+use crate::common::replica::signed_answer;
 use crate::site::Site;
 
 fn site(name: &str) -> (Replica, Site) {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start(name, &[(&replica, "app", "")]);
     (replica, site)
 }
@@ -33,7 +35,7 @@
     let (replica, site) = site(name);
     let told = site.daemon.caller().send_and_read(line, headers, b"");
     assert_eq!(told.status(), status);
-    assert!(replica.seen().is_empty());
+    assert!(replica.requests().is_empty());
 }
 
 #[test]
@@ -46,7 +48,7 @@
         b"",
     );
     assert_eq!(told.status(), 431);
-    assert!(replica.seen().is_empty());
+    assert!(replica.requests().is_empty());
 }
 
 /// A body that looks like a request is a body.
@@ -59,7 +61,7 @@
     assert_eq!(told.status(), 404);
     let told = caller.send_and_read("POST /read/1", &[("Request-Id", "c")], inner);
     assert_eq!(told.status(), 200);
-    let seen = replica.seen();
+    let seen = replica.requests();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].body, inner);
 }
@@ -73,7 +75,11 @@
     http::send(&mut caller.socket, b"5\r\nhello\r\n0\r\n\r\n");
     let told = caller.read();
     // Either is safe: the request is rejected, or it is relayed with the chunks as its only body.
-    let bodies: Vec<Vec<u8>> = replica.seen().into_iter().map(|seen| seen.body).collect();
+    let bodies: Vec<Vec<u8>> = replica
+        .requests()
+        .into_iter()
+        .map(|seen| seen.body)
+        .collect();
     assert!(told.status() == 400 && bodies.is_empty() || bodies == [b"hello"]);
 }
 
--- a/crates/gateway/tests/gateway/keys.rs
+++ b/crates/gateway/tests/gateway/keys.rs
@@ -11,12 +11,12 @@
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
-use crate::common::replica::not_run;
-use crate::common::replica::signed;
+use crate::common::replica::not_run_answer;
+use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
 use crate::site::config;
@@ -53,7 +53,9 @@
 }
 
 fn echo(id: &str) -> Replica {
-    Replica::start(id, |request| Act::Send(signed(request, 200, b"x")))
+    Replica::start(id, |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    })
 }
 
 fn send_and_read(site: &Site, line: &str, id: &str, key: &str) -> Message {
@@ -82,7 +84,7 @@
         .caller()
         .send_and_read("POST /read/1", &sent, b"{}");
     assert_eq!(told.status(), 200);
-    let seen = replica.seen().remove(0);
+    let seen = replica.requests().remove(0);
     assert_eq!(seen.header("tenant"), Some("krmiva"));
     assert_eq!(seen.header("request-priority"), Some("3"));
     assert_eq!(seen.header("x-api-key"), None);
@@ -92,9 +94,9 @@
 
 #[test]
 fn prompts_and_tokens_are_asked_for_in_the_customers_name() {
-    let prefill = Replica::prefill("i-p");
+    let prefill = Replica::start_prefill("i-p");
     let decode = Replica::start("i-d", |request| {
-        Act::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
     });
     let replicas = [(&prefill, "llm", "prefill"), (&decode, "llm", "decode")];
     let site = start("keys-stages", &replicas);
@@ -111,7 +113,7 @@
     let body = format!("2\r\nhi\r\n0\r\nX-Api-Key: {KEY}\r\nTenant: krmiva\r\n\r\n");
     crate::common::http::send(&mut caller.socket, body.as_bytes());
     assert!(caller.read().complete);
-    for seen in [prefill.seen().remove(0), decode.seen().remove(0)] {
+    for seen in [prefill.requests().remove(0), decode.requests().remove(0)] {
         assert_eq!(seen.header("tenant"), Some("farma"), "{}", seen.line);
         assert_eq!(seen.header("x-api-key"), None);
         assert!(!format!("{seen:?}").contains(KEY));
@@ -139,7 +141,7 @@
         .send_and_read("GET /read/1", &sent, b"");
     assert_eq!(told.status(), 401);
     assert!(String::from_utf8_lossy(&told.body).contains("X-Api-Key"));
-    assert!(replica.seen().is_empty());
+    assert!(replica.requests().is_empty());
 }
 
 #[test]
@@ -155,12 +157,12 @@
         .caller()
         .send_and_read("GET /read/1", &sent, b"");
     assert_eq!(told.status(), 200);
-    assert_eq!(replica.seen()[0].header("tenant"), None);
+    assert_eq!(replica.requests()[0].header("tenant"), None);
     assert_eq!(
         send_and_read(&site, "GET /read/1", "a2", NEW_KEY).status(),
         200
     );
-    assert_eq!(replica.seen()[1].header("x-api-key"), None);
+    assert_eq!(replica.requests()[1].header("x-api-key"), None);
 }
 
 #[test]
@@ -168,7 +170,7 @@
     let replica = echo("i-1");
     let site = Site::start("keys-none", &[(&replica, "app", "")]);
     assert_eq!(send_and_read(&site, "GET /read/1", "a1", KEY).status(), 200);
-    assert_eq!(replica.seen()[0].header("x-api-key"), Some(KEY));
+    assert_eq!(replica.requests()[0].header("x-api-key"), Some(KEY));
 }
 
 #[test]
@@ -229,7 +231,7 @@
             revoked["tenants"][0]["api-keys"] = json!([]);
             put(site, &revoked);
         }
-        Act::Send(not_run(request))
+        Action::Send(not_run_answer(request))
     };
     let one = Replica::start("i-1", revoking.clone());
     let two = Replica::start("i-2", revoking);
@@ -240,7 +242,7 @@
     let sent = [("Request-Id", "a1"), ("X-Api-Key", KEY)];
     let told = caller.send_and_read("GET /read/1", &sent, b"");
     assert_eq!(told.status(), 401);
-    assert_eq!(one.seen().len() + two.seen().len(), 1);
+    assert_eq!(one.requests().len() + two.requests().len(), 1);
     // The replicas outlast the test, and would keep the daemon.
     drop(site.lock().unwrap().take());
 }
@@ -253,7 +255,7 @@
             events(2, 2),
             [events(3, 3), chunk(b"")].concat(),
         ];
-        Act::Slowly(parts, Duration::from_millis(700))
+        Action::SendSlowly(parts, Duration::from_millis(700))
     });
     let site = start("keys-stream", &[(&decode, "llm", "decode")]);
     let mut caller = site.daemon.caller();
@@ -263,7 +265,7 @@
         ("X-Api-Key", KEY),
     ];
     caller.start_request("POST /draft/1", &sent, b"prompt");
-    wait_until("it runs", || !decode.seen().is_empty());
+    wait_until("it runs", || !decode.requests().is_empty());
     let mut revoked = with_customers(3);
     revoked["tenants"][0]["api-keys"] = json!([]);
     put(&site, &revoked);
@@ -274,9 +276,9 @@
 
 #[test]
 fn no_key_is_written_or_told() {
-    let prefill = Replica::prefill("i-p");
-    let failing = Replica::start("i-1", |request| Act::Send(not_run(request)));
-    let decode = Replica::start("i-d", |_| Act::Send(answer(200, &[], b"")));
+    let prefill = Replica::start_prefill("i-p");
+    let failing = Replica::start("i-1", |request| Action::Send(not_run_answer(request)));
+    let decode = Replica::start("i-d", |_| Action::Send(answer(200, &[], b"")));
     let replicas = [
         (&failing, "app", ""),
         (&prefill, "llm", "prefill"),
@@ -300,7 +302,7 @@
     written.push(format!("{answers:?}"));
     let instances = site.store.keys("instances").into_iter();
     written.extend(instances.map(|name| format!("{:?}", site.store.get("instances", &name))));
-    let seen = [&failing, &prefill, &decode].map(|replica| format!("{:?}", replica.seen()));
+    let seen = [&failing, &prefill, &decode].map(|replica| format!("{:?}", replica.requests()));
     written.extend(seen);
     let shown = written
         .iter()
--- a/crates/gateway/tests/gateway/lifecycle.rs
+++ b/crates/gateway/tests/gateway/lifecycle.rs
@@ -9,11 +9,11 @@
 use rustix::process::Signal;
 
 use crate::common::daemon::wait_until;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
-use crate::common::replica::signed;
+use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
 use crate::site::generate;
@@ -21,13 +21,13 @@
 #[test]
 fn a_stop_finishes_what_is_in_progress() {
     let replica = Replica::start("i-1", |request| {
-        let answer = signed(request, 200, b"late");
-        Act::Slowly(vec![answer], Duration::from_millis(1_500))
+        let answer = signed_answer(request, 200, b"late");
+        Action::SendSlowly(vec![answer], Duration::from_millis(1_500))
     });
     let mut site = Site::start("stopped", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/1", &crate::site::headers("a1"), b"");
-    wait_until("the call arrives", || replica.seen().len() == 1);
+    wait_until("the call arrives", || replica.requests().len() == 1);
     site.daemon.signal(Signal::TERM);
     wait_until("it is not ready", || site.daemon.readiness() == 503);
     let told = caller.read();
@@ -48,11 +48,11 @@
     let decode = Replica::start("i-d", |request| {
         let rest = [events(2, 2), chunk(b"")].concat();
         let parts = vec![[stream_head(request), events(1, 1)].concat(), rest];
-        Act::Slowly(parts, Duration::from_millis(1_900))
+        Action::SendSlowly(parts, Duration::from_millis(1_900))
     });
     let mut site = Site::start("late-stream", &[(&decode, "llm", "decode")]);
     let mut early = generate(&site.daemon, "/draft/1", "a1");
-    wait_until("the request arrives", || decode.seen().len() == 1);
+    wait_until("the request arrives", || decode.requests().len() == 1);
     let mut slow = site.config_with_long_streams();
     site.daemon.signal(Signal::TERM);
     std::thread::sleep(Duration::from_millis(2_900));
@@ -65,7 +65,9 @@
 
 #[test]
 fn a_hangup_reads_the_settings_again_and_loses_nothing() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start("reloaded", &[(&replica, "app", "")]);
     site.daemon.signal(Signal::HUP);
     wait_until("it is told", || {
@@ -81,7 +83,9 @@
 
 #[test]
 fn metrics_and_log_lines_tell_of_a_request() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start("measured", &[(&replica, "app", "")]);
     site.send_and_read("GET /read/1", "a-77");
     let metrics = site.daemon.metrics();
@@ -93,7 +97,9 @@
 /// Nobody reads the daemon's standard output: lines are dropped and counted, and no request waits.
 #[test]
 fn requests_do_not_wait_for_logs_that_nobody_reads() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start_with_unread_output("unread", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     for number in 0..3_000 {
@@ -134,20 +140,26 @@
 
 #[test]
 fn settings_that_change_without_a_signal_come_into_force() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 500, b"x")));
-    let other = Replica::start("i-2", |request| Act::Send(signed(request, 500, b"x")));
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 500, b"x"))
+    });
+    let other = Replica::start("i-2", |request| {
+        Action::Send(signed_answer(request, 500, b"x"))
+    });
     let site = Site::start("changed", &[(&replica, "app", ""), (&other, "app", "")]);
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 500);
-    assert_eq!(replica.seen().len() + other.seen().len(), 2);
+    assert_eq!(replica.requests().len() + other.requests().len(), 2);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
     // Without a budget a failure is not tried elsewhere.
     assert_eq!(site.send_and_read("GET /read/1", "a2").status(), 500);
-    assert_eq!(replica.seen().len() + other.seen().len(), 3);
+    assert_eq!(replica.requests().len() + other.requests().len(), 3);
 }
 
 #[test]
 fn an_address_that_changes_waits_for_the_next_start() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start("moved", &[(&replica, "app", "")]);
     let text = fs::read_to_string(site.daemon.settings_path()).unwrap();
     let text = text.replace("data_centre: here", "data_centre: there");
--- a/crates/gateway/tests/gateway/limit.rs
+++ b/crates/gateway/tests/gateway/limit.rs
@@ -13,12 +13,12 @@
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
-use crate::common::replica::not_run;
-use crate::common::replica::signed;
+use crate::common::replica::not_run_answer;
+use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
 use crate::site::generate;
@@ -32,10 +32,10 @@
 fn limited_replica(id: &str, rate: f64, is_limited: &Arc<AtomicBool>) -> Replica {
     let is_limited = Arc::clone(is_limited);
     Replica::start(id, move |request| {
-        Act::Send(if is_limited.load(Ordering::SeqCst) {
+        Action::Send(if is_limited.load(Ordering::SeqCst) {
             limited_answer(request, rate)
         } else {
-            signed(request, 200, b"x")
+            signed_answer(request, 200, b"x")
         })
     })
 }
@@ -52,7 +52,9 @@
 }
 
 fn unlimited_replica(id: &str) -> Replica {
-    Replica::start(id, |request| Act::Send(signed(request, 200, b"x")))
+    Replica::start(id, |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    })
 }
 
 fn enabled() -> Arc<AtomicBool> {
@@ -86,7 +88,7 @@
     let site = Site::start("limit", &[(&limited, "app", ""), (&other, "app", "")]);
     let (statuses, seconds) = send_requests(&[&site.daemon], path, 4.0);
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    let received = limited.seen().len();
+    let received = limited.requests().len();
     assert!(
         received <= max_requests(2.0, seconds),
         "{received} in {seconds} s"
@@ -118,10 +120,10 @@
     thread::sleep(Duration::from_secs(4));
     // Every daemon must receive the limit before requests are counted.
     send_requests(&daemons, "GET /read/1", 1.0);
-    let before = limited.seen().len();
+    let before = limited.requests().len();
     let (statuses, seconds) = send_requests(&daemons, "GET /read/1", 5.0);
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    let received = limited.seen().len() - before;
+    let received = limited.requests().len() - before;
     assert!(
         received <= max_requests(2.0, seconds),
         "{received} in {seconds} s"
@@ -136,10 +138,10 @@
     wait_until("the limit is reached", || {
         site.send_and_read("POST /book/1", "fill").status() == 503
     });
-    let received = limited.seen().len();
+    let received = limited.requests().len();
     let refusal = site.send_and_read("POST /book/1", "a1");
     assert_eq!(refusal.status(), 503);
-    assert_eq!(limited.seen().len(), received);
+    assert_eq!(limited.requests().len(), received);
     let seconds: f64 = refusal.header("retry-after").unwrap().parse().unwrap();
     assert!((0.01..=4.0).contains(&seconds), "{seconds}");
     wait_until("the replica accepts requests again", || {
@@ -175,8 +177,8 @@
     let is_rejecting = Arc::new(AtomicBool::new(false));
     let rejects = Arc::clone(&is_rejecting);
     let limited = Replica::start("i-limited", move |request| {
-        Act::Send(if rejects.load(Ordering::SeqCst) {
-            not_run(request)
+        Action::Send(if rejects.load(Ordering::SeqCst) {
+            not_run_answer(request)
         } else {
             limited_answer(request, 1.0)
         })
@@ -185,7 +187,7 @@
     assert_eq!(site.send_and_read("GET /read/1", "a0").status(), 200);
     is_rejecting.store(true, Ordering::SeqCst);
     let (_, seconds) = send_requests(&[&site.daemon], "GET /read/1", 3.0);
-    let received = limited.seen().len();
+    let received = limited.requests().len();
     assert!(
         received <= max_requests(1.0, seconds),
         "{received} in {seconds} s"
@@ -201,10 +203,10 @@
         [head.as_bytes(), &events(1, 2), &chunk(b"")].concat()
     };
     let limited = Replica::start("i-limited", move |request| {
-        Act::Send(stream(request, "server-limit: 1.0\r\n"))
+        Action::Send(stream(request, "server-limit: 1.0\r\n"))
     });
-    let other = Replica::start("i-open", move |request| Act::Send(stream(request, "")));
-    let prefill = Replica::prefill("i-p");
+    let other = Replica::start("i-open", move |request| Action::Send(stream(request, "")));
+    let prefill = Replica::start_prefill("i-p");
     let site = Site::staged("limit-decode", &prefill, &[&limited, &other]);
     let begun = Instant::now();
     let mut statuses = Vec::new();
@@ -212,7 +214,7 @@
         let id = format!("g{}", statuses.len());
         statuses.push(generate(&site.daemon, "/draft/1", &id).read().status());
     }
-    let received = limited.seen().len();
+    let received = limited.requests().len();
     let seconds = begun.elapsed().as_secs_f64();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
     assert!(
--- a/crates/gateway/tests/gateway/moves.rs
+++ b/crates/gateway/tests/gateway/moves.rs
@@ -15,11 +15,11 @@
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
-use crate::common::replica::not_run;
+use crate::common::replica::not_run_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
 use crate::site::config;
@@ -91,23 +91,23 @@
                 let mut seen = seen.lock().unwrap();
                 seen.push(asked);
                 if how == Answer::Unknown {
-                    return Act::Send(answer(404, &[], b"{}"));
+                    return Action::Send(answer(404, &[], b"{}"));
                 }
                 if let Some(stop) = stops.lock().unwrap().get(&id) {
                     stop.store(true, Ordering::SeqCst);
                 }
                 let told = br#"{"kv-handle":"m1","created":5}"#;
                 match how {
-                    Answer::OnlyStopped => Act::Send(answer(503, &[], told)),
-                    Answer::Lost | Answer::LostWithoutLength => Act::SendAndClose(Vec::new()),
+                    Answer::OnlyStopped => Action::Send(answer(503, &[], told)),
+                    Answer::Lost | Answer::LostWithoutLength => Action::SendAndClose(Vec::new()),
                     Answer::LostOnce | Answer::LostThen(_) if seen.len() == 1 => {
-                        Act::SendAndClose(Vec::new())
+                        Action::SendAndClose(Vec::new())
                     }
-                    Answer::LostThen(status) => Act::Send(answer(status, &[], b"{}")),
-                    _ => Act::Send(answer(200, &[], told)),
+                    Answer::LostThen(status) => Action::Send(answer(status, &[], b"{}")),
+                    _ => Action::Send(answer(200, &[], told)),
                 }
             }
-            path if path.starts_with("/api/") => Act::Send(answer(200, &[], b"{}")),
+            path if path.starts_with("/api/") => Action::Send(answer(200, &[], b"{}")),
             _ => {
                 let stop = Arc::new(AtomicBool::new(false));
                 let id = request.header("request-id").unwrap().to_owned();
@@ -118,7 +118,7 @@
                     }
                     _ => parts(request, last_event(request)),
                 };
-                Act::UntilStopped(parts, PAUSE, stop)
+                Action::SendUntilStopped(parts, PAUSE, stop)
             }
         });
         Self { replica, moves }
@@ -135,7 +135,7 @@
 }
 
 fn continued(replica: &Replica) -> Vec<Message> {
-    let seen = replica.seen().into_iter();
+    let seen = replica.requests().into_iter();
     seen.filter(|request| request.header("kv-source").is_some())
         .collect()
 }
@@ -143,7 +143,7 @@
 /// The replica that a run goes to.
 fn target() -> Replica {
     Replica::start("i-2", |request| {
-        Act::Slowly(parts(request, last_event(request)), PAUSE)
+        Action::SendSlowly(parts(request, last_event(request)), PAUSE)
     })
 }
 
@@ -171,7 +171,7 @@
     });
     let newer = generate(&site.daemon, path, "a2");
     wait_until("both runs are there", || {
-        let seen = source.replica.seen().into_iter();
+        let seen = source.replica.requests().into_iter();
         seen.filter(|request| request.body == b"prompt").count() == 2
     });
     let row = target.row("llm", "decode");
@@ -249,7 +249,7 @@
     let site = site("move-lost", &source);
     both_are_whole(two_runs(&site, &source, &target, "/resume/1"));
     assert!(continued(&target).is_empty());
-    let resumed = target.seen();
+    let resumed = target.requests();
     assert!(resumed.iter().any(|request| last_event(request) > 0));
 }
 
@@ -262,7 +262,7 @@
     let (mut older, mut newer) = two_runs(&site, &source, &target, "/draft/1");
     assert!(!newer.read().complete);
     assert!(older.read().complete);
-    assert!(target.seen().is_empty());
+    assert!(target.requests().is_empty());
 }
 
 /// A stream without a length ends with its connection; that of a run that was stopped is closed as well.
@@ -300,7 +300,7 @@
 #[test]
 fn a_run_goes_on_where_it_was_if_the_other_replica_refuses_it() {
     let source = Source::start(Answer::Copied);
-    let target = Replica::start("i-2", |request| Act::Send(not_run(request)));
+    let target = Replica::start("i-2", |request| Action::Send(not_run_answer(request)));
     let site = site("move-refused", &source);
     both_are_whole(two_runs(&site, &source, &target, "/draft/1"));
     assert!(!continued(&target).is_empty());
@@ -312,14 +312,14 @@
     let source = Source::start(Answer::Copied);
     // Takes the request, says nothing for long.
     let target = Replica::start("i-2", |request| {
-        Act::Slowly(parts(request, last_event(request)), Duration::from_secs(3))
+        Action::SendSlowly(parts(request, last_event(request)), Duration::from_secs(3))
     });
     let site = site("move-left", &source);
     let (older, newer) = two_runs(&site, &source, &target, "/draft/1");
     wait_until("the run goes on", || !continued(&target).is_empty());
     drop((older, newer));
     wait_until("the memory is freed", || {
-        let seen = source.replica.seen();
+        let seen = source.replica.requests();
         let freed = |request: &Message| request.path() == "/api/kv-handle/m1";
         seen.iter().any(freed)
     });
--- a/crates/gateway/tests/gateway/plain.rs
+++ b/crates/gateway/tests/gateway/plain.rs
@@ -7,15 +7,17 @@
 
 use crate::common::daemon::wait_until;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
-use crate::common::replica::not_run;
-use crate::common::replica::signed;
+use crate::common::replica::not_run_answer;
+use crate::common::replica::signed_answer;
 use crate::site::Site;
 use crate::site::headers;
 
 fn echo(id: &str) -> Replica {
-    Replica::start(id, |request| Act::Send(signed(request, 200, b"done")))
+    Replica::start(id, |request| {
+        Action::Send(signed_answer(request, 200, b"done"))
+    })
 }
 
 #[test]
@@ -41,7 +43,7 @@
     assert_eq!(told.status(), 200);
     assert_eq!(told.body, b"done");
     assert_eq!(told.header("response-seal"), Some("s.1"));
-    let seen = replica.seen().remove(0);
+    let seen = replica.requests().remove(0);
     assert_eq!(seen.line, "POST /read/a%2fb//c?x=1&y=%20 HTTP/1.1");
     assert_eq!(seen.body, b"{\"a\": 1}");
     assert_eq!(seen.header("request-id"), Some("a1"));
@@ -70,17 +72,17 @@
     caller.start_request("POST /read/1", &sent, b"");
     crate::common::http::send(&mut caller.socket, b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     assert_eq!(caller.read().status(), 200);
-    assert_eq!(replica.seen()[0].body, b"abcde");
+    assert_eq!(replica.requests()[0].body, b"abcde");
 }
 
 #[test]
 fn a_call_that_may_run_once_is_not_sent_again_when_its_answer_is_lost() {
-    let replica = Replica::start("i-1", |_| Act::SendAndClose(Vec::new()));
-    let other = Replica::start("i-2", |_| Act::SendAndClose(Vec::new()));
+    let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
+    let other = Replica::start("i-2", |_| Action::SendAndClose(Vec::new()));
     let site = Site::start("once", &[(&replica, "app", ""), (&other, "app", "")]);
     let told = site.send_and_read("POST /book/1", "a1");
     assert_eq!(told.status(), 502);
-    assert_eq!(replica.seen().len() + other.seen().len(), 1);
+    assert_eq!(replica.requests().len() + other.requests().len(), 1);
 }
 
 #[test]
@@ -89,18 +91,20 @@
     let counted = Arc::clone(&failed);
     let script = move |request: &crate::common::http::Message| {
         let first = counted.fetch_add(1, Ordering::SeqCst) == 0;
-        Act::Send(signed(request, if first { 500 } else { 200 }, b"x"))
+        Action::Send(signed_answer(request, if first { 500 } else { 200 }, b"x"))
     };
     let one = Replica::start("i-1", script.clone());
     let two = Replica::start("i-2", script);
     let site = Site::start("elsewhere", &[(&one, "app", ""), (&two, "app", "")]);
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
-    assert_eq!((one.seen().len(), two.seen().len()), (1, 1));
+    assert_eq!((one.requests().len(), two.requests().len()), (1, 1));
 }
 
 #[test]
 fn a_failure_of_a_call_that_may_run_once_is_passed_on() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 500, b"no")));
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 500, b"no"))
+    });
     let site = Site::start("passed", &[(&replica, "app", "")]);
     let told = site.send_and_read("POST /book/1", "a1");
     assert_eq!(
@@ -112,7 +116,7 @@
 
 #[test]
 fn a_call_that_no_replica_ran_is_refused_with_a_time_to_come_back() {
-    let replica = Replica::start("i-1", |request| Act::Send(not_run(request)));
+    let replica = Replica::start("i-1", |request| Action::Send(not_run_answer(request)));
     let site = Site::start("refused", &[(&replica, "app", "")]);
     let told = site.send_and_read("POST /book/1", "a1");
     assert_eq!(told.status(), 503);
@@ -123,12 +127,12 @@
 
 #[test]
 fn an_answer_without_signature_or_to_another_request_is_not_passed_on() {
-    let unsigned = Replica::start("i-1", |_| Act::Send(answer(200, &[], b"x")));
+    let unsigned = Replica::start("i-1", |_| Action::Send(answer(200, &[], b"x")));
     let site = Site::start("unsigned", &[(&unsigned, "app", "")]);
     assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 502);
     let other = Replica::start("i-2", |_| {
         let headers = [("request-id", "zz"), ("response-seal", "s.1")];
-        Act::Send(answer(200, &headers, b"x"))
+        Action::Send(answer(200, &headers, b"x"))
     });
     let site = Site::start("other-id", &[(&other, "app", "")]);
     assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 502);
@@ -137,9 +141,9 @@
 #[test]
 fn an_answer_that_breaks_off_is_not_passed_on() {
     let replica = Replica::start("i-1", |request| {
-        let mut bytes = signed(request, 200, b"0123456789");
+        let mut bytes = signed_answer(request, 200, b"0123456789");
         bytes.truncate(bytes.len() - 3);
-        Act::SendAndClose(bytes)
+        Action::SendAndClose(bytes)
     });
     let site = Site::start("cut", &[(&replica, "app", "")]);
     assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 502);
@@ -150,7 +154,7 @@
     let replica = Replica::start("i-1", |request| {
         let id = request.header("request-id").unwrap_or_default();
         let head = format!("HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nresponse-seal: s\r\n\r\nwhole");
-        Act::SendAndClose(head.into_bytes())
+        Action::SendAndClose(head.into_bytes())
     });
     let site = Site::start("unframed", &[(&replica, "app", "")]);
     let told = site.send_and_read("POST /book/1", "a1");
@@ -165,7 +169,7 @@
     let replica = Replica::start("i-1", |request| {
         let extra = [("request-id", "old"), ("response-seal", "s")];
         let extra = answer(200, &extra, b"extra");
-        Act::Send([signed(request, 200, b"mine"), extra].concat())
+        Action::Send([signed_answer(request, 200, b"mine"), extra].concat())
     });
     let site = Site::start("extra", &[(&replica, "app", "")]);
     for number in 0..5 {
@@ -180,7 +184,7 @@
 #[test]
 fn a_replica_whose_address_another_has_is_left() {
     let gone = Replica::start("i-1", |_| {
-        Act::Send(answer(421, &[("instance-id", "i-9")], b""))
+        Action::Send(answer(421, &[("instance-id", "i-9")], b""))
     });
     let live = echo("i-2");
     let site = Site::start("replaced", &[(&gone, "app", ""), (&live, "app", "")]);
@@ -191,12 +195,12 @@
             200
         );
     }
-    assert!(gone.seen().len() <= 1);
+    assert!(gone.requests().len() <= 1);
 }
 
 #[test]
 fn a_call_is_answered_when_its_time_is_up() {
-    let replica = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
+    let replica = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("overdue", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     let sent = [("Request-Id", "a1"), ("Deadline-Ms", "300")];
@@ -208,13 +212,13 @@
 
 #[test]
 fn a_caller_that_leaves_frees_the_replica() {
-    let replica = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
+    let replica = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("left", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/1", &headers("a1"), b"");
-    wait_until("the call arrives", || replica.seen().len() == 1);
+    wait_until("the call arrives", || replica.requests().len() == 1);
     drop(caller);
-    wait_until("the replica is left", || replica.left() == 1);
+    wait_until("the replica is left", || replica.abandoned_count() == 1);
     wait_until("it is logged", || {
         !site.daemon.logged("caller-left").is_empty()
     });
@@ -242,35 +246,35 @@
 
 #[test]
 fn a_silent_replica_is_left_for_another_one_where_a_call_may_be_repeated() {
-    let silent = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
+    let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let sound = echo("i-2");
     let site = Site::start("silent", &[(&silent, "app", ""), (&sound, "app", "")]);
     wait_until("the silent one was tried", || {
         assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
-        !silent.seen().is_empty()
+        !silent.requests().is_empty()
     });
-    wait_until("the silent one is left", || silent.left() > 0);
+    wait_until("the silent one is left", || silent.abandoned_count() > 0);
 }
 
 #[test]
 fn a_silent_replica_is_kept_where_a_call_may_run_once() {
-    let silent = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
-    let other = Replica::start("i-2", |_| Act::SendAndHang(Vec::new()));
+    let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
+    let other = Replica::start("i-2", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("silent-once", &[(&silent, "app", ""), (&other, "app", "")]);
     assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 504);
-    assert_eq!(silent.seen().len() + other.seen().len(), 1);
+    assert_eq!(silent.requests().len() + other.requests().len(), 1);
 }
 
 /// Broken off for a retry that is not granted, a call would end sooner and no better.
 #[test]
 fn a_silent_replica_is_kept_where_no_retry_is_left() {
-    let silent = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
-    let other = Replica::start("i-2", |_| Act::SendAndHang(Vec::new()));
+    let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
+    let other = Replica::start("i-2", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start(
         "silent-budget",
         &[(&silent, "app", ""), (&other, "app", "")],
     );
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0, slack: 0");
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 504);
-    assert_eq!(silent.seen().len() + other.seen().len(), 1);
+    assert_eq!(silent.requests().len() + other.requests().len(), 1);
 }
--- a/crates/gateway/tests/gateway/quarantine.rs
+++ b/crates/gateway/tests/gateway/quarantine.rs
@@ -21,11 +21,11 @@
 use crate::common::daemon::Daemon;
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
-use crate::common::replica::signed;
+use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
 use crate::site::generate;
@@ -48,16 +48,16 @@
         if request.path().contains("crash") {
             let last = request.header("last-event-id");
             let next = last.map_or(0, |id| id.parse::<u64>().unwrap()) + 1;
-            return Act::Crash([stream_head(request), events(next, next)].concat());
+            return Action::Crash([stream_head(request), events(next, next)].concat());
         }
-        Act::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
     };
     let ids = (1..=count).map(|number| format!("i-{number}"));
     ids.map(|id| Replica::start(&id, script)).collect()
 }
 
 /// Applications that answer by `script`.
-fn applications(script: fn(&Message) -> Act) -> Vec<Replica> {
+fn applications(script: fn(&Message) -> Action) -> Vec<Replica> {
     let ids = (1..=REPLICAS).map(|number| format!("i-{number}"));
     ids.map(|id| Replica::start(&id, script)).collect()
 }
@@ -73,7 +73,10 @@
 }
 
 fn runs(replicas: &[Replica]) -> usize {
-    replicas.iter().map(|replica| replica.seen().len()).sum()
+    replicas
+        .iter()
+        .map(|replica| replica.requests().len())
+        .sum()
 }
 
 /// Has `count` attempts with the request end one replica each.
@@ -102,7 +105,7 @@
 #[case::once("/draft/crash")]
 #[case::resumable("/resume/crash")]
 fn a_request_that_ended_three_replicas_is_sent_to_none(#[case] path: &str) {
-    let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
+    let (prefill, decode) = (Replica::start_prefill("i-p"), fragile(REPLICAS));
     let site = site(&path.replace('/', "-"), &prefill, &decode);
     let mut answers = Vec::new();
     for number in 0..ENDED {
@@ -126,7 +129,7 @@
 /// A call that nobody may repeat ends its replica as well; its caller may send it again.
 #[test]
 fn a_request_that_ended_three_replicas_is_sent_to_none_if_it_is_a_call() {
-    let script = |_: &Message| Act::Crash(Vec::new());
+    let script = |_: &Message| Action::Crash(Vec::new());
     let replicas = applications(script);
     let site = calls("booked", &replicas);
     for number in 0..ENDED {
@@ -140,7 +143,7 @@
 
 #[test]
 fn the_other_daemons_send_it_to_none_either() {
-    let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
+    let (prefill, decode) = (Replica::start_prefill("i-p"), fragile(REPLICAS));
     let site = site("told", &prefill, &decode);
     let others = [site.another("told-2", true), site.another("told-3", true)];
     for daemon in &others {
@@ -159,7 +162,7 @@
 
 #[test]
 fn a_daemon_that_starts_later_sends_it_to_none() {
-    let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
+    let (prefill, decode) = (Replica::start_prefill("i-p"), fragile(REPLICAS));
     let mut site = site("kept", &prefill, &decode);
     crash(&site.daemon, ENDED);
     wait_until_quarantined(&site.daemon);
@@ -179,7 +182,7 @@
 /// Operators who have mended the engines write when: all daemons hear of it from the one that starts next.
 #[test]
 fn operators_lift_a_quarantine_by_a_row() {
-    let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
+    let (prefill, decode) = (Replica::start_prefill("i-p"), fragile(REPLICAS));
     let site = site("lifted", &prefill, &decode);
     crash(&site.daemon, ENDED);
     wait_until_quarantined(&site.daemon);
@@ -205,8 +208,8 @@
 #[test]
 fn a_request_that_a_replica_failed_was_not_served() {
     let script = |request: &Message| match request.header("request-id") {
-        Some("f1") => Act::Send(signed(request, 500, b"failed")),
-        _ => Act::Crash(Vec::new()),
+        Some("f1") => Action::Send(signed_answer(request, 500, b"failed")),
+        _ => Action::Crash(Vec::new()),
     };
     let replicas = applications(script);
     let site = calls("failed-first", &replicas);
@@ -223,7 +226,7 @@
 /// A daemon that was cut off while the others were told has to hear of it afterwards, from any of them.
 #[test]
 fn a_daemon_that_was_told_nothing_hears_of_it_from_its_peers() {
-    let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
+    let (prefill, decode) = (Replica::start_prefill("i-p"), fragile(REPLICAS));
     let site = site("unheard", &prefill, &decode);
     crash(&site.daemon, ENDED);
     wait_until_quarantined(&site.daemon);
@@ -243,9 +246,9 @@
 #[test]
 fn a_request_whose_answers_break_off_is_sent_again() {
     let broken =
-        |request: &Message| Act::SendAndClose([stream_head(request), events(1, 1)].concat());
+        |request: &Message| Action::SendAndClose([stream_head(request), events(1, 1)].concat());
     let decode: Vec<Replica> = ["i-1", "i-2"].map(|id| Replica::start(id, broken)).into();
-    let prefill = Replica::prefill("i-p");
+    let prefill = Replica::start_prefill("i-p");
     let site = site("cut", &prefill, &decode);
     for number in 0..2 * ENDED {
         let told = generate(&site.daemon, "/draft/cut", &format!("c{number}")).read();
@@ -260,12 +263,12 @@
 /// before, however late it is.
 #[test]
 fn a_replica_has_not_ended_since_the_daemon_stood_still_while_it_asked() {
-    let replica = Replica::start("i-1", |_| Act::SendAndClose(Vec::new()));
+    let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
     let site = calls("asks-late", std::slice::from_ref(&replica));
     let daemon = site.daemon.pid();
     let asked = Arc::new(AtomicBool::new(false));
     let own_asked = Arc::clone(&asked);
-    replica.set_reports(move || {
+    replica.answer_reports_if(move || {
         let again = own_asked.swap(true, Ordering::SeqCst);
         if !again {
             kill_process(daemon, Signal::STOP).unwrap();
@@ -286,8 +289,8 @@
 #[test]
 fn a_request_that_is_served_elsewhere_is_not_blamed_for_replicas_that_end() {
     let answers = |request: &Message| match request.header("request-id") {
-        Some(id) if id.starts_with('w') => Act::SendAndHang(Vec::new()),
-        _ => Act::Send(signed(request, 200, b"done")),
+        Some(id) if id.starts_with('w') => Action::SendAndHang(Vec::new()),
+        _ => Action::Send(signed_answer(request, 200, b"done")),
     };
     let replicas: Vec<Replica> = (0..=ENDED)
         .map(|number| Replica::start(&format!("i-{number}"), answers))
@@ -301,7 +304,7 @@
         caller.start_request("GET /read/stock", &headers(id), b"");
     }
     let hangs = |replica: &Replica| {
-        let seen = replica.seen();
+        let seen = replica.requests();
         seen.iter()
             .any(|request| request.header("request-id") != Some("a1"))
     };
--- a/crates/gateway/tests/gateway/quotas.rs
+++ b/crates/gateway/tests/gateway/quotas.rs
@@ -13,10 +13,10 @@
 use crate::common::daemon::Daemon;
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
-use crate::common::replica::not_run;
-use crate::common::replica::signed;
+use crate::common::replica::not_run_answer;
+use crate::common::replica::signed_answer;
 use crate::site::Site;
 use crate::site::config;
 
@@ -53,7 +53,9 @@
 }
 
 fn echo(id: &str) -> Replica {
-    Replica::start(id, |request| Act::Send(signed(request, 200, b"x")))
+    Replica::start(id, |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    })
 }
 
 fn send_and_read(daemon: &Daemon, id: &str) -> Message {
@@ -73,10 +75,10 @@
     wait_until("the bucket is full", || {
         send_and_read(&site.daemon, "fill").status() == 429
     });
-    let ran = replica.seen().len();
+    let ran = replica.requests().len();
     let told = send_and_read(&site.daemon, "a1");
     assert_eq!(told.status(), 429);
-    assert_eq!(replica.seen().len(), ran);
+    assert_eq!(replica.requests().len(), ran);
     let seconds: f64 = told.header("retry-after").unwrap().parse().unwrap();
     assert!(seconds > 0.0, "{seconds}");
     thread::sleep(Duration::from_secs_f64(seconds));
@@ -95,10 +97,10 @@
     let is_full = Arc::clone(&full);
     let replica = Replica::start("i-1", move |request| {
         let full = is_full.load(Ordering::SeqCst);
-        Act::Send(if full {
-            not_run(request)
+        Action::Send(if full {
+            not_run_answer(request)
         } else {
-            signed(request, 200, b"x")
+            signed_answer(request, 200, b"x")
         })
     });
     let site = start("quota-back", &replica, 100.0, TOKENS);
@@ -137,7 +139,7 @@
     let free = 4 + (begun.elapsed().as_secs_f64() * 2.0) as usize + 1;
     assert!((4..=free).contains(&ran), "{statuses:?}");
     assert_eq!(ran + refused, statuses.len(), "{statuses:?}");
-    assert_eq!(replica.seen().len(), ran);
+    assert_eq!(replica.requests().len(), ran);
 }
 
 #[test]
@@ -180,5 +182,5 @@
     let told = send_and_read(&site.daemon, "a1");
     assert_eq!(told.status(), 503);
     assert!(told.header("retry-after").is_some());
-    assert!(replica.seen().is_empty());
+    assert!(replica.requests().is_empty());
 }
--- a/crates/gateway/tests/gateway/second_answers.rs
+++ b/crates/gateway/tests/gateway/second_answers.rs
@@ -16,7 +16,7 @@
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
@@ -39,19 +39,19 @@
             ("request-id", id(request)),
             ("content-type", "application/json"),
         ];
-        Act::Send(answer(200, &headers, told.to_string().as_bytes()))
+        Action::Send(answer(200, &headers, told.to_string().as_bytes()))
     })
 }
 
 fn writer(name: &str) -> Replica {
     Replica::start(name, |request| {
-        Act::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     })
 }
 
 /// Each request that a decode replica ran, with the KV cache that it went on from, if there was one.
 fn sources(decode: &Replica) -> Vec<(String, Option<String>)> {
-    let seen = decode.seen().into_iter();
+    let seen = decode.requests().into_iter();
     let source = |request: &Message| {
         let (_, handle) = request.header("kv-source")?.rsplit_once('/')?;
         Some(handle.to_owned())
@@ -70,7 +70,7 @@
         let told = generate(&site.daemon, "/resume/1", &format!("a{number}")).read();
         assert!(told.complete && told.status() == 200, "{}", told.line);
     }
-    assert!(prefill.second_answers() > 0);
+    assert!(prefill.second_answer_count() > 0);
     for (id, source) in sources(&decode) {
         assert!(
             source
@@ -86,7 +86,7 @@
     Replica::start("i-a", move |request| {
         let headers = [("request-id", id(request)), ("response-seal", "s.1")];
         let headers = if names { &headers[..] } else { &headers[1..] };
-        Act::Send(answer(200, headers, id(request).as_bytes()))
+        Action::Send(answer(200, headers, id(request).as_bytes()))
     })
 }
 
@@ -108,7 +108,7 @@
     replica.answer_twice_if(|_| true);
     let site = Site::start("called-twice", &[(&replica, "app", "")]);
     assert_eq!(foreign_answers(&site), []);
-    assert!(replica.second_answers() > 0);
+    assert!(replica.second_answer_count() > 0);
 }
 
 /// On a connection that carried other requests, an answer without an id may be the second one to any of them.
@@ -125,7 +125,7 @@
 fn a_stream_has_its_own_events_where_streams_are_answered_twice() {
     let decode = Replica::start("i-d", |request| {
         let event = chunk(format!("id: 1\ndata: {}\n\n", id(request)).as_bytes());
-        Act::Send([stream_head(request), event, chunk(b"")].concat())
+        Action::Send([stream_head(request), event, chunk(b"")].concat())
     });
     decode.answer_twice_if(|request| request.path() == "/resume/1");
     let site = Site::start("streamed-twice", &[(&decode, "llm", "decode")]);
@@ -138,7 +138,7 @@
             "{body}"
         );
     }
-    assert!(decode.second_answers() > 0);
+    assert!(decode.second_answer_count() > 0);
 }
 
 /// Each second answer costs the request that is sent next on its connection.
@@ -152,7 +152,7 @@
             .status()
     };
     let lost = (0..12).filter(|number| status(*number) != 200).count();
-    assert_eq!((lost, replica.second_answers()), (1, 1));
+    assert_eq!((lost, replica.second_answer_count()), (1, 1));
     let metrics = site.daemon.metrics();
     assert!(
         metrics.contains("waxwing_gateway_foreign_answers_total 1"),
@@ -171,12 +171,12 @@
         let read = reads.fetch_add(1, Ordering::SeqCst) + 1;
         let told = json!({"kv-handle": format!("k{read}"), "tokens": 1460, "version": 1});
         let headers = [("request-id", id(request))];
-        Act::Send(answer(200, &headers, told.to_string().as_bytes()))
+        Action::Send(answer(200, &headers, told.to_string().as_bytes()))
     });
     prefill.answer_twice_if(|_| true);
     let script = |request: &Message| match request.header("last-event-id") {
-        Some("2") => Act::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
-        _ => Act::SendAndClose([stream_head(request), events(1, 2)].concat()),
+        Some("2") => Action::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
+        _ => Action::SendAndClose([stream_head(request), events(1, 2)].concat()),
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
@@ -207,7 +207,7 @@
         let told = answer(200, &headers, id(request).as_bytes());
         let (first, rest) = told.split_at((told.len() as f64 * part) as usize);
         let at_once = [&told, first].concat();
-        Act::Slowly(vec![at_once, rest.to_vec()], Duration::from_millis(3))
+        Action::SendSlowly(vec![at_once, rest.to_vec()], Duration::from_millis(3))
     });
     let site = Site::start(&format!("early-{name}"), &[(&replica, "app", "")]);
     let mut lost = 0;
@@ -231,7 +231,7 @@
         } else {
             &headers[1..]
         };
-        Act::Send(answer(200, headers, id(request).as_bytes()))
+        Action::Send(answer(200, headers, id(request).as_bytes()))
     });
     let site = Site::start("unnamed-later", &[(&replica, "app", "")]);
     assert_eq!(site.send_and_read("GET /read/1", "a0").status(), 200);
@@ -249,12 +249,12 @@
         site.send_and_read("GET /read/1", &format!("a{number}"));
     }
     // One of these asked whether the replica is there.
-    wait_until("it has asked", || replica.connections() == 4);
-    assert_eq!(replica.second_answers(), 1);
+    wait_until("it has asked", || replica.connection_count() == 4);
+    assert_eq!(replica.second_answer_count(), 1);
     thread::sleep(TRUSTED_AGAIN);
     for number in 4..8 {
         let told = site.send_and_read("GET /read/1", &format!("a{number}"));
         assert_eq!(told.status(), 200);
     }
-    assert_eq!(replica.connections(), 5);
+    assert_eq!(replica.connection_count(), 5);
 }
--- a/crates/gateway/tests/gateway/second_calls.rs
+++ b/crates/gateway/tests/gateway/second_calls.rs
@@ -21,7 +21,7 @@
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
@@ -46,13 +46,13 @@
 
 fn writer(name: &str) -> Replica {
     Replica::start(name, |request| {
-        Act::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     })
 }
 
 /// The reservations that requests came with, in order.
 fn reservations(decode: &Replica) -> Vec<String> {
-    let seen = decode.seen().into_iter();
+    let seen = decode.requests().into_iter();
     seen.filter_map(|request| request.header("kv-hold").map(str::to_owned))
         .collect()
 }
@@ -63,7 +63,7 @@
         let told = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
         let headers = [("request-id", id(request))];
         let told = answer(200, &headers, told.to_string().as_bytes());
-        Act::Slowly(vec![told], READING)
+        Action::SendSlowly(vec![told], READING)
     });
     let decode = writer("i-d");
     let reserved = Arc::new(AtomicUsize::new(0));
@@ -139,7 +139,7 @@
         let told = generate(&site.daemon, path, &format!("a{number}")).read();
         assert!(told.complete && told.status() == 200, "{}", told.line);
     }
-    assert_eq!(decode.connections(), connections);
+    assert_eq!(decode.connection_count(), connections);
 }
 
 /// The replica closes the connection of a reservation soon, and a request that met the close would be lost.
@@ -153,17 +153,17 @@
             br#"{"kv-handle":"k1","tokens":1460,"version":1}"#,
         );
         // Longer than six tenths of a second.
-        Act::Slowly(vec![told], 2 * READING + PAUSE)
+        Action::SendSlowly(vec![told], 2 * READING + PAUSE)
     });
     let decode = writer("i-d");
-    decode.set_calls(|request| {
+    decode.set_call_handler(|request| {
         let reserves = request.path() == "/api/hold-take";
         reserves.then(|| answer(200, &[("keep-alive", "timeout=1")], br#"{"hold":"h1"}"#))
     });
     let site = Site::staged("closes-soon", &prefill, &[&decode]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
     assert!(told.complete && told.status() == 200, "{}", told.line);
-    assert_eq!(decode.connections(), 2);
+    assert_eq!(decode.connection_count(), 2);
 }
 
 /// The parts of a stream that goes on after the event `after`.
@@ -187,14 +187,14 @@
                 stop.store(true, Ordering::SeqCst);
             }
             let told = json!({"kv-handle": format!("m-{id}"), "created": 5});
-            Act::Send(answer(200, &[], told.to_string().as_bytes()))
+            Action::Send(answer(200, &[], told.to_string().as_bytes()))
         }
-        path if path.starts_with("/api/") => Act::Send(answer(200, &[], b"{}")),
+        path if path.starts_with("/api/") => Action::Send(answer(200, &[], b"{}")),
         _ => {
             let stop = Arc::new(AtomicBool::new(false));
             let id = id(request).to_owned();
             stops.lock().unwrap().insert(id, Arc::clone(&stop));
-            Act::UntilStopped(parts(request), PAUSE, stop)
+            Action::SendUntilStopped(parts(request), PAUSE, stop)
         }
     })
 }
@@ -211,7 +211,7 @@
         let plans = site.daemon.logged("\"kind\":\"plan\"");
         plans.iter().any(|line| line.contains("\"version\":2"))
     });
-    let begun = |count| source.seen().len() == count;
+    let begun = |count| source.requests().len() == count;
     let ids = 1..=4;
     ids.map(|number| {
         let caller = generate(&site.daemon, "/draft/1", &format!("a{number}"));
@@ -225,7 +225,7 @@
 fn a_run_goes_on_from_its_own_memory_where_moves_are_answered_twice() {
     let source = source();
     source.answer_twice_if(|request| request.path() == "/api/kv-move");
-    let target = Replica::start("i-2", |request| Act::Slowly(parts(request), PAUSE));
+    let target = Replica::start("i-2", |request| Action::SendSlowly(parts(request), PAUSE));
     let site = Site::start("moved-twice", &[(&source, "llm", "decode")]);
     let callers = four_runs(&site, &source);
     site.store
@@ -233,7 +233,7 @@
     for mut caller in callers {
         assert!(caller.read().complete);
     }
-    let moved: Vec<(String, String)> = target.seen().iter().filter_map(memory).collect();
+    let moved: Vec<(String, String)> = target.requests().iter().filter_map(memory).collect();
     assert!(moved.len() > 1, "{moved:?}");
     for (id, handle) in moved {
         assert_eq!(handle, format!("m-{id}"));
@@ -266,10 +266,10 @@
     #[case] second: &str,
     #[case] presence: &str,
 ) {
-    let replica = Replica::start("i-1", |_| Act::SendAndClose(Vec::new()));
+    let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
     let gone = Arc::new(AtomicBool::new(second == "i-2"));
     let own_gone = Arc::clone(&gone);
-    replica.set_calls(move |request| {
+    replica.set_call_handler(move |request| {
         let there = if own_gone.load(Ordering::SeqCst) {
             "i-2"
         } else {
@@ -317,7 +317,7 @@
         let mut given = own_given.lock().unwrap();
         let status = STATUSES[given.len() % STATUSES.len()];
         given.push(status);
-        Act::Send(answer(status, &[], b""))
+        Action::Send(answer(status, &[], b""))
     });
     (engine, given)
 }
@@ -338,7 +338,7 @@
 /// An engine that always carries out an order of somebody else's.
 fn busy(name: &str) -> Replica {
     let engine = writer(name);
-    engine.set_calls(|request| {
+    engine.set_call_handler(|request| {
         let asked = request.path() == "/api/report";
         asked.then(|| answer(200, &[], br#"{"busy":true,"seq":0}"#))
     });
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -25,7 +25,7 @@
 use crate::common::http;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::site::Site;
 use crate::site::config;
@@ -48,12 +48,12 @@
 const TRIES: usize = 20;
 
 fn application(name: &str) -> Replica {
-    Replica::start(name, |_: &Message| Act::Send(answer(202, &[], b"")))
+    Replica::start(name, |_: &Message| Action::Send(answer(202, &[], b"")))
 }
 
 /// Fencing tokens of the orders that `engines` got.
 fn fences(engines: &[Replica]) -> BTreeSet<u64> {
-    let seen = engines.iter().flat_map(Replica::seen);
+    let seen = engines.iter().flat_map(Replica::requests);
     let orders = seen.filter(|request| request.path() == "/api/order");
     let orders = orders.map(|order| serde_json::from_slice::<Value>(&order.body).unwrap());
     orders.filter_map(|order| order["fence"].as_u64()).collect()
@@ -72,7 +72,7 @@
         (engine, "llm", stage)
     });
     let site = Site::start("fence-twice", &stages.collect::<Vec<_>>());
-    site.store.stutter();
+    site.store.answer_twice();
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
     wait_until("orders are given", || !fences(&engines).is_empty());
     let written = site.store.version("orders", "llm");
@@ -83,7 +83,7 @@
 fn rows_are_those_that_were_asked_for_where_the_store_answers_twice() {
     let replica = application("i-a");
     let site = Site::start("rows-twice", &[(&replica, "app", "")]);
-    site.store.stutter();
+    site.store.answer_twice();
     for version in 2..=PLANS {
         let number = format!("i-{version}");
         site.store.put("op", "config", &config(version));
@@ -108,17 +108,17 @@
 fn each_call_of_the_store_has_a_connection_of_its_own_and_these_are_few() {
     let replica = application("i-a");
     let site = Site::start("connections", &[(&replica, "app", "")]);
-    site.store.stutter();
-    let (opened_before, calls_before) = site.store.load();
+    site.store.answer_twice();
+    let (opened_before, calls_before) = site.store.connection_and_call_counts();
     thread::sleep(COUNTED);
-    let (opened, calls) = site.store.load();
+    let (opened, calls) = site.store.connection_and_call_counts();
     let (opened, calls) = (opened - opened_before, calls - calls_before);
     println!("connections: {opened}, calls: {calls}");
     assert!(calls > 0);
     // Between the two counts one connection may be opened for a call that comes after.
     assert!(opened.abs_diff(calls) <= 2, "{opened} for {calls} calls");
     assert!(opened <= MAX_CONNECTIONS, "{opened} connections");
-    assert_eq!(site.store.second_answers(), 0);
+    assert_eq!(site.store.second_answer_count(), 0);
 }
 
 /// A listener that drops packets which open a connection, as a link that loses packets does, for a short time. Then it
--- a/crates/gateway/tests/gateway/stages.rs
+++ b/crates/gateway/tests/gateway/stages.rs
@@ -9,7 +9,7 @@
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::site::Site;
 
@@ -19,13 +19,13 @@
 const AT_ONCE: usize = 6;
 
 fn engines() -> Vec<Replica> {
-    let accept = |_: &Message| Act::Send(answer(202, &[], b""));
+    let accept = |_: &Message| Action::Send(answer(202, &[], b""));
     let names = (0..PREFILL + DECODE).map(|number| format!("i-{number}"));
     names.map(|name| Replica::start(&name, accept)).collect()
 }
 
 fn orders(engine: &Replica) -> Vec<Value> {
-    let seen = engine.seen();
+    let seen = engine.requests();
     let orders = seen.iter().filter(|seen| seen.path() == "/api/order");
     orders
         .map(|order| serde_json::from_slice(&order.body).unwrap())
--- a/crates/gateway/tests/gateway/stream.rs
+++ b/crates/gateway/tests/gateway/stream.rs
@@ -9,12 +9,12 @@
 use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
-use crate::common::replica::not_run;
-use crate::common::replica::signed;
+use crate::common::replica::not_run_answer;
+use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
 use crate::site::generate;
@@ -32,17 +32,17 @@
 
 #[test]
 fn the_prompt_is_read_at_one_replica_and_the_tokens_are_made_at_another() {
-    let prefill = Replica::prefill("i-p");
-    let decode = Replica::start("i-d", |request| Act::Send(stream(request, 1, 5)));
+    let prefill = Replica::start_prefill("i-p");
+    let decode = Replica::start("i-d", |request| Action::Send(stream(request, 1, 5)));
     let site = Site::staged("staged", &prefill, &[&decode]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
     assert!(told.complete);
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
     assert_eq!(told.header("response-seal"), Some("s.1"));
-    let read = prefill.seen().remove(0);
+    let read = prefill.requests().remove(0);
     assert_eq!(read.header("stage"), Some("prefill"));
     assert_eq!(read.header("request-id"), Some("a1"));
-    let made = decode.seen().remove(0);
+    let made = decode.requests().remove(0);
     let source = format!("{}/k1", prefill.address);
     assert_eq!(made.header("kv-source"), Some(source.as_str()));
     assert_eq!(made.header("kv-hold"), Some("h1"));
@@ -61,13 +61,15 @@
         }
         let id = request.header("request-id").unwrap_or_default();
         let body = br#"{"kv-handle":"k1","tokens":1460,"version":1}"#;
-        Act::Send(answer(200, &[("request-id", id)], body))
+        Action::Send(answer(200, &[("request-id", id)], body))
     });
-    let draining = Replica::start("i-1", |request| Act::Send(stream(request, 1, 2)));
-    let other = Replica::start("i-2", |request| Act::Send(stream(request, 1, 2)));
+    let draining = Replica::start("i-1", |request| Action::Send(stream(request, 1, 2)));
+    let other = Replica::start("i-2", |request| Action::Send(stream(request, 1, 2)));
     let site = Site::staged("left-meanwhile", &prefill, &[&draining]);
     let mut caller = generate(&site.daemon, "/draft/1", "a1");
-    wait_until("the prompt is being read", || !prefill.seen().is_empty());
+    wait_until("the prompt is being read", || {
+        !prefill.requests().is_empty()
+    });
     let mut row = draining.row("llm", "decode");
     row["state"] = "draining".into();
     site.store.put("servers", "i-1", &row);
@@ -80,32 +82,32 @@
     prefill_released.store(true, Ordering::SeqCst);
     let told = caller.read();
     assert_eq!((told.status(), told.complete), (200, true));
-    assert!(draining.seen().is_empty());
-    assert_eq!(other.seen().len(), 1);
+    assert!(draining.requests().is_empty());
+    assert_eq!(other.requests().len(), 1);
 }
 
 #[test]
 fn the_decode_replica_reads_the_prompt_where_no_other_does() {
-    let decode = Replica::start("i-d", |request| Act::Send(stream(request, 1, 2)));
+    let decode = Replica::start("i-d", |request| Action::Send(stream(request, 1, 2)));
     let site = Site::start("alone", &[(&decode, "llm", "decode")]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
     assert!(told.complete);
-    assert_eq!(decode.seen()[0].header("kv-source"), None);
+    assert_eq!(decode.requests()[0].header("kv-source"), None);
 }
 
 #[test]
 fn a_lost_prompt_is_read_by_the_next_decode_replica() {
-    let prefill = Replica::prefill("i-p");
+    let prefill = Replica::start_prefill("i-p");
     let script = |request: &Message| match request.header("kv-source") {
-        Some(_) => Act::Send(not_run(request)),
-        None => Act::Send(stream(request, 1, 2)),
+        Some(_) => Action::Send(not_run_answer(request)),
+        None => Action::Send(stream(request, 1, 2)),
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
     let site = Site::staged("lapsed", &prefill, &[&one, &two]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
     assert_eq!((told.status(), told.complete), (200, true));
-    assert_eq!(one.seen().len() + two.seen().len(), 2);
+    assert_eq!(one.requests().len() + two.requests().len(), 2);
 }
 
 #[test]
@@ -113,21 +115,23 @@
     let decode = Replica::start("i-d", |request| {
         let cut = b"id: 3\nda";
         let bytes = [stream_head(request), events(1, 2), chunk(cut)].concat();
-        Act::SendAndClose(bytes)
+        Action::SendAndClose(bytes)
     });
-    let other = Replica::start("i-o", |request| Act::Send(stream(request, 1, 5)));
+    let other = Replica::start("i-o", |request| Action::Send(stream(request, 1, 5)));
     let site = Site::start("broken", &[(&decode, "llm", "decode")]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
     assert!(!told.complete);
     // A stream that cannot be resumed runs nowhere else.
-    assert_eq!((decode.seen().len(), other.seen().len()), (1, 0));
+    assert_eq!((decode.requests().len(), other.requests().len()), (1, 0));
 }
 
 #[test]
 fn a_resumable_stream_goes_on_at_another_replica() {
     let script = |request: &Message| match request.header("last-event-id") {
-        Some("2") => Act::Send(stream(request, 3, 5)),
-        _ => Act::SendAndClose([stream_head(request), events(1, 2), chunk(b"id: 3\nda")].concat()),
+        Some("2") => Action::Send(stream(request, 3, 5)),
+        _ => {
+            Action::SendAndClose([stream_head(request), events(1, 2), chunk(b"id: 3\nda")].concat())
+        }
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
@@ -138,20 +142,20 @@
     let told = generate(&site.daemon, "/resume/1", "a1").read();
     assert!(told.complete);
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
-    assert_eq!(one.seen().len() + two.seen().len(), 2);
+    assert_eq!(one.requests().len() + two.requests().len(), 2);
 }
 
 /// A prompt that was sent to be read has arrived at the service, whether it was read or not; what is
 /// sent after that is a retry.
 #[test]
 fn a_prompt_that_was_not_read_costs_a_retry() {
-    let prefill = Replica::start("i-p", |_| Act::SendAndClose(Vec::new()));
-    let decode = Replica::start("i-d", |request| Act::Send(stream(request, 1, 2)));
+    let prefill = Replica::start("i-p", |_| Action::SendAndClose(Vec::new()));
+    let decode = Replica::start("i-d", |request| Action::Send(stream(request, 1, 2)));
     let site = Site::staged("unread-prompt", &prefill, &[&decode]);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
     let told = generate(&site.daemon, "/draft/1", "a1").read();
     assert_eq!(told.status(), 503);
-    assert!(decode.seen().is_empty());
+    assert!(decode.requests().is_empty());
 }
 
 /// Silence alone ends no answer: without a place elsewhere the stream goes on when the replica does.
@@ -160,7 +164,7 @@
     let decode = Replica::start("i-d", |request| {
         let first = [stream_head(request), events(1, 2)].concat();
         let rest = [events(3, 4), chunk(b"")].concat();
-        Act::Slowly(vec![first, rest], Duration::from_secs(2))
+        Action::SendSlowly(vec![first, rest], Duration::from_secs(2))
     });
     let site = Site::start("silent", &[(&decode, "llm", "decode")]);
     let mut caller = site.daemon.caller();
@@ -174,7 +178,7 @@
     // The route's time is 4 s; the first half of the answer came after 2 s, the rest after 4 s.
     assert_eq!(told.status(), 200);
     assert!(String::from_utf8_lossy(&told.body).starts_with(&texts(1, 2)));
-    assert_eq!(decode.seen().len(), 1);
+    assert_eq!(decode.requests().len(), 1);
 }
 
 /// The same where another replica has room, but going on there would be a retry too many.
@@ -183,7 +187,7 @@
     let script = |request: &Message| {
         let first = [stream_head(request), events(1, 2)].concat();
         let rest = [events(3, 4), chunk(b"")].concat();
-        Act::Slowly(vec![first, rest], Duration::from_millis(1_900))
+        Action::SendSlowly(vec![first, rest], Duration::from_millis(1_900))
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
@@ -193,12 +197,12 @@
     let told = generate(&site.daemon, "/resume/1", "a1").read();
     assert!(told.complete, "{}", String::from_utf8_lossy(&told.body));
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 4));
-    assert_eq!(one.seen().len() + two.seen().len(), 1);
+    assert_eq!(one.requests().len() + two.requests().len(), 1);
 }
 
 #[test]
 fn a_generation_that_finds_no_room_is_refused() {
-    let full = Replica::start("i-d", |request| Act::Send(not_run(request)));
+    let full = Replica::start("i-d", |request| Action::Send(not_run_answer(request)));
     let site = Site::start("full", &[(&full, "llm", "decode")]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
     assert_eq!(told.status(), 503);
@@ -208,7 +212,9 @@
 
 #[test]
 fn the_failure_of_an_engine_is_passed_on() {
-    let decode = Replica::start("i-d", |request| Act::Send(signed(request, 500, b"no")));
+    let decode = Replica::start("i-d", |request| {
+        Action::Send(signed_answer(request, 500, b"no"))
+    });
     let site = Site::start("engine-failure", &[(&decode, "llm", "decode")]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
     assert_eq!(
@@ -220,20 +226,20 @@
 #[test]
 fn a_caller_that_leaves_ends_the_generation() {
     let decode = Replica::start("i-d", |request| {
-        Act::SendAndHang([stream_head(request), events(1, 2)].concat())
+        Action::SendAndHang([stream_head(request), events(1, 2)].concat())
     });
     let site = Site::start("stream-left", &[(&decode, "llm", "decode")]);
     let caller = generate(&site.daemon, "/draft/1", "a1");
-    wait_until("the request arrives", || decode.seen().len() == 1);
+    wait_until("the request arrives", || decode.requests().len() == 1);
     drop(caller);
-    wait_until("the replica is left", || decode.left() == 1);
+    wait_until("the replica is left", || decode.abandoned_count() == 1);
 }
 
 /// Without the line, nothing tells why the caller of a stream that cannot be resumed left.
 #[test]
 fn a_replica_that_falls_silent_is_told_also_where_a_stream_cannot_be_resumed() {
     let decode = Replica::start("i-d", |request| {
-        Act::SendAndHang([stream_head(request), events(1, 1)].concat())
+        Action::SendAndHang([stream_head(request), events(1, 1)].concat())
     });
     let site = Site::start("silent-once-stream", &[(&decode, "llm", "decode")]);
     let caller = generate(&site.daemon, "/draft/1", "a1");
@@ -243,8 +249,8 @@
             .any(|line| line.contains("\"answers\":\"true\""))
     });
     drop(caller);
-    wait_until("the replica is left", || decode.left() == 1);
-    assert_eq!(decode.seen().len(), 1);
+    wait_until("the replica is left", || decode.abandoned_count() == 1);
+    assert_eq!(decode.requests().len(), 1);
 }
 
 /// The time for a read counts from its beginning where a stream is resumed: counted from the request, it
@@ -254,15 +260,15 @@
     let prefill = Replica::start("i-p", |_| {
         let told = br#"{"kv-handle":"k1","tokens":1460,"version":1}"#;
         let read = answer(200, &[("content-type", "application/json")], told);
-        Act::Slowly(vec![read], Duration::from_millis(150))
+        Action::SendSlowly(vec![read], Duration::from_millis(150))
     });
     let script = |request: &Message| match request.header("last-event-id") {
-        Some("2") => Act::Send(stream(request, 3, 5)),
+        Some("2") => Action::Send(stream(request, 3, 5)),
         _ => {
             // Two events in the first 2.2 s, and then the end.
             let first = [stream_head(request), events(1, 1)].concat();
             let parts = vec![first, events(2, 2), chunk(b"id: 3\nda"), b"x".to_vec()];
-            Act::Slowly(parts, Duration::from_millis(700))
+            Action::SendSlowly(parts, Duration::from_millis(700))
         }
     };
     let one = Replica::start("i-1", script);
@@ -271,7 +277,7 @@
     let told = generate(&site.daemon, "/resume/1", "a1").read();
     assert!(told.complete);
     assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
-    let resumed = [one.seen(), two.seen()].concat();
+    let resumed = [one.requests(), two.requests()].concat();
     let resumed = resumed.iter().find(|r| r.header("last-event-id").is_some());
     assert!(resumed.unwrap().header("kv-source").is_some());
 }
--- a/crates/gateway/tests/gateway/whole.rs
+++ b/crates/gateway/tests/gateway/whole.rs
@@ -18,7 +18,7 @@
 use crate::common::daemon::wait_until;
 use crate::common::http;
 use crate::common::http::Message;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
@@ -59,9 +59,9 @@
 }
 
 /// A stream without a length that goes to the event `last` and on with `rest`.
-fn unframed(request: &Message, last: u64, rest: &[u8]) -> Act {
+fn unframed(request: &Message, last: u64, rest: &[u8]) -> Action {
     let events = texts(1, last).into_bytes();
-    Act::SendAndClose([&unframed_head(request), &events, rest].concat())
+    Action::SendAndClose([&unframed_head(request), &events, rest].concat())
 }
 
 #[test]
@@ -75,7 +75,7 @@
 #[test]
 fn a_stream_without_a_length_that_ends_in_the_midst_of_an_event_goes_on_elsewhere() {
     let script = |request: &Message| match request.header("last-event-id") {
-        Some("2") => Act::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
+        Some("2") => Action::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
         _ => unframed(request, 2, b"id: 3\nda"),
     };
     let one = Replica::start("i-1", script);
@@ -101,7 +101,7 @@
 fn a_stream_in_chunks_that_ends_without_an_empty_line_is_passed_on_unchanged() {
     let decode = Replica::start("i-d", |request| {
         let last = chunk(b"id: 3\ndata: t3\n");
-        Act::Send([stream_head(request), events(1, 2), last, chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 2), last, chunk(b"")].concat())
     });
     let site = Site::start("no-empty-line", &[(&decode, "llm", "decode")]);
     let told = generate(&site.daemon, "/draft/1", "a1").read();
@@ -116,9 +116,9 @@
     let script = move |request: &Message| match request.header("last-event-id") {
         Some("2") => {
             let rest = chunk(rest.as_bytes());
-            Act::Send([stream_head(request), rest, chunk(b"")].concat())
+            Action::Send([stream_head(request), rest, chunk(b"")].concat())
         }
-        _ => Act::SendAndClose([stream_head(request), events(1, 2)].concat()),
+        _ => Action::SendAndClose([stream_head(request), events(1, 2)].concat()),
     };
     let one = Replica::start("i-1", script.clone());
     let two = Replica::start("i-2", script);
@@ -157,15 +157,15 @@
 fn cut(name: &str, first: &[u8]) -> (Message, usize) {
     let first = first.to_vec();
     let script = move |request: &Message| match request.header("last-event-id") {
-        Some("9") => Act::Send([stream_head(request), events(10, 10), chunk(b"")].concat()),
-        _ => Act::SendAndClose([stream_head(request), chunk(&first)].concat()),
+        Some("9") => Action::Send([stream_head(request), events(10, 10), chunk(b"")].concat()),
+        _ => Action::SendAndClose([stream_head(request), chunk(&first)].concat()),
     };
     let one = Replica::start("i-1", script.clone());
     let two = Replica::start("i-2", script);
     let replicas = [(&one, "llm", "decode"), (&two, "llm", "decode")];
     let site = Site::start(name, &replicas);
     let told = generate(&site.daemon, "/resume/1", "a1").read();
-    (told, one.seen().len() + two.seen().len())
+    (told, one.requests().len() + two.requests().len())
 }
 
 /// Nothing says where another replica is to go on: after an event that has no number, and in the midst of one that was
@@ -210,7 +210,7 @@
             [stream_head(request), events(1, 2)].concat(),
             chunk(b"id: 3\nda"),
         ];
-        Act::Slowly(
+        Action::SendSlowly(
             [parts, vec![b"broken".to_vec()]].concat(),
             Duration::from_millis(50),
         )
@@ -223,7 +223,7 @@
 #[test]
 fn a_caller_without_chunks_gets_a_whole_answer() {
     let decode = Replica::start("i-d", |request| {
-        Act::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
     });
     let site = Site::start("old-whole", &[(&decode, "llm", "decode")]);
     let (told, ended) = old_answer(site.daemon.caller());
@@ -235,13 +235,13 @@
 #[test]
 fn a_caller_without_chunks_can_tell_that_the_daemon_ended() {
     let decode = Replica::start("i-d", |request| {
-        Act::SendAndHang([stream_head(request), events(1, 2)].concat())
+        Action::SendAndHang([stream_head(request), events(1, 2)].concat())
     });
     let mut site = Site::start("old-end", &[(&decode, "llm", "decode")]);
     let caller = site.config_with_long_streams();
     let (told, ended) = thread::scope(|scope| {
         let caller = scope.spawn(|| old_answer(caller));
-        wait_until("the request arrives", || decode.seen().len() == 1);
+        wait_until("the request arrives", || decode.requests().len() == 1);
         site.daemon.signal(Signal::TERM);
         caller.join().unwrap()
     });
@@ -265,7 +265,7 @@
     #[case] name: &str,
     #[case] text: &'static str,
 ) {
-    let replica = Replica::start("i-a", move |_| Act::Send(text.into()));
+    let replica = Replica::start("i-a", move |_| Action::Send(text.into()));
     let site = Site::start(name, &[(&replica, "app", "")]);
     let told = site.send_and_read("POST /book/1", "a1");
     assert_eq!((told.status(), told.header("response-seal")), (502, None));
@@ -281,7 +281,7 @@
 ) {
     let replica = Replica::start("i-a", move |_| {
         let cut = b"HTTP/1.1 200 X\r\nrequest-id: a1\r\nresponse-seal: s\r\n\r\nhalf";
-        Act::SendAndReset(cut.to_vec(), pause)
+        Action::SendAndReset(cut.to_vec(), pause)
     });
     let site = Site::start(name, &[(&replica, "app", "")]);
     let told = site.send_and_read("POST /book/1", "a1");
--- a/crates/gateway/tests/gateway/world.rs
+++ b/crates/gateway/tests/gateway/world.rs
@@ -8,15 +8,17 @@
 use crate::common::daemon::Daemon;
 use crate::common::daemon::new_ip;
 use crate::common::daemon::wait_until;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
-use crate::common::replica::signed;
+use crate::common::replica::signed_answer;
 use crate::site::Site;
 use crate::site::config;
 use crate::site::send_and_read;
 
 fn echo(id: &str) -> Replica {
-    Replica::start(id, |request| Act::Send(signed(request, 200, b"x")))
+    Replica::start(id, |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    })
 }
 
 #[test]
@@ -68,7 +70,7 @@
             200
         );
     }
-    assert!(one.seen().is_empty());
+    assert!(one.requests().is_empty());
 }
 
 #[test]
@@ -143,7 +145,9 @@
 /// miss an edit for as long as it waits.
 #[test]
 fn a_watch_is_given_up_once_another_call_of_the_store_has_no_answer() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start("silent-store", &[(&replica, "app", "")]);
     site.store.silence_open_connections();
     wait_until("the watch is given up", || {
--- a/crates/gateway/tests/soak/limit.rs
+++ b/crates/gateway/tests/soak/limit.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use crate::CALLERS;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 
 /// Rate limit of each limited replica, in requests per second.
 const RATE: f64 = 1.0;
@@ -17,14 +17,14 @@
 /// Number of requests tolerated in a window in addition to `TOLERANCE_FACTOR`.
 const TOLERANCE_REQUESTS: f64 = 5.0;
 
-/// Adds the limit header to the answer of `Send`, `SendAndClose` and `Slowly`; other acts stay unchanged.
-pub fn add_limit_header(act: Act) -> Act {
+/// Adds the limit header to the answer of `Send`, `SendAndClose` and `SendSlowly`; other acts stay unchanged.
+pub fn add_limit_header(act: Action) -> Action {
     match act {
-        Act::Send(bytes) => Act::Send(insert_limit_header(&bytes)),
-        Act::SendAndClose(bytes) => Act::SendAndClose(insert_limit_header(&bytes)),
-        Act::Slowly(mut parts, pause) => {
+        Action::Send(bytes) => Action::Send(insert_limit_header(&bytes)),
+        Action::SendAndClose(bytes) => Action::SendAndClose(insert_limit_header(&bytes)),
+        Action::SendSlowly(mut parts, pause) => {
             parts[0] = insert_limit_header(&parts[0]);
-            Act::Slowly(parts, pause)
+            Action::SendSlowly(parts, pause)
         }
         act => act,
     }
--- a/crates/gateway/tests/soak/script.rs
+++ b/crates/gateway/tests/soak/script.rs
@@ -10,11 +10,11 @@
 
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
-use crate::common::replica::Second;
+use crate::common::replica::Action;
+use crate::common::replica::SecondAnswer;
 use crate::common::replica::chunk;
-use crate::common::replica::not_run;
-use crate::common::replica::signed;
+use crate::common::replica::not_run_answer;
+use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::ledger::EVENTS;
 use crate::ledger::Ledger;
@@ -60,14 +60,14 @@
 }
 
 /// How the second answer to a request comes, if there is one.
-pub fn second((draw, way): (f64, f64)) -> Option<Second> {
+pub fn second((draw, way): (f64, f64)) -> Option<SecondAnswer> {
     let wait = Duration::from_millis(1 + (draw / DOUBLED * (MAX_LATE_MS - 1.0)) as u64);
     let (wait, parts) = match way {
         way if way < 0.5 => (None, 1),
         way if way < 0.8 => (Some(wait), 1),
         _ => (Some(wait), 2),
     };
-    (draw < DOUBLED).then_some(Second { wait, parts })
+    (draw < DOUBLED).then_some(SecondAnswer { delay: wait, parts })
 }
 
 /// Name of the KV cache of the request `id`.
@@ -76,13 +76,13 @@
 }
 
 /// What a replica does with `request`; `odd` draws answers that are no proper ones.
-pub fn serve(ledger: &Ledger, stage: &str, request: &Message, (draw, odd): (f64, f64)) -> Act {
+pub fn serve(ledger: &Ledger, stage: &str, request: &Message, (draw, odd): (f64, f64)) -> Action {
     if let Some(act) = own_call(request) {
         return act;
     }
     let act = match stage {
         "prefill" => return stray(read(request, draw), odd),
-        _ if draw < 0.06 => return stray(Act::Send(not_run(request)), odd),
+        _ if draw < 0.06 => return stray(Action::Send(not_run_answer(request)), odd),
         "decode" => generate(request, draw),
         _ => call(request, draw, odd),
     };
@@ -91,11 +91,11 @@
 }
 
 /// The answer to a call of the platform's own, which names no request.
-fn own_call(request: &Message) -> Option<Act> {
+fn own_call(request: &Message) -> Option<Action> {
     match request.path() {
-        "/api/order" => Some(Act::Send(answer(202, &[], b""))),
-        "/api/kv-move" => Some(Act::Send(answer(404, &[], b""))),
-        path if path.starts_with("/api/") => Some(Act::Send(answer(200, &[], b""))),
+        "/api/order" => Some(Action::Send(answer(202, &[], b""))),
+        "/api/kv-move" => Some(Action::Send(answer(404, &[], b""))),
+        path if path.starts_with("/api/") => Some(Action::Send(answer(200, &[], b""))),
         _ => None,
     }
 }
@@ -105,20 +105,20 @@
 }
 
 /// Reads a prompt.
-fn read(request: &Message, draw: f64) -> Act {
+fn read(request: &Message, draw: f64) -> Action {
     let told = json!({"kv-handle": handle(id(request)), "tokens": 1, "version": 1}).to_string();
     let bytes = answer(200, &[("request-id", id(request))], told.as_bytes());
     match draw {
-        d if d < 0.05 => Act::Send(not_run(request)),
-        d if d < 0.08 => Act::SendAndClose(Vec::new()),
-        d if d < 0.10 => Act::SendAndClose(bytes[..bytes.len() - 1].to_vec()),
-        d if d < 0.12 => Act::Send(answer(421, &[("request-id", id(request))], b"")),
-        _ => Act::Send(bytes),
+        d if d < 0.05 => Action::Send(not_run_answer(request)),
+        d if d < 0.08 => Action::SendAndClose(Vec::new()),
+        d if d < 0.10 => Action::SendAndClose(bytes[..bytes.len() - 1].to_vec()),
+        d if d < 0.12 => Action::Send(answer(421, &[("request-id", id(request))], b"")),
+        _ => Action::Send(bytes),
     }
 }
 
 /// Streams the events of a generation.
-fn generate(request: &Message, draw: f64) -> Act {
+fn generate(request: &Message, draw: f64) -> Action {
     let last: u64 = request
         .header("last-event-id")
         .map_or(0, |id| id.parse().unwrap());
@@ -127,23 +127,23 @@
     let mut parts = vec![stream_head(request)];
     parts.extend((last + 1..=end).map(|number| event(number, id(request))));
     if broken {
-        return Act::SendAndClose(parts.concat());
+        return Action::SendAndClose(parts.concat());
     }
     parts.push(chunk(b""));
-    Act::Slowly(parts, Duration::from_millis(5))
+    Action::SendSlowly(parts, Duration::from_millis(5))
 }
 
 /// Answers a call.
-fn call(request: &Message, draw: f64, odd: f64) -> Act {
+fn call(request: &Message, draw: f64, odd: f64) -> Action {
     let slow = Duration::from_millis((draw * 100.0) as u64);
-    let bytes = signed(request, 200, id(request).as_bytes());
+    let bytes = signed_answer(request, 200, id(request).as_bytes());
     match draw {
-        d if d < 0.08 => Act::SendAndClose(Vec::new()),
-        d if d < 0.10 => Act::SendAndClose(bytes[..40].to_vec()),
-        d if d < 0.16 => Act::Send(signed(request, 500, b"failure")),
-        _ if odd > 0.96 && odd < 0.98 => Act::SendAndClose(bytes[..bytes.len() - 1].to_vec()),
-        _ if odd > 0.98 && odd < 1.0 => Act::SendAndClose(without_length(&bytes)),
-        _ => Act::Slowly(vec![bytes], slow),
+        d if d < 0.08 => Action::SendAndClose(Vec::new()),
+        d if d < 0.10 => Action::SendAndClose(bytes[..40].to_vec()),
+        d if d < 0.16 => Action::Send(signed_answer(request, 500, b"failure")),
+        _ if odd > 0.96 && odd < 0.98 => Action::SendAndClose(bytes[..bytes.len() - 1].to_vec()),
+        _ if odd > 0.98 && odd < 1.0 => Action::SendAndClose(without_length(&bytes)),
+        _ => Action::SendSlowly(vec![bytes], slow),
     }
 }
 
@@ -156,12 +156,12 @@
 }
 
 /// The same answer with the id of no request, by chance.
-fn stray(act: Act, odd: f64) -> Act {
+fn stray(act: Action, odd: f64) -> Action {
     match act {
-        Act::Send(bytes) if odd < STRAY => Act::Send(renamed(&bytes)),
-        Act::Slowly(mut parts, pause) if odd < STRAY => {
+        Action::Send(bytes) if odd < STRAY => Action::Send(renamed(&bytes)),
+        Action::SendSlowly(mut parts, pause) if odd < STRAY => {
             parts[0] = renamed(&parts[0]);
-            Act::Slowly(parts, pause)
+            Action::SendSlowly(parts, pause)
         }
         act => act,
     }
--- a/crates/gateway/tests/soak/world.rs
+++ b/crates/gateway/tests/soak/world.rs
@@ -16,7 +16,7 @@
 use crate::common::daemon::Daemon;
 use crate::common::daemon::new_ip;
 use crate::common::daemon::wait_until;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::stream_head;
 use crate::common::store;
@@ -147,7 +147,7 @@
             }
             if request.path() == FATAL && stage == "decode" {
                 world.end_replica(&own, draw);
-                return Act::Crash(stream_head(request));
+                return Action::Crash(stream_head(request));
             }
             let act = script::serve(&world.ledger, stage, request, (draw, odd));
             if !is_limited || request.path().starts_with("/api/") {
