--- a/crates/gateway/tests/gateway/common/caller.rs
+++ b/crates/gateway/tests/gateway/common/caller.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! HTTP connection of a caller.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use super::http;
 use super::http::Message;
 
-/// Longest time that a test waits for an answer; far above what any takes.
+/// Read timeout; far longer than any answer takes.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A connection to a daemon.
+/// A caller with one connection to a daemon.
 #[derive(Debug)]
 pub struct Caller {
     /// The connection.
@@ -32,7 +32,7 @@
         self.read()
     }
 
-    /// Sends a request.
+    /// Sends a request without reading its answer.
     pub fn start_request(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) {
         let mut text = format!("{line} HTTP/1.1\r\nhost: shop.example\r\n");
         for (name, value) in headers {
--- a/crates/gateway/tests/gateway/common/daemon.rs
+++ b/crates/gateway/tests/gateway/common/daemon.rs
@@ -1,4 +1,4 @@
-//! The real daemon in a process of its own.
+//! Runs the gateway binary as a child process.
 
 use std::fs;
 use std::io::BufRead;
@@ -24,16 +24,16 @@
 use super::caller::Caller;
 use super::http::Message;
 
-/// Longest time that a test waits for something to happen.
+/// Longest wait for a condition, or for a daemon to exit.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Log lines of a daemon that a failed test shows.
+/// Log lines of a daemon that a failed test prints.
 const MAX_PRINTED_LINES: usize = 40;
 
 /// A daemon; killed when dropped.
 #[derive(Debug)]
 pub struct Daemon {
     child: Child,
-    /// Where it takes requests.
+    /// Address for requests of callers.
     pub callers: SocketAddr,
     addresses: SocketAddr,
     readiness: SocketAddr,
@@ -42,10 +42,10 @@
     lines: Arc<Mutex<Vec<String>>>,
 }
 
-/// Ports of each daemon; each has an address of its own.
+/// Ports of every daemon; the daemons of a test differ in their IP address.
 const PORTS: [u16; 5] = [7_001, 7_002, 7_003, 7_004, 7_005];
 
-/// A loopback address that nothing else of this process, or of another one, uses.
+/// Returns a loopback address that neither this nor another test process uses.
 pub fn new_ip() -> String {
     static USED: AtomicU32 = AtomicU32::new(0);
     let number = USED.fetch_add(1, Ordering::Relaxed);
@@ -63,12 +63,12 @@
         Self::start_with_settings(name, ip, store, seeds, "")
     }
 
-    /// The same with a daemon that is told that the whole system starts for the first time.
+    /// Starts a daemon whose settings say that the whole system starts for the first time.
     pub fn first_start(name: &str, ip: &str, store: SocketAddr) -> Self {
         Self::spawn(name, ip, store, &[], "first_start: true\n").collect_log_lines()
     }
 
-    /// Starts the daemon `name` at `ip` with more settings.
+    /// Starts the daemon `name` at `ip` with additional lines in its settings file.
     pub fn start_with_settings(
         name: &str,
         ip: &str,
@@ -91,7 +91,7 @@
         self
     }
 
-    /// Starts a daemon whose standard output nobody reads.
+    /// Starts a daemon whose standard output is not read.
     pub fn start_with_unread_output(
         name: &str,
         ip: &str,
@@ -140,23 +140,23 @@
         }
     }
 
-    /// Its settings file.
+    /// Path of its settings file.
     pub fn settings_path(&self) -> &PathBuf {
         &self.path
     }
 
-    /// Status of the answer to the platform's question whether it is ready; 0 without an answer.
+    /// Status of its readiness endpoint; 0 without an answer.
     pub fn readiness(&self) -> u16 {
         get(self.readiness, "/api/readyz").status()
     }
 
-    /// Waits until it is ready.
+    /// Waits until its readiness endpoint answers 200.
     pub fn wait_until_ready(&self) -> &Self {
         wait_until("the daemon is ready", || self.readiness() == 200);
         self
     }
 
-    /// The body of its answer to a caller that asks for addresses.
+    /// Body of its answer to an address lookup.
     pub fn addresses(&self) -> String {
         let path = "/api/resolve?name=shop.example&region=r&zone=here";
         String::from_utf8_lossy(&get(self.addresses, path).body).into_owned()
@@ -167,18 +167,18 @@
         String::from_utf8_lossy(&get(self.metrics, "/metrics").body).into_owned()
     }
 
-    /// A caller connected to it.
+    /// Connects a new caller.
     pub fn caller(&self) -> Caller {
         Caller::new(self.callers).unwrap()
     }
 
-    /// The log lines so far that contain `text`.
+    /// Log lines so far that contain `text`.
     pub fn logged(&self, text: &str) -> Vec<String> {
         let lines = self.lines.lock().unwrap();
         lines.iter().filter(|l| l.contains(text)).cloned().collect()
     }
 
-    /// The id of its process.
+    /// Process id.
     pub fn pid(&self) -> Pid {
         Pid::from_child(&self.child)
     }
@@ -188,13 +188,13 @@
         kill_process(self.pid(), signal).unwrap();
     }
 
-    /// Kills it.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Prints its last log lines beside the failure of a test, which cannot be explained without them.
+    /// Prints the last log lines, which are needed to explain the failure of a test.
     fn print_last_lines(&self) {
         let lines = self.logged("");
         let first_printed = lines.len().saturating_sub(MAX_PRINTED_LINES);
@@ -204,14 +204,14 @@
         }
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits by itself.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let end = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < end, "the daemon did not end");
+            assert!(Instant::now() < end, "the daemon did not exit in time");
             thread::sleep(Duration::from_millis(20));
         }
     }
@@ -226,11 +226,11 @@
     }
 }
 
-/// Waits until `condition`.
+/// Waits until `condition` is true; `what` describes it in the message of a timeout.
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "waited in vain until {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/gateway/tests/gateway/common/http.rs
+++ b/crates/gateway/tests/gateway/common/http.rs
@@ -1,4 +1,4 @@
-//! Just enough HTTP/1.1 to see and send exact bytes.
+//! Minimal HTTP/1.1 that lets tests inspect and send exact bytes.
 
 use std::collections::HashMap;
 use std::io;
@@ -15,16 +15,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// A message as it was read.
+/// A request or an answer as it was read.
 #[derive(Debug, Clone, Default)]
 pub struct Message {
     /// Request or status line.
     pub line: String,
     /// Header names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Its body, decoded.
+    /// Body without its chunk framing.
     pub body: Vec<u8>,
-    /// Whether the body came to its proper end.
+    /// Whether the body was read to its proper end.
     pub complete: bool,
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// An answer with a length.
+/// Encodes an answer with a `content-length`.
 pub fn answer(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut text = format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n", body.len());
     for (name, value) in headers {
@@ -114,10 +114,10 @@
     [text.as_bytes(), body].concat()
 }
 
-/// A listener whose connections are served by threads of their own, until it is stopped.
+/// A listener that serves each connection in a separate thread until it is stopped.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     /// Open connections, by number.
     sockets: Arc<Mutex<HashMap<usize, TcpStream>>>,
@@ -125,7 +125,7 @@
 }
 
 impl Server {
-    /// Serves each connection to a new port of `ip`.
+    /// Listens on a new port of `ip` and calls `handler` for each connection.
     pub fn start(ip: &str, handler: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind((ip, 0)).unwrap();
         let server = Self {
@@ -164,18 +164,18 @@
             thread::sleep(Duration::from_millis(1));
         }
         for (_, socket) in self.sockets.lock().unwrap().drain() {
-            // One that is closed already needs nothing.
+            // Fails if the connection is already closed.
             let _ = socket.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// Serves each connection to a new port of `ip` in a thread of its own; ends with the process.
+/// Starts a server that is not stopped before the process ends; returns its address.
 pub fn serve(ip: &str, handler: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
     Server::start(ip, handler).address
 }
 
-/// Sends `bytes`; `false` if the other side is gone.
+/// Sends `bytes`; returns `false` if the other side has closed the connection.
 pub fn send(socket: &mut TcpStream, bytes: &[u8]) -> bool {
     socket.write_all(bytes).is_ok()
 }
--- a/crates/gateway/tests/gateway/common/mod.rs
+++ b/crates/gateway/tests/gateway/common/mod.rs
@@ -1,4 +1,4 @@
-//! One small environment: the real daemon, with stand-ins for the platform's store and replicas.
+//! Test environment: the gateway binary, a stand-in store and scripted replicas.
 
 pub mod caller;
 pub mod daemon;
--- a/crates/gateway/tests/gateway/common/replica.rs
+++ b/crates/gateway/tests/gateway/common/replica.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a replica: a script answers each request.
+//! Stand-in for a replica that answers each request by a script.
 
 use std::net::SocketAddr;
 use std::net::TcpStream;
@@ -21,7 +21,7 @@
 use super::http::Server;
 use super::http::answer;
 
-/// What a replica does with a request.
+/// How a replica handles a request.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Sends these bytes and keeps the connection.
@@ -30,18 +30,18 @@
     SendAndClose(Vec<u8>),
     /// Sends these bytes and resets the connection after a pause.
     SendAndReset(Vec<u8>, Duration),
-    /// Sends these bytes, then nothing; notes when the other side closes.
+    /// Sends these bytes, then nothing; counts the connection if the other side closes it.
     SendAndHang(Vec<u8>),
     /// Sends parts with a pause before each.
     SendSlowly(Vec<Vec<u8>>, Duration),
-    /// The same, until the run is stopped; then closes the connection in the midst of the answer.
+    /// Like `SendSlowly`, but closes the connection in the middle of the answer once the flag is set.
     SendUntilStopped(Vec<Vec<u8>>, Duration, Arc<AtomicBool>),
-    /// Sends these bytes, then ends with all that it was doing.
+    /// Sends these bytes, then stops the whole replica and closes all its connections.
     Crash(Vec<u8>),
 }
 
 impl Action {
-    /// The bytes of a whole answer; none where the connection does not outlast it.
+    /// Bytes of the complete answer; empty for an action that may close the connection.
     fn bytes(&self) -> Vec<u8> {
         match self {
             Self::Send(bytes) => bytes.clone(),
@@ -51,13 +51,13 @@
     }
 }
 
-/// How the second answer to a request comes, on the same connection.
+/// When and how a request is answered a second time on the same connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SecondAnswer {
-    /// Time after which it comes, between two answers; without one it comes where the answer to the next request is
-    /// due, and ahead of it.
+    /// Time after which it is sent, never in the middle of another answer. `None`: it is sent when the next request
+    /// arrives, before the answer to that one.
     pub delay: Option<Duration>,
-    /// Parts in which it comes after that time, which passes between them as well.
+    /// Number of parts in which it is sent, with the same delay between them.
     pub parts: usize,
 }
 
@@ -66,32 +66,32 @@
 type CallHandler = OnceLock<Box<dyn Fn(&Message) -> Option<Vec<u8>> + Send + Sync>>;
 type SecondAnswerRule = OnceLock<Box<dyn Fn(&Message) -> Option<SecondAnswer> + Send + Sync>>;
 
-/// What its connections share with the test.
+/// State shared by the connections of a replica and the test.
 #[derive(Default)]
 struct State {
     requests: Mutex<Vec<Message>>,
     abandoned: AtomicUsize,
-    /// When it started, as it tells in answers of its own; 0 if it does not.
+    /// Start time that the replica reports in its reservations; 0 if it reports none.
     start_time_ms: AtomicU64,
     report_condition: ReportCondition,
-    /// Answers to calls of the daemon's own in place of the usual ones.
+    /// Replaces the default answers to the daemon's own calls.
     call_handler: CallHandler,
-    /// Which requests are answered twice.
+    /// Decides which requests are answered twice.
     second_answer_rule: SecondAnswerRule,
-    /// Second answers that were sent.
+    /// Second answers sent so far.
     second_answers: AtomicUsize,
-    /// Connections that were opened to it.
+    /// Connections opened so far.
     connections: AtomicUsize,
-    /// Whether it closes each new connection at once.
+    /// Whether each new connection is closed at once.
     closes_new_connections: AtomicBool,
-    /// Reservations that were made.
+    /// Reservations made so far.
     holds: AtomicUsize,
 }
 
-/// A replica.
+/// A scripted replica.
 #[derive(Clone)]
 pub struct Replica {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     /// Its id.
     pub id: String,
@@ -100,7 +100,7 @@
 }
 
 impl Replica {
-    /// Starts one that answers by `script`; reservations and reports are answered by itself.
+    /// Starts a replica that answers by `script`; reservations and reports have default answers.
     pub fn start(id: &str, script: impl Fn(&Message) -> Action + Send + Sync + 'static) -> Self {
         let script: Arc<Script> = Arc::new(script);
         let state = Arc::new(State::default());
@@ -126,13 +126,13 @@
         }
     }
 
-    /// Asks `answers` each time whether a question for its report is answered.
+    /// Leaves a report request unanswered when `answers` returns `false`.
     pub fn answer_reports_if(&self, answers: impl Fn() -> bool + Send + Sync + 'static) {
         assert!(self.state.report_condition.set(Box::new(answers)).is_ok());
     }
 
-    /// Answers a reservation, a report or another call of the daemon's own with what `answers` gives for it, if it
-    /// gives anything.
+    /// Answers a reservation, a report or another call of the daemon's own with the bytes that `answers` returns; on
+    /// `None` the default answer is sent.
     pub fn set_call_handler(
         &self,
         answers: impl Fn(&Message) -> Option<Vec<u8>> + Send + Sync + 'static,
@@ -140,8 +140,8 @@
         assert!(self.state.call_handler.set(Box::new(answers)).is_ok());
     }
 
-    /// Answers those requests twice for which `twice` holds. The second answer comes late: on the same connection,
-    /// where the answer to the next request is due, and ahead of it.
+    /// Answers the requests for which `twice` is true a second time: on the same connection when the next request
+    /// arrives, before the answer to that one.
     pub fn answer_twice_if(&self, twice: impl Fn(&Message) -> bool + Send + Sync + 'static) {
         let next = SecondAnswer {
             delay: None,
@@ -150,7 +150,7 @@
         self.set_second_answers(move |request| twice(request).then_some(next));
     }
 
-    /// Asks `how` for each request whether it is answered again.
+    /// Calls `how` for each request to decide whether it is answered a second time.
     pub fn set_second_answers(
         &self,
         how: impl Fn(&Message) -> Option<SecondAnswer> + Send + Sync + 'static,
@@ -158,34 +158,34 @@
         assert!(self.state.second_answer_rule.set(Box::new(how)).is_ok());
     }
 
-    /// Second answers that it sent.
+    /// Number of second answers sent so far.
     pub fn second_answer_count(&self) -> usize {
         self.state.second_answers.load(Ordering::SeqCst)
     }
 
-    /// Connections that were opened to it.
+    /// Number of connections opened so far.
     pub fn connection_count(&self) -> usize {
         self.state.connections.load(Ordering::SeqCst)
     }
 
-    /// Closes each new connection at once from now on, as one that has too many does.
+    /// Closes each new connection at once from now on, like a replica at its connection limit.
     pub fn close_new_connections(&self) {
         self.state
             .closes_new_connections
             .store(true, Ordering::SeqCst);
     }
 
-    /// Ends it with all that it is doing.
+    /// Stops the replica and closes all its connections.
     pub fn crash(&self) {
         self.server.wait().stop();
     }
 
-    /// Tells from now on that it started at `ms`.
+    /// Reports `ms` as its start time from now on.
     pub fn set_start_time(&self, ms: u64) {
         self.state.start_time_ms.store(ms, Ordering::SeqCst);
     }
 
-    /// Starts one that reads prompts; their memory is called `k1`.
+    /// Starts a prefill replica that names each KV cache `k1`.
     pub fn start_prefill(id: &str) -> Self {
         Self::start(id, |_| {
             let body = br#"{"kv-handle":"k1","tokens":1460,"version":1}"#;
@@ -193,7 +193,7 @@
         })
     }
 
-    /// Its row in the store; `stage` is empty for a plain application.
+    /// Row of the replica in the store; `stage` is empty for a plain application.
     pub fn row(&self, service: &str, stage: &str) -> Value {
         let mut row = json!({"service": service, "addr": self.address, "zone": "here", "version": "v1",
             "slots": 8, "state": "ready", "cold-left-ms": 0, "seq": 1});
@@ -203,27 +203,27 @@
         row
     }
 
-    /// Requests that it saw, without reservations and reports.
+    /// Requests received so far, without reservations and reports.
     pub fn requests(&self) -> Vec<Message> {
         self.state.requests.lock().unwrap().clone()
     }
 
-    /// Connections that the other side closed while it hung.
+    /// Number of connections that the other side closed during `SendAndHang`.
     pub fn abandoned_count(&self) -> usize {
         self.state.abandoned.load(Ordering::SeqCst)
     }
 }
 
-/// How a replica left a connection.
+/// Why a replica stopped serving a connection.
 #[derive(Debug, PartialEq)]
 enum ConnectionEnd {
-    /// It closed it, or the other side did.
+    /// The replica or the other side closed it.
     Closed,
-    /// The whole replica is to end.
+    /// The whole replica has to stop.
     Crashed,
 }
 
-/// Sends an answer a second time once `wait` is over, in `parts` parts; `writing` is held while a whole answer is sent.
+/// Sends an answer a second time after `delay`, in `parts` parts; `write_lock` is held while a whole answer is sent.
 fn send_second_answer(
     socket: &TcpStream,
     write_lock: &Arc<Mutex<()>>,
@@ -326,7 +326,7 @@
     ConnectionEnd::Closed
 }
 
-/// What a replica does with `request`; `None` if it does not answer.
+/// Chooses how `request` is handled; `None` leaves it unanswered.
 fn choose_action(request: &Message, script: &Arc<Script>, state: &State) -> Option<Action> {
     if let Some(bytes) = state
         .call_handler
@@ -376,13 +376,13 @@
     )
 }
 
-/// An answer that says that the request was not run.
+/// An unsigned answer that says that the request was not run.
 pub fn not_run_answer(request: &Message) -> Vec<u8> {
     let id = request.header("request-id").unwrap_or_default();
     answer(503, &[("request-id", id), ("not-run", "1")], b"")
 }
 
-/// The head of a signed stream, in chunks.
+/// The head of a signed stream with chunked encoding.
 pub fn stream_head(request: &Message) -> Vec<u8> {
     let id = request.header("request-id").unwrap_or_default();
     format!(
@@ -391,7 +391,7 @@
     .into_bytes()
 }
 
-/// One chunk of a stream; empty for its end.
+/// One chunk of a stream; an empty one ends the stream.
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     let size = format!("{:x}\r\n", bytes.len()).into_bytes();
     [&size, bytes, b"\r\n"].concat()
--- a/crates/gateway/tests/gateway/common/store.rs
+++ b/crates/gateway/tests/gateway/common/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store.
+//! In-memory stand-in for the platform's store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,18 +26,18 @@
     removed: BTreeMap<(String, String), u64>,
     /// Connections opened so far.
     connections: u64,
-    /// Connections with a lower number get no answer any more.
+    /// Connections with a lower number are no longer answered.
     silent_below: u64,
-    /// Calls that came so far.
+    /// Calls received so far.
     calls: u64,
     /// Whether each call is answered twice.
     answers_twice: bool,
-    /// Second answers that were sent.
+    /// Second answers sent so far.
     second_answers: u64,
 }
 
 impl Inner {
-    /// Removes a row at the present version.
+    /// Removes a row at the current version.
     fn remove(&mut self, table: &str, key: &str) {
         let row = (table.to_owned(), key.to_owned());
         if self.rows.remove(&row).is_some() {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The store; its rows can be changed by the test.
+/// The store; the test reads and writes its rows directly.
 #[derive(Debug, Clone, Default)]
 pub struct Store {
     inner: Arc<(Mutex<Inner>, Condvar)>,
@@ -66,7 +66,7 @@
 }
 
 impl Store {
-    /// Starts one that listens on `ip`.
+    /// Starts a store on a new port of `ip`; returns it with its address.
     pub fn start(ip: &str) -> (Self, SocketAddr) {
         let store = Self::default();
         let own = store.clone();
@@ -91,7 +91,7 @@
         self.put_bytes(table, key, value.to_string().as_bytes());
     }
 
-    /// Writes a row whose value need not be JSON.
+    /// Writes a row with any bytes as its value.
     pub fn put_bytes(&self, table: &str, key: &str, value: &[u8]) {
         let mut inner = self.inner.0.lock().unwrap();
         inner.version += 1;
@@ -133,18 +133,18 @@
         self.down.store(down, Ordering::SeqCst);
     }
 
-    /// Answers each call twice from now on. The second answer comes late: on the same connection, where the answer to
-    /// the next call is due, and ahead of it.
+    /// Answers each call twice from now on: the second answer is sent on the same connection when the next call
+    /// arrives, before the answer to that one.
     pub fn answer_twice(&self) {
         self.inner.0.lock().unwrap().answers_twice = true;
     }
 
-    /// Second answers that it sent.
+    /// Number of second answers sent so far.
     pub fn second_answer_count(&self) -> u64 {
         self.inner.0.lock().unwrap().second_answers
     }
 
-    /// Connections that were opened, and calls that came, so far.
+    /// Numbers of connections opened and calls received so far.
     pub fn connection_and_call_counts(&self) -> (u64, u64) {
         let inner = self.inner.0.lock().unwrap();
         (inner.connections, inner.calls)
@@ -157,7 +157,7 @@
         row.map_or(0, |(_, version)| *version)
     }
 
-    /// Leaves all connections that are open without further answers; new ones work.
+    /// Stops answering on all connections that are open; new ones work.
     pub fn silence_open_connections(&self) {
         let mut inner = self.inner.0.lock().unwrap();
         inner.silent_below = inner.connections;
@@ -232,7 +232,7 @@
         drop(self.inner.1.wait_timeout_while(inner, limit, unchanged));
     }
 
-    /// The rows of `table`, or what changed of them after a version.
+    /// The rows of `table`, or the rows changed and removed after a version.
     fn rows(&self, table: &str, after: Option<u64>) -> Value {
         let inner = self.inner.0.lock().unwrap();
         let rows = inner.rows.iter();
@@ -280,7 +280,7 @@
     }
 }
 
-/// A configuration with a route of each kind, with these limits in milliseconds.
+/// A configuration with a route of each kind; `timeout_ms` and `objective_ms` apply to all routes.
 pub fn config(version: u64, timeout_ms: u64, objective_ms: u64) -> Value {
     let route = |name: &str, kind: &str, service: &str, attempts: u32| {
         json!({"name": name, "host": "shop.example", "prefix": format!("/{name}/"), "kind": kind,
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The real daemon against stand-ins for the platform and its replicas.
+//! Tests of the gateway binary against a stand-in store and scripted replicas.
 
 mod birth;
 mod common;
