--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,23 +1,23 @@
 //! Tests of the gateway binary against a stand-in store and scripted replicas.
 
-mod birth;
 mod common;
-mod crowded;
+mod connection_limits;
+mod discovery;
 mod ingress;
 mod keys;
-mod late_news;
 mod lifecycle;
 mod limit;
+mod list_confirmation;
 mod members;
-mod moves;
+mod migration;
 mod plain;
 mod quarantine;
 mod quotas;
+mod restarts;
 mod second_answers;
 mod second_calls;
 mod second_store;
 mod site;
 mod stages;
 mod stream;
-mod whole;
-mod world;
+mod truncation;
