--- a/crates/gateway/tests/gateway/connection_limits.rs
+++ b/crates/gateway/tests/gateway/connection_limits.rs
@@ -28,8 +28,8 @@
 /// Sends a call, and gives what the daemon finds out of the replica that broke it off.
 fn verdict(site: &Site) -> String {
     let mut caller = site.daemon.caller();
-    let told = caller.send_and_read("POST /book/1", &headers("c1"), b"");
-    assert_eq!(told.status(), 502);
+    let response = caller.send_and_read("POST /book/1", &headers("c1"), b"");
+    assert_eq!(response.status(), 502);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
     wait_until("it is found out", || !verdicts().is_empty());
     verdicts().remove(0)
@@ -51,8 +51,8 @@
 fn a_replica_that_closes_new_connections_has_not_ended() {
     let replica = breaking(Replica::close_new_connections);
     let site = Site::start("crowded", &[(&replica, "app", "")]);
-    let told = verdict(&site);
-    assert!(told.contains("\"presence\":\"Here\""), "{told}");
+    let line = verdict(&site);
+    assert!(line.contains("\"presence\":\"Here\""), "{line}");
     assert!(
         site.daemon
             .logged("a replica ended while at work")
@@ -78,8 +78,8 @@
 fn a_replica_whose_port_is_closed_has_ended() {
     let replica = breaking(Replica::crash);
     let site = Site::start("not-crowded", &[(&replica, "app", "")]);
-    let told = verdict(&site);
-    assert!(told.contains("\"presence\":\"Ended\""), "{told}");
+    let line = verdict(&site);
+    assert!(line.contains("\"presence\":\"Ended\""), "{line}");
 }
 
 /// It takes connections and never answers, as a process does that hangs.
@@ -88,8 +88,8 @@
     let replica = breaking(|_| ());
     replica.answer_reports_if(|| false);
     let site = Site::start("hangs", &[(&replica, "app", "")]);
-    let told = verdict(&site);
-    assert!(told.contains("\"presence\":\"Unknown\""), "{told}");
+    let line = verdict(&site);
+    assert!(line.contains("\"presence\":\"Unknown\""), "{line}");
     wait_until("it counts", || {
         !site
             .daemon
@@ -110,10 +110,10 @@
         200
     );
     decode.close_new_connections();
-    let told = generate(&site.daemon, "/draft/1", "a2").read();
+    let response = generate(&site.daemon, "/draft/1", "a2").read();
     let silent = site.daemon.logged("a replica did not answer");
-    assert_eq!((told.status(), silent.len()), (503, 0), "{silent:?}");
-    assert!(told.header("retry-after").is_some());
+    assert_eq!((response.status(), silent.len()), (503, 0), "{silent:?}");
+    assert!(response.header("retry-after").is_some());
 }
 
 /// A stream pauses for longer than the daemon waits before it asks whether the replica is there. That one takes no more
@@ -148,8 +148,9 @@
         one.requests().len() + two.requests().len() > sent
     });
     let last = |replica: &Replica| {
-        let seen = replica.requests();
-        seen.last()
+        let received = replica.requests();
+        received
+            .last()
             .is_some_and(|request| request.header("request-id") == Some("a1"))
     };
     if last(&one) {
@@ -167,12 +168,12 @@
 fn a_prompt_is_not_given_up_where_its_replica_closes_new_connections() {
     let prefill = Replica::start("i-p", |request| {
         let id = request.header("request-id").unwrap_or_default();
-        let told = answer(
+        let bytes = answer(
             200,
             &[("request-id", id)],
             br#"{"kv-handle":"k1","tokens":1460,"version":1}"#,
         );
-        Action::SendSlowly(vec![told], LONG_READ)
+        Action::SendSlowly(vec![bytes], LONG_READ)
     });
     let decode = Replica::start("i-d", |request| {
         Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
@@ -182,10 +183,10 @@
     wait_until("the prompt is sent", || prefill.requests().len() == 1);
     prefill.close_new_connections();
     assert_eq!(caller.read().status(), 200);
-    let seen = decode.requests();
+    let received = decode.requests();
     let given_up = site
         .daemon
         .logged("the prompt is not read, and the replica does not answer");
     assert!(given_up.is_empty(), "{given_up:?}");
-    assert!(seen[0].header("kv-source").is_some());
+    assert!(received[0].header("kv-source").is_some());
 }
--- a/crates/gateway/tests/gateway/discovery.rs
+++ b/crates/gateway/tests/gateway/discovery.rs
@@ -30,9 +30,9 @@
     site.store.put("servers", "i-1", &replica.row("app", ""));
     wait_until("it answers", || other.readiness() != 0);
     assert_eq!(other.readiness(), 503);
-    let told = send_and_read(&other, "GET /read/1", "a");
-    assert_eq!(told.status(), 503);
-    assert!(told.header("retry-after").is_some());
+    let response = send_and_read(&other, "GET /read/1", "a");
+    assert_eq!(response.status(), 503);
+    assert!(response.header("retry-after").is_some());
 }
 
 #[test]
@@ -96,8 +96,8 @@
     site.store.set_down(true);
     let late = site.another("late", true);
     late.wait_until_ready();
-    let told = send_and_read(&late, "GET /read/1", "a1");
-    assert_eq!(told.status(), 200);
+    let response = send_and_read(&late, "GET /read/1", "a1");
+    assert_eq!(response.status(), 200);
 }
 
 #[test]
@@ -120,13 +120,13 @@
     let replica = echo("i-1");
     let site = Site::start("names", &[(&replica, "app", "")]);
     let other = site.another("named", false);
-    let told = |text: &str, daemon: &Daemon| text.contains(&daemon.callers.to_string());
-    let both = |text: &str| told(text, &site.daemon) && told(text, &other);
+    let lists = |text: &str, daemon: &Daemon| text.contains(&daemon.callers.to_string());
+    let lists_both = |text: &str| lists(text, &site.daemon) && lists(text, &other);
     wait_until("both are told", || {
-        both(&site.daemon.addresses()) && both(&other.addresses())
+        lists_both(&site.daemon.addresses()) && lists_both(&other.addresses())
     });
     other.signal(rustix::process::Signal::TERM);
-    wait_until("one is told", || !told(&site.daemon.addresses(), &other));
+    wait_until("one is told", || !lists(&site.daemon.addresses(), &other));
     wait_until("its row is gone", || !site.store.has("instances", "named"));
     assert_eq!(other.readiness(), 503);
 }
@@ -225,8 +225,8 @@
     list_dead(&site, 40);
     let late = site.another("crowded-too", false);
     late.wait_until_ready();
-    let told = send_and_read(&late, "GET /read/1", "a1");
-    assert_eq!(told.status(), 200);
+    let response = send_and_read(&late, "GET /read/1", "a1");
+    assert_eq!(response.status(), 200);
 }
 
 #[test]
--- a/crates/gateway/tests/gateway/ingress.rs
+++ b/crates/gateway/tests/gateway/ingress.rs
@@ -33,8 +33,8 @@
     #[case] status: u16,
 ) {
     let (replica, site) = site(name);
-    let told = site.daemon.caller().send_and_read(line, headers, b"");
-    assert_eq!(told.status(), status);
+    let response = site.daemon.caller().send_and_read(line, headers, b"");
+    assert_eq!(response.status(), status);
     assert!(replica.requests().is_empty());
 }
 
@@ -42,12 +42,12 @@
 fn a_head_that_is_too_long_is_rejected() {
     let (replica, site) = site("long-head");
     let long = "x".repeat(20_000);
-    let told = site.daemon.caller().send_and_read(
+    let response = site.daemon.caller().send_and_read(
         "GET /read/1",
         &[("Request-Id", "a"), ("X-Long", &long)],
         b"",
     );
-    assert_eq!(told.status(), 431);
+    assert_eq!(response.status(), 431);
     assert!(replica.requests().is_empty());
 }
 
@@ -57,13 +57,13 @@
     let (replica, site) = site("smuggled");
     let inner = b"GET /read/2 HTTP/1.1\r\nhost: shop.example\r\nrequest-id: b\r\n\r\n";
     let mut caller = site.daemon.caller();
-    let told = caller.send_and_read("POST /none/1", &[("Request-Id", "a")], inner);
-    assert_eq!(told.status(), 404);
-    let told = caller.send_and_read("POST /read/1", &[("Request-Id", "c")], inner);
-    assert_eq!(told.status(), 200);
-    let seen = replica.requests();
-    assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].body, inner);
+    let response = caller.send_and_read("POST /none/1", &[("Request-Id", "a")], inner);
+    assert_eq!(response.status(), 404);
+    let response = caller.send_and_read("POST /read/1", &[("Request-Id", "c")], inner);
+    assert_eq!(response.status(), 200);
+    let received = replica.requests();
+    assert_eq!(received.len(), 1);
+    assert_eq!(received[0].body, inner);
 }
 
 #[test]
@@ -73,14 +73,14 @@
     let head = "POST /read/1 HTTP/1.1\r\nhost: shop.example\r\nrequest-id: a\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n";
     http::send(&mut caller.socket, head.as_bytes());
     http::send(&mut caller.socket, b"5\r\nhello\r\n0\r\n\r\n");
-    let told = caller.read();
+    let response = caller.read();
     // Either is safe: the request is rejected, or it is relayed with the chunks as its only body.
     let bodies: Vec<Vec<u8>> = replica
         .requests()
         .into_iter()
-        .map(|seen| seen.body)
+        .map(|received| received.body)
         .collect();
-    assert!(told.status() == 400 && bodies.is_empty() || bodies == [b"hello"]);
+    assert!(response.status() == 400 && bodies.is_empty() || bodies == [b"hello"]);
 }
 
 #[test]
--- a/crates/gateway/tests/gateway/keys.rs
+++ b/crates/gateway/tests/gateway/keys.rs
@@ -45,10 +45,10 @@
 /// Puts `config` in force.
 fn put(site: &Site, config: &Value) {
     site.store.put("op", "config", config);
-    let told = format!("\"version\":{}", config["version"]);
+    let version_field = format!("\"version\":{}", config["version"]);
     wait_until("the plan is in force", || {
         let plans = site.daemon.logged("\"a plan is in force\"");
-        plans.iter().any(|plan| plan.contains(&told))
+        plans.iter().any(|plan| plan.contains(&version_field))
     });
 }
 
@@ -79,16 +79,16 @@
         ("Request-Priority", "0"),
         ("Connection", "keep-alive, X-Api-Key, Tenant"),
     ];
-    let told = site
+    let response = site
         .daemon
         .caller()
         .send_and_read("POST /read/1", &sent, b"{}");
-    assert_eq!(told.status(), 200);
-    let seen = replica.requests().remove(0);
-    assert_eq!(seen.header("tenant"), Some("krmiva"));
-    assert_eq!(seen.header("request-priority"), Some("3"));
-    assert_eq!(seen.header("x-api-key"), None);
-    let tenants = seen.headers.iter().filter(|(name, _)| name == "tenant");
+    assert_eq!(response.status(), 200);
+    let received = replica.requests().remove(0);
+    assert_eq!(received.header("tenant"), Some("krmiva"));
+    assert_eq!(received.header("request-priority"), Some("3"));
+    assert_eq!(received.header("x-api-key"), None);
+    let tenants = received.headers.iter().filter(|(name, _)| name == "tenant");
     assert_eq!(tenants.count(), 1);
 }
 
@@ -113,10 +113,15 @@
     let body = format!("2\r\nhi\r\n0\r\nX-Api-Key: {KEY}\r\nTenant: krmiva\r\n\r\n");
     crate::common::http::send(&mut caller.socket, body.as_bytes());
     assert!(caller.read().complete);
-    for seen in [prefill.requests().remove(0), decode.requests().remove(0)] {
-        assert_eq!(seen.header("tenant"), Some("farma"), "{}", seen.line);
-        assert_eq!(seen.header("x-api-key"), None);
-        assert!(!format!("{seen:?}").contains(KEY));
+    for received in [prefill.requests().remove(0), decode.requests().remove(0)] {
+        assert_eq!(
+            received.header("tenant"),
+            Some("farma"),
+            "{}",
+            received.line
+        );
+        assert_eq!(received.header("x-api-key"), None);
+        assert!(!format!("{received:?}").contains(KEY));
     }
 }
 
@@ -135,12 +140,12 @@
     let site = start(name, &[(&replica, "app", "")]);
     let mut sent = vec![("Request-Id", "a1")];
     sent.extend(keys.iter().map(|key| ("X-Api-Key", *key)));
-    let told = site
+    let response = site
         .daemon
         .caller()
         .send_and_read("GET /read/1", &sent, b"");
-    assert_eq!(told.status(), 401);
-    assert!(String::from_utf8_lossy(&told.body).contains("X-Api-Key"));
+    assert_eq!(response.status(), 401);
+    assert!(String::from_utf8_lossy(&response.body).contains("X-Api-Key"));
     assert!(replica.requests().is_empty());
 }
 
@@ -152,11 +157,11 @@
     public["routes"][0]["public"] = true.into();
     put(&site, &public);
     let sent = [("Request-Id", "a1"), ("Tenant", "krmiva")];
-    let told = site
+    let response = site
         .daemon
         .caller()
         .send_and_read("GET /read/1", &sent, b"");
-    assert_eq!(told.status(), 200);
+    assert_eq!(response.status(), 200);
     assert_eq!(replica.requests()[0].header("tenant"), None);
     assert_eq!(
         send_and_read(&site, "GET /read/1", "a2", NEW_KEY).status(),
@@ -240,8 +245,8 @@
     let mut caller = started.daemon.caller();
     *site.lock().unwrap() = Some(started);
     let sent = [("Request-Id", "a1"), ("X-Api-Key", KEY)];
-    let told = caller.send_and_read("GET /read/1", &sent, b"");
-    assert_eq!(told.status(), 401);
+    let response = caller.send_and_read("GET /read/1", &sent, b"");
+    assert_eq!(response.status(), 401);
     assert_eq!(one.requests().len() + two.requests().len(), 1);
     // The replicas outlast the test, and would keep the daemon.
     drop(site.lock().unwrap().take());
@@ -269,9 +274,9 @@
     let mut revoked = with_customers(3);
     revoked["tenants"][0]["api-keys"] = json!([]);
     put(&site, &revoked);
-    let told = caller.read();
-    assert!(told.complete);
-    assert!(String::from_utf8_lossy(&told.body).contains("id: 3\n"));
+    let response = caller.read();
+    assert!(response.complete);
+    assert!(String::from_utf8_lossy(&response.body).contains("id: 3\n"));
 }
 
 #[test]
@@ -302,8 +307,8 @@
     written.push(format!("{answers:?}"));
     let instances = site.store.keys("instances").into_iter();
     written.extend(instances.map(|name| format!("{:?}", site.store.get("instances", &name))));
-    let seen = [&failing, &prefill, &decode].map(|replica| format!("{:?}", replica.requests()));
-    written.extend(seen);
+    let received = [&failing, &prefill, &decode].map(|replica| format!("{:?}", replica.requests()));
+    written.extend(received);
     let shown = written
         .iter()
         .find(|text| text.contains(KEY) || text.contains(NEW_KEY));
--- a/crates/gateway/tests/gateway/lifecycle.rs
+++ b/crates/gateway/tests/gateway/lifecycle.rs
@@ -30,12 +30,12 @@
     wait_until("the call arrives", || replica.requests().len() == 1);
     site.daemon.signal(Signal::TERM);
     wait_until("it is not ready", || site.daemon.readiness() == 503);
-    let told = caller.read();
+    let response = caller.read();
     assert_eq!(
-        (told.status(), told.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"late".as_slice())
     );
-    assert_eq!(told.header("connection"), Some("close"));
+    assert_eq!(response.header("connection"), Some("close"));
     assert!(site.daemon.wait_for_exit().success());
     wait_until("the end is logged", || {
         !site.daemon.logged("stopped").is_empty()
@@ -192,7 +192,7 @@
     #[case] name: &str,
     #[case] text: &str,
     #[case] code: i32,
-    #[case] told: &str,
+    #[case] expected_error: &str,
 ) {
     // Several runs of the tests may share the directory.
     let run = process::id();
@@ -204,7 +204,7 @@
         .unwrap();
     let error = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(code), "{error}");
-    assert!(error.contains(told), "{error}");
+    assert!(error.contains(expected_error), "{error}");
     assert!(code == 0 || error.contains("try:"), "{error}");
 }
 
--- a/crates/gateway/tests/gateway/migration.rs
+++ b/crates/gateway/tests/gateway/migration.rs
@@ -83,28 +83,28 @@
     fn start(how: Answer) -> Self {
         let moves: Arc<Mutex<Vec<Value>>> = Arc::default();
         let stops: Arc<Mutex<HashMap<String, Arc<AtomicBool>>>> = Arc::default();
-        let seen = Arc::clone(&moves);
+        let received = Arc::clone(&moves);
         let replica = Replica::start("i-1", move |request| match request.path() {
             "/api/kv-move" => {
                 let asked: Value = serde_json::from_slice(&request.body).unwrap();
                 let id = asked["id"].as_str().unwrap().to_owned();
-                let mut seen = seen.lock().unwrap();
-                seen.push(asked);
+                let mut received = received.lock().unwrap();
+                received.push(asked);
                 if how == Answer::Unknown {
                     return Action::Send(answer(404, &[], b"{}"));
                 }
                 if let Some(stop) = stops.lock().unwrap().get(&id) {
                     stop.store(true, Ordering::SeqCst);
                 }
-                let told = br#"{"kv-handle":"m1","created":5}"#;
+                let body = br#"{"kv-handle":"m1","created":5}"#;
                 match how {
-                    Answer::OnlyStopped => Action::Send(answer(503, &[], told)),
+                    Answer::OnlyStopped => Action::Send(answer(503, &[], body)),
                     Answer::Lost | Answer::LostWithoutLength => Action::SendAndClose(Vec::new()),
-                    Answer::LostOnce | Answer::LostThen(_) if seen.len() == 1 => {
+                    Answer::LostOnce | Answer::LostThen(_) if received.len() == 1 => {
                         Action::SendAndClose(Vec::new())
                     }
                     Answer::LostThen(status) => Action::Send(answer(status, &[], b"{}")),
-                    _ => Action::Send(answer(200, &[], told)),
+                    _ => Action::Send(answer(200, &[], body)),
                 }
             }
             path if path.starts_with("/api/") => Action::Send(answer(200, &[], b"{}")),
@@ -135,8 +135,9 @@
 }
 
 fn continued(replica: &Replica) -> Vec<Message> {
-    let seen = replica.requests().into_iter();
-    seen.filter(|request| request.header("kv-source").is_some())
+    let received = replica.requests().into_iter();
+    received
+        .filter(|request| request.header("kv-source").is_some())
         .collect()
 }
 
@@ -171,8 +172,8 @@
     });
     let newer = generate(&site.daemon, path, "a2");
     wait_until("both runs are there", || {
-        let seen = source.replica.requests().into_iter();
-        seen.filter(|request| request.body == b"prompt").count() == 2
+        let received = source.replica.requests().into_iter();
+        received.filter(|request| request.body == b"prompt").count() == 2
     });
     let row = target.row("llm", "decode");
     site.store.put("servers", &target.id, &row);
@@ -187,9 +188,13 @@
 /// Both answers have every event once, in order.
 fn both_are_whole(callers: (Caller, Caller)) {
     for mut caller in [callers.0, callers.1] {
-        let told = caller.read();
-        assert!(told.complete, "{}", String::from_utf8_lossy(&told.body));
-        assert_eq!(String::from_utf8_lossy(&told.body), texts());
+        let response = caller.read();
+        assert!(
+            response.complete,
+            "{}",
+            String::from_utf8_lossy(&response.body)
+        );
+        assert_eq!(String::from_utf8_lossy(&response.body), texts());
     }
 }
 
@@ -272,8 +277,12 @@
     let target = target();
     let site = site("move-lost-unframed", &source);
     let (_older, mut newer) = two_runs(&site, &source, &target, "/draft/1");
-    let told = newer.read();
-    assert!(!told.complete, "{}", String::from_utf8_lossy(&told.body));
+    let response = newer.read();
+    assert!(
+        !response.complete,
+        "{}",
+        String::from_utf8_lossy(&response.body)
+    );
     assert!(!source.moves().is_empty());
 }
 
@@ -291,10 +300,14 @@
     let target = target();
     let site = site(&format!("move-lost-then-{status}"), &source);
     let (_older, mut newer) = two_runs(&site, &source, &target, "/draft/1");
-    let told = newer.read();
+    let response = newer.read();
     assert!(source.moves().len() >= 2, "{:?}", source.moves());
-    assert_ne!(String::from_utf8_lossy(&told.body), texts());
-    assert!(!told.complete, "{}", String::from_utf8_lossy(&told.body));
+    assert_ne!(String::from_utf8_lossy(&response.body), texts());
+    assert!(
+        !response.complete,
+        "{}",
+        String::from_utf8_lossy(&response.body)
+    );
 }
 
 #[test]
@@ -319,9 +332,9 @@
     wait_until("the run goes on", || !continued(&target).is_empty());
     drop((older, newer));
     wait_until("the memory is freed", || {
-        let seen = source.replica.requests();
+        let received = source.replica.requests();
         let freed = |request: &Message| request.path() == "/api/kv-handle/m1";
-        seen.iter().any(freed)
+        received.iter().any(freed)
     });
 }
 
--- a/crates/gateway/tests/gateway/plain.rs
+++ b/crates/gateway/tests/gateway/plain.rs
@@ -39,16 +39,16 @@
         ("Kv-Backup", "127.0.0.1:1"),
         ("Expect-Instance", "i-other"),
     ];
-    let told = caller.send_and_read("POST /read/a%2fb//c?x=1&y=%20", &sent, b"{\"a\": 1}");
-    assert_eq!(told.status(), 200);
-    assert_eq!(told.body, b"done");
-    assert_eq!(told.header("response-seal"), Some("s.1"));
-    let seen = replica.requests().remove(0);
-    assert_eq!(seen.line, "POST /read/a%2fb//c?x=1&y=%20 HTTP/1.1");
-    assert_eq!(seen.body, b"{\"a\": 1}");
-    assert_eq!(seen.header("request-id"), Some("a1"));
-    assert_eq!(seen.header("x-own"), Some("kept"));
-    assert_eq!(seen.header("expect-instance"), Some("i-1"));
+    let response = caller.send_and_read("POST /read/a%2fb//c?x=1&y=%20", &sent, b"{\"a\": 1}");
+    assert_eq!(response.status(), 200);
+    assert_eq!(response.body, b"done");
+    assert_eq!(response.header("response-seal"), Some("s.1"));
+    let received = replica.requests().remove(0);
+    assert_eq!(received.line, "POST /read/a%2fb//c?x=1&y=%20 HTTP/1.1");
+    assert_eq!(received.body, b"{\"a\": 1}");
+    assert_eq!(received.header("request-id"), Some("a1"));
+    assert_eq!(received.header("x-own"), Some("kept"));
+    assert_eq!(received.header("expect-instance"), Some("i-1"));
     for dropped in [
         "x-hop",
         "stage",
@@ -57,9 +57,9 @@
         "pin-ms",
         "kv-backup",
     ] {
-        assert_eq!(seen.header(dropped), None, "{dropped}");
+        assert_eq!(received.header(dropped), None, "{dropped}");
     }
-    let left: u64 = seen.header("deadline-ms").unwrap().parse().unwrap();
+    let left: u64 = received.header("deadline-ms").unwrap().parse().unwrap();
     assert!(left <= 3_000);
 }
 
@@ -80,8 +80,8 @@
     let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
     let other = Replica::start("i-2", |_| Action::SendAndClose(Vec::new()));
     let site = Site::start("once", &[(&replica, "app", ""), (&other, "app", "")]);
-    let told = site.send_and_read("POST /book/1", "a1");
-    assert_eq!(told.status(), 502);
+    let response = site.send_and_read("POST /book/1", "a1");
+    assert_eq!(response.status(), 502);
     assert_eq!(replica.requests().len() + other.requests().len(), 1);
 }
 
@@ -106,23 +106,23 @@
         Action::Send(signed_answer(request, 500, b"no"))
     });
     let site = Site::start("passed", &[(&replica, "app", "")]);
-    let told = site.send_and_read("POST /book/1", "a1");
+    let response = site.send_and_read("POST /book/1", "a1");
     assert_eq!(
-        (told.status(), told.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (500, b"no".as_slice())
     );
-    assert_eq!(told.header("response-seal"), Some("s.1"));
+    assert_eq!(response.header("response-seal"), Some("s.1"));
 }
 
 #[test]
 fn a_call_that_no_replica_ran_is_refused_with_a_time_to_come_back() {
     let replica = Replica::start("i-1", |request| Action::Send(not_run_answer(request)));
     let site = Site::start("refused", &[(&replica, "app", "")]);
-    let told = site.send_and_read("POST /book/1", "a1");
-    assert_eq!(told.status(), 503);
-    let seconds: f64 = told.header("retry-after").unwrap().parse().unwrap();
+    let response = site.send_and_read("POST /book/1", "a1");
+    assert_eq!(response.status(), 503);
+    let seconds: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!(seconds < 4.0 / 3.0);
-    assert_eq!(told.header("response-seal"), None);
+    assert_eq!(response.header("response-seal"), None);
 }
 
 #[test]
@@ -157,9 +157,9 @@
         Action::SendAndClose(head.into_bytes())
     });
     let site = Site::start("unframed", &[(&replica, "app", "")]);
-    let told = site.send_and_read("POST /book/1", "a1");
+    let response = site.send_and_read("POST /book/1", "a1");
     assert_eq!(
-        (told.status(), told.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"whole".as_slice())
     );
 }
@@ -173,9 +173,9 @@
     });
     let site = Site::start("extra", &[(&replica, "app", "")]);
     for number in 0..5 {
-        let told = site.send_and_read("GET /read/1", &format!("a{number}"));
+        let response = site.send_and_read("GET /read/1", &format!("a{number}"));
         assert_eq!(
-            (told.status(), told.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, b"mine".as_slice())
         );
     }
--- a/crates/gateway/tests/gateway/quarantine.rs
+++ b/crates/gateway/tests/gateway/quarantine.rs
@@ -82,8 +82,8 @@
 /// Has `count` attempts with the request end one replica each.
 fn crash(daemon: &Daemon, count: usize) {
     for number in 0..count {
-        let told = generate(daemon, "/draft/crash", &format!("c{number}")).read();
-        assert!(!told.complete);
+        let response = generate(daemon, "/draft/crash", &format!("c{number}")).read();
+        assert!(!response.complete);
     }
 }
 
@@ -110,20 +110,20 @@
     let mut answers = Vec::new();
     for number in 0..ENDED {
         // A resumable one ends two replicas an attempt, so that the third attempt is refused.
-        let told = generate(&site.daemon, path, &format!("c{number}")).read();
-        assert!(!told.complete || told.status() == 503);
+        let response = generate(&site.daemon, path, &format!("c{number}")).read();
+        assert!(!response.complete || response.status() == 503);
     }
     wait_until_quarantined(&site.daemon);
     for number in 0..ENDED {
-        let told = generate(&site.daemon, path, &format!("q{number}")).read();
-        assert!(String::from_utf8_lossy(&told.body).contains("replicas ended"));
-        answers.push((told.status(), told.header("retry-after").is_some()));
+        let response = generate(&site.daemon, path, &format!("q{number}")).read();
+        assert!(String::from_utf8_lossy(&response.body).contains("replicas ended"));
+        answers.push((response.status(), response.header("retry-after").is_some()));
     }
     assert_eq!(runs(&decode), ENDED);
     assert_eq!(answers, [(503, true); ENDED]);
     // Another request is served.
-    let told = generate(&site.daemon, "/draft/sound", "s1").read();
-    assert!(told.complete);
+    let response = generate(&site.daemon, "/draft/sound", "s1").read();
+    assert!(response.complete);
 }
 
 /// A call that nobody may repeat ends its replica as well; its caller may send it again.
@@ -133,8 +133,8 @@
     let replicas = applications(script);
     let site = calls("booked", &replicas);
     for number in 0..ENDED {
-        let told = site.send_and_read("POST /book/lorry", &format!("c{number}"));
-        assert_eq!(told.status(), 502);
+        let response = site.send_and_read("POST /book/lorry", &format!("c{number}"));
+        assert_eq!(response.status(), 502);
     }
     wait_until_quarantined(&site.daemon);
     assert_eq!(site.send_and_read("POST /book/lorry", "q1").status(), 503);
@@ -215,8 +215,8 @@
     let site = calls("failed-first", &replicas);
     assert_eq!(site.send_and_read("POST /book/lorry", "f1").status(), 500);
     for number in 0..ENDED {
-        let told = site.send_and_read("POST /book/lorry", &format!("c{number}"));
-        assert_eq!(told.status(), 502);
+        let response = site.send_and_read("POST /book/lorry", &format!("c{number}"));
+        assert_eq!(response.status(), 502);
     }
     wait_until_quarantined(&site.daemon);
     assert_eq!(site.send_and_read("POST /book/lorry", "q1").status(), 503);
@@ -251,8 +251,8 @@
     let prefill = Replica::start_prefill("i-p");
     let site = site("cut", &prefill, &decode);
     for number in 0..2 * ENDED {
-        let told = generate(&site.daemon, "/draft/cut", &format!("c{number}")).read();
-        assert_eq!(told.status(), 200);
+        let response = generate(&site.daemon, "/draft/cut", &format!("c{number}")).read();
+        assert_eq!(response.status(), 200);
         // Long enough for the daemon to ask the replica whether it is there.
         thread::sleep(Duration::from_millis(100));
     }
@@ -304,8 +304,9 @@
         caller.start_request("GET /read/stock", &headers(id), b"");
     }
     let hangs = |replica: &Replica| {
-        let seen = replica.requests();
-        seen.iter()
+        let received = replica.requests();
+        received
+            .iter()
             .any(|request| request.header("request-id") != Some("a1"))
     };
     wait_until("all are at work", || replicas.iter().all(hangs));
--- a/crates/gateway/tests/gateway/quotas.rs
+++ b/crates/gateway/tests/gateway/quotas.rs
@@ -45,10 +45,10 @@
 }
 
 fn wait_until_in_force(daemon: &Daemon, config: &Value) {
-    let told = format!("\"version\":{}", config["version"]);
+    let version_field = format!("\"version\":{}", config["version"]);
     wait_until("the plan is in force", || {
         let plans = daemon.logged("\"a plan is in force\"");
-        plans.iter().any(|plan| plan.contains(&told))
+        plans.iter().any(|plan| plan.contains(&version_field))
     });
 }
 
@@ -76,10 +76,10 @@
         send_and_read(&site.daemon, "fill").status() == 429
     });
     let ran = replica.requests().len();
-    let told = send_and_read(&site.daemon, "a1");
-    assert_eq!(told.status(), 429);
+    let response = send_and_read(&site.daemon, "a1");
+    assert_eq!(response.status(), 429);
     assert_eq!(replica.requests().len(), ran);
-    let seconds: f64 = told.header("retry-after").unwrap().parse().unwrap();
+    let seconds: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!(seconds > 0.0, "{seconds}");
     thread::sleep(Duration::from_secs_f64(seconds));
     assert_eq!(send_and_read(&site.daemon, "a2").status(), 200);
@@ -179,8 +179,8 @@
         site.daemon.metrics().contains("waxwing_gateway_members 1")
     });
     // They may be at work behind a cut, and nothing is tolerated beyond the quota.
-    let told = send_and_read(&site.daemon, "a1");
-    assert_eq!(told.status(), 503);
-    assert!(told.header("retry-after").is_some());
+    let response = send_and_read(&site.daemon, "a1");
+    assert_eq!(response.status(), 503);
+    assert!(response.header("retry-after").is_some());
     assert!(replica.requests().is_empty());
 }
--- a/crates/gateway/tests/gateway/restarts.rs
+++ b/crates/gateway/tests/gateway/restarts.rs
@@ -58,8 +58,8 @@
     let mut caller = generate(&site.daemon, "/draft/1", "a1");
     wait_until("it runs", || decode.requests().len() == 1);
     list(&site, &decode, "llm", "decode", SECOND);
-    let told = caller.read();
-    assert!(!told.complete);
+    let response = caller.read();
+    assert!(!response.complete);
     assert!(begun.elapsed() < SOON);
     assert_eq!(decode.requests().len(), 1);
 }
@@ -108,8 +108,8 @@
     let site = Site::start("reborn-reserved", &[]);
     list(&site, &decode, "llm", "decode", FIRST);
     decode.set_start_time(SECOND);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.complete);
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert!(response.complete);
     assert_eq!(decode.requests().len(), 1);
     let restarted = || site.daemon.logged("Restarted").len();
     wait_until("its log line is read", || restarted() > 0);
@@ -152,8 +152,8 @@
         &format!("ratio: 0.2, {usual}"),
         &format!("ratio: 0.0, {little}"),
     );
-    let told = generate(&site.daemon, "/resume/1", "a1").read();
-    assert!(told.complete);
+    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    assert!(response.complete);
     assert_eq!(prefill.requests().len(), 1);
     assert_eq!(one.requests().len() + two.requests().len(), 2);
 }
--- a/crates/gateway/tests/gateway/second_answers.rs
+++ b/crates/gateway/tests/gateway/second_answers.rs
@@ -34,12 +34,12 @@
 /// A replica that reads prompts; it names the KV cache after the request, and itself in no answer but these.
 fn reader() -> Replica {
     Replica::start("i-p", |request| {
-        let told = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
+        let body = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
         let headers = [
             ("request-id", id(request)),
             ("content-type", "application/json"),
         ];
-        Action::Send(answer(200, &headers, told.to_string().as_bytes()))
+        Action::Send(answer(200, &headers, body.to_string().as_bytes()))
     })
 }
 
@@ -51,12 +51,13 @@
 
 /// Each request that a decode replica ran, with the KV cache that it went on from, if there was one.
 fn sources(decode: &Replica) -> Vec<(String, Option<String>)> {
-    let seen = decode.requests().into_iter();
+    let received = decode.requests().into_iter();
     let source = |request: &Message| {
         let (_, handle) = request.header("kv-source")?.rsplit_once('/')?;
         Some(handle.to_owned())
     };
-    seen.map(|request| (id(&request).to_owned(), source(&request)))
+    received
+        .map(|request| (id(&request).to_owned(), source(&request)))
         .collect()
 }
 
@@ -67,8 +68,12 @@
     let decode = writer("i-d");
     let site = Site::staged("read-twice", &prefill, &[&decode]);
     for number in 0..6 {
-        let told = generate(&site.daemon, "/resume/1", &format!("a{number}")).read();
-        assert!(told.complete && told.status() == 200, "{}", told.line);
+        let response = generate(&site.daemon, "/resume/1", &format!("a{number}")).read();
+        assert!(
+            response.complete && response.status() == 200,
+            "{}",
+            response.line
+        );
     }
     assert!(prefill.second_answer_count() > 0);
     for (id, source) in sources(&decode) {
@@ -94,9 +99,9 @@
 fn foreign_answers(site: &Site) -> Vec<(String, String)> {
     let asked = (0..6).map(|number| {
         let id = format!("a{number}");
-        let told = site.send_and_read("GET /read/1", &id);
-        let body = String::from_utf8_lossy(&told.body).into_owned();
-        (id, told.status(), body)
+        let response = site.send_and_read("GET /read/1", &id);
+        let body = String::from_utf8_lossy(&response.body).into_owned();
+        (id, response.status(), body)
     });
     let answered = asked.filter(|(id, status, body)| *status == 200 && id != body);
     answered.map(|(id, _, body)| (id, body)).collect()
@@ -131,10 +136,10 @@
     let site = Site::start("streamed-twice", &[(&decode, "llm", "decode")]);
     for number in 0..6 {
         let id = format!("a{number}");
-        let told = generate(&site.daemon, "/resume/1", &id).read();
-        let body = String::from_utf8_lossy(&told.body).into_owned();
+        let response = generate(&site.daemon, "/resume/1", &id).read();
+        let body = String::from_utf8_lossy(&response.body).into_owned();
         assert!(
-            told.status() != 200 || body == format!("id: 1\ndata: {id}\n\n"),
+            response.status() != 200 || body == format!("id: 1\ndata: {id}\n\n"),
             "{body}"
         );
     }
@@ -169,9 +174,9 @@
     let reads = AtomicUsize::new(0);
     let prefill = Replica::start("i-p", move |request| {
         let read = reads.fetch_add(1, Ordering::SeqCst) + 1;
-        let told = json!({"kv-handle": format!("k{read}"), "tokens": 1460, "version": 1});
+        let body = json!({"kv-handle": format!("k{read}"), "tokens": 1460, "version": 1});
         let headers = [("request-id", id(request))];
-        Action::Send(answer(200, &headers, told.to_string().as_bytes()))
+        Action::Send(answer(200, &headers, body.to_string().as_bytes()))
     });
     prefill.answer_twice_if(|_| true);
     let script = |request: &Message| match request.header("last-event-id") {
@@ -204,19 +209,19 @@
 ) {
     let replica = Replica::start("i-a", move |request| {
         let headers = [("request-id", id(request)), ("response-seal", "s.1")];
-        let told = answer(200, &headers, id(request).as_bytes());
-        let (first, rest) = told.split_at((told.len() as f64 * part) as usize);
-        let at_once = [&told, first].concat();
+        let bytes = answer(200, &headers, id(request).as_bytes());
+        let (first, rest) = bytes.split_at((bytes.len() as f64 * part) as usize);
+        let at_once = [&bytes, first].concat();
         Action::SendSlowly(vec![at_once, rest.to_vec()], Duration::from_millis(3))
     });
     let site = Site::start(&format!("early-{name}"), &[(&replica, "app", "")]);
     let mut lost = 0;
     for number in 0..40 {
         let id = format!("a{number}");
-        let told = site.send_and_read("GET /read/1", &id);
-        let body = String::from_utf8_lossy(&told.body).into_owned();
-        assert!(told.status() != 200 || body == id, "{id}: {body}");
-        lost += usize::from(told.status() != 200);
+        let response = site.send_and_read("GET /read/1", &id);
+        let body = String::from_utf8_lossy(&response.body).into_owned();
+        assert!(response.status() != 200 || body == id, "{id}: {body}");
+        lost += usize::from(response.status() != 200);
     }
     assert!(lost < 5, "{lost} of 40 were lost");
 }
@@ -253,8 +258,8 @@
     assert_eq!(replica.second_answer_count(), 1);
     thread::sleep(TRUSTED_AGAIN);
     for number in 4..8 {
-        let told = site.send_and_read("GET /read/1", &format!("a{number}"));
-        assert_eq!(told.status(), 200);
+        let response = site.send_and_read("GET /read/1", &format!("a{number}"));
+        assert_eq!(response.status(), 200);
     }
     assert_eq!(replica.connection_count(), 5);
 }
--- a/crates/gateway/tests/gateway/second_calls.rs
+++ b/crates/gateway/tests/gateway/second_calls.rs
@@ -52,18 +52,19 @@
 
 /// The reservations that requests came with, in order.
 fn reservations(decode: &Replica) -> Vec<String> {
-    let seen = decode.requests().into_iter();
-    seen.filter_map(|request| request.header("kv-hold").map(str::to_owned))
+    let received = decode.requests().into_iter();
+    received
+        .filter_map(|request| request.header("kv-hold").map(str::to_owned))
         .collect()
 }
 
 #[test]
 fn each_generation_has_a_reservation_of_its_own_where_reservations_are_answered_twice() {
     let prefill = Replica::start("i-p", |request| {
-        let told = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
+        let body = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
         let headers = [("request-id", id(request))];
-        let told = answer(200, &headers, told.to_string().as_bytes());
-        Action::SendSlowly(vec![told], READING)
+        let bytes = answer(200, &headers, body.to_string().as_bytes());
+        Action::SendSlowly(vec![bytes], READING)
     });
     let decode = writer("i-d");
     let reserved = Arc::new(AtomicUsize::new(0));
@@ -105,8 +106,8 @@
     decode.answer_twice_if(move |request| request.path() == path);
     let site = Site::start(name, &[(&decode, "llm", "decode")]);
     let is_lost = |number: &usize| {
-        let told = generate(&site.daemon, path, &format!("a{number}")).read();
-        !told.complete || told.status() != 200
+        let response = generate(&site.daemon, path, &format!("a{number}")).read();
+        !response.complete || response.status() != 200
     };
     assert_eq!((0..GENERATIONS).filter(is_lost).count(), lost);
     assert!(site.daemon.logged("a replica did not answer").is_empty());
@@ -119,8 +120,12 @@
     decode.answer_twice_if(|request| request.path() == "/api/hold-take");
     let site = Site::start("reserve-then-stream", &[(&decode, "llm", "decode")]);
     for number in 0..GENERATIONS {
-        let told = generate(&site.daemon, "/draft/1", &format!("a{number}")).read();
-        assert!(told.complete && told.status() == 200, "{}", told.line);
+        let response = generate(&site.daemon, "/draft/1", &format!("a{number}")).read();
+        assert!(
+            response.complete && response.status() == 200,
+            "{}",
+            response.line
+        );
     }
 }
 
@@ -136,8 +141,12 @@
     let decode = writer("i-d");
     let site = Site::start(name, &[(&decode, "llm", "decode")]);
     for number in 0..GENERATIONS {
-        let told = generate(&site.daemon, path, &format!("a{number}")).read();
-        assert!(told.complete && told.status() == 200, "{}", told.line);
+        let response = generate(&site.daemon, path, &format!("a{number}")).read();
+        assert!(
+            response.complete && response.status() == 200,
+            "{}",
+            response.line
+        );
     }
     assert_eq!(decode.connection_count(), connections);
 }
@@ -147,13 +156,13 @@
 fn a_generation_does_not_go_on_with_a_connection_that_is_about_to_close() {
     let prefill = Replica::start("i-p", |request| {
         let headers = [("request-id", id(request))];
-        let told = answer(
+        let bytes = answer(
             200,
             &headers,
             br#"{"kv-handle":"k1","tokens":1460,"version":1}"#,
         );
         // Longer than six tenths of a second.
-        Action::SendSlowly(vec![told], 2 * READING + PAUSE)
+        Action::SendSlowly(vec![bytes], 2 * READING + PAUSE)
     });
     let decode = writer("i-d");
     decode.set_call_handler(|request| {
@@ -161,8 +170,12 @@
         reserves.then(|| answer(200, &[("keep-alive", "timeout=1")], br#"{"hold":"h1"}"#))
     });
     let site = Site::staged("closes-soon", &prefill, &[&decode]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.complete && told.status() == 200, "{}", told.line);
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert!(
+        response.complete && response.status() == 200,
+        "{}",
+        response.line
+    );
     assert_eq!(decode.connection_count(), 2);
 }
 
@@ -186,8 +199,8 @@
             if let Some(stop) = stops.lock().unwrap().get(id) {
                 stop.store(true, Ordering::SeqCst);
             }
-            let told = json!({"kv-handle": format!("m-{id}"), "created": 5});
-            Action::Send(answer(200, &[], told.to_string().as_bytes()))
+            let body = json!({"kv-handle": format!("m-{id}"), "created": 5});
+            Action::Send(answer(200, &[], body.to_string().as_bytes()))
         }
         path if path.starts_with("/api/") => Action::Send(answer(200, &[], b"{}")),
         _ => {
@@ -302,8 +315,8 @@
 /// Sends a call whose replica breaks off, and gives the status that its caller sees.
 fn lose(site: &Site, id: &str) -> u16 {
     let mut caller = site.daemon.caller();
-    let told = caller.send_and_read(&format!("POST /book/{id}"), &headers(id), b"");
-    told.status()
+    let response = caller.send_and_read(&format!("POST /book/{id}"), &headers(id), b"");
+    response.status()
 }
 
 /// Statuses with which engines answer orders, one after another.
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -53,8 +53,8 @@
 
 /// Fencing tokens of the orders that `engines` got.
 fn fences(engines: &[Replica]) -> BTreeSet<u64> {
-    let seen = engines.iter().flat_map(Replica::requests);
-    let orders = seen.filter(|request| request.path() == "/api/order");
+    let received = engines.iter().flat_map(Replica::requests);
+    let orders = received.filter(|request| request.path() == "/api/order");
     let orders = orders.map(|order| serde_json::from_slice::<Value>(&order.body).unwrap());
     orders.filter_map(|order| order["fence"].as_u64()).collect()
 }
--- a/crates/gateway/tests/gateway/stages.rs
+++ b/crates/gateway/tests/gateway/stages.rs
@@ -25,8 +25,10 @@
 }
 
 fn orders(engine: &Replica) -> Vec<Value> {
-    let seen = engine.requests();
-    let orders = seen.iter().filter(|seen| seen.path() == "/api/order");
+    let received = engine.requests();
+    let orders = received
+        .iter()
+        .filter(|received| received.path() == "/api/order");
     orders
         .map(|order| serde_json::from_slice(&order.body).unwrap())
         .collect()
@@ -51,13 +53,19 @@
     wait_until("the orders are given", || given() >= AT_ONCE);
     // Longer than the division has to be off, and shorter than the pause after a change.
     thread::sleep(Duration::from_millis(2_500));
-    let told: Vec<Vec<Value>> = engines.iter().map(orders).collect();
-    assert!(told.iter().all(|orders| orders.len() <= 1), "{told:?}");
-    let told: Vec<Value> = told.into_iter().flatten().collect();
-    assert_eq!(told.len(), AT_ONCE);
-    let fences: BTreeSet<u64> = told.iter().filter_map(|o| o["fence"].as_u64()).collect();
+    let received: Vec<Vec<Value>> = engines.iter().map(orders).collect();
+    assert!(
+        received.iter().all(|orders| orders.len() <= 1),
+        "{received:?}"
+    );
+    let received: Vec<Value> = received.into_iter().flatten().collect();
+    assert_eq!(received.len(), AT_ONCE);
+    let fences: BTreeSet<u64> = received
+        .iter()
+        .filter_map(|o| o["fence"].as_u64())
+        .collect();
     assert_eq!(fences.len(), 1, "one claim stands behind all of them");
-    for order in &told {
+    for order in &received {
         assert_eq!(order["op"], "stage");
         assert_eq!(order["stage"], "decode");
         assert_eq!(order["holder"], "stages");
--- a/crates/gateway/tests/gateway/stream.rs
+++ b/crates/gateway/tests/gateway/stream.rs
@@ -35,10 +35,10 @@
     let prefill = Replica::start_prefill("i-p");
     let decode = Replica::start("i-d", |request| Action::Send(stream(request, 1, 5)));
     let site = Site::staged("staged", &prefill, &[&decode]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.complete);
-    assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
-    assert_eq!(told.header("response-seal"), Some("s.1"));
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert!(response.complete);
+    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 5));
+    assert_eq!(response.header("response-seal"), Some("s.1"));
     let read = prefill.requests().remove(0);
     assert_eq!(read.header("stage"), Some("prefill"));
     assert_eq!(read.header("request-id"), Some("a1"));
@@ -80,8 +80,8 @@
     });
     thread::sleep(Duration::from_millis(400));
     prefill_released.store(true, Ordering::SeqCst);
-    let told = caller.read();
-    assert_eq!((told.status(), told.complete), (200, true));
+    let response = caller.read();
+    assert_eq!((response.status(), response.complete), (200, true));
     assert!(draining.requests().is_empty());
     assert_eq!(other.requests().len(), 1);
 }
@@ -90,8 +90,8 @@
 fn the_decode_replica_reads_the_prompt_where_no_other_does() {
     let decode = Replica::start("i-d", |request| Action::Send(stream(request, 1, 2)));
     let site = Site::start("alone", &[(&decode, "llm", "decode")]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.complete);
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert!(response.complete);
     assert_eq!(decode.requests()[0].header("kv-source"), None);
 }
 
@@ -105,8 +105,8 @@
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
     let site = Site::staged("lapsed", &prefill, &[&one, &two]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert_eq!((told.status(), told.complete), (200, true));
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert_eq!((response.status(), response.complete), (200, true));
     assert_eq!(one.requests().len() + two.requests().len(), 2);
 }
 
@@ -119,8 +119,8 @@
     });
     let other = Replica::start("i-o", |request| Action::Send(stream(request, 1, 5)));
     let site = Site::start("broken", &[(&decode, "llm", "decode")]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(!told.complete);
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert!(!response.complete);
     // A stream that cannot be resumed runs nowhere else.
     assert_eq!((decode.requests().len(), other.requests().len()), (1, 0));
 }
@@ -139,9 +139,9 @@
         "resumed",
         &[(&one, "llm", "decode"), (&two, "llm", "decode")],
     );
-    let told = generate(&site.daemon, "/resume/1", "a1").read();
-    assert!(told.complete);
-    assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
+    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    assert!(response.complete);
+    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 5));
     assert_eq!(one.requests().len() + two.requests().len(), 2);
 }
 
@@ -153,8 +153,8 @@
     let decode = Replica::start("i-d", |request| Action::Send(stream(request, 1, 2)));
     let site = Site::staged("unread-prompt", &prefill, &[&decode]);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert_eq!(told.status(), 503);
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert_eq!(response.status(), 503);
     assert!(decode.requests().is_empty());
 }
 
@@ -174,10 +174,10 @@
         ("Token-Counts", "100,10"),
     ];
     caller.start_request("POST /resume/1", &headers, b"prompt");
-    let told = caller.read();
+    let response = caller.read();
     // The route's time is 4 s; the first half of the answer came after 2 s, the rest after 4 s.
-    assert_eq!(told.status(), 200);
-    assert!(String::from_utf8_lossy(&told.body).starts_with(&texts(1, 2)));
+    assert_eq!(response.status(), 200);
+    assert!(String::from_utf8_lossy(&response.body).starts_with(&texts(1, 2)));
     assert_eq!(decode.requests().len(), 1);
 }
 
@@ -194,9 +194,13 @@
     let replicas = [(&one, "llm", "decode"), (&two, "llm", "decode")];
     let site = Site::start("no-retry", &replicas);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
-    let told = generate(&site.daemon, "/resume/1", "a1").read();
-    assert!(told.complete, "{}", String::from_utf8_lossy(&told.body));
-    assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 4));
+    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    assert!(
+        response.complete,
+        "{}",
+        String::from_utf8_lossy(&response.body)
+    );
+    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 4));
     assert_eq!(one.requests().len() + two.requests().len(), 1);
 }
 
@@ -204,9 +208,9 @@
 fn a_generation_that_finds_no_room_is_refused() {
     let full = Replica::start("i-d", |request| Action::Send(not_run_answer(request)));
     let site = Site::start("full", &[(&full, "llm", "decode")]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert_eq!(told.status(), 503);
-    let seconds: f64 = told.header("retry-after").unwrap().parse().unwrap();
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert_eq!(response.status(), 503);
+    let seconds: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!(seconds > 1.0);
 }
 
@@ -216,9 +220,9 @@
         Action::Send(signed_answer(request, 500, b"no"))
     });
     let site = Site::start("engine-failure", &[(&decode, "llm", "decode")]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
     assert_eq!(
-        (told.status(), told.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (500, b"no".as_slice())
     );
 }
@@ -244,8 +248,9 @@
     let site = Site::start("silent-once-stream", &[(&decode, "llm", "decode")]);
     let caller = generate(&site.daemon, "/draft/1", "a1");
     wait_until("the silence is told", || {
-        let told = site.daemon.logged("\"kind\":\"silence\"");
-        told.iter()
+        let lines = site.daemon.logged("\"kind\":\"silence\"");
+        lines
+            .iter()
             .any(|line| line.contains("\"answers\":\"true\""))
     });
     drop(caller);
@@ -258,8 +263,8 @@
 #[test]
 fn the_prompt_of_a_stream_that_is_resumed_late_is_read_by_a_prefill_replica() {
     let prefill = Replica::start("i-p", |_| {
-        let told = br#"{"kv-handle":"k1","tokens":1460,"version":1}"#;
-        let read = answer(200, &[("content-type", "application/json")], told);
+        let body = br#"{"kv-handle":"k1","tokens":1460,"version":1}"#;
+        let read = answer(200, &[("content-type", "application/json")], body);
         Action::SendSlowly(vec![read], Duration::from_millis(150))
     });
     let script = |request: &Message| match request.header("last-event-id") {
@@ -274,9 +279,9 @@
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
     let site = Site::staged("resumed-late", &prefill, &[&one, &two]);
-    let told = generate(&site.daemon, "/resume/1", "a1").read();
-    assert!(told.complete);
-    assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
+    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    assert!(response.complete);
+    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 5));
     let resumed = [one.requests(), two.requests()].concat();
     let resumed = resumed.iter().find(|r| r.header("last-event-id").is_some());
     assert!(resumed.unwrap().header("kv-source").is_some());
--- a/crates/gateway/tests/gateway/truncation.rs
+++ b/crates/gateway/tests/gateway/truncation.rs
@@ -68,8 +68,8 @@
 fn a_stream_without_a_length_that_ends_in_the_midst_of_an_event_is_broken_off() {
     let decode = Replica::start("i-d", |request| unframed(request, 2, b"id: 3\nda"));
     let site = Site::start("unframed-cut", &[(&decode, "llm", "decode")]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert_eq!((told.status(), told.complete), (200, false));
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert_eq!((response.status(), response.complete), (200, false));
 }
 
 #[test]
@@ -82,18 +82,18 @@
     let two = Replica::start("i-2", script);
     let replicas = [(&one, "llm", "decode"), (&two, "llm", "decode")];
     let site = Site::start("unframed-resumed", &replicas);
-    let told = generate(&site.daemon, "/resume/1", "a1").read();
-    assert!(told.complete);
-    assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 5));
+    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    assert!(response.complete);
+    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 5));
 }
 
 #[test]
 fn a_stream_without_a_length_that_ends_after_an_event_is_complete() {
     let decode = Replica::start("i-d", |request| unframed(request, 2, b""));
     let site = Site::start("unframed", &[(&decode, "llm", "decode")]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.complete);
-    assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 2));
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert!(response.complete);
+    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 2));
 }
 
 /// A replica that says where its answer ends is believed: the caller gets the bytes unchanged.
@@ -104,10 +104,10 @@
         Action::Send([stream_head(request), events(1, 2), last, chunk(b"")].concat())
     });
     let site = Site::start("no-empty-line", &[(&decode, "llm", "decode")]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.complete);
+    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    assert!(response.complete);
     let whole = format!("{}id: 3\ndata: t3\n", texts(1, 2));
-    assert_eq!(String::from_utf8_lossy(&told.body), whole);
+    assert_eq!(String::from_utf8_lossy(&response.body), whole);
 }
 
 /// Two replicas of which each cuts its stream after the event 2, and goes on with `rest` when it is asked to.
@@ -137,19 +137,19 @@
     #[case] name: &str,
     #[case] rest: &str,
 ) {
-    let told = resumed(name, rest);
-    assert_eq!(String::from_utf8_lossy(&told.body), texts(1, 2));
-    assert_eq!((told.status(), told.complete), (200, false));
+    let response = resumed(name, rest);
+    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 2));
+    assert_eq!((response.status(), response.complete), (200, false));
 }
 
 /// Comments and the line that tells a new version stand before the id.
 #[test]
 fn an_event_that_follows_the_last_one_is_joined_whatever_stands_before_its_id() {
     let rest = format!(": on\n\nweight-versions: 2\n{}", texts(3, 5));
-    let told = resumed("follows", &rest);
-    assert!(told.complete);
+    let response = resumed("follows", &rest);
+    assert!(response.complete);
     let whole = format!("{}{rest}", texts(1, 2));
-    assert_eq!(String::from_utf8_lossy(&told.body), whole);
+    assert_eq!(String::from_utf8_lossy(&response.body), whole);
 }
 
 /// Two replicas of which each cuts its stream after `first`, and never goes on after that as asked; gives the answer and
@@ -164,8 +164,8 @@
     let two = Replica::start("i-2", script);
     let replicas = [(&one, "llm", "decode"), (&two, "llm", "decode")];
     let site = Site::start(name, &replicas);
-    let told = generate(&site.daemon, "/resume/1", "a1").read();
-    (told, one.requests().len() + two.requests().len())
+    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    (response, one.requests().len() + two.requests().len())
 }
 
 /// Nothing says where another replica is to go on: after an event that has no number, and in the midst of one that was
@@ -178,9 +178,12 @@
     #[case] name: &str,
     #[case] first: Vec<u8>,
 ) {
-    let (told, sent) = cut(name, &first);
-    assert_eq!((told.status(), told.complete, sent), (200, false, 1));
-    assert!(told.body.is_empty() || told.body == first);
+    let (response, sent) = cut(name, &first);
+    assert_eq!(
+        (response.status(), response.complete, sent),
+        (200, false, 1)
+    );
+    assert!(response.body.is_empty() || response.body == first);
 }
 
 /// What a caller that speaks HTTP/1.0 reads to the end of its connection, and whether that is a proper end.
@@ -216,8 +219,8 @@
         )
     });
     let site = Site::start("old-cut", &[(&decode, "llm", "decode")]);
-    let (told, ended) = old_answer(site.daemon.caller());
-    assert!(!ended, "{told}");
+    let (response, ended) = old_answer(site.daemon.caller());
+    assert!(!ended, "{response}");
 }
 
 #[test]
@@ -226,9 +229,9 @@
         Action::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
     });
     let site = Site::start("old-whole", &[(&decode, "llm", "decode")]);
-    let (told, ended) = old_answer(site.daemon.caller());
+    let (response, ended) = old_answer(site.daemon.caller());
     assert!(ended);
-    assert!(told.ends_with(&texts(1, 2)), "{told}");
+    assert!(response.ends_with(&texts(1, 2)), "{response}");
 }
 
 /// The daemon's end is one of the ways in which an answer is cut.
@@ -239,13 +242,13 @@
     });
     let mut site = Site::start("old-end", &[(&decode, "llm", "decode")]);
     let caller = site.config_with_long_streams();
-    let (told, ended) = thread::scope(|scope| {
+    let (response, ended) = thread::scope(|scope| {
         let caller = scope.spawn(|| old_answer(caller));
         wait_until("the request arrives", || decode.requests().len() == 1);
         site.daemon.signal(Signal::TERM);
         caller.join().unwrap()
     });
-    assert!(told.ends_with(&texts(1, 2)), "{told}");
+    assert!(response.ends_with(&texts(1, 2)), "{response}");
     assert!(!ended);
     site.daemon.wait_for_exit();
 }
@@ -267,8 +270,11 @@
 ) {
     let replica = Replica::start("i-a", move |_| Action::Send(text.into()));
     let site = Site::start(name, &[(&replica, "app", "")]);
-    let told = site.send_and_read("POST /book/1", "a1");
-    assert_eq!((told.status(), told.header("response-seal")), (502, None));
+    let response = site.send_and_read("POST /book/1", "a1");
+    assert_eq!(
+        (response.status(), response.header("response-seal")),
+        (502, None)
+    );
 }
 
 /// Without a length, only the reset tells that an answer was cut; its bytes may be read long before, or not at all.
@@ -284,6 +290,9 @@
         Action::SendAndReset(cut.to_vec(), pause)
     });
     let site = Site::start(name, &[(&replica, "app", "")]);
-    let told = site.send_and_read("POST /book/1", "a1");
-    assert_eq!((told.status(), told.header("response-seal")), (502, None));
+    let response = site.send_and_read("POST /book/1", "a1");
+    assert_eq!(
+        (response.status(), response.header("response-seal")),
+        (502, None)
+    );
 }
