--- a/crates/gateway/tests/gateway/connection_limits.rs
+++ b/crates/gateway/tests/gateway/connection_limits.rs
@@ -16,17 +16,17 @@
 use crate::common::replica::events;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::generate;
 use crate::site::headers;
+use crate::site::start_generation;
 
 /// Longer than the silence after which the daemon asks, and shorter than that after which it goes elsewhere in any case.
-const LONG_PAUSE: Duration = Duration::from_millis(1_100);
+const STREAM_PAUSE: Duration = Duration::from_millis(1_100);
 
 /// Longer than the part of the objective after which the daemon asks, and shorter than the time that it waits then.
-const LONG_READ: Duration = Duration::from_millis(700);
+const PREFILL_TIME: Duration = Duration::from_millis(700);
 
 /// Sends a call, and gives what the daemon finds out of the replica that broke it off.
-fn verdict(site: &Site) -> String {
+fn loss_log_line(site: &Site) -> String {
     let mut caller = site.daemon.caller();
     let response = caller.send_and_read("POST /book/1", &headers("c1"), b"");
     assert_eq!(response.status(), 502);
@@ -36,11 +36,11 @@
 }
 
 /// A replica that does something to itself when it gets a request, and breaks it off.
-fn breaking(then: impl Fn(&Replica) + Send + Sync + 'static) -> Replica {
+fn failing_replica(on_request: impl Fn(&Replica) + Send + Sync + 'static) -> Replica {
     let own: Arc<OnceLock<Replica>> = Arc::default();
-    let itself = Arc::clone(&own);
+    let failing = Arc::clone(&own);
     let replica = Replica::start("i-1", move |_| {
-        then(itself.wait());
+        on_request(failing.wait());
         Action::SendAndClose(Vec::new())
     });
     assert!(own.set(replica.clone()).is_ok());
@@ -49,9 +49,9 @@
 
 #[test]
 fn a_replica_that_closes_new_connections_has_not_ended() {
-    let replica = breaking(Replica::close_new_connections);
+    let replica = failing_replica(Replica::close_new_connections);
     let site = Site::start("crowded", &[(&replica, "app", "")]);
-    let line = verdict(&site);
+    let line = loss_log_line(&site);
     assert!(line.contains("\"presence\":\"Here\""), "{line}");
     assert!(
         site.daemon
@@ -63,7 +63,7 @@
 /// Something else takes the connections of one that ended, and the list tells its end.
 #[test]
 fn a_replica_that_closes_new_connections_and_is_no_longer_listed_has_ended() {
-    let replica = breaking(Replica::close_new_connections);
+    let replica = failing_replica(Replica::close_new_connections);
     let site = Site::start("crowded-gone", &[(&replica, "app", "")]);
     site.send_and_read("POST /book/1", "c1");
     site.store.remove("servers", "i-1");
@@ -76,19 +76,19 @@
 /// Nothing listens for one that ended.
 #[test]
 fn a_replica_whose_port_is_closed_has_ended() {
-    let replica = breaking(Replica::crash);
+    let replica = failing_replica(Replica::crash);
     let site = Site::start("not-crowded", &[(&replica, "app", "")]);
-    let line = verdict(&site);
+    let line = loss_log_line(&site);
     assert!(line.contains("\"presence\":\"Ended\""), "{line}");
 }
 
 /// It takes connections and never answers, as a process does that hangs.
 #[test]
 fn a_replica_that_answers_nothing_counts_as_ended() {
-    let replica = breaking(|_| ());
+    let replica = failing_replica(|_| ());
     replica.answer_reports_if(|| false);
     let site = Site::start("hangs", &[(&replica, "app", "")]);
-    let line = verdict(&site);
+    let line = loss_log_line(&site);
     assert!(line.contains("\"presence\":\"Unknown\""), "{line}");
     wait_until("it counts", || {
         !site
@@ -106,11 +106,13 @@
     });
     let site = Site::start("crowded-open", &[(&decode, "llm", "decode")]);
     assert_eq!(
-        generate(&site.daemon, "/draft/1", "a1").read().status(),
+        start_generation(&site.daemon, "/draft/1", "a1")
+            .read()
+            .status(),
         200
     );
     decode.close_new_connections();
-    let response = generate(&site.daemon, "/draft/1", "a2").read();
+    let response = start_generation(&site.daemon, "/draft/1", "a2").read();
     let silent = site.daemon.logged("a replica did not answer");
     assert_eq!((response.status(), silent.len()), (503, 0), "{silent:?}");
     assert!(response.header("retry-after").is_some());
@@ -127,7 +129,7 @@
                 [stream_head(request), events(1, 2)].concat(),
                 [events(3, 5), chunk(b"")].concat(),
             ],
-            LONG_PAUSE,
+            STREAM_PAUSE,
         ),
     };
     let one = Replica::start("i-1", pausing);
@@ -137,23 +139,23 @@
     // Leaves an open connection to each replica that it used.
     for number in 0..4 {
         assert!(
-            generate(&site.daemon, "/resume/1", &format!("b{number}"))
+            start_generation(&site.daemon, "/resume/1", &format!("b{number}"))
                 .read()
                 .complete
         );
     }
     let sent = one.requests().len() + two.requests().len();
-    let mut caller = generate(&site.daemon, "/resume/1", "a1");
+    let mut caller = start_generation(&site.daemon, "/resume/1", "a1");
     wait_until("it is sent", || {
         one.requests().len() + two.requests().len() > sent
     });
-    let last = |replica: &Replica| {
+    let is_last_request = |replica: &Replica| {
         let received = replica.requests();
         received
             .last()
             .is_some_and(|request| request.header("request-id") == Some("a1"))
     };
-    if last(&one) {
+    if is_last_request(&one) {
         one.close_new_connections();
     } else {
         two.close_new_connections();
@@ -173,13 +175,13 @@
             &[("request-id", id)],
             br#"{"kv-handle":"k1","tokens":1460,"version":1}"#,
         );
-        Action::SendSlowly(vec![bytes], LONG_READ)
+        Action::SendSlowly(vec![bytes], PREFILL_TIME)
     });
     let decode = Replica::start("i-d", |request| {
         Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     });
-    let site = Site::staged("crowded-read", &prefill, &[&decode]);
-    let mut caller = generate(&site.daemon, "/draft/1", "a1");
+    let site = Site::start_with_prefill("crowded-read", &prefill, &[&decode]);
+    let mut caller = start_generation(&site.daemon, "/draft/1", "a1");
     wait_until("the prompt is sent", || prefill.requests().len() == 1);
     prefill.close_new_connections();
     assert_eq!(caller.read().status(), 200);
--- a/crates/gateway/tests/gateway/discovery.rs
+++ b/crates/gateway/tests/gateway/discovery.rs
@@ -26,7 +26,7 @@
     let replica = echo("i-1");
     let site = Site::start("no-plan", &[]);
     site.store.remove("op", "config");
-    let other = site.another("planless", false);
+    let other = site.start_another("planless", false);
     site.store.put("servers", "i-1", &replica.row("app", ""));
     wait_until("it answers", || other.readiness() != 0);
     assert_eq!(other.readiness(), 503);
@@ -94,7 +94,7 @@
     let replica = echo("i-1");
     let site = Site::start("seed", &[(&replica, "app", "")]);
     site.store.set_down(true);
-    let late = site.another("late", true);
+    let late = site.start_another("late", true);
     late.wait_until_ready();
     let response = send_and_read(&late, "GET /read/1", "a1");
     assert_eq!(response.status(), 200);
@@ -104,7 +104,7 @@
 fn a_daemon_that_the_store_refuses_learns_of_changes_from_its_peers() {
     let replica = echo("i-1");
     let site = Site::start("told", &[(&replica, "app", "")]);
-    let other = site.another("hears", true);
+    let other = site.start_another("hears", true);
     other.wait_until_ready();
     // One of the two reads the store for both; the other one hears of it.
     site.store.put("op", "config", &config(7));
@@ -119,7 +119,7 @@
 fn addresses_name_the_daemons_that_take_callers() {
     let replica = echo("i-1");
     let site = Site::start("names", &[(&replica, "app", "")]);
-    let other = site.another("named", false);
+    let other = site.start_another("named", false);
     let lists = |text: &str, daemon: &Daemon| text.contains(&daemon.callers.to_string());
     let lists_both = |text: &str| lists(text, &site.daemon) && lists(text, &other);
     wait_until("both are told", || {
@@ -201,7 +201,7 @@
 }
 
 /// Lists `count` instances beside those of the test; nobody is there.
-fn list_dead(site: &Site, count: usize) {
+fn list_dead_instances(site: &Site, count: usize) {
     wait_until("the own row is written", || {
         site.store.has("instances", "crowded")
     });
@@ -222,8 +222,8 @@
 fn a_daemon_whose_reader_is_dead_reads_the_store_itself() {
     let replica = echo("i-1");
     let site = Site::start("crowded", &[(&replica, "app", "")]);
-    list_dead(&site, 40);
-    let late = site.another("crowded-too", false);
+    list_dead_instances(&site, 40);
+    let late = site.start_another("crowded-too", false);
     late.wait_until_ready();
     let response = send_and_read(&late, "GET /read/1", "a1");
     assert_eq!(response.status(), 200);
--- a/crates/gateway/tests/gateway/ingress.rs
+++ b/crates/gateway/tests/gateway/ingress.rs
@@ -8,7 +8,7 @@
 use crate::common::replica::signed_answer;
 use crate::site::Site;
 
-fn site(name: &str) -> (Replica, Site) {
+fn start_site(name: &str) -> (Replica, Site) {
     let replica = Replica::start("i-1", |request| {
         Action::Send(signed_answer(request, 200, b"x"))
     });
@@ -32,7 +32,7 @@
     #[case] headers: &[(&str, &str)],
     #[case] status: u16,
 ) {
-    let (replica, site) = site(name);
+    let (replica, site) = start_site(name);
     let response = site.daemon.caller().send_and_read(line, headers, b"");
     assert_eq!(response.status(), status);
     assert!(replica.requests().is_empty());
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_head_that_is_too_long_is_rejected() {
-    let (replica, site) = site("long-head");
+    let (replica, site) = start_site("long-head");
     let long = "x".repeat(20_000);
     let response = site.daemon.caller().send_and_read(
         "GET /read/1",
@@ -54,7 +54,7 @@
 /// A body that looks like a request is a body.
 #[test]
 fn a_request_inside_a_body_is_not_run() {
-    let (replica, site) = site("smuggled");
+    let (replica, site) = start_site("smuggled");
     let inner = b"GET /read/2 HTTP/1.1\r\nhost: shop.example\r\nrequest-id: b\r\n\r\n";
     let mut caller = site.daemon.caller();
     let response = caller.send_and_read("POST /none/1", &[("Request-Id", "a")], inner);
@@ -68,7 +68,7 @@
 
 #[test]
 fn chunks_go_before_a_length_that_contradicts_them() {
-    let (replica, site) = site("both");
+    let (replica, site) = start_site("both");
     let mut caller = site.daemon.caller();
     let head = "POST /read/1 HTTP/1.1\r\nhost: shop.example\r\nrequest-id: a\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n";
     http::send(&mut caller.socket, head.as_bytes());
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_slow_head_is_given_up() {
-    let (_replica, site) = site("slow-head");
+    let (_replica, site) = start_site("slow-head");
     let mut caller = site.daemon.caller();
     http::send(&mut caller.socket, b"GET /read/1 HTTP/1.1\r\nhost: sh");
     assert!(http::closes_within(
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_connection_may_be_idle_for_longer_than_a_head_may_take() {
-    let (_replica, site) = site("idle");
+    let (_replica, site) = start_site("idle");
     let mut caller = site.daemon.caller();
     assert!(!http::closes_within(
         &mut caller.socket,
--- a/crates/gateway/tests/gateway/keys.rs
+++ b/crates/gateway/tests/gateway/keys.rs
@@ -38,12 +38,12 @@
 /// A daemon in front of `replicas` whose callers need keys.
 fn start(name: &str, replicas: &[(&Replica, &str, &str)]) -> Site {
     let site = Site::start(name, replicas);
-    put(&site, &with_customers(2));
+    put_plan(&site, &with_customers(2));
     site
 }
 
 /// Puts `config` in force.
-fn put(site: &Site, config: &Value) {
+fn put_plan(site: &Site, config: &Value) {
     site.store.put("op", "config", config);
     let version_field = format!("\"version\":{}", config["version"]);
     wait_until("the plan is in force", || {
@@ -155,7 +155,7 @@
     let site = start("keys-public", &[(&replica, "app", "")]);
     let mut public = with_customers(3);
     public["routes"][0]["public"] = true.into();
-    put(&site, &public);
+    put_plan(&site, &public);
     let sent = [("Request-Id", "a1"), ("Tenant", "krmiva")];
     let response = site
         .daemon
@@ -184,7 +184,7 @@
     let site = start("keys-claimed", &[(&replica, "app", "")]);
     let mut claimed = with_customers(3);
     claimed["tenants"][1]["api-keys"] = json!([OTHER_KEY, KEY]);
-    put(&site, &claimed);
+    put_plan(&site, &claimed);
     assert_eq!(send_and_read(&site, "GET /read/1", "a1", KEY).status(), 401);
     assert_eq!(
         send_and_read(&site, "GET /read/1", "a2", OTHER_KEY).status(),
@@ -208,7 +208,7 @@
     );
     let mut changed = with_customers(3);
     changed["tenants"][0]["api-keys"] = json!([NEW_KEY]);
-    put(&site, &changed);
+    put_plan(&site, &changed);
     assert_eq!(
         (send_and_read("a3", KEY), send_and_read("a4", NEW_KEY)),
         (401, 200)
@@ -234,7 +234,7 @@
         if let Some(site) = held.lock().unwrap().as_ref() {
             let mut revoked = with_customers(3);
             revoked["tenants"][0]["api-keys"] = json!([]);
-            put(site, &revoked);
+            put_plan(site, &revoked);
         }
         Action::Send(not_run_answer(request))
     };
@@ -273,7 +273,7 @@
     wait_until("it runs", || !decode.requests().is_empty());
     let mut revoked = with_customers(3);
     revoked["tenants"][0]["api-keys"] = json!([]);
-    put(&site, &revoked);
+    put_plan(&site, &revoked);
     let response = caller.read();
     assert!(response.complete);
     assert!(String::from_utf8_lossy(&response.body).contains("id: 3\n"));
@@ -290,7 +290,7 @@
         (&decode, "llm", "decode"),
     ];
     let site = start("keys-hidden", &replicas);
-    let other = site.another("keys-hidden-2", true);
+    let other = site.start_another("keys-hidden-2", true);
     other.wait_until_ready();
     let mut answers = Vec::new();
     for (id, key) in [("a1", KEY), ("a2", NEW_KEY)] {
@@ -300,17 +300,17 @@
         answers.push(send_and_read(&site, "GET /nowhere/1", id, key));
     }
     wait_until("all is told", || site.daemon.logged("\"a2\"").len() >= 4);
-    let mut written = site.daemon.logged("");
-    written.extend(other.logged(""));
-    written.push(site.daemon.metrics());
-    written.push(other.metrics());
-    written.push(format!("{answers:?}"));
+    let mut output = site.daemon.logged("");
+    output.extend(other.logged(""));
+    output.push(site.daemon.metrics());
+    output.push(other.metrics());
+    output.push(format!("{answers:?}"));
     let instances = site.store.keys("instances").into_iter();
-    written.extend(instances.map(|name| format!("{:?}", site.store.get("instances", &name))));
+    output.extend(instances.map(|name| format!("{:?}", site.store.get("instances", &name))));
     let received = [&failing, &prefill, &decode].map(|replica| format!("{:?}", replica.requests()));
-    written.extend(received);
-    let shown = written
+    output.extend(received);
+    let leaked = output
         .iter()
         .find(|text| text.contains(KEY) || text.contains(NEW_KEY));
-    assert_eq!(shown, None);
+    assert_eq!(leaked, None);
 }
--- a/crates/gateway/tests/gateway/lifecycle.rs
+++ b/crates/gateway/tests/gateway/lifecycle.rs
@@ -16,7 +16,7 @@
 use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::generate;
+use crate::site::start_generation;
 
 #[test]
 fn a_stop_finishes_what_is_in_progress() {
@@ -51,9 +51,9 @@
         Action::SendSlowly(parts, Duration::from_millis(1_900))
     });
     let mut site = Site::start("late-stream", &[(&decode, "llm", "decode")]);
-    let mut early = generate(&site.daemon, "/draft/1", "a1");
+    let mut early = start_generation(&site.daemon, "/draft/1", "a1");
     wait_until("the request arrives", || decode.requests().len() == 1);
-    let mut slow = site.config_with_long_streams();
+    let mut slow = site.allow_long_streams();
     site.daemon.signal(Signal::TERM);
     std::thread::sleep(Duration::from_millis(2_900));
     let late = slow.send_and_read("POST /draft/1", &crate::site::headers("a2"), b"prompt");
@@ -129,12 +129,12 @@
 fn improper_requests_do_not_fill_the_logs() {
     let site = Site::start("flooded", &[]);
     wait_until("it answers", || site.daemon.readiness() != 0);
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let mut caller = site.daemon.caller();
     for _ in 0..1_000 {
         assert_eq!(caller.send_and_read("GET /read/1", &[], b"").status(), 400);
     }
-    let seconds = begun.elapsed().as_secs() as usize + 2;
+    let seconds = started.elapsed().as_secs() as usize + 2;
     assert!(site.daemon.logged("rejected").len() <= 50 * seconds);
 }
 
--- a/crates/gateway/tests/gateway/limit.rs
+++ b/crates/gateway/tests/gateway/limit.rs
@@ -21,8 +21,8 @@
 use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::generate;
 use crate::site::send_and_read;
+use crate::site::start_generation;
 
 /// Tolerance of the checks: a factor on the requests that a limit allows, and a number of requests on top.
 const TOLERANCE_FACTOR: f64 = 1.5;
@@ -63,15 +63,15 @@
 
 /// Sends requests to `daemons` in turn for `seconds`; returns the statuses and the elapsed seconds.
 fn send_requests(daemons: &[&Daemon], path: &str, seconds: f64) -> (Vec<u16>, f64) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut statuses = Vec::new();
-    while begun.elapsed().as_secs_f64() < seconds {
+    while started.elapsed().as_secs_f64() < seconds {
         let number = statuses.len();
         let daemon = daemons[number % daemons.len()];
         statuses.push(send_and_read(daemon, path, &format!("p{number}")).status());
         thread::sleep(Duration::from_millis(20));
     }
-    (statuses, begun.elapsed().as_secs_f64())
+    (statuses, started.elapsed().as_secs_f64())
 }
 
 fn max_requests(rate: f64, seconds: f64) -> usize {
@@ -109,7 +109,7 @@
     let limited = limited_replica("i-limited", 2.0, &enabled());
     let other = unlimited_replica("i-open");
     let site = Site::start("limit-1", &[(&limited, "app", ""), (&other, "app", "")]);
-    let others = [2, 3, 4].map(|number| site.another(&format!("limit-{number}"), true));
+    let others = [2, 3, 4].map(|number| site.start_another(&format!("limit-{number}"), true));
     let daemons: Vec<&Daemon> = std::iter::once(&site.daemon).chain(&others).collect();
     for daemon in &daemons {
         wait_until("the daemons know each other", || {
@@ -207,15 +207,19 @@
     });
     let other = Replica::start("i-open", move |request| Action::Send(stream(request, "")));
     let prefill = Replica::start_prefill("i-p");
-    let site = Site::staged("limit-decode", &prefill, &[&limited, &other]);
-    let begun = Instant::now();
+    let site = Site::start_with_prefill("limit-decode", &prefill, &[&limited, &other]);
+    let started = Instant::now();
     let mut statuses = Vec::new();
-    while begun.elapsed() < Duration::from_secs(4) {
+    while started.elapsed() < Duration::from_secs(4) {
         let id = format!("g{}", statuses.len());
-        statuses.push(generate(&site.daemon, "/draft/1", &id).read().status());
+        statuses.push(
+            start_generation(&site.daemon, "/draft/1", &id)
+                .read()
+                .status(),
+        );
     }
     let received = limited.requests().len();
-    let seconds = begun.elapsed().as_secs_f64();
+    let seconds = started.elapsed().as_secs_f64();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
     assert!(
         received <= max_requests(1.0, seconds),
--- a/crates/gateway/tests/gateway/list_confirmation.rs
+++ b/crates/gateway/tests/gateway/list_confirmation.rs
@@ -54,10 +54,10 @@
 /// Asks a daemon whose list is the same as the asker's, which takes another one meanwhile if `changes`; whether the
 /// answer confirms the asker's list.
 async fn is_confirmed(changes: bool) -> bool {
-    let (asker, teller) = (shared(&new_ip()), new_ip());
+    let (asker, responder) = (shared(&new_ip()), new_ip());
     tokio::task::spawn_local(gossip::run(Rc::clone(&asker)));
-    tokio::task::spawn_local(gossip::run(shared(&teller)));
-    let address = SocketAddr::new(teller.parse().unwrap(), PORT);
+    tokio::task::spawn_local(gossip::run(shared(&responder)));
+    let address = SocketAddr::new(responder.parse().unwrap(), PORT);
     while gossip::question(&asker, address, PATIENCE / 100)
         .await
         .is_none()
--- a/crates/gateway/tests/gateway/migration.rs
+++ b/crates/gateway/tests/gateway/migration.rs
@@ -23,16 +23,16 @@
 use crate::common::replica::stream_head;
 use crate::site::Site;
 use crate::site::config;
-use crate::site::generate;
+use crate::site::start_generation;
 
 /// Events of an answer.
-const EVENTS: u64 = 40;
+const EVENT_COUNT: u64 = 40;
 /// Time between two of them.
-const PAUSE: Duration = Duration::from_millis(60);
+const EVENT_INTERVAL: Duration = Duration::from_millis(60);
 
 /// How the first replica answers a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Answer {
+enum MoveResponse {
     /// The run is stopped and its memory is copied.
     Copied,
     /// The run is stopped, and its memory cannot be copied.
@@ -50,7 +50,7 @@
 }
 
 /// A replica that makes events until it is asked to move a run.
-struct Source {
+struct SourceReplica {
     replica: Replica,
     moves: Arc<Mutex<Vec<Value>>>,
 }
@@ -58,7 +58,7 @@
 /// The parts of a stream that goes on after the event `after`.
 fn parts(request: &Message, after: u64) -> Vec<Vec<u8>> {
     let mut parts = vec![stream_head(request)];
-    parts.extend((after + 1..=EVENTS).map(|id| events(id, id)));
+    parts.extend((after + 1..=EVENT_COUNT).map(|id| events(id, id)));
     parts.push(chunk(b""));
     parts
 }
@@ -70,7 +70,7 @@
         head.replace("transfer-encoding: chunked\r\n", "")
             .into_bytes(),
     ];
-    parts.extend((1..=EVENTS).map(|id| format!("id: {id}\ndata: t{id}\n\n").into_bytes()));
+    parts.extend((1..=EVENT_COUNT).map(|id| format!("id: {id}\ndata: t{id}\n\n").into_bytes()));
     parts
 }
 
@@ -79,31 +79,33 @@
     last.map_or(0, |last| last.parse().unwrap())
 }
 
-impl Source {
-    fn start(how: Answer) -> Self {
+impl SourceReplica {
+    fn start(move_response: MoveResponse) -> Self {
         let moves: Arc<Mutex<Vec<Value>>> = Arc::default();
-        let stops: Arc<Mutex<HashMap<String, Arc<AtomicBool>>>> = Arc::default();
+        let stop_flags: Arc<Mutex<HashMap<String, Arc<AtomicBool>>>> = Arc::default();
         let received = Arc::clone(&moves);
         let replica = Replica::start("i-1", move |request| match request.path() {
             "/api/kv-move" => {
-                let asked: Value = serde_json::from_slice(&request.body).unwrap();
-                let id = asked["id"].as_str().unwrap().to_owned();
+                let move_request: Value = serde_json::from_slice(&request.body).unwrap();
+                let id = move_request["id"].as_str().unwrap().to_owned();
                 let mut received = received.lock().unwrap();
-                received.push(asked);
-                if how == Answer::Unknown {
+                received.push(move_request);
+                if move_response == MoveResponse::Unknown {
                     return Action::Send(answer(404, &[], b"{}"));
                 }
-                if let Some(stop) = stops.lock().unwrap().get(&id) {
+                if let Some(stop) = stop_flags.lock().unwrap().get(&id) {
                     stop.store(true, Ordering::SeqCst);
                 }
                 let body = br#"{"kv-handle":"m1","created":5}"#;
-                match how {
-                    Answer::OnlyStopped => Action::Send(answer(503, &[], body)),
-                    Answer::Lost | Answer::LostWithoutLength => Action::SendAndClose(Vec::new()),
-                    Answer::LostOnce | Answer::LostThen(_) if received.len() == 1 => {
+                match move_response {
+                    MoveResponse::OnlyStopped => Action::Send(answer(503, &[], body)),
+                    MoveResponse::Lost | MoveResponse::LostWithoutLength => {
                         Action::SendAndClose(Vec::new())
                     }
-                    Answer::LostThen(status) => Action::Send(answer(status, &[], b"{}")),
+                    MoveResponse::LostOnce | MoveResponse::LostThen(_) if received.len() == 1 => {
+                        Action::SendAndClose(Vec::new())
+                    }
+                    MoveResponse::LostThen(status) => Action::Send(answer(status, &[], b"{}")),
                     _ => Action::Send(answer(200, &[], body)),
                 }
             }
@@ -111,14 +113,14 @@
             _ => {
                 let stop = Arc::new(AtomicBool::new(false));
                 let id = request.header("request-id").unwrap().to_owned();
-                stops.lock().unwrap().insert(id, Arc::clone(&stop));
-                let parts = match how {
-                    Answer::LostWithoutLength | Answer::LostThen(_) => {
+                stop_flags.lock().unwrap().insert(id, Arc::clone(&stop));
+                let parts = match move_response {
+                    MoveResponse::LostWithoutLength | MoveResponse::LostThen(_) => {
                         parts_without_length(request)
                     }
                     _ => parts(request, last_event(request)),
                 };
-                Action::SendUntilStopped(parts, PAUSE, stop)
+                Action::SendUntilStopped(parts, EVENT_INTERVAL, stop)
             }
         });
         Self { replica, moves }
@@ -142,14 +144,14 @@
 }
 
 /// The replica that a run goes to.
-fn target() -> Replica {
+fn start_target() -> Replica {
     Replica::start("i-2", |request| {
-        Action::SendSlowly(parts(request, last_event(request)), PAUSE)
+        Action::SendSlowly(parts(request, last_event(request)), EVENT_INTERVAL)
     })
 }
 
 /// A site whose replicas hold the prompts of two runs and about half of what they make.
-fn site(name: &str, source: &Source) -> Site {
+fn start_site(name: &str, source: &SourceReplica) -> Site {
     let site = Site::start(name, &[(&source.replica, "llm", "decode")]);
     let mut small = config(2);
     let engine = &mut small["services"][1]["engine"];
@@ -165,12 +167,17 @@
 }
 
 /// Two generations at the first replica; the second replica is listed when both make tokens.
-fn two_runs(site: &Site, source: &Source, target: &Replica, path: &str) -> (Caller, Caller) {
-    let older = generate(&site.daemon, path, "a1");
+fn start_two_runs(
+    site: &Site,
+    source: &SourceReplica,
+    target: &Replica,
+    path: &str,
+) -> (Caller, Caller) {
+    let older = start_generation(&site.daemon, path, "a1");
     wait_until("the first run begins", || {
         !site.daemon.logged("\"kind\":\"first\"").is_empty()
     });
-    let newer = generate(&site.daemon, path, "a2");
+    let newer = start_generation(&site.daemon, path, "a2");
     wait_until("both runs are there", || {
         let received = source.replica.requests().into_iter();
         received.filter(|request| request.body == b"prompt").count() == 2
@@ -180,13 +187,13 @@
     (older, newer)
 }
 
-fn texts() -> String {
-    let texts = (1..=EVENTS).map(|id| format!("id: {id}\ndata: t{id}\n\n"));
+fn event_texts() -> String {
+    let texts = (1..=EVENT_COUNT).map(|id| format!("id: {id}\ndata: t{id}\n\n"));
     texts.collect()
 }
 
 /// Both answers have every event once, in order.
-fn both_are_whole(callers: (Caller, Caller)) {
+fn assert_both_complete(callers: (Caller, Caller)) {
     for mut caller in [callers.0, callers.1] {
         let response = caller.read();
         assert!(
@@ -194,16 +201,16 @@
             "{}",
             String::from_utf8_lossy(&response.body)
         );
-        assert_eq!(String::from_utf8_lossy(&response.body), texts());
+        assert_eq!(String::from_utf8_lossy(&response.body), event_texts());
     }
 }
 
 #[test]
 fn the_newer_run_goes_on_at_the_replica_with_room() {
-    let source = Source::start(Answer::Copied);
-    let target = target();
-    let site = site("moved", &source);
-    both_are_whole(two_runs(&site, &source, &target, "/draft/1"));
+    let source = SourceReplica::start(MoveResponse::Copied);
+    let target = start_target();
+    let site = start_site("moved", &source);
+    assert_both_complete(start_two_runs(&site, &source, &target, "/draft/1"));
     let moves = source.moves();
     assert_eq!(moves.len(), 1);
     assert_eq!(moves[0]["id"], "a2");
@@ -217,20 +224,20 @@
 
 #[test]
 fn a_run_whose_memory_cannot_be_copied_goes_on_where_it_was() {
-    let source = Source::start(Answer::OnlyStopped);
-    let target = target();
-    let site = site("not-copied", &source);
-    both_are_whole(two_runs(&site, &source, &target, "/draft/1"));
+    let source = SourceReplica::start(MoveResponse::OnlyStopped);
+    let target = start_target();
+    let site = start_site("not-copied", &source);
+    assert_both_complete(start_two_runs(&site, &source, &target, "/draft/1"));
     assert!(!source.continued().is_empty());
     assert!(continued(&target).is_empty());
 }
 
 #[test]
 fn a_run_that_the_replica_does_not_know_is_left_alone() {
-    let source = Source::start(Answer::Unknown);
-    let target = target();
-    let site = site("move-unknown", &source);
-    both_are_whole(two_runs(&site, &source, &target, "/draft/1"));
+    let source = SourceReplica::start(MoveResponse::Unknown);
+    let target = start_target();
+    let site = start_site("move-unknown", &source);
+    assert_both_complete(start_two_runs(&site, &source, &target, "/draft/1"));
     assert!(!source.moves().is_empty());
     assert!(continued(&target).is_empty());
     assert!(source.continued().is_empty());
@@ -238,10 +245,10 @@
 
 #[test]
 fn a_move_whose_answer_is_lost_is_asked_for_again() {
-    let source = Source::start(Answer::LostOnce);
-    let target = target();
-    let site = site("move-lost-once", &source);
-    both_are_whole(two_runs(&site, &source, &target, "/draft/1"));
+    let source = SourceReplica::start(MoveResponse::LostOnce);
+    let target = start_target();
+    let site = start_site("move-lost-once", &source);
+    assert_both_complete(start_two_runs(&site, &source, &target, "/draft/1"));
     assert_eq!(source.moves().len(), 2);
     assert_eq!(continued(&target).len(), 1);
 }
@@ -249,10 +256,10 @@
 /// Without the memory, a stream that can be resumed has its prompt read again.
 #[test]
 fn a_resumable_run_whose_move_is_lost_is_resumed() {
-    let source = Source::start(Answer::Lost);
-    let target = target();
-    let site = site("move-lost", &source);
-    both_are_whole(two_runs(&site, &source, &target, "/resume/1"));
+    let source = SourceReplica::start(MoveResponse::Lost);
+    let target = start_target();
+    let site = start_site("move-lost", &source);
+    assert_both_complete(start_two_runs(&site, &source, &target, "/resume/1"));
     assert!(continued(&target).is_empty());
     let resumed = target.requests();
     assert!(resumed.iter().any(|request| last_event(request) > 0));
@@ -261,10 +268,10 @@
 /// It may run once, so nothing else can be done; the caller sees that it is not whole.
 #[test]
 fn a_run_whose_move_is_lost_and_that_cannot_be_resumed_breaks_off() {
-    let source = Source::start(Answer::Lost);
-    let target = target();
-    let site = site("move-lost-once-only", &source);
-    let (mut older, mut newer) = two_runs(&site, &source, &target, "/draft/1");
+    let source = SourceReplica::start(MoveResponse::Lost);
+    let target = start_target();
+    let site = start_site("move-lost-once-only", &source);
+    let (mut older, mut newer) = start_two_runs(&site, &source, &target, "/draft/1");
     assert!(!newer.read().complete);
     assert!(older.read().complete);
     assert!(target.requests().is_empty());
@@ -273,10 +280,10 @@
 /// A stream without a length ends with its connection; that of a run that was stopped is closed as well.
 #[test]
 fn a_stream_without_a_length_whose_move_is_lost_does_not_look_complete() {
-    let source = Source::start(Answer::LostWithoutLength);
-    let target = target();
-    let site = site("move-lost-unframed", &source);
-    let (_older, mut newer) = two_runs(&site, &source, &target, "/draft/1");
+    let source = SourceReplica::start(MoveResponse::LostWithoutLength);
+    let target = start_target();
+    let site = start_site("move-lost-unframed", &source);
+    let (_older, mut newer) = start_two_runs(&site, &source, &target, "/draft/1");
     let response = newer.read();
     assert!(
         !response.complete,
@@ -296,13 +303,13 @@
 fn a_stream_without_a_length_whose_second_move_is_refused_does_not_look_complete(
     #[case] status: u16,
 ) {
-    let source = Source::start(Answer::LostThen(status));
-    let target = target();
-    let site = site(&format!("move-lost-then-{status}"), &source);
-    let (_older, mut newer) = two_runs(&site, &source, &target, "/draft/1");
+    let source = SourceReplica::start(MoveResponse::LostThen(status));
+    let target = start_target();
+    let site = start_site(&format!("move-lost-then-{status}"), &source);
+    let (_older, mut newer) = start_two_runs(&site, &source, &target, "/draft/1");
     let response = newer.read();
     assert!(source.moves().len() >= 2, "{:?}", source.moves());
-    assert_ne!(String::from_utf8_lossy(&response.body), texts());
+    assert_ne!(String::from_utf8_lossy(&response.body), event_texts());
     assert!(
         !response.complete,
         "{}",
@@ -312,49 +319,49 @@
 
 #[test]
 fn a_run_goes_on_where_it_was_if_the_other_replica_refuses_it() {
-    let source = Source::start(Answer::Copied);
+    let source = SourceReplica::start(MoveResponse::Copied);
     let target = Replica::start("i-2", |request| Action::Send(not_run_answer(request)));
-    let site = site("move-refused", &source);
-    both_are_whole(two_runs(&site, &source, &target, "/draft/1"));
+    let site = start_site("move-refused", &source);
+    assert_both_complete(start_two_runs(&site, &source, &target, "/draft/1"));
     assert!(!continued(&target).is_empty());
     assert!(!source.continued().is_empty());
 }
 
 #[test]
 fn memory_that_nobody_goes_on_from_is_freed() {
-    let source = Source::start(Answer::Copied);
+    let source = SourceReplica::start(MoveResponse::Copied);
     // Takes the request, says nothing for long.
     let target = Replica::start("i-2", |request| {
         Action::SendSlowly(parts(request, last_event(request)), Duration::from_secs(3))
     });
-    let site = site("move-left", &source);
-    let (older, newer) = two_runs(&site, &source, &target, "/draft/1");
+    let site = start_site("move-left", &source);
+    let (older, newer) = start_two_runs(&site, &source, &target, "/draft/1");
     wait_until("the run goes on", || !continued(&target).is_empty());
     drop((older, newer));
     wait_until("the memory is freed", || {
         let received = source.replica.requests();
-        let freed = |request: &Message| request.path() == "/api/kv-handle/m1";
-        received.iter().any(freed)
+        let is_release = |request: &Message| request.path() == "/api/kv-handle/m1";
+        received.iter().any(is_release)
     });
 }
 
 #[test]
 fn nothing_moves_without_a_retry() {
-    let source = Source::start(Answer::Copied);
-    let target = target();
-    let site = site("move-no-retry", &source);
+    let source = SourceReplica::start(MoveResponse::Copied);
+    let target = start_target();
+    let site = start_site("move-no-retry", &source);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
-    both_are_whole(two_runs(&site, &source, &target, "/draft/1"));
+    assert_both_complete(start_two_runs(&site, &source, &target, "/draft/1"));
     assert!(source.moves().is_empty());
 }
 
 #[test]
 fn nothing_moves_where_that_is_switched_off() {
-    let source = Source::start(Answer::Copied);
-    let target = target();
-    let site = site("move-off", &source);
+    let source = SourceReplica::start(MoveResponse::Copied);
+    let target = start_target();
+    let site = start_site("move-off", &source);
     site.change_settings("grace_s:", "placing: {moves: false}\ngrace_s:");
-    both_are_whole(two_runs(&site, &source, &target, "/draft/1"));
-    thread::sleep(PAUSE);
+    assert_both_complete(start_two_runs(&site, &source, &target, "/draft/1"));
+    thread::sleep(EVENT_INTERVAL);
     assert!(source.moves().is_empty());
 }
--- a/crates/gateway/tests/gateway/plain.rs
+++ b/crates/gateway/tests/gateway/plain.rs
@@ -183,11 +183,11 @@
 
 #[test]
 fn a_replica_whose_address_another_has_is_left() {
-    let gone = Replica::start("i-1", |_| {
+    let replaced = Replica::start("i-1", |_| {
         Action::Send(answer(421, &[("instance-id", "i-9")], b""))
     });
     let live = echo("i-2");
-    let site = Site::start("replaced", &[(&gone, "app", ""), (&live, "app", "")]);
+    let site = Site::start("replaced", &[(&replaced, "app", ""), (&live, "app", "")]);
     for number in 0..6 {
         assert_eq!(
             site.send_and_read("POST /book/1", &format!("a{number}"))
@@ -195,7 +195,7 @@
             200
         );
     }
-    assert!(gone.requests().len() <= 1);
+    assert!(replaced.requests().len() <= 1);
 }
 
 #[test]
@@ -247,8 +247,8 @@
 #[test]
 fn a_silent_replica_is_left_for_another_one_where_a_call_may_be_repeated() {
     let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
-    let sound = echo("i-2");
-    let site = Site::start("silent", &[(&silent, "app", ""), (&sound, "app", "")]);
+    let healthy = echo("i-2");
+    let site = Site::start("silent", &[(&silent, "app", ""), (&healthy, "app", "")]);
     wait_until("the silent one was tried", || {
         assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
         !silent.requests().is_empty()
--- a/crates/gateway/tests/gateway/quarantine.rs
+++ b/crates/gateway/tests/gateway/quarantine.rs
@@ -28,22 +28,22 @@
 use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::generate;
 use crate::site::headers;
 use crate::site::send_and_read;
+use crate::site::start_generation;
 
 /// Replicas that a request may end before no other one gets it.
-const ENDED: usize = 3;
+const QUARANTINE_THRESHOLD: usize = 3;
 /// Time in which each daemon knows what another one saw; their messages take some milliseconds.
-const SETTLED: Duration = Duration::from_secs(6);
+const PROPAGATION_TIME: Duration = Duration::from_secs(6);
 /// Longer than a replica that does not answer is asked.
-const STOPPED: Duration = Duration::from_millis(1_500);
+const DAEMON_PAUSE: Duration = Duration::from_millis(1_500);
 /// Replicas of a test: enough for each attempt to find one.
-const REPLICAS: usize = 8;
+const REPLICA_COUNT: usize = 8;
 
 /// Replicas that end when they begin to run a request for a path with `crash` in it, and serve all others. One that is resumed
 /// goes on after its last event: a run that begins with another event is left before its replica has ended.
-fn fragile(count: usize) -> Vec<Replica> {
+fn crashing_replicas(count: usize) -> Vec<Replica> {
     let script = |request: &Message| {
         if request.path().contains("crash") {
             let last = request.header("last-event-id");
@@ -58,21 +58,21 @@
 
 /// Applications that answer by `script`.
 fn applications(script: fn(&Message) -> Action) -> Vec<Replica> {
-    let ids = (1..=REPLICAS).map(|number| format!("i-{number}"));
+    let ids = (1..=REPLICA_COUNT).map(|number| format!("i-{number}"));
     ids.map(|id| Replica::start(&id, script)).collect()
 }
 
 /// A daemon in front of applications.
-fn calls(name: &str, replicas: &[Replica]) -> Site {
+fn start_call_site(name: &str, replicas: &[Replica]) -> Site {
     let listed: Vec<_> = replicas.iter().map(|r| (r, "app", "")).collect();
     Site::start(name, &listed)
 }
 
-fn site(name: &str, prefill: &Replica, decode: &[Replica]) -> Site {
-    Site::staged(name, prefill, &decode.iter().collect::<Vec<_>>())
+fn start_site(name: &str, prefill: &Replica, decode: &[Replica]) -> Site {
+    Site::start_with_prefill(name, prefill, &decode.iter().collect::<Vec<_>>())
 }
 
-fn runs(replicas: &[Replica]) -> usize {
+fn run_count(replicas: &[Replica]) -> usize {
     replicas
         .iter()
         .map(|replica| replica.requests().len())
@@ -80,23 +80,23 @@
 }
 
 /// Has `count` attempts with the request end one replica each.
-fn crash(daemon: &Daemon, count: usize) {
+fn crash_replicas(daemon: &Daemon, count: usize) {
     for number in 0..count {
-        let response = generate(daemon, "/draft/crash", &format!("c{number}")).read();
+        let response = start_generation(daemon, "/draft/crash", &format!("c{number}")).read();
         assert!(!response.complete);
     }
 }
 
 /// Whether `daemon` tells in its log that it sends the request to no replica any more.
-fn quarantines(daemon: &Daemon) -> bool {
+fn is_quarantined_by(daemon: &Daemon) -> bool {
     !daemon.logged("\"kind\":\"quarantine\"").is_empty()
 }
 
 /// Waits until it does, for so long that what the daemons tell each other has come; whether the request is
 /// sent on all the same is for the test to see.
 fn wait_until_quarantined(daemon: &Daemon) {
-    let end = Instant::now() + SETTLED;
-    while !quarantines(daemon) && Instant::now() < end {
+    let deadline = Instant::now() + PROPAGATION_TIME;
+    while !is_quarantined_by(daemon) && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -105,24 +105,27 @@
 #[case::once("/draft/crash")]
 #[case::resumable("/resume/crash")]
 fn a_request_that_ended_three_replicas_is_sent_to_none(#[case] path: &str) {
-    let (prefill, decode) = (Replica::start_prefill("i-p"), fragile(REPLICAS));
-    let site = site(&path.replace('/', "-"), &prefill, &decode);
+    let (prefill, decode) = (
+        Replica::start_prefill("i-p"),
+        crashing_replicas(REPLICA_COUNT),
+    );
+    let site = start_site(&path.replace('/', "-"), &prefill, &decode);
     let mut answers = Vec::new();
-    for number in 0..ENDED {
+    for number in 0..QUARANTINE_THRESHOLD {
         // A resumable one ends two replicas an attempt, so that the third attempt is refused.
-        let response = generate(&site.daemon, path, &format!("c{number}")).read();
+        let response = start_generation(&site.daemon, path, &format!("c{number}")).read();
         assert!(!response.complete || response.status() == 503);
     }
     wait_until_quarantined(&site.daemon);
-    for number in 0..ENDED {
-        let response = generate(&site.daemon, path, &format!("q{number}")).read();
+    for number in 0..QUARANTINE_THRESHOLD {
+        let response = start_generation(&site.daemon, path, &format!("q{number}")).read();
         assert!(String::from_utf8_lossy(&response.body).contains("replicas ended"));
         answers.push((response.status(), response.header("retry-after").is_some()));
     }
-    assert_eq!(runs(&decode), ENDED);
-    assert_eq!(answers, [(503, true); ENDED]);
+    assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
+    assert_eq!(answers, [(503, true); QUARANTINE_THRESHOLD]);
     // Another request is served.
-    let response = generate(&site.daemon, "/draft/sound", "s1").read();
+    let response = start_generation(&site.daemon, "/draft/sound", "s1").read();
     assert!(response.complete);
 }
 
@@ -131,63 +134,75 @@
 fn a_request_that_ended_three_replicas_is_sent_to_none_if_it_is_a_call() {
     let script = |_: &Message| Action::Crash(Vec::new());
     let replicas = applications(script);
-    let site = calls("booked", &replicas);
-    for number in 0..ENDED {
+    let site = start_call_site("booked", &replicas);
+    for number in 0..QUARANTINE_THRESHOLD {
         let response = site.send_and_read("POST /book/lorry", &format!("c{number}"));
         assert_eq!(response.status(), 502);
     }
     wait_until_quarantined(&site.daemon);
     assert_eq!(site.send_and_read("POST /book/lorry", "q1").status(), 503);
-    assert_eq!(runs(&replicas), ENDED);
+    assert_eq!(run_count(&replicas), QUARANTINE_THRESHOLD);
 }
 
 #[test]
 fn the_other_daemons_send_it_to_none_either() {
-    let (prefill, decode) = (Replica::start_prefill("i-p"), fragile(REPLICAS));
-    let site = site("told", &prefill, &decode);
-    let others = [site.another("told-2", true), site.another("told-3", true)];
+    let (prefill, decode) = (
+        Replica::start_prefill("i-p"),
+        crashing_replicas(REPLICA_COUNT),
+    );
+    let site = start_site("told", &prefill, &decode);
+    let others = [
+        site.start_another("told-2", true),
+        site.start_another("told-3", true),
+    ];
     for daemon in &others {
         daemon.wait_until_ready();
     }
     // Each of them sees a replica end, and none sees three.
-    crash(&site.daemon, 1);
-    crash(&others[0], 1);
-    crash(&others[1], 1);
+    crash_replicas(&site.daemon, 1);
+    crash_replicas(&others[0], 1);
+    crash_replicas(&others[1], 1);
     for daemon in others.iter().chain([&site.daemon]) {
         wait_until_quarantined(daemon);
-        generate(daemon, "/draft/crash", "q1").read();
+        start_generation(daemon, "/draft/crash", "q1").read();
     }
-    assert_eq!(runs(&decode), ENDED);
+    assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
 }
 
 #[test]
 fn a_daemon_that_starts_later_sends_it_to_none() {
-    let (prefill, decode) = (Replica::start_prefill("i-p"), fragile(REPLICAS));
-    let mut site = site("kept", &prefill, &decode);
-    crash(&site.daemon, ENDED);
+    let (prefill, decode) = (
+        Replica::start_prefill("i-p"),
+        crashing_replicas(REPLICA_COUNT),
+    );
+    let mut site = start_site("kept", &prefill, &decode);
+    crash_replicas(&site.daemon, QUARANTINE_THRESHOLD);
     wait_until_quarantined(&site.daemon);
-    let end = Instant::now() + SETTLED;
-    while site.store.keys("quarantine").len() < ENDED && Instant::now() < end {
+    let deadline = Instant::now() + PROPAGATION_TIME;
+    while site.store.keys("quarantine").len() < QUARANTINE_THRESHOLD && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
     // Nobody is left who could tell.
     site.daemon.kill();
-    let next = site.another("kept-2", false);
+    let next = site.start_another("kept-2", false);
     next.wait_until_ready();
     wait_until_quarantined(&next);
-    generate(&next, "/draft/crash", "q1").read();
-    assert_eq!(runs(&decode), ENDED);
+    start_generation(&next, "/draft/crash", "q1").read();
+    assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
 }
 
 /// Operators who have mended the engines write when: all daemons hear of it from the one that starts next.
 #[test]
 fn operators_lift_a_quarantine_by_a_row() {
-    let (prefill, decode) = (Replica::start_prefill("i-p"), fragile(REPLICAS));
-    let site = site("lifted", &prefill, &decode);
-    crash(&site.daemon, ENDED);
+    let (prefill, decode) = (
+        Replica::start_prefill("i-p"),
+        crashing_replicas(REPLICA_COUNT),
+    );
+    let site = start_site("lifted", &prefill, &decode);
+    crash_replicas(&site.daemon, QUARANTINE_THRESHOLD);
     wait_until_quarantined(&site.daemon);
     wait_until("it is kept", || {
-        site.store.keys("quarantine").len() >= ENDED
+        site.store.keys("quarantine").len() >= QUARANTINE_THRESHOLD
     });
     let keys = site.store.keys("quarantine");
     let (content, _) = keys[0].split_once('.').unwrap();
@@ -195,11 +210,14 @@
     let row = format!("{content}.served");
     site.store
         .put("quarantine", &row, &(now.as_millis() as u64).into());
-    let next = site.another("lifted-2", true);
+    let next = site.start_another("lifted-2", true);
     next.wait_until_ready();
     for daemon in [&next, &site.daemon] {
         wait_until("it is sent again", || {
-            generate(daemon, "/draft/crash", "l1").read().status() != 503
+            start_generation(daemon, "/draft/crash", "l1")
+                .read()
+                .status()
+                != 503
         });
     }
 }
@@ -212,34 +230,37 @@
         _ => Action::Crash(Vec::new()),
     };
     let replicas = applications(script);
-    let site = calls("failed-first", &replicas);
+    let site = start_call_site("failed-first", &replicas);
     assert_eq!(site.send_and_read("POST /book/lorry", "f1").status(), 500);
-    for number in 0..ENDED {
+    for number in 0..QUARANTINE_THRESHOLD {
         let response = site.send_and_read("POST /book/lorry", &format!("c{number}"));
         assert_eq!(response.status(), 502);
     }
     wait_until_quarantined(&site.daemon);
     assert_eq!(site.send_and_read("POST /book/lorry", "q1").status(), 503);
-    assert_eq!(runs(&replicas), 1 + ENDED);
+    assert_eq!(run_count(&replicas), 1 + QUARANTINE_THRESHOLD);
 }
 
 /// A daemon that was cut off while the others were told has to hear of it afterwards, from any of them.
 #[test]
 fn a_daemon_that_was_told_nothing_hears_of_it_from_its_peers() {
-    let (prefill, decode) = (Replica::start_prefill("i-p"), fragile(REPLICAS));
-    let site = site("unheard", &prefill, &decode);
-    crash(&site.daemon, ENDED);
+    let (prefill, decode) = (
+        Replica::start_prefill("i-p"),
+        crashing_replicas(REPLICA_COUNT),
+    );
+    let site = start_site("unheard", &prefill, &decode);
+    crash_replicas(&site.daemon, QUARANTINE_THRESHOLD);
     wait_until_quarantined(&site.daemon);
     // What was told is over by now, and the next daemon learns nothing from the store.
     thread::sleep(Duration::from_millis(1_500));
     for key in site.store.keys("quarantine") {
         site.store.remove("quarantine", &key);
     }
-    let next = site.another("unheard-2", true);
+    let next = site.start_another("unheard-2", true);
     next.wait_until_ready();
     wait_until_quarantined(&next);
-    generate(&next, "/draft/crash", "q1").read();
-    assert_eq!(runs(&decode), ENDED);
+    start_generation(&next, "/draft/crash", "q1").read();
+    assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
 }
 
 /// A replica that breaks off an answer and goes on has not ended.
@@ -249,14 +270,14 @@
         |request: &Message| Action::SendAndClose([stream_head(request), events(1, 1)].concat());
     let decode: Vec<Replica> = ["i-1", "i-2"].map(|id| Replica::start(id, broken)).into();
     let prefill = Replica::start_prefill("i-p");
-    let site = site("cut", &prefill, &decode);
-    for number in 0..2 * ENDED {
-        let response = generate(&site.daemon, "/draft/cut", &format!("c{number}")).read();
+    let site = start_site("cut", &prefill, &decode);
+    for number in 0..2 * QUARANTINE_THRESHOLD {
+        let response = start_generation(&site.daemon, "/draft/cut", &format!("c{number}")).read();
         assert_eq!(response.status(), 200);
         // Long enough for the daemon to ask the replica whether it is there.
         thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(runs(&decode), 2 * ENDED);
+    assert_eq!(run_count(&decode), 2 * QUARANTINE_THRESHOLD);
 }
 
 /// A process that is stopped, or whose machine is suspended, while it asks a replica has asked for no longer than
@@ -264,7 +285,7 @@
 #[test]
 fn a_replica_has_not_ended_since_the_daemon_stood_still_while_it_asked() {
     let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
-    let site = calls("asks-late", std::slice::from_ref(&replica));
+    let site = start_call_site("asks-late", std::slice::from_ref(&replica));
     let daemon = site.daemon.pid();
     let asked = Arc::new(AtomicBool::new(false));
     let own_asked = Arc::clone(&asked);
@@ -278,7 +299,7 @@
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/lorry", &headers("a1"), b"");
     wait_until("the replica is asked", || asked.load(Ordering::SeqCst));
-    thread::sleep(STOPPED);
+    thread::sleep(DAEMON_PAUSE);
     site.daemon.signal(Signal::CONT);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
     wait_until("it is found out", || !verdicts().is_empty());
@@ -292,10 +313,10 @@
         Some(id) if id.starts_with('w') => Action::SendAndHang(Vec::new()),
         _ => Action::Send(signed_answer(request, 200, b"done")),
     };
-    let replicas: Vec<Replica> = (0..=ENDED)
+    let replicas: Vec<Replica> = (0..=QUARANTINE_THRESHOLD)
         .map(|number| Replica::start(&format!("i-{number}"), answers))
         .collect();
-    let site = calls("popular", &replicas);
+    let site = start_call_site("popular", &replicas);
     assert_eq!(site.send_and_read("GET /read/stock", "a1").status(), 200);
     // As many as there are replicas, twice: each of these gets one.
     let ids: Vec<String> = (0..2 * replicas.len()).map(|n| format!("w{n}")).collect();
@@ -314,11 +335,11 @@
         replica.crash();
     }
     wait_until("the daemon knows that they ended", || {
-        site.daemon.logged("\"presence\":\"Ended\"").len() >= ENDED
+        site.daemon.logged("\"presence\":\"Ended\"").len() >= QUARANTINE_THRESHOLD
     });
     assert_eq!(
         send_and_read(&site.daemon, "GET /read/stock", "a2").status(),
         200
     );
-    assert!(!quarantines(&site.daemon));
+    assert!(!is_quarantined_by(&site.daemon));
 }
--- a/crates/gateway/tests/gateway/quotas.rs
+++ b/crates/gateway/tests/gateway/quotas.rs
@@ -35,11 +35,11 @@
 /// A daemon in front of `replica`, with this quota in force.
 fn start(name: &str, replica: &Replica, per_s: f64, burst: u64) -> Site {
     let site = Site::start(name, &[(replica, "app", "")]);
-    put(&site, &with_quota(2, per_s, burst));
+    put_plan(&site, &with_quota(2, per_s, burst));
     site
 }
 
-fn put(site: &Site, config: &Value) {
+fn put_plan(site: &Site, config: &Value) {
     site.store.put("op", "config", config);
     wait_until_in_force(&site.daemon, config);
 }
@@ -118,7 +118,7 @@
 fn daemons_share_one_quota() {
     let replica = echo("i-1");
     let site = start("quota-shared", &replica, 200.0, 4 * TOKENS);
-    let other = site.another("quota-shared-2", true);
+    let other = site.start_another("quota-shared-2", true);
     wait_until("the daemons know each other", || {
         let both = "waxwing_gateway_members 2";
         other.metrics().contains(both) && site.daemon.metrics().contains(both)
@@ -126,7 +126,7 @@
     wait_until_in_force(&other, &with_quota(2, 200.0, 4 * TOKENS));
     // Both may take each other for the keeper until the members are settled.
     thread::sleep(Duration::from_secs(4));
-    let begun = Instant::now();
+    let started = Instant::now();
     let statuses: Vec<u16> = (0..12)
         .map(|number| {
             let daemon = [&site.daemon, &other][number % 2];
@@ -136,7 +136,7 @@
     let ran = statuses.iter().filter(|status| **status == 200).count();
     let refused = statuses.iter().filter(|status| **status == 429).count();
     // Four at once, what has come free since, and what comes free while the last one waits.
-    let free = 4 + (begun.elapsed().as_secs_f64() * 2.0) as usize + 1;
+    let free = 4 + (started.elapsed().as_secs_f64() * 2.0) as usize + 1;
     assert!((4..=free).contains(&ran), "{statuses:?}");
     assert_eq!(ran + refused, statuses.len(), "{statuses:?}");
     assert_eq!(replica.requests().len(), ran);
@@ -155,7 +155,7 @@
             200
         );
     }
-    put(&site, &with_quota(3, 1.0, TOKENS));
+    put_plan(&site, &with_quota(3, 1.0, TOKENS));
     let statuses: Vec<u16> = (0..5)
         .map(|number| send_and_read(&site.daemon, &format!("b{number}")).status())
         .collect();
@@ -167,7 +167,7 @@
     let replica = echo("i-1");
     let site = start("quota-cut", &replica, 100_000.0, 100_000);
     let mut others: Vec<Daemon> = (2..=3)
-        .map(|number| site.another(&format!("quota-cut-{number}"), true))
+        .map(|number| site.start_another(&format!("quota-cut-{number}"), true))
         .collect();
     wait_until("the daemons know each other", || {
         site.daemon.metrics().contains("waxwing_gateway_members 3")
--- a/crates/gateway/tests/gateway/restarts.rs
+++ b/crates/gateway/tests/gateway/restarts.rs
@@ -15,24 +15,24 @@
 use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::generate;
+use crate::site::start_generation;
 
-const FIRST: u64 = 1_780_000_000_000;
-const SECOND: u64 = FIRST + 700;
+const FIRST_START_MS: u64 = 1_780_000_000_000;
+const SECOND_START_MS: u64 = FIRST_START_MS + 700;
 /// Well below the time that the routes of the tests allow, 4 s.
-const SOON: Duration = Duration::from_secs(3);
+const DETECTION_LIMIT: Duration = Duration::from_secs(3);
 
-fn row(replica: &Replica, service: &str, stage: &str, born: u64) -> Value {
+fn row_with_start_time(replica: &Replica, service: &str, stage: &str, start_time: u64) -> Value {
     let mut row = replica.row(service, stage);
-    row["born"] = born.into();
+    row["born"] = start_time.into();
     row
 }
 
 /// Lists `replica` as started at `born`, and waits until that is believed and the daemon takes requests: it reads
 /// the plan apart from the replicas, and until then it refuses them.
-fn list(site: &Site, replica: &Replica, service: &str, stage: &str, born: u64) {
+fn list_replica(site: &Site, replica: &Replica, service: &str, stage: &str, start_time: u64) {
     let before = site.daemon.logged("a replica changed").len();
-    let row = row(replica, service, stage, born);
+    let row = row_with_start_time(replica, service, stage, start_time);
     site.store.put("servers", &replica.id, &row);
     wait_until("it is believed", || {
         site.daemon.logged("a replica changed").len() > before
@@ -40,62 +40,62 @@
     site.daemon.wait_until_ready();
 }
 
-fn begins_and_hangs(request: &Message) -> Action {
+fn starts_and_hangs(request: &Message) -> Action {
     Action::SendAndHang([stream_head(request), events(1, 2)].concat())
 }
 
-fn rest(request: &Message) -> Action {
+fn remaining_events(request: &Message) -> Action {
     Action::Send([stream_head(request), events(3, 5), chunk(b"")].concat())
 }
 
 /// A replica that was cut off sends no end; without news of its start the caller would wait on.
 #[test]
 fn a_stream_whose_replica_started_again_ends_at_once() {
-    let decode = Replica::start("i-d", begins_and_hangs);
+    let decode = Replica::start("i-d", starts_and_hangs);
     let site = Site::start("reborn-stream", &[]);
-    list(&site, &decode, "llm", "decode", FIRST);
-    let begun = Instant::now();
-    let mut caller = generate(&site.daemon, "/draft/1", "a1");
+    list_replica(&site, &decode, "llm", "decode", FIRST_START_MS);
+    let started = Instant::now();
+    let mut caller = start_generation(&site.daemon, "/draft/1", "a1");
     wait_until("it runs", || decode.requests().len() == 1);
-    list(&site, &decode, "llm", "decode", SECOND);
+    list_replica(&site, &decode, "llm", "decode", SECOND_START_MS);
     let response = caller.read();
     assert!(!response.complete);
-    assert!(begun.elapsed() < SOON);
+    assert!(started.elapsed() < DETECTION_LIMIT);
     assert_eq!(decode.requests().len(), 1);
 }
 
 #[test]
 fn a_resumable_stream_goes_on_elsewhere_when_its_replica_started_again() {
     let script = |request: &Message| match request.header("last-event-id") {
-        Some("2") => rest(request),
-        _ => begins_and_hangs(request),
+        Some("2") => remaining_events(request),
+        _ => starts_and_hangs(request),
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
     let site = Site::start("reborn-resume", &[]);
-    list(&site, &one, "llm", "decode", FIRST);
-    let begun = Instant::now();
-    let mut caller = generate(&site.daemon, "/resume/1", "a1");
+    list_replica(&site, &one, "llm", "decode", FIRST_START_MS);
+    let started = Instant::now();
+    let mut caller = start_generation(&site.daemon, "/resume/1", "a1");
     wait_until("it runs", || one.requests().len() == 1);
-    list(&site, &two, "llm", "decode", FIRST);
-    list(&site, &one, "llm", "decode", SECOND);
+    list_replica(&site, &two, "llm", "decode", FIRST_START_MS);
+    list_replica(&site, &one, "llm", "decode", SECOND_START_MS);
     assert!(caller.read().complete);
-    assert!(begun.elapsed() < SOON);
+    assert!(started.elapsed() < DETECTION_LIMIT);
 }
 
 #[test]
 fn a_call_whose_replica_started_again_is_answered_at_once() {
     let hangs = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("reborn-call", &[]);
-    list(&site, &hangs, "app", "", FIRST);
-    let begun = Instant::now();
+    list_replica(&site, &hangs, "app", "", FIRST_START_MS);
+    let started = Instant::now();
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/1", &crate::site::headers("a1"), b"");
     wait_until("it arrives", || hangs.requests().len() == 1);
-    list(&site, &hangs, "app", "", SECOND);
+    list_replica(&site, &hangs, "app", "", SECOND_START_MS);
     // It may have run, so it is not sent again and not said not to have run.
     assert_eq!(caller.read().status(), 502);
-    assert!(begun.elapsed() < SOON);
+    assert!(started.elapsed() < DETECTION_LIMIT);
     assert_eq!(hangs.requests().len(), 1);
 }
 
@@ -106,9 +106,9 @@
         Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     });
     let site = Site::start("reborn-reserved", &[]);
-    list(&site, &decode, "llm", "decode", FIRST);
-    decode.set_start_time(SECOND);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    list_replica(&site, &decode, "llm", "decode", FIRST_START_MS);
+    decode.set_start_time(SECOND_START_MS);
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert!(response.complete);
     assert_eq!(decode.requests().len(), 1);
     let restarted = || site.daemon.logged("Restarted").len();
@@ -122,14 +122,14 @@
         Action::Send(signed_answer(request, 200, b"x"))
     });
     let site = Site::start("old-entry", &[]);
-    list(&site, &replica, "app", "", SECOND);
-    let mut old = row(&replica, "app", "", FIRST);
+    list_replica(&site, &replica, "app", "", SECOND_START_MS);
+    let mut old = row_with_start_time(&replica, "app", "", FIRST_START_MS);
     old["state"] = "draining".into();
     site.store.put("servers", "i-1", &old);
     let other = Replica::start("i-2", |request| {
         Action::Send(signed_answer(request, 200, b"x"))
     });
-    list(&site, &other, "app", "", FIRST);
+    list_replica(&site, &other, "app", "", FIRST_START_MS);
     assert!(site.daemon.logged("Draining").is_empty());
 }
 
@@ -138,21 +138,21 @@
 fn the_prompt_of_a_resumed_stream_is_read_again_only_within_the_budget() {
     let prefill = Replica::start_prefill("i-p");
     let script = |request: &Message| match request.header("last-event-id") {
-        Some("2") => rest(request),
+        Some("2") => remaining_events(request),
         _ => {
             Action::SendAndClose([stream_head(request), events(1, 2), chunk(b"id: 3\nda")].concat())
         }
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
-    let site = Site::staged("read-again", &prefill, &[&one, &two]);
+    let site = Site::start_with_prefill("read-again", &prefill, &[&one, &two]);
     // Enough for one retry, in the window that begins with the daemon.
-    let (usual, little) = ("slack: 50, window_s: 10", "slack: 4, window_s: 600");
+    let (default_budget, small_budget) = ("slack: 50, window_s: 10", "slack: 4, window_s: 600");
     site.change_settings(
-        &format!("ratio: 0.2, {usual}"),
-        &format!("ratio: 0.0, {little}"),
+        &format!("ratio: 0.2, {default_budget}"),
+        &format!("ratio: 0.0, {small_budget}"),
     );
-    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    let response = start_generation(&site.daemon, "/resume/1", "a1").read();
     assert!(response.complete);
     assert_eq!(prefill.requests().len(), 1);
     assert_eq!(one.requests().len() + two.requests().len(), 2);
--- a/crates/gateway/tests/gateway/second_answers.rs
+++ b/crates/gateway/tests/gateway/second_answers.rs
@@ -22,17 +22,17 @@
 use crate::common::replica::events;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::generate;
+use crate::site::start_generation;
 
 /// Longer than the time for which a replica that answered twice is not trusted.
-const TRUSTED_AGAIN: Duration = Duration::from_millis(10_500);
+const TRUST_RESTORED_AFTER: Duration = Duration::from_millis(10_500);
 
 fn id(request: &Message) -> &str {
     request.header("request-id").unwrap_or_default()
 }
 
 /// A replica that reads prompts; it names the KV cache after the request, and itself in no answer but these.
-fn reader() -> Replica {
+fn start_prefill() -> Replica {
     Replica::start("i-p", |request| {
         let body = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
         let headers = [
@@ -43,14 +43,14 @@
     })
 }
 
-fn writer(name: &str) -> Replica {
+fn start_decode(name: &str) -> Replica {
     Replica::start(name, |request| {
         Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     })
 }
 
 /// Each request that a decode replica ran, with the KV cache that it went on from, if there was one.
-fn sources(decode: &Replica) -> Vec<(String, Option<String>)> {
+fn kv_sources(decode: &Replica) -> Vec<(String, Option<String>)> {
     let received = decode.requests().into_iter();
     let source = |request: &Message| {
         let (_, handle) = request.header("kv-source")?.rsplit_once('/')?;
@@ -63,12 +63,12 @@
 
 #[test]
 fn a_generation_goes_on_from_its_own_prompt_where_prefills_are_answered_twice() {
-    let prefill = reader();
+    let prefill = start_prefill();
     prefill.answer_twice_if(|_| true);
-    let decode = writer("i-d");
-    let site = Site::staged("read-twice", &prefill, &[&decode]);
+    let decode = start_decode("i-d");
+    let site = Site::start_with_prefill("read-twice", &prefill, &[&decode]);
     for number in 0..6 {
-        let response = generate(&site.daemon, "/resume/1", &format!("a{number}")).read();
+        let response = start_generation(&site.daemon, "/resume/1", &format!("a{number}")).read();
         assert!(
             response.complete && response.status() == 200,
             "{}",
@@ -76,7 +76,7 @@
         );
     }
     assert!(prefill.second_answer_count() > 0);
-    for (id, source) in sources(&decode) {
+    for (id, source) in kv_sources(&decode) {
         assert!(
             source
                 .as_ref()
@@ -87,10 +87,14 @@
 }
 
 /// An application that answers with the id of the request; its answers name the request if `names`.
-fn application(names: bool) -> Replica {
+fn start_application(names_request: bool) -> Replica {
     Replica::start("i-a", move |request| {
         let headers = [("request-id", id(request)), ("response-seal", "s.1")];
-        let headers = if names { &headers[..] } else { &headers[1..] };
+        let headers = if names_request {
+            &headers[..]
+        } else {
+            &headers[1..]
+        };
         Action::Send(answer(200, headers, id(request).as_bytes()))
     })
 }
@@ -109,7 +113,7 @@
 
 #[test]
 fn a_call_gets_its_own_answer_where_calls_are_answered_twice() {
-    let replica = application(true);
+    let replica = start_application(true);
     replica.answer_twice_if(|_| true);
     let site = Site::start("called-twice", &[(&replica, "app", "")]);
     assert_eq!(foreign_answers(&site), []);
@@ -119,7 +123,7 @@
 /// On a connection that carried other requests, an answer without an id may be the second one to any of them.
 #[test]
 fn a_call_gets_its_own_answer_where_answers_name_no_request() {
-    let replica = application(false);
+    let replica = start_application(false);
     replica.answer_twice_if(|_| true);
     let site = Site::start("unnamed", &[(&replica, "app", "")]);
     assert_eq!(foreign_answers(&site), []);
@@ -136,7 +140,7 @@
     let site = Site::start("streamed-twice", &[(&decode, "llm", "decode")]);
     for number in 0..6 {
         let id = format!("a{number}");
-        let response = generate(&site.daemon, "/resume/1", &id).read();
+        let response = start_generation(&site.daemon, "/resume/1", &id).read();
         let body = String::from_utf8_lossy(&response.body).into_owned();
         assert!(
             response.status() != 200 || body == format!("id: 1\ndata: {id}\n\n"),
@@ -149,7 +153,7 @@
 /// Each second answer costs the request that is sent next on its connection.
 #[test]
 fn a_replica_that_answers_twice_costs_one_request() {
-    let replica = application(true);
+    let replica = start_application(true);
     replica.answer_twice_if(|_| true);
     let site = Site::start("stutter", &[(&replica, "app", "")]);
     let status = |number: usize| {
@@ -185,9 +189,9 @@
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
-    let site = Site::staged("resumed-read-twice", &prefill, &[&one, &two]);
-    generate(&site.daemon, "/resume/1", "a1").read();
-    let used: Vec<_> = [&one, &two].into_iter().flat_map(sources).collect();
+    let site = Site::start_with_prefill("resumed-read-twice", &prefill, &[&one, &two]);
+    start_generation(&site.daemon, "/resume/1", "a1").read();
+    let used: Vec<_> = [&one, &two].into_iter().flat_map(kv_sources).collect();
     assert_eq!(used.len(), 2, "{used:?}");
     let distinct: HashSet<_> = used
         .iter()
@@ -247,7 +251,7 @@
 /// Connections carry one exchange each for some time after a second answer, and several again after that.
 #[test]
 fn a_replica_that_answered_twice_once_is_trusted_again() {
-    let replica = application(true);
+    let replica = start_application(true);
     replica.answer_twice_if(|request| id(request) == "a0");
     let site = Site::start("stutter-ends", &[(&replica, "app", "")]);
     for number in 0..4 {
@@ -256,7 +260,7 @@
     // One of these asked whether the replica is there.
     wait_until("it has asked", || replica.connection_count() == 4);
     assert_eq!(replica.second_answer_count(), 1);
-    thread::sleep(TRUSTED_AGAIN);
+    thread::sleep(TRUST_RESTORED_AFTER);
     for number in 4..8 {
         let response = site.send_and_read("GET /read/1", &format!("a{number}"));
         assert_eq!(response.status(), 200);
--- a/crates/gateway/tests/gateway/second_calls.rs
+++ b/crates/gateway/tests/gateway/second_calls.rs
@@ -28,23 +28,23 @@
 use crate::common::replica::stream_head;
 use crate::site::Site;
 use crate::site::config;
-use crate::site::generate;
 use crate::site::headers;
+use crate::site::start_generation;
 
 /// Generations that follow each other in a test.
 const GENERATIONS: usize = 6;
 /// Events of a run that is moved.
-const EVENTS: u64 = 40;
+const EVENT_COUNT: u64 = 40;
 /// Time between two of them.
-const PAUSE: Duration = Duration::from_millis(60);
+const EVENT_INTERVAL: Duration = Duration::from_millis(60);
 /// Time for a prompt; long enough for another generation to begin meanwhile.
-const READING: Duration = Duration::from_millis(300);
+const PREFILL_TIME: Duration = Duration::from_millis(300);
 
 fn id(request: &Message) -> &str {
     request.header("request-id").unwrap_or_default()
 }
 
-fn writer(name: &str) -> Replica {
+fn start_decode(name: &str) -> Replica {
     Replica::start(name, |request| {
         Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     })
@@ -64,9 +64,9 @@
         let body = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
         let headers = [("request-id", id(request))];
         let bytes = answer(200, &headers, body.to_string().as_bytes());
-        Action::SendSlowly(vec![bytes], READING)
+        Action::SendSlowly(vec![bytes], PREFILL_TIME)
     });
-    let decode = writer("i-d");
+    let decode = start_decode("i-d");
     let reserved = Arc::new(AtomicUsize::new(0));
     let own_reserved = Arc::clone(&reserved);
     decode.answer_twice_if(move |request| {
@@ -74,10 +74,14 @@
         own_reserved.fetch_add(usize::from(twice), Ordering::SeqCst);
         twice
     });
-    let site = Site::staged("reserved-twice", &prefill, &[&decode]);
+    let site = Site::start_with_prefill("reserved-twice", &prefill, &[&decode]);
     let mut callers = Vec::new();
     for number in 1..=3 {
-        callers.push(generate(&site.daemon, "/draft/1", &format!("a{number}")));
+        callers.push(start_generation(
+            &site.daemon,
+            "/draft/1",
+            &format!("a{number}"),
+        ));
         wait_until("it has a reservation", || {
             reserved.load(Ordering::SeqCst) == number
         });
@@ -102,11 +106,11 @@
     #[case] path: &'static str,
     #[case] lost: usize,
 ) {
-    let decode = writer("i-d");
+    let decode = start_decode("i-d");
     decode.answer_twice_if(move |request| request.path() == path);
     let site = Site::start(name, &[(&decode, "llm", "decode")]);
     let is_lost = |number: &usize| {
-        let response = generate(&site.daemon, path, &format!("a{number}")).read();
+        let response = start_generation(&site.daemon, path, &format!("a{number}")).read();
         !response.complete || response.status() != 200
     };
     assert_eq!((0..GENERATIONS).filter(is_lost).count(), lost);
@@ -116,11 +120,11 @@
 /// A second answer to a reservation met the generation that went on with its connection.
 #[test]
 fn no_generation_is_lost_where_reservations_are_answered_twice() {
-    let decode = writer("i-d");
+    let decode = start_decode("i-d");
     decode.answer_twice_if(|request| request.path() == "/api/hold-take");
     let site = Site::start("reserve-then-stream", &[(&decode, "llm", "decode")]);
     for number in 0..GENERATIONS {
-        let response = generate(&site.daemon, "/draft/1", &format!("a{number}")).read();
+        let response = start_generation(&site.daemon, "/draft/1", &format!("a{number}")).read();
         assert!(
             response.complete && response.status() == 200,
             "{}",
@@ -138,10 +142,10 @@
     #[case] path: &str,
     #[case] connections: usize,
 ) {
-    let decode = writer("i-d");
+    let decode = start_decode("i-d");
     let site = Site::start(name, &[(&decode, "llm", "decode")]);
     for number in 0..GENERATIONS {
-        let response = generate(&site.daemon, path, &format!("a{number}")).read();
+        let response = start_generation(&site.daemon, path, &format!("a{number}")).read();
         assert!(
             response.complete && response.status() == 200,
             "{}",
@@ -162,15 +166,15 @@
             br#"{"kv-handle":"k1","tokens":1460,"version":1}"#,
         );
         // Longer than six tenths of a second.
-        Action::SendSlowly(vec![bytes], 2 * READING + PAUSE)
+        Action::SendSlowly(vec![bytes], 2 * PREFILL_TIME + EVENT_INTERVAL)
     });
-    let decode = writer("i-d");
+    let decode = start_decode("i-d");
     decode.set_call_handler(|request| {
         let reserves = request.path() == "/api/hold-take";
         reserves.then(|| answer(200, &[("keep-alive", "timeout=1")], br#"{"hold":"h1"}"#))
     });
-    let site = Site::staged("closes-soon", &prefill, &[&decode]);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let site = Site::start_with_prefill("closes-soon", &prefill, &[&decode]);
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert!(
         response.complete && response.status() == 200,
         "{}",
@@ -184,13 +188,13 @@
     let last = request.header("last-event-id");
     let after: u64 = last.map_or(0, |last| last.parse().unwrap());
     let mut parts = vec![stream_head(request)];
-    parts.extend((after + 1..=EVENTS).map(|id| events(id, id)));
+    parts.extend((after + 1..=EVENT_COUNT).map(|id| events(id, id)));
     parts.push(chunk(b""));
     parts
 }
 
 /// Makes events until it is asked to move a run, whose memory it names after the request.
-fn source() -> Replica {
+fn start_source() -> Replica {
     let stops: Arc<Mutex<HashMap<String, Arc<AtomicBool>>>> = Arc::default();
     Replica::start("i-1", move |request| match request.path() {
         "/api/kv-move" => {
@@ -207,13 +211,13 @@
             let stop = Arc::new(AtomicBool::new(false));
             let id = id(request).to_owned();
             stops.lock().unwrap().insert(id, Arc::clone(&stop));
-            Action::SendUntilStopped(parts(request), PAUSE, stop)
+            Action::SendUntilStopped(parts(request), EVENT_INTERVAL, stop)
         }
     })
 }
 
 /// Four generations at `source`, which holds their prompts and about half of what they make.
-fn four_runs(site: &Site, source: &Replica) -> Vec<Caller> {
+fn start_four_runs(site: &Site, source: &Replica) -> Vec<Caller> {
     let mut small = config(2);
     let engine = &mut small["services"][1]["engine"];
     engine["kv-tokens"] = 12_000.into();
@@ -224,11 +228,11 @@
         let plans = site.daemon.logged("\"kind\":\"plan\"");
         plans.iter().any(|line| line.contains("\"version\":2"))
     });
-    let begun = |count| source.requests().len() == count;
+    let started = |count| source.requests().len() == count;
     let ids = 1..=4;
     ids.map(|number| {
-        let caller = generate(&site.daemon, "/draft/1", &format!("a{number}"));
-        wait_until("it runs", || begun(number));
+        let caller = start_generation(&site.daemon, "/draft/1", &format!("a{number}"));
+        wait_until("it runs", || started(number));
         caller
     })
     .collect()
@@ -236,17 +240,19 @@
 
 #[test]
 fn a_run_goes_on_from_its_own_memory_where_moves_are_answered_twice() {
-    let source = source();
+    let source = start_source();
     source.answer_twice_if(|request| request.path() == "/api/kv-move");
-    let target = Replica::start("i-2", |request| Action::SendSlowly(parts(request), PAUSE));
+    let target = Replica::start("i-2", |request| {
+        Action::SendSlowly(parts(request), EVENT_INTERVAL)
+    });
     let site = Site::start("moved-twice", &[(&source, "llm", "decode")]);
-    let callers = four_runs(&site, &source);
+    let callers = start_four_runs(&site, &source);
     site.store
         .put("servers", &target.id, &target.row("llm", "decode"));
     for mut caller in callers {
         assert!(caller.read().complete);
     }
-    let moved: Vec<(String, String)> = target.requests().iter().filter_map(memory).collect();
+    let moved: Vec<(String, String)> = target.requests().iter().filter_map(kv_source).collect();
     assert!(moved.len() > 1, "{moved:?}");
     for (id, handle) in moved {
         assert_eq!(handle, format!("m-{id}"));
@@ -254,18 +260,18 @@
 }
 
 /// The request, and the name of the memory that it goes on from.
-fn memory(request: &Message) -> Option<(String, String)> {
+fn kv_source(request: &Message) -> Option<(String, String)> {
     let (_, handle) = request.header("kv-source")?.rsplit_once('/')?;
     Some((id(request).to_owned(), handle.to_owned()))
 }
 
 /// The replica that answers a report as `aimed`: another one's name is refused.
-fn report(request: &Message, aimed: &str) -> Option<Vec<u8>> {
+fn report_answer(request: &Message, current_id: &str) -> Option<Vec<u8>> {
     if request.path() != "/api/report" {
         return None;
     }
     Some(match request.header("expect-instance") {
-        Some(meant) if meant == aimed => answer(200, &[], br#"{"busy":false,"seq":0}"#),
+        Some(expected) if expected == current_id => answer(200, &[], br#"{"busy":false,"seq":0}"#),
         _ => answer(421, &[], b""),
     })
 }
@@ -280,22 +286,22 @@
     #[case] presence: &str,
 ) {
     let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
-    let gone = Arc::new(AtomicBool::new(second == "i-2"));
-    let own_gone = Arc::clone(&gone);
+    let replaced = Arc::new(AtomicBool::new(second == "i-2"));
+    let own_replaced = Arc::clone(&replaced);
     replica.set_call_handler(move |request| {
-        let there = if own_gone.load(Ordering::SeqCst) {
+        let current_id = if own_replaced.load(Ordering::SeqCst) {
             "i-2"
         } else {
             "i-1"
         };
-        report(request, there)
+        report_answer(request, current_id)
     });
     replica.answer_twice_if(|request| request.path() == "/api/report");
     let site = Site::start(&format!("reported-{second}"), &[(&replica, "app", "")]);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
-    assert_eq!(lose(&site, "c1"), 502);
+    assert_eq!(lose_call(&site, "c1"), 502);
     wait_until("the first one is asked about", || verdicts().len() == 1);
-    gone.store(true, Ordering::SeqCst);
+    replaced.store(true, Ordering::SeqCst);
     if second == "i-2" {
         site.store.remove("servers", "i-1");
         site.store.put("servers", "i-2", &replica.row("app", ""));
@@ -303,7 +309,7 @@
             !site.daemon.logged("\"replica\":\"i-2\"").is_empty()
         });
     }
-    assert_eq!(lose(&site, "c2"), 502);
+    assert_eq!(lose_call(&site, "c2"), 502);
     wait_until("the second one is asked about", || verdicts().len() == 2);
     assert!(
         verdicts()[1].contains(&format!("\"presence\":\"{presence}\"")),
@@ -313,7 +319,7 @@
 }
 
 /// Sends a call whose replica breaks off, and gives the status that its caller sees.
-fn lose(site: &Site, id: &str) -> u16 {
+fn lose_call(site: &Site, id: &str) -> u16 {
     let mut caller = site.daemon.caller();
     let response = caller.send_and_read(&format!("POST /book/{id}"), &headers(id), b"");
     response.status()
@@ -323,16 +329,16 @@
 const STATUSES: [u16; 4] = [202, 409, 200, 412];
 
 /// An engine that notes how it answered each order.
-fn engine(name: &str) -> (Replica, Arc<Mutex<Vec<u16>>>) {
-    let given: Arc<Mutex<Vec<u16>>> = Arc::default();
-    let own_given = Arc::clone(&given);
+fn start_engine(name: &str) -> (Replica, Arc<Mutex<Vec<u16>>>) {
+    let statuses: Arc<Mutex<Vec<u16>>> = Arc::default();
+    let own_statuses = Arc::clone(&statuses);
     let engine = Replica::start(name, move |_| {
-        let mut given = own_given.lock().unwrap();
-        let status = STATUSES[given.len() % STATUSES.len()];
-        given.push(status);
+        let mut statuses = own_statuses.lock().unwrap();
+        let status = STATUSES[statuses.len() % STATUSES.len()];
+        statuses.push(status);
         Action::Send(answer(status, &[], b""))
     });
-    (engine, given)
+    (engine, statuses)
 }
 
 /// The statuses of orders to `engine` in the log of the daemon.
@@ -349,8 +355,8 @@
 }
 
 /// An engine that always carries out an order of somebody else's.
-fn busy(name: &str) -> Replica {
-    let engine = writer(name);
+fn start_busy(name: &str) -> Replica {
+    let engine = start_decode(name);
     engine.set_call_handler(|request| {
         let asked = request.path() == "/api/report";
         asked.then(|| answer(200, &[], br#"{"busy":true,"seq":0}"#))
@@ -364,9 +370,9 @@
 #[case::reports("/api/report")]
 #[case::orders("/api/order")]
 fn an_order_has_its_own_answer_where_calls_are_answered_twice(#[case] path: &'static str) {
-    let (engine, given) = engine("i-0");
+    let (engine, statuses) = start_engine("i-0");
     engine.answer_twice_if(move |request| request.path() == path);
-    let others = ["i-1", "i-2", "i-3"].map(busy);
+    let others = ["i-1", "i-2", "i-3"].map(start_busy);
     let engines = others.iter().chain([&engine]);
     let listed: Vec<_> = engines.map(|engine| (engine, "llm", "prefill")).collect();
     let site = Site::start(&format!("ordered{}", path.replace('/', "-")), &listed);
@@ -375,14 +381,14 @@
     site.store.put("op", "config", &quick);
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
     wait_until("several orders are given", || {
-        given.lock().unwrap().len() >= 3
+        statuses.lock().unwrap().len() >= 3
     });
     let logged = logged_orders(&site, &engine.id);
-    let given = given.lock().unwrap().clone();
+    let statuses = statuses.lock().unwrap().clone();
     assert!(logged.len() > 1);
     assert!(
-        given.starts_with(&logged),
-        "{given:?}, in the log {logged:?}"
+        statuses.starts_with(&logged),
+        "{statuses:?}, in the log {logged:?}"
     );
     let unread = site.daemon.logged("an engine did not tell its state");
     assert!(unread.is_empty(), "{unread:?}");
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -30,24 +30,24 @@
 use crate::site::Site;
 use crate::site::config;
 
-const PREFILL: usize = 20;
-const DECODE: usize = 4;
+const PREFILL_REPLICAS: usize = 20;
+const DECODE_REPLICAS: usize = 4;
 /// Plans that are put in force one after the other.
 const PLANS: u64 = 6;
 /// Time over which connections are counted.
-const COUNTED: Duration = Duration::from_secs(4);
+const COUNT_PERIOD: Duration = Duration::from_secs(4);
 /// Connections in that time at most: two watches, of the plan each 2.6 s and of the replicas each 650 ms or more, and
 /// a reading of the instances.
 const MAX_CONNECTIONS: u64 = 12;
 
 /// Time for which the system drops packets that open a connection; less than one attempt to connect takes.
-const CLOGGED: Duration = Duration::from_millis(150);
+const DROP_TIME: Duration = Duration::from_millis(150);
 /// The same, less than the first of two attempts takes.
-const CLOGGED_SHORTLY: Duration = Duration::from_millis(10);
+const SHORT_DROP_TIME: Duration = Duration::from_millis(10);
 /// Times that a second attempt may come while the packets are still dropped, since the machine is busy.
-const TRIES: usize = 20;
+const MAX_ATTEMPTS: usize = 20;
 
-fn application(name: &str) -> Replica {
+fn start_application(name: &str) -> Replica {
     Replica::start(name, |_: &Message| Action::Send(answer(202, &[], b"")))
 }
 
@@ -61,10 +61,10 @@
 
 #[test]
 fn the_fencing_token_is_the_version_of_the_row_where_the_store_answers_twice() {
-    let names = (0..PREFILL + DECODE).map(|number| format!("i-{number}"));
-    let engines: Vec<Replica> = names.map(|name| application(&name)).collect();
+    let names = (0..PREFILL_REPLICAS + DECODE_REPLICAS).map(|number| format!("i-{number}"));
+    let engines: Vec<Replica> = names.map(|name| start_application(&name)).collect();
     let stages = engines.iter().enumerate().map(|(number, engine)| {
-        let stage = if number < PREFILL {
+        let stage = if number < PREFILL_REPLICAS {
             "prefill"
         } else {
             "decode"
@@ -81,13 +81,13 @@
 
 #[test]
 fn rows_are_those_that_were_asked_for_where_the_store_answers_twice() {
-    let replica = application("i-a");
+    let replica = start_application("i-a");
     let site = Site::start("rows-twice", &[(&replica, "app", "")]);
     site.store.answer_twice();
     for version in 2..=PLANS {
         let number = format!("i-{version}");
         site.store.put("op", "config", &config(version));
-        let more = application(&number);
+        let more = start_application(&number);
         site.store.put("servers", &number, &more.row("app", ""));
         wait_until("the plan and the replica are known", || {
             let plan = format!("\"version\":{version}}}");
@@ -106,11 +106,11 @@
 /// Only the connection tells whose answer arrives, so none carries two calls.
 #[test]
 fn each_call_of_the_store_has_a_connection_of_its_own_and_these_are_few() {
-    let replica = application("i-a");
+    let replica = start_application("i-a");
     let site = Site::start("connections", &[(&replica, "app", "")]);
     site.store.answer_twice();
     let (opened_before, calls_before) = site.store.connection_and_call_counts();
-    thread::sleep(COUNTED);
+    thread::sleep(COUNT_PERIOD);
     let (opened, calls) = site.store.connection_and_call_counts();
     let (opened, calls) = (opened - opened_before, calls - calls_before);
     println!("connections: {opened}, calls: {calls}");
@@ -123,7 +123,7 @@
 
 /// A listener that drops packets which open a connection, as a link that loses packets does, for a short time. Then it
 /// answers one call.
-fn clogged(span: Duration) -> SocketAddr {
+fn lossy_listener(drop_time: Duration) -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     socket.bind(&any.into()).unwrap();
@@ -133,7 +133,7 @@
     // The only connection that may wait to be accepted.
     let waiting = TcpStream::connect(address).unwrap();
     thread::spawn(move || {
-        thread::sleep(span);
+        thread::sleep(drop_time);
         drop(waiting);
         for socket in listener.incoming() {
             let mut socket = socket.unwrap();
@@ -149,7 +149,7 @@
 #[test]
 fn a_call_outlasts_the_loss_of_the_packet_that_opens_its_connection() {
     let calls = IntCounterVec::new(Opts::new("calls", "Calls."), &["step", "table"]).unwrap();
-    let store = Store::new(clogged(CLOGGED), calls);
+    let store = Store::new(lossy_listener(DROP_TIME), calls);
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let swap = store.swap("orders", "llm", b"", 0);
     let written = LocalSet::new().block_on(&runtime.unwrap(), swap);
@@ -162,13 +162,15 @@
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let attempts = async {
         let mut connected = false;
-        for _ in 0..TRIES {
-            connected |= links::connect_twice(clogged(CLOGGED_SHORTLY)).await.is_ok();
+        for _ in 0..MAX_ATTEMPTS {
+            connected |= links::connect_twice(lossy_listener(SHORT_DROP_TIME))
+                .await
+                .is_ok();
             if connected {
                 break;
             }
         }
-        let once = links::connect(clogged(CLOGGED_SHORTLY)).await;
+        let once = links::connect(lossy_listener(SHORT_DROP_TIME)).await;
         (once.is_ok(), connected)
     };
     let connected = LocalSet::new().block_on(&runtime.unwrap(), attempts);
--- a/crates/gateway/tests/gateway/site.rs
+++ b/crates/gateway/tests/gateway/site.rs
@@ -38,7 +38,7 @@
     }
 
     /// A daemon in front of one replica that reads prompts and some that make tokens.
-    pub fn staged(name: &str, prefill: &Replica, decode: &[&Replica]) -> Self {
+    pub fn start_with_prefill(name: &str, prefill: &Replica, decode: &[&Replica]) -> Self {
         let decode = decode.iter().map(|replica| (*replica, "llm", "decode"));
         let replicas: Vec<_> = decode.chain([(prefill, "llm", "prefill")]).collect();
         Self::start(name, &replicas)
@@ -74,7 +74,7 @@
     }
 
     /// Another daemon of the same store; it starts from the first one if `seeded`.
-    pub fn another(&self, name: &str, seeded: bool) -> Daemon {
+    pub fn start_another(&self, name: &str, seeded: bool) -> Daemon {
         let seeds = [self.ip.as_str()];
         let seeds = if seeded { &seeds[..] } else { &[] };
         Daemon::start(name, &new_ip(), self.store_address, seeds)
@@ -119,7 +119,7 @@
 }
 
 /// Sends a generation and gives the caller, whose answer is not read yet.
-pub fn generate(daemon: &Daemon, path: &str, id: &str) -> Caller {
+pub fn start_generation(daemon: &Daemon, path: &str, id: &str) -> Caller {
     let mut caller = daemon.caller();
     let headers = [
         ("Request-Id", id),
@@ -133,7 +133,7 @@
 
 impl Site {
     /// Lets generations last longer than the grace, and gives a caller that is connected.
-    pub fn config_with_long_streams(&self) -> Caller {
+    pub fn allow_long_streams(&self) -> Caller {
         let mut longer = config(2);
         longer["routes"][2]["timeout-ms"] = 14_000.into();
         self.store.put("op", "config", &longer);
--- a/crates/gateway/tests/gateway/stages.rs
+++ b/crates/gateway/tests/gateway/stages.rs
@@ -13,14 +13,14 @@
 use crate::common::replica::Replica;
 use crate::site::Site;
 
-const PREFILL: usize = 20;
-const DECODE: usize = 4;
+const PREFILL_REPLICAS: usize = 20;
+const DECODE_REPLICAS: usize = 4;
 /// A quarter of the replicas.
-const AT_ONCE: usize = 6;
+const ORDERS_AT_ONCE: usize = 6;
 
 fn engines() -> Vec<Replica> {
     let accept = |_: &Message| Action::Send(answer(202, &[], b""));
-    let names = (0..PREFILL + DECODE).map(|number| format!("i-{number}"));
+    let names = (0..PREFILL_REPLICAS + DECODE_REPLICAS).map(|number| format!("i-{number}"));
     names.map(|name| Replica::start(&name, accept)).collect()
 }
 
@@ -40,7 +40,7 @@
 fn several_engines_change_their_stage_at_once_and_each_is_told_once() {
     let engines = engines();
     let stages = engines.iter().enumerate().map(|(number, engine)| {
-        let stage = if number < PREFILL {
+        let stage = if number < PREFILL_REPLICAS {
             "prefill"
         } else {
             "decode"
@@ -50,7 +50,7 @@
     let site = Site::start("stages", &stages.collect::<Vec<_>>());
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
     let given = || -> usize { engines.iter().map(|engine| orders(engine).len()).sum() };
-    wait_until("the orders are given", || given() >= AT_ONCE);
+    wait_until("the orders are given", || given() >= ORDERS_AT_ONCE);
     // Longer than the division has to be off, and shorter than the pause after a change.
     thread::sleep(Duration::from_millis(2_500));
     let received: Vec<Vec<Value>> = engines.iter().map(orders).collect();
@@ -59,7 +59,7 @@
         "{received:?}"
     );
     let received: Vec<Value> = received.into_iter().flatten().collect();
-    assert_eq!(received.len(), AT_ONCE);
+    assert_eq!(received.len(), ORDERS_AT_ONCE);
     let fences: BTreeSet<u64> = received
         .iter()
         .filter_map(|o| o["fence"].as_u64())
--- a/crates/gateway/tests/gateway/stream.rs
+++ b/crates/gateway/tests/gateway/stream.rs
@@ -17,13 +17,13 @@
 use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::generate;
+use crate::site::start_generation;
 
-fn stream(request: &Message, from: u64, to: u64) -> Vec<u8> {
+fn complete_stream(request: &Message, from: u64, to: u64) -> Vec<u8> {
     [stream_head(request), events(from, to), chunk(b"")].concat()
 }
 
-fn texts(from: u64, to: u64) -> String {
+fn event_texts(from: u64, to: u64) -> String {
     let texts: Vec<String> = (from..=to)
         .map(|id| format!("id: {id}\ndata: t{id}\n\n"))
         .collect();
@@ -33,11 +33,13 @@
 #[test]
 fn the_prompt_is_read_at_one_replica_and_the_tokens_are_made_at_another() {
     let prefill = Replica::start_prefill("i-p");
-    let decode = Replica::start("i-d", |request| Action::Send(stream(request, 1, 5)));
-    let site = Site::staged("staged", &prefill, &[&decode]);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let decode = Replica::start("i-d", |request| {
+        Action::Send(complete_stream(request, 1, 5))
+    });
+    let site = Site::start_with_prefill("staged", &prefill, &[&decode]);
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert!(response.complete);
-    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 5));
+    assert_eq!(String::from_utf8_lossy(&response.body), event_texts(1, 5));
     assert_eq!(response.header("response-seal"), Some("s.1"));
     let read = prefill.requests().remove(0);
     assert_eq!(read.header("stage"), Some("prefill"));
@@ -63,10 +65,14 @@
         let body = br#"{"kv-handle":"k1","tokens":1460,"version":1}"#;
         Action::Send(answer(200, &[("request-id", id)], body))
     });
-    let draining = Replica::start("i-1", |request| Action::Send(stream(request, 1, 2)));
-    let other = Replica::start("i-2", |request| Action::Send(stream(request, 1, 2)));
-    let site = Site::staged("left-meanwhile", &prefill, &[&draining]);
-    let mut caller = generate(&site.daemon, "/draft/1", "a1");
+    let draining = Replica::start("i-1", |request| {
+        Action::Send(complete_stream(request, 1, 2))
+    });
+    let other = Replica::start("i-2", |request| {
+        Action::Send(complete_stream(request, 1, 2))
+    });
+    let site = Site::start_with_prefill("left-meanwhile", &prefill, &[&draining]);
+    let mut caller = start_generation(&site.daemon, "/draft/1", "a1");
     wait_until("the prompt is being read", || {
         !prefill.requests().is_empty()
     });
@@ -88,9 +94,11 @@
 
 #[test]
 fn the_decode_replica_reads_the_prompt_where_no_other_does() {
-    let decode = Replica::start("i-d", |request| Action::Send(stream(request, 1, 2)));
+    let decode = Replica::start("i-d", |request| {
+        Action::Send(complete_stream(request, 1, 2))
+    });
     let site = Site::start("alone", &[(&decode, "llm", "decode")]);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert!(response.complete);
     assert_eq!(decode.requests()[0].header("kv-source"), None);
 }
@@ -100,12 +108,12 @@
     let prefill = Replica::start_prefill("i-p");
     let script = |request: &Message| match request.header("kv-source") {
         Some(_) => Action::Send(not_run_answer(request)),
-        None => Action::Send(stream(request, 1, 2)),
+        None => Action::Send(complete_stream(request, 1, 2)),
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
-    let site = Site::staged("lapsed", &prefill, &[&one, &two]);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let site = Site::start_with_prefill("lapsed", &prefill, &[&one, &two]);
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert_eq!((response.status(), response.complete), (200, true));
     assert_eq!(one.requests().len() + two.requests().len(), 2);
 }
@@ -117,9 +125,11 @@
         let bytes = [stream_head(request), events(1, 2), chunk(cut)].concat();
         Action::SendAndClose(bytes)
     });
-    let other = Replica::start("i-o", |request| Action::Send(stream(request, 1, 5)));
+    let other = Replica::start("i-o", |request| {
+        Action::Send(complete_stream(request, 1, 5))
+    });
     let site = Site::start("broken", &[(&decode, "llm", "decode")]);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert!(!response.complete);
     // A stream that cannot be resumed runs nowhere else.
     assert_eq!((decode.requests().len(), other.requests().len()), (1, 0));
@@ -128,7 +138,7 @@
 #[test]
 fn a_resumable_stream_goes_on_at_another_replica() {
     let script = |request: &Message| match request.header("last-event-id") {
-        Some("2") => Action::Send(stream(request, 3, 5)),
+        Some("2") => Action::Send(complete_stream(request, 3, 5)),
         _ => {
             Action::SendAndClose([stream_head(request), events(1, 2), chunk(b"id: 3\nda")].concat())
         }
@@ -139,9 +149,9 @@
         "resumed",
         &[(&one, "llm", "decode"), (&two, "llm", "decode")],
     );
-    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    let response = start_generation(&site.daemon, "/resume/1", "a1").read();
     assert!(response.complete);
-    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 5));
+    assert_eq!(String::from_utf8_lossy(&response.body), event_texts(1, 5));
     assert_eq!(one.requests().len() + two.requests().len(), 2);
 }
 
@@ -150,10 +160,12 @@
 #[test]
 fn a_prompt_that_was_not_read_costs_a_retry() {
     let prefill = Replica::start("i-p", |_| Action::SendAndClose(Vec::new()));
-    let decode = Replica::start("i-d", |request| Action::Send(stream(request, 1, 2)));
-    let site = Site::staged("unread-prompt", &prefill, &[&decode]);
+    let decode = Replica::start("i-d", |request| {
+        Action::Send(complete_stream(request, 1, 2))
+    });
+    let site = Site::start_with_prefill("unread-prompt", &prefill, &[&decode]);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert_eq!(response.status(), 503);
     assert!(decode.requests().is_empty());
 }
@@ -177,7 +189,7 @@
     let response = caller.read();
     // The route's time is 4 s; the first half of the answer came after 2 s, the rest after 4 s.
     assert_eq!(response.status(), 200);
-    assert!(String::from_utf8_lossy(&response.body).starts_with(&texts(1, 2)));
+    assert!(String::from_utf8_lossy(&response.body).starts_with(&event_texts(1, 2)));
     assert_eq!(decode.requests().len(), 1);
 }
 
@@ -194,13 +206,13 @@
     let replicas = [(&one, "llm", "decode"), (&two, "llm", "decode")];
     let site = Site::start("no-retry", &replicas);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
-    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    let response = start_generation(&site.daemon, "/resume/1", "a1").read();
     assert!(
         response.complete,
         "{}",
         String::from_utf8_lossy(&response.body)
     );
-    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 4));
+    assert_eq!(String::from_utf8_lossy(&response.body), event_texts(1, 4));
     assert_eq!(one.requests().len() + two.requests().len(), 1);
 }
 
@@ -208,7 +220,7 @@
 fn a_generation_that_finds_no_room_is_refused() {
     let full = Replica::start("i-d", |request| Action::Send(not_run_answer(request)));
     let site = Site::start("full", &[(&full, "llm", "decode")]);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert_eq!(response.status(), 503);
     let seconds: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!(seconds > 1.0);
@@ -220,7 +232,7 @@
         Action::Send(signed_answer(request, 500, b"no"))
     });
     let site = Site::start("engine-failure", &[(&decode, "llm", "decode")]);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert_eq!(
         (response.status(), response.body.as_slice()),
         (500, b"no".as_slice())
@@ -233,7 +245,7 @@
         Action::SendAndHang([stream_head(request), events(1, 2)].concat())
     });
     let site = Site::start("stream-left", &[(&decode, "llm", "decode")]);
-    let caller = generate(&site.daemon, "/draft/1", "a1");
+    let caller = start_generation(&site.daemon, "/draft/1", "a1");
     wait_until("the request arrives", || decode.requests().len() == 1);
     drop(caller);
     wait_until("the replica is left", || decode.abandoned_count() == 1);
@@ -246,7 +258,7 @@
         Action::SendAndHang([stream_head(request), events(1, 1)].concat())
     });
     let site = Site::start("silent-once-stream", &[(&decode, "llm", "decode")]);
-    let caller = generate(&site.daemon, "/draft/1", "a1");
+    let caller = start_generation(&site.daemon, "/draft/1", "a1");
     wait_until("the silence is told", || {
         let lines = site.daemon.logged("\"kind\":\"silence\"");
         lines
@@ -268,7 +280,7 @@
         Action::SendSlowly(vec![read], Duration::from_millis(150))
     });
     let script = |request: &Message| match request.header("last-event-id") {
-        Some("2") => Action::Send(stream(request, 3, 5)),
+        Some("2") => Action::Send(complete_stream(request, 3, 5)),
         _ => {
             // Two events in the first 2.2 s, and then the end.
             let first = [stream_head(request), events(1, 1)].concat();
@@ -278,10 +290,10 @@
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
-    let site = Site::staged("resumed-late", &prefill, &[&one, &two]);
-    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    let site = Site::start_with_prefill("resumed-late", &prefill, &[&one, &two]);
+    let response = start_generation(&site.daemon, "/resume/1", "a1").read();
     assert!(response.complete);
-    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 5));
+    assert_eq!(String::from_utf8_lossy(&response.body), event_texts(1, 5));
     let resumed = [one.requests(), two.requests()].concat();
     let resumed = resumed.iter().find(|r| r.header("last-event-id").is_some());
     assert!(resumed.unwrap().header("kv-source").is_some());
--- a/crates/gateway/tests/gateway/truncation.rs
+++ b/crates/gateway/tests/gateway/truncation.rs
@@ -24,10 +24,10 @@
 use crate::common::replica::events;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::generate;
+use crate::site::start_generation;
 
 /// What a caller gets of a body that comes in parts, or `None` if it is broken off.
-async fn collected(body: Body) -> Option<Bytes> {
+async fn collect_body(body: Body) -> Option<Bytes> {
     let body = body.collect().await.ok()?;
     Some(body.to_bytes())
 }
@@ -37,11 +37,11 @@
     let (parts, body) = mpsc::channel(4);
     let body = Body::parts(body);
     drop(parts);
-    assert_eq!(collected(body).await, None);
+    assert_eq!(collect_body(body).await, None);
 }
 
 /// The head of a signed stream that has no length and ends with its connection.
-fn unframed_head(request: &Message) -> Vec<u8> {
+fn head_without_length(request: &Message) -> Vec<u8> {
     let id = request.header("request-id").unwrap_or_default();
     let lines = [
         "HTTP/1.1 200 OK",
@@ -53,22 +53,24 @@
 }
 
 /// The events `from..=to`.
-fn texts(from: u64, to: u64) -> String {
+fn event_texts(from: u64, to: u64) -> String {
     let texts = (from..=to).map(|id| format!("id: {id}\ndata: t{id}\n\n"));
     texts.collect()
 }
 
 /// A stream without a length that goes to the event `last` and on with `rest`.
-fn unframed(request: &Message, last: u64, rest: &[u8]) -> Action {
-    let events = texts(1, last).into_bytes();
-    Action::SendAndClose([&unframed_head(request), &events, rest].concat())
+fn stream_without_length(request: &Message, last: u64, rest: &[u8]) -> Action {
+    let events = event_texts(1, last).into_bytes();
+    Action::SendAndClose([&head_without_length(request), &events, rest].concat())
 }
 
 #[test]
 fn a_stream_without_a_length_that_ends_in_the_midst_of_an_event_is_broken_off() {
-    let decode = Replica::start("i-d", |request| unframed(request, 2, b"id: 3\nda"));
+    let decode = Replica::start("i-d", |request| {
+        stream_without_length(request, 2, b"id: 3\nda")
+    });
     let site = Site::start("unframed-cut", &[(&decode, "llm", "decode")]);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert_eq!((response.status(), response.complete), (200, false));
 }
 
@@ -76,24 +78,24 @@
 fn a_stream_without_a_length_that_ends_in_the_midst_of_an_event_goes_on_elsewhere() {
     let script = |request: &Message| match request.header("last-event-id") {
         Some("2") => Action::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
-        _ => unframed(request, 2, b"id: 3\nda"),
+        _ => stream_without_length(request, 2, b"id: 3\nda"),
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
     let replicas = [(&one, "llm", "decode"), (&two, "llm", "decode")];
     let site = Site::start("unframed-resumed", &replicas);
-    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    let response = start_generation(&site.daemon, "/resume/1", "a1").read();
     assert!(response.complete);
-    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 5));
+    assert_eq!(String::from_utf8_lossy(&response.body), event_texts(1, 5));
 }
 
 #[test]
 fn a_stream_without_a_length_that_ends_after_an_event_is_complete() {
-    let decode = Replica::start("i-d", |request| unframed(request, 2, b""));
+    let decode = Replica::start("i-d", |request| stream_without_length(request, 2, b""));
     let site = Site::start("unframed", &[(&decode, "llm", "decode")]);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert!(response.complete);
-    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 2));
+    assert_eq!(String::from_utf8_lossy(&response.body), event_texts(1, 2));
 }
 
 /// A replica that says where its answer ends is believed: the caller gets the bytes unchanged.
@@ -104,14 +106,14 @@
         Action::Send([stream_head(request), events(1, 2), last, chunk(b"")].concat())
     });
     let site = Site::start("no-empty-line", &[(&decode, "llm", "decode")]);
-    let response = generate(&site.daemon, "/draft/1", "a1").read();
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
     assert!(response.complete);
-    let whole = format!("{}id: 3\ndata: t3\n", texts(1, 2));
+    let whole = format!("{}id: 3\ndata: t3\n", event_texts(1, 2));
     assert_eq!(String::from_utf8_lossy(&response.body), whole);
 }
 
 /// Two replicas of which each cuts its stream after the event 2, and goes on with `rest` when it is asked to.
-fn resumed(name: &str, rest: &str) -> Message {
+fn resume_with(name: &str, rest: &str) -> Message {
     let rest = rest.to_owned();
     let script = move |request: &Message| match request.header("last-event-id") {
         Some("2") => {
@@ -124,37 +126,37 @@
     let two = Replica::start("i-2", script);
     let replicas = [(&one, "llm", "decode"), (&two, "llm", "decode")];
     let site = Site::start(name, &replicas);
-    generate(&site.daemon, "/resume/1", "a1").read()
+    start_generation(&site.daemon, "/resume/1", "a1").read()
 }
 
 /// What a caller gets is its stream up to where it went wrong, and then no end.
 #[rstest]
-#[case("repeats-all", &texts(1, 5))]
-#[case("repeats-one", &texts(2, 5))]
-#[case("skips-one", &texts(4, 5))]
+#[case("repeats-all", &event_texts(1, 5))]
+#[case("repeats-one", &event_texts(2, 5))]
+#[case("skips-one", &event_texts(4, 5))]
 #[case("skips-in-part", "id: 4\ndata: t4\n")]
 fn a_replica_that_goes_on_elsewhere_than_it_was_asked_to_is_not_joined(
     #[case] name: &str,
     #[case] rest: &str,
 ) {
-    let response = resumed(name, rest);
-    assert_eq!(String::from_utf8_lossy(&response.body), texts(1, 2));
+    let response = resume_with(name, rest);
+    assert_eq!(String::from_utf8_lossy(&response.body), event_texts(1, 2));
     assert_eq!((response.status(), response.complete), (200, false));
 }
 
 /// Comments and the line that tells a new version stand before the id.
 #[test]
 fn an_event_that_follows_the_last_one_is_joined_whatever_stands_before_its_id() {
-    let rest = format!(": on\n\nweight-versions: 2\n{}", texts(3, 5));
-    let response = resumed("follows", &rest);
+    let rest = format!(": on\n\nweight-versions: 2\n{}", event_texts(3, 5));
+    let response = resume_with("follows", &rest);
     assert!(response.complete);
-    let whole = format!("{}{rest}", texts(1, 2));
+    let whole = format!("{}{rest}", event_texts(1, 2));
     assert_eq!(String::from_utf8_lossy(&response.body), whole);
 }
 
 /// Two replicas of which each cuts its stream after `first`, and never goes on after that as asked; gives the answer and
 /// how often the stream was sent.
-fn cut(name: &str, first: &[u8]) -> (Message, usize) {
+fn cut_after(name: &str, first: &[u8]) -> (Message, usize) {
     let first = first.to_vec();
     let script = move |request: &Message| match request.header("last-event-id") {
         Some("9") => Action::Send([stream_head(request), events(10, 10), chunk(b"")].concat()),
@@ -164,7 +166,7 @@
     let two = Replica::start("i-2", script);
     let replicas = [(&one, "llm", "decode"), (&two, "llm", "decode")];
     let site = Site::start(name, &replicas);
-    let response = generate(&site.daemon, "/resume/1", "a1").read();
+    let response = start_generation(&site.daemon, "/resume/1", "a1").read();
     (response, one.requests().len() + two.requests().len())
 }
 
@@ -178,7 +180,7 @@
     #[case] name: &str,
     #[case] first: Vec<u8>,
 ) {
-    let (response, sent) = cut(name, &first);
+    let (response, sent) = cut_after(name, &first);
     assert_eq!(
         (response.status(), response.complete, sent),
         (200, false, 1)
@@ -187,7 +189,7 @@
 }
 
 /// What a caller that speaks HTTP/1.0 reads to the end of its connection, and whether that is a proper end.
-fn old_answer(caller: Caller) -> (String, bool) {
+fn http10_answer(caller: Caller) -> (String, bool) {
     let mut socket = caller.socket;
     let lines = [
         "POST /draft/1 HTTP/1.0",
@@ -219,7 +221,7 @@
         )
     });
     let site = Site::start("old-cut", &[(&decode, "llm", "decode")]);
-    let (response, ended) = old_answer(site.daemon.caller());
+    let (response, ended) = http10_answer(site.daemon.caller());
     assert!(!ended, "{response}");
 }
 
@@ -229,9 +231,9 @@
         Action::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
     });
     let site = Site::start("old-whole", &[(&decode, "llm", "decode")]);
-    let (response, ended) = old_answer(site.daemon.caller());
+    let (response, ended) = http10_answer(site.daemon.caller());
     assert!(ended);
-    assert!(response.ends_with(&texts(1, 2)), "{response}");
+    assert!(response.ends_with(&event_texts(1, 2)), "{response}");
 }
 
 /// The daemon's end is one of the ways in which an answer is cut.
@@ -241,14 +243,14 @@
         Action::SendAndHang([stream_head(request), events(1, 2)].concat())
     });
     let mut site = Site::start("old-end", &[(&decode, "llm", "decode")]);
-    let caller = site.config_with_long_streams();
+    let caller = site.allow_long_streams();
     let (response, ended) = thread::scope(|scope| {
-        let caller = scope.spawn(|| old_answer(caller));
+        let caller = scope.spawn(|| http10_answer(caller));
         wait_until("the request arrives", || decode.requests().len() == 1);
         site.daemon.signal(Signal::TERM);
         caller.join().unwrap()
     });
-    assert!(response.ends_with(&texts(1, 2)), "{response}");
+    assert!(response.ends_with(&event_texts(1, 2)), "{response}");
     assert!(!ended);
     site.daemon.wait_for_exit();
 }
--- a/crates/gateway/tests/suspend.rs
+++ b/crates/gateway/tests/suspend.rs
@@ -39,7 +39,7 @@
 use crate::common::http;
 
 /// Port for other daemons; each has an address of its own.
-const PEERS: u16 = 7_005;
+const PEER_PORT: u16 = 7_005;
 /// How long the machine is suspended.
 const SUSPENDED: Duration = Duration::from_millis(300);
 /// The same, where an answer is waited for: longer than the time limits of the store and of peers.
@@ -67,7 +67,7 @@
 async fn what_the_store_told_before_a_suspension_is_read_again() {
     let progress = Arc::new(Progress::default());
     let own = Arc::clone(&progress);
-    let address = http::serve("127.0.0.1", move |socket| tell_versions(socket, &own));
+    let address = http::serve("127.0.0.1", move |socket| serve_versions(socket, &own));
     let calls = IntCounterVec::new(Opts::new("calls", "calls"), &["step", "table"]).unwrap();
     let store = Store::new(address, calls);
     let suspension = async {
@@ -92,7 +92,7 @@
 }
 
 /// A stand-in for the store whose version is the number of its answer, and which answers once the asker is suspended.
-fn tell_versions(socket: &mut TcpStream, progress: &Progress) {
+fn serve_versions(socket: &mut TcpStream, progress: &Progress) {
     while let Ok(Some(_)) = http::read(socket) {
         let version = progress.asked.fetch_add(1, Ordering::SeqCst) + 1;
         while !progress.suspended.load(Ordering::SeqCst) {
@@ -106,7 +106,7 @@
 /// The state of a daemon at `ip` that knows nothing yet.
 fn shared(ip: &str) -> Rc<Shared> {
     let listen = ["callers", "addresses", "readiness", "metrics", "peers"];
-    let listen = listen.map(|name| format!("{name}: \"{ip}:{PEERS}\""));
+    let listen = listen.map(|name| format!("{name}: \"{ip}:{PEER_PORT}\""));
     let settings = format!(
         "instance: {ip}\ndata_centre: here\nlisten: {{{}}}\nstore: \"{ip}:1\"\nretry: {{ratio: 0.2, slack: 50, window_s: 10}}\ngrace_s: 8\n",
         listen.join(", ")
@@ -118,7 +118,7 @@
 /// Starts a daemon's gossip in a thread of its own, which is not suspended; ends with the process.
 fn start_peer() -> SocketAddr {
     let ip = new_ip();
-    let address = SocketAddr::new(ip.parse().unwrap(), PEERS);
+    let address = SocketAddr::new(ip.parse().unwrap(), PEER_PORT);
     thread::spawn(move || {
         let runtime = Builder::new_current_thread().enable_all().build().unwrap();
         LocalSet::new().block_on(&runtime, gossip::run(shared(&ip)))
