--- a/crates/gateway/tests/gateway/connection_limits.rs
+++ b/crates/gateway/tests/gateway/connection_limits.rs
@@ -121,7 +121,7 @@
 /// A stream pauses for longer than the daemon waits before it asks whether the replica is there. That one takes no more
 /// connections, and goes on with its stream soon; another replica has room.
 #[test]
-fn a_stream_of_a_replica_that_closes_new_connections_is_not_broken_off_at_the_first_pause() {
+fn a_stream_of_a_replica_that_closes_new_connections_is_not_aborted_at_the_first_pause() {
     let pausing = |request: &Message| match request.header("last-event-id") {
         Some(_) => Action::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
         None => Action::SendSlowly(
@@ -167,7 +167,7 @@
 /// A prompt takes longer than the daemon waits before it asks whether the replica is there. That one takes no more
 /// connections, and is about to answer; a read that is given up is read in vain.
 #[test]
-fn a_prompt_is_not_given_up_where_its_replica_closes_new_connections() {
+fn a_prefill_is_not_aborted_when_its_replica_closes_new_connections() {
     let prefill = Replica::start("i-p", |request| {
         let id = request.header("request-id").unwrap_or_default();
         let bytes = answer(
--- a/crates/gateway/tests/gateway/discovery.rs
+++ b/crates/gateway/tests/gateway/discovery.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn without_a_plan_requests_are_put_off() {
+fn requests_without_a_plan_are_refused() {
     let replica = echo("i-1");
     let site = Site::start("no-plan", &[]);
     site.store.remove("op", "config");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_draining_replica_gets_nothing_new() {
+fn a_draining_replica_gets_no_new_requests() {
     let one = echo("i-1");
     let two = echo("i-2");
     let site = Site::start("draining", &[(&one, "app", ""), (&two, "app", "")]);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_outage_of_the_store_stops_nothing() {
+fn requests_are_served_during_an_outage_of_the_store() {
     let replica = echo("i-1");
     let site = Site::start("outage", &[(&replica, "app", "")]);
     site.store.set_down(true);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_daemon_that_the_store_refuses_learns_of_changes_from_its_peers() {
+fn a_daemon_that_does_not_read_the_store_gets_changes_from_its_peers() {
     let replica = echo("i-1");
     let site = Site::start("told", &[(&replica, "app", "")]);
     let other = site.start_another("hears", true);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn addresses_name_the_daemons_that_take_callers() {
+fn address_lookups_list_the_daemons_that_accept_callers() {
     let replica = echo("i-1");
     let site = Site::start("names", &[(&replica, "app", "")]);
     let other = site.start_another("named", false);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_replica_that_cannot_be_read_is_told_and_left_out() {
+fn an_unreadable_replica_row_is_logged_and_ignored() {
     let replica = echo("i-1");
     let site = Site::start("odd-row", &[(&replica, "app", "")]);
     site.store
@@ -144,7 +144,7 @@
 /// Connections may fall silent without an end while new ones work; a watch on such a one would
 /// miss an edit for as long as it waits.
 #[test]
-fn a_watch_is_given_up_once_another_call_of_the_store_has_no_answer() {
+fn a_watch_is_aborted_when_another_store_call_times_out() {
     let replica = Replica::start("i-1", |request| {
         Action::Send(signed_answer(request, 200, b"x"))
     });
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn calls_of_the_store_are_counted_by_purpose() {
+fn store_calls_are_counted_by_purpose() {
     let replica = echo("i-1");
     let site = Site::start("counted", &[(&replica, "app", "")]);
     let metrics = site.daemon.metrics();
--- a/crates/gateway/tests/gateway/ingress.rs
+++ b/crates/gateway/tests/gateway/ingress.rs
@@ -26,7 +26,7 @@
 #[case("no-prefix", "GET /read", &[("Request-Id", "a")], 404)]
 #[case("long-body", "POST /read/1", &[("Request-Id", "a"), ("Content-Length", "100001")], 413)]
 #[case("two-lengths", "POST /read/1", &[("Request-Id", "a"), ("Content-Length", "1"), ("Content-Length", "2")], 400)]
-fn improper_requests_reach_no_replica(
+fn invalid_requests_reach_no_replica(
     #[case] name: &str,
     #[case] line: &str,
     #[case] headers: &[(&str, &str)],
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn chunks_go_before_a_length_that_contradicts_them() {
+fn chunked_encoding_takes_precedence_over_a_content_length() {
     let (replica, site) = start_site("both");
     let mut caller = site.daemon.caller();
     let head = "POST /read/1 HTTP/1.1\r\nhost: shop.example\r\nrequest-id: a\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_slow_head_is_given_up() {
+fn a_slow_head_times_out() {
     let (_replica, site) = start_site("slow-head");
     let mut caller = site.daemon.caller();
     http::send(&mut caller.socket, b"GET /read/1 HTTP/1.1\r\nhost: sh");
--- a/crates/gateway/tests/gateway/keys.rs
+++ b/crates/gateway/tests/gateway/keys.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_replica_is_told_the_customer_and_not_the_key() {
+fn a_replica_receives_the_customer_and_not_the_key() {
     let replica = echo("i-1");
     let site = start("keys-told", &[(&replica, "app", "")]);
     let sent = [
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn prompts_and_tokens_are_asked_for_in_the_customers_name() {
+fn prefill_and_decode_requests_name_the_customer() {
     let prefill = Replica::start_prefill("i-p");
     let decode = Replica::start("i-d", |request| {
         Action::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn where_there_are_no_customers_such_headers_pass() {
+fn key_headers_are_forwarded_without_customers() {
     let replica = echo("i-1");
     let site = Site::start("keys-none", &[(&replica, "app", "")]);
     assert_eq!(send_and_read(&site, "GET /read/1", "a1", KEY).status(), 200);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_key_that_two_customers_claim_is_held_by_neither() {
+fn a_key_listed_for_two_customers_is_valid_for_neither() {
     let replica = echo("i-1");
     let site = start("keys-claimed", &[(&replica, "app", "")]);
     let mut claimed = with_customers(3);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn keys_are_taken_away_and_added_on_open_connections() {
+fn keys_are_revoked_and_added_on_open_connections() {
     let replica = echo("i-1");
     let site = start("keys-revoked", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_retry_is_not_sent_for_a_key_that_was_taken_away() {
+fn a_retry_is_not_sent_for_a_revoked_key() {
     // The first replica keeps the request until the key is gone, and has not run it.
     let site = Arc::new(Mutex::new(None::<Site>));
     let held = Arc::clone(&site);
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_stream_that_runs_goes_on_when_its_key_is_taken_away() {
+fn a_running_stream_continues_when_its_key_is_revoked() {
     let decode = Replica::start("i-d", |request| {
         let parts = vec![
             [stream_head(request), events(1, 1)].concat(),
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn no_key_is_written_or_told() {
+fn no_key_is_logged_or_sent() {
     let prefill = Replica::start_prefill("i-p");
     let failing = Replica::start("i-1", |request| Action::Send(not_run_answer(request)));
     let decode = Replica::start("i-d", |_| Action::Send(answer(200, &[], b"")));
--- a/crates/gateway/tests/gateway/lifecycle.rs
+++ b/crates/gateway/tests/gateway/lifecycle.rs
@@ -19,7 +19,7 @@
 use crate::site::start_generation;
 
 #[test]
-fn a_stop_finishes_what_is_in_progress() {
+fn a_stop_finishes_requests_in_progress() {
     let replica = Replica::start("i-1", |request| {
         let answer = signed_answer(request, 200, b"late");
         Action::SendSlowly(vec![answer], Duration::from_millis(1_500))
@@ -44,7 +44,7 @@
 
 /// A stream that begins late after SIGTERM could be cut by the end of the grace.
 #[test]
-fn a_stopping_daemon_takes_no_stream_that_it_may_have_to_cut() {
+fn a_stopping_daemon_accepts_no_stream_that_it_may_have_to_cut() {
     let decode = Replica::start("i-d", |request| {
         let rest = [events(2, 2), chunk(b"")].concat();
         let parts = vec![[stream_head(request), events(1, 1)].concat(), rest];
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_hangup_reads_the_settings_again_and_loses_nothing() {
+fn sighup_reloads_the_settings_without_loss_of_requests() {
     let replica = Replica::start("i-1", |request| {
         Action::Send(signed_answer(request, 200, b"x"))
     });
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn metrics_and_log_lines_tell_of_a_request() {
+fn a_request_appears_in_the_metrics_and_the_log() {
     let replica = Replica::start("i-1", |request| {
         Action::Send(signed_answer(request, 200, b"x"))
     });
@@ -96,7 +96,7 @@
 
 /// Nobody reads the daemon's standard output: lines are dropped and counted, and no request waits.
 #[test]
-fn requests_do_not_wait_for_logs_that_nobody_reads() {
+fn requests_do_not_wait_for_unread_logs() {
     let replica = Replica::start("i-1", |request| {
         Action::Send(signed_answer(request, 200, b"x"))
     });
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn improper_requests_do_not_fill_the_logs() {
+fn invalid_requests_do_not_fill_the_logs() {
     let site = Site::start("flooded", &[]);
     wait_until("it answers", || site.daemon.readiness() != 0);
     let started = std::time::Instant::now();
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn settings_that_change_without_a_signal_come_into_force() {
+fn changed_settings_come_into_force_without_a_signal() {
     let replica = Replica::start("i-1", |request| {
         Action::Send(signed_answer(request, 500, b"x"))
     });
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn an_address_that_changes_waits_for_the_next_start() {
+fn a_changed_data_centre_applies_at_the_next_start() {
     let replica = Replica::start("i-1", |request| {
         Action::Send(signed_answer(request, 200, b"x"))
     });
--- a/crates/gateway/tests/gateway/limit.rs
+++ b/crates/gateway/tests/gateway/limit.rs
@@ -132,7 +132,7 @@
 
 /// Guards against exceeding the limit, and against a wrong `retry-after`, when every replica is at its limit.
 #[test]
-fn a_request_is_refused_with_a_time_where_all_limits_are_used_up() {
+fn a_request_is_refused_with_retry_after_when_all_limits_are_used_up() {
     let limited = limited_replica("i-limited", 0.5, &enabled());
     let site = Site::start("limit-full", &[(&limited, "app", "")]);
     wait_until("the limit is reached", || {
@@ -151,7 +151,7 @@
 
 /// Guards against a limit that stays in force after the replica has stopped sending it.
 #[test]
-fn a_limit_binds_no_longer_than_it_is_named() {
+fn a_limit_is_lifted_when_the_replica_stops_sending_it() {
     let is_limited = enabled();
     let limited = limited_replica("i-limited", 1.0, &is_limited);
     let site = Site::start("limit-lifted", &[(&limited, "app", "")]);
--- a/crates/gateway/tests/gateway/list_confirmation.rs
+++ b/crates/gateway/tests/gateway/list_confirmation.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_answer_confirms_the_list_that_was_asked_about_and_no_other() {
+fn an_answer_confirms_only_the_list_that_it_was_requested_for() {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     let local = LocalSet::new();
     assert!(local.block_on(&runtime, is_confirmed(false)));
--- a/crates/gateway/tests/gateway/members.rs
+++ b/crates/gateway/tests/gateway/members.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_daemon_that_knows_of_no_other_does_not_take_itself_for_the_only_one() {
+fn a_daemon_is_no_majority_before_it_has_the_instance_list() {
     let mut members = Members::new(card(1));
     members.join(Time::ZERO, 1);
     assert!(!members.is_majority(Time::ZERO));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn daemons_that_are_listed_and_not_met_count_against_the_majority() {
+fn listed_daemons_without_contact_count_against_the_majority() {
     let mut members = Members::new(card(1));
     members.list(Time::ZERO, &[card(1), card(2), card(3)]);
     members.join(Time::ZERO, 1);
--- a/crates/gateway/tests/gateway/migration.rs
+++ b/crates/gateway/tests/gateway/migration.rs
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn the_newer_run_goes_on_at_the_replica_with_room() {
+fn the_newer_run_migrates_to_the_replica_with_room() {
     let source = SourceReplica::start(MoveResponse::Copied);
     let target = start_target();
     let site = start_site("moved", &source);
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_run_whose_memory_cannot_be_copied_goes_on_where_it_was() {
+fn a_run_whose_kv_cache_cannot_be_copied_continues_at_its_replica() {
     let source = SourceReplica::start(MoveResponse::OnlyStopped);
     let target = start_target();
     let site = start_site("not-copied", &source);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_run_that_the_replica_does_not_know_is_left_alone() {
+fn a_run_that_the_replica_does_not_know_is_not_migrated() {
     let source = SourceReplica::start(MoveResponse::Unknown);
     let target = start_target();
     let site = start_site("move-unknown", &source);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_move_whose_answer_is_lost_is_asked_for_again() {
+fn a_move_is_requested_again_when_its_answer_is_lost() {
     let source = SourceReplica::start(MoveResponse::LostOnce);
     let target = start_target();
     let site = start_site("move-lost-once", &source);
@@ -267,7 +267,7 @@
 
 /// It may run once, so nothing else can be done; the caller sees that it is not whole.
 #[test]
-fn a_run_whose_move_is_lost_and_that_cannot_be_resumed_breaks_off() {
+fn a_run_whose_move_is_lost_and_that_cannot_be_resumed_is_cut() {
     let source = SourceReplica::start(MoveResponse::Lost);
     let target = start_target();
     let site = start_site("move-lost-once-only", &source);
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn a_run_goes_on_where_it_was_if_the_other_replica_refuses_it() {
+fn a_run_continues_at_its_replica_if_the_other_one_refuses_it() {
     let source = SourceReplica::start(MoveResponse::Copied);
     let target = Replica::start("i-2", |request| Action::Send(not_run_answer(request)));
     let site = start_site("move-refused", &source);
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn memory_that_nobody_goes_on_from_is_freed() {
+fn an_unused_kv_cache_is_released() {
     let source = SourceReplica::start(MoveResponse::Copied);
     // Takes the request, says nothing for long.
     let target = Replica::start("i-2", |request| {
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn nothing_moves_without_a_retry() {
+fn no_run_migrates_without_a_retry() {
     let source = SourceReplica::start(MoveResponse::Copied);
     let target = start_target();
     let site = start_site("move-no-retry", &source);
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn nothing_moves_where_that_is_switched_off() {
+fn no_run_migrates_when_moves_are_disabled() {
     let source = SourceReplica::start(MoveResponse::Copied);
     let target = start_target();
     let site = start_site("move-off", &source);
--- a/crates/gateway/tests/gateway/plain.rs
+++ b/crates/gateway/tests/gateway/plain.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_failure_of_an_idempotent_call_is_tried_elsewhere() {
+fn a_failed_idempotent_call_is_retried_at_another_replica() {
     let failed = Arc::new(AtomicUsize::new(0));
     let counted = Arc::clone(&failed);
     let script = move |request: &crate::common::http::Message| {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_failure_of_a_call_that_may_run_once_is_passed_on() {
+fn a_failure_of_a_call_that_may_run_once_is_forwarded() {
     let replica = Replica::start("i-1", |request| {
         Action::Send(signed_answer(request, 500, b"no"))
     });
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_call_that_no_replica_ran_is_refused_with_a_time_to_come_back() {
+fn a_call_that_no_replica_ran_is_refused_with_retry_after() {
     let replica = Replica::start("i-1", |request| Action::Send(not_run_answer(request)));
     let site = Site::start("refused", &[(&replica, "app", "")]);
     let response = site.send_and_read("POST /book/1", "a1");
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_answer_without_signature_or_to_another_request_is_not_passed_on() {
+fn an_answer_without_signature_or_to_another_request_is_not_forwarded() {
     let unsigned = Replica::start("i-1", |_| Action::Send(answer(200, &[], b"x")));
     let site = Site::start("unsigned", &[(&unsigned, "app", "")]);
     assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 502);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_is_not_passed_on() {
+fn a_cut_answer_is_not_forwarded() {
     let replica = Replica::start("i-1", |request| {
         let mut bytes = signed_answer(request, 200, b"0123456789");
         bytes.truncate(bytes.len() - 3);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_second_answer_reaches_nobody() {
+fn a_second_answer_is_discarded() {
     let replica = Replica::start("i-1", |request| {
         let extra = [("request-id", "old"), ("response-seal", "s")];
         let extra = answer(200, &extra, b"extra");
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_replica_whose_address_another_has_is_left() {
+fn a_replica_whose_address_another_one_has_is_avoided() {
     let replaced = Replica::start("i-1", |_| {
         Action::Send(answer(421, &[("instance-id", "i-9")], b""))
     });
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_call_is_answered_when_its_time_is_up() {
+fn a_call_is_answered_at_its_deadline() {
     let replica = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("overdue", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_frees_the_replica() {
+fn a_caller_that_disconnects_frees_the_replica() {
     let replica = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("left", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_silent_replica_is_left_for_another_one_where_a_call_may_be_repeated() {
+fn a_repeatable_call_is_retried_elsewhere_when_its_replica_is_silent() {
     let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let healthy = echo("i-2");
     let site = Site::start("silent", &[(&silent, "app", ""), (&healthy, "app", "")]);
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_silent_replica_is_kept_where_a_call_may_run_once() {
+fn a_call_that_may_run_once_stays_at_a_silent_replica() {
     let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let other = Replica::start("i-2", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("silent-once", &[(&silent, "app", ""), (&other, "app", "")]);
@@ -267,7 +267,7 @@
 
 /// Broken off for a retry that is not granted, a call would end sooner and no better.
 #[test]
-fn a_silent_replica_is_kept_where_no_retry_is_left() {
+fn a_call_stays_at_a_silent_replica_where_no_retry_is_left() {
     let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let other = Replica::start("i-2", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start(
--- a/crates/gateway/tests/gateway/quarantine.rs
+++ b/crates/gateway/tests/gateway/quarantine.rs
@@ -131,7 +131,7 @@
 
 /// A call that nobody may repeat ends its replica as well; its caller may send it again.
 #[test]
-fn a_request_that_ended_three_replicas_is_sent_to_none_if_it_is_a_call() {
+fn a_call_that_ended_three_replicas_is_sent_to_none() {
     let script = |_: &Message| Action::Crash(Vec::new());
     let replicas = applications(script);
     let site = start_call_site("booked", &replicas);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn the_other_daemons_send_it_to_none_either() {
+fn a_quarantine_is_shared_with_the_other_daemons() {
     let (prefill, decode) = (
         Replica::start_prefill("i-p"),
         crashing_replicas(REPLICA_COUNT),
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_daemon_that_starts_later_sends_it_to_none() {
+fn a_daemon_that_starts_later_reads_the_quarantine_from_the_store() {
     let (prefill, decode) = (
         Replica::start_prefill("i-p"),
         crashing_replicas(REPLICA_COUNT),
@@ -224,7 +224,7 @@
 
 /// A replica that fails in its own way rejects what would end a sound one.
 #[test]
-fn a_request_that_a_replica_failed_was_not_served() {
+fn a_failed_answer_does_not_count_as_served() {
     let script = |request: &Message| match request.header("request-id") {
         Some("f1") => Action::Send(signed_answer(request, 500, b"failed")),
         _ => Action::Crash(Vec::new()),
@@ -243,7 +243,7 @@
 
 /// A daemon that was cut off while the others were told has to hear of it afterwards, from any of them.
 #[test]
-fn a_daemon_that_was_told_nothing_hears_of_it_from_its_peers() {
+fn a_daemon_gets_an_earlier_quarantine_from_its_peers() {
     let (prefill, decode) = (
         Replica::start_prefill("i-p"),
         crashing_replicas(REPLICA_COUNT),
@@ -265,7 +265,7 @@
 
 /// A replica that breaks off an answer and goes on has not ended.
 #[test]
-fn a_request_whose_answers_break_off_is_sent_again() {
+fn a_request_whose_answers_are_cut_is_not_quarantined() {
     let broken =
         |request: &Message| Action::SendAndClose([stream_head(request), events(1, 1)].concat());
     let decode: Vec<Replica> = ["i-1", "i-2"].map(|id| Replica::start(id, broken)).into();
@@ -283,7 +283,7 @@
 /// A process that is stopped, or whose machine is suspended, while it asks a replica has asked for no longer than
 /// before, however late it is.
 #[test]
-fn a_replica_has_not_ended_since_the_daemon_stood_still_while_it_asked() {
+fn a_pause_of_the_daemon_during_a_probe_is_not_taken_for_the_end_of_the_replica() {
     let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
     let site = start_call_site("asks-late", std::slice::from_ref(&replica));
     let daemon = site.daemon.pid();
@@ -308,7 +308,7 @@
 
 /// Many callers ask the same at once, and replicas end for reasons of their own.
 #[test]
-fn a_request_that_is_served_elsewhere_is_not_blamed_for_replicas_that_end() {
+fn a_request_that_is_served_elsewhere_is_not_quarantined_when_replicas_end() {
     let answers = |request: &Message| match request.header("request-id") {
         Some(id) if id.starts_with('w') => Action::SendAndHang(Vec::new()),
         _ => Action::Send(signed_answer(request, 200, b"done")),
--- a/crates/gateway/tests/gateway/quotas.rs
+++ b/crates/gateway/tests/gateway/quotas.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn what_is_beyond_the_quota_is_refused_until_there_is_room() {
+fn requests_beyond_the_quota_are_refused_until_tokens_are_available() {
     let replica = echo("i-1");
     let site = start("quota-one", &replica, 50.0, 2 * TOKENS);
     // The bucket of a daemon that has just started holds only what it earned since.
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_request_that_did_not_run_gives_its_tokens_back() {
+fn a_request_that_did_not_run_returns_its_tokens() {
     let full = Arc::new(AtomicBool::new(false));
     let is_full = Arc::clone(&full);
     let replica = Replica::start("i-1", move |request| {
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_lower_quota_binds() {
+fn a_lowered_quota_applies_at_once() {
     let replica = echo("i-1");
     let site = start("quota-lower", &replica, 100_000.0, 100_000);
     wait_until("there is room", || {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_daemon_that_reaches_no_keeper_does_not_admit_at_will() {
+fn a_daemon_that_reaches_no_keeper_refuses_requests() {
     let replica = echo("i-1");
     let site = start("quota-cut", &replica, 100_000.0, 100_000);
     let mut others: Vec<Daemon> = (2..=3)
--- a/crates/gateway/tests/gateway/restarts.rs
+++ b/crates/gateway/tests/gateway/restarts.rs
@@ -50,7 +50,7 @@
 
 /// A replica that was cut off sends no end; without news of its start the caller would wait on.
 #[test]
-fn a_stream_whose_replica_started_again_ends_at_once() {
+fn a_stream_ends_at_once_when_its_replica_restarts() {
     let decode = Replica::start("i-d", starts_and_hangs);
     let site = Site::start("reborn-stream", &[]);
     list_replica(&site, &decode, "llm", "decode", FIRST_START_MS);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_elsewhere_when_its_replica_started_again() {
+fn a_resumable_stream_continues_elsewhere_when_its_replica_restarts() {
     let script = |request: &Message| match request.header("last-event-id") {
         Some("2") => remaining_events(request),
         _ => starts_and_hangs(request),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_call_whose_replica_started_again_is_answered_at_once() {
+fn a_call_is_answered_at_once_when_its_replica_restarts() {
     let hangs = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("reborn-call", &[]);
     list_replica(&site, &hangs, "app", "", FIRST_START_MS);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_old_entry_that_comes_late_changes_nothing() {
+fn an_old_entry_that_arrives_late_is_ignored() {
     let replica = Replica::start("i-1", |request| {
         Action::Send(signed_answer(request, 200, b"x"))
     });
@@ -135,7 +135,7 @@
 
 /// A prompt that is read once more arrives at the service once more.
 #[test]
-fn the_prompt_of_a_resumed_stream_is_read_again_only_within_the_budget() {
+fn a_resumed_stream_is_prefilled_again_only_within_the_retry_budget() {
     let prefill = Replica::start_prefill("i-p");
     let script = |request: &Message| match request.header("last-event-id") {
         Some("2") => remaining_events(request),
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn entries_of_another_program_hide_no_replica_and_are_told_a_few_times() {
+fn entries_of_another_program_hide_no_replica_and_are_logged_a_limited_number_of_times() {
     let replica = Replica::start("i-1", |request| {
         Action::Send(signed_answer(request, 200, b"x"))
     });
--- a/crates/gateway/tests/gateway/second_answers.rs
+++ b/crates/gateway/tests/gateway/second_answers.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_generation_goes_on_from_its_own_prompt_where_prefills_are_answered_twice() {
+fn a_generation_uses_its_own_kv_cache_where_prefills_are_answered_twice() {
     let prefill = start_prefill();
     prefill.answer_twice_if(|_| true);
     let decode = start_decode("i-d");
@@ -174,7 +174,7 @@
 /// not go on from a KV cache that was used up: its name may be another request's by then, and the one that was read anew
 /// is never taken.
 #[test]
-fn a_stream_that_is_resumed_goes_on_from_the_prompt_that_was_read_last() {
+fn a_resumed_stream_does_not_reuse_a_kv_cache() {
     let reads = AtomicUsize::new(0);
     let prefill = Replica::start("i-p", move |request| {
         let read = reads.fetch_add(1, Ordering::SeqCst) + 1;
--- a/crates/gateway/tests/gateway/second_calls.rs
+++ b/crates/gateway/tests/gateway/second_calls.rs
@@ -157,7 +157,7 @@
 
 /// The replica closes the connection of a reservation soon, and a request that met the close would be lost.
 #[test]
-fn a_generation_does_not_go_on_with_a_connection_that_is_about_to_close() {
+fn a_generation_does_not_use_a_connection_that_is_about_to_close() {
     let prefill = Replica::start("i-p", |request| {
         let headers = [("request-id", id(request))];
         let bytes = answer(
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_run_goes_on_from_its_own_memory_where_moves_are_answered_twice() {
+fn a_run_continues_from_its_own_kv_cache_where_moves_are_answered_twice() {
     let source = start_source();
     source.answer_twice_if(|request| request.path() == "/api/kv-move");
     let target = Replica::start("i-2", |request| {
@@ -281,10 +281,7 @@
 #[rstest]
 #[case::is_there("i-2", "Here")]
 #[case::is_gone("i-1", "Ended")]
-fn what_a_report_tells_is_of_the_replica_that_was_asked_about(
-    #[case] second: &str,
-    #[case] presence: &str,
-) {
+fn a_report_is_taken_for_the_replica_that_was_probed(#[case] second: &str, #[case] presence: &str) {
     let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
     let replaced = Arc::new(AtomicBool::new(second == "i-2"));
     let own_replaced = Arc::clone(&replaced);
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn rows_are_those_that_were_asked_for_where_the_store_answers_twice() {
+fn rows_belong_to_the_table_requested_where_the_store_answers_twice() {
     let replica = start_application("i-a");
     let site = Site::start("rows-twice", &[(&replica, "app", "")]);
     site.store.answer_twice();
@@ -147,7 +147,7 @@
 
 /// Where each call opens a connection, a lost packet would else cost the call.
 #[test]
-fn a_call_outlasts_the_loss_of_the_packet_that_opens_its_connection() {
+fn a_call_survives_the_loss_of_the_packet_that_opens_its_connection() {
     let calls = IntCounterVec::new(Opts::new("calls", "Calls."), &["step", "table"]).unwrap();
     let store = Store::new(lossy_listener(DROP_TIME), calls);
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
--- a/crates/gateway/tests/gateway/stages.rs
+++ b/crates/gateway/tests/gateway/stages.rs
@@ -37,7 +37,7 @@
 /// A shortage of decode replicas would otherwise last for as many changes of some seconds each as
 /// replicas are missing.
 #[test]
-fn several_engines_change_their_stage_at_once_and_each_is_told_once() {
+fn several_engines_change_their_stage_at_once_and_each_gets_one_order() {
     let engines = engines();
     let stages = engines.iter().enumerate().map(|(number, engine)| {
         let stage = if number < PREFILL_REPLICAS {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn without_a_share_no_engine_is_ordered() {
+fn no_orders_are_sent_without_a_prefill_share() {
     let engines = engines();
     let stages = engines.iter().map(|engine| (engine, "llm", "prefill"));
     let site = Site::start("no-stages", &stages.collect::<Vec<_>>());
--- a/crates/gateway/tests/gateway/stream.rs
+++ b/crates/gateway/tests/gateway/stream.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_prompt_is_read_at_one_replica_and_the_tokens_are_made_at_another() {
+fn prefill_and_decode_run_at_different_replicas() {
     let prefill = Replica::start_prefill("i-p");
     let decode = Replica::start("i-d", |request| {
         Action::Send(complete_stream(request, 1, 5))
@@ -54,7 +54,7 @@
 
 /// Guards against sending a generation to a decode replica that started draining while the prompt was being read.
 #[test]
-fn a_generation_goes_to_another_replica_if_its_own_drains_while_the_prompt_is_read() {
+fn a_generation_goes_to_another_replica_if_its_own_drains_during_the_prefill() {
     let prefill_released = Arc::new(AtomicBool::new(false));
     let released = Arc::clone(&prefill_released);
     let prefill = Replica::start("i-p", move |request| {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_decode_replica_reads_the_prompt_where_no_other_does() {
+fn the_decode_replica_runs_the_prefill_where_no_other_does() {
     let decode = Replica::start("i-d", |request| {
         Action::Send(complete_stream(request, 1, 2))
     });
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_lost_prompt_is_read_by_the_next_decode_replica() {
+fn a_lost_kv_cache_is_rebuilt_by_the_next_decode_replica() {
     let prefill = Replica::start_prefill("i-p");
     let script = |request: &Message| match request.header("kv-source") {
         Some(_) => Action::Send(not_run_answer(request)),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_off_looks_broken_off() {
+fn a_cut_stream_looks_cut_to_its_caller() {
     let decode = Replica::start("i-d", |request| {
         let cut = b"id: 3\nda";
         let bytes = [stream_head(request), events(1, 2), chunk(cut)].concat();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_replica() {
+fn a_resumable_stream_continues_at_another_replica() {
     let script = |request: &Message| match request.header("last-event-id") {
         Some("2") => Action::Send(complete_stream(request, 3, 5)),
         _ => {
@@ -158,7 +158,7 @@
 /// A prompt that was sent to be read has arrived at the service, whether it was read or not; what is
 /// sent after that is a retry.
 #[test]
-fn a_prompt_that_was_not_read_costs_a_retry() {
+fn a_failed_prefill_costs_a_retry() {
     let prefill = Replica::start("i-p", |_| Action::SendAndClose(Vec::new()));
     let decode = Replica::start("i-d", |request| {
         Action::Send(complete_stream(request, 1, 2))
@@ -172,7 +172,7 @@
 
 /// Silence alone ends no answer: without a place elsewhere the stream goes on when the replica does.
 #[test]
-fn a_silent_replica_is_kept_where_there_is_no_other() {
+fn a_stream_stays_at_a_silent_replica_where_there_is_no_other() {
     let decode = Replica::start("i-d", |request| {
         let first = [stream_head(request), events(1, 2)].concat();
         let rest = [events(3, 4), chunk(b"")].concat();
@@ -195,7 +195,7 @@
 
 /// The same where another replica has room, but going on there would be a retry too many.
 #[test]
-fn a_silent_replica_is_kept_where_no_retry_is_left() {
+fn a_stream_stays_at_a_silent_replica_where_no_retry_is_left() {
     let script = |request: &Message| {
         let first = [stream_head(request), events(1, 2)].concat();
         let rest = [events(3, 4), chunk(b"")].concat();
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn the_failure_of_an_engine_is_passed_on() {
+fn a_failure_of_an_engine_is_forwarded() {
     let decode = Replica::start("i-d", |request| {
         Action::Send(signed_answer(request, 500, b"no"))
     });
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_generation() {
+fn a_caller_that_disconnects_ends_the_generation() {
     let decode = Replica::start("i-d", |request| {
         Action::SendAndHang([stream_head(request), events(1, 2)].concat())
     });
@@ -253,7 +253,7 @@
 
 /// Without the line, nothing tells why the caller of a stream that cannot be resumed left.
 #[test]
-fn a_replica_that_falls_silent_is_told_also_where_a_stream_cannot_be_resumed() {
+fn a_silent_replica_is_logged_also_where_a_stream_cannot_be_resumed() {
     let decode = Replica::start("i-d", |request| {
         Action::SendAndHang([stream_head(request), events(1, 1)].concat())
     });
@@ -273,7 +273,7 @@
 /// The time for a read counts from its beginning where a stream is resumed: counted from the request, it
 /// was over before the read began, and the decode replica held all of its streams up to read itself.
 #[test]
-fn the_prompt_of_a_stream_that_is_resumed_late_is_read_by_a_prefill_replica() {
+fn a_stream_that_is_resumed_late_is_prefilled_by_a_prefill_replica() {
     let prefill = Replica::start("i-p", |_| {
         let body = br#"{"kv-handle":"k1","tokens":1460,"version":1}"#;
         let read = answer(200, &[("content-type", "application/json")], body);
--- a/crates/gateway/tests/gateway/truncation.rs
+++ b/crates/gateway/tests/gateway/truncation.rs
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_body_that_nobody_adds_to_any_more_is_broken_off() {
+async fn a_body_whose_sender_is_dropped_is_cut() {
     let (parts, body) = mpsc::channel(4);
     let body = Body::parts(body);
     drop(parts);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_stream_without_a_length_that_ends_in_the_midst_of_an_event_is_broken_off() {
+fn a_stream_without_a_length_that_ends_within_an_event_is_cut() {
     let decode = Replica::start("i-d", |request| {
         stream_without_length(request, 2, b"id: 3\nda")
     });
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_stream_without_a_length_that_ends_in_the_midst_of_an_event_goes_on_elsewhere() {
+fn a_stream_without_a_length_that_ends_within_an_event_continues_elsewhere() {
     let script = |request: &Message| match request.header("last-event-id") {
         Some("2") => Action::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
         _ => stream_without_length(request, 2, b"id: 3\nda"),
@@ -100,7 +100,7 @@
 
 /// A replica that says where its answer ends is believed: the caller gets the bytes unchanged.
 #[test]
-fn a_stream_in_chunks_that_ends_without_an_empty_line_is_passed_on_unchanged() {
+fn a_chunked_stream_that_ends_without_an_empty_line_is_forwarded_unchanged() {
     let decode = Replica::start("i-d", |request| {
         let last = chunk(b"id: 3\ndata: t3\n");
         Action::Send([stream_head(request), events(1, 2), last, chunk(b"")].concat())
@@ -135,10 +135,7 @@
 #[case("repeats-one", &event_texts(2, 5))]
 #[case("skips-one", &event_texts(4, 5))]
 #[case("skips-in-part", "id: 4\ndata: t4\n")]
-fn a_replica_that_goes_on_elsewhere_than_it_was_asked_to_is_not_joined(
-    #[case] name: &str,
-    #[case] rest: &str,
-) {
+fn a_continuation_from_the_wrong_event_is_not_forwarded(#[case] name: &str, #[case] rest: &str) {
     let response = resume_with(name, rest);
     assert_eq!(String::from_utf8_lossy(&response.body), event_texts(1, 2));
     assert_eq!((response.status(), response.complete), (200, false));
@@ -146,7 +143,7 @@
 
 /// Comments and the line that tells a new version stand before the id.
 #[test]
-fn an_event_that_follows_the_last_one_is_joined_whatever_stands_before_its_id() {
+fn a_continuation_from_the_next_event_is_forwarded_with_the_lines_before_its_id() {
     let rest = format!(": on\n\nweight-versions: 2\n{}", event_texts(3, 5));
     let response = resume_with("follows", &rest);
     assert!(response.complete);
@@ -176,7 +173,7 @@
 #[case("no-number", b"id: 9\ndata: t9\n\nid: x\ndata: tx\n\n".to_vec())]
 #[case("no-id", b"data: t\n\n".to_vec())]
 #[case("long", format!("id: 9\ndata: {}", "x".repeat(300_000)).into_bytes())]
-fn a_stream_that_was_passed_on_beyond_its_last_id_goes_on_nowhere(
+fn a_stream_that_was_forwarded_beyond_its_last_id_is_not_resumed(
     #[case] name: &str,
     #[case] first: Vec<u8>,
 ) {
@@ -209,7 +206,7 @@
 
 /// Such an answer ends with its connection, so only a reset tells that it was cut.
 #[test]
-fn a_caller_without_chunks_can_tell_that_its_answer_is_broken_off() {
+fn a_caller_without_chunks_can_detect_a_cut_answer() {
     let decode = Replica::start("i-d", |request| {
         let parts = vec![
             [stream_head(request), events(1, 2)].concat(),
@@ -226,7 +223,7 @@
 }
 
 #[test]
-fn a_caller_without_chunks_gets_a_whole_answer() {
+fn a_caller_without_chunks_gets_a_complete_answer() {
     let decode = Replica::start("i-d", |request| {
         Action::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
     });
@@ -238,7 +235,7 @@
 
 /// The daemon's end is one of the ways in which an answer is cut.
 #[test]
-fn a_caller_without_chunks_can_tell_that_the_daemon_ended() {
+fn a_caller_without_chunks_can_detect_the_exit_of_the_daemon() {
     let decode = Replica::start("i-d", |request| {
         Action::SendAndHang([stream_head(request), events(1, 2)].concat())
     });
@@ -266,7 +263,7 @@
     "packed",
     "HTTP/1.1 200 OK\r\nrequest-id: a1\r\nresponse-seal: s\r\ntransfer-encoding: gzip, chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"
 )]
-fn an_answer_that_a_caller_cannot_read_is_not_passed_on(
+fn an_answer_that_a_caller_cannot_read_is_not_forwarded(
     #[case] name: &str,
     #[case] text: &'static str,
 ) {
@@ -283,7 +280,7 @@
 #[rstest]
 #[case("reset-at-once", Duration::ZERO)]
 #[case("reset-later", Duration::from_millis(50))]
-fn an_answer_without_a_length_that_is_reset_is_not_passed_on(
+fn an_answer_without_a_length_that_is_reset_is_not_forwarded(
     #[case] name: &str,
     #[case] pause: Duration,
 ) {
--- a/crates/gateway/tests/suspend.rs
+++ b/crates/gateway/tests/suspend.rs
@@ -46,7 +46,7 @@
 const LONG_SUSPENDED: Duration = Duration::from_millis(1_200);
 
 #[tokio::test(start_paused = true)]
-async fn the_time_that_a_machine_was_suspended_counts() {
+async fn the_clock_counts_suspended_time() {
     let clock = Clock::new();
     let before = clock.now();
     thread::sleep(SUSPENDED);
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_limit_that_passed_meanwhile_is_over() {
+async fn a_time_limit_expires_during_a_suspension() {
     let clock = Clock::new();
     let limit = clock.instant(clock.now() + SUSPENDED / 2);
     thread::sleep(SUSPENDED);
@@ -64,7 +64,7 @@
 /// An answer that the store gave before a suspension is there when the machine goes on, and tells what was so
 /// seconds ago. The time limit of the call does not end it, since its timer stood.
 #[tokio::test(start_paused = true)]
-async fn what_the_store_told_before_a_suspension_is_read_again() {
+async fn a_store_answer_from_before_a_suspension_is_read_again() {
     let progress = Arc::new(Progress::default());
     let own = Arc::clone(&progress);
     let address = http::serve("127.0.0.1", move |socket| serve_versions(socket, &own));
@@ -129,7 +129,7 @@
 /// The peer tells the age of its list at the moment of its answer. Taken for that of seconds later, a list that is out
 /// of date would be confirmed.
 #[tokio::test(start_paused = true)]
-async fn what_a_peer_told_before_a_suspension_has_become_older() {
+async fn a_peer_answer_from_before_a_suspension_counts_as_older() {
     let peer = start_peer();
     let shared = shared(&new_ip());
     let asking = async {
