--- a/crates/gateway/tests/suspend.rs
+++ b/crates/gateway/tests/suspend.rs
@@ -1,8 +1,8 @@
-//! A machine may be suspended for seconds. Its steady clock does not count that time, and a daemon that
-//! measures with it takes what it knew before for fresh: it sends to replicas that have left, goes on with a claim that
-//! another daemon has taken over, and grants callers and replicas time that is gone.
+//! Guards against a clock that does not count the time for which the machine is suspended. A daemon with such a clock
+//! takes outdated state for fresh after a suspension: it sends requests to replicas that have left, keeps a claim that
+//! another daemon has taken over, and grants callers and replicas time that has already passed.
 //!
-//! Here the clock of the timers is stopped, and time passes all the same.
+//! The tests pause the clock of the timers while real time passes.
 
 #[path = "gateway/common/mod.rs"]
 #[allow(
@@ -38,11 +38,11 @@
 use crate::common::daemon::new_ip;
 use crate::common::http;
 
-/// Port for other daemons; each has an address of its own.
+/// Gossip port of every daemon; the daemons differ in their IP address.
 const PEER_PORT: u16 = 7_005;
 /// How long the machine is suspended.
 const SUSPENDED: Duration = Duration::from_millis(300);
-/// The same, where an answer is waited for: longer than the time limits of the store and of peers.
+/// Length of a suspension during a call; longer than the time limits of calls to the store and to peers.
 const LONG_SUSPENDED: Duration = Duration::from_millis(1_200);
 
 #[tokio::test(start_paused = true)]
@@ -61,8 +61,8 @@
     assert!(limit.elapsed() >= SUSPENDED / 4);
 }
 
-/// An answer that the store gave before a suspension is there when the machine goes on, and tells what was so
-/// seconds ago. The time limit of the call does not end it, since its timer stood.
+/// Guards against using a store answer that was sent before a suspension: it is delivered afterwards, seconds out of date,
+/// and the time limit of the call does not reject it, since its timer was stopped.
 #[tokio::test(start_paused = true)]
 async fn a_store_answer_from_before_a_suspension_is_read_again() {
     let progress = Arc::new(Progress::default());
@@ -82,16 +82,16 @@
     assert_eq!(read.unwrap().version, 2);
 }
 
-/// How far the test with a stand-in for the store is.
+/// Progress of the test with a stand-in for the store.
 #[derive(Default)]
 struct Progress {
-    /// Questions so far.
+    /// Calls received so far.
     asked: AtomicU64,
-    /// Whether the asker is suspended, or was.
+    /// Whether the calling side has been suspended.
     suspended: AtomicBool,
 }
 
-/// A stand-in for the store whose version is the number of its answer, and which answers once the asker is suspended.
+/// Stand-in for the store that answers once the calling side is suspended; the version in each answer is its number.
 fn serve_versions(socket: &mut TcpStream, progress: &Progress) {
     while let Ok(Some(_)) = http::read(socket) {
         let version = progress.asked.fetch_add(1, Ordering::SeqCst) + 1;
@@ -103,7 +103,7 @@
     }
 }
 
-/// The state of a daemon at `ip` that knows nothing yet.
+/// State of a newly started daemon at `ip`.
 fn shared(ip: &str) -> Rc<Shared> {
     let listen = ["callers", "addresses", "readiness", "metrics", "peers"];
     let listen = listen.map(|name| format!("{name}: \"{ip}:{PEER_PORT}\""));
@@ -115,7 +115,7 @@
     Rc::new(Shared::new(Settings::parse(&settings).unwrap(), metrics))
 }
 
-/// Starts a daemon's gossip in a thread of its own, which is not suspended; ends with the process.
+/// Runs the gossip of a daemon in a separate thread, which is not suspended, until the process ends; returns its address.
 fn start_peer() -> SocketAddr {
     let ip = new_ip();
     let address = SocketAddr::new(ip.parse().unwrap(), PEER_PORT);
@@ -126,8 +126,8 @@
     address
 }
 
-/// The peer tells the age of its list at the moment of its answer. Taken for that of seconds later, a list that is out
-/// of date would be confirmed.
+/// Guards against confirming an outdated list: a peer sends the age of its list at the time of its answer, which is too
+/// low if the answer is read seconds later.
 #[tokio::test(start_paused = true)]
 async fn a_peer_answer_from_before_a_suspension_counts_as_older() {
     let peer = start_peer();
