--- a/crates/gateway/tests/gateway/connection_limits.rs
+++ b/crates/gateway/tests/gateway/connection_limits.rs
@@ -1,7 +1,6 @@
-//! A replica that had too many connections closed each new one at once, and broke off the answer to a request. The daemon
-//! asked three times whether the replica was there, each time on a new connection, and each was closed without an
-//! answer. It took the replica for ended, and put that down to the request, which three such replicas would have
-//! quarantined although all of them were at work.
+//! Guards against taking a replica at its connection limit for one that has ended. Such a replica cuts an answer and
+//! closes each new connection, also those on which the daemon probes it three times. Counted as ended, three such
+//! replicas would put the request in quarantine although all of them are running.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -19,23 +18,27 @@
 use crate::site::headers;
 use crate::site::start_generation;
 
-/// Longer than the silence after which the daemon asks, and shorter than that after which it goes elsewhere in any case.
+/// Longer than the silence after which the daemon probes a replica, shorter than that after which it resumes the stream
+/// elsewhere in any case.
 const STREAM_PAUSE: Duration = Duration::from_millis(1_100);
 
-/// Longer than the part of the objective after which the daemon asks, and shorter than the time that it waits then.
+/// Longer than the part of the objective after which the daemon probes the replica, shorter than the time that it waits
+/// after that.
 const PREFILL_TIME: Duration = Duration::from_millis(700);
 
-/// Sends a call, and gives what the daemon finds out of the replica that broke it off.
+/// Sends a call whose replica cuts the answer; returns the log line on the state of that replica.
 fn loss_log_line(site: &Site) -> String {
     let mut caller = site.daemon.caller();
     let response = caller.send_and_read("POST /book/1", &headers("c1"), b"");
     assert_eq!(response.status(), 502);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
-    wait_until("it is found out", || !verdicts().is_empty());
+    wait_until("the result of the probe is logged", || {
+        !verdicts().is_empty()
+    });
     verdicts().remove(0)
 }
 
-/// A replica that does something to itself when it gets a request, and breaks it off.
+/// A replica that calls `on_request` with itself for each request, and closes the connection without an answer.
 fn failing_replica(on_request: impl Fn(&Replica) + Send + Sync + 'static) -> Replica {
     let own: Arc<OnceLock<Replica>> = Arc::default();
     let failing = Arc::clone(&own);
@@ -60,20 +63,20 @@
     );
 }
 
-/// Something else takes the connections of one that ended, and the list tells its end.
+/// Another process listens on the address of a replica that has ended; the list shows the end.
 #[test]
 fn a_replica_that_closes_new_connections_and_is_no_longer_listed_has_ended() {
     let replica = failing_replica(Replica::close_new_connections);
     let site = Site::start("crowded-gone", &[(&replica, "app", "")]);
     site.send_and_read("POST /book/1", "c1");
     site.store.remove("servers", "i-1");
-    wait_until("it counts", || {
+    wait_until("the end of the replica is logged", || {
         let ends = site.daemon.logged("a replica ended while at work");
         !ends.is_empty()
     });
 }
 
-/// Nothing listens for one that ended.
+/// Nothing listens on the address of a replica that has ended.
 #[test]
 fn a_replica_whose_port_is_closed_has_ended() {
     let replica = failing_replica(Replica::crash);
@@ -82,7 +85,7 @@
     assert!(line.contains("\"presence\":\"Ended\""), "{line}");
 }
 
-/// It takes connections and never answers, as a process does that hangs.
+/// The replica accepts connections and never answers, like a process that hangs.
 #[test]
 fn a_replica_that_answers_nothing_counts_as_ended() {
     let replica = failing_replica(|_| ());
@@ -90,7 +93,7 @@
     let site = Site::start("hangs", &[(&replica, "app", "")]);
     let line = loss_log_line(&site);
     assert!(line.contains("\"presence\":\"Unknown\""), "{line}");
-    wait_until("it counts", || {
+    wait_until("the end of the replica is logged", || {
         !site
             .daemon
             .logged("a replica ended while at work")
@@ -98,7 +101,7 @@
     });
 }
 
-/// A replica that takes no more connections has no room. It is not silent, and daemons must not be told so.
+/// A replica that accepts no more connections has no room, but it must not be reported to other daemons as silent.
 #[test]
 fn a_replica_that_closes_new_connections_has_no_room_and_is_not_silent() {
     let decode = Replica::start("i-d", |request| {
@@ -118,8 +121,8 @@
     assert!(response.header("retry-after").is_some());
 }
 
-/// A stream pauses for longer than the daemon waits before it asks whether the replica is there. That one takes no more
-/// connections, and goes on with its stream soon; another replica has room.
+/// A stream pauses for longer than the daemon waits before it probes the replica, which accepts no more connections but
+/// continues the stream soon. Another replica has room.
 #[test]
 fn a_stream_of_a_replica_that_closes_new_connections_is_not_aborted_at_the_first_pause() {
     let pausing = |request: &Message| match request.header("last-event-id") {
@@ -136,7 +139,7 @@
     let two = Replica::start("i-2", pausing);
     let replicas = [(&one, "llm", "decode"), (&two, "llm", "decode")];
     let site = Site::start("crowded-pause", &replicas);
-    // Leaves an open connection to each replica that it used.
+    // Leaves an open connection to each replica used.
     for number in 0..4 {
         assert!(
             start_generation(&site.daemon, "/resume/1", &format!("b{number}"))
@@ -146,7 +149,7 @@
     }
     let sent = one.requests().len() + two.requests().len();
     let mut caller = start_generation(&site.daemon, "/resume/1", "a1");
-    wait_until("it is sent", || {
+    wait_until("the request is sent", || {
         one.requests().len() + two.requests().len() > sent
     });
     let is_last_request = |replica: &Replica| {
@@ -164,8 +167,8 @@
     assert_eq!(one.requests().len() + two.requests().len(), sent + 1);
 }
 
-/// A prompt takes longer than the daemon waits before it asks whether the replica is there. That one takes no more
-/// connections, and is about to answer; a read that is given up is read in vain.
+/// A prefill takes longer than the daemon waits before it probes the replica, which accepts no more connections but is
+/// about to answer. Aborting the prefill would waste its work.
 #[test]
 fn a_prefill_is_not_aborted_when_its_replica_closes_new_connections() {
     let prefill = Replica::start("i-p", |request| {
@@ -182,13 +185,13 @@
     });
     let site = Site::start_with_prefill("crowded-read", &prefill, &[&decode]);
     let mut caller = start_generation(&site.daemon, "/draft/1", "a1");
-    wait_until("the prompt is sent", || prefill.requests().len() == 1);
+    wait_until("the prefill is sent", || prefill.requests().len() == 1);
     prefill.close_new_connections();
     assert_eq!(caller.read().status(), 200);
     let received = decode.requests();
-    let given_up = site
+    let aborted = site
         .daemon
         .logged("the prompt is not read, and the replica does not answer");
-    assert!(given_up.is_empty(), "{given_up:?}");
+    assert!(aborted.is_empty(), "{aborted:?}");
     assert!(received[0].header("kv-source").is_some());
 }
--- a/crates/gateway/tests/gateway/discovery.rs
+++ b/crates/gateway/tests/gateway/discovery.rs
@@ -1,4 +1,4 @@
-//! What the daemon believes of plans, replicas and other daemons.
+//! How a daemon learns of plans, replicas and other daemons from the store and from its peers.
 
 use std::thread;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     site.store.remove("op", "config");
     let other = site.start_another("planless", false);
     site.store.put("servers", "i-1", &replica.row("app", ""));
-    wait_until("it answers", || other.readiness() != 0);
+    wait_until("the readiness endpoint answers", || other.readiness() != 0);
     assert_eq!(other.readiness(), 503);
     let response = send_and_read(&other, "GET /read/1", "a");
     assert_eq!(response.status(), 503);
@@ -47,7 +47,7 @@
     assert_eq!(site.send_and_read("GET /renamed/1", "a2").status(), 200);
     site.store.put("op", "config", &config(4));
     site.store.put_bytes("op", "config", b"{not a plan");
-    wait_until("it is told", || {
+    wait_until("the unreadable plan is logged", || {
         !site.daemon.logged("cannot be read").is_empty()
     });
     assert_eq!(site.send_and_read("GET /renamed/1", "a3").status(), 200);
@@ -62,7 +62,9 @@
     let mut row = one.row("app", "");
     row["state"] = "draining".into();
     site.store.put("servers", "i-1", &row);
-    wait_until("it is known", || !site.daemon.logged("Draining").is_empty());
+    wait_until("the draining state is logged", || {
+        !site.daemon.logged("Draining").is_empty()
+    });
     for number in 0..8 {
         assert_eq!(
             site.send_and_read("GET /read/1", &format!("a{number}"))
@@ -78,13 +80,13 @@
     let replica = echo("i-1");
     let site = Site::start("outage", &[(&replica, "app", "")]);
     site.store.set_down(true);
-    wait_until("it is noticed", || {
+    wait_until("the outage is logged", || {
         !site.daemon.logged("the store does not answer").is_empty()
     });
     assert_eq!(site.daemon.readiness(), 200);
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
     site.store.set_down(false);
-    wait_until("it is noticed", || {
+    wait_until("the end of the outage is logged", || {
         !site.daemon.logged("answers again").is_empty()
     });
 }
@@ -106,7 +108,7 @@
     let site = Site::start("told", &[(&replica, "app", "")]);
     let other = site.start_another("hears", true);
     other.wait_until_ready();
-    // One of the two reads the store for both; the other one hears of it.
+    // One of the two reads the store for both; the other one gets the change from it.
     site.store.put("op", "config", &config(7));
     for daemon in [&site.daemon, &other] {
         wait_until("the plan is in force", || {
@@ -122,12 +124,16 @@
     let other = site.start_another("named", false);
     let lists = |text: &str, daemon: &Daemon| text.contains(&daemon.callers.to_string());
     let lists_both = |text: &str| lists(text, &site.daemon) && lists(text, &other);
-    wait_until("both are told", || {
+    wait_until("both daemons are listed", || {
         lists_both(&site.daemon.addresses()) && lists_both(&other.addresses())
     });
     other.signal(rustix::process::Signal::TERM);
-    wait_until("one is told", || !lists(&site.daemon.addresses(), &other));
-    wait_until("its row is gone", || !site.store.has("instances", "named"));
+    wait_until("only one daemon is listed", || {
+        !lists(&site.daemon.addresses(), &other)
+    });
+    wait_until("the row of the stopped daemon is removed", || {
+        !site.store.has("instances", "named")
+    });
     assert_eq!(other.readiness(), 503);
 }
 
@@ -137,12 +143,14 @@
     let site = Site::start("odd-row", &[(&replica, "app", "")]);
     site.store
         .put("servers", "i-odd", &json!({"service": "app"}));
-    wait_until("it is told", || !site.daemon.logged("i-odd").is_empty());
+    wait_until("the unreadable row is logged", || {
+        !site.daemon.logged("i-odd").is_empty()
+    });
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
 }
 
-/// Connections may fall silent without an end while new ones work; a watch on such a one would
-/// miss an edit for as long as it waits.
+/// Guards against a watch on a connection that has fallen silent without being closed while new connections work: it
+/// would miss changes for as long as it waits.
 #[test]
 fn a_watch_is_aborted_when_another_store_call_times_out() {
     let replica = Replica::start("i-1", |request| {
@@ -150,9 +158,9 @@
     });
     let site = Site::start("silent-store", &[(&replica, "app", "")]);
     site.store.silence_open_connections();
-    wait_until("the watch is given up", || {
-        let given_up = site.daemon.logged("another call had no answer in time");
-        !given_up.is_empty()
+    wait_until("the watch is aborted", || {
+        let aborted = site.daemon.logged("another call had no answer in time");
+        !aborted.is_empty()
     });
     let mut moved = config(2);
     moved["routes"][0]["prefix"] = "/moved/".into();
@@ -168,8 +176,8 @@
     counts.next().map_or(0, |count| count.parse().unwrap())
 }
 
-/// Guards against a list of replicas that is seconds out of date because the daemon that reads the
-/// store for others cannot reach it.
+/// Guards against a list of replicas that is seconds out of date because the daemon that reads the store for others
+/// cannot reach it.
 #[test]
 fn a_daemon_whose_reader_has_lost_the_store_reads_it_often() {
     let replica = echo("i-1");
@@ -200,9 +208,9 @@
     assert!(count >= 5, "{count} watch calls in 8 s");
 }
 
-/// Lists `count` instances beside those of the test; nobody is there.
+/// Lists `count` instances whose addresses nothing listens on.
 fn list_dead_instances(site: &Site, count: usize) {
-    wait_until("the own row is written", || {
+    wait_until("the daemon has written its row", || {
         site.store.has("instances", "crowded")
     });
     let own = site.store.get("instances", "crowded").unwrap();
@@ -217,7 +225,7 @@
     }
 }
 
-/// In a large data centre the list names the daemon that reads the store; it may be one that died.
+/// In a large data centre the daemon that reads the store is chosen from the instance list, where it may be a dead one.
 #[test]
 fn a_daemon_whose_reader_is_dead_reads_the_store_itself() {
     let replica = echo("i-1");
--- a/crates/gateway/tests/gateway/ingress.rs
+++ b/crates/gateway/tests/gateway/ingress.rs
@@ -1,4 +1,4 @@
-//! Requests that are not proper, and limits.
+//! Invalid requests of callers, and limits on what they send.
 
 use rstest::rstest;
 
@@ -51,7 +51,7 @@
     assert!(replica.requests().is_empty());
 }
 
-/// A body that looks like a request is a body.
+/// Guards against request smuggling: a body that looks like a request must not be run as one.
 #[test]
 fn a_request_inside_a_body_is_not_run() {
     let (replica, site) = start_site("smuggled");
@@ -74,7 +74,7 @@
     http::send(&mut caller.socket, head.as_bytes());
     http::send(&mut caller.socket, b"5\r\nhello\r\n0\r\n\r\n");
     let response = caller.read();
-    // Either is safe: the request is rejected, or it is relayed with the chunks as its only body.
+    // Both are safe: a rejection, and forwarding with the chunks as the only body.
     let bodies: Vec<Vec<u8>> = replica
         .requests()
         .into_iter()
--- a/crates/gateway/tests/gateway/keys.rs
+++ b/crates/gateway/tests/gateway/keys.rs
@@ -1,4 +1,4 @@
-//! API keys: whose a request is, and that no key leaves the daemon.
+//! API keys: they identify the customer of a request and never leave the daemon.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -35,14 +35,14 @@
     config
 }
 
-/// A daemon in front of `replicas` whose callers need keys.
+/// Starts a daemon in front of `replicas` whose callers need keys.
 fn start(name: &str, replicas: &[(&Replica, &str, &str)]) -> Site {
     let site = Site::start(name, replicas);
     put_plan(&site, &with_customers(2));
     site
 }
 
-/// Puts `config` in force.
+/// Writes `config` to the store and waits until it is in force.
 fn put_plan(site: &Site, config: &Value) {
     site.store.put("op", "config", config);
     let version_field = format!("\"version\":{}", config["version"]);
@@ -74,7 +74,7 @@
     let sent = [
         ("Request-Id", "a1"),
         ("X-Api-Key", KEY),
-        // Those are the system's to set.
+        // Headers that only the daemon may set.
         ("Tenant", "farma"),
         ("Request-Priority", "0"),
         ("Connection", "keep-alive, X-Api-Key, Tenant"),
@@ -216,7 +216,7 @@
     // An older version changes nothing, wherever it comes from.
     site.store.put("op", "config", &with_customers(2));
     site.store.put("op", "config", &json!({"version": 9}));
-    wait_until("it is told", || {
+    wait_until("the unreadable plan is logged", || {
         !site.daemon.logged("cannot be read").is_empty()
     });
     assert_eq!(
@@ -227,7 +227,7 @@
 
 #[test]
 fn a_retry_is_not_sent_for_a_revoked_key() {
-    // The first replica keeps the request until the key is gone, and has not run it.
+    // The first replica holds the request until the key is revoked, and answers that it has not run it.
     let site = Arc::new(Mutex::new(None::<Site>));
     let held = Arc::clone(&site);
     let revoking = move |request: &Message| {
@@ -248,7 +248,7 @@
     let response = caller.send_and_read("GET /read/1", &sent, b"");
     assert_eq!(response.status(), 401);
     assert_eq!(one.requests().len() + two.requests().len(), 1);
-    // The replicas outlast the test, and would keep the daemon.
+    // The threads of the replicas outlast the test and would keep the daemon running.
     drop(site.lock().unwrap().take());
 }
 
@@ -270,7 +270,7 @@
         ("X-Api-Key", KEY),
     ];
     caller.start_request("POST /draft/1", &sent, b"prompt");
-    wait_until("it runs", || !decode.requests().is_empty());
+    wait_until("the stream runs", || !decode.requests().is_empty());
     let mut revoked = with_customers(3);
     revoked["tenants"][0]["api-keys"] = json!([]);
     put_plan(&site, &revoked);
@@ -299,7 +299,9 @@
         answers.push(send_and_read(&site, "POST /draft/1", id, key));
         answers.push(send_and_read(&site, "GET /nowhere/1", id, key));
     }
-    wait_until("all is told", || site.daemon.logged("\"a2\"").len() >= 4);
+    wait_until("all requests are logged", || {
+        site.daemon.logged("\"a2\"").len() >= 4
+    });
     let mut output = site.daemon.logged("");
     output.extend(other.logged(""));
     output.push(site.daemon.metrics());
--- a/crates/gateway/tests/gateway/lifecycle.rs
+++ b/crates/gateway/tests/gateway/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, stop, reload, settings, metrics.
+//! Start and stop of the daemon, its settings, metrics and log.
 
 use std::fs;
 use std::process;
@@ -29,7 +29,7 @@
     caller.start_request("POST /book/1", &crate::site::headers("a1"), b"");
     wait_until("the call arrives", || replica.requests().len() == 1);
     site.daemon.signal(Signal::TERM);
-    wait_until("it is not ready", || site.daemon.readiness() == 503);
+    wait_until("the daemon is not ready", || site.daemon.readiness() == 503);
     let response = caller.read();
     assert_eq!(
         (response.status(), response.body.as_slice()),
@@ -42,7 +42,7 @@
     });
 }
 
-/// A stream that begins late after SIGTERM could be cut by the end of the grace.
+/// A stream accepted late after SIGTERM could be cut at the end of the grace period.
 #[test]
 fn a_stopping_daemon_accepts_no_stream_that_it_may_have_to_cut() {
     let decode = Replica::start("i-d", |request| {
@@ -70,12 +70,12 @@
     });
     let site = Site::start("reloaded", &[(&replica, "app", "")]);
     site.daemon.signal(Signal::HUP);
-    wait_until("it is told", || {
+    wait_until("the reload is logged", || {
         !site.daemon.logged("nothing changed").is_empty()
     });
     fs::write(site.daemon.settings_path(), "instance: [").unwrap();
     site.daemon.signal(Signal::HUP);
-    wait_until("it is told", || {
+    wait_until("the failed reload is logged", || {
         !site.daemon.logged("those in force stay").is_empty()
     });
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
@@ -91,10 +91,12 @@
     let metrics = site.daemon.metrics();
     assert!(metrics.contains("waxwing_gateway_requests_total{outcome=\"answered\"} 1"));
     assert!(metrics.contains("waxwing_gateway_plan_version 1"));
-    wait_until("it is logged", || site.daemon.logged("a-77").len() >= 2);
+    wait_until("the request is logged", || {
+        site.daemon.logged("a-77").len() >= 2
+    });
 }
 
-/// Nobody reads the daemon's standard output: lines are dropped and counted, and no request waits.
+/// When the daemon's standard output is not read, log lines are dropped and counted, and requests do not wait.
 #[test]
 fn requests_do_not_wait_for_unread_logs() {
     let replica = Replica::start("i-1", |request| {
@@ -128,7 +130,9 @@
 #[test]
 fn invalid_requests_do_not_fill_the_logs() {
     let site = Site::start("flooded", &[]);
-    wait_until("it answers", || site.daemon.readiness() != 0);
+    wait_until("the readiness endpoint answers", || {
+        site.daemon.readiness() != 0
+    });
     let started = std::time::Instant::now();
     let mut caller = site.daemon.caller();
     for _ in 0..1_000 {
@@ -150,7 +154,7 @@
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 500);
     assert_eq!(replica.requests().len() + other.requests().len(), 2);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
-    // Without a budget a failure is not tried elsewhere.
+    // Without a retry budget a failed call is not retried.
     assert_eq!(site.send_and_read("GET /read/1", "a2").status(), 500);
     assert_eq!(replica.requests().len() + other.requests().len(), 3);
 }
@@ -165,7 +169,7 @@
     let text = text.replace("data_centre: here", "data_centre: there");
     fs::write(site.daemon.settings_path(), text).unwrap();
     site.daemon.signal(Signal::HUP);
-    wait_until("it is told", || {
+    wait_until("the postponed change is logged", || {
         !site.daemon.logged("at the next start").is_empty()
     });
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
@@ -194,7 +198,7 @@
     #[case] code: i32,
     #[case] expected_error: &str,
 ) {
-    // Several runs of the tests may share the directory.
+    // Concurrent test runs may share the directory.
     let run = process::id();
     let path = format!("{}/check-{name}-{run}.yaml", env!("CARGO_TARGET_TMPDIR"));
     fs::write(&path, text).unwrap();
--- a/crates/gateway/tests/gateway/list_confirmation.rs
+++ b/crates/gateway/tests/gateway/list_confirmation.rs
@@ -1,6 +1,6 @@
-//! A daemon asks another one whether its list of replicas is up to date, and names the list by a hash. A list that it
-//! took from a third daemon before the answer came was confirmed instead of the one that was asked about, with the
-//! version of the teller's: changes between the two were then never asked for.
+//! Guards against confirming the wrong list of replicas. A daemon asks a peer whether its list, named by a hash, is up to
+//! date. If it takes another list before the answer arrives, and the answer confirms that one at the peer's version, the
+//! changes between the two are never requested.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,12 +22,12 @@
 
 use crate::common::daemon::new_ip;
 
-/// Port of each of the daemons; each has an address of its own.
+/// Gossip port of every daemon; the daemons differ in their IP address.
 const PORT: u16 = 7_005;
-/// Time that the question gets.
+/// Time limit of the question.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-/// The state of a daemon at `ip` that knows nothing yet.
+/// State of a newly started daemon at `ip`.
 fn shared(ip: &str) -> Rc<Shared> {
     let listen = ["callers", "addresses", "readiness", "metrics", "peers"];
     let listen = listen.map(|name| format!("{name}: \"{ip}:{PORT}\""));
@@ -51,8 +51,8 @@
     })
 }
 
-/// Asks a daemon whose list is the same as the asker's, which takes another one meanwhile if `changes`; whether the
-/// answer confirms the asker's list.
+/// Returns whether the answer of a daemon with the same list confirms the list of the asker. With `changes`, the asker
+/// takes another list before the answer arrives.
 async fn is_confirmed(changes: bool) -> bool {
     let (asker, responder) = (shared(&new_ip()), new_ip());
     tokio::task::spawn_local(gossip::run(Rc::clone(&asker)));
@@ -67,7 +67,7 @@
             asker.take_replicas(Source::Peer, asker.clock.now(), &list());
         }
     };
-    // The question is on its way before the list is taken.
+    // The question is sent before the list changes.
     let (news, ()) = tokio::join!(gossip::question(&asker, address, PATIENCE), change);
     news.unwrap().same
 }
--- a/crates/gateway/tests/gateway/members.rs
+++ b/crates/gateway/tests/gateway/members.rs
@@ -1,4 +1,4 @@
-//! Which daemons a daemon takes for the fleet.
+//! Which daemons a daemon counts as members.
 
 use std::time::Duration;
 
@@ -31,12 +31,12 @@
     let mut members = Members::new(card(1));
     members.list(Time::ZERO, &[card(1), card(2), card(3)]);
     members.join(Time::ZERO, 1);
-    // For some seconds they may be met yet.
+    // For some seconds the other daemons may still make contact.
     assert!(members.is_majority(Time::ZERO));
     let later = Time::ZERO + Duration::from_secs(10);
     members.step(later);
     assert!(!members.is_majority(later));
-    // After that time they count as gone.
+    // After this time they no longer count as members.
     let much_later = Time::ZERO + Duration::from_mins(20);
     members.step(much_later);
     assert!(members.is_majority(much_later));
--- a/crates/gateway/tests/gateway/migration.rs
+++ b/crates/gateway/tests/gateway/migration.rs
@@ -1,4 +1,4 @@
-//! Runs that go on at another replica before the memory of theirs ends.
+//! Migration of runs to another replica before the KV cache memory of their replica is full.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,37 +25,37 @@
 use crate::site::config;
 use crate::site::start_generation;
 
-/// Events of an answer.
+/// Events of a complete answer.
 const EVENT_COUNT: u64 = 40;
-/// Time between two of them.
+/// Time between two events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How the first replica answers a move.
+/// How the source replica answers a move request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MoveResponse {
-    /// The run is stopped and its memory is copied.
+    /// The run is stopped and its KV cache can be copied.
     Copied,
-    /// The run is stopped, and its memory cannot be copied.
+    /// The run is stopped, but its KV cache cannot be copied.
     OnlyStopped,
     /// There is no such run.
     Unknown,
-    /// The run is stopped, and the answer is lost; asked again, it is told.
+    /// The run is stopped and the first answer is lost; a second request is answered.
     LostOnce,
-    /// The run is stopped, and no answer ever comes.
+    /// The run is stopped, and all answers are lost.
     Lost,
-    /// The same, and the stream has neither chunks nor a length.
+    /// Like `Lost`, for a stream with neither chunks nor a length.
     LostWithoutLength,
-    /// The same at first; asked again, the replica answers with this status and names no memory.
+    /// Like `LostWithoutLength` for the first request; later ones get this status and no KV cache handle.
     LostThen(u16),
 }
 
-/// A replica that makes events until it is asked to move a run.
+/// A replica that streams events until it receives a move request for the run.
 struct SourceReplica {
     replica: Replica,
     moves: Arc<Mutex<Vec<Value>>>,
 }
 
-/// The parts of a stream that goes on after the event `after`.
+/// Parts of a stream that continues after the event `after`.
 fn parts(request: &Message, after: u64) -> Vec<Vec<u8>> {
     let mut parts = vec![stream_head(request)];
     parts.extend((after + 1..=EVENT_COUNT).map(|id| events(id, id)));
@@ -63,7 +63,7 @@
     parts
 }
 
-/// The same without chunks; its end is that of the connection.
+/// Parts of a stream without chunks that ends with its connection.
 fn parts_without_length(request: &Message) -> Vec<Vec<u8>> {
     let head = String::from_utf8(stream_head(request)).unwrap();
     let mut parts = vec![
@@ -126,7 +126,7 @@
         Self { replica, moves }
     }
 
-    /// The requests that went on from memory, without calls of the daemon's own.
+    /// Requests that continue from a KV cache.
     fn continued(&self) -> Vec<Message> {
         continued(&self.replica)
     }
@@ -143,14 +143,14 @@
         .collect()
 }
 
-/// The replica that a run goes to.
+/// Starts the replica that a run migrates to.
 fn start_target() -> Replica {
     Replica::start("i-2", |request| {
         Action::SendSlowly(parts(request, last_event(request)), EVENT_INTERVAL)
     })
 }
 
-/// A site whose replicas hold the prompts of two runs and about half of what they make.
+/// Starts a site whose replicas have KV cache memory for the prompts of two runs and about half of their output.
 fn start_site(name: &str, source: &SourceReplica) -> Site {
     let site = Site::start(name, &[(&source.replica, "llm", "decode")]);
     let mut small = config(2);
@@ -166,7 +166,7 @@
     site
 }
 
-/// Two generations at the first replica; the second replica is listed when both make tokens.
+/// Starts two generations at the source replica, and lists `target` once both have started.
 fn start_two_runs(
     site: &Site,
     source: &SourceReplica,
@@ -174,11 +174,11 @@
     path: &str,
 ) -> (Caller, Caller) {
     let older = start_generation(&site.daemon, path, "a1");
-    wait_until("the first run begins", || {
+    wait_until("the first run starts", || {
         !site.daemon.logged("\"kind\":\"first\"").is_empty()
     });
     let newer = start_generation(&site.daemon, path, "a2");
-    wait_until("both runs are there", || {
+    wait_until("both runs have started", || {
         let received = source.replica.requests().into_iter();
         received.filter(|request| request.body == b"prompt").count() == 2
     });
@@ -192,7 +192,7 @@
     texts.collect()
 }
 
-/// Both answers have every event once, in order.
+/// Checks that both answers contain every event once, in order.
 fn assert_both_complete(callers: (Caller, Caller)) {
     for mut caller in [callers.0, callers.1] {
         let response = caller.read();
@@ -253,7 +253,7 @@
     assert_eq!(continued(&target).len(), 1);
 }
 
-/// Without the memory, a stream that can be resumed has its prompt read again.
+/// Without the KV cache, a resumable stream is prefilled again.
 #[test]
 fn a_resumable_run_whose_move_is_lost_is_resumed() {
     let source = SourceReplica::start(MoveResponse::Lost);
@@ -265,7 +265,7 @@
     assert!(resumed.iter().any(|request| last_event(request) > 0));
 }
 
-/// It may run once, so nothing else can be done; the caller sees that it is not whole.
+/// The generation may run only once, so its answer ends incomplete, which the caller can detect.
 #[test]
 fn a_run_whose_move_is_lost_and_that_cannot_be_resumed_is_cut() {
     let source = SourceReplica::start(MoveResponse::Lost);
@@ -277,7 +277,7 @@
     assert!(target.requests().is_empty());
 }
 
-/// A stream without a length ends with its connection; that of a run that was stopped is closed as well.
+/// A stream without a length ends with its connection, and the connection of a stopped run is closed as well.
 #[test]
 fn a_stream_without_a_length_whose_move_is_lost_does_not_look_complete() {
     let source = SourceReplica::start(MoveResponse::LostWithoutLength);
@@ -293,9 +293,9 @@
     assert!(!source.moves().is_empty());
 }
 
-/// The first question stopped the run, and its answer was lost. Asked again, the replica says that it has no such run any
-/// more (404), that the first question is still in progress (409) or that it has no room (503). None of these says that
-/// the run goes on, so the end of its connection is not the end of the answer.
+/// The first move request stops the run, and its answer is lost. The second one is refused: no such run any more (404),
+/// the first request still in progress (409), or no room (503). None of these means that the run continues, so the end of
+/// its connection is not the end of the answer.
 #[rstest]
 #[case::no_such_run(404)]
 #[case::in_progress(409)]
@@ -330,15 +330,15 @@
 #[test]
 fn an_unused_kv_cache_is_released() {
     let source = SourceReplica::start(MoveResponse::Copied);
-    // Takes the request, says nothing for long.
+    // Accepts the request and sends nothing for a long time.
     let target = Replica::start("i-2", |request| {
         Action::SendSlowly(parts(request, last_event(request)), Duration::from_secs(3))
     });
     let site = start_site("move-left", &source);
     let (older, newer) = start_two_runs(&site, &source, &target, "/draft/1");
-    wait_until("the run goes on", || !continued(&target).is_empty());
+    wait_until("the run has migrated", || !continued(&target).is_empty());
     drop((older, newer));
-    wait_until("the memory is freed", || {
+    wait_until("the KV cache is released", || {
         let received = source.replica.requests();
         let is_release = |request: &Message| request.path() == "/api/kv-handle/m1";
         received.iter().any(is_release)
--- a/crates/gateway/tests/gateway/plain.rs
+++ b/crates/gateway/tests/gateway/plain.rs
@@ -31,7 +31,7 @@
         ("X-Own", "kept"),
         ("Connection", "keep-alive, X-Hop"),
         ("X-Hop", "dropped"),
-        // Those are the system's to set.
+        // Headers that only the daemon may set.
         ("Stage", "prefill"),
         ("Kv-Source", "127.0.0.1:1/h"),
         ("Kv-Hold", "h"),
@@ -218,8 +218,10 @@
     caller.start_request("POST /book/1", &headers("a1"), b"");
     wait_until("the call arrives", || replica.requests().len() == 1);
     drop(caller);
-    wait_until("the replica is left", || replica.abandoned_count() == 1);
-    wait_until("it is logged", || {
+    wait_until("the request to the replica is aborted", || {
+        replica.abandoned_count() == 1
+    });
+    wait_until("the disconnect is logged", || {
         !site.daemon.logged("caller-left").is_empty()
     });
 }
@@ -249,11 +251,13 @@
     let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let healthy = echo("i-2");
     let site = Site::start("silent", &[(&silent, "app", ""), (&healthy, "app", "")]);
-    wait_until("the silent one was tried", || {
+    wait_until("the silent replica was tried", || {
         assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
         !silent.requests().is_empty()
     });
-    wait_until("the silent one is left", || silent.abandoned_count() > 0);
+    wait_until("the request to the silent replica is aborted", || {
+        silent.abandoned_count() > 0
+    });
 }
 
 #[test]
@@ -265,7 +269,7 @@
     assert_eq!(silent.requests().len() + other.requests().len(), 1);
 }
 
-/// Broken off for a retry that is not granted, a call would end sooner and no better.
+/// Guards against aborting a call for a retry that the retry budget does not allow.
 #[test]
 fn a_call_stays_at_a_silent_replica_where_no_retry_is_left() {
     let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
--- a/crates/gateway/tests/gateway/quarantine.rs
+++ b/crates/gateway/tests/gateway/quarantine.rs
@@ -1,8 +1,6 @@
-//! Callers sent one generation again and again, each attempt with an id of its own and most of them at another
-//! daemon, and each replica that began to run it ended within 0.12 s. No daemon remembered anything beyond one
-//! attempt, so each attempt had its prompt read and ended one replica more: nine within 14 s, six of them
-//! after three had ended under the same request. Each time the output of the daemons had one line
-//! `error reading a body from connection` for that request, and one for every other stream of the replica.
+//! Guards against a request under which every replica ends that runs it. Its callers send it again and again, with new
+//! ids and through different daemons; unless the daemons remember the replicas that ended and share what they saw, each
+//! attempt ends one more replica.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -32,17 +30,17 @@
 use crate::site::send_and_read;
 use crate::site::start_generation;
 
-/// Replicas that a request may end before no other one gets it.
+/// Replicas that may end under a request before it is quarantined.
 const QUARANTINE_THRESHOLD: usize = 3;
-/// Time in which each daemon knows what another one saw; their messages take some milliseconds.
+/// Time in which each daemon learns what another one saw; their messages take some milliseconds.
 const PROPAGATION_TIME: Duration = Duration::from_secs(6);
-/// Longer than a replica that does not answer is asked.
+/// Longer than the probes of a replica that does not answer last.
 const DAEMON_PAUSE: Duration = Duration::from_millis(1_500);
-/// Replicas of a test: enough for each attempt to find one.
+/// Replicas of a test; enough for each attempt to find one.
 const REPLICA_COUNT: usize = 8;
 
-/// Replicas that end when they begin to run a request for a path with `crash` in it, and serve all others. One that is resumed
-/// goes on after its last event: a run that begins with another event is left before its replica has ended.
+/// Replicas that end when they start a request whose path contains `crash`, and serve all others. The first event
+/// continues a resumed stream: with any other event the daemon would abort the run before its replica has ended.
 fn crashing_replicas(count: usize) -> Vec<Replica> {
     let script = |request: &Message| {
         if request.path().contains("crash") {
@@ -56,13 +54,13 @@
     ids.map(|id| Replica::start(&id, script)).collect()
 }
 
-/// Applications that answer by `script`.
+/// Application replicas that answer by `script`.
 fn applications(script: fn(&Message) -> Action) -> Vec<Replica> {
     let ids = (1..=REPLICA_COUNT).map(|number| format!("i-{number}"));
     ids.map(|id| Replica::start(&id, script)).collect()
 }
 
-/// A daemon in front of applications.
+/// Starts a daemon in front of application replicas.
 fn start_call_site(name: &str, replicas: &[Replica]) -> Site {
     let listed: Vec<_> = replicas.iter().map(|r| (r, "app", "")).collect();
     Site::start(name, &listed)
@@ -79,7 +77,7 @@
         .sum()
 }
 
-/// Has `count` attempts with the request end one replica each.
+/// Sends the request `count` times; each attempt ends one replica.
 fn crash_replicas(daemon: &Daemon, count: usize) {
     for number in 0..count {
         let response = start_generation(daemon, "/draft/crash", &format!("c{number}")).read();
@@ -87,13 +85,13 @@
     }
 }
 
-/// Whether `daemon` tells in its log that it sends the request to no replica any more.
+/// Whether `daemon` has logged that the request is in quarantine.
 fn is_quarantined_by(daemon: &Daemon) -> bool {
     !daemon.logged("\"kind\":\"quarantine\"").is_empty()
 }
 
-/// Waits until it does, for so long that what the daemons tell each other has come; whether the request is
-/// sent on all the same is for the test to see.
+/// Waits for the quarantine for as long as messages between daemons may take; does not fail without it, since the tests
+/// check whether the request is still sent.
 fn wait_until_quarantined(daemon: &Daemon) {
     let deadline = Instant::now() + PROPAGATION_TIME;
     while !is_quarantined_by(daemon) && Instant::now() < deadline {
@@ -112,7 +110,7 @@
     let site = start_site(&path.replace('/', "-"), &prefill, &decode);
     let mut answers = Vec::new();
     for number in 0..QUARANTINE_THRESHOLD {
-        // A resumable one ends two replicas an attempt, so that the third attempt is refused.
+        // A resumable request ends two replicas per attempt, so the third attempt is refused.
         let response = start_generation(&site.daemon, path, &format!("c{number}")).read();
         assert!(!response.complete || response.status() == 503);
     }
@@ -124,12 +122,12 @@
     }
     assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
     assert_eq!(answers, [(503, true); QUARANTINE_THRESHOLD]);
-    // Another request is served.
+    // Other requests are served.
     let response = start_generation(&site.daemon, "/draft/sound", "s1").read();
     assert!(response.complete);
 }
 
-/// A call that nobody may repeat ends its replica as well; its caller may send it again.
+/// The daemon sends a call that is not repeatable only once, but its caller may send it again.
 #[test]
 fn a_call_that_ended_three_replicas_is_sent_to_none() {
     let script = |_: &Message| Action::Crash(Vec::new());
@@ -158,7 +156,7 @@
     for daemon in &others {
         daemon.wait_until_ready();
     }
-    // Each of them sees a replica end, and none sees three.
+    // Each daemon sees one replica end, and none sees three.
     crash_replicas(&site.daemon, 1);
     crash_replicas(&others[0], 1);
     crash_replicas(&others[1], 1);
@@ -182,7 +180,7 @@
     while site.store.keys("quarantine").len() < QUARANTINE_THRESHOLD && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
-    // Nobody is left who could tell.
+    // No running daemon knows of the quarantine any more.
     site.daemon.kill();
     let next = site.start_another("kept-2", false);
     next.wait_until_ready();
@@ -191,7 +189,8 @@
     assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
 }
 
-/// Operators who have mended the engines write when: all daemons hear of it from the one that starts next.
+/// After repairing the engines, operators write the time to the store; the next daemon to start reads the row and sends
+/// it to the others.
 #[test]
 fn operators_lift_a_quarantine_by_a_row() {
     let (prefill, decode) = (
@@ -201,7 +200,7 @@
     let site = start_site("lifted", &prefill, &decode);
     crash_replicas(&site.daemon, QUARANTINE_THRESHOLD);
     wait_until_quarantined(&site.daemon);
-    wait_until("it is kept", || {
+    wait_until("the quarantine is stored", || {
         site.store.keys("quarantine").len() >= QUARANTINE_THRESHOLD
     });
     let keys = site.store.keys("quarantine");
@@ -213,7 +212,7 @@
     let next = site.start_another("lifted-2", true);
     next.wait_until_ready();
     for daemon in [&next, &site.daemon] {
-        wait_until("it is sent again", || {
+        wait_until("the request is sent again", || {
             start_generation(daemon, "/draft/crash", "l1")
                 .read()
                 .status()
@@ -222,7 +221,7 @@
     }
 }
 
-/// A replica that fails in its own way rejects what would end a sound one.
+/// A replica that fails a request for a reason of its own does not show that the request is harmless.
 #[test]
 fn a_failed_answer_does_not_count_as_served() {
     let script = |request: &Message| match request.header("request-id") {
@@ -241,7 +240,7 @@
     assert_eq!(run_count(&replicas), 1 + QUARANTINE_THRESHOLD);
 }
 
-/// A daemon that was cut off while the others were told has to hear of it afterwards, from any of them.
+/// A daemon that was disconnected when a quarantine was announced must get it later from any of the others.
 #[test]
 fn a_daemon_gets_an_earlier_quarantine_from_its_peers() {
     let (prefill, decode) = (
@@ -251,7 +250,7 @@
     let site = start_site("unheard", &prefill, &decode);
     crash_replicas(&site.daemon, QUARANTINE_THRESHOLD);
     wait_until_quarantined(&site.daemon);
-    // What was told is over by now, and the next daemon learns nothing from the store.
+    // The announcements have ended by now, and without the rows the next daemon learns nothing from the store.
     thread::sleep(Duration::from_millis(1_500));
     for key in site.store.keys("quarantine") {
         site.store.remove("quarantine", &key);
@@ -263,7 +262,7 @@
     assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
 }
 
-/// A replica that breaks off an answer and goes on has not ended.
+/// A replica that cuts an answer and keeps running has not ended.
 #[test]
 fn a_request_whose_answers_are_cut_is_not_quarantined() {
     let broken =
@@ -274,23 +273,22 @@
     for number in 0..2 * QUARANTINE_THRESHOLD {
         let response = start_generation(&site.daemon, "/draft/cut", &format!("c{number}")).read();
         assert_eq!(response.status(), 200);
-        // Long enough for the daemon to ask the replica whether it is there.
+        // Long enough for the daemon to probe the replica.
         thread::sleep(Duration::from_millis(100));
     }
     assert_eq!(run_count(&decode), 2 * QUARANTINE_THRESHOLD);
 }
 
-/// A process that is stopped, or whose machine is suspended, while it asks a replica has asked for no longer than
-/// before, however late it is.
+/// Time in which the daemon is stopped or its machine is suspended must not count towards the probe of a replica.
 #[test]
 fn a_pause_of_the_daemon_during_a_probe_is_not_taken_for_the_end_of_the_replica() {
     let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
     let site = start_call_site("asks-late", std::slice::from_ref(&replica));
     let daemon = site.daemon.pid();
-    let asked = Arc::new(AtomicBool::new(false));
-    let own_asked = Arc::clone(&asked);
+    let probed = Arc::new(AtomicBool::new(false));
+    let own_probed = Arc::clone(&probed);
     replica.answer_reports_if(move || {
-        let again = own_asked.swap(true, Ordering::SeqCst);
+        let again = own_probed.swap(true, Ordering::SeqCst);
         if !again {
             kill_process(daemon, Signal::STOP).unwrap();
         }
@@ -298,15 +296,17 @@
     });
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/lorry", &headers("a1"), b"");
-    wait_until("the replica is asked", || asked.load(Ordering::SeqCst));
+    wait_until("the replica is probed", || probed.load(Ordering::SeqCst));
     thread::sleep(DAEMON_PAUSE);
     site.daemon.signal(Signal::CONT);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
-    wait_until("it is found out", || !verdicts().is_empty());
+    wait_until("the result of the probe is logged", || {
+        !verdicts().is_empty()
+    });
     assert!(verdicts()[0].contains("\"presence\":\"Here\""));
 }
 
-/// Many callers ask the same at once, and replicas end for reasons of their own.
+/// Many callers send the same request at once, and replicas end for unrelated reasons.
 #[test]
 fn a_request_that_is_served_elsewhere_is_not_quarantined_when_replicas_end() {
     let answers = |request: &Message| match request.header("request-id") {
@@ -318,7 +318,7 @@
         .collect();
     let site = start_call_site("popular", &replicas);
     assert_eq!(site.send_and_read("GET /read/stock", "a1").status(), 200);
-    // As many as there are replicas, twice: each of these gets one.
+    // Twice as many requests as replicas, so that each replica gets one.
     let ids: Vec<String> = (0..2 * replicas.len()).map(|n| format!("w{n}")).collect();
     let mut waiting: Vec<Caller> = ids.iter().map(|_| site.daemon.caller()).collect();
     for (caller, id) in waiting.iter_mut().zip(&ids) {
@@ -330,11 +330,11 @@
             .iter()
             .any(|request| request.header("request-id") != Some("a1"))
     };
-    wait_until("all are at work", || replicas.iter().all(hangs));
+    wait_until("all replicas run a request", || replicas.iter().all(hangs));
     for replica in replicas.iter().skip(1) {
         replica.crash();
     }
-    wait_until("the daemon knows that they ended", || {
+    wait_until("the daemon has logged that they ended", || {
         site.daemon.logged("\"presence\":\"Ended\"").len() >= QUARANTINE_THRESHOLD
     });
     assert_eq!(
--- a/crates/gateway/tests/gateway/quotas.rs
+++ b/crates/gateway/tests/gateway/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of customers, over all daemons together.
+//! Quotas of customers, which all daemons share.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,7 +24,7 @@
 /// Tokens of each request of these tests.
 const TOKENS: u64 = 100;
 
-/// A configuration with one customer that may use so many tokens.
+/// A configuration with one customer whose quota is `per_s` tokens per second with this burst.
 fn with_quota(version: u64, per_s: f64, burst: u64) -> Value {
     let mut config = config(version);
     config["tenants"] = json!([{"name": "krmiva", "api-keys": [KEY], "unit": "token_count",
@@ -32,7 +32,7 @@
     config
 }
 
-/// A daemon in front of `replica`, with this quota in force.
+/// Starts a daemon in front of `replica` with this quota in force.
 fn start(name: &str, replica: &Replica, per_s: f64, burst: u64) -> Site {
     let site = Site::start(name, &[(replica, "app", "")]);
     put_plan(&site, &with_quota(2, per_s, burst));
@@ -71,8 +71,8 @@
 fn requests_beyond_the_quota_are_refused_until_tokens_are_available() {
     let replica = echo("i-1");
     let site = start("quota-one", &replica, 50.0, 2 * TOKENS);
-    // The bucket of a daemon that has just started holds only what it earned since.
-    wait_until("the bucket is full", || {
+    // The bucket of a newly started daemon holds only the tokens added since the start.
+    wait_until("the quota is used up", || {
         send_and_read(&site.daemon, "fill").status() == 429
     });
     let ran = replica.requests().len();
@@ -104,7 +104,7 @@
         })
     });
     let site = start("quota-back", &replica, 100.0, TOKENS);
-    wait_until("there is room", || {
+    wait_until("the quota has tokens", || {
         send_and_read(&site.daemon, "fill").status() == 200
     });
     thread::sleep(Duration::from_millis(1_200));
@@ -124,7 +124,7 @@
         other.metrics().contains(both) && site.daemon.metrics().contains(both)
     });
     wait_until_in_force(&other, &with_quota(2, 200.0, 4 * TOKENS));
-    // Both may take each other for the keeper until the members are settled.
+    // Until the membership settles, each daemon may take the other one for the keeper.
     thread::sleep(Duration::from_secs(4));
     let started = Instant::now();
     let statuses: Vec<u16> = (0..12)
@@ -135,7 +135,7 @@
         .collect();
     let ran = statuses.iter().filter(|status| **status == 200).count();
     let refused = statuses.iter().filter(|status| **status == 429).count();
-    // Four at once, what has come free since, and what comes free while the last one waits.
+    // Four at once, those whose tokens were added since, and one for the tokens added while the last request waits.
     let free = 4 + (started.elapsed().as_secs_f64() * 2.0) as usize + 1;
     assert!((4..=free).contains(&ran), "{statuses:?}");
     assert_eq!(ran + refused, statuses.len(), "{statuses:?}");
@@ -146,7 +146,7 @@
 fn a_lowered_quota_applies_at_once() {
     let replica = echo("i-1");
     let site = start("quota-lower", &replica, 100_000.0, 100_000);
-    wait_until("there is room", || {
+    wait_until("the quota has tokens", || {
         send_and_read(&site.daemon, "fill").status() == 200
     });
     for number in 0..5 {
@@ -175,10 +175,10 @@
     for other in &mut others {
         other.kill();
     }
-    wait_until("they are lost", || {
+    wait_until("the other daemons count as lost", || {
         site.daemon.metrics().contains("waxwing_gateway_members 1")
     });
-    // They may be at work behind a cut, and nothing is tolerated beyond the quota.
+    // The others may be running behind a network partition, and no request beyond the quota is tolerated.
     let response = send_and_read(&site.daemon, "a1");
     assert_eq!(response.status(), 503);
     assert!(response.header("retry-after").is_some());
--- a/crates/gateway/tests/gateway/restarts.rs
+++ b/crates/gateway/tests/gateway/restarts.rs
@@ -1,4 +1,4 @@
-//! Replicas that start again under their id while they are at work, and entries of other programs.
+//! Replicas that restart under the same id while they run requests, and rows of other programs among theirs.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,7 +19,7 @@
 
 const FIRST_START_MS: u64 = 1_780_000_000_000;
 const SECOND_START_MS: u64 = FIRST_START_MS + 700;
-/// Well below the time that the routes of the tests allow, 4 s.
+/// Limit for detecting a restart; well below the 4 s that the routes of the tests allow.
 const DETECTION_LIMIT: Duration = Duration::from_secs(3);
 
 fn row_with_start_time(replica: &Replica, service: &str, stage: &str, start_time: u64) -> Value {
@@ -28,13 +28,13 @@
     row
 }
 
-/// Lists `replica` as started at `born`, and waits until that is believed and the daemon takes requests: it reads
-/// the plan apart from the replicas, and until then it refuses them.
+/// Lists `replica` as started at `start_time`, and waits until the daemon has applied the row and is ready: it reads the
+/// plan separately and refuses requests until it has one.
 fn list_replica(site: &Site, replica: &Replica, service: &str, stage: &str, start_time: u64) {
     let before = site.daemon.logged("a replica changed").len();
     let row = row_with_start_time(replica, service, stage, start_time);
     site.store.put("servers", &replica.id, &row);
-    wait_until("it is believed", || {
+    wait_until("the row is applied", || {
         site.daemon.logged("a replica changed").len() > before
     });
     site.daemon.wait_until_ready();
@@ -48,7 +48,8 @@
     Action::Send([stream_head(request), events(3, 5), chunk(b"")].concat())
 }
 
-/// A replica that was cut off sends no end; without news of its start the caller would wait on.
+/// A replica whose connection was lost sends no end of its stream: the caller would wait until its deadline unless the
+/// restart ends the stream.
 #[test]
 fn a_stream_ends_at_once_when_its_replica_restarts() {
     let decode = Replica::start("i-d", starts_and_hangs);
@@ -56,7 +57,9 @@
     list_replica(&site, &decode, "llm", "decode", FIRST_START_MS);
     let started = Instant::now();
     let mut caller = start_generation(&site.daemon, "/draft/1", "a1");
-    wait_until("it runs", || decode.requests().len() == 1);
+    wait_until("the replica runs the request", || {
+        decode.requests().len() == 1
+    });
     list_replica(&site, &decode, "llm", "decode", SECOND_START_MS);
     let response = caller.read();
     assert!(!response.complete);
@@ -76,7 +79,7 @@
     list_replica(&site, &one, "llm", "decode", FIRST_START_MS);
     let started = Instant::now();
     let mut caller = start_generation(&site.daemon, "/resume/1", "a1");
-    wait_until("it runs", || one.requests().len() == 1);
+    wait_until("the replica runs the request", || one.requests().len() == 1);
     list_replica(&site, &two, "llm", "decode", FIRST_START_MS);
     list_replica(&site, &one, "llm", "decode", SECOND_START_MS);
     assert!(caller.read().complete);
@@ -91,15 +94,15 @@
     let started = Instant::now();
     let mut caller = site.daemon.caller();
     caller.start_request("POST /book/1", &crate::site::headers("a1"), b"");
-    wait_until("it arrives", || hangs.requests().len() == 1);
+    wait_until("the replica has the call", || hangs.requests().len() == 1);
     list_replica(&site, &hangs, "app", "", SECOND_START_MS);
-    // It may have run, so it is not sent again and not said not to have run.
+    // The call may have run: it is neither sent again nor reported as not run.
     assert_eq!(caller.read().status(), 502);
     assert!(started.elapsed() < DETECTION_LIMIT);
     assert_eq!(hangs.requests().len(), 1);
 }
 
-/// The replica answers the reservation before its new entry is listed.
+/// The restarted replica answers a reservation before its new row is listed.
 #[test]
 fn a_reservation_at_a_new_incarnation_is_used_at_that_one() {
     let decode = Replica::start("i-d", |request| {
@@ -112,7 +115,7 @@
     assert!(response.complete);
     assert_eq!(decode.requests().len(), 1);
     let restarted = || site.daemon.logged("Restarted").len();
-    wait_until("its log line is read", || restarted() > 0);
+    wait_until("the restart is logged", || restarted() > 0);
     assert_eq!(restarted(), 1);
 }
 
@@ -133,7 +136,7 @@
     assert!(site.daemon.logged("Draining").is_empty());
 }
 
-/// A prompt that is read once more arrives at the service once more.
+/// A repeated prefill is one more request to the service and needs a retry.
 #[test]
 fn a_resumed_stream_is_prefilled_again_only_within_the_retry_budget() {
     let prefill = Replica::start_prefill("i-p");
@@ -146,7 +149,7 @@
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
     let site = Site::start_with_prefill("read-again", &prefill, &[&one, &two]);
-    // Enough for one retry, in the window that begins with the daemon.
+    // Enough for one retry in the window that begins with the start of the daemon.
     let (default_budget, small_budget) = ("slack: 50, window_s: 10", "slack: 4, window_s: 600");
     site.change_settings(
         &format!("ratio: 0.2, {default_budget}"),
@@ -172,7 +175,7 @@
             _ => site.store.put("servers", &id, &json!(["app"])),
         }
     }
-    // An entry that names the daemon itself: requests would come back as those of a caller.
+    // A row with the address of the daemon itself: requests sent there would return as requests of a caller.
     let mut own = replica.row("app", "");
     own["addr"] = site.daemon.callers.to_string().into();
     site.store.put("servers", "i-own", &own);
@@ -180,7 +183,7 @@
         Action::Send(signed_answer(request, 200, b"x"))
     });
     site.store.put("servers", "i-2", &late.row("app", ""));
-    wait_until("the last one is known", || {
+    wait_until("the last row is logged", || {
         !site.daemon.logged("\"replica\":\"i-2\"").is_empty()
     });
     for number in 0..20 {
--- a/crates/gateway/tests/gateway/second_answers.rs
+++ b/crates/gateway/tests/gateway/second_answers.rs
@@ -1,8 +1,7 @@
-//! A replica that read prompts answered some requests twice. The second answer came late, on the same connection, where the
-//! answer to the next prompt was due, and was taken for it: the id in an answer was compared only where the answer is passed
-//! on to a caller. From then on each generation went on from the KV cache of the one before it, and all ended as answered.
-//! With one answer in ten doubled, three daemons did so 159 times in 20 runs of five seconds, in each of them; no plain
-//! answer went astray. The line `read` shows it by a `cache` that the line before named already, with `exchanges_before` above 0.
+//! Guards against taking the second answer to a request for the answer to the next one on the same connection. A prefill
+//! replica answers some requests twice, the second time when the answer to the next prefill is due. Unless the request id
+//! in its answers is checked, each generation from then on uses the KV cache of the one before it, and all look answered.
+//! The log line `read` shows the fault by a `cache` that the line before names too, with `exchanges_before` above 0.
 
 use std::collections::HashSet;
 use std::sync::atomic::AtomicUsize;
@@ -24,14 +23,14 @@
 use crate::site::Site;
 use crate::site::start_generation;
 
-/// Longer than the time for which a replica that answered twice is not trusted.
+/// Longer than the time for which a replica that answered twice gets a new connection for each request.
 const TRUST_RESTORED_AFTER: Duration = Duration::from_millis(10_500);
 
 fn id(request: &Message) -> &str {
     request.header("request-id").unwrap_or_default()
 }
 
-/// A replica that reads prompts; it names the KV cache after the request, and itself in no answer but these.
+/// Starts a prefill replica that names each KV cache after the request.
 fn start_prefill() -> Replica {
     Replica::start("i-p", |request| {
         let body = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
@@ -49,7 +48,7 @@
     })
 }
 
-/// Each request that a decode replica ran, with the KV cache that it went on from, if there was one.
+/// Requests that a decode replica received, each with the KV cache that it continues from, if any.
 fn kv_sources(decode: &Replica) -> Vec<(String, Option<String>)> {
     let received = decode.requests().into_iter();
     let source = |request: &Message| {
@@ -81,12 +80,12 @@
             source
                 .as_ref()
                 .is_none_or(|handle| *handle == format!("k-{id}")),
-            "{id} went on from {source:?}"
+            "{id} continued from {source:?}"
         );
     }
 }
 
-/// An application that answers with the id of the request; its answers name the request if `names`.
+/// Starts an application that answers with the request id as the body, and in a header if `names_request`.
 fn start_application(names_request: bool) -> Replica {
     Replica::start("i-a", move |request| {
         let headers = [("request-id", id(request)), ("response-seal", "s.1")];
@@ -99,7 +98,7 @@
     })
 }
 
-/// Asks one call after another, and gives those whose answer was another one's.
+/// Sends calls one after another; returns those that got the answer to another call.
 fn foreign_answers(site: &Site) -> Vec<(String, String)> {
     let asked = (0..6).map(|number| {
         let id = format!("a{number}");
@@ -120,7 +119,7 @@
     assert!(replica.second_answer_count() > 0);
 }
 
-/// On a connection that carried other requests, an answer without an id may be the second one to any of them.
+/// On a connection that carried other requests, an answer without an id may be the second answer to any of them.
 #[test]
 fn a_call_gets_its_own_answer_where_answers_name_no_request() {
     let replica = start_application(false);
@@ -150,7 +149,7 @@
     assert!(decode.second_answer_count() > 0);
 }
 
-/// Each second answer costs the request that is sent next on its connection.
+/// A second answer fails the next request on its connection; after that, the replica gets new connections.
 #[test]
 fn a_replica_that_answers_twice_costs_one_request() {
     let replica = start_application(true);
@@ -169,10 +168,10 @@
     );
 }
 
-/// A prompt is read twice for one request where its stream breaks off and goes on elsewhere. Both reads have the same id,
-/// so the id does not tell the late second answer to the first read from the answer to the second one. The stream must
-/// not go on from a KV cache that was used up: its name may be another request's by then, and the one that was read anew
-/// is never taken.
+/// A request is prefilled twice when its stream is cut and resumed elsewhere. Both prefills have the same request id, so
+/// the id does not distinguish the second answer to the first prefill from the answer to the second prefill. The resumed
+/// stream must not continue from a KV cache that was already used: its name may belong to another request by then, and the
+/// new KV cache would never be used.
 #[test]
 fn a_resumed_stream_does_not_reuse_a_kv_cache() {
     let reads = AtomicUsize::new(0);
@@ -201,8 +200,8 @@
     assert_eq!(distinct.len(), from_caches, "{used:?}");
 }
 
-/// Both answers come at once, or the second one comes in two halves: the first half with the answer before, the other
-/// one later, while the connection is idle or where the next answer is due.
+/// Both answers arrive at once, or the second one arrives in two parts: the first part together with the first answer, the
+/// rest later, while the connection is idle or the next answer is due.
 #[rstest]
 #[case::whole("at-once", 1.0)]
 #[case::cut_in_the_head("cut-in-head", 0.3)]
@@ -230,7 +229,7 @@
     assert!(lost < 5, "{lost} of 40 were lost");
 }
 
-/// An answer names no request on a connection that carried another one before: it may be the second answer to that one.
+/// An answer without a request id on a used connection may be the second answer to the request before.
 #[test]
 fn a_call_does_not_get_an_unnamed_answer_on_a_connection_that_was_used() {
     let replica = Replica::start("i-a", |request| {
@@ -248,7 +247,7 @@
     assert_eq!(site.send_and_read("GET /read/1", "a2").status(), 200);
 }
 
-/// Connections carry one exchange each for some time after a second answer, and several again after that.
+/// After a second answer each connection carries only one exchange for some time, and several again after that.
 #[test]
 fn a_replica_that_answered_twice_once_is_trusted_again() {
     let replica = start_application(true);
@@ -257,8 +256,8 @@
     for number in 0..4 {
         site.send_and_read("GET /read/1", &format!("a{number}"));
     }
-    // One of these asked whether the replica is there.
-    wait_until("it has asked", || replica.connection_count() == 4);
+    // One of these connections was opened by a probe of the replica.
+    wait_until("the replica was probed", || replica.connection_count() == 4);
     assert_eq!(replica.second_answer_count(), 1);
     thread::sleep(TRUST_RESTORED_AFTER);
     for number in 4..8 {
--- a/crates/gateway/tests/gateway/second_calls.rs
+++ b/crates/gateway/tests/gateway/second_calls.rs
@@ -1,8 +1,7 @@
-//! Replicas answered some calls twice, the second time late. The daemon's own calls of a replica shared the connections
-//! of requests, and their answers name nothing: the second answer to one call was taken for the answer to the next. Two
-//! generations were given one reservation, a run that was moved went on from the memory of another run, and a report
-//! told of a replica what an earlier one at its address had said. The log had no wrong line: each call had an answer of
-//! the right form.
+//! Guards against taking the second answer to one of the daemon's own calls of a replica for the answer to the next call.
+//! These answers do not name the call, so on a shared connection a late second answer goes unnoticed: two generations get
+//! the same reservation, a migrated run continues from the KV cache of another run, and a report is taken for that of a
+//! later replica at the same address. The log shows nothing wrong, since each answer has the right form.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -31,13 +30,13 @@
 use crate::site::headers;
 use crate::site::start_generation;
 
-/// Generations that follow each other in a test.
+/// Generations that a test sends one after another.
 const GENERATIONS: usize = 6;
-/// Events of a run that is moved.
+/// Events of a run that is migrated.
 const EVENT_COUNT: u64 = 40;
-/// Time between two of them.
+/// Time between two events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(60);
-/// Time for a prompt; long enough for another generation to begin meanwhile.
+/// Time for a prefill; long enough for another generation to start meanwhile.
 const PREFILL_TIME: Duration = Duration::from_millis(300);
 
 fn id(request: &Message) -> &str {
@@ -50,7 +49,7 @@
     })
 }
 
-/// The reservations that requests came with, in order.
+/// Reservations that requests to `decode` name, in order.
 fn reservations(decode: &Replica) -> Vec<String> {
     let received = decode.requests().into_iter();
     received
@@ -82,7 +81,7 @@
             "/draft/1",
             &format!("a{number}"),
         ));
-        wait_until("it has a reservation", || {
+        wait_until("the generation has a reservation", || {
             reserved.load(Ordering::SeqCst) == number
         });
     }
@@ -95,9 +94,9 @@
     assert_eq!(distinct.len(), used.len(), "{used:?}");
 }
 
-/// The connection of a stream that was answered twice is kept; a reservation on it got the stream, and a replica that
-/// had room was passed over as silent. The second answer costs the stream that is sent next on it, and no other; a
-/// stream that may run once would be lost with it, and is sent on a connection of its own.
+/// Guards against a reservation on the connection of a stream that was answered twice: it would be answered by the stream,
+/// and a replica with room would count as silent. The second answer fails only the next stream on that connection; a
+/// stream that may run only once would be lost by this, so it is sent on a new connection.
 #[rstest]
 #[case("resumed-then-reserve", "/resume/1", 1)]
 #[case("draft-then-reserve", "/draft/1", 0)]
@@ -117,7 +116,7 @@
     assert!(site.daemon.logged("a replica did not answer").is_empty());
 }
 
-/// A second answer to a reservation met the generation that went on with its connection.
+/// Guards against sending a generation on the connection of its reservation, where a second answer would fail it.
 #[test]
 fn no_generation_is_lost_where_reservations_are_answered_twice() {
     let decode = start_decode("i-d");
@@ -133,7 +132,7 @@
     }
 }
 
-/// Each reservation needs a connection of its own, and so does a stream that may run once; the others share one.
+/// Each reservation and each stream that may run only once needs a new connection; other streams share one.
 #[rstest]
 #[case("connections", "/resume/1", GENERATIONS + 1)]
 #[case("new-connections", "/draft/1", 2 * GENERATIONS)]
@@ -155,7 +154,7 @@
     assert_eq!(decode.connection_count(), connections);
 }
 
-/// The replica closes the connection of a reservation soon, and a request that met the close would be lost.
+/// The replica announces that it closes the connection of a reservation soon; a request sent on it could be lost.
 #[test]
 fn a_generation_does_not_use_a_connection_that_is_about_to_close() {
     let prefill = Replica::start("i-p", |request| {
@@ -165,7 +164,7 @@
             &headers,
             br#"{"kv-handle":"k1","tokens":1460,"version":1}"#,
         );
-        // Longer than six tenths of a second.
+        // Longer than 0.6 s.
         Action::SendSlowly(vec![bytes], 2 * PREFILL_TIME + EVENT_INTERVAL)
     });
     let decode = start_decode("i-d");
@@ -183,7 +182,7 @@
     assert_eq!(decode.connection_count(), 2);
 }
 
-/// The parts of a stream that goes on after the event `after`.
+/// Parts of a stream that continues after the last event named in the request.
 fn parts(request: &Message) -> Vec<Vec<u8>> {
     let last = request.header("last-event-id");
     let after: u64 = last.map_or(0, |last| last.parse().unwrap());
@@ -193,7 +192,8 @@
     parts
 }
 
-/// Makes events until it is asked to move a run, whose memory it names after the request.
+/// Starts a replica that streams events until it receives a move request for the run; it names the KV cache after the
+/// request.
 fn start_source() -> Replica {
     let stops: Arc<Mutex<HashMap<String, Arc<AtomicBool>>>> = Arc::default();
     Replica::start("i-1", move |request| match request.path() {
@@ -216,7 +216,7 @@
     })
 }
 
-/// Four generations at `source`, which holds their prompts and about half of what they make.
+/// Starts four generations at `source`, which has KV cache memory for their prompts and about half of their output.
 fn start_four_runs(site: &Site, source: &Replica) -> Vec<Caller> {
     let mut small = config(2);
     let engine = &mut small["services"][1]["engine"];
@@ -232,7 +232,7 @@
     let ids = 1..=4;
     ids.map(|number| {
         let caller = start_generation(&site.daemon, "/draft/1", &format!("a{number}"));
-        wait_until("it runs", || started(number));
+        wait_until("the generation runs", || started(number));
         caller
     })
     .collect()
@@ -259,13 +259,13 @@
     }
 }
 
-/// The request, and the name of the memory that it goes on from.
+/// The request id, and the KV cache that the request continues from.
 fn kv_source(request: &Message) -> Option<(String, String)> {
     let (_, handle) = request.header("kv-source")?.rsplit_once('/')?;
     Some((id(request).to_owned(), handle.to_owned()))
 }
 
-/// The replica that answers a report as `aimed`: another one's name is refused.
+/// Answer to a report request by the replica `current_id`, which rejects requests for another id.
 fn report_answer(request: &Message, current_id: &str) -> Option<Vec<u8>> {
     if request.path() != "/api/report" {
         return None;
@@ -276,8 +276,8 @@
     })
 }
 
-/// A report told of the second replica at an address what had been asked about the first one, and the other way round:
-/// requests were quarantined for the ends of replicas that were there, and ends were overlooked.
+/// Guards against taking a report of one replica for that of another one at the same address: requests would be
+/// quarantined although their replicas are running, or the end of a replica would be missed.
 #[rstest]
 #[case::is_there("i-2", "Here")]
 #[case::is_gone("i-1", "Ended")]
@@ -297,17 +297,17 @@
     let site = Site::start(&format!("reported-{second}"), &[(&replica, "app", "")]);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
     assert_eq!(lose_call(&site, "c1"), 502);
-    wait_until("the first one is asked about", || verdicts().len() == 1);
+    wait_until("the first replica is probed", || verdicts().len() == 1);
     replaced.store(true, Ordering::SeqCst);
     if second == "i-2" {
         site.store.remove("servers", "i-1");
         site.store.put("servers", "i-2", &replica.row("app", ""));
-        wait_until("the second one is listed", || {
+        wait_until("the second replica is listed", || {
             !site.daemon.logged("\"replica\":\"i-2\"").is_empty()
         });
     }
     assert_eq!(lose_call(&site, "c2"), 502);
-    wait_until("the second one is asked about", || verdicts().len() == 2);
+    wait_until("the second replica is probed", || verdicts().len() == 2);
     assert!(
         verdicts()[1].contains(&format!("\"presence\":\"{presence}\"")),
         "{:?}",
@@ -315,7 +315,7 @@
     );
 }
 
-/// Sends a call whose replica breaks off, and gives the status that its caller sees.
+/// Sends a call whose replica closes the connection; returns the status that the caller gets.
 fn lose_call(site: &Site, id: &str) -> u16 {
     let mut caller = site.daemon.caller();
     let response = caller.send_and_read(&format!("POST /book/{id}"), &headers(id), b"");
@@ -325,7 +325,7 @@
 /// Statuses with which engines answer orders, one after another.
 const STATUSES: [u16; 4] = [202, 409, 200, 412];
 
-/// An engine that notes how it answered each order.
+/// Starts an engine; also returns the statuses with which it has answered orders.
 fn start_engine(name: &str) -> (Replica, Arc<Mutex<Vec<u16>>>) {
     let statuses: Arc<Mutex<Vec<u16>>> = Arc::default();
     let own_statuses = Arc::clone(&statuses);
@@ -338,7 +338,7 @@
     (engine, statuses)
 }
 
-/// The statuses of orders to `engine` in the log of the daemon.
+/// Statuses of orders to `engine` in the log of the daemon.
 fn logged_orders(site: &Site, engine: &str) -> Vec<u16> {
     let lines = site.daemon.logged("ordered a change of stage");
     let lines = lines.iter().map(|line| {
@@ -351,7 +351,7 @@
         .collect()
 }
 
-/// An engine that always carries out an order of somebody else's.
+/// Starts an engine that is always busy with another order.
 fn start_busy(name: &str) -> Replica {
     let engine = start_decode(name);
     engine.set_call_handler(|request| {
@@ -361,8 +361,8 @@
     engine
 }
 
-/// The second answer to a report was taken for the one to the order after it: an order that was refused counted as
-/// carried out. That to an order was taken for the next report.
+/// Guards against taking the second answer to a report for the answer to the order after it, by which a refused order
+/// counts as accepted, and the second answer to an order for the next report.
 #[rstest]
 #[case::reports("/api/report")]
 #[case::orders("/api/order")]
@@ -377,7 +377,7 @@
     quick["services"][1]["engine"]["stage-switch-s"] = 0.1.into();
     site.store.put("op", "config", &quick);
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
-    wait_until("several orders are given", || {
+    wait_until("several orders are answered", || {
         statuses.lock().unwrap().len() >= 3
     });
     let logged = logged_orders(&site, &engine.id);
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -1,7 +1,7 @@
-//! Answers were matched to calls of the store by their place on a connection that was kept. Where a second answer to an
-//! earlier call came late, it was taken for the answer to the next one: a daemon took the version at which it had read
-//! a table for that of the row it wrote, and gave engines orders under a fencing token that it did not hold; rows of
-//! one table were taken for those of another, and a new replica did not become known.
+//! Guards against matching answers of the store to calls by their order on a reused connection: a late second answer to an
+//! earlier call is then taken for the answer to the next one. A daemon would take the version of a table it has read for
+//! that of the row it has written and send orders under a fencing token that it does not hold, or take the rows of one
+//! table for those of another and miss a new replica.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -32,26 +32,26 @@
 
 const PREFILL_REPLICAS: usize = 20;
 const DECODE_REPLICAS: usize = 4;
-/// Plans that are put in force one after the other.
+/// Version of the last plan; the plans are put in force one after another.
 const PLANS: u64 = 6;
 /// Time over which connections are counted.
 const COUNT_PERIOD: Duration = Duration::from_secs(4);
-/// Connections in that time at most: two watches, of the plan each 2.6 s and of the replicas each 650 ms or more, and
-/// a reading of the instances.
+/// Most connections in that time: two watches, of the plan every 2.6 s and of the replicas every 650 ms or more, and one
+/// read of the instances.
 const MAX_CONNECTIONS: u64 = 12;
 
-/// Time for which the system drops packets that open a connection; less than one attempt to connect takes.
+/// Time for which packets that open a connection are dropped; shorter than one connection attempt.
 const DROP_TIME: Duration = Duration::from_millis(150);
-/// The same, less than the first of two attempts takes.
+/// Like `DROP_TIME`, but shorter than the first of two connection attempts.
 const SHORT_DROP_TIME: Duration = Duration::from_millis(10);
-/// Times that a second attempt may come while the packets are still dropped, since the machine is busy.
+/// Most tries; on a busy machine the second attempt may come while packets are still dropped.
 const MAX_ATTEMPTS: usize = 20;
 
 fn start_application(name: &str) -> Replica {
     Replica::start(name, |_: &Message| Action::Send(answer(202, &[], b"")))
 }
 
-/// Fencing tokens of the orders that `engines` got.
+/// Fencing tokens of the orders that `engines` received.
 fn fences(engines: &[Replica]) -> BTreeSet<u64> {
     let received = engines.iter().flat_map(Replica::requests);
     let orders = received.filter(|request| request.path() == "/api/order");
@@ -74,7 +74,7 @@
     let site = Site::start("fence-twice", &stages.collect::<Vec<_>>());
     site.store.answer_twice();
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
-    wait_until("orders are given", || !fences(&engines).is_empty());
+    wait_until("orders are sent", || !fences(&engines).is_empty());
     let written = site.store.version("orders", "llm");
     assert_eq!(fences(&engines), BTreeSet::from([written]));
 }
@@ -103,7 +103,7 @@
     assert!(foreign.concat().is_empty(), "{foreign:?}");
 }
 
-/// Only the connection tells whose answer arrives, so none carries two calls.
+/// An answer is matched to its call only by the connection, so no connection carries two calls.
 #[test]
 fn each_call_of_the_store_has_a_connection_of_its_own_and_these_are_few() {
     let replica = start_application("i-a");
@@ -115,14 +115,14 @@
     let (opened, calls) = (opened - opened_before, calls - calls_before);
     println!("connections: {opened}, calls: {calls}");
     assert!(calls > 0);
-    // Between the two counts one connection may be opened for a call that comes after.
+    // At either count a connection may be open whose call has not arrived yet.
     assert!(opened.abs_diff(calls) <= 2, "{opened} for {calls} calls");
     assert!(opened <= MAX_CONNECTIONS, "{opened} connections");
     assert_eq!(site.store.second_answer_count(), 0);
 }
 
-/// A listener that drops packets which open a connection, as a link that loses packets does, for a short time. Then it
-/// answers one call.
+/// Starts a listener that for `drop_time` drops packets that open a connection, like a lossy network; after that it
+/// answers one call per connection.
 fn lossy_listener(drop_time: Duration) -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -145,7 +145,7 @@
     address
 }
 
-/// Where each call opens a connection, a lost packet would else cost the call.
+/// Each call opens a connection, so without a second attempt one lost packet would fail the call.
 #[test]
 fn a_call_survives_the_loss_of_the_packet_that_opens_its_connection() {
     let calls = IntCounterVec::new(Opts::new("calls", "Calls."), &["step", "table"]).unwrap();
@@ -156,7 +156,7 @@
     assert_eq!(written, Ok(7));
 }
 
-/// A call of a replica has less time; one whose first packet is lost would count as silent.
+/// Calls of a replica have less time; without a second attempt, one lost packet would make the replica count as silent.
 #[test]
 fn a_second_attempt_connects_where_the_first_packet_is_lost() {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
--- a/crates/gateway/tests/gateway/site.rs
+++ b/crates/gateway/tests/gateway/site.rs
@@ -1,4 +1,4 @@
-//! One daemon in front of given replicas.
+//! Test setup of a store, one daemon and given replicas.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -18,33 +18,33 @@
 pub struct Site {
     /// The store.
     pub store: Store,
-    /// Where it is.
+    /// Address of the store.
     pub store_address: SocketAddr,
     /// The daemon.
     pub daemon: Daemon,
-    /// Its address.
+    /// IP address of the daemon.
     pub ip: String,
 }
 
-/// The configuration that the tests begin with.
+/// The configuration that the tests start with.
 pub fn config(version: u64) -> Value {
     store::config(version, 4_000, 1_000)
 }
 
 impl Site {
-    /// A daemon in front of `replicas`, each with its service and stage.
+    /// Starts a daemon in front of `replicas`, each with its service and stage.
     pub fn start(name: &str, replicas: &[(&Replica, &str, &str)]) -> Self {
         Self::with_daemon(replicas, |ip, store| Daemon::start(name, ip, store, &[]))
     }
 
-    /// A daemon in front of one replica that reads prompts and some that make tokens.
+    /// Starts a daemon in front of one prefill replica and some decode replicas.
     pub fn start_with_prefill(name: &str, prefill: &Replica, decode: &[&Replica]) -> Self {
         let decode = decode.iter().map(|replica| (*replica, "llm", "decode"));
         let replicas: Vec<_> = decode.chain([(prefill, "llm", "prefill")]).collect();
         Self::start(name, &replicas)
     }
 
-    /// A daemon in front of `replicas` whose log lines nobody reads.
+    /// Starts a daemon in front of `replicas` whose standard output is not read.
     pub fn start_with_unread_output(name: &str, replicas: &[(&Replica, &str, &str)]) -> Self {
         Self::with_daemon(replicas, |ip, store| {
             Daemon::start_with_unread_output(name, ip, store, &[])
@@ -73,19 +73,19 @@
         }
     }
 
-    /// Another daemon of the same store; it starts from the first one if `seeded`.
+    /// Starts another daemon with the same store; if `seeded`, the first daemon is its seed.
     pub fn start_another(&self, name: &str, seeded: bool) -> Daemon {
         let seeds = [self.ip.as_str()];
         let seeds = if seeded { &seeds[..] } else { &[] };
         Daemon::start(name, &new_ip(), self.store_address, seeds)
     }
 
-    /// Another daemon of the same store, which is told that the whole system starts for the first time.
+    /// Starts another daemon with the same store whose settings say that the whole system starts for the first time.
     pub fn first_start(&self, name: &str) -> Daemon {
         Daemon::first_start(name, &new_ip(), self.store_address)
     }
 
-    /// Changes the settings file, and waits until it is in force.
+    /// Replaces `before` by `after` in the settings file, and waits until the settings are in force.
     pub fn change_settings(&self, before: &str, after: &str) {
         let text = fs::read_to_string(self.daemon.settings_path()).unwrap();
         assert!(text.contains(before), "{text}");
@@ -95,7 +95,7 @@
         });
     }
 
-    /// Sends one request of a new caller and reads the answer.
+    /// Sends one request as a new caller and reads the answer.
     pub fn send_and_read(&self, line: &str, id: &str) -> Message {
         send_and_read(&self.daemon, line, id)
     }
@@ -108,7 +108,7 @@
     }
 }
 
-/// Sends one request of a new caller to `daemon` and reads the answer.
+/// Sends one request to `daemon` as a new caller and reads the answer.
 pub fn send_and_read(daemon: &Daemon, line: &str, id: &str) -> Message {
     daemon.caller().send_and_read(line, &headers(id), b"")
 }
@@ -118,7 +118,7 @@
     [("Request-Id", id), ("Deadline-Ms", "4000")]
 }
 
-/// Sends a generation and gives the caller, whose answer is not read yet.
+/// Sends a generation as a new caller; returns the caller without reading the answer.
 pub fn start_generation(daemon: &Daemon, path: &str, id: &str) -> Caller {
     let mut caller = daemon.caller();
     let headers = [
@@ -132,7 +132,7 @@
 }
 
 impl Site {
-    /// Lets generations last longer than the grace, and gives a caller that is connected.
+    /// Allows generations longer than the grace period; returns a connected caller.
     pub fn allow_long_streams(&self) -> Caller {
         let mut longer = config(2);
         longer["routes"][2]["timeout-ms"] = 14_000.into();
--- a/crates/gateway/tests/gateway/stages.rs
+++ b/crates/gateway/tests/gateway/stages.rs
@@ -15,7 +15,7 @@
 
 const PREFILL_REPLICAS: usize = 20;
 const DECODE_REPLICAS: usize = 4;
-/// A quarter of the replicas.
+/// Orders sent at once: a quarter of the replicas.
 const ORDERS_AT_ONCE: usize = 6;
 
 fn engines() -> Vec<Replica> {
@@ -34,8 +34,8 @@
         .collect()
 }
 
-/// A shortage of decode replicas would otherwise last for as many changes of some seconds each as
-/// replicas are missing.
+/// Guards against stage changes one after another: a shortage of decode replicas would then last some seconds for each
+/// missing replica.
 #[test]
 fn several_engines_change_their_stage_at_once_and_each_gets_one_order() {
     let engines = engines();
@@ -50,8 +50,8 @@
     let site = Site::start("stages", &stages.collect::<Vec<_>>());
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
     let given = || -> usize { engines.iter().map(|engine| orders(engine).len()).sum() };
-    wait_until("the orders are given", || given() >= ORDERS_AT_ONCE);
-    // Longer than the division has to be off, and shorter than the pause after a change.
+    wait_until("the orders are sent", || given() >= ORDERS_AT_ONCE);
+    // Longer than the stages must be out of proportion before orders are sent, shorter than the pause after a change.
     thread::sleep(Duration::from_millis(2_500));
     let received: Vec<Vec<Value>> = engines.iter().map(orders).collect();
     assert!(
@@ -64,7 +64,7 @@
         .iter()
         .filter_map(|o| o["fence"].as_u64())
         .collect();
-    assert_eq!(fences.len(), 1, "one claim stands behind all of them");
+    assert_eq!(fences.len(), 1, "all orders belong to one claim");
     for order in &received {
         assert_eq!(order["op"], "stage");
         assert_eq!(order["stage"], "decode");
--- a/crates/gateway/tests/gateway/stream.rs
+++ b/crates/gateway/tests/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! Generations.
+//! Generations: prefill, decode, resumption and the streamed answer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -52,7 +52,7 @@
     assert_eq!(made.body, b"prompt");
 }
 
-/// Guards against sending a generation to a decode replica that started draining while the prompt was being read.
+/// Guards against sending a generation to a decode replica that started draining during the prefill.
 #[test]
 fn a_generation_goes_to_another_replica_if_its_own_drains_during_the_prefill() {
     let prefill_released = Arc::new(AtomicBool::new(false));
@@ -73,15 +73,13 @@
     });
     let site = Site::start_with_prefill("left-meanwhile", &prefill, &[&draining]);
     let mut caller = start_generation(&site.daemon, "/draft/1", "a1");
-    wait_until("the prompt is being read", || {
-        !prefill.requests().is_empty()
-    });
+    wait_until("the prefill has started", || !prefill.requests().is_empty());
     let mut row = draining.row("llm", "decode");
     row["state"] = "draining".into();
     site.store.put("servers", "i-1", &row);
     site.store
         .put("servers", "i-2", &other.row("llm", "decode"));
-    wait_until("the daemon has learnt that the replica is draining", || {
+    wait_until("the draining state is logged", || {
         !site.daemon.logged("Draining").is_empty()
     });
     thread::sleep(Duration::from_millis(400));
@@ -155,8 +153,7 @@
     assert_eq!(one.requests().len() + two.requests().len(), 2);
 }
 
-/// A prompt that was sent to be read has arrived at the service, whether it was read or not; what is
-/// sent after that is a retry.
+/// A prefill request counts as sent to the service even if it fails, so the request after it is a retry.
 #[test]
 fn a_failed_prefill_costs_a_retry() {
     let prefill = Replica::start("i-p", |_| Action::SendAndClose(Vec::new()));
@@ -170,7 +167,7 @@
     assert!(decode.requests().is_empty());
 }
 
-/// Silence alone ends no answer: without a place elsewhere the stream goes on when the replica does.
+/// Silence alone does not end an answer: without room elsewhere, the stream continues when its replica does.
 #[test]
 fn a_stream_stays_at_a_silent_replica_where_there_is_no_other() {
     let decode = Replica::start("i-d", |request| {
@@ -187,13 +184,13 @@
     ];
     caller.start_request("POST /resume/1", &headers, b"prompt");
     let response = caller.read();
-    // The route's time is 4 s; the first half of the answer came after 2 s, the rest after 4 s.
+    // The route allows 4 s; the first half of the answer is sent after 2 s, the rest after 4 s.
     assert_eq!(response.status(), 200);
     assert!(String::from_utf8_lossy(&response.body).starts_with(&event_texts(1, 2)));
     assert_eq!(decode.requests().len(), 1);
 }
 
-/// The same where another replica has room, but going on there would be a retry too many.
+/// Another replica has room, but resuming there needs a retry, and none is left.
 #[test]
 fn a_stream_stays_at_a_silent_replica_where_no_retry_is_left() {
     let script = |request: &Message| {
@@ -248,10 +245,12 @@
     let caller = start_generation(&site.daemon, "/draft/1", "a1");
     wait_until("the request arrives", || decode.requests().len() == 1);
     drop(caller);
-    wait_until("the replica is left", || decode.abandoned_count() == 1);
+    wait_until("the request to the replica is aborted", || {
+        decode.abandoned_count() == 1
+    });
 }
 
-/// Without the line, nothing tells why the caller of a stream that cannot be resumed left.
+/// Without the log line, nothing shows why the caller of a stream that cannot be resumed disconnected.
 #[test]
 fn a_silent_replica_is_logged_also_where_a_stream_cannot_be_resumed() {
     let decode = Replica::start("i-d", |request| {
@@ -259,19 +258,21 @@
     });
     let site = Site::start("silent-once-stream", &[(&decode, "llm", "decode")]);
     let caller = start_generation(&site.daemon, "/draft/1", "a1");
-    wait_until("the silence is told", || {
+    wait_until("the silence is logged", || {
         let lines = site.daemon.logged("\"kind\":\"silence\"");
         lines
             .iter()
             .any(|line| line.contains("\"answers\":\"true\""))
     });
     drop(caller);
-    wait_until("the replica is left", || decode.abandoned_count() == 1);
+    wait_until("the request to the replica is aborted", || {
+        decode.abandoned_count() == 1
+    });
     assert_eq!(decode.requests().len(), 1);
 }
 
-/// The time for a read counts from its beginning where a stream is resumed: counted from the request, it
-/// was over before the read began, and the decode replica held all of its streams up to read itself.
+/// Guards against counting the time limit of a resumed stream's prefill from the arrival of the request: it has then
+/// passed before the prefill starts, and the decode replica runs the prefill itself, which delays all its streams.
 #[test]
 fn a_stream_that_is_resumed_late_is_prefilled_by_a_prefill_replica() {
     let prefill = Replica::start("i-p", |_| {
@@ -282,7 +283,7 @@
     let script = |request: &Message| match request.header("last-event-id") {
         Some("2") => Action::Send(complete_stream(request, 3, 5)),
         _ => {
-            // Two events in the first 2.2 s, and then the end.
+            // Two events in the first 2.2 s, then the stream is cut.
             let first = [stream_head(request), events(1, 1)].concat();
             let parts = vec![first, events(2, 2), chunk(b"id: 3\nda"), b"x".to_vec()];
             Action::SendSlowly(parts, Duration::from_millis(700))
--- a/crates/gateway/tests/gateway/truncation.rs
+++ b/crates/gateway/tests/gateway/truncation.rs
@@ -1,7 +1,6 @@
-//! Answers that were cut looked complete. A body that is passed on in parts counted as complete as soon as nobody could
-//! add to it, so a task that ended without a word finished the answer for its caller. A stream that had no length and
-//! ended in the midst of an event was passed on as if it had been complete, and nothing compared the first event of a
-//! replica that went on with the last one that the caller had.
+//! Guards against cut answers that look complete to their caller: a forwarded body whose sender was dropped without an
+//! end, a stream without a length that ends in the middle of an event, and a resumed stream whose first event does not
+//! follow the last one that the caller has.
 
 use std::io::Read;
 use std::thread;
@@ -26,7 +25,7 @@
 use crate::site::Site;
 use crate::site::start_generation;
 
-/// What a caller gets of a body that comes in parts, or `None` if it is broken off.
+/// Returns the bytes of a body, or `None` if it is cut.
 async fn collect_body(body: Body) -> Option<Bytes> {
     let body = body.collect().await.ok()?;
     Some(body.to_bytes())
@@ -58,7 +57,7 @@
     texts.collect()
 }
 
-/// A stream without a length that goes to the event `last` and on with `rest`.
+/// A stream without a length that consists of the events up to `last` and `rest`.
 fn stream_without_length(request: &Message, last: u64, rest: &[u8]) -> Action {
     let events = event_texts(1, last).into_bytes();
     Action::SendAndClose([&head_without_length(request), &events, rest].concat())
@@ -98,7 +97,7 @@
     assert_eq!(String::from_utf8_lossy(&response.body), event_texts(1, 2));
 }
 
-/// A replica that says where its answer ends is believed: the caller gets the bytes unchanged.
+/// A stream whose replica marks its end counts as complete, and the caller gets the bytes unchanged.
 #[test]
 fn a_chunked_stream_that_ends_without_an_empty_line_is_forwarded_unchanged() {
     let decode = Replica::start("i-d", |request| {
@@ -112,7 +111,7 @@
     assert_eq!(String::from_utf8_lossy(&response.body), whole);
 }
 
-/// Two replicas of which each cuts its stream after the event 2, and goes on with `rest` when it is asked to.
+/// Starts two replicas that cut their stream after event 2 and resume it with `rest`; returns the answer to a request.
 fn resume_with(name: &str, rest: &str) -> Message {
     let rest = rest.to_owned();
     let script = move |request: &Message| match request.header("last-event-id") {
@@ -129,7 +128,7 @@
     start_generation(&site.daemon, "/resume/1", "a1").read()
 }
 
-/// What a caller gets is its stream up to where it went wrong, and then no end.
+/// The caller gets the stream up to the wrong event, without an end.
 #[rstest]
 #[case("repeats-all", &event_texts(1, 5))]
 #[case("repeats-one", &event_texts(2, 5))]
@@ -141,7 +140,7 @@
     assert_eq!((response.status(), response.complete), (200, false));
 }
 
-/// Comments and the line that tells a new version stand before the id.
+/// Comments and the line with a new weight version may precede the id.
 #[test]
 fn a_continuation_from_the_next_event_is_forwarded_with_the_lines_before_its_id() {
     let rest = format!(": on\n\nweight-versions: 2\n{}", event_texts(3, 5));
@@ -151,8 +150,7 @@
     assert_eq!(String::from_utf8_lossy(&response.body), whole);
 }
 
-/// Two replicas of which each cuts its stream after `first`, and never goes on after that as asked; gives the answer and
-/// how often the stream was sent.
+/// Starts two replicas that cut their stream after `first`; returns the answer to a request and how often it was sent.
 fn cut_after(name: &str, first: &[u8]) -> (Message, usize) {
     let first = first.to_vec();
     let script = move |request: &Message| match request.header("last-event-id") {
@@ -167,8 +165,8 @@
     (response, one.requests().len() + two.requests().len())
 }
 
-/// Nothing says where another replica is to go on: after an event that has no number, and in the midst of one that was
-/// too long to be held.
+/// The position at which another replica would have to continue is unknown after an event without a numeric id, and within
+/// an event too long to be buffered.
 #[rstest]
 #[case("no-number", b"id: 9\ndata: t9\n\nid: x\ndata: tx\n\n".to_vec())]
 #[case("no-id", b"data: t\n\n".to_vec())]
@@ -185,7 +183,7 @@
     assert!(response.body.is_empty() || response.body == first);
 }
 
-/// What a caller that speaks HTTP/1.0 reads to the end of its connection, and whether that is a proper end.
+/// Returns what an HTTP/1.0 caller reads up to the end of its connection, and whether the connection ended properly.
 fn http10_answer(caller: Caller) -> (String, bool) {
     let mut socket = caller.socket;
     let lines = [
@@ -204,7 +202,7 @@
     (String::from_utf8_lossy(&bytes).into_owned(), ended)
 }
 
-/// Such an answer ends with its connection, so only a reset tells that it was cut.
+/// An HTTP/1.0 answer ends with its connection, so only a reset shows that it was cut.
 #[test]
 fn a_caller_without_chunks_can_detect_a_cut_answer() {
     let decode = Replica::start("i-d", |request| {
@@ -233,7 +231,7 @@
     assert!(response.ends_with(&event_texts(1, 2)), "{response}");
 }
 
-/// The daemon's end is one of the ways in which an answer is cut.
+/// The exit of the daemon cuts an answer, too.
 #[test]
 fn a_caller_without_chunks_can_detect_the_exit_of_the_daemon() {
     let decode = Replica::start("i-d", |request| {
@@ -252,8 +250,7 @@
     site.daemon.wait_for_exit();
 }
 
-/// An answer that no caller asked for (a change of protocols) and one whose body is packed are none to pass on, signed
-/// or not.
+/// A change of protocols that no caller requested and an answer with a compressed body are not forwarded, signed or not.
 #[rstest]
 #[case(
     "switched",
@@ -276,7 +273,7 @@
     );
 }
 
-/// Without a length, only the reset tells that an answer was cut; its bytes may be read long before, or not at all.
+/// Without a length, only the reset shows that an answer was cut; its bytes may be read long before the reset, or never.
 #[rstest]
 #[case("reset-at-once", Duration::ZERO)]
 #[case("reset-later", Duration::from_millis(50))]
