--- a/crates/gateway/tests/gateway/common/daemon.rs
+++ b/crates/gateway/tests/gateway/common/daemon.rs
@@ -206,12 +206,12 @@
 
     /// Waits until the process exits by itself.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        let end = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < end, "the daemon did not exit in time");
+            assert!(Instant::now() < deadline, "the daemon did not exit in time");
             thread::sleep(Duration::from_millis(20));
         }
     }
@@ -228,9 +228,9 @@
 
 /// Waits until `condition` is true; `what` describes it in the message of a timeout.
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let end = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "timed out waiting until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/gateway/tests/gateway/list_confirmation.rs
+++ b/crates/gateway/tests/gateway/list_confirmation.rs
@@ -24,7 +24,7 @@
 
 /// Gossip port of every daemon; the daemons differ in their IP address.
 const PORT: u16 = 7_005;
-/// Time limit of the question.
+/// Time limit of the status request.
 const PATIENCE: Duration = Duration::from_secs(10);
 
 /// State of a newly started daemon at `ip`.
@@ -67,7 +67,7 @@
             asker.take_replicas(Source::Peer, asker.clock.now(), &list());
         }
     };
-    // The question is sent before the list changes.
+    // The status request is sent before the list changes.
     let (news, ()) = tokio::join!(gossip::question(&asker, address, PATIENCE), change);
     news.unwrap().same
 }
