--- a/crates/gateway/tests/gateway/stages.rs
+++ b/crates/gateway/tests/gateway/stages.rs
@@ -6,39 +6,41 @@
 
 use serde_json::Value;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::site::Site;
 
-const PREFILL: usize = 20;
-const DECODE: usize = 4;
-/// A quarter of the replicas.
-const AT_ONCE: usize = 6;
+const PREFILL_REPLICAS: usize = 20;
+const DECODE_REPLICAS: usize = 4;
+/// Orders sent at once: a quarter of the replicas.
+const ORDERS_AT_ONCE: usize = 6;
 
 fn engines() -> Vec<Replica> {
-    let accept = |_: &Message| Act::Send(answer(202, &[], b""));
-    let names = (0..PREFILL + DECODE).map(|number| format!("i-{number}"));
+    let accept = |_: &Message| Action::Send(answer(202, &[], b""));
+    let names = (0..PREFILL_REPLICAS + DECODE_REPLICAS).map(|number| format!("i-{number}"));
     names.map(|name| Replica::start(&name, accept)).collect()
 }
 
 fn orders(engine: &Replica) -> Vec<Value> {
-    let seen = engine.seen();
-    let orders = seen.iter().filter(|seen| seen.path() == "/api/order");
+    let received = engine.requests();
+    let orders = received
+        .iter()
+        .filter(|received| received.path() == "/api/order");
     orders
         .map(|order| serde_json::from_slice(&order.body).unwrap())
         .collect()
 }
 
-/// A shortage of decode replicas would otherwise last for as many changes of some seconds each as
-/// replicas are missing.
+/// Guards against stage changes one after another: a shortage of decode replicas would then last some seconds for each
+/// missing replica.
 #[test]
-fn several_engines_change_their_stage_at_once_and_each_is_told_once() {
+fn several_engines_change_their_stage_at_once_and_each_gets_one_order() {
     let engines = engines();
     let stages = engines.iter().enumerate().map(|(number, engine)| {
-        let stage = if number < PREFILL {
+        let stage = if number < PREFILL_REPLICAS {
             "prefill"
         } else {
             "decode"
@@ -48,16 +50,22 @@
     let site = Site::start("stages", &stages.collect::<Vec<_>>());
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
     let given = || -> usize { engines.iter().map(|engine| orders(engine).len()).sum() };
-    until("the orders are given", || given() >= AT_ONCE);
-    // Longer than the division has to be off, and shorter than the pause after a change.
+    wait_until("the orders are sent", || given() >= ORDERS_AT_ONCE);
+    // Longer than the stages must be out of proportion before orders are sent, shorter than the pause after a change.
     thread::sleep(Duration::from_millis(2_500));
-    let told: Vec<Vec<Value>> = engines.iter().map(orders).collect();
-    assert!(told.iter().all(|orders| orders.len() <= 1), "{told:?}");
-    let told: Vec<Value> = told.into_iter().flatten().collect();
-    assert_eq!(told.len(), AT_ONCE);
-    let fences: BTreeSet<u64> = told.iter().filter_map(|o| o["fence"].as_u64()).collect();
-    assert_eq!(fences.len(), 1, "one claim stands behind all of them");
-    for order in &told {
+    let received: Vec<Vec<Value>> = engines.iter().map(orders).collect();
+    assert!(
+        received.iter().all(|orders| orders.len() <= 1),
+        "{received:?}"
+    );
+    let received: Vec<Value> = received.into_iter().flatten().collect();
+    assert_eq!(received.len(), ORDERS_AT_ONCE);
+    let fences: BTreeSet<u64> = received
+        .iter()
+        .filter_map(|o| o["fence"].as_u64())
+        .collect();
+    assert_eq!(fences.len(), 1, "all orders belong to one claim");
+    for order in &received {
         assert_eq!(order["op"], "stage");
         assert_eq!(order["stage"], "decode");
         assert_eq!(order["holder"], "stages");
@@ -67,7 +75,7 @@
 }
 
 #[test]
-fn without_a_share_no_engine_is_ordered() {
+fn no_orders_are_sent_without_a_prefill_share() {
     let engines = engines();
     let stages = engines.iter().map(|engine| (engine, "llm", "prefill"));
     let site = Site::start("no-stages", &stages.collect::<Vec<_>>());
