--- a/crates/gateway/tests/gateway/common/http.rs
+++ b/crates/gateway/tests/gateway/common/http.rs
@@ -1,4 +1,4 @@
-//! Just enough HTTP/1.1 to see and send exact bytes.
+//! Minimal HTTP/1.1 that lets tests inspect and send exact bytes.
 
 use std::collections::HashMap;
 use std::io;
@@ -15,17 +15,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// A message as it was read.
+/// A request or an answer as it was read.
 #[derive(Debug, Clone, Default)]
 pub struct Message {
     /// Request or status line.
     pub line: String,
     /// Header names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Its body, decoded.
+    /// Body without its chunk framing.
     pub body: Vec<u8>,
-    /// Whether the body came to its proper end.
-    pub whole: bool,
+    /// Whether the body was read to its proper end.
+    pub complete: bool,
 }
 
 impl Message {
@@ -75,7 +75,7 @@
 fn read_body(socket: &mut TcpStream, message: &mut Message) {
     let length = message.header("content-length").map(str::to_owned);
     let chunked = message.header("transfer-encoding") == Some("chunked");
-    message.whole = match length.and_then(|length| length.parse().ok()) {
+    message.complete = match length.and_then(|length| length.parse().ok()) {
         Some(length) => {
             message.body = vec![0; length];
             socket.read_exact(&mut message.body).is_ok()
@@ -104,7 +104,7 @@
     }
 }
 
-/// An answer with a length.
+/// Encodes an answer with a `content-length`.
 pub fn answer(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut text = format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n", body.len());
     for (name, value) in headers {
@@ -114,10 +114,10 @@
     [text.as_bytes(), body].concat()
 }
 
-/// A listener whose connections are served by threads of their own, until it is stopped.
+/// A listener that serves each connection in a separate thread until it is stopped.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     /// Open connections, by number.
     sockets: Arc<Mutex<HashMap<usize, TcpStream>>>,
@@ -125,29 +125,29 @@
 }
 
 impl Server {
-    /// Serves each connection to a new port of `ip`.
-    pub fn start(ip: &str, each: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Self {
+    /// Listens on a new port of `ip` and calls `handler` for each connection.
+    pub fn start(ip: &str, handler: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind((ip, 0)).unwrap();
         let server = Self {
             address: listener.local_addr().unwrap(),
             sockets: Arc::default(),
             stopped: Arc::default(),
         };
-        let own = server.clone();
-        let each = Arc::new(each);
+        let acceptor = server.clone();
+        let handler = Arc::new(handler);
         thread::spawn(move || {
             for (number, socket) in listener.incoming().enumerate() {
-                if own.stopped.load(Ordering::SeqCst) {
+                if acceptor.stopped.load(Ordering::SeqCst) {
                     return;
                 }
                 let Ok(mut socket) = socket else { continue };
-                let sockets = Arc::clone(&own.sockets);
+                let sockets = Arc::clone(&acceptor.sockets);
                 if let Ok(copy) = socket.try_clone() {
                     sockets.lock().unwrap().insert(number, copy);
                 }
-                let each = Arc::clone(&each);
+                let handler = Arc::clone(&handler);
                 thread::spawn(move || {
-                    each(&mut socket);
+                    handler(&mut socket);
                     sockets.lock().unwrap().remove(&number);
                 });
             }
@@ -164,24 +164,24 @@
             thread::sleep(Duration::from_millis(1));
         }
         for (_, socket) in self.sockets.lock().unwrap().drain() {
-            // One that is closed already needs nothing.
+            // Fails if the connection is already closed.
             let _ = socket.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// Serves each connection to a new port of `ip` in a thread of its own; ends with the process.
-pub fn serve(ip: &str, each: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
-    Server::start(ip, each).address
+/// Starts a server that is not stopped before the process ends; returns its address.
+pub fn serve(ip: &str, handler: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
+    Server::start(ip, handler).address
 }
 
-/// Sends `bytes`; `false` if the other side is gone.
+/// Sends `bytes`; returns `false` if the other side has closed the connection.
 pub fn send(socket: &mut TcpStream, bytes: &[u8]) -> bool {
     socket.write_all(bytes).is_ok()
 }
 
 /// Whether the other side closes the connection within `limit`.
-pub fn closes(socket: &mut TcpStream, limit: Duration) -> bool {
+pub fn closes_within(socket: &mut TcpStream, limit: Duration) -> bool {
     socket.set_read_timeout(Some(limit)).unwrap();
     let mut byte = [0];
     match socket.read(&mut byte) {
--- a/crates/gateway/tests/gateway/ingress.rs
+++ b/crates/gateway/tests/gateway/ingress.rs
@@ -1,15 +1,17 @@
-//! Requests that are not proper, and limits.
+//! Invalid requests of callers, and limits on what they send.
 
 use rstest::rstest;
 
 use crate::common::http;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
-use crate::common::replica::signed;
+use crate::common::replica::signed_answer;
 use crate::site::Site;
 
-fn site(name: &str) -> (Replica, Site) {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+fn start_site(name: &str) -> (Replica, Site) {
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start(name, &[(&replica, "app", "")]);
     (replica, site)
 }
@@ -24,65 +26,69 @@
 #[case("no-prefix", "GET /read", &[("Request-Id", "a")], 404)]
 #[case("long-body", "POST /read/1", &[("Request-Id", "a"), ("Content-Length", "100001")], 413)]
 #[case("two-lengths", "POST /read/1", &[("Request-Id", "a"), ("Content-Length", "1"), ("Content-Length", "2")], 400)]
-fn improper_requests_reach_no_replica(
+fn invalid_requests_reach_no_replica(
     #[case] name: &str,
     #[case] line: &str,
     #[case] headers: &[(&str, &str)],
     #[case] status: u16,
 ) {
-    let (replica, site) = site(name);
-    let told = site.daemon.caller().ask(line, headers, b"");
-    assert_eq!(told.status(), status);
-    assert!(replica.seen().is_empty());
+    let (replica, site) = start_site(name);
+    let response = site.daemon.caller().send_and_read(line, headers, b"");
+    assert_eq!(response.status(), status);
+    assert!(replica.requests().is_empty());
 }
 
 #[test]
 fn a_head_that_is_too_long_is_rejected() {
-    let (replica, site) = site("long-head");
+    let (replica, site) = start_site("long-head");
     let long = "x".repeat(20_000);
-    let told = site.daemon.caller().ask(
+    let response = site.daemon.caller().send_and_read(
         "GET /read/1",
         &[("Request-Id", "a"), ("X-Long", &long)],
         b"",
     );
-    assert_eq!(told.status(), 431);
-    assert!(replica.seen().is_empty());
+    assert_eq!(response.status(), 431);
+    assert!(replica.requests().is_empty());
 }
 
-/// A body that looks like a request is a body.
+/// Guards against request smuggling: a body that looks like a request must not be run as one.
 #[test]
 fn a_request_inside_a_body_is_not_run() {
-    let (replica, site) = site("smuggled");
+    let (replica, site) = start_site("smuggled");
     let inner = b"GET /read/2 HTTP/1.1\r\nhost: shop.example\r\nrequest-id: b\r\n\r\n";
     let mut caller = site.daemon.caller();
-    let told = caller.ask("POST /none/1", &[("Request-Id", "a")], inner);
-    assert_eq!(told.status(), 404);
-    let told = caller.ask("POST /read/1", &[("Request-Id", "c")], inner);
-    assert_eq!(told.status(), 200);
-    let seen = replica.seen();
-    assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].body, inner);
+    let response = caller.send_and_read("POST /none/1", &[("Request-Id", "a")], inner);
+    assert_eq!(response.status(), 404);
+    let response = caller.send_and_read("POST /read/1", &[("Request-Id", "c")], inner);
+    assert_eq!(response.status(), 200);
+    let received = replica.requests();
+    assert_eq!(received.len(), 1);
+    assert_eq!(received[0].body, inner);
 }
 
 #[test]
-fn chunks_go_before_a_length_that_contradicts_them() {
-    let (replica, site) = site("both");
+fn chunked_encoding_takes_precedence_over_a_content_length() {
+    let (replica, site) = start_site("both");
     let mut caller = site.daemon.caller();
     let head = "POST /read/1 HTTP/1.1\r\nhost: shop.example\r\nrequest-id: a\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n";
     http::send(&mut caller.socket, head.as_bytes());
     http::send(&mut caller.socket, b"5\r\nhello\r\n0\r\n\r\n");
-    let told = caller.read();
-    // Either is safe: the request is rejected, or it is relayed with the chunks as its only body.
-    let bodies: Vec<Vec<u8>> = replica.seen().into_iter().map(|seen| seen.body).collect();
-    assert!(told.status() == 400 && bodies.is_empty() || bodies == [b"hello"]);
+    let response = caller.read();
+    // Both are safe: a rejection, and forwarding with the chunks as the only body.
+    let bodies: Vec<Vec<u8>> = replica
+        .requests()
+        .into_iter()
+        .map(|received| received.body)
+        .collect();
+    assert!(response.status() == 400 && bodies.is_empty() || bodies == [b"hello"]);
 }
 
 #[test]
-fn a_slow_head_is_given_up() {
-    let (_replica, site) = site("slow-head");
+fn a_slow_head_times_out() {
+    let (_replica, site) = start_site("slow-head");
     let mut caller = site.daemon.caller();
     http::send(&mut caller.socket, b"GET /read/1 HTTP/1.1\r\nhost: sh");
-    assert!(http::closes(
+    assert!(http::closes_within(
         &mut caller.socket,
         std::time::Duration::from_secs(10)
     ));
@@ -90,9 +96,9 @@
 
 #[test]
 fn a_connection_may_be_idle_for_longer_than_a_head_may_take() {
-    let (_replica, site) = site("idle");
+    let (_replica, site) = start_site("idle");
     let mut caller = site.daemon.caller();
-    assert!(!http::closes(
+    assert!(!http::closes_within(
         &mut caller.socket,
         std::time::Duration::from_millis(2_500)
     ));
@@ -102,7 +108,7 @@
         .unwrap();
     assert_eq!(
         caller
-            .ask("GET /read/1", &[("Request-Id", "a")], b"")
+            .send_and_read("GET /read/1", &[("Request-Id", "a")], b"")
             .status(),
         200
     );
--- a/crates/gateway/tests/gateway/late_news.rs
+++ b/crates/gateway/tests/gateway/list_confirmation.rs
@@ -1,6 +1,6 @@
-//! A daemon asks another one whether its list of replicas is up to date, and names the list by a hash. A list that it
-//! took from a third daemon before the answer came was confirmed instead of the one that was asked about, with the
-//! version of the teller's: changes between the two were then never asked for.
+//! Guards against confirming the wrong list of replicas. A daemon asks a peer whether its list, named by a hash, is up to
+//! date. If it takes another list before the answer arrives, and the answer confirms that one at the peer's version, the
+//! changes between the two are never requested.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,12 +22,12 @@
 
 use crate::common::daemon::new_ip;
 
-/// Port of each of the daemons; each has an address of its own.
+/// Gossip port of every daemon; the daemons differ in their IP address.
 const PORT: u16 = 7_005;
-/// Time that the question gets.
+/// Time limit of the status request.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-/// The state of a daemon at `ip` that knows nothing yet.
+/// State of a newly started daemon at `ip`.
 fn shared(ip: &str) -> Rc<Shared> {
     let listen = ["callers", "addresses", "readiness", "metrics", "peers"];
     let listen = listen.map(|name| format!("{name}: \"{ip}:{PORT}\""));
@@ -51,13 +51,13 @@
     })
 }
 
-/// Asks a daemon whose list is the same as the asker's, which takes another one meanwhile if `changes`; whether the
-/// answer confirms the asker's list.
+/// Returns whether the answer of a daemon with the same list confirms the list of the asker. With `changes`, the asker
+/// takes another list before the answer arrives.
 async fn is_confirmed(changes: bool) -> bool {
-    let (asker, teller) = (shared(&new_ip()), new_ip());
+    let (asker, responder) = (shared(&new_ip()), new_ip());
     tokio::task::spawn_local(gossip::run(Rc::clone(&asker)));
-    tokio::task::spawn_local(gossip::run(shared(&teller)));
-    let address = SocketAddr::new(teller.parse().unwrap(), PORT);
+    tokio::task::spawn_local(gossip::run(shared(&responder)));
+    let address = SocketAddr::new(responder.parse().unwrap(), PORT);
     while gossip::question(&asker, address, PATIENCE / 100)
         .await
         .is_none()
@@ -67,13 +67,13 @@
             asker.take_replicas(Source::Peer, asker.clock.now(), &list());
         }
     };
-    // The question is on its way before the list is taken.
+    // The status request is sent before the list changes.
     let (news, ()) = tokio::join!(gossip::question(&asker, address, PATIENCE), change);
     news.unwrap().same
 }
 
 #[test]
-fn an_answer_confirms_the_list_that_was_asked_about_and_no_other() {
+fn an_answer_confirms_only_the_list_that_it_was_requested_for() {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     let local = LocalSet::new();
     assert!(local.block_on(&runtime, is_confirmed(false)));
--- a/crates/gateway/tests/gateway/second_answers.rs
+++ b/crates/gateway/tests/gateway/second_answers.rs
@@ -1,8 +1,7 @@
-//! A replica that read prompts answered some requests twice. The second answer came late, on the same connection, where the
-//! answer to the next prompt was due, and was taken for it: the id in an answer was compared only where the answer is passed
-//! on to a caller. From then on each generation went on from the KV cache of the one before it, and all ended as answered.
-//! With one answer in ten doubled, three daemons did so 159 times in 20 runs of five seconds, in each of them; no plain
-//! answer went astray. The line `read` shows it by a `cache` that the line before named already, with `exchanges_before` above 0.
+//! Guards against taking the second answer to a request for the answer to the next one on the same connection. A prefill
+//! replica answers some requests twice, the second time when the answer to the next prefill is due. Unless the request id
+//! in its answers is checked, each generation from then on uses the KV cache of the one before it, and all look answered.
+//! The log line `read` shows the fault by a `cache` that the line before names too, with `exchanges_before` above 0.
 
 use std::collections::HashSet;
 use std::sync::atomic::AtomicUsize;
@@ -13,90 +12,99 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::generate;
+use crate::site::start_generation;
 
-/// Longer than the time for which a replica that answered twice is not trusted.
-const TRUSTED_AGAIN: Duration = Duration::from_millis(10_500);
+/// Longer than the time for which a replica that answered twice gets a new connection for each request.
+const TRUST_RESTORED_AFTER: Duration = Duration::from_millis(10_500);
 
 fn id(request: &Message) -> &str {
     request.header("request-id").unwrap_or_default()
 }
 
-/// A replica that reads prompts; it names the KV cache after the request, and itself in no answer but these.
-fn reader() -> Replica {
+/// Starts a prefill replica that names each KV cache after the request.
+fn start_prefill() -> Replica {
     Replica::start("i-p", |request| {
-        let told = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
+        let body = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
         let headers = [
             ("request-id", id(request)),
             ("content-type", "application/json"),
         ];
-        Act::Send(answer(200, &headers, told.to_string().as_bytes()))
+        Action::Send(answer(200, &headers, body.to_string().as_bytes()))
     })
 }
 
-fn writer(name: &str) -> Replica {
+fn start_decode(name: &str) -> Replica {
     Replica::start(name, |request| {
-        Act::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     })
 }
 
-/// Each request that a decode replica ran, with the KV cache that it went on from, if there was one.
-fn sources(decode: &Replica) -> Vec<(String, Option<String>)> {
-    let seen = decode.seen().into_iter();
+/// Requests that a decode replica received, each with the KV cache that it continues from, if any.
+fn kv_sources(decode: &Replica) -> Vec<(String, Option<String>)> {
+    let received = decode.requests().into_iter();
     let source = |request: &Message| {
         let (_, handle) = request.header("kv-source")?.rsplit_once('/')?;
         Some(handle.to_owned())
     };
-    seen.map(|request| (id(&request).to_owned(), source(&request)))
+    received
+        .map(|request| (id(&request).to_owned(), source(&request)))
         .collect()
 }
 
 #[test]
-fn a_generation_goes_on_from_its_own_prompt_where_prefills_are_answered_twice() {
-    let prefill = reader();
+fn a_generation_uses_its_own_kv_cache_where_prefills_are_answered_twice() {
+    let prefill = start_prefill();
     prefill.answer_twice_if(|_| true);
-    let decode = writer("i-d");
-    let site = Site::staged("read-twice", &prefill, &[&decode]);
+    let decode = start_decode("i-d");
+    let site = Site::start_with_prefill("read-twice", &prefill, &[&decode]);
     for number in 0..6 {
-        let told = generate(&site.daemon, "/resume/1", &format!("a{number}")).read();
-        assert!(told.whole && told.status() == 200, "{}", told.line);
+        let response = start_generation(&site.daemon, "/resume/1", &format!("a{number}")).read();
+        assert!(
+            response.complete && response.status() == 200,
+            "{}",
+            response.line
+        );
     }
-    assert!(prefill.second_answers() > 0);
-    for (id, source) in sources(&decode) {
+    assert!(prefill.second_answer_count() > 0);
+    for (id, source) in kv_sources(&decode) {
         assert!(
             source
                 .as_ref()
                 .is_none_or(|handle| *handle == format!("k-{id}")),
-            "{id} went on from {source:?}"
+            "{id} continued from {source:?}"
         );
     }
 }
 
-/// An application that answers with the id of the request; its answers name the request if `names`.
-fn application(names: bool) -> Replica {
+/// Starts an application that answers with the request id as the body, and in a header if `names_request`.
+fn start_application(names_request: bool) -> Replica {
     Replica::start("i-a", move |request| {
         let headers = [("request-id", id(request)), ("response-seal", "s.1")];
-        let headers = if names { &headers[..] } else { &headers[1..] };
-        Act::Send(answer(200, headers, id(request).as_bytes()))
+        let headers = if names_request {
+            &headers[..]
+        } else {
+            &headers[1..]
+        };
+        Action::Send(answer(200, headers, id(request).as_bytes()))
     })
 }
 
-/// Asks one call after another, and gives those whose answer was another one's.
+/// Sends calls one after another; returns those that got the answer to another call.
 fn foreign_answers(site: &Site) -> Vec<(String, String)> {
     let asked = (0..6).map(|number| {
         let id = format!("a{number}");
-        let told = site.ask("GET /read/1", &id);
-        let body = String::from_utf8_lossy(&told.body).into_owned();
-        (id, told.status(), body)
+        let response = site.send_and_read("GET /read/1", &id);
+        let body = String::from_utf8_lossy(&response.body).into_owned();
+        (id, response.status(), body)
     });
     let answered = asked.filter(|(id, status, body)| *status == 200 && id != body);
     answered.map(|(id, _, body)| (id, body)).collect()
@@ -104,52 +112,55 @@
 
 #[test]
 fn a_call_gets_its_own_answer_where_calls_are_answered_twice() {
-    let replica = application(true);
+    let replica = start_application(true);
     replica.answer_twice_if(|_| true);
     let site = Site::start("called-twice", &[(&replica, "app", "")]);
     assert_eq!(foreign_answers(&site), []);
-    assert!(replica.second_answers() > 0);
+    assert!(replica.second_answer_count() > 0);
 }
 
-/// On a connection that carried other requests, an answer without an id may be the second one to any of them.
+/// On a connection that carried other requests, an answer without an id may be the second answer to any of them.
 #[test]
 fn a_call_gets_its_own_answer_where_answers_name_no_request() {
-    let replica = application(false);
+    let replica = start_application(false);
     replica.answer_twice_if(|_| true);
     let site = Site::start("unnamed", &[(&replica, "app", "")]);
     assert_eq!(foreign_answers(&site), []);
-    assert_eq!(site.ask("GET /read/1", "last").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "last").status(), 200);
 }
 
 #[test]
 fn a_stream_has_its_own_events_where_streams_are_answered_twice() {
     let decode = Replica::start("i-d", |request| {
         let event = chunk(format!("id: 1\ndata: {}\n\n", id(request)).as_bytes());
-        Act::Send([stream_head(request), event, chunk(b"")].concat())
+        Action::Send([stream_head(request), event, chunk(b"")].concat())
     });
     decode.answer_twice_if(|request| request.path() == "/resume/1");
     let site = Site::start("streamed-twice", &[(&decode, "llm", "decode")]);
     for number in 0..6 {
         let id = format!("a{number}");
-        let told = generate(&site.daemon, "/resume/1", &id).read();
-        let body = String::from_utf8_lossy(&told.body).into_owned();
+        let response = start_generation(&site.daemon, "/resume/1", &id).read();
+        let body = String::from_utf8_lossy(&response.body).into_owned();
         assert!(
-            told.status() != 200 || body == format!("id: 1\ndata: {id}\n\n"),
+            response.status() != 200 || body == format!("id: 1\ndata: {id}\n\n"),
             "{body}"
         );
     }
-    assert!(decode.second_answers() > 0);
+    assert!(decode.second_answer_count() > 0);
 }
 
-/// Each second answer costs the request that is sent next on its connection.
+/// A second answer fails the next request on its connection; after that, the replica gets new connections.
 #[test]
 fn a_replica_that_answers_twice_costs_one_request() {
-    let replica = application(true);
+    let replica = start_application(true);
     replica.answer_twice_if(|_| true);
     let site = Site::start("stutter", &[(&replica, "app", "")]);
-    let status = |number: usize| site.ask("GET /read/1", &format!("a{number}")).status();
+    let status = |number: usize| {
+        site.send_and_read("GET /read/1", &format!("a{number}"))
+            .status()
+    };
     let lost = (0..12).filter(|number| status(*number) != 200).count();
-    assert_eq!((lost, replica.second_answers()), (1, 1));
+    assert_eq!((lost, replica.second_answer_count()), (1, 1));
     let metrics = site.daemon.metrics();
     assert!(
         metrics.contains("waxwing_gateway_foreign_answers_total 1"),
@@ -157,29 +168,29 @@
     );
 }
 
-/// A prompt is read twice for one request where its stream breaks off and goes on elsewhere. Both reads have the same id,
-/// so the id does not tell the late second answer to the first read from the answer to the second one. The stream must
-/// not go on from a KV cache that was used up: its name may be another request's by then, and the one that was read anew
-/// is never taken.
+/// A request is prefilled twice when its stream is cut and resumed elsewhere. Both prefills have the same request id, so
+/// the id does not distinguish the second answer to the first prefill from the answer to the second prefill. The resumed
+/// stream must not continue from a KV cache that was already used: its name may belong to another request by then, and the
+/// new KV cache would never be used.
 #[test]
-fn a_stream_that_is_resumed_goes_on_from_the_prompt_that_was_read_last() {
+fn a_resumed_stream_does_not_reuse_a_kv_cache() {
     let reads = AtomicUsize::new(0);
     let prefill = Replica::start("i-p", move |request| {
         let read = reads.fetch_add(1, Ordering::SeqCst) + 1;
-        let told = json!({"kv-handle": format!("k{read}"), "tokens": 1460, "version": 1});
+        let body = json!({"kv-handle": format!("k{read}"), "tokens": 1460, "version": 1});
         let headers = [("request-id", id(request))];
-        Act::Send(answer(200, &headers, told.to_string().as_bytes()))
+        Action::Send(answer(200, &headers, body.to_string().as_bytes()))
     });
     prefill.answer_twice_if(|_| true);
     let script = |request: &Message| match request.header("last-event-id") {
-        Some("2") => Act::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
-        _ => Act::SendAndClose([stream_head(request), events(1, 2)].concat()),
+        Some("2") => Action::Send([stream_head(request), events(3, 5), chunk(b"")].concat()),
+        _ => Action::SendAndClose([stream_head(request), events(1, 2)].concat()),
     };
     let one = Replica::start("i-1", script);
     let two = Replica::start("i-2", script);
-    let site = Site::staged("resumed-read-twice", &prefill, &[&one, &two]);
-    generate(&site.daemon, "/resume/1", "a1").read();
-    let used: Vec<_> = [&one, &two].into_iter().flat_map(sources).collect();
+    let site = Site::start_with_prefill("resumed-read-twice", &prefill, &[&one, &two]);
+    start_generation(&site.daemon, "/resume/1", "a1").read();
+    let used: Vec<_> = [&one, &two].into_iter().flat_map(kv_sources).collect();
     assert_eq!(used.len(), 2, "{used:?}");
     let distinct: HashSet<_> = used
         .iter()
@@ -189,8 +200,8 @@
     assert_eq!(distinct.len(), from_caches, "{used:?}");
 }
 
-/// Both answers come at once, or the second one comes in two halves: the first half with the answer before, the other
-/// one later, while the connection is idle or where the next answer is due.
+/// Both answers arrive at once, or the second one arrives in two parts: the first part together with the first answer, the
+/// rest later, while the connection is idle or the next answer is due.
 #[rstest]
 #[case::whole("at-once", 1.0)]
 #[case::cut_in_the_head("cut-in-head", 0.3)]
@@ -201,24 +212,24 @@
 ) {
     let replica = Replica::start("i-a", move |request| {
         let headers = [("request-id", id(request)), ("response-seal", "s.1")];
-        let told = answer(200, &headers, id(request).as_bytes());
-        let (first, rest) = told.split_at((told.len() as f64 * part) as usize);
-        let at_once = [&told, first].concat();
-        Act::Slowly(vec![at_once, rest.to_vec()], Duration::from_millis(3))
+        let bytes = answer(200, &headers, id(request).as_bytes());
+        let (first, rest) = bytes.split_at((bytes.len() as f64 * part) as usize);
+        let at_once = [&bytes, first].concat();
+        Action::SendSlowly(vec![at_once, rest.to_vec()], Duration::from_millis(3))
     });
     let site = Site::start(&format!("early-{name}"), &[(&replica, "app", "")]);
     let mut lost = 0;
     for number in 0..40 {
         let id = format!("a{number}");
-        let told = site.ask("GET /read/1", &id);
-        let body = String::from_utf8_lossy(&told.body).into_owned();
-        assert!(told.status() != 200 || body == id, "{id}: {body}");
-        lost += usize::from(told.status() != 200);
+        let response = site.send_and_read("GET /read/1", &id);
+        let body = String::from_utf8_lossy(&response.body).into_owned();
+        assert!(response.status() != 200 || body == id, "{id}: {body}");
+        lost += usize::from(response.status() != 200);
     }
     assert!(lost < 5, "{lost} of 40 were lost");
 }
 
-/// An answer names no request on a connection that carried another one before: it may be the second answer to that one.
+/// An answer without a request id on a used connection may be the second answer to the request before.
 #[test]
 fn a_call_does_not_get_an_unnamed_answer_on_a_connection_that_was_used() {
     let replica = Replica::start("i-a", |request| {
@@ -228,30 +239,30 @@
         } else {
             &headers[1..]
         };
-        Act::Send(answer(200, headers, id(request).as_bytes()))
+        Action::Send(answer(200, headers, id(request).as_bytes()))
     });
     let site = Site::start("unnamed-later", &[(&replica, "app", "")]);
-    assert_eq!(site.ask("GET /read/1", "a0").status(), 200);
-    assert_ne!(site.ask("GET /read/1", "a1").status(), 200);
-    assert_eq!(site.ask("GET /read/1", "a2").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a0").status(), 200);
+    assert_ne!(site.send_and_read("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a2").status(), 200);
 }
 
-/// Connections carry one exchange each for some time after a second answer, and several again after that.
+/// After a second answer each connection carries only one exchange for some time, and several again after that.
 #[test]
 fn a_replica_that_answered_twice_once_is_trusted_again() {
-    let replica = application(true);
+    let replica = start_application(true);
     replica.answer_twice_if(|request| id(request) == "a0");
     let site = Site::start("stutter-ends", &[(&replica, "app", "")]);
     for number in 0..4 {
-        site.ask("GET /read/1", &format!("a{number}"));
+        site.send_and_read("GET /read/1", &format!("a{number}"));
     }
-    // One of these asked whether the replica is there.
-    until("it has asked", || replica.connections() == 4);
-    assert_eq!(replica.second_answers(), 1);
-    thread::sleep(TRUSTED_AGAIN);
+    // One of these connections was opened by a probe of the replica.
+    wait_until("the replica was probed", || replica.connection_count() == 4);
+    assert_eq!(replica.second_answer_count(), 1);
+    thread::sleep(TRUST_RESTORED_AFTER);
     for number in 4..8 {
-        let told = site.ask("GET /read/1", &format!("a{number}"));
-        assert_eq!(told.status(), 200);
+        let response = site.send_and_read("GET /read/1", &format!("a{number}"));
+        assert_eq!(response.status(), 200);
     }
-    assert_eq!(replica.connections(), 5);
+    assert_eq!(replica.connection_count(), 5);
 }
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -1,7 +1,7 @@
-//! Answers were matched to calls of the store by their place on a connection that was kept. Where a second answer to an
-//! earlier call came late, it was taken for the answer to the next one: a daemon took the version at which it had read
-//! a table for that of the row it wrote, and gave engines orders under a fencing token that it did not hold; rows of
-//! one table were taken for those of another, and a new replica did not become known.
+//! Guards against matching answers of the store to calls by their order on a reused connection: a late second answer to an
+//! earlier call is then taken for the answer to the next one. A daemon would take the version of a table it has read for
+//! that of the row it has written and send orders under a fencing token that it does not hold, or take the rows of one
+//! table for those of another and miss a new replica.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,50 +21,50 @@
 use tokio::runtime;
 use tokio::task::LocalSet;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::site::Site;
 use crate::site::config;
 
-const PREFILL: usize = 20;
-const DECODE: usize = 4;
-/// Plans that are put in force one after the other.
+const PREFILL_REPLICAS: usize = 20;
+const DECODE_REPLICAS: usize = 4;
+/// Version of the last plan; the plans are put in force one after another.
 const PLANS: u64 = 6;
 /// Time over which connections are counted.
-const COUNTED: Duration = Duration::from_secs(4);
-/// Connections in that time at most: two watches, of the plan each 2.6 s and of the replicas each 650 ms or more, and
-/// a reading of the instances.
+const COUNT_PERIOD: Duration = Duration::from_secs(4);
+/// Most connections in that time: two watches, of the plan every 2.6 s and of the replicas every 650 ms or more, and one
+/// read of the instances.
 const MAX_CONNECTIONS: u64 = 12;
 
-/// Time for which the system drops packets that open a connection; less than one attempt to connect takes.
-const CLOGGED: Duration = Duration::from_millis(150);
-/// The same, less than the first of two attempts takes.
-const CLOGGED_SHORTLY: Duration = Duration::from_millis(10);
-/// Times that a second attempt may come while the packets are still dropped, since the machine is busy.
-const TRIES: usize = 20;
+/// Time for which packets that open a connection are dropped; shorter than one connection attempt.
+const DROP_TIME: Duration = Duration::from_millis(150);
+/// Like `DROP_TIME`, but shorter than the first of two connection attempts.
+const SHORT_DROP_TIME: Duration = Duration::from_millis(10);
+/// Most tries; on a busy machine the second attempt may come while packets are still dropped.
+const MAX_ATTEMPTS: usize = 20;
 
-fn application(name: &str) -> Replica {
-    Replica::start(name, |_: &Message| Act::Send(answer(202, &[], b"")))
+fn start_application(name: &str) -> Replica {
+    Replica::start(name, |_: &Message| Action::Send(answer(202, &[], b"")))
 }
 
-/// Fencing tokens of the orders that `engines` got.
+/// Fencing tokens of the orders that `engines` received.
 fn fences(engines: &[Replica]) -> BTreeSet<u64> {
-    let seen = engines.iter().flat_map(Replica::seen);
-    let orders = seen.filter(|request| request.path() == "/api/order");
+    let received = engines.iter().flat_map(Replica::requests);
+    let orders = received.filter(|request| request.path() == "/api/order");
     let orders = orders.map(|order| serde_json::from_slice::<Value>(&order.body).unwrap());
     orders.filter_map(|order| order["fence"].as_u64()).collect()
 }
 
 #[test]
 fn the_fencing_token_is_the_version_of_the_row_where_the_store_answers_twice() {
-    let names = (0..PREFILL + DECODE).map(|number| format!("i-{number}"));
-    let engines: Vec<Replica> = names.map(|name| application(&name)).collect();
+    let names = (0..PREFILL_REPLICAS + DECODE_REPLICAS).map(|number| format!("i-{number}"));
+    let engines: Vec<Replica> = names.map(|name| start_application(&name)).collect();
     let stages = engines.iter().enumerate().map(|(number, engine)| {
-        let stage = if number < PREFILL {
+        let stage = if number < PREFILL_REPLICAS {
             "prefill"
         } else {
             "decode"
@@ -72,24 +72,24 @@
         (engine, "llm", stage)
     });
     let site = Site::start("fence-twice", &stages.collect::<Vec<_>>());
-    site.store.stutter();
+    site.store.answer_twice();
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
-    until("orders are given", || !fences(&engines).is_empty());
+    wait_until("orders are sent", || !fences(&engines).is_empty());
     let written = site.store.version("orders", "llm");
     assert_eq!(fences(&engines), BTreeSet::from([written]));
 }
 
 #[test]
-fn rows_are_those_that_were_asked_for_where_the_store_answers_twice() {
-    let replica = application("i-a");
+fn rows_belong_to_the_table_requested_where_the_store_answers_twice() {
+    let replica = start_application("i-a");
     let site = Site::start("rows-twice", &[(&replica, "app", "")]);
-    site.store.stutter();
+    site.store.answer_twice();
     for version in 2..=PLANS {
         let number = format!("i-{version}");
         site.store.put("op", "config", &config(version));
-        let more = application(&number);
+        let more = start_application(&number);
         site.store.put("servers", &number, &more.row("app", ""));
-        until("the plan and the replica are known", || {
+        wait_until("the plan and the replica are known", || {
             let plan = format!("\"version\":{version}}}");
             let replica = format!("\"replica\":\"{number}\"");
             let logged = site.daemon.logged(&plan);
@@ -103,27 +103,27 @@
     assert!(foreign.concat().is_empty(), "{foreign:?}");
 }
 
-/// Only the connection tells whose answer arrives, so none carries two calls.
+/// An answer is matched to its call only by the connection, so no connection carries two calls.
 #[test]
 fn each_call_of_the_store_has_a_connection_of_its_own_and_these_are_few() {
-    let replica = application("i-a");
+    let replica = start_application("i-a");
     let site = Site::start("connections", &[(&replica, "app", "")]);
-    site.store.stutter();
-    let (opened_before, calls_before) = site.store.load();
-    thread::sleep(COUNTED);
-    let (opened, calls) = site.store.load();
+    site.store.answer_twice();
+    let (opened_before, calls_before) = site.store.connection_and_call_counts();
+    thread::sleep(COUNT_PERIOD);
+    let (opened, calls) = site.store.connection_and_call_counts();
     let (opened, calls) = (opened - opened_before, calls - calls_before);
     println!("connections: {opened}, calls: {calls}");
     assert!(calls > 0);
-    // Between the two counts one connection may be opened for a call that comes after.
+    // At either count a connection may be open whose call has not arrived yet.
     assert!(opened.abs_diff(calls) <= 2, "{opened} for {calls} calls");
     assert!(opened <= MAX_CONNECTIONS, "{opened} connections");
-    assert_eq!(site.store.second_answers(), 0);
+    assert_eq!(site.store.second_answer_count(), 0);
 }
 
-/// A listener that drops packets which open a connection, as a link that loses packets does, for a short time. Then it
-/// answers one call.
-fn clogged(span: Duration) -> SocketAddr {
+/// Starts a listener that for `drop_time` drops packets that open a connection, like a lossy network; after that it
+/// answers one call per connection.
+fn lossy_listener(drop_time: Duration) -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     socket.bind(&any.into()).unwrap();
@@ -133,7 +133,7 @@
     // The only connection that may wait to be accepted.
     let waiting = TcpStream::connect(address).unwrap();
     thread::spawn(move || {
-        thread::sleep(span);
+        thread::sleep(drop_time);
         drop(waiting);
         for socket in listener.incoming() {
             let mut socket = socket.unwrap();
@@ -145,30 +145,32 @@
     address
 }
 
-/// Where each call opens a connection, a lost packet would else cost the call.
+/// Each call opens a connection, so without a second attempt one lost packet would fail the call.
 #[test]
-fn a_call_outlasts_the_loss_of_the_packet_that_opens_its_connection() {
+fn a_call_survives_the_loss_of_the_packet_that_opens_its_connection() {
     let calls = IntCounterVec::new(Opts::new("calls", "Calls."), &["step", "table"]).unwrap();
-    let store = Store::new(clogged(CLOGGED), calls);
+    let store = Store::new(lossy_listener(DROP_TIME), calls);
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let swap = store.swap("orders", "llm", b"", 0);
     let written = LocalSet::new().block_on(&runtime.unwrap(), swap);
     assert_eq!(written, Ok(7));
 }
 
-/// A call of a replica has less time; one whose first packet is lost would count as silent.
+/// Calls of a replica have less time; without a second attempt, one lost packet would make the replica count as silent.
 #[test]
 fn a_second_attempt_connects_where_the_first_packet_is_lost() {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let attempts = async {
         let mut connected = false;
-        for _ in 0..TRIES {
-            connected |= links::connect_twice(clogged(CLOGGED_SHORTLY)).await.is_ok();
+        for _ in 0..MAX_ATTEMPTS {
+            connected |= links::connect_twice(lossy_listener(SHORT_DROP_TIME))
+                .await
+                .is_ok();
             if connected {
                 break;
             }
         }
-        let once = links::connect(clogged(CLOGGED_SHORTLY)).await;
+        let once = links::connect(lossy_listener(SHORT_DROP_TIME)).await;
         (once.is_ok(), connected)
     };
     let connected = LocalSet::new().block_on(&runtime.unwrap(), attempts);
--- a/crates/gateway/tests/gateway/site.rs
+++ b/crates/gateway/tests/gateway/site.rs
@@ -1,4 +1,4 @@
-//! One daemon in front of given replicas.
+//! Test setup of a store, one daemon and given replicas.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use crate::common::caller::Caller;
 use crate::common::daemon::Daemon;
 use crate::common::daemon::new_ip;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::replica::Replica;
 use crate::common::store;
@@ -18,36 +18,36 @@
 pub struct Site {
     /// The store.
     pub store: Store,
-    /// Where it is.
+    /// Address of the store.
     pub store_address: SocketAddr,
     /// The daemon.
     pub daemon: Daemon,
-    /// Its address.
+    /// IP address of the daemon.
     pub ip: String,
 }
 
-/// The configuration that the tests begin with.
+/// The configuration that the tests start with.
 pub fn config(version: u64) -> Value {
     store::config(version, 4_000, 1_000)
 }
 
 impl Site {
-    /// A daemon in front of `replicas`, each with its service and stage.
+    /// Starts a daemon in front of `replicas`, each with its service and stage.
     pub fn start(name: &str, replicas: &[(&Replica, &str, &str)]) -> Self {
         Self::with_daemon(replicas, |ip, store| Daemon::start(name, ip, store, &[]))
     }
 
-    /// A daemon in front of one replica that reads prompts and some that make tokens.
-    pub fn staged(name: &str, prefill: &Replica, decode: &[&Replica]) -> Self {
+    /// Starts a daemon in front of one prefill replica and some decode replicas.
+    pub fn start_with_prefill(name: &str, prefill: &Replica, decode: &[&Replica]) -> Self {
         let decode = decode.iter().map(|replica| (*replica, "llm", "decode"));
         let replicas: Vec<_> = decode.chain([(prefill, "llm", "prefill")]).collect();
         Self::start(name, &replicas)
     }
 
-    /// A daemon in front of `replicas` whose log lines nobody reads.
-    pub fn start_unread(name: &str, replicas: &[(&Replica, &str, &str)]) -> Self {
+    /// Starts a daemon in front of `replicas` whose standard output is not read.
+    pub fn start_with_unread_output(name: &str, replicas: &[(&Replica, &str, &str)]) -> Self {
         Self::with_daemon(replicas, |ip, store| {
-            Daemon::start_unread(name, ip, store, &[])
+            Daemon::start_with_unread_output(name, ip, store, &[])
         })
     }
 
@@ -63,7 +63,7 @@
         let ip = new_ip();
         let daemon = start(&ip, store_address);
         if !replicas.is_empty() {
-            daemon.until_ready();
+            daemon.wait_until_ready();
         }
         Self {
             store,
@@ -73,44 +73,44 @@
         }
     }
 
-    /// Another daemon of the same store; it starts from the first one if `seeded`.
-    pub fn another(&self, name: &str, seeded: bool) -> Daemon {
+    /// Starts another daemon with the same store; if `seeded`, the first daemon is its seed.
+    pub fn start_another(&self, name: &str, seeded: bool) -> Daemon {
         let seeds = [self.ip.as_str()];
         let seeds = if seeded { &seeds[..] } else { &[] };
         Daemon::start(name, &new_ip(), self.store_address, seeds)
     }
 
-    /// Another daemon of the same store, which is told that the whole system starts for the first time.
+    /// Starts another daemon with the same store whose settings say that the whole system starts for the first time.
     pub fn first_start(&self, name: &str) -> Daemon {
         Daemon::first_start(name, &new_ip(), self.store_address)
     }
 
-    /// Changes the settings file, and waits until it is in force.
+    /// Replaces `before` by `after` in the settings file, and waits until the settings are in force.
     pub fn change_settings(&self, before: &str, after: &str) {
-        let text = fs::read_to_string(self.daemon.settings()).unwrap();
+        let text = fs::read_to_string(self.daemon.settings_path()).unwrap();
         assert!(text.contains(before), "{text}");
-        fs::write(self.daemon.settings(), text.replace(before, after)).unwrap();
-        until("the settings are in force", || {
+        fs::write(self.daemon.settings_path(), text.replace(before, after)).unwrap();
+        wait_until("the settings are in force", || {
             !self.daemon.logged("settings in force").is_empty()
         });
     }
 
-    /// Sends one request of a new caller and reads the answer.
-    pub fn ask(&self, line: &str, id: &str) -> Message {
-        ask(&self.daemon, line, id)
+    /// Sends one request as a new caller and reads the answer.
+    pub fn send_and_read(&self, line: &str, id: &str) -> Message {
+        send_and_read(&self.daemon, line, id)
     }
 
     /// Waits until requests for `path` are no longer answered with `status`.
-    pub fn until_not(&self, path: &str, status: u16) {
-        until("the answer changes", || {
-            self.ask(&format!("GET {path}"), "probe").status() != status
+    pub fn wait_while_status(&self, path: &str, status: u16) {
+        wait_until("the answer changes", || {
+            self.send_and_read(&format!("GET {path}"), "probe").status() != status
         });
     }
 }
 
-/// Sends one request of a new caller to `daemon` and reads the answer.
-pub fn ask(daemon: &Daemon, line: &str, id: &str) -> Message {
-    daemon.caller().ask(line, &headers(id), b"")
+/// Sends one request to `daemon` as a new caller and reads the answer.
+pub fn send_and_read(daemon: &Daemon, line: &str, id: &str) -> Message {
+    daemon.caller().send_and_read(line, &headers(id), b"")
 }
 
 /// Headers of a plain request.
@@ -118,8 +118,8 @@
     [("Request-Id", id), ("Deadline-Ms", "4000")]
 }
 
-/// Sends a generation and gives the caller, whose answer is not read yet.
-pub fn generate(daemon: &Daemon, path: &str, id: &str) -> Caller {
+/// Sends a generation as a new caller; returns the caller without reading the answer.
+pub fn start_generation(daemon: &Daemon, path: &str, id: &str) -> Caller {
     let mut caller = daemon.caller();
     let headers = [
         ("Request-Id", id),
@@ -127,17 +127,17 @@
         ("Token-Counts", "1460,80"),
         ("Prompt-Prefix", "5c1e07a2:800,91bd3f06:660"),
     ];
-    caller.begin(&format!("POST {path}"), &headers, b"prompt");
+    caller.start_request(&format!("POST {path}"), &headers, b"prompt");
     caller
 }
 
 impl Site {
-    /// Lets generations last longer than the grace, and gives a caller that is connected.
-    pub fn config_with_long_streams(&self) -> Caller {
+    /// Allows generations longer than the grace period; returns a connected caller.
+    pub fn allow_long_streams(&self) -> Caller {
         let mut longer = config(2);
         longer["routes"][2]["timeout-ms"] = 14_000.into();
         self.store.put("op", "config", &longer);
-        until("the plan is in force", || {
+        wait_until("the plan is in force", || {
             !self.daemon.logged("\"version\":2").is_empty()
         });
         self.daemon.caller()
