--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -63,7 +63,9 @@
         let former = self.incarnation();
         let fresh = Incarnation(self.rng.next_u64());
         self.members.former.push(former);
-        let started = self.unix_ms().max(self.members.fleet.local_member().started + 1);
+        let started = self
+            .unix_ms()
+            .max(self.members.fleet.local_member().started + 1);
         let mut fleet = Fleet::new(
             member(&self.settings, fresh, started),
             fleet::Settings::default(),
