--- a/crates/gateway/tests/soak/callers.rs
+++ b/crates/gateway/tests/soak/callers.rs
@@ -9,59 +9,66 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
+use crate::cluster::Cluster;
+use crate::cluster::DAEMONS;
+use crate::cluster::FATAL;
 use crate::common::caller::Caller;
 use crate::common::http::Message;
 use crate::customer::Customer;
-use crate::customer::TOKENS;
-use crate::ledger::Kind;
-use crate::ledger::Told;
-use crate::world::DAEMONS;
-use crate::world::FATAL;
-use crate::world::World;
+use crate::customer::TOKEN_COUNTS;
+use crate::history::Kind;
+use crate::history::ResponseRecord;
 
 /// How long a caller waits for the end of an answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 /// Replicas that may end under one request.
-const ENDS: usize = 3;
+const MAX_ENDED_REPLICAS: usize = 3;
 /// Sends of it that may reach replicas after that: a daemon that was killed takes with it what it alone had seen.
-const MAX_SENDS: usize = 3;
+const MAX_LATE_SENDS: usize = 3;
 /// Times that it is sent to bring about what is to be seen.
-const MAX_ASKS: usize = 10;
+const MAX_FATAL_REQUESTS: usize = 10;
 /// Seconds that no other refusal tells a caller to stay away.
-const LONG_S: f64 = 3_600.0;
+const QUARANTINE_RETRY_AFTER_S: f64 = 3_600.0;
 /// Time in which all daemons know that a replica ended: the row of one that ends is removed after 1.3 s.
-const KNOWN: Duration = Duration::from_secs(3);
+const REPORT_TIME: Duration = Duration::from_secs(3);
 /// Log lines that are shown of a daemon that does not serve.
-const LAST_LINES: usize = 12;
+const MAX_PRINTED_LINES: usize = 12;
 /// Bytes that are shown of what nobody asked for.
-const SHOWN_BYTES: usize = 200;
+const MAX_PRINTED_BYTES: usize = 200;
 /// Requests of each kind that have to be served at each daemon in the end.
-const LAST_ROUND: usize = 5;
+const RECOVERY_REQUESTS: usize = 5;
 
 /// Sends requests until the run ends.
-pub fn run(world: &World, seed: u64) {
+pub fn run(cluster: &Cluster, seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut number = 0;
-    let mut open: [Option<Caller>; DAEMONS] = Default::default();
-    while !world.ended() {
-        let kind = kind(rng.random_range(0..4));
-        let seat = rng.random_range(0..DAEMONS);
-        let customer = Customer::of(number);
+    let mut connections: [Option<Caller>; DAEMONS] = Default::default();
+    while !cluster.callers_stopped() {
+        let kind = nth_kind(rng.random_range(0..4));
+        let instance = rng.random_range(0..DAEMONS);
+        let customer = Customer::for_request(number);
         let id = customer.id(&format!("{seed}-{number}"));
-        ask(world, seat, kind, customer, &id, &mut open[seat]);
+        send_request(
+            cluster,
+            instance,
+            kind,
+            customer,
+            &id,
+            &mut connections[instance],
+        );
         number += 1;
         thread::sleep(Duration::from_millis(rng.random_range(1..30)));
     }
 }
 
 /// Sends the request under which replicas end, each attempt with an id of its own, until the run ends.
-pub fn run_fatal(world: &World, seed: u64) {
+pub fn run_fatal(cluster: &Cluster, seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    while !world.ended() {
-        ask_fatal(
-            world,
+    while !cluster.callers_stopped() {
+        send_fatal_request(
+            cluster,
             rng.random_range(0..DAEMONS),
-            &Customer::Free.id(&rng.random::<u64>().to_string()),
+            &Customer::Unlimited.id(&rng.random::<u64>().to_string()),
         );
         thread::sleep(Duration::from_millis(rng.random_range(50..800)));
     }
@@ -72,32 +79,34 @@
 ///
 /// # Errors
 /// How many it reached.
-pub fn is_quarantined(world: &World) -> Result<(), String> {
-    for _ in 0..MAX_ASKS {
-        if world.ledger.ends() >= ENDS || is_refused_for_long(&ask_fatal(world, 0, &new_id())) {
+pub fn check_quarantine(cluster: &Cluster) -> Result<(), String> {
+    for _ in 0..MAX_FATAL_REQUESTS {
+        if cluster.history.ended_replicas() >= MAX_ENDED_REPLICAS
+            || is_quarantine_refusal(&send_fatal_request(cluster, 0, &new_id()))
+        {
             break;
         }
-        thread::sleep(KNOWN);
+        thread::sleep(REPORT_TIME);
     }
-    let before = world.ledger.sends();
-    for seat in (0..DAEMONS).cycle().take(DAEMONS * LAST_ROUND) {
-        ask_fatal(world, seat, &new_id());
+    let before = cluster.history.fatal_sends();
+    for instance in (0..DAEMONS).cycle().take(DAEMONS * RECOVERY_REQUESTS) {
+        send_fatal_request(cluster, instance, &new_id());
     }
-    match world.ledger.sends() - before {
-        0..=MAX_SENDS => Ok(()),
+    match cluster.history.fatal_sends() - before {
+        0..=MAX_LATE_SENDS => Ok(()),
         sends => Err(format!(
             "a request under which {} replicas ended reached {sends} more; the daemons' lines of it:\n    {}",
-            world.ledger.ends(),
-            told_of_ends(world).join("\n    ")
+            cluster.history.ended_replicas(),
+            quarantine_log_lines(cluster).join("\n    ")
         )),
     }
 }
 
 /// What the daemons logged of replicas that ended while at work.
-fn told_of_ends(world: &World) -> Vec<String> {
+fn quarantine_log_lines(cluster: &Cluster) -> Vec<String> {
     let kinds = ["suspect", "quarantine", "inquiry"].map(|kind| format!("\"kind\":\"{kind}\""));
-    let lines = world.seats.iter().flat_map(|seat| {
-        let daemon = seat.daemon.lock().unwrap();
+    let lines = cluster.instances.iter().flat_map(|instance| {
+        let daemon = instance.daemon.lock().unwrap();
         kinds
             .iter()
             .flat_map(|kind| daemon.logged(kind))
@@ -107,24 +116,25 @@
 }
 
 fn new_id() -> String {
-    Customer::Free.id(&format!("fatal-{}", rand::random::<u64>()))
+    Customer::Unlimited.id(&format!("fatal-{}", rand::random::<u64>()))
 }
 
 /// Whether the caller is told to stay away, as long as only a quarantined request is.
-fn is_refused_for_long(told: &Message) -> bool {
-    let seconds = told.header("retry-after").and_then(|s| s.parse().ok());
-    told.status() == 503 && seconds.is_some_and(|seconds: f64| seconds > LONG_S)
+fn is_quarantine_refusal(response: &Message) -> bool {
+    let seconds = response.header("retry-after").and_then(|s| s.parse().ok());
+    response.status() == 503
+        && seconds.is_some_and(|seconds: f64| seconds > QUARANTINE_RETRY_AFTER_S)
 }
 
-fn ask_fatal(world: &World, seat: usize, id: &str) -> Message {
-    let limit = PATIENCE.as_millis().to_string();
+fn send_fatal_request(cluster: &Cluster, instance: usize, id: &str) -> Message {
+    let timeout = REQUEST_TIMEOUT.as_millis().to_string();
     let headers = [
         ("Request-Id", id),
-        ("Deadline-Ms", &limit),
-        ("Token-Counts", TOKENS),
-        ("X-Api-Key", Customer::Free.key()),
+        ("Deadline-Ms", &timeout),
+        ("Token-Counts", TOKEN_COUNTS),
+        ("X-Api-Key", Customer::Unlimited.key()),
     ];
-    let address = world.seats[seat].callers;
+    let address = cluster.instances[instance].callers;
     match Caller::new(address) {
         Ok(mut caller) => caller.send_and_read(&format!("POST {FATAL}"), &headers, b""),
         Err(_) => Message::default(),
@@ -135,26 +145,33 @@
 ///
 /// # Errors
 /// What is not served.
-pub fn recovers(world: &World, limit: Duration) -> Result<(), String> {
-    let end = Instant::now() + limit;
-    for seat in 0..DAEMONS {
+pub fn check_recovery(cluster: &Cluster, timeout: Duration) -> Result<(), String> {
+    let end = Instant::now() + timeout;
+    for instance in 0..DAEMONS {
         for number in 0..4 {
             let mut served = 0;
             let mut tries = 0;
-            while served < LAST_ROUND {
-                let id = Customer::Free.id(&format!("last-{seat}-{number}-{tries}"));
-                let told = ask(world, seat, kind(number), Customer::Free, &id, &mut None);
-                served += usize::from(told.status() == 200);
+            while served < RECOVERY_REQUESTS {
+                let id = Customer::Unlimited.id(&format!("last-{instance}-{number}-{tries}"));
+                let response = send_request(
+                    cluster,
+                    instance,
+                    nth_kind(number),
+                    Customer::Unlimited,
+                    &id,
+                    &mut None,
+                );
+                served += usize::from(response.status() == 200);
                 tries += 1;
                 if Instant::now() > end {
-                    let daemon = world.seats[seat].daemon.lock().unwrap();
-                    let lines = daemon.logged("").into_iter().rev().take(LAST_LINES);
+                    let daemon = cluster.instances[instance].daemon.lock().unwrap();
+                    let lines = daemon.logged("").into_iter().rev().take(MAX_PRINTED_LINES);
                     let lines: Vec<String> = lines.collect();
                     return Err(format!(
-                        "daemon {seat} does not serve {:?} ({} times) but answers `{}`; last lines, newest first:\n    {}",
-                        kind(number),
+                        "daemon {instance} does not serve {:?} ({} times) but answers `{}`; last lines, newest first:\n    {}",
+                        nth_kind(number),
                         tries,
-                        told.line,
+                        response.line,
                         lines.join("\n    ")
                     ));
                 }
@@ -164,7 +181,7 @@
     Ok(())
 }
 
-const fn kind(number: usize) -> Kind {
+const fn nth_kind(number: usize) -> Kind {
     match number {
         0 => Kind::Once,
         1 => Kind::Draft,
@@ -174,13 +191,13 @@
 }
 
 /// Sends a request on the `open` connection, if the daemon keeps it, and keeps the one that it used.
-fn ask(
-    world: &World,
-    seat: usize,
+fn send_request(
+    cluster: &Cluster,
+    instance: usize,
     kind: Kind,
     customer: Customer,
     id: &str,
-    open: &mut Option<Caller>,
+    connection: &mut Option<Caller>,
 ) -> Message {
     let line = match kind {
         Kind::Once => "POST /book/1",
@@ -188,64 +205,68 @@
         Kind::Idempotent => "GET /read/1",
         Kind::Resumable => "POST /resume/1",
     };
-    let address = world.seats[seat].callers;
-    let begun = Instant::now();
-    let limit = PATIENCE.as_millis().to_string();
+    let address = cluster.instances[instance].callers;
+    let start = Instant::now();
+    let timeout = REQUEST_TIMEOUT.as_millis().to_string();
     let headers = [
         ("Request-Id", id),
-        ("Deadline-Ms", &limit),
-        ("Token-Counts", TOKENS),
+        ("Deadline-Ms", &timeout),
+        ("Token-Counts", TOKEN_COUNTS),
         ("X-Api-Key", customer.key()),
     ];
-    let kept = open.take().filter(|caller| is_open(world, seat, caller));
-    let told = match kept.map_or_else(|| Caller::new(address), Ok) {
+    let reused = connection
+        .take()
+        .filter(|caller| is_usable(cluster, instance, caller));
+    let response = match reused.map_or_else(|| Caller::new(address), Ok) {
         Ok(mut caller) => {
-            let told = caller.send_and_read(line, &headers, b"");
-            *open = keeps(&told).then_some(caller);
-            told
+            let response = caller.send_and_read(line, &headers, b"");
+            *connection = is_reusable(&response).then_some(caller);
+            response
         }
         Err(_) => Message::default(),
     };
-    let seen = Told {
+    let record = ResponseRecord {
         kind,
-        status: told.status(),
-        whole: told.complete,
-        body: String::from_utf8_lossy(&told.body).into_owned(),
-        took: (begun.elapsed(), PATIENCE),
-        disturbed: world.seats[seat].disturbed_since(begun),
+        status: response.status(),
+        complete: response.complete,
+        body: String::from_utf8_lossy(&response.body).into_owned(),
+        elapsed_and_limit: (start.elapsed(), REQUEST_TIMEOUT),
+        disturbed: cluster.instances[instance].was_disturbed_since(start),
     };
-    world.ledger.told(id, seen);
-    told
+    cluster.history.record_response(id, record);
+    response
 }
 
 /// Whether the connection can be used after this answer.
-fn keeps(told: &Message) -> bool {
-    let closes = told.header("connection") == Some("close");
-    told.status() != 0 && told.complete && !closes
+fn is_reusable(response: &Message) -> bool {
+    let closes = response.header("connection") == Some("close");
+    response.status() != 0 && response.complete && !closes
 }
 
 /// What became of a connection on which no answer is due.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Idle {
+pub enum IdleState {
     /// It can be used.
     Open,
     /// The daemon closed it.
     Closed,
     /// Bytes that nobody asked for.
-    Unasked(String),
+    Unsolicited(String),
 }
 
-impl Idle {
+impl IdleState {
     /// Looks at the connection of `caller`.
-    pub fn look(caller: &Caller) -> Self {
+    pub fn check(caller: &Caller) -> Self {
         let socket = &caller.socket;
-        let mut bytes = [0; SHOWN_BYTES];
+        let mut bytes = [0; MAX_PRINTED_BYTES];
         let peeked = socket
             .set_nonblocking(true)
             .and_then(|()| socket.peek(&mut bytes));
         let restored = socket.set_nonblocking(false);
         match peeked {
-            Ok(count @ 1..) => Self::Unasked(String::from_utf8_lossy(&bytes[..count]).into_owned()),
+            Ok(count @ 1..) => {
+                Self::Unsolicited(String::from_utf8_lossy(&bytes[..count]).into_owned())
+            }
             Err(error) if error.kind() == ErrorKind::WouldBlock && restored.is_ok() => Self::Open,
             _ => Self::Closed,
         }
@@ -253,13 +274,13 @@
 }
 
 /// Whether the connection to the daemon at `seat` can be used again.
-fn is_open(world: &World, seat: usize, caller: &Caller) -> bool {
-    match Idle::look(caller) {
-        Idle::Open => true,
-        Idle::Closed => false,
-        Idle::Unasked(text) => {
-            let what = format!("daemon {seat} sent `{text}`, which nobody asked for");
-            world.ledger.mixed(&what);
+fn is_usable(cluster: &Cluster, instance: usize, caller: &Caller) -> bool {
+    match IdleState::check(caller) {
+        IdleState::Open => true,
+        IdleState::Closed => false,
+        IdleState::Unsolicited(text) => {
+            let what = format!("daemon {instance} sent `{text}`, which nobody asked for");
+            cluster.history.record_misdirected(&what);
             false
         }
     }
--- a/crates/gateway/tests/soak/world.rs
+++ b/crates/gateway/tests/soak/cluster.rs
@@ -22,33 +22,33 @@
 use crate::common::store;
 use crate::common::store::Store;
 use crate::customer;
-use crate::ledger::Ledger;
+use crate::history::History;
 use crate::limit;
-use crate::proxy::Harm;
+use crate::proxy::ConnectionFault;
 use crate::proxy::Proxy;
 use crate::script;
-use crate::script::Chance;
+use crate::script::RandomSource;
 
 /// Daemons of a run.
 pub const DAEMONS: usize = 3;
 /// Path of the request under which each replica ends that runs it.
 pub const FATAL: &str = "/draft/fatal";
 /// Part of the replicas that end whose address refuses afterwards; the others accept and close.
-const REFUSES: f64 = 0.7;
+const REFUSING_FRACTION: f64 = 0.7;
 /// Application replicas whose number is a multiple of this have a rate limit.
 const LIMITED_REPLICA_INTERVAL: u64 = 3;
 /// Time around a signal to a daemon in which its requests are excused from being answered.
-const DISTURBED: Duration = Duration::from_secs(3);
+const DISTURBANCE_MARGIN: Duration = Duration::from_secs(3);
 
 /// A daemon's place: its address stays, its process changes.
 #[derive(Debug)]
-pub struct Seat {
+pub struct Instance {
     name: String,
     ip: String,
     /// Where it takes requests.
     pub callers: SocketAddr,
     /// Its way to the store.
-    pub store: Proxy,
+    pub store_proxy: Proxy,
     /// Its process.
     pub daemon: Mutex<Daemon>,
     /// Times at which its process was started, paused, resumed, killed or stopped.
@@ -56,16 +56,19 @@
 }
 
 /// A replica, the way to it, its service and its stage.
-type Way = (Replica, Proxy, &'static str, &'static str);
+type ReplicaEntry = (Replica, Proxy, &'static str, &'static str);
 
 /// Kills the daemons of a world when the run ends, also by a panic while threads still hold it.
-pub struct End(pub World);
+pub struct KillOnDrop(pub Cluster);
 
-impl Drop for End {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
-        self.0.end_callers();
-        for seat in self.0.seats.iter() {
-            let mut daemon = seat.daemon.lock().unwrap_or_else(PoisonError::into_inner);
+        self.0.stop_callers();
+        for instance in self.0.instances.iter() {
+            let mut daemon = instance
+                .daemon
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
             daemon.kill();
         }
     }
@@ -73,50 +76,54 @@
 
 /// Everything of one run.
 #[derive(Clone)]
-pub struct World {
+pub struct Cluster {
     /// What was seen.
-    pub ledger: Arc<Ledger>,
+    pub history: Arc<History>,
     /// The store.
     pub store: Store,
     /// The daemons.
-    pub seats: Arc<Vec<Seat>>,
+    pub instances: Arc<Vec<Instance>>,
     /// The ways to the replicas.
-    pub ways: Arc<Mutex<Vec<Way>>>,
+    pub replicas: Arc<Mutex<Vec<ReplicaEntry>>>,
     version: Arc<AtomicU64>,
-    ended: Arc<AtomicBool>,
-    replicas: Arc<AtomicU64>,
+    callers_stopped: Arc<AtomicBool>,
+    replica_count: Arc<AtomicU64>,
     seed: u64,
     /// Whether second answers are the only fault.
-    pub only_doubled: bool,
+    pub only_second_answers: bool,
 }
 
-impl World {
+impl Cluster {
     /// Starts everything, and waits until all daemons are ready.
-    pub fn start(seed: u64, only_doubled: bool) -> Self {
+    pub fn start(seed: u64, only_second_answers: bool) -> Self {
         let (store, address) = Store::start("127.0.0.1");
         let ips: Vec<String> = (0..DAEMONS).map(|_| new_ip()).collect();
-        let world = Self {
-            ledger: Arc::default(),
+        let cluster = Self {
+            history: Arc::default(),
             store,
-            seats: Arc::new(ips.iter().map(|ip| seat(ip, &ips, address, seed)).collect()),
-            ways: Arc::default(),
-            version: Arc::new(AtomicU64::new(0)),
-            ended: Arc::default(),
+            instances: Arc::new(
+                ips.iter()
+                    .map(|ip| start_instance(ip, &ips, address, seed))
+                    .collect(),
+            ),
             replicas: Arc::default(),
+            version: Arc::new(AtomicU64::new(0)),
+            callers_stopped: Arc::default(),
+            replica_count: Arc::default(),
             seed,
-            only_doubled,
+            only_second_answers,
         };
-        world.change_config();
+        cluster.change_config();
         for (count, service, stage) in [(3, "app", ""), (2, "llm", "prefill"), (3, "llm", "decode")]
         {
             for _ in 0..count {
-                world.add_replica(service, stage);
+                cluster.add_replica(service, stage);
             }
         }
-        for seat in world.seats.iter() {
-            seat.daemon.lock().unwrap().wait_until_ready();
+        for instance in cluster.instances.iter() {
+            instance.daemon.lock().unwrap().wait_until_ready();
         }
-        world
+        cluster
     }
 
     /// Writes a configuration with a higher version and the same routes.
@@ -129,97 +136,101 @@
 
     /// Adds a replica.
     pub fn add_replica(&self, service: &'static str, stage: &'static str) {
-        let number = self.replicas.fetch_add(1, Ordering::SeqCst);
+        let number = self.replica_count.fetch_add(1, Ordering::SeqCst);
         let id = format!("i-{number}");
-        let chance = Chance::new(self.seed * 977 + number, self.only_doubled);
-        let stutter = Chance::new(self.seed * 983 + number, false);
-        let world = self.clone();
-        let own = id.clone();
+        let random = RandomSource::new(self.seed * 977 + number, self.only_second_answers);
+        let second_answer_random = RandomSource::new(self.seed * 983 + number, false);
+        let cluster = self.clone();
+        let own_id = id.clone();
         let is_limited = stage.is_empty() && number.is_multiple_of(LIMITED_REPLICA_INTERVAL);
         let replica = Replica::start(&id, move |request| {
-            let (draw, odd) = chance.draw();
+            let (draw, malformed_draw) = random.draw();
             if request.path() == FATAL {
-                world.ledger.reached(stage == "decode");
+                cluster.history.record_fatal_send(stage == "decode");
             }
-            world.ledger.comes(request);
+            cluster.history.check_arrival(request);
             if stage == "decode" {
-                world.ledger.brings(&own, request);
+                cluster
+                    .history
+                    .check_cache_and_reservation(&own_id, request);
             }
             if request.path() == FATAL && stage == "decode" {
-                world.end_replica(&own, draw);
+                cluster.end_replica(&own_id, draw);
                 return Action::Crash(stream_head(request));
             }
-            let act = script::serve(&world.ledger, stage, request, (draw, odd));
+            let action =
+                script::choose_action(&cluster.history, stage, request, (draw, malformed_draw));
             if !is_limited || request.path().starts_with("/api/") {
-                return act;
+                return action;
             }
-            world.ledger.record_limited_arrival(&own);
-            limit::add_limit_header(act)
+            cluster.history.record_limited_arrival(&own_id);
+            limit::add_limit_header(action)
         });
-        let ledger = Arc::clone(&self.ledger);
+        let history = Arc::clone(&self.history);
         replica.set_second_answers(move |_| {
-            script::second(stutter.draw()).inspect(|_| ledger.doubled())
+            script::second_answer(second_answer_random.draw())
+                .inspect(|_| history.record_second_answer())
         });
         let proxy = Proxy::start(replica.address);
         let mut row = replica.row(service, stage);
         row["addr"] = json!(proxy.address);
         self.store.put("servers", &id, &row);
-        let way = (replica, proxy, service, stage);
-        self.ways.lock().unwrap().push(way);
+        let entry = (replica, proxy, service, stage);
+        self.replicas.lock().unwrap().push(entry);
     }
 
     /// Ends the replica `id`, whose address refuses or, by `draw`, falls silent; another one is listed in its place
     /// some time later.
     fn end_replica(&self, id: &str, draw: f64) {
-        let mut ways = self.ways.lock().unwrap();
-        let index = ways.iter().position(|(replica, ..)| replica.id == id);
+        let mut replicas = self.replicas.lock().unwrap();
+        let index = replicas.iter().position(|(replica, ..)| replica.id == id);
         let Some(index) = index else { return };
-        let (_, proxy, ..) = ways.remove(index);
-        drop(ways);
-        if draw < REFUSES {
+        let (_, proxy, ..) = replicas.remove(index);
+        drop(replicas);
+        if draw < REFUSING_FRACTION {
             proxy.stop();
         }
-        let world = self.clone();
+        let cluster = self.clone();
         let id = id.to_owned();
         thread::spawn(move || {
             thread::sleep(Duration::from_secs_f64(0.3 + draw));
-            world.store.remove("servers", &id);
-            world.add_replica("llm", "decode");
+            cluster.store.remove("servers", &id);
+            cluster.add_replica("llm", "decode");
         });
     }
 
     /// Lets the replica at `index` drain, and adds one in its place.
     pub fn replace_replica(&self, index: usize) {
-        let mut ways = self.ways.lock().unwrap();
-        if index >= ways.len() {
+        let mut replicas = self.replicas.lock().unwrap();
+        if index >= replicas.len() {
             return;
         }
-        let (replica, proxy, service, stage) = ways.remove(index);
+        let (replica, proxy, service, stage) = replicas.remove(index);
         let mut row = replica.row(service, stage);
         row["addr"] = json!(proxy.address);
         row["state"] = "draining".into();
         // Under the lock, so that the row of one that ends is not written again.
         self.store.put("servers", &replica.id, &row);
-        drop(ways);
+        drop(replicas);
         self.add_replica(service, stage);
     }
 
     /// Ends all harm.
-    pub fn heal(&self) {
+    pub fn clear_faults(&self) {
         self.store.set_down(false);
-        for seat in self.seats.iter() {
-            seat.store.set(Harm::None);
+        for instance in self.instances.iter() {
+            instance.store_proxy.set_fault(ConnectionFault::None);
         }
-        for (_, proxy, ..) in self.ways.lock().unwrap().iter() {
-            proxy.set(Harm::None);
+        for (_, proxy, ..) in self.replicas.lock().unwrap().iter() {
+            proxy.set_fault(ConnectionFault::None);
         }
     }
 
     /// Answers that the daemons which still run took for another request's.
-    pub fn refused_answers(&self) -> usize {
-        let seats = self.seats.iter();
-        let counts = seats.map(|seat| {
-            let daemon = seat.daemon.lock().unwrap();
+    pub fn rejected_answers(&self) -> usize {
+        let instances = self.instances.iter();
+        let counts = instances.map(|instance| {
+            let daemon = instance.daemon.lock().unwrap();
             daemon.logged("answer is another request's").len()
         });
         counts.sum()
@@ -227,33 +238,33 @@
 
     /// Returns the disturbance times of each daemon, including its starts.
     pub fn disturbances(&self) -> Vec<Vec<Instant>> {
-        let seats = self.seats.iter();
-        let times = seats.map(|seat| seat.disturbances.lock().unwrap().clone());
+        let instances = self.instances.iter();
+        let times = instances.map(|instance| instance.disturbances.lock().unwrap().clone());
         times.collect()
     }
 
     /// Tells callers to end.
-    pub fn end_callers(&self) {
-        self.ended.store(true, Ordering::SeqCst);
+    pub fn stop_callers(&self) {
+        self.callers_stopped.store(true, Ordering::SeqCst);
     }
 
     /// Whether callers are to end.
-    pub fn ended(&self) -> bool {
-        self.ended.load(Ordering::SeqCst)
+    pub fn callers_stopped(&self) -> bool {
+        self.callers_stopped.load(Ordering::SeqCst)
     }
 }
 
-impl Seat {
+impl Instance {
     /// Notes that its process is disturbed by a signal now.
-    pub fn disturb(&self) {
+    pub fn record_disturbance(&self) {
         self.disturbances.lock().unwrap().push(Instant::now());
     }
 
     /// Whether its process was disturbed since shortly before `begun`.
-    pub fn disturbed_since(&self, begun: Instant) -> bool {
+    pub fn was_disturbed_since(&self, start: Instant) -> bool {
         let disturbances = self.disturbances.lock().unwrap();
         let last = disturbances.last();
-        last.is_some_and(|last| *last + DISTURBED > begun)
+        last.is_some_and(|last| *last + DISTURBANCE_MARGIN > start)
     }
 
     /// A new process for it.
@@ -261,7 +272,7 @@
         let daemon = Daemon::start_with_settings(
             &self.name,
             &self.ip,
-            self.store.address,
+            self.store_proxy.address,
             &[],
             &customer::settings(),
         );
@@ -269,23 +280,23 @@
         wait_until("the daemon starts", || {
             !daemon.logged("starting").is_empty()
         });
-        self.disturb();
+        self.record_disturbance();
         daemon
     }
 }
 
-fn seat(ip: &str, ips: &[String], store: SocketAddr, seed: u64) -> Seat {
-    let store = Proxy::start(store);
+fn start_instance(ip: &str, ips: &[String], store: SocketAddr, seed: u64) -> Instance {
+    let store_proxy = Proxy::start(store);
     let name = format!("soak-{seed}-{}", ip.rsplit('.').next().unwrap_or_default());
     let seeds: Vec<&str> = ips.iter().map(String::as_str).collect();
     let settings = format!("first_start: true\n{}", customer::settings());
-    let daemon = Daemon::start_with_settings(&name, ip, store.address, &seeds, &settings);
-    Seat {
+    let daemon = Daemon::start_with_settings(&name, ip, store_proxy.address, &seeds, &settings);
+    Instance {
         callers: daemon.callers,
         daemon: Mutex::new(daemon),
         name,
         ip: ip.to_owned(),
-        store,
+        store_proxy,
         disturbances: Mutex::new(vec![Instant::now()]),
     }
 }
--- a/crates/gateway/tests/soak/customer.rs
+++ b/crates/gateway/tests/soak/customer.rs
@@ -9,8 +9,8 @@
 use crate::common::http::Message;
 
 /// Tokens of each request, as its head tells, and as counted against a quota.
-pub const TOKENS: &str = "100,20";
-const COUNTED: f64 = 120.0;
+pub const TOKEN_COUNTS: &str = "100,20";
+const TOKENS_PER_REQUEST: f64 = 120.0;
 /// Tokens that the customer with a quota may use a second, and at once.
 const RATE: f64 = 600.0;
 /// Time over which a quota is judged.
@@ -25,18 +25,18 @@
     /// Has a quota.
     Limited,
     /// Has none.
-    Free,
+    Unlimited,
     /// Is none: its key was never given out.
-    Stranger,
+    Unknown,
 }
 
 impl Customer {
     /// The customer of the request with this number.
-    pub const fn of(number: usize) -> Self {
+    pub const fn for_request(number: usize) -> Self {
         match number % 16 {
-            15 => Self::Stranger,
+            15 => Self::Unknown,
             odd if odd % 2 == 1 => Self::Limited,
-            _ => Self::Free,
+            _ => Self::Unlimited,
         }
     }
 
@@ -44,8 +44,8 @@
     pub const fn key(self) -> &'static str {
         match self {
             Self::Limited => "r6w2kq9vt3xz8n5hjd4m",
-            Self::Free => "b7f3yc8pg5sa2u9ek6lw",
-            Self::Stranger => "x1x1x1x1x1x1x1x1x1x1",
+            Self::Unlimited => "b7f3yc8pg5sa2u9ek6lw",
+            Self::Unknown => "x1x1x1x1x1x1x1x1x1x1",
         }
     }
 
@@ -53,8 +53,8 @@
     pub const fn name(self) -> &'static str {
         match self {
             Self::Limited => "limited",
-            Self::Free => "free",
-            Self::Stranger => "stranger",
+            Self::Unlimited => "free",
+            Self::Unknown => "stranger",
         }
     }
 
@@ -66,11 +66,11 @@
 
 /// What the configuration says of customers.
 pub fn config() -> Value {
-    let (limited, free) = (Customer::Limited, Customer::Free);
+    let (limited, unlimited) = (Customer::Limited, Customer::Unlimited);
     json!([
-        {"name": limited.name(), "api-keys": [limited.key()], "unit": "token_count", "plain-tokens": COUNTED as u64,
-            "rate-per-s": RATE, "burst": RATE},
-        {"name": free.name(), "api-keys": [free.key()]},
+        {"name": limited.name(), "api-keys": [limited.key()], "unit": "token_count",
+            "plain-tokens": TOKENS_PER_REQUEST as u64, "rate-per-s": RATE, "burst": RATE},
+        {"name": unlimited.name(), "api-keys": [unlimited.key()]},
     ])
 }
 
@@ -81,7 +81,7 @@
 }
 
 /// What is wrong with whom `request` names, as a replica sees it.
-pub fn fault(request: &Message) -> Option<String> {
+pub fn header_fault(request: &Message) -> Option<String> {
     let id = request.header("request-id").unwrap_or_default();
     let named = request.header("tenant").unwrap_or_default();
     let owner = id.split('-').next().unwrap_or_default();
@@ -95,13 +95,13 @@
 /// Whether the runs of the customer with a quota, by when they began, are more than is tolerated in any window.
 pub fn excess(runs: &[Instant]) -> Option<String> {
     let quota = RATE * WINDOW.as_secs_f64() + RATE;
-    let most = quota * (1.0 + EXCESS) + SLACK;
+    let allowed = quota * (1.0 + EXCESS) + SLACK;
     let in_window = |first: &Instant| {
         let inside = runs
             .iter()
             .filter(|run| *run >= first && **run < *first + WINDOW);
-        inside.count() as f64 * COUNTED
+        inside.count() as f64 * TOKENS_PER_REQUEST
     };
     let worst = runs.iter().map(in_window).fold(0.0, f64::max);
-    (worst > most).then(|| format!("QUOTA: {worst} tokens in a window of {most}"))
+    (worst > allowed).then(|| format!("QUOTA: {worst} tokens in a window of {allowed}"))
 }
--- a/crates/gateway/tests/soak/faults.rs
+++ b/crates/gateway/tests/soak/faults.rs
@@ -9,88 +9,101 @@
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
 
-use crate::proxy::Harm;
-use crate::world::DAEMONS;
-use crate::world::World;
+use crate::cluster::Cluster;
+use crate::cluster::DAEMONS;
+use crate::proxy::ConnectionFault;
 
 /// Causes faults for `span`, then waits for those that end by themselves.
-pub fn run(world: &World, seed: u64, span: Duration) {
+pub fn run(cluster: &Cluster, seed: u64, duration: Duration) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let end = Instant::now() + span;
+    let end = Instant::now() + duration;
     let mut running = Vec::new();
     while Instant::now() < end {
-        let fault = rng.random_range(0..9);
-        let seat = rng.random_range(0..DAEMONS);
-        let way = rng.random_range(0..8);
+        let kind = rng.random_range(0..9);
+        let instance = rng.random_range(0..DAEMONS);
+        let replica = rng.random_range(0..8);
         let length = Duration::from_millis(rng.random_range(200..1_800));
-        let harm = [
-            Harm::Delay(length / 8),
-            Harm::Reset,
-            Harm::Silence,
-            Harm::OneWay,
+        let connection_fault = [
+            ConnectionFault::Delay(length / 8),
+            ConnectionFault::Reset,
+            ConnectionFault::Stall,
+            ConnectionFault::StallReplies,
         ];
-        let harm = harm[rng.random_range(0..4)];
-        let world = world.clone();
-        running.push(thread::spawn(move || match fault {
-            0 => pause(&world, seat, length),
-            1 => kill(&world, seat, length),
-            2 => stop(&world, seat),
-            3 => signal(&world, seat, Signal::HUP),
+        let connection_fault = connection_fault[rng.random_range(0..4)];
+        let cluster = cluster.clone();
+        running.push(thread::spawn(move || match kind {
+            0 => pause(&cluster, instance, length),
+            1 => kill(&cluster, instance, length),
+            2 => restart(&cluster, instance),
+            3 => signal(&cluster, instance, Signal::HUP),
             4 => {
-                world.store.set_down(true);
+                cluster.store.set_down(true);
                 thread::sleep(length);
-                world.store.set_down(false);
+                cluster.store.set_down(false);
             }
             5 => {
-                world.seats[seat].store.set(harm);
+                cluster.instances[instance]
+                    .store_proxy
+                    .set_fault(connection_fault);
                 thread::sleep(length);
-                world.seats[seat].store.set(Harm::None);
+                cluster.instances[instance]
+                    .store_proxy
+                    .set_fault(ConnectionFault::None);
             }
-            6 => world.change_config(),
-            7 => world.replace_replica(way),
+            6 => cluster.change_config(),
+            7 => cluster.replace_replica(replica),
             _ => {
-                let proxy = world.ways.lock().unwrap().get(way).map(|way| way.1.clone());
+                let proxy = cluster
+                    .replicas
+                    .lock()
+                    .unwrap()
+                    .get(replica)
+                    .map(|entry| entry.1.clone());
                 // One that ended just now needs no harm.
                 if let Some(proxy) = proxy {
-                    proxy.set(harm);
+                    proxy.set_fault(connection_fault);
                     thread::sleep(length);
-                    proxy.set(Harm::None);
+                    proxy.set_fault(ConnectionFault::None);
                 }
             }
         }));
         thread::sleep(Duration::from_millis(rng.random_range(50..700)));
     }
-    for fault in running {
-        fault.join().unwrap();
+    for thread in running {
+        thread.join().unwrap();
     }
 }
 
-fn signal(world: &World, seat: usize, signal: Signal) {
-    world.seats[seat].daemon.lock().unwrap().signal(signal);
+fn signal(cluster: &Cluster, instance: usize, signal: Signal) {
+    cluster.instances[instance]
+        .daemon
+        .lock()
+        .unwrap()
+        .signal(signal);
 }
 
-fn pause(world: &World, seat: usize, length: Duration) {
+fn pause(cluster: &Cluster, instance: usize, duration: Duration) {
     // Held for the whole pause, so that the process is not replaced meanwhile.
-    let daemon = world.seats[seat].daemon.lock().unwrap();
-    world.seats[seat].disturb();
+    let daemon = cluster.instances[instance].daemon.lock().unwrap();
+    cluster.instances[instance].record_disturbance();
     daemon.signal(Signal::STOP);
-    thread::sleep(length);
+    thread::sleep(duration);
     daemon.signal(Signal::CONT);
-    world.seats[seat].disturb();
+    cluster.instances[instance].record_disturbance();
 }
 
-fn kill(world: &World, seat: usize, length: Duration) {
-    let mut daemon = world.seats[seat].daemon.lock().unwrap();
-    world.seats[seat].disturb();
+fn kill(cluster: &Cluster, instance: usize, duration: Duration) {
+    let mut daemon = cluster.instances[instance].daemon.lock().unwrap();
+    cluster.instances[instance].record_disturbance();
     daemon.kill();
-    thread::sleep(length / 4);
-    *daemon = world.seats[seat].start();
+    thread::sleep(duration / 4);
+    *daemon = cluster.instances[instance].start();
 }
 
-fn stop(world: &World, seat: usize) {
-    let mut daemon = world.seats[seat].daemon.lock().unwrap();
-    world.seats[seat].disturb();
+fn restart(cluster: &Cluster, instance: usize) {
+    let mut daemon = cluster.instances[instance].daemon.lock().unwrap();
+    cluster.instances[instance].record_disturbance();
     daemon.signal(Signal::TERM);
     daemon.wait_for_exit();
-    *daemon = world.seats[seat].start();
+    *daemon = cluster.instances[instance].start();
 }
--- a/crates/gateway/tests/soak/limit.rs
+++ b/crates/gateway/tests/soak/limit.rs
@@ -18,15 +18,15 @@
 const TOLERANCE_REQUESTS: f64 = 5.0;
 
 /// Adds the limit header to the answer of `Send`, `SendAndClose` and `SendSlowly`; other acts stay unchanged.
-pub fn add_limit_header(act: Action) -> Action {
-    match act {
+pub fn add_limit_header(action: Action) -> Action {
+    match action {
         Action::Send(bytes) => Action::Send(insert_limit_header(&bytes)),
         Action::SendAndClose(bytes) => Action::SendAndClose(insert_limit_header(&bytes)),
         Action::SendSlowly(mut parts, pause) => {
             parts[0] = insert_limit_header(&parts[0]);
             Action::SendSlowly(parts, pause)
         }
-        act => act,
+        action => action,
     }
 }
 
--- a/crates/gateway/tests/soak/main.rs
+++ b/crates/gateway/tests/soak/main.rs
@@ -11,25 +11,25 @@
 mod common;
 
 mod callers;
+mod cluster;
 mod customer;
 mod faults;
-mod ledger;
+mod history;
 mod limit;
 mod proxy;
 mod script;
-mod world;
 
 use std::env;
 use std::thread;
 use std::time::Duration;
 
-use crate::callers::Idle;
+use crate::callers::IdleState;
+use crate::cluster::Cluster;
+use crate::cluster::KillOnDrop;
 use crate::common::caller::Caller;
 use crate::common::daemon::wait_until;
 use crate::common::http;
 use crate::common::http::Server;
-use crate::world::End;
-use crate::world::World;
 
 /// Seeds of a run without `SOAK_SEEDS`. Beside the first, seeds that failed once:
 /// 101: SIGHUP came before the daemon took signals and ended it.
@@ -43,10 +43,10 @@
 /// Callers that send at the same time.
 const CALLERS: u64 = 6;
 /// Time after the last fault in which everything has to work again.
-const RECOVERY: Duration = Duration::from_secs(12);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Time after the faults from which on the daemons have to know what each of them saw.
-const IN_TOUCH: Duration = Duration::from_secs(3);
+const SYNC_TIME: Duration = Duration::from_secs(3);
 
 fn seeds() -> Vec<u64> {
     let Ok(text) = env::var("SOAK_SEEDS") else {
@@ -65,15 +65,19 @@
 fn promises_hold_under_random_faults() {
     let mut failed = Vec::new();
     for seed in seeds() {
-        let broken = run(seed);
+        let violations = run(seed);
         println!(
             "seed {seed}: {}",
-            if broken.is_empty() { "held" } else { "BROKEN" }
+            if violations.is_empty() {
+                "held"
+            } else {
+                "BROKEN"
+            }
         );
-        for line in &broken {
+        for line in &violations {
             println!("  {line}");
         }
-        if !broken.is_empty() {
+        if !violations.is_empty() {
             failed.push(seed);
         }
     }
@@ -81,7 +85,7 @@
 }
 
 #[test]
-fn what_nobody_asked_for_is_noticed_on_a_kept_connection() {
+fn unsolicited_bytes_on_an_idle_connection_are_detected() {
     let server = Server::start("127.0.0.1", |socket| {
         while let Ok(Some(request)) = http::read(socket) {
             let answers = 1 + usize::from(request.path() == "/twice");
@@ -90,62 +94,65 @@
     });
     let mut caller = Caller::new(server.address).unwrap();
     assert!(caller.send_and_read("GET /once", &[], b"").complete);
-    assert_eq!(Idle::look(&caller), Idle::Open);
+    assert_eq!(IdleState::check(&caller), IdleState::Open);
     assert!(caller.send_and_read("GET /twice", &[], b"").complete);
-    assert!(matches!(Idle::look(&caller), Idle::Unasked(_)));
+    assert!(matches!(
+        IdleState::check(&caller),
+        IdleState::Unsolicited(_)
+    ));
     let other = Caller::new(server.address).unwrap();
     server.stop();
     wait_until("the connection is closed", || {
-        Idle::look(&other) == Idle::Closed
+        IdleState::check(&other) == IdleState::Closed
     });
 }
 
 /// One run; gives the promises that were broken.
 fn run(seed: u64) -> Vec<String> {
-    let world = World::start(seed, env::var_os("SOAK_ONLY_DOUBLED").is_some());
-    let _end = End(world.clone());
+    let cluster = Cluster::start(seed, env::var_os("SOAK_ONLY_DOUBLED").is_some());
+    let _end = KillOnDrop(cluster.clone());
     let callers: Vec<_> = (0..CALLERS)
         .map(|number| {
-            let world = world.clone();
-            thread::spawn(move || callers::run(&world, seed * 1_000 + number))
+            let cluster = cluster.clone();
+            thread::spawn(move || callers::run(&cluster, seed * 1_000 + number))
         })
         .collect();
-    let span = Duration::from_secs(seconds());
-    if world.only_doubled {
-        thread::sleep(span);
+    let duration = Duration::from_secs(seconds());
+    if cluster.only_second_answers {
+        thread::sleep(duration);
     } else {
-        cause_faults(&world, seed, span);
+        cause_faults(&cluster, seed, duration);
     }
-    world.end_callers();
+    cluster.stop_callers();
     for caller in callers {
         caller.join().unwrap();
     }
-    let mut broken = Vec::new();
-    if !world.only_doubled {
-        broken.extend(callers::recovers(&world, RECOVERY).err());
-        thread::sleep(IN_TOUCH);
-        broken.extend(callers::is_quarantined(&world).err());
+    let mut violations = Vec::new();
+    if !cluster.only_second_answers {
+        violations.extend(callers::check_recovery(&cluster, RECOVERY_TIMEOUT).err());
+        thread::sleep(SYNC_TIME);
+        violations.extend(callers::check_quarantine(&cluster).err());
     }
     // What is still at work at a replica shows within its longest answer.
     thread::sleep(Duration::from_millis(1_500));
-    broken.extend(world.ledger.broken());
-    broken.extend(world.ledger.exceeded_limits(&world.disturbances()));
+    violations.extend(cluster.history.broken_promises());
+    violations.extend(cluster.history.exceeded_limits(&cluster.disturbances()));
     println!(
         "seed {seed}: {}; {} answers known as another request's",
-        world.ledger.summary(),
-        world.refused_answers()
+        cluster.history.summary(),
+        cluster.rejected_answers()
     );
-    broken
+    violations
 }
 
 /// Causes all kinds of faults for `span`.
-fn cause_faults(world: &World, seed: u64, span: Duration) {
+fn cause_faults(cluster: &Cluster, seed: u64, duration: Duration) {
     let fatal = {
-        let world = world.clone();
-        thread::spawn(move || callers::run_fatal(&world, seed))
+        let cluster = cluster.clone();
+        thread::spawn(move || callers::run_fatal(&cluster, seed))
     };
-    faults::run(world, seed, span);
-    world.heal();
-    world.end_callers();
+    faults::run(cluster, seed, duration);
+    cluster.clear_faults();
+    cluster.stop_callers();
     fatal.join().unwrap();
 }
--- a/crates/gateway/tests/soak/proxy.rs
+++ b/crates/gateway/tests/soak/proxy.rs
@@ -16,7 +16,7 @@
 
 /// What happens to connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Harm {
+pub enum ConnectionFault {
     /// Nothing.
     None,
     /// Bytes take longer, both ways.
@@ -24,9 +24,9 @@
     /// Connections are reset as soon as bytes come.
     Reset,
     /// Bytes wait until the harm is over, both ways.
-    Silence,
+    Stall,
     /// The same, on the way back only.
-    OneWay,
+    StallReplies,
 }
 
 /// A proxy for one address.
@@ -34,33 +34,33 @@
 pub struct Proxy {
     /// Where it listens.
     pub address: SocketAddr,
-    harm: Arc<Mutex<Harm>>,
+    fault: Arc<Mutex<ConnectionFault>>,
     server: Server,
 }
 
 impl Proxy {
     /// A proxy for `target`.
     pub fn start(target: SocketAddr) -> Self {
-        let harm = Arc::new(Mutex::new(Harm::None));
-        let shared = Arc::clone(&harm);
+        let fault = Arc::new(Mutex::new(ConnectionFault::None));
+        let shared = Arc::clone(&fault);
         let server = Server::start("127.0.0.1", move |socket| {
-            let Ok(other) = TcpStream::connect(target) else {
+            let Ok(target_socket) = TcpStream::connect(target) else {
                 return;
             };
-            let (Ok(from), Ok(to)) = (socket.try_clone(), other.try_clone()) else {
+            let (Ok(from), Ok(to)) = (socket.try_clone(), target_socket.try_clone()) else {
                 return;
             };
-            let harm = Arc::clone(&shared);
-            let back = thread::spawn(move || copy(other, from, &harm, true));
+            let fault = Arc::clone(&shared);
+            let replies = thread::spawn(move || forward(target_socket, from, &fault, true));
             if let Ok(socket) = socket.try_clone() {
-                copy(socket, to, &shared, false);
+                forward(socket, to, &shared, false);
             }
-            drop(back.join());
+            drop(replies.join());
         });
         let address = server.address;
         Self {
             address,
-            harm,
+            fault,
             server,
         }
     }
@@ -71,22 +71,27 @@
     }
 
     /// Harms connections from now on.
-    pub fn set(&self, harm: Harm) {
-        *self.harm.lock().unwrap() = harm;
+    pub fn set_fault(&self, fault: ConnectionFault) {
+        *self.fault.lock().unwrap() = fault;
     }
 }
 
-fn copy(mut from: TcpStream, mut to: TcpStream, harm: &Mutex<Harm>, back: bool) {
+fn forward(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    fault: &Mutex<ConnectionFault>,
+    from_target: bool,
+) {
     let mut buffer = [0; 16 * 1024];
     while let Ok(count) = from.read(&mut buffer) {
-        if count == 0 || !pass(harm, back) {
+        if count == 0 || !apply_fault(fault, from_target) {
             break;
         }
         if to.write_all(&buffer[..count]).is_err() {
             break;
         }
     }
-    if *harm.lock().unwrap() == Harm::Reset {
+    if *fault.lock().unwrap() == ConnectionFault::Reset {
         // Closing with this set resets the connection.
         drop(SockRef::from(&to).set_linger(Some(Duration::ZERO)));
     }
@@ -95,18 +100,20 @@
 }
 
 /// Waits as the harm asks; `false` if the connection is to be reset.
-fn pass(harm: &Mutex<Harm>, back: bool) -> bool {
+fn apply_fault(fault: &Mutex<ConnectionFault>, from_target: bool) -> bool {
     loop {
-        let now = *harm.lock().unwrap();
-        match now {
-            Harm::None => return true,
-            Harm::Reset => return false,
-            Harm::Delay(span) => {
-                thread::sleep(span);
+        let current = *fault.lock().unwrap();
+        match current {
+            ConnectionFault::None => return true,
+            ConnectionFault::Reset => return false,
+            ConnectionFault::Delay(delay) => {
+                thread::sleep(delay);
                 return true;
             }
-            Harm::OneWay if !back => return true,
-            Harm::Silence | Harm::OneWay => thread::sleep(Duration::from_millis(20)),
+            ConnectionFault::StallReplies if !from_target => return true,
+            ConnectionFault::Stall | ConnectionFault::StallReplies => {
+                thread::sleep(Duration::from_millis(20));
+            }
         }
     }
 }
--- a/crates/gateway/tests/soak/script.rs
+++ b/crates/gateway/tests/soak/script.rs
@@ -16,42 +16,42 @@
 use crate::common::replica::not_run_answer;
 use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
-use crate::ledger::EVENTS;
-use crate::ledger::Ledger;
+use crate::history::History;
+use crate::history::STREAM_EVENTS;
 
 /// Part of the answers that come twice.
-const DOUBLED: f64 = 0.1;
+const SECOND_ANSWER_FRACTION: f64 = 0.1;
 /// Longest time in ms after which a second answer comes by itself.
-const MAX_LATE_MS: f64 = 50.0;
+const MAX_SECOND_ANSWER_DELAY_MS: f64 = 50.0;
 /// Part of the answers that bear the id of no request.
-const STRAY: f64 = 0.02;
+const UNKNOWN_ID_FRACTION: f64 = 0.02;
 /// Id of no request.
-const NOBODY: &str = "nobody";
+const UNKNOWN_ID: &str = "nobody";
 /// A draw at which a replica serves as it should.
 const NO_FAULT: f64 = 1.0;
 
 /// The draws of one replica.
-pub struct Chance {
+pub struct RandomSource {
     rng: Mutex<(Pcg64Mcg, Pcg64Mcg)>,
-    calm: bool,
+    fault_free: bool,
 }
 
-impl Chance {
+impl RandomSource {
     /// Draws by `seed`; nothing goes wrong if `calm`.
-    pub fn new(seed: u64, calm: bool) -> Self {
+    pub fn new(seed: u64, fault_free: bool) -> Self {
         let rngs = (
             Pcg64Mcg::seed_from_u64(seed),
             Pcg64Mcg::seed_from_u64(seed.wrapping_mul(31).wrapping_add(7)),
         );
         Self {
             rng: Mutex::new(rngs),
-            calm,
+            fault_free,
         }
     }
 
     /// Two numbers from 0 to 1.
     pub fn draw(&self) -> (f64, f64) {
-        if self.calm {
+        if self.fault_free {
             return (NO_FAULT, NO_FAULT);
         }
         let mut rng = self.rng.lock().unwrap();
@@ -60,38 +60,47 @@
 }
 
 /// How the second answer to a request comes, if there is one.
-pub fn second((draw, way): (f64, f64)) -> Option<SecondAnswer> {
-    let wait = Duration::from_millis(1 + (draw / DOUBLED * (MAX_LATE_MS - 1.0)) as u64);
-    let (wait, parts) = match way {
-        way if way < 0.5 => (None, 1),
-        way if way < 0.8 => (Some(wait), 1),
+pub fn second_answer((draw, timing_draw): (f64, f64)) -> Option<SecondAnswer> {
+    let wait = Duration::from_millis(
+        1 + (draw / SECOND_ANSWER_FRACTION * (MAX_SECOND_ANSWER_DELAY_MS - 1.0)) as u64,
+    );
+    let (wait, parts) = match timing_draw {
+        timing_draw if timing_draw < 0.5 => (None, 1),
+        timing_draw if timing_draw < 0.8 => (Some(wait), 1),
         _ => (Some(wait), 2),
     };
-    (draw < DOUBLED).then_some(SecondAnswer { delay: wait, parts })
+    (draw < SECOND_ANSWER_FRACTION).then_some(SecondAnswer { delay: wait, parts })
 }
 
 /// Name of the KV cache of the request `id`.
-pub fn handle(id: &str) -> String {
+pub fn cache_handle(id: &str) -> String {
     format!("k-{id}")
 }
 
 /// What a replica does with `request`; `odd` draws answers that are no proper ones.
-pub fn serve(ledger: &Ledger, stage: &str, request: &Message, (draw, odd): (f64, f64)) -> Action {
-    if let Some(act) = own_call(request) {
-        return act;
+pub fn choose_action(
+    history: &History,
+    stage: &str,
+    request: &Message,
+    (draw, malformed_draw): (f64, f64),
+) -> Action {
+    if let Some(action) = answer_control_call(request) {
+        return action;
     }
-    let act = match stage {
-        "prefill" => return stray(read(request, draw), odd),
-        _ if draw < 0.06 => return stray(Action::Send(not_run_answer(request)), odd),
+    let action = match stage {
+        "prefill" => return maybe_replace_id(prefill(request, draw), malformed_draw),
+        _ if draw < 0.06 => {
+            return maybe_replace_id(Action::Send(not_run_answer(request)), malformed_draw);
+        }
         "decode" => generate(request, draw),
-        _ => call(request, draw, odd),
+        _ => answer_call(request, draw, malformed_draw),
     };
-    ledger.ran(id(request));
-    stray(act, odd)
+    history.record_run(request_id(request));
+    maybe_replace_id(action, malformed_draw)
 }
 
 /// The answer to a call of the platform's own, which names no request.
-fn own_call(request: &Message) -> Option<Action> {
+fn answer_control_call(request: &Message) -> Option<Action> {
     match request.path() {
         "/api/order" => Some(Action::Send(answer(202, &[], b""))),
         "/api/kv-move" => Some(Action::Send(answer(404, &[], b""))),
@@ -100,33 +109,34 @@
     }
 }
 
-fn id(request: &Message) -> &str {
+fn request_id(request: &Message) -> &str {
     request.header("request-id").unwrap_or_default()
 }
 
 /// Reads a prompt.
-fn read(request: &Message, draw: f64) -> Action {
-    let told = json!({"kv-handle": handle(id(request)), "tokens": 1, "version": 1}).to_string();
-    let bytes = answer(200, &[("request-id", id(request))], told.as_bytes());
+fn prefill(request: &Message, draw: f64) -> Action {
+    let body = json!({"kv-handle": cache_handle(request_id(request)), "tokens": 1, "version": 1})
+        .to_string();
+    let bytes = answer(200, &[("request-id", request_id(request))], body.as_bytes());
     match draw {
         d if d < 0.05 => Action::Send(not_run_answer(request)),
         d if d < 0.08 => Action::SendAndClose(Vec::new()),
         d if d < 0.10 => Action::SendAndClose(bytes[..bytes.len() - 1].to_vec()),
-        d if d < 0.12 => Action::Send(answer(421, &[("request-id", id(request))], b"")),
+        d if d < 0.12 => Action::Send(answer(421, &[("request-id", request_id(request))], b"")),
         _ => Action::Send(bytes),
     }
 }
 
 /// Streams the events of a generation.
 fn generate(request: &Message, draw: f64) -> Action {
-    let last: u64 = request
+    let last_id: u64 = request
         .header("last-event-id")
         .map_or(0, |id| id.parse().unwrap());
-    let broken = draw < 0.12 && last + 5 < EVENTS;
-    let end = if broken { last + 5 } else { EVENTS };
+    let is_cut = draw < 0.12 && last_id + 5 < STREAM_EVENTS;
+    let end = if is_cut { last_id + 5 } else { STREAM_EVENTS };
     let mut parts = vec![stream_head(request)];
-    parts.extend((last + 1..=end).map(|number| event(number, id(request))));
-    if broken {
+    parts.extend((last_id + 1..=end).map(|number| event(number, request_id(request))));
+    if is_cut {
         return Action::SendAndClose(parts.concat());
     }
     parts.push(chunk(b""));
@@ -134,16 +144,20 @@
 }
 
 /// Answers a call.
-fn call(request: &Message, draw: f64, odd: f64) -> Action {
-    let slow = Duration::from_millis((draw * 100.0) as u64);
-    let bytes = signed_answer(request, 200, id(request).as_bytes());
+fn answer_call(request: &Message, draw: f64, malformed_draw: f64) -> Action {
+    let delay = Duration::from_millis((draw * 100.0) as u64);
+    let bytes = signed_answer(request, 200, request_id(request).as_bytes());
     match draw {
         d if d < 0.08 => Action::SendAndClose(Vec::new()),
         d if d < 0.10 => Action::SendAndClose(bytes[..40].to_vec()),
         d if d < 0.16 => Action::Send(signed_answer(request, 500, b"failure")),
-        _ if odd > 0.96 && odd < 0.98 => Action::SendAndClose(bytes[..bytes.len() - 1].to_vec()),
-        _ if odd > 0.98 && odd < 1.0 => Action::SendAndClose(without_length(&bytes)),
-        _ => Action::SendSlowly(vec![bytes], slow),
+        _ if malformed_draw > 0.96 && malformed_draw < 0.98 => {
+            Action::SendAndClose(bytes[..bytes.len() - 1].to_vec())
+        }
+        _ if malformed_draw > 0.98 && malformed_draw < 1.0 => {
+            Action::SendAndClose(without_length(&bytes))
+        }
+        _ => Action::SendSlowly(vec![bytes], delay),
     }
 }
 
@@ -156,22 +170,24 @@
 }
 
 /// The same answer with the id of no request, by chance.
-fn stray(act: Action, odd: f64) -> Action {
-    match act {
-        Action::Send(bytes) if odd < STRAY => Action::Send(renamed(&bytes)),
-        Action::SendSlowly(mut parts, pause) if odd < STRAY => {
-            parts[0] = renamed(&parts[0]);
+fn maybe_replace_id(action: Action, malformed_draw: f64) -> Action {
+    match action {
+        Action::Send(bytes) if malformed_draw < UNKNOWN_ID_FRACTION => {
+            Action::Send(with_unknown_id(&bytes))
+        }
+        Action::SendSlowly(mut parts, pause) if malformed_draw < UNKNOWN_ID_FRACTION => {
+            parts[0] = with_unknown_id(&parts[0]);
             Action::SendSlowly(parts, pause)
         }
-        act => act,
+        action => action,
     }
 }
 
-fn renamed(answer: &[u8]) -> Vec<u8> {
+fn with_unknown_id(answer: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(answer);
     let lines = text.split_inclusive("\r\n");
     let lines = lines.map(|line| match line {
-        line if line.starts_with("request-id: ") => format!("request-id: {NOBODY}\r\n"),
+        line if line.starts_with("request-id: ") => format!("request-id: {UNKNOWN_ID}\r\n"),
         line => line.to_owned(),
     });
     lines.collect::<String>().into_bytes()
