--- a/crates/gateway/tests/soak/callers.rs
+++ b/crates/gateway/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers, who send one request after another and note what they are told.
+//! Callers that send one request after another and record the responses.
 
 use std::io::ErrorKind;
 use std::thread;
@@ -19,26 +19,26 @@
 use crate::history::Kind;
 use crate::history::ResponseRecord;
 
-/// How long a caller waits for the end of an answer.
+/// Time limit of each request, sent as `Deadline-Ms`.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Replicas that may end under one request.
+/// Replicas that may end under one request before it is quarantined.
 const MAX_ENDED_REPLICAS: usize = 3;
-/// Sends of it that may reach replicas after that: a daemon that was killed takes with it what it alone had seen.
+/// Sends of this request that may still reach replicas afterwards: a killed daemon loses what only it had observed.
 const MAX_LATE_SENDS: usize = 3;
-/// Times that it is sent to bring about what is to be seen.
+/// Number of times that it is sent to bring about the quarantine.
 const MAX_FATAL_REQUESTS: usize = 10;
-/// Seconds that no other refusal tells a caller to stay away.
+/// `Retry-After` in seconds that only the refusal of a quarantined request exceeds.
 const QUARANTINE_RETRY_AFTER_S: f64 = 3_600.0;
-/// Time in which all daemons know that a replica ended: the row of one that ends is removed after 1.3 s.
+/// Time until all daemons know that a replica ended: its row is removed after at most 1.3 s.
 const REPORT_TIME: Duration = Duration::from_secs(3);
-/// Log lines that are shown of a daemon that does not serve.
+/// Log lines that are printed of a daemon that does not recover.
 const MAX_PRINTED_LINES: usize = 12;
-/// Bytes that are shown of what nobody asked for.
+/// Unsolicited bytes that are printed.
 const MAX_PRINTED_BYTES: usize = 200;
-/// Requests of each kind that have to be served at each daemon in the end.
+/// Requests of each kind that each daemon must serve after the faults.
 const RECOVERY_REQUESTS: usize = 5;
 
-/// Sends requests until the run ends.
+/// Sends requests until the callers are stopped.
 pub fn run(cluster: &Cluster, seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut number = 0;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Sends the request under which replicas end, each attempt with an id of its own, until the run ends.
+/// Sends the request under which replicas end, each time with a new id, until the callers are stopped.
 pub fn run_fatal(cluster: &Cluster, seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     while !cluster.callers_stopped() {
@@ -74,11 +74,11 @@
     }
 }
 
-/// Whether the request under which replicas end reaches none any more, wherever it comes, but for a few sends:
-/// three have ended, or were silent for a second while at work, and the daemons were in touch for some seconds.
+/// Checks that, but for a few sends, the request under which replicas end reaches none from any daemon: three have
+/// ended, or were silent for a second while they ran it, and the daemons have had some seconds to exchange this.
 ///
 /// # Errors
-/// How many it reached.
+/// Returns how many replicas it reached.
 pub fn check_quarantine(cluster: &Cluster) -> Result<(), String> {
     for _ in 0..MAX_FATAL_REQUESTS {
         if cluster.history.ended_replicas() >= MAX_ENDED_REPLICAS
@@ -95,14 +95,14 @@
     match cluster.history.fatal_sends() - before {
         0..=MAX_LATE_SENDS => Ok(()),
         sends => Err(format!(
-            "a request under which {} replicas ended reached {sends} more; the daemons' lines of it:\n    {}",
+            "a request under which {} replicas ended reached {sends} more; log lines of the daemons:\n    {}",
             cluster.history.ended_replicas(),
             quarantine_log_lines(cluster).join("\n    ")
         )),
     }
 }
 
-/// What the daemons logged of replicas that ended while at work.
+/// Log lines of the daemons about replicas that ended while they ran a request.
 fn quarantine_log_lines(cluster: &Cluster) -> Vec<String> {
     let kinds = ["suspect", "quarantine", "inquiry"].map(|kind| format!("\"kind\":\"{kind}\""));
     let lines = cluster.instances.iter().flat_map(|instance| {
@@ -119,7 +119,7 @@
     Customer::Unlimited.id(&format!("fatal-{}", rand::random::<u64>()))
 }
 
-/// Whether the caller is told to stay away, as long as only a quarantined request is.
+/// Whether `response` refuses a quarantined request.
 fn is_quarantine_refusal(response: &Message) -> bool {
     let seconds = response.header("retry-after").and_then(|s| s.parse().ok());
     response.status() == 503
@@ -141,10 +141,10 @@
     }
 }
 
-/// Whether all daemons serve every kind of request again within `limit`.
+/// Checks that all daemons serve every kind of request again within `timeout`.
 ///
 /// # Errors
-/// What is not served.
+/// Returns the kind of request that a daemon does not serve.
 pub fn check_recovery(cluster: &Cluster, timeout: Duration) -> Result<(), String> {
     let end = Instant::now() + timeout;
     for instance in 0..DAEMONS {
@@ -168,7 +168,7 @@
                     let lines = daemon.logged("").into_iter().rev().take(MAX_PRINTED_LINES);
                     let lines: Vec<String> = lines.collect();
                     return Err(format!(
-                        "daemon {instance} does not serve {:?} ({} times) but answers `{}`; last lines, newest first:\n    {}",
+                        "daemon {instance} does not serve {:?} ({} requests sent), last answer `{}`; log lines, newest first:\n    {}",
                         nth_kind(number),
                         tries,
                         response.line,
@@ -190,7 +190,7 @@
     }
 }
 
-/// Sends a request on the `open` connection, if the daemon keeps it, and keeps the one that it used.
+/// Sends a request, on `connection` if it is usable, and stores the connection that it used there for the next one.
 fn send_request(
     cluster: &Cluster,
     instance: usize,
@@ -237,25 +237,25 @@
     response
 }
 
-/// Whether the connection can be used after this answer.
+/// Whether the connection can be used again after this response.
 fn is_reusable(response: &Message) -> bool {
     let closes = response.header("connection") == Some("close");
     response.status() != 0 && response.complete && !closes
 }
 
-/// What became of a connection on which no answer is due.
+/// State of a connection on which no answer is expected.
 #[derive(Debug, PartialEq, Eq)]
 pub enum IdleState {
-    /// It can be used.
+    /// Open, with nothing to read.
     Open,
-    /// The daemon closed it.
+    /// Closed by the daemon.
     Closed,
-    /// Bytes that nobody asked for.
+    /// Open, with bytes that answer no request.
     Unsolicited(String),
 }
 
 impl IdleState {
-    /// Looks at the connection of `caller`.
+    /// Peeks at the connection of `caller` without blocking.
     pub fn check(caller: &Caller) -> Self {
         let socket = &caller.socket;
         let mut bytes = [0; MAX_PRINTED_BYTES];
@@ -273,13 +273,13 @@
     }
 }
 
-/// Whether the connection to the daemon at `seat` can be used again.
+/// Whether the connection to `instance` can still be used; unsolicited bytes on it are recorded.
 fn is_usable(cluster: &Cluster, instance: usize, caller: &Caller) -> bool {
     match IdleState::check(caller) {
         IdleState::Open => true,
         IdleState::Closed => false,
         IdleState::Unsolicited(text) => {
-            let what = format!("daemon {instance} sent `{text}`, which nobody asked for");
+            let what = format!("daemon {instance} sent the unsolicited bytes `{text}`");
             cluster.history.record_misdirected(&what);
             false
         }
--- a/crates/gateway/tests/soak/cluster.rs
+++ b/crates/gateway/tests/soak/cluster.rs
@@ -1,4 +1,4 @@
-//! The store, the replicas and the daemons of one run.
+//! Runs the store, the replicas and the daemons of one seed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,36 +29,36 @@
 use crate::script;
 use crate::script::RandomSource;
 
-/// Daemons of a run.
+/// Number of daemons.
 pub const DAEMONS: usize = 3;
-/// Path of the request under which each replica ends that runs it.
+/// Path of the request that ends each decode replica that runs it.
 pub const FATAL: &str = "/draft/fatal";
-/// Part of the replicas that end whose address refuses afterwards; the others accept and close.
+/// Fraction of the ended replicas whose address refuses connections; the others accept and close them.
 const REFUSING_FRACTION: f64 = 0.7;
 /// Application replicas whose number is a multiple of this have a rate limit.
 const LIMITED_REPLICA_INTERVAL: u64 = 3;
-/// Time around a signal to a daemon in which its requests are excused from being answered.
+/// Time after a disturbance of a daemon in which new requests to it are excused from being answered in time.
 const DISTURBANCE_MARGIN: Duration = Duration::from_secs(3);
 
-/// A daemon's place: its address stays, its process changes.
+/// An instance, which keeps its address when its process is replaced.
 #[derive(Debug)]
 pub struct Instance {
     name: String,
     ip: String,
-    /// Where it takes requests.
+    /// Address for requests of callers.
     pub callers: SocketAddr,
-    /// Its way to the store.
+    /// Proxy for its connections to the store.
     pub store_proxy: Proxy,
-    /// Its process.
+    /// Current process.
     pub daemon: Mutex<Daemon>,
     /// Times at which its process was started, paused, resumed, killed or stopped.
     disturbances: Mutex<Vec<Instant>>,
 }
 
-/// A replica, the way to it, its service and its stage.
+/// A replica, the proxy in front of it, its service and its stage.
 type ReplicaEntry = (Replica, Proxy, &'static str, &'static str);
 
-/// Kills the daemons of a world when the run ends, also by a panic while threads still hold it.
+/// Kills the daemons of a cluster when dropped, also after a panic while other threads still hold the cluster.
 pub struct KillOnDrop(pub Cluster);
 
 impl Drop for KillOnDrop {
@@ -74,27 +74,27 @@
     }
 }
 
-/// Everything of one run.
+/// All parts of one run.
 #[derive(Clone)]
 pub struct Cluster {
-    /// What was seen.
+    /// Observations of callers and replicas.
     pub history: Arc<History>,
-    /// The store.
+    /// Store that all daemons read.
     pub store: Store,
-    /// The daemons.
+    /// Instances that callers use.
     pub instances: Arc<Vec<Instance>>,
-    /// The ways to the replicas.
+    /// Replicas that have neither ended nor begun to drain.
     pub replicas: Arc<Mutex<Vec<ReplicaEntry>>>,
     version: Arc<AtomicU64>,
     callers_stopped: Arc<AtomicBool>,
     replica_count: Arc<AtomicU64>,
     seed: u64,
-    /// Whether second answers are the only fault.
+    /// Whether second answers are the only fault of the run.
     pub only_second_answers: bool,
 }
 
 impl Cluster {
-    /// Starts everything, and waits until all daemons are ready.
+    /// Starts all parts and waits until the daemons are ready.
     pub fn start(seed: u64, only_second_answers: bool) -> Self {
         let (store, address) = Store::start("127.0.0.1");
         let ips: Vec<String> = (0..DAEMONS).map(|_| new_ip()).collect();
@@ -134,7 +134,7 @@
         self.store.put("op", "config", &config);
     }
 
-    /// Adds a replica.
+    /// Starts a replica behind a proxy and lists it in the store.
     pub fn add_replica(&self, service: &'static str, stage: &'static str) {
         let number = self.replica_count.fetch_add(1, Ordering::SeqCst);
         let id = format!("i-{number}");
@@ -179,8 +179,8 @@
         self.replicas.lock().unwrap().push(entry);
     }
 
-    /// Ends the replica `id`, whose address refuses or, by `draw`, falls silent; another one is listed in its place
-    /// some time later.
+    /// Ends the replica `id`; `draw` decides whether its address then refuses connections or closes them. After 0.3 to
+    /// 1.3 s, another replica takes its place in the store.
     fn end_replica(&self, id: &str, draw: f64) {
         let mut replicas = self.replicas.lock().unwrap();
         let index = replicas.iter().position(|(replica, ..)| replica.id == id);
@@ -199,7 +199,7 @@
         });
     }
 
-    /// Lets the replica at `index` drain, and adds one in its place.
+    /// Marks the replica at `index` as draining and adds another one.
     pub fn replace_replica(&self, index: usize) {
         let mut replicas = self.replicas.lock().unwrap();
         if index >= replicas.len() {
@@ -209,13 +209,13 @@
         let mut row = replica.row(service, stage);
         row["addr"] = json!(proxy.address);
         row["state"] = "draining".into();
-        // Under the lock, so that the row of one that ends is not written again.
+        // Under the lock, so that the row of an ended replica is not written again.
         self.store.put("servers", &replica.id, &row);
         drop(replicas);
         self.add_replica(service, stage);
     }
 
-    /// Ends all harm.
+    /// Ends the faults of the store and of all proxies.
     pub fn clear_faults(&self) {
         self.store.set_down(false);
         for instance in self.instances.iter() {
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Answers that the daemons which still run took for another request's.
+    /// Number of answers that the current processes rejected as another request's.
     pub fn rejected_answers(&self) -> usize {
         let instances = self.instances.iter();
         let counts = instances.map(|instance| {
@@ -243,31 +243,31 @@
         times.collect()
     }
 
-    /// Tells callers to end.
+    /// Stops the callers after their current request.
     pub fn stop_callers(&self) {
         self.callers_stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Whether callers are to end.
+    /// Whether callers have to stop.
     pub fn callers_stopped(&self) -> bool {
         self.callers_stopped.load(Ordering::SeqCst)
     }
 }
 
 impl Instance {
-    /// Notes that its process is disturbed by a signal now.
+    /// Records that its process is started, paused, resumed, killed or stopped now.
     pub fn record_disturbance(&self) {
         self.disturbances.lock().unwrap().push(Instant::now());
     }
 
-    /// Whether its process was disturbed since shortly before `begun`.
+    /// Whether its process was disturbed after `start`, or less than `DISTURBANCE_MARGIN` before.
     pub fn was_disturbed_since(&self, start: Instant) -> bool {
         let disturbances = self.disturbances.lock().unwrap();
         let last = disturbances.last();
         last.is_some_and(|last| *last + DISTURBANCE_MARGIN > start)
     }
 
-    /// A new process for it.
+    /// Starts a new process at its address.
     pub fn start(&self) -> Daemon {
         let daemon = Daemon::start_with_settings(
             &self.name,
@@ -276,7 +276,7 @@
             &[],
             &customer::settings(),
         );
-        // No process takes signals before it has begun to run.
+        // Until it logs this, the process has not installed its signal handlers.
         wait_until("the daemon starts", || {
             !daemon.logged("starting").is_empty()
         });
--- a/crates/gateway/tests/soak/customer.rs
+++ b/crates/gateway/tests/soak/customer.rs
@@ -1,4 +1,4 @@
-//! The customers of a run, and what they may use.
+//! The customers of a run and their quotas.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,25 +8,27 @@
 
 use crate::common::http::Message;
 
-/// Tokens of each request, as its head tells, and as counted against a quota.
+/// `Token-Counts` header of each request.
 pub const TOKEN_COUNTS: &str = "100,20";
+/// Tokens of each request that count against a quota.
 const TOKENS_PER_REQUEST: f64 = 120.0;
-/// Tokens that the customer with a quota may use a second, and at once.
+/// Quota of the limited customer: tokens per second, and its burst in tokens.
 const RATE: f64 = 600.0;
-/// Time over which a quota is judged.
+/// Window in which the quota is checked.
 const WINDOW: Duration = Duration::from_secs(8);
-/// What is tolerated beyond it: part, and tokens.
+/// Fraction of the quota that is tolerated in excess of it.
 const EXCESS: f64 = 0.1;
+/// Tokens that are tolerated in addition to `EXCESS`.
 const SLACK: f64 = 2_400.0;
 
-/// Whose a request is; part of its id, so that replicas know whom it has to name.
+/// The customer of a request. Its name begins the request id, so that replicas can check the customer they are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Customer {
-    /// Has a quota.
+    /// A customer with a quota.
     Limited,
-    /// Has none.
+    /// A customer without a quota.
     Unlimited,
-    /// Is none: its key was never given out.
+    /// A caller whose key belongs to no customer.
     Unknown,
 }
 
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Its key.
+    /// API key that its requests carry.
     pub const fn key(self) -> &'static str {
         match self {
             Self::Limited => "r6w2kq9vt3xz8n5hjd4m",
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Its name.
+    /// Name in the configuration and in request ids.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Limited => "limited",
@@ -58,13 +60,13 @@
         }
     }
 
-    /// The id of its request `text`.
+    /// Request id that consists of the customer's name and `text`.
     pub fn id(self, text: &str) -> String {
         format!("{}-{text}", self.name())
     }
 }
 
-/// What the configuration says of customers.
+/// Customers in the configuration.
 pub fn config() -> Value {
     let (limited, unlimited) = (Customer::Limited, Customer::Unlimited);
     json!([
@@ -74,25 +76,27 @@
     ])
 }
 
-/// What the daemons' settings say of them.
+/// The `quota` line of the daemons' settings.
 pub fn settings() -> String {
     let window = WINDOW.as_secs();
     format!("quota: {{window_s: {window}, excess: {EXCESS}, slack: {SLACK}}}\n")
 }
 
-/// What is wrong with whom `request` names, as a replica sees it.
+/// Returns what is wrong with the customer headers of a `request` that a replica received: the key must be removed,
+/// and the customer must be the one in the request id.
 pub fn header_fault(request: &Message) -> Option<String> {
     let id = request.header("request-id").unwrap_or_default();
     let named = request.header("tenant").unwrap_or_default();
     let owner = id.split('-').next().unwrap_or_default();
     match request.header("x-api-key") {
-        Some(_) => Some(format!("{id} brings its key")),
-        None if named != owner => Some(format!("{id} is sent as `{named}`'s")),
+        Some(_) => Some(format!("{id} was forwarded with its API key")),
+        None if named != owner => Some(format!("{id} was forwarded as a request of `{named}`")),
         None => None,
     }
 }
 
-/// Whether the runs of the customer with a quota, by when they began, are more than is tolerated in any window.
+/// Returns a message if the limited customer used more tokens than tolerated in any window. `runs` holds the start
+/// times of its requests.
 pub fn excess(runs: &[Instant]) -> Option<String> {
     let quota = RATE * WINDOW.as_secs_f64() + RATE;
     let allowed = quota * (1.0 + EXCESS) + SLACK;
@@ -103,5 +107,5 @@
         inside.count() as f64 * TOKENS_PER_REQUEST
     };
     let worst = runs.iter().map(in_window).fold(0.0, f64::max);
-    (worst > allowed).then(|| format!("QUOTA: {worst} tokens in a window of {allowed}"))
+    (worst > allowed).then(|| format!("QUOTA: {worst} tokens in a window that allows {allowed}"))
 }
--- a/crates/gateway/tests/soak/faults.rs
+++ b/crates/gateway/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside the daemons, one after another and overlapping.
+//! Injects random, overlapping faults from outside the daemons.
 
 use std::thread;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::cluster::DAEMONS;
 use crate::proxy::ConnectionFault;
 
-/// Causes faults for `span`, then waits for those that end by themselves.
+/// Starts faults for `duration`, then waits until all of them have ended.
 pub fn run(cluster: &Cluster, seed: u64, duration: Duration) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let end = Instant::now() + duration;
@@ -59,7 +59,7 @@
                     .unwrap()
                     .get(replica)
                     .map(|entry| entry.1.clone());
-                // One that ended just now needs no harm.
+                // `None` if the replica has just ended.
                 if let Some(proxy) = proxy {
                     proxy.set_fault(connection_fault);
                     thread::sleep(length);
@@ -83,7 +83,7 @@
 }
 
 fn pause(cluster: &Cluster, instance: usize, duration: Duration) {
-    // Held for the whole pause, so that the process is not replaced meanwhile.
+    // Held for the whole pause, so that the process is not replaced during it.
     let daemon = cluster.instances[instance].daemon.lock().unwrap();
     cluster.instances[instance].record_disturbance();
     daemon.signal(Signal::STOP);
--- a/crates/gateway/tests/soak/history.rs
+++ b/crates/gateway/tests/soak/history.rs
@@ -1,4 +1,4 @@
-//! What callers and replicas saw, and whether it keeps the promises.
+//! Records what callers and replicas observe and checks it against the promises.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -14,69 +14,69 @@
 use crate::limit;
 use crate::script;
 
-/// Events of a complete stream.
+/// Number of events in a complete stream.
 pub const STREAM_EVENTS: u64 = 20;
-/// Time over the caller's own limit that a final answer may take, on a machine that also runs other
-/// tests; a paused daemon is excused.
+/// Time beyond the caller's limit that an answer may take, since the machine also runs other tests. Answers of
+/// disturbed daemons are not checked.
 const LATENESS_TOLERANCE: Duration = Duration::from_secs(4);
 
-/// How often a request may run.
+/// Kinds of requests, which differ in how often they may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// Once at most.
+    /// At most once.
     Once,
-    /// Once at most, answered with events.
+    /// At most once, answered with a stream of events.
     Draft,
     /// Any number of times.
     Idempotent,
-    /// At another replica after an event.
+    /// Any number of times; a stream that another replica resumes after its last event.
     Resumable,
 }
 
-/// What a caller was told.
+/// A response as its caller received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseRecord {
-    /// Kind of the request.
+    /// Kind of request.
     pub kind: Kind,
-    /// Status; 0 without an answer.
+    /// Status; 0 if there was no answer.
     pub status: u16,
-    /// Whether the body came to its proper end.
+    /// Whether the body ended properly.
     pub complete: bool,
     /// The body.
     pub body: String,
-    /// Time to the end of the answer, and the caller's own limit.
+    /// Time until the end of the answer, and the time limit of the caller.
     pub elapsed_and_limit: (Duration, Duration),
-    /// Whether the daemon was paused, killed or stopped meanwhile.
+    /// Whether the daemon was paused, killed or stopped during the request.
     pub disturbed: bool,
 }
 
-/// Everything that was seen.
+/// Observations of one run.
 #[derive(Debug, Default)]
 pub struct History {
     runs: Mutex<HashMap<String, u32>>,
     responses: Mutex<Vec<(String, ResponseRecord)>>,
-    /// Replicas that were reached by the request under which they end.
+    /// Times that the request under which replicas end reached one.
     fatal_sends: AtomicUsize,
-    /// Those that ended.
+    /// Replicas that ended under it.
     ended_replicas: AtomicUsize,
-    /// Answers that came twice.
+    /// Answers that replicas sent twice.
     second_answers: AtomicUsize,
-    /// Requests that brought a reservation, by replica and reservation.
+    /// First request that used each reservation, by replica and reservation.
     reservations: Mutex<HashMap<(String, String), String>>,
-    /// Requests that brought a KV cache.
+    /// Number of requests that named a KV cache.
     cache_uses: AtomicUsize,
-    /// When requests of the customer with a quota first ran.
+    /// Times at which requests of the limited customer first ran.
     quota_runs: Mutex<Vec<Instant>>,
     /// Arrival times of requests at each rate-limited replica, by replica ID.
     limited_arrivals: Mutex<HashMap<String, Vec<Instant>>>,
-    /// What belonged to another request.
+    /// Messages about data that belonged to another request or customer.
     misdirected: Mutex<Vec<String>>,
 }
 
 impl History {
-    /// Notes that `request` comes to a replica.
+    /// Checks the customer of a `request` that arrived at a replica.
     pub fn check_arrival(&self, request: &Message) {
-        // Questions of a daemon's own are nobody's.
+        // Control calls of a daemon belong to no customer.
         if request.path().starts_with("/api/") {
             return;
         }
@@ -102,40 +102,40 @@
         excess.collect()
     }
 
-    /// Notes that a replica runs `id`.
+    /// Records that a replica runs the request `id`.
     pub fn record_run(&self, id: &str) {
         let mut runs = self.runs.lock().unwrap();
         let count = runs.entry(id.to_owned()).or_default();
         *count += 1;
-        // A request counts once, however often it runs.
+        // A request counts once against the quota, however often it runs.
         if *count == 1 && id.starts_with(Customer::Limited.name()) {
             self.quota_runs.lock().unwrap().push(Instant::now());
         }
     }
 
-    /// Notes that the request under which replicas end reached one, which `ends` or only reads its prompt.
+    /// Records that the request under which replicas end reached one, which `ends` or only prefills the prompt.
     pub fn record_fatal_send(&self, ends: bool) {
         self.fatal_sends.fetch_add(1, Ordering::SeqCst);
         self.ended_replicas
             .fetch_add(usize::from(ends), Ordering::SeqCst);
     }
 
-    /// Replicas that it reached so far.
+    /// Times that this request reached a replica so far.
     pub fn fatal_sends(&self) -> usize {
         self.fatal_sends.load(Ordering::SeqCst)
     }
 
-    /// Replicas that ended under it so far.
+    /// Number of replicas that ended under it so far.
     pub fn ended_replicas(&self) -> usize {
         self.ended_replicas.load(Ordering::SeqCst)
     }
 
-    /// Notes that an answer comes twice.
+    /// Records that a replica sends an answer twice.
     pub fn record_second_answer(&self) {
         self.second_answers.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Notes that something reached one whom it does not belong to.
+    /// Records that data reached a request or customer to which it does not belong.
     pub fn record_misdirected(&self, what: &str) {
         self.misdirected
             .lock()
@@ -143,8 +143,8 @@
             .push(format!("MIXED: {what}"));
     }
 
-    /// Notes what `request` brings to `replica`, which checks neither: the KV cache that it goes on from, and its
-    /// reservation.
+    /// Checks that the KV cache and the reservation that `request` names at `replica` are its own, which the scripted
+    /// replica does not check.
     pub fn check_cache_and_reservation(&self, replica: &str, request: &Message) {
         let id = request.header("request-id").unwrap_or_default();
         if let Some(source) = request.header("kv-source") {
@@ -154,7 +154,7 @@
                 .map_or("", |(_, cache_handle)| cache_handle);
             if cache_handle != script::cache_handle(id) {
                 self.record_misdirected(&format!(
-                    "{id} goes on from the KV cache `{cache_handle}`"
+                    "{id} continues from the KV cache `{cache_handle}`"
                 ));
             }
         }
@@ -164,13 +164,13 @@
             let first = reservations.entry(key).or_insert_with(|| id.to_owned());
             if first != id {
                 self.record_misdirected(&format!(
-                    "{id} brings `{hold}` of {replica}, as {first} did"
+                    "{id} uses the reservation `{hold}` of {replica}, which {first} used before"
                 ));
             }
         }
     }
 
-    /// Notes what the caller of `id` was told.
+    /// Records the response to the request `id`.
     pub fn record_response(&self, id: &str, response: ResponseRecord) {
         self.responses
             .lock()
@@ -178,7 +178,7 @@
             .push((id.to_owned(), response));
     }
 
-    /// Counts of answers by kind of request and status.
+    /// Counts of responses by kind of request and status, and of what replicas recorded.
     pub fn summary(&self) -> String {
         let mut counts: BTreeMap<(Kind, u16, bool), u32> = BTreeMap::new();
         for (_, response) in self.responses.lock().unwrap().iter() {
@@ -191,7 +191,7 @@
         });
         let texts = texts.collect::<Vec<_>>().join(", ");
         format!(
-            "{texts}; {} replicas ended, {} answers doubled, {} requests with a KV cache, {} with a reservation",
+            "{texts}; {} replicas ended, {} answers sent twice, {} requests with a KV cache, {} with a reservation",
             self.ended_replicas(),
             self.second_answers.load(Ordering::SeqCst),
             self.cache_uses.load(Ordering::SeqCst),
@@ -199,7 +199,7 @@
         )
     }
 
-    /// Promises that were broken.
+    /// Messages about broken promises, without the rate limits of replicas.
     pub fn broken_promises(&self) -> Vec<String> {
         let runs = self.runs.lock().unwrap();
         let responses = self.responses.lock().unwrap();
@@ -229,7 +229,7 @@
         response if matches!(response.status, 401 | 429 | 503) && runs > 0 => {
             Some("refused, but it ran".to_owned())
         }
-        response if response.status == 404 => Some("its route was not known".to_owned()),
+        response if response.status == 404 => Some("its route was unknown".to_owned()),
         response if response.status == 200 && is_stream => check_events(id, response).err(),
         response if response.status == 200 && response.complete && response.body != id => {
             Some(format!("MIXED: got the answer `{}`", response.body))
@@ -241,7 +241,7 @@
     }
 }
 
-/// Checks that the events are those of `id`, in order, without gap or double.
+/// Checks that the events are those of `id`, in order, without gaps or repeats.
 fn check_events(id: &str, response: &ResponseRecord) -> Result<(), String> {
     let parts = response.body.split("\n\n").collect::<Vec<_>>();
     let (last, parts) = parts.split_last().ok_or("no body")?;
@@ -253,9 +253,9 @@
     }
     match response.complete {
         true if parts.len() as u64 != STREAM_EVENTS => {
-            Err(format!("complete with {}", parts.len()))
+            Err(format!("complete with {} events", parts.len()))
         }
-        true if !last.is_empty() => Err("complete with a cut event".to_owned()),
+        true if !last.is_empty() => Err("complete, but its last event is cut".to_owned()),
         _ => Ok(()),
     }
 }
--- a/crates/gateway/tests/soak/limit.rs
+++ b/crates/gateway/tests/soak/limit.rs
@@ -8,7 +8,7 @@
 
 /// Rate limit of each limited replica, in requests per second.
 const RATE: f64 = 1.0;
-/// Time that a daemon has to learn of a limit after the first request to the replica or after a disturbance.
+/// Time in which a daemon has to learn of a limit after the first request to the replica or after a disturbance.
 const GRACE_PERIOD: Duration = Duration::from_secs(3);
 /// Length of the windows in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -17,7 +17,7 @@
 /// Number of requests tolerated in a window in addition to `TOLERANCE_FACTOR`.
 const TOLERANCE_REQUESTS: f64 = 5.0;
 
-/// Adds the limit header to the answer of `Send`, `SendAndClose` and `SendSlowly`; other acts stay unchanged.
+/// Adds the limit header to the answer of `Send`, `SendAndClose` and `SendSlowly`; other actions stay unchanged.
 pub fn add_limit_header(action: Action) -> Action {
     match action {
         Action::Send(bytes) => Action::Send(insert_limit_header(&bytes)),
--- a/crates/gateway/tests/soak/main.rs
+++ b/crates/gateway/tests/soak/main.rs
@@ -1,7 +1,7 @@
-//! Random faults on real daemons, with the promises checked from what callers and replicas see.
+//! Causes random faults around real daemons and checks the promises from what callers and replicas observe.
 //!
 //! `SOAK_SEEDS=100-150 SOAK_SECONDS=15 cargo test -p gateway --test soak -- --nocapture` runs more
-//! seeds than the short run of CI. With `SOAK_ONLY_DOUBLED` set, nothing goes wrong but that some answers come twice.
+//! seeds than the short run of CI. With `SOAK_ONLY_DOUBLED` set, the only fault is that some answers are sent twice.
 
 #[path = "../gateway/common/mod.rs"]
 #[allow(
@@ -31,21 +31,21 @@
 use crate::common::http;
 use crate::common::http::Server;
 
-/// Seeds of a run without `SOAK_SEEDS`. Beside the first, seeds that failed once:
-/// 101: SIGHUP came before the daemon took signals and ended it.
-/// 3: daemons that were started again knew nothing of replicas that had ended under a request.
-/// 842: two replicas had ended and one been silent when the request was quarantined; the soak waited for a third end.
-/// 2001 and 2009: daemons that knew of no other one kept a bucket each, and more was admitted than a quota tolerates.
-/// 1005 and 1013: replicas answered twice; generations went on from the KV cache, or brought the reservation, of another.
+/// Seeds used without `SOAK_SEEDS`. All but the first have failed before:
+/// 101: SIGHUP arrived before the daemon had installed its signal handlers and terminated it.
+/// 3: restarted daemons did not know which replicas had ended under a request.
+/// 842: the request was quarantined after two replicas had ended and one had been silent; the test waited for a third
+/// replica to end.
+/// 2001 and 2009: daemons that knew no other daemon kept a token bucket each and admitted more than a quota tolerates.
+/// 1005 and 1013: replicas answered twice; generations used the KV cache or the reservation of another request.
 const SEEDS: [u64; 8] = [1, 101, 3, 842, 1005, 1013, 2001, 2009];
-/// Length of a run without `SOAK_SECONDS`.
+/// Duration of the faults in seconds, without `SOAK_SECONDS`.
 const SECONDS: u64 = 5;
-/// Callers that send at the same time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 6;
-/// Time after the last fault in which everything has to work again.
+/// Time after the last fault within which every daemon must serve requests again.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
-
-/// Time after the faults from which on the daemons have to know what each of them saw.
+/// Time after recovery by which every daemon must know what the others have observed.
 const SYNC_TIME: Duration = Duration::from_secs(3);
 
 fn seeds() -> Vec<u64> {
@@ -107,7 +107,7 @@
     });
 }
 
-/// One run; gives the promises that were broken.
+/// Runs one seed and returns the broken promises.
 fn run(seed: u64) -> Vec<String> {
     let cluster = Cluster::start(seed, env::var_os("SOAK_ONLY_DOUBLED").is_some());
     let _end = KillOnDrop(cluster.clone());
@@ -133,19 +133,19 @@
         thread::sleep(SYNC_TIME);
         violations.extend(callers::check_quarantine(&cluster).err());
     }
-    // What is still at work at a replica shows within its longest answer.
+    // Requests that still run at a replica end within the duration of its longest answer.
     thread::sleep(Duration::from_millis(1_500));
     violations.extend(cluster.history.broken_promises());
     violations.extend(cluster.history.exceeded_limits(&cluster.disturbances()));
     println!(
-        "seed {seed}: {}; {} answers known as another request's",
+        "seed {seed}: {}; {} answers rejected as another request's",
         cluster.history.summary(),
         cluster.rejected_answers()
     );
     violations
 }
 
-/// Causes all kinds of faults for `span`.
+/// Causes all kinds of faults for `duration`.
 fn cause_faults(cluster: &Cluster, seed: u64, duration: Duration) {
     let fatal = {
         let cluster = cluster.clone();
--- a/crates/gateway/tests/soak/proxy.rs
+++ b/crates/gateway/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that harms the connections that go through it.
+//! A loopback proxy that injects faults into the connections through it.
 
 use std::io::Read;
 use std::io::Write;
@@ -14,32 +14,32 @@
 
 use crate::common::http::Server;
 
-/// What happens to connections.
+/// Fault of the connections through a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Bytes take longer, both ways.
+    /// Delays bytes in both directions.
     Delay(Duration),
-    /// Connections are reset as soon as bytes come.
+    /// Resets connections as soon as bytes arrive.
     Reset,
-    /// Bytes wait until the harm is over, both ways.
+    /// Holds bytes back in both directions until the fault ends.
     Stall,
-    /// The same, on the way back only.
+    /// Holds back only bytes from the target.
     StallReplies,
 }
 
 /// A proxy for one address.
 #[derive(Debug, Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     fault: Arc<Mutex<ConnectionFault>>,
     server: Server,
 }
 
 impl Proxy {
-    /// A proxy for `target`.
+    /// Starts a proxy for `target`.
     pub fn start(target: SocketAddr) -> Self {
         let fault = Arc::new(Mutex::new(ConnectionFault::None));
         let shared = Arc::clone(&fault);
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Closes its port, as the end of what is behind it does.
+    /// Closes its port and connections, as when the process behind it ends.
     pub fn stop(&self) {
         self.server.stop();
     }
 
-    /// Harms connections from now on.
+    /// Applies `fault` to all connections from now on.
     pub fn set_fault(&self, fault: ConnectionFault) {
         *self.fault.lock().unwrap() = fault;
     }
@@ -92,14 +92,14 @@
         }
     }
     if *fault.lock().unwrap() == ConnectionFault::Reset {
-        // Closing with this set resets the connection.
+        // With a linger time of zero, closing resets the connection.
         drop(SockRef::from(&to).set_linger(Some(Duration::ZERO)));
     }
     drop(to.shutdown(Shutdown::Both));
     drop(from.shutdown(Shutdown::Both));
 }
 
-/// Waits as the harm asks; `false` if the connection is to be reset.
+/// Waits as the current fault requires; returns `false` if the connection has to be reset.
 fn apply_fault(fault: &Mutex<ConnectionFault>, from_target: bool) -> bool {
     loop {
         let current = *fault.lock().unwrap();
--- a/crates/gateway/tests/soak/script.rs
+++ b/crates/gateway/tests/soak/script.rs
@@ -1,4 +1,4 @@
-//! What replicas do, by chance.
+//! Random behaviour of scripted replicas.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -19,25 +19,25 @@
 use crate::history::History;
 use crate::history::STREAM_EVENTS;
 
-/// Part of the answers that come twice.
+/// Fraction of the answers that are sent twice.
 const SECOND_ANSWER_FRACTION: f64 = 0.1;
-/// Longest time in ms after which a second answer comes by itself.
+/// Longest delay in ms of a second answer that does not wait for the next request.
 const MAX_SECOND_ANSWER_DELAY_MS: f64 = 50.0;
-/// Part of the answers that bear the id of no request.
+/// Fraction of the answers that have an unknown request id.
 const UNKNOWN_ID_FRACTION: f64 = 0.02;
-/// Id of no request.
+/// Request id that no request has.
 const UNKNOWN_ID: &str = "nobody";
-/// A draw at which a replica serves as it should.
+/// A draw at which a replica behaves correctly.
 const NO_FAULT: f64 = 1.0;
 
-/// The draws of one replica.
+/// Random numbers that decide the behaviour of one replica.
 pub struct RandomSource {
     rng: Mutex<(Pcg64Mcg, Pcg64Mcg)>,
     fault_free: bool,
 }
 
 impl RandomSource {
-    /// Draws by `seed`; nothing goes wrong if `calm`.
+    /// Creates a source from `seed`; if `fault_free`, it always draws `NO_FAULT`.
     pub fn new(seed: u64, fault_free: bool) -> Self {
         let rngs = (
             Pcg64Mcg::seed_from_u64(seed),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Two numbers from 0 to 1.
+    /// Draws two numbers between 0 and 1.
     pub fn draw(&self) -> (f64, f64) {
         if self.fault_free {
             return (NO_FAULT, NO_FAULT);
@@ -59,7 +59,7 @@
     }
 }
 
-/// How the second answer to a request comes, if there is one.
+/// Decides whether and how a request is answered a second time.
 pub fn second_answer((draw, timing_draw): (f64, f64)) -> Option<SecondAnswer> {
     let wait = Duration::from_millis(
         1 + (draw / SECOND_ANSWER_FRACTION * (MAX_SECOND_ANSWER_DELAY_MS - 1.0)) as u64,
@@ -72,12 +72,12 @@
     (draw < SECOND_ANSWER_FRACTION).then_some(SecondAnswer { delay: wait, parts })
 }
 
-/// Name of the KV cache of the request `id`.
+/// Handle of the KV cache of the request `id`.
 pub fn cache_handle(id: &str) -> String {
     format!("k-{id}")
 }
 
-/// What a replica does with `request`; `odd` draws answers that are no proper ones.
+/// Chooses how a replica handles `request`; `malformed_draw` decides whether its answer is malformed.
 pub fn choose_action(
     history: &History,
     stage: &str,
@@ -99,7 +99,7 @@
     maybe_replace_id(action, malformed_draw)
 }
 
-/// The answer to a call of the platform's own, which names no request.
+/// Answers a control call of a daemon, which has no request id.
 fn answer_control_call(request: &Message) -> Option<Action> {
     match request.path() {
         "/api/order" => Some(Action::Send(answer(202, &[], b""))),
@@ -113,7 +113,7 @@
     request.header("request-id").unwrap_or_default()
 }
 
-/// Reads a prompt.
+/// Prefills a prompt.
 fn prefill(request: &Message, draw: f64) -> Action {
     let body = json!({"kv-handle": cache_handle(request_id(request)), "tokens": 1, "version": 1})
         .to_string();
@@ -161,7 +161,7 @@
     }
 }
 
-/// The same answer, whose end is that of its connection.
+/// Removes the length of `answer`, which then ends with the connection.
 fn without_length(answer: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(answer);
     let lines = text.split_inclusive("\r\n");
@@ -169,7 +169,7 @@
     kept.collect::<String>().into_bytes()
 }
 
-/// The same answer with the id of no request, by chance.
+/// Replaces the request id of a fraction of the answers with `UNKNOWN_ID`.
 fn maybe_replace_id(action: Action, malformed_draw: f64) -> Action {
     match action {
         Action::Send(bytes) if malformed_draw < UNKNOWN_ID_FRACTION => {
@@ -193,7 +193,7 @@
     lines.collect::<String>().into_bytes()
 }
 
-/// One event of the stream of the request `id`, as one chunk.
+/// Encodes one event of the stream of the request `id` as a chunk.
 fn event(number: u64, id: &str) -> Vec<u8> {
     chunk(format!("id: {number}\ndata: {id}\n\n").as_bytes())
 }
