--- a/crates/ctl/src/account.rs
+++ b/crates/ctl/src/account.rs
@@ -8,9 +8,9 @@
 use serde_json::Value;
 
 /// Pauses in streams of one replica within this time are put to the replica, not to one run.
-const TOGETHER_MS: u64 = 700;
+const PAUSE_WINDOW_MS: u64 = 700;
 /// Streams that pause together from which on the replica is the cause.
-const MANY: usize = 3;
+const MAX_UNRELATED_PAUSES: usize = 3;
 
 /// How one generation ended, and for which reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,11 +20,11 @@
     /// No decode replica had room.
     Refused,
     /// The first event came after the objective.
-    FirstLate,
+    LateFirstEvent,
     /// Its stream paused, and those of its replica did as well: the replica read a prompt.
     ReplicaPaused,
     /// Its stream paused alone: its replica set it aside.
-    SetAside,
+    Preempted,
     /// It went on at another replica after its own was lost.
     Resumed,
     /// The stream broke off.
@@ -45,9 +45,9 @@
         match self {
             Self::InTime => "in time",
             Self::Refused => "refused: no decode replica had room",
-            Self::FirstLate => "late: first event after the objective",
+            Self::LateFirstEvent => "late: first event after the objective",
             Self::ReplicaPaused => "late: all streams of the replica paused",
-            Self::SetAside => "late: the stream paused alone",
+            Self::Preempted => "late: the stream paused alone",
             Self::Resumed => "late: went on elsewhere after its replica was lost",
             Self::BrokenOff => "broken off",
             Self::CallerLeft => "the caller left",
@@ -72,7 +72,7 @@
 
 /// Counts by cause, of all and by second.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Account {
+pub struct OutcomeReport {
     /// Generations by cause.
     pub causes: BTreeMap<Cause, u64>,
     /// Requests that ended, of customers, by customer and outcome.
@@ -81,7 +81,7 @@
     pub seconds: BTreeMap<u64, BTreeMap<Cause, u64>>,
 }
 
-impl Account {
+impl OutcomeReport {
     /// Puts the generations of `lines` to causes.
     pub fn new(lines: &[Value]) -> Self {
         let mut generations: HashMap<&str, Generation> = HashMap::new();
@@ -90,25 +90,25 @@
             let Some(request) = line["request"].as_str() else {
                 continue;
             };
-            let at = milliseconds(line);
+            let at = time_of_day_ms(line);
             if line["kind"] == "gap" {
-                pauses.entry(text(line, "replica")).or_default().push(at);
+                pauses.entry(field(line, "replica")).or_default().push(at);
             }
             if is_of_generation(line) || generations.contains_key(request) {
-                note(generations.entry(request).or_default(), line, at);
+                apply_line(generations.entry(request).or_default(), line, at);
             }
         }
-        let mut account = Self {
-            customers: customers(lines),
+        let mut report = Self {
+            customers: count_by_customer(lines),
             ..Self::default()
         };
         for generation in generations.values() {
-            let cause = cause(generation, &pauses);
-            *account.causes.entry(cause).or_default() += 1;
-            let second = account.seconds.entry(generation.second).or_default();
+            let cause = classify(generation, &pauses);
+            *report.causes.entry(cause).or_default() += 1;
+            let second = report.seconds.entry(generation.second).or_default();
             *second.entry(cause).or_default() += 1;
         }
-        account
+        report
     }
 
     /// Generations.
@@ -118,13 +118,13 @@
 }
 
 /// How the requests of each customer ended.
-fn customers(lines: &[Value]) -> BTreeMap<String, BTreeMap<String, u64>> {
+fn count_by_customer(lines: &[Value]) -> BTreeMap<String, BTreeMap<String, u64>> {
     let mut customers: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
     for line in lines.iter().filter(|line| line["kind"] == "end") {
-        let customer = text(line, "customer");
+        let customer = field(line, "customer");
         if !customer.is_empty() {
             let outcomes = customers.entry(customer).or_default();
-            *outcomes.entry(text(line, "outcome")).or_default() += 1;
+            *outcomes.entry(field(line, "outcome")).or_default() += 1;
         }
     }
     customers
@@ -139,31 +139,33 @@
     }
 }
 
-fn note(generation: &mut Generation, line: &Value, at: u64) {
+fn apply_line(generation: &mut Generation, line: &Value, at: u64) {
     generation.second = at / 1_000;
     match line["kind"].as_str() {
-        Some("first") => generation.late |= text(line, "late") == "true",
+        Some("first") => generation.late |= field(line, "late") == "true",
         Some("gap") if generation.pause.is_none() => {
-            generation.pause = Some((text(line, "replica"), at));
+            generation.pause = Some((field(line, "replica"), at));
         }
-        Some("retry") => generation.resumed |= text(line, "granted") == "true",
-        Some("end") => generation.outcome = Some(text(line, "outcome")),
+        Some("retry") => generation.resumed |= field(line, "granted") == "true",
+        Some("end") => generation.outcome = Some(field(line, "outcome")),
         _ => {}
     }
 }
 
-fn cause(generation: &Generation, pauses: &HashMap<String, Vec<u64>>) -> Cause {
-    let together = |(replica, at): &(String, u64)| {
+fn classify(generation: &Generation, pauses: &HashMap<String, Vec<u64>>) -> Cause {
+    let replica_paused = |(replica, at): &(String, u64)| {
         let times = pauses.get(replica).map_or(&[][..], Vec::as_slice);
-        let near = times.iter().filter(|time| time.abs_diff(*at) < TOGETHER_MS);
-        near.count() > MANY
+        let nearby = times
+            .iter()
+            .filter(|time| time.abs_diff(*at) < PAUSE_WINDOW_MS);
+        nearby.count() > MAX_UNRELATED_PAUSES
     };
     match (generation.outcome.as_deref(), &generation.pause) {
         (None, _) => Cause::NoEnd,
-        (Some("answered"), _) if generation.late => Cause::FirstLate,
-        (Some("answered"), Some(pause)) if together(pause) => Cause::ReplicaPaused,
+        (Some("answered"), _) if generation.late => Cause::LateFirstEvent,
+        (Some("answered"), Some(pause)) if replica_paused(pause) => Cause::ReplicaPaused,
         (Some("answered"), Some(_)) if generation.resumed => Cause::Resumed,
-        (Some("answered"), Some(_)) => Cause::SetAside,
+        (Some("answered"), Some(_)) => Cause::Preempted,
         (Some("answered"), None) => Cause::InTime,
         (Some("refused"), _) => Cause::Refused,
         (Some("broken" | "unknown" | "overdue"), _) => Cause::BrokenOff,
@@ -174,8 +176,8 @@
 }
 
 /// Milliseconds of the day at which a line was written; daemons of a fleet differ little.
-fn milliseconds(line: &Value) -> u64 {
-    let time = text(line, "time");
+fn time_of_day_ms(line: &Value) -> u64 {
+    let time = field(line, "time");
     let clock = time.get(11..23).unwrap_or_default();
     let mut parts = clock
         .split([':', '.'])
@@ -184,7 +186,7 @@
     ((next() * 60 + next()) * 60 + next()) * 1_000 + next()
 }
 
-fn text(line: &Value, name: &str) -> String {
+fn field(line: &Value, name: &str) -> String {
     match &line[name] {
         Value::String(text) => text.clone(),
         Value::Null => String::new(),
--- a/crates/ctl/src/answer.rs
+++ b/crates/ctl/src/answer.rs
@@ -12,7 +12,7 @@
 /// What became of an edit.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
-pub enum Edited {
+pub enum EditResult {
     /// It is accepted.
     Accepted {
         /// The generation it made.
@@ -44,12 +44,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 pub struct History {
     /// The edits.
-    pub edits: Vec<Entry>,
+    pub edits: Vec<AcceptedEdit>,
 }
 
 /// An accepted edit.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Entry {
+pub struct AcceptedEdit {
     /// The generation it made.
     pub generation: u64,
     /// Its id.
@@ -66,7 +66,7 @@
 
 /// Decision lines.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Explained {
+pub struct Explanation {
     /// The lines, oldest first.
     pub lines: Vec<Value>,
 }
--- a/crates/ctl/src/base.rs
+++ b/crates/ctl/src/base.rs
@@ -9,20 +9,20 @@
 use table::edit::Change;
 use table::row::Row;
 
-use crate::answer::Entry;
+use crate::answer::AcceptedEdit;
 
-const HEADER: &str = "# generation ";
+const HEADER_PREFIX: &str = "# generation ";
 
 /// The first line of a file that shows `generation`.
 pub fn header(generation: u64) -> String {
-    format!("{HEADER}{generation}")
+    format!("{HEADER_PREFIX}{generation}")
 }
 
 /// The generation that a file says it was made from.
-pub fn generation(text: &str) -> Option<u64> {
+pub fn parse_generation(text: &str) -> Option<u64> {
     text.lines()
         .next()?
-        .strip_prefix(HEADER)?
+        .strip_prefix(HEADER_PREFIX)?
         .trim()
         .parse()
         .ok()
@@ -30,18 +30,18 @@
 
 /// The table of `generation`, from the one in force and the accepted edits; `None` if the edits
 /// don't reach back so far.
-pub fn rewind(current: &Table, edits: &[Entry], generation: u64) -> Option<Table> {
+pub fn rewind(current: &Table, edits: &[AcceptedEdit], generation: u64) -> Option<Table> {
     let mut rows = current.rows.clone();
     for number in (generation + 1..=current.generation).rev() {
-        let entry = edits.iter().find(|entry| entry.generation == number)?;
-        for change in entry.changes.iter().rev() {
-            undo(&mut rows, serde_json::from_value(change.clone()).ok()?);
+        let edit = edits.iter().find(|edit| edit.generation == number)?;
+        for change in edit.changes.iter().rev() {
+            revert(&mut rows, serde_json::from_value(change.clone()).ok()?);
         }
     }
     Some(Table::new(generation, rows).with_drains(current.drains.clone()))
 }
 
-fn undo(rows: &mut Vec<Row>, change: Change) {
+fn revert(rows: &mut Vec<Row>, change: Change) {
     match change {
         Change::Put { row, base } => {
             rows.retain(|other| other.parts() != row.parts());
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -13,7 +13,7 @@
 /// How long an accepted edit may take to come into force before the command gives up.
 const DEFAULT_WAIT: Duration = Duration::from_secs(10);
 /// Options that only some commands take, with the first words of these commands.
-const SPECIAL: [(&str, &[&str]); 5] = [
+const COMMAND_OPTIONS: [(&str, &[&str]); 5] = [
     ("dry-run", &["table apply", "drain", "undrain"]),
     ("wait", &["table apply", "table force", "drain", "undrain"]),
     ("note", &["table apply", "drain", "undrain"]),
@@ -21,7 +21,7 @@
     ("log", &["explain", "account"]),
 ];
 
-const BRIEF: &str = "Usage: waxwing [options] COMMAND
+const USAGE: &str = "Usage: waxwing [options] COMMAND
 
 Commands:
     table show              print the table in force, as a file that `table apply` takes
@@ -55,7 +55,7 @@
 
 /// A command with its options.
 #[derive(Debug)]
-pub struct Call {
+pub struct Invocation {
     /// What to do.
     pub command: Command,
     /// Options of every command.
@@ -83,15 +83,15 @@
     /// Check a table file.
     TableCheck(PathBuf),
     /// Make the table as in a file.
-    TableApply(PathBuf, Submission),
+    TableApply(PathBuf, SubmitOptions),
     /// Wait until a generation is in force.
     TableForce(u64, Duration),
     /// List the accepted edits.
     TableHistory,
     /// Mark to drain.
-    Drain(Mark, Submission),
+    Drain(Mark, SubmitOptions),
     /// Take the mark away.
-    Undrain(Mark, Submission),
+    Undrain(Mark, SubmitOptions),
     /// Show the instances.
     Status,
     /// Show the decisions for a request; log files to search in.
@@ -108,7 +108,7 @@
 
 /// How an edit is submitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Submission {
+pub struct SubmitOptions {
     /// Whether to stop after the difference was shown.
     pub dry_run: bool,
     /// How long to wait until it is in force.
@@ -124,26 +124,26 @@
 /// # Errors
 ///
 /// [`Error::Usage`] if they do not make a command.
-pub fn parse(args: Vec<String>) -> Result<Call, Error> {
-    let matches = definitions()
+pub fn parse(args: Vec<String>) -> Result<Invocation, Error> {
+    let matches = option_definitions()
         .parse(args)
-        .map_err(|cause| usage(cause.to_string()))?;
-    let command = command(&matches)?;
+        .map_err(|cause| usage_error(cause.to_string()))?;
+    let command = parse_command(&matches)?;
     let options = Options {
         admins: matches.opt_strs("admin"),
         operator: matches.opt_str("operator"),
         token_file: matches.opt_str("token-file").map(PathBuf::from),
         json: matches.opt_present("json"),
     };
-    Ok(Call { command, options })
+    Ok(Invocation { command, options })
 }
 
 /// The help text.
 pub fn help() -> String {
-    definitions().usage(BRIEF)
+    option_definitions().usage(USAGE)
 }
 
-fn command(matches: &Matches) -> Result<Command, Error> {
+fn parse_command(matches: &Matches) -> Result<Command, Error> {
     match matches {
         m if m.opt_present("help") => return Ok(Command::Help),
         m if m.opt_present("version") => return Ok(Command::Version),
@@ -155,28 +155,39 @@
         ["help"] => Ok(Command::Help),
         ["table", "show"] => Ok(Command::TableShow),
         ["table", "check", file] => Ok(Command::TableCheck(file.into())),
-        ["table", "apply", file] => Ok(Command::TableApply(file.into(), submission(matches)?)),
+        ["table", "apply", file] => Ok(Command::TableApply(file.into(), submit_options(matches)?)),
         ["table", "force", generation] => Ok(Command::TableForce(
-            number(generation, "GENERATION")?,
-            wait(matches)?,
+            parse_number(generation, "GENERATION")?,
+            parse_wait(matches)?,
         )),
         ["table", "history"] => Ok(Command::TableHistory),
-        ["drain", kind, name] => Ok(Command::Drain(mark(kind, name)?, submission(matches)?)),
-        ["undrain", kind, name] => Ok(Command::Undrain(mark(kind, name)?, submission(matches)?)),
+        ["drain", kind, name] => Ok(Command::Drain(
+            drain_target(kind, name)?,
+            submit_options(matches)?,
+        )),
+        ["undrain", kind, name] => Ok(Command::Undrain(
+            drain_target(kind, name)?,
+            submit_options(matches)?,
+        )),
         ["status"] => Ok(Command::Status),
-        ["explain", request] => Ok(Command::Explain(request.to_owned(), logs(matches))),
-        ["account"] => match logs(matches) {
-            logs if logs.is_empty() => Err(usage("account: --log FILE is missing".to_owned())),
+        ["explain", request] => Ok(Command::Explain(request.to_owned(), log_paths(matches))),
+        ["account"] => match log_paths(matches) {
+            logs if logs.is_empty() => {
+                Err(usage_error("account: --log FILE is missing".to_owned()))
+            }
             logs => Ok(Command::Account(logs)),
         },
         ["config", "check", file] => Ok(Command::ConfigCheck(file.into())),
-        [] => Err(usage("no command given".to_owned())),
-        _ => Err(usage(format!("`{}` is not a command", words.join(" ")))),
+        [] => Err(usage_error("no command given".to_owned())),
+        _ => Err(usage_error(format!(
+            "`{}` is not a command",
+            words.join(" ")
+        ))),
     }
 }
 
 /// The log files that are named.
-fn logs(matches: &Matches) -> Vec<PathBuf> {
+fn log_paths(matches: &Matches) -> Vec<PathBuf> {
     let logs = matches.opt_strs("log").into_iter();
     logs.map(PathBuf::from).collect()
 }
@@ -184,14 +195,16 @@
 /// Refuses options that the command would ignore.
 fn check_options(matches: &Matches, words: &[&str]) -> Result<(), Error> {
     let line = words.join(" ");
-    let given = SPECIAL.iter().filter(|(name, _)| matches.opt_present(name));
-    let mut foreign = given.filter(|(_, commands)| {
+    let given = COMMAND_OPTIONS
+        .iter()
+        .filter(|(name, _)| matches.opt_present(name));
+    let mut misplaced = given.filter(|(_, commands)| {
         !commands
             .iter()
             .any(|command| line == *command || line.starts_with(&format!("{command} ")))
     });
-    match foreign.next() {
-        Some((name, commands)) => Err(usage(format!(
+    match misplaced.next() {
+        Some((name, commands)) => Err(usage_error(format!(
             "--{name} belongs to: {}",
             commands.join(", ")
         ))),
@@ -199,37 +212,37 @@
     }
 }
 
-fn submission(matches: &Matches) -> Result<Submission, Error> {
-    Ok(Submission {
+fn submit_options(matches: &Matches) -> Result<SubmitOptions, Error> {
+    Ok(SubmitOptions {
         dry_run: matches.opt_present("dry-run"),
-        wait: wait(matches)?,
+        wait: parse_wait(matches)?,
         note: matches.opt_str("note").unwrap_or_default(),
         id: matches.opt_str("edit-id"),
     })
 }
 
-fn wait(matches: &Matches) -> Result<Duration, Error> {
+fn parse_wait(matches: &Matches) -> Result<Duration, Error> {
     match matches.opt_str("wait") {
-        Some(text) => number(&text, "--wait").map(Duration::from_secs),
+        Some(text) => parse_number(&text, "--wait").map(Duration::from_secs),
         None => Ok(DEFAULT_WAIT),
     }
 }
 
-fn number(text: &str, name: &str) -> Result<u64, Error> {
+fn parse_number(text: &str, name: &str) -> Result<u64, Error> {
     text.parse()
-        .map_err(|_| usage(format!("{name}: `{text}` is not a number from 0 up")))
+        .map_err(|_| usage_error(format!("{name}: `{text}` is not a number from 0 up")))
 }
 
-fn mark(kind: &str, name: &str) -> Result<Mark, Error> {
-    let problem = || usage(format!("`{kind}` is neither `instance` nor `replica`"));
+fn drain_target(kind: &str, name: &str) -> Result<Mark, Error> {
+    let problem = || usage_error(format!("`{kind}` is neither `instance` nor `replica`"));
     Mark::with_kind(kind, name).ok_or_else(problem)
 }
 
-fn usage(cause: String) -> Error {
+fn usage_error(cause: String) -> Error {
     Error::Usage { cause }
 }
 
-fn definitions() -> getopts::Options {
+fn option_definitions() -> getopts::Options {
     let mut options = getopts::Options::new();
     options.optmulti(
         "a",
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -11,23 +11,23 @@
 use volo_http::client::RequestBuilder;
 
 use crate::config::Config;
-use crate::error::Attempt;
 use crate::error::Error;
+use crate::error::FailedAttempt;
 
 /// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest wait for an answer; an edit waits for the store and for a majority of the instances.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest part of an unexpected body that an error shows.
-const SHOWN_BYTES: usize = 300;
+const MAX_EXCERPT_CHARS: usize = 300;
 
 /// The admin interface of all instances.
-pub struct Admin {
+pub struct AdminClient {
     client: Client,
     config: Config,
 }
 
-impl std::fmt::Debug for Admin {
+impl std::fmt::Debug for AdminClient {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Admin")
             .field("config", &self.config)
@@ -53,7 +53,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Denied`] for an unknown operator, [`Error::Answer`] if the body is of another kind.
+    /// [`Error::Denied`] for an unknown operator, [`Error::UnexpectedAnswer`] if the body is of
+    /// another kind.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, Error> {
         if matches!(
             self.status,
@@ -69,22 +70,22 @@
 
     /// An error that shows the answer.
     pub fn unexpected(&self) -> Error {
-        Error::Answer {
+        Error::UnexpectedAnswer {
             step: self.step.clone(),
             peer: self.peer.clone(),
             status: self.status.as_u16(),
-            body: self.shown(),
+            body: self.body_excerpt(),
         }
     }
 
     /// The beginning of the body as text.
-    pub fn shown(&self) -> String {
+    pub fn body_excerpt(&self) -> String {
         let text = String::from_utf8_lossy(&self.body);
-        text.chars().take(SHOWN_BYTES).collect()
+        text.chars().take(MAX_EXCERPT_CHARS).collect()
     }
 }
 
-impl Admin {
+impl AdminClient {
     /// The interface as `config` names it.
     ///
     /// # Panics
@@ -117,7 +118,7 @@
     /// # Errors
     ///
     /// What happened, if no whole answer came.
-    pub async fn get_at(&self, address: SocketAddr, path: &str) -> Result<Answer, Attempt> {
+    pub async fn get_at(&self, address: SocketAddr, path: &str) -> Result<Answer, FailedAttempt> {
         let request = self.request(Method::GET, address, path);
         self.send(request, address, format!("GET {path}")).await
     }
@@ -132,7 +133,7 @@
         address: SocketAddr,
         path: &str,
         body: String,
-    ) -> Result<Answer, Attempt> {
+    ) -> Result<Answer, FailedAttempt> {
         let request = self
             .request(Method::POST, address, path)
             .header("Content-Type", "application/json")
@@ -146,20 +147,20 @@
     ///
     /// [`Error::Unreachable`] if none does, and as [`Answer::parse`].
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        let mut tried = Vec::new();
+        let mut failures = Vec::new();
         for &address in self.addresses() {
             match self.get_at(address, path).await {
-                Ok(answer) if answer.status.is_server_error() => tried.push(Attempt {
+                Ok(answer) if answer.status.is_server_error() => failures.push(FailedAttempt {
                     peer: answer.peer.clone(),
-                    cause: format!("{} {}", answer.status, answer.shown()),
+                    cause: format!("{} {}", answer.status, answer.body_excerpt()),
                 }),
                 Ok(answer) => return answer.parse(),
-                Err(attempt) => tried.push(attempt),
+                Err(attempt) => failures.push(attempt),
             }
         }
         Err(Error::Unreachable {
             step: format!("GET {path}"),
-            tried,
+            failures,
         })
     }
 
@@ -175,17 +176,17 @@
         request: RequestBuilder<Client>,
         address: SocketAddr,
         step: String,
-    ) -> Result<Answer, Attempt> {
-        let failed = |cause: &dyn std::error::Error| Attempt {
+    ) -> Result<Answer, FailedAttempt> {
+        let to_failure = |cause: &dyn std::error::Error| FailedAttempt {
             peer: address.to_string(),
-            cause: chain(cause),
+            cause: error_chain(cause),
         };
-        let response = request.send().await.map_err(|cause| failed(&cause))?;
+        let response = request.send().await.map_err(|cause| to_failure(&cause))?;
         let (head, body) = response.into_parts();
         let read = tokio::time::timeout(REQUEST_TIMEOUT, body.into_vec()).await;
         let body = read
-            .map_err(|cause| failed(&cause))?
-            .map_err(|cause| failed(&cause))?;
+            .map_err(|cause| to_failure(&cause))?
+            .map_err(|cause| to_failure(&cause))?;
         Ok(Answer {
             step,
             peer: address.to_string(),
@@ -196,7 +197,7 @@
 }
 
 /// An error with its causes in one line, each said once.
-fn chain(error: &dyn std::error::Error) -> String {
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(inner) = cause {
--- a/crates/ctl/src/commands/account.rs
+++ b/crates/ctl/src/commands/account.rs
@@ -4,45 +4,45 @@
 
 use serde_json::json;
 
-use crate::account::Account;
 use crate::account::Cause;
+use crate::account::OutcomeReport;
 use crate::error::Error;
 use crate::output::Output;
-use crate::story::Log;
+use crate::timeline::Log;
 
 /// Prints the account of all `logs` together.
 pub(super) fn run(logs: &[PathBuf], output: Output) -> Result<(), Error> {
     let mut lines = Vec::new();
-    let mut bad = 0;
+    let mut unreadable = 0;
     for path in logs {
         let log = Log::read(path)?;
         lines.extend(log.lines);
-        bad += log.bad;
+        unreadable += log.unreadable;
     }
-    let account = Account::new(&lines);
-    let causes = account.causes.iter();
+    let report = OutcomeReport::new(&lines);
+    let causes = report.causes.iter();
     let causes = causes.map(|(cause, count)| json!({"cause": cause.text(), "count": count}));
-    let value = json!({"generations": account.total(), "causes": causes.collect::<Vec<_>>(), "customers": account.customers});
+    let value = json!({"generations": report.total(), "causes": causes.collect::<Vec<_>>(), "customers": report.customers});
     output.value(&value);
-    for line in tell(&account, bad) {
+    for line in format_report(&report, unreadable) {
         output.line(&line);
     }
     Ok(())
 }
 
-fn tell(account: &Account, bad: usize) -> Vec<String> {
-    let total = account.total().max(1) as f64;
+fn format_report(report: &OutcomeReport, unreadable: usize) -> Vec<String> {
+    let total = report.total().max(1) as f64;
     let mut lines = vec![format!(
-        "{} generations ({bad} lines could not be read)",
-        account.total()
+        "{} generations ({unreadable} lines could not be read)",
+        report.total()
     )];
-    let mut causes: Vec<(&Cause, &u64)> = account.causes.iter().collect();
+    let mut causes: Vec<(&Cause, &u64)> = report.causes.iter().collect();
     causes.sort_by_key(|(_, count)| std::cmp::Reverse(**count));
     for (cause, count) in causes {
         let share = 100.0 * *count as f64 / total;
         lines.push(format!("{count:6} {share:5.1} %  {}", cause.text()));
     }
-    for (customer, outcomes) in &account.customers {
+    for (customer, outcomes) in &report.customers {
         let outcomes = outcomes
             .iter()
             .map(|(outcome, count)| format!("{count} {outcome}"));
@@ -50,19 +50,19 @@
         lines.push(format!("customer {customer}: {}", outcomes.join(", ")));
     }
     lines.push("seconds in which some were lost:".to_owned());
-    for (second, causes) in &account.seconds {
+    for (second, causes) in &report.seconds {
         let lost = causes.iter().filter(|(cause, _)| **cause != Cause::InTime);
         let lost: Vec<String> = lost
             .map(|(cause, count)| format!("{count} {}", cause.text()))
             .collect();
         if !lost.is_empty() {
-            lines.push(format!("{}  {}", clock(*second), lost.join(", ")));
+            lines.push(format!("{}  {}", format_time(*second), lost.join(", ")));
         }
     }
     lines
 }
 
-fn clock(second: u64) -> String {
+fn format_time(second: u64) -> String {
     format!(
         "{:02}:{:02}:{:02}",
         second / 3_600,
--- a/crates/ctl/src/commands/check.rs
+++ b/crates/ctl/src/commands/check.rs
@@ -39,19 +39,19 @@
         path: path.to_owned(),
         cause,
     })?;
-    let rows = file::parse(&text).map_err(|report| Error::File {
+    let rows = file::parse(&text).map_err(|report| Error::InvalidFile {
         path: path.to_owned(),
         faults: report.to_string(),
     })?;
     Ok(TableFile {
         rows,
-        generation: base::generation(&text),
+        generation: base::parse_generation(&text),
     })
 }
 
 /// Checks a daemon's settings file with the daemon's own reader.
 pub(super) fn settings(path: &Path, output: Output) -> Result<(), Error> {
-    let config = Config::read(path).map_err(|fault| fault_of(path, fault))?;
+    let config = Config::read(path).map_err(|fault| to_file_error(path, fault))?;
     output.line(&format!(
         "{}: settings of {} in {}, no fault",
         path.display(),
@@ -62,10 +62,10 @@
     Ok(())
 }
 
-fn fault_of(path: &Path, fault: launch::error::Error) -> Error {
+fn to_file_error(path: &Path, fault: launch::error::Error) -> Error {
     match fault {
         launch::error::Error::Read { path, cause } => Error::Read { path, cause },
-        other => Error::File {
+        other => Error::InvalidFile {
             path: path.to_owned(),
             faults: other.to_string(),
         },
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -6,44 +6,44 @@
 use table::edit::Change;
 use table::edit::Edit;
 
-use crate::cli::Submission;
-use crate::client::Admin;
+use crate::cli::SubmitOptions;
+use crate::client::AdminClient;
 use crate::commands::apply;
-use crate::commands::show::TABLE;
+use crate::commands::show::TABLE_PATH;
 use crate::error::Error;
 use crate::output::Output;
 use crate::submit;
 
-/// Sets or clears `mark`, and waits until that is in force.
+/// Sets or clears `target`, and waits until that is in force.
 pub(super) async fn run(
-    admin: &Admin,
-    mark: &Mark,
+    admin: &AdminClient,
+    target: &Mark,
     set: bool,
-    how: &Submission,
+    options: &SubmitOptions,
     output: Output,
 ) -> Result<(), Error> {
-    let base: Table = admin.get(TABLE).await?;
-    let already = base.drains.contains(mark) == set;
-    if already && how.id.is_none() {
+    let base: Table = admin.get(TABLE_PATH).await?;
+    let already = base.drains.contains(target) == set;
+    if already && options.id.is_none() {
         output.line(&format!(
-            "{mark} is {} already",
+            "{target} is {} already",
             if set { "draining" } else { "not draining" }
         ));
         output.value(&json!({ "result": "unchanged", "generation": base.generation }));
         return Ok(());
     }
     let (sign, change) = if set {
-        ('+', Change::Drain(mark.clone()))
+        ('+', Change::Drain(target.clone()))
     } else {
-        ('-', Change::Undrain(mark.clone()))
+        ('-', Change::Undrain(target.clone()))
     };
-    apply::difference(base.generation, &[format!("{sign} drain {mark}")], output);
-    if how.dry_run {
+    apply::print_difference(base.generation, &[format!("{sign} drain {target}")], output);
+    if options.dry_run {
         return Ok(());
     }
-    let id = how.id.clone().unwrap_or_else(submit::new_id);
+    let id = options.id.clone().unwrap_or_else(submit::new_id);
     let edit = Edit::new(&id, admin.operator())
-        .with_note(&how.note)
+        .with_note(&options.note)
         .with_change(change);
-    submit::submit(admin, &edit, how, output).await
+    submit::submit(admin, &edit, options, output).await
 }
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -7,18 +7,18 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::answer::Explained;
+use crate::answer::Explanation;
 use crate::cli::Options;
-use crate::client::Admin;
+use crate::client::AdminClient;
 use crate::config::Config;
-use crate::error::Attempt;
 use crate::error::Error;
+use crate::error::FailedAttempt;
 use crate::output::Output;
-use crate::story;
-use crate::story::Log;
+use crate::timeline;
+use crate::timeline::Log;
 
 /// Decision lines of one source.
-struct Found {
+struct SourceLines {
     source: String,
     lines: Vec<Value>,
 }
@@ -47,92 +47,92 @@
     logs: &[PathBuf],
     output: Output,
 ) -> Result<(), Error> {
-    let read: Vec<Log> = logs
+    let contents: Vec<Log> = logs
         .iter()
         .map(|path| Log::read(path))
         .collect::<Result<_, _>>()?;
-    if tell(&read, request, output) {
+    if print_timeline(&contents, request, output) {
         return Ok(());
     }
-    let sources = logs.iter().zip(&read);
-    let mut found: Vec<Found> = sources
-        .map(|(path, log)| search(path, request, log))
+    let sources = logs.iter().zip(&contents);
+    let mut found: Vec<SourceLines> = sources
+        .map(|(path, log)| find_decisions(path, request, log))
         .collect();
-    let mut tried = Vec::new();
+    let mut failed = Vec::new();
     match Config::new(options) {
-        Ok(config) => ask(&Admin::new(config), request, &mut found, &mut tried).await?,
+        Ok(config) => query(&AdminClient::new(config), request, &mut found, &mut failed).await?,
         // Log files alone need no instance; what is named wrongly is still a fault.
         Err(Error::Usage { .. }) if !logs.is_empty() && options.admins.is_empty() => {}
         Err(error) => return Err(error),
     }
-    print(&found, output);
+    print_decisions(&found, output);
     let empty = found.iter().all(|found| found.lines.is_empty());
-    match (tried.is_empty(), empty) {
+    match (failed.is_empty(), empty) {
         (true, true) => Err(Error::NotFound {
             request: request.to_owned(),
         }),
         (true, false) => Ok(()),
         (false, _) => Err(Error::Unreachable {
             step: "GET /v1/explain".to_owned(),
-            tried,
+            failures: failed,
         }),
     }
 }
 
-async fn ask(
-    admin: &Admin,
+async fn query(
+    admin: &AdminClient,
     request: &str,
-    found: &mut Vec<Found>,
-    tried: &mut Vec<Attempt>,
+    found: &mut Vec<SourceLines>,
+    failed: &mut Vec<FailedAttempt>,
 ) -> Result<(), Error> {
-    let path = format!("/v1/explain?request={}", escape(request));
+    let path = format!("/v1/explain?request={}", percent_encode(request));
     for &address in admin.addresses() {
         match admin.get_at(address, &path).await {
             Ok(answer) => {
-                let explained: Explained = answer.parse()?;
-                found.push(Found {
+                let explained: Explanation = answer.parse()?;
+                found.push(SourceLines {
                     source: answer.peer,
                     lines: explained.lines,
                 });
             }
-            Err(attempt) => tried.push(attempt),
+            Err(attempt) => failed.push(attempt),
         }
     }
     Ok(())
 }
 
 /// The decision lines of a log whose request contains `request`.
-fn search(path: &Path, request: &str, log: &Log) -> Found {
+fn find_decisions(path: &Path, request: &str, log: &Log) -> SourceLines {
     let lines = log.lines.iter().filter(|line| {
         let named = line["request"]
             .as_str()
             .is_some_and(|text| text.contains(request));
         named && line["kind"] == "decision"
     });
-    Found {
+    SourceLines {
         source: path.display().to_string(),
         lines: lines.cloned().collect(),
     }
 }
 
 /// Tells the life of `request` from the lines of gateway daemons; whether any names it.
-fn tell(logs: &[Log], request: &str, output: Output) -> bool {
+fn print_timeline(logs: &[Log], request: &str, output: Output) -> bool {
     let lines: Vec<Value> = logs.iter().flat_map(|log| log.lines.clone()).collect();
-    let life = story::tell(&lines, request);
-    for sentence in &life {
+    let timeline = timeline::build(&lines, request);
+    for sentence in &timeline {
         output.line(sentence);
     }
-    let bad: usize = logs.iter().map(|log| log.bad).sum();
-    if bad > 0 {
-        output.line(&format!("({bad} lines could not be read)"));
+    let unreadable: usize = logs.iter().map(|log| log.unreadable).sum();
+    if unreadable > 0 {
+        output.line(&format!("({unreadable} lines could not be read)"));
     }
-    if !life.is_empty() {
-        output.value(&json!({ "life": life, "bad_lines": bad }));
+    if !timeline.is_empty() {
+        output.value(&json!({ "life": timeline, "bad_lines": unreadable }));
     }
-    !life.is_empty()
+    !timeline.is_empty()
 }
 
-fn print(found: &[Found], output: Output) {
+fn print_decisions(found: &[SourceLines], output: Output) {
     let all = found
         .iter()
         .flat_map(|found| found.lines.iter().map(|line| (&found.source, line)));
@@ -142,7 +142,7 @@
     // Stable: lines without a time keep the order of their source.
     decisions.sort_by(|(_, a), (_, b)| a.time.cmp(&b.time));
     for (source, decision) in &decisions {
-        output.line(&describe(source, decision));
+        output.line(&describe_decision(source, decision));
     }
     let sources = found
         .iter()
@@ -150,7 +150,7 @@
     output.value(&json!({ "found": sources.collect::<Vec<_>>() }));
 }
 
-fn describe(source: &str, decision: &Decision) -> String {
+fn describe_decision(source: &str, decision: &Decision) -> String {
     let Decision {
         request,
         step,
@@ -169,11 +169,11 @@
 }
 
 /// Percent-encodes what may not stand in a query value.
-fn escape(text: &str) -> String {
-    let plain = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.~/".contains(byte);
+fn percent_encode(text: &str) -> String {
+    let unreserved = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.~/".contains(byte);
     text.bytes()
         .map(|byte| {
-            if plain(&byte) {
+            if unreserved(&byte) {
                 char::from(byte).to_string()
             } else {
                 format!("%{byte:02X}")
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -10,22 +10,22 @@
 mod status;
 
 use crate::cli;
-use crate::cli::Call;
 use crate::cli::Command;
-use crate::client::Admin;
+use crate::cli::Invocation;
+use crate::client::AdminClient;
 use crate::config::Config;
 use crate::error::Error;
 use crate::output::Output;
 use crate::submit;
 
-/// Runs `call`.
+/// Runs `invocation`.
 ///
 /// # Errors
 ///
 /// What the command could not do.
-pub async fn run(call: &Call, output: Output) -> Result<(), Error> {
-    let admin = || Config::new(&call.options).map(Admin::new);
-    match &call.command {
+pub async fn run(invocation: &Invocation, output: Output) -> Result<(), Error> {
+    let admin = || Config::new(&invocation.options).map(AdminClient::new);
+    match &invocation.command {
         Command::Help => {
             output.line(&cli::help());
             Ok(())
@@ -36,15 +36,23 @@
         }
         Command::TableShow => show::run(&admin()?, output).await,
         Command::TableCheck(path) => check::run(path, output),
-        Command::TableApply(path, how) => apply::run(&admin()?, path, how, output).await,
+        Command::TableApply(path, submit_options) => {
+            apply::run(&admin()?, path, submit_options, output).await
+        }
         Command::TableForce(generation, wait) => {
-            submit::await_force(&admin()?, *generation, *wait, "", output).await
+            submit::wait_until_in_force(&admin()?, *generation, *wait, "", output).await
         }
         Command::TableHistory => history::run(&admin()?, output).await,
-        Command::Drain(mark, how) => drain::run(&admin()?, mark, true, how, output).await,
-        Command::Undrain(mark, how) => drain::run(&admin()?, mark, false, how, output).await,
+        Command::Drain(target, submit_options) => {
+            drain::run(&admin()?, target, true, submit_options, output).await
+        }
+        Command::Undrain(target, submit_options) => {
+            drain::run(&admin()?, target, false, submit_options, output).await
+        }
         Command::Status => status::run(&admin()?, output).await,
-        Command::Explain(request, logs) => explain::run(&call.options, request, logs, output).await,
+        Command::Explain(request, logs) => {
+            explain::run(&invocation.options, request, logs, output).await
+        }
         Command::Account(logs) => account::run(logs, output),
         Command::ConfigCheck(path) => check::settings(path, output),
     }
--- a/crates/ctl/src/commands/show.rs
+++ b/crates/ctl/src/commands/show.rs
@@ -4,19 +4,19 @@
 use table::file;
 
 use crate::base;
-use crate::client::Admin;
+use crate::client::AdminClient;
 use crate::error::Error;
 use crate::output::Output;
 
 /// Path of the table in force.
-pub(super) const TABLE: &str = "/v1/table";
+pub(super) const TABLE_PATH: &str = "/v1/table";
 
 /// Prints the table; generation and marks stand in comments, so that the text is a valid file.
-pub(super) async fn run(admin: &Admin, output: Output) -> Result<(), Error> {
-    let table: Table = admin.get(TABLE).await?;
+pub(super) async fn run(admin: &AdminClient, output: Output) -> Result<(), Error> {
+    let table: Table = admin.get(TABLE_PATH).await?;
     output.line(&base::header(table.generation));
-    for mark in &table.drains {
-        output.line(&format!("# draining: {mark}"));
+    for target in &table.drains {
+        output.line(&format!("# draining: {target}"));
     }
     output.line(file::print(&table.rows).trim_end());
     output.value(&table);
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -5,40 +5,43 @@
 use crate::answer::Member;
 use crate::answer::Pool;
 use crate::answer::Status;
-use crate::client::Admin;
-use crate::error::Attempt;
+use crate::client::AdminClient;
 use crate::error::Error;
+use crate::error::FailedAttempt;
 use crate::output::Output;
 
 /// Prints the view of every instance; fails at the end if one did not answer.
-pub(super) async fn run(admin: &Admin, output: Output) -> Result<(), Error> {
+pub(super) async fn run(admin: &AdminClient, output: Output) -> Result<(), Error> {
     let mut views = Vec::new();
-    let mut tried = Vec::new();
+    let mut failures = Vec::new();
     for &address in admin.addresses() {
         match admin.get_at(address, "/v1/status").await {
             Ok(answer) => {
                 let status: Status = answer.parse()?;
-                print(&answer.peer, &status, output);
+                print_status(&answer.peer, &status, output);
                 views.push(status);
             }
-            Err(attempt) => tried.push(attempt),
+            Err(attempt) => failures.push(attempt),
         }
     }
-    output.value(&json!({ "instances": views, "unreachable": peers(&tried) }));
-    if tried.is_empty() {
+    output.value(&json!({ "instances": views, "unreachable": failed_addresses(&failures) }));
+    if failures.is_empty() {
         return Ok(());
     }
     Err(Error::Unreachable {
         step: "GET /v1/status".to_owned(),
-        tried,
+        failures,
     })
 }
 
-fn peers(tried: &[Attempt]) -> Vec<&str> {
-    tried.iter().map(|attempt| attempt.peer.as_str()).collect()
+fn failed_addresses(failures: &[FailedAttempt]) -> Vec<&str> {
+    failures
+        .iter()
+        .map(|failure| failure.peer.as_str())
+        .collect()
 }
 
-fn print(peer: &str, status: &Status, output: Output) {
+fn print_status(peer: &str, status: &Status, output: Output) {
     let state = match (status.leaving, status.fresh) {
         (true, _) => "leaving",
         (false, true) => "deciding",
@@ -67,16 +70,16 @@
         ));
     }
     for member in &status.members {
-        output.line(&format!("  sees {}", describe(member)));
+        output.line(&format!("  sees {}", describe_member(member)));
     }
 }
 
-fn describe(member: &Member) -> String {
+fn describe_member(member: &Member) -> String {
     let generation = member
         .generation
         .map_or(String::new(), |number| format!(", generation {number}"));
-    let heard = member
+    let last_heard = member
         .heard_ms
         .map_or(String::new(), |ms| format!(", heard {ms} ms ago"));
-    format!("{}: {}{generation}{heard}", member.name, member.state)
+    format!("{}: {}{generation}{last_heard}", member.name, member.state)
 }
--- a/crates/ctl/src/config.rs
+++ b/crates/ctl/src/config.rs
@@ -8,9 +8,9 @@
 use crate::cli::Options;
 use crate::error::Error;
 
-const ADMIN: &str = "WAXWING_ADMIN";
-const OPERATOR: &str = "WAXWING_OPERATOR";
-const TOKEN: &str = "WAXWING_TOKEN";
+const ADMIN_VARIABLE: &str = "WAXWING_ADMIN";
+const OPERATOR_VARIABLE: &str = "WAXWING_OPERATOR";
+const TOKEN_VARIABLE: &str = "WAXWING_TOKEN";
 
 /// Whom to ask, and as whom.
 #[derive(Clone)]
@@ -40,18 +40,22 @@
     /// [`Error::Usage`] if something is missing or is not an address; [`Error::Read`] if the token
     /// file can't be read.
     pub fn new(options: &Options) -> Result<Self, Error> {
-        let operator = options.operator.clone().or_else(|| variable(OPERATOR));
+        let operator = options
+            .operator
+            .clone()
+            .or_else(|| env_variable(OPERATOR_VARIABLE));
         Ok(Self {
-            admins: admins(options)?,
-            operator: operator.ok_or_else(|| missing("operator", "--operator NAME", OPERATOR))?,
-            token: token(options)?,
+            admins: admin_addresses(options)?,
+            operator: operator
+                .ok_or_else(|| missing_error("operator", "--operator NAME", OPERATOR_VARIABLE))?,
+            token: load_token(options)?,
         })
     }
 }
 
-fn admins(options: &Options) -> Result<Vec<SocketAddr>, Error> {
+fn admin_addresses(options: &Options) -> Result<Vec<SocketAddr>, Error> {
     let texts = if options.admins.is_empty() {
-        variable(ADMIN)
+        env_variable(ADMIN_VARIABLE)
             .unwrap_or_default()
             .split(',')
             .map(str::to_owned)
@@ -63,28 +67,33 @@
         .iter()
         .map(|text| text.trim())
         .filter(|text| !text.is_empty());
-    let addresses = filled.map(address).collect::<Result<Vec<_>, _>>()?;
+    let addresses = filled.map(parse_address).collect::<Result<Vec<_>, _>>()?;
     if addresses.is_empty() {
-        Err(missing("admin address", "--admin IP:PORT", ADMIN))
+        Err(missing_error(
+            "admin address",
+            "--admin IP:PORT",
+            ADMIN_VARIABLE,
+        ))
     } else {
         Ok(addresses)
     }
 }
 
-fn address(text: &str) -> Result<SocketAddr, Error> {
+fn parse_address(text: &str) -> Result<SocketAddr, Error> {
     text.parse().map_err(|_| Error::Usage {
         cause: format!("`{text}` is not an address of the form ip:port"),
     })
 }
 
-fn token(options: &Options) -> Result<String, Error> {
+fn load_token(options: &Options) -> Result<String, Error> {
     match &options.token_file {
-        Some(path) => read(path),
-        None => variable(TOKEN).ok_or_else(|| missing("token", "--token-file FILE", TOKEN)),
+        Some(path) => read_token(path),
+        None => env_variable(TOKEN_VARIABLE)
+            .ok_or_else(|| missing_error("token", "--token-file FILE", TOKEN_VARIABLE)),
     }
 }
 
-fn read(path: &Path) -> Result<String, Error> {
+fn read_token(path: &Path) -> Result<String, Error> {
     fs::read_to_string(path)
         .map(|text| text.trim().to_owned())
         .map_err(|cause| Error::Read {
@@ -93,11 +102,11 @@
         })
 }
 
-fn variable(name: &str) -> Option<String> {
+fn env_variable(name: &str) -> Option<String> {
     env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-fn missing(what: &str, option: &str, name: &str) -> Error {
+fn missing_error(what: &str, option: &str, name: &str) -> Error {
     Error::Usage {
         cause: format!("no {what}; give {option} or set {name}"),
     }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -22,7 +22,7 @@
         cause: io::Error,
     },
     /// A file did not pass its checks.
-    File {
+    InvalidFile {
         /// The file.
         path: PathBuf,
         /// Every fault, one a line.
@@ -38,7 +38,7 @@
         /// What was asked.
         step: String,
         /// Each address with its failure.
-        tried: Vec<Attempt>,
+        failures: Vec<FailedAttempt>,
     },
     /// An instance does not know this operator or token.
     Denied {
@@ -73,7 +73,7 @@
         /// Id of the edit.
         id: String,
         /// Each attempt with its failure.
-        tried: Vec<Attempt>,
+        failures: Vec<FailedAttempt>,
     },
     /// The edit is accepted, but instances do not decide by it yet.
     NotInForce {
@@ -85,7 +85,7 @@
         waited: u64,
     },
     /// An answer that this version of the command does not understand.
-    Answer {
+    UnexpectedAnswer {
         /// What was asked.
         step: String,
         /// Address of the instance.
@@ -104,7 +104,7 @@
 
 /// A failed attempt at one address.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Attempt {
+pub struct FailedAttempt {
     /// The address.
     pub peer: String,
     /// What happened.
@@ -116,8 +116,10 @@
     pub const fn code(&self) -> ExitCode {
         match self {
             Self::Usage { .. } => ExitCode::Usage,
-            Self::Read { .. } | Self::Runtime { .. } | Self::Answer { .. } => ExitCode::Failure,
-            Self::File { .. } | Self::Rejected { .. } => ExitCode::Rejected,
+            Self::Read { .. } | Self::Runtime { .. } | Self::UnexpectedAnswer { .. } => {
+                ExitCode::Failure
+            }
+            Self::InvalidFile { .. } | Self::Rejected { .. } => ExitCode::Rejected,
             Self::Unreachable { .. } => ExitCode::Unreachable,
             Self::Denied { .. } => ExitCode::Denied,
             Self::Conflict { .. } | Self::Outdated { .. } => ExitCode::Conflict,
@@ -132,7 +134,7 @@
         match self {
             Self::Usage { .. } => "see `waxwing --help`".to_owned(),
             Self::Read { .. } => "check the name and who may read the file".to_owned(),
-            Self::File { .. } => "correct the file and run the command again".to_owned(),
+            Self::InvalidFile { .. } => "correct the file and run the command again".to_owned(),
             Self::Runtime { .. } => "check the limits on processes and open files".to_owned(),
             Self::Unreachable { .. } => {
                 "check that the instance runs, or name other admin addresses with --admin"
@@ -161,7 +163,7 @@
             Self::NotInForce { generation, .. } => {
                 format!("the edit stands; go on waiting with `waxwing table force {generation}`")
             }
-            Self::Answer { .. } => {
+            Self::UnexpectedAnswer { .. } => {
                 "check that the address is an admin address and the versions match".to_owned()
             }
             Self::NotFound { .. } => "ask all instances (--admin, repeated), or search kept log \
@@ -176,11 +178,13 @@
         match self {
             Self::Usage { cause } => write!(f, "usage: {cause}"),
             Self::Read { path, cause } => write!(f, "read {}: {cause}", path.display()),
-            Self::File { path, faults } => write!(f, "{} is faulty:\n{faults}", path.display()),
+            Self::InvalidFile { path, faults } => {
+                write!(f, "{} is faulty:\n{faults}", path.display())
+            }
             Self::Runtime { cause } => write!(f, "start the runtime: {cause}"),
-            Self::Unreachable { step, tried } => {
+            Self::Unreachable { step, failures } => {
                 write!(f, "{step}: no answer")?;
-                attempts(f, tried)
+                write_failures(f, failures)
             }
             Self::Denied { step, peer } => {
                 write!(
@@ -198,9 +202,9 @@
                  and the edits between them are not kept any more"
             ),
             Self::Rejected { peer, cause } => write!(f, "rejected by {peer}: {cause}"),
-            Self::Undecided { id, tried } => {
+            Self::Undecided { id, failures } => {
                 write!(f, "whether edit {id} was accepted is not known")?;
-                attempts(f, tried)
+                write_failures(f, failures)
             }
             Self::NotInForce {
                 generation,
@@ -217,7 +221,7 @@
                     "generation {generation} is not in force after {waited} s; {names}"
                 )
             }
-            Self::Answer {
+            Self::UnexpectedAnswer {
                 step,
                 peer,
                 status,
@@ -230,10 +234,10 @@
     }
 }
 
-fn attempts(f: &mut fmt::Formatter<'_>, tried: &[Attempt]) -> fmt::Result {
-    tried
+fn write_failures(f: &mut fmt::Formatter<'_>, failures: &[FailedAttempt]) -> fmt::Result {
+    failures
         .iter()
-        .try_for_each(|attempt| write!(f, "\n  {}: {}", attempt.peer, attempt.cause))
+        .try_for_each(|failure| write!(f, "\n  {}: {}", failure.peer, failure.cause))
 }
 
 impl std::error::Error for Error {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -11,31 +11,31 @@
 pub mod error;
 pub mod exit_codes;
 pub mod output;
-pub mod story;
 pub mod submit;
+pub mod timeline;
 
-use crate::cli::Call;
+use crate::cli::Invocation;
 use crate::error::Error;
 use crate::exit_codes::ExitCode;
 use crate::output::Output;
 
 /// Runs the command line `args`, without the program's name.
 pub fn run(args: Vec<String>) -> ExitCode {
-    let call = match cli::parse(args) {
-        Ok(call) => call,
+    let invocation = match cli::parse(args) {
+        Ok(invocation) => invocation,
         Err(error) => return Output::new(false).error(&error),
     };
-    let output = Output::new(call.options.json);
-    match execute(&call, output) {
+    let output = Output::new(invocation.options.json);
+    match execute(&invocation, output) {
         Ok(()) => ExitCode::Success,
         Err(error) => output.error(&error),
     }
 }
 
-fn execute(call: &Call, output: Output) -> Result<(), Error> {
+fn execute(invocation: &Invocation, output: Output) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|cause| Error::Runtime { cause })?;
-    runtime.block_on(commands::run(call, output))
+    runtime.block_on(commands::run(invocation, output))
 }
--- a/crates/ctl/src/submit.rs
+++ b/crates/ctl/src/submit.rs
@@ -14,22 +14,22 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::answer::Edited;
+use crate::answer::EditResult;
 use crate::answer::Force;
-use crate::cli::Submission;
-use crate::client::Admin;
+use crate::cli::SubmitOptions;
+use crate::client::AdminClient;
 use crate::client::Answer;
-use crate::error::Attempt;
 use crate::error::Error;
+use crate::error::FailedAttempt;
 use crate::output::Output;
 
 /// Pause between two questions about the table.
-pub(crate) const POLL_EVERY: Duration = Duration::from_millis(100);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause before an undecided edit is sent again.
-const REPEAT_AFTER: Duration = Duration::from_millis(500);
+const RESEND_DELAY: Duration = Duration::from_millis(500);
 /// Least number of rounds over all addresses before an edit is given up.
-const LEAST_ROUNDS: usize = 3;
-const EDITS: &str = "/v1/table/edits";
+const MIN_ROUNDS: usize = 3;
+const EDITS_PATH: &str = "/v1/table/edits";
 
 /// An edit in force, as printed in JSON mode.
 #[derive(Debug, Serialize)]
@@ -52,26 +52,26 @@
 ///
 /// The variants of [`Error`] that say how far it came.
 pub async fn submit(
-    admin: &Admin,
+    admin: &AdminClient,
     edit: &Edit,
-    how: &Submission,
+    options: &SubmitOptions,
     output: Output,
 ) -> Result<(), Error> {
     edit.check().map_err(|report| Error::Rejected {
         peer: "this command".to_owned(),
         cause: report.to_string(),
     })?;
-    let accepted = send(admin, edit, how.wait).await?;
+    let accepted = send_edit(admin, edit, options.wait).await?;
     let Accepted {
         peer,
         generation,
-        before,
+        repeated,
     } = &accepted;
-    let again = if *before { " before" } else { "" };
+    let again = if *repeated { " before" } else { "" };
     output.line(&format!(
         "accepted{again} by {peer} as generation {generation}"
     ));
-    await_force(admin, accepted.generation, how.wait, &edit.id, output).await
+    wait_until_in_force(admin, accepted.generation, options.wait, &edit.id, output).await
 }
 
 /// An accepted edit.
@@ -79,127 +79,131 @@
     peer: String,
     generation: u64,
     /// Whether an earlier attempt had been accepted.
-    before: bool,
+    repeated: bool,
 }
 
 /// What came of one attempt.
-enum Attempted {
+enum AttemptResult {
     Accepted(Accepted),
     /// The instance did not take it and nothing was sent to the store.
     Refused(Error),
     /// Nobody took it, or nobody knows.
-    Open {
-        attempt: Attempt,
-        reached: bool,
+    Inconclusive {
+        failure: FailedAttempt,
+        maybe_reached: bool,
     },
 }
 
 /// Sends `edit` to the addresses in turn, under the same id, until one accepts it.
-async fn send(admin: &Admin, edit: &Edit, wait: Duration) -> Result<Accepted, Error> {
+async fn send_edit(admin: &AdminClient, edit: &Edit, wait: Duration) -> Result<Accepted, Error> {
     let body = serde_json::to_string(edit).unwrap_or_default();
     let end = Instant::now() + wait;
-    let mut tried = Vec::new();
+    let mut failures = Vec::new();
     // Once an attempt may have reached the store, what other instances say proves nothing.
-    let mut reached = false;
+    let mut maybe_reached = false;
     let mut round = 0;
-    while round < LEAST_ROUNDS || Instant::now() < end {
+    while round < MIN_ROUNDS || Instant::now() < end {
         let mut refused = None;
         for &address in admin.addresses() {
-            match attempt(admin, address, body.clone()).await? {
-                Attempted::Accepted(accepted) => return Ok(accepted),
-                Attempted::Refused(error) => refused = Some(error),
-                Attempted::Open {
-                    attempt,
-                    reached: now,
+            match try_instance(admin, address, body.clone()).await? {
+                AttemptResult::Accepted(accepted) => return Ok(accepted),
+                AttemptResult::Refused(error) => refused = Some(error),
+                AttemptResult::Inconclusive {
+                    failure,
+                    maybe_reached: this_time,
                 } => {
-                    reached |= now;
-                    note(&mut tried, attempt);
+                    maybe_reached |= this_time;
+                    record_failure(&mut failures, failure);
                 }
             }
         }
         round += 1;
         match refused {
             // The edit passed the checks above, so a refusal may be a matter of time.
-            Some(error) if !reached && round >= LEAST_ROUNDS => return Err(error),
+            Some(error) if !maybe_reached && round >= MIN_ROUNDS => return Err(error),
             _ => {}
         }
-        sleep(REPEAT_AFTER).await;
+        sleep(RESEND_DELAY).await;
     }
-    if reached {
+    if maybe_reached {
         return Err(Error::Undecided {
             id: edit.id.clone(),
-            tried,
+            failures,
         });
     }
     Err(Error::Unreachable {
-        step: format!("POST {EDITS}"),
-        tried,
+        step: format!("POST {EDITS_PATH}"),
+        failures,
     })
 }
 
-async fn attempt(admin: &Admin, address: SocketAddr, body: String) -> Result<Attempted, Error> {
+async fn try_instance(
+    admin: &AdminClient,
+    address: SocketAddr,
+    body: String,
+) -> Result<AttemptResult, Error> {
     // Only an address that refuses a connection beforehand proves that nothing was sent to it.
     if let Err(cause) = TcpStream::connect(address).await {
-        let attempt = Attempt {
+        let failure = FailedAttempt {
             peer: address.to_string(),
             cause: cause.to_string(),
         };
-        return Ok(Attempted::Open {
-            attempt,
-            reached: false,
+        return Ok(AttemptResult::Inconclusive {
+            failure,
+            maybe_reached: false,
         });
     }
-    match admin.post_at(address, EDITS, body).await {
-        Ok(answer) => read(answer),
-        Err(attempt) => Ok(Attempted::Open {
-            attempt,
-            reached: true,
+    match admin.post_at(address, EDITS_PATH, body).await {
+        Ok(answer) => classify(answer),
+        Err(failure) => Ok(AttemptResult::Inconclusive {
+            failure,
+            maybe_reached: true,
         }),
     }
 }
 
-fn read(answer: Answer) -> Result<Attempted, Error> {
-    let edited = match answer.parse::<Edited>() {
+fn classify(answer: Answer) -> Result<AttemptResult, Error> {
+    let result = match answer.parse::<EditResult>() {
         // An instance that can't decide at all says so by 503 before it sends anything.
-        Err(Error::Answer { .. }) if answer.status.is_server_error() => {
-            let cause = format!("{} {}", answer.status, answer.shown());
-            let reached = answer.status != StatusCode::SERVICE_UNAVAILABLE;
-            return Ok(Attempted::Open {
-                attempt: Attempt {
+        Err(Error::UnexpectedAnswer { .. }) if answer.status.is_server_error() => {
+            let cause = format!("{} {}", answer.status, answer.body_excerpt());
+            let maybe_reached = answer.status != StatusCode::SERVICE_UNAVAILABLE;
+            return Ok(AttemptResult::Inconclusive {
+                failure: FailedAttempt {
                     peer: answer.peer,
                     cause,
                 },
-                reached,
+                maybe_reached,
             });
         }
-        edited => edited?,
+        result => result?,
     };
     let peer = answer.peer;
-    Ok(match edited {
-        Edited::Accepted { generation } => Attempted::Accepted(Accepted {
+    Ok(match result {
+        EditResult::Accepted { generation } => AttemptResult::Accepted(Accepted {
             peer,
             generation,
-            before: false,
+            repeated: false,
         }),
-        Edited::Repeated { generation } => Attempted::Accepted(Accepted {
+        EditResult::Repeated { generation } => AttemptResult::Accepted(Accepted {
             peer,
             generation,
-            before: true,
+            repeated: true,
         }),
-        Edited::Conflict { lines } => return Err(Error::Conflict { peer, lines }),
+        EditResult::Conflict { lines } => return Err(Error::Conflict { peer, lines }),
         // Another instance may be in a position to take it.
-        Edited::Rejected { cause } => Attempted::Refused(Error::Rejected { peer, cause }),
-        Edited::Undecided { cause } => Attempted::Open {
-            attempt: Attempt { peer, cause },
-            reached: true,
+        EditResult::Rejected { cause } => AttemptResult::Refused(Error::Rejected { peer, cause }),
+        EditResult::Undecided { cause } => AttemptResult::Inconclusive {
+            failure: FailedAttempt { peer, cause },
+            maybe_reached: true,
         },
     })
 }
 
 /// Keeps the last failure of each address.
-fn note(tried: &mut Vec<Attempt>, attempt: Attempt) {
-    tried.retain(|earlier| earlier.peer != attempt.peer);
-    tried.push(attempt);
+fn record_failure(failures: &mut Vec<FailedAttempt>, failure: FailedAttempt) {
+    failures.retain(|earlier| earlier.peer != failure.peer);
+    failures.push(failure);
 }
 
 /// Waits until `generation` is in force on every instance.
@@ -207,8 +211,8 @@
 /// # Errors
 ///
 /// [`Error::NotInForce`] after `wait`; [`Error::Denied`] for an unknown operator.
-pub async fn await_force(
-    admin: &Admin,
+pub async fn wait_until_in_force(
+    admin: &AdminClient,
     generation: u64,
     wait: Duration,
     edit: &str,
@@ -220,7 +224,7 @@
     loop {
         match admin.get::<Force>(&path).await {
             Ok(force) if force.complete() => {
-                report(generation, &force, start.elapsed(), edit, output);
+                report_in_force(generation, &force, start.elapsed(), edit, output);
                 return Ok(());
             }
             Ok(force) => missing = force.missing,
@@ -235,11 +239,11 @@
                 waited: wait.as_secs(),
             });
         }
-        sleep(POLL_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn report(generation: u64, force: &Force, waited: Duration, edit: &str, output: Output) {
+fn report_in_force(generation: u64, force: &Force, waited: Duration, edit: &str, output: Output) {
     output.line(&format!(
         "in force: generation {generation} on {} of {} instances after {:.1} s",
         force.in_force,
--- a/crates/ctl/src/story.rs
+++ b/crates/ctl/src/timeline.rs
@@ -20,12 +20,12 @@
     /// Lines that are JSON objects.
     pub lines: Vec<Value>,
     /// Lines that are not, such as one cut off at the end.
-    pub bad: usize,
+    pub unreadable: usize,
 }
 
 /// What all lines about a request have.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LineHeader {
     #[serde(default)]
     instance: String,
     /// The run of its process.
@@ -64,7 +64,7 @@
             let object = line.find('{').map(|start| &line[start..]);
             match object.and_then(|object| serde_json::from_str::<Value>(object).ok()) {
                 Some(value) => log.lines.push(value),
-                None => log.bad += 1,
+                None => log.unreadable += 1,
             }
         }
         log
@@ -72,73 +72,85 @@
 }
 
 /// Kinds of lines about a whole daemon that bear on each of its requests at that time.
-const OF_DAEMON: [&str; 3] = ["pause", "stop", "overload"];
+const DAEMON_KINDS: [&str; 3] = ["pause", "stop", "overload"];
 
 /// The life of `request` in plain words, in order of time; empty if no line names it.
-pub fn tell(lines: &[Value], request: &str) -> Vec<String> {
-    let read = lines
-        .iter()
-        .filter_map(|value| Some((serde_json::from_value::<Line>(value.clone()).ok()?, value)));
-    let read: Vec<(Line, &Value)> = read.filter(|(line, _)| line.kind != "decision").collect();
-    let mut about: Vec<&(Line, &Value)> = read
+pub fn build(lines: &[Value], request: &str) -> Vec<String> {
+    let parsed = lines.iter().filter_map(|value| {
+        Some((
+            serde_json::from_value::<LineHeader>(value.clone()).ok()?,
+            value,
+        ))
+    });
+    let parsed: Vec<(LineHeader, &Value)> =
+        parsed.filter(|(line, _)| line.kind != "decision").collect();
+    let mut request_lines: Vec<&(LineHeader, &Value)> = parsed
         .iter()
         .filter(|(_, value)| value["request"] == request)
         .collect();
-    let ended = about.iter().any(|(line, _)| line.kind == "end");
-    let around: Vec<&(Line, &Value)> = read
+    let ended = request_lines.iter().any(|(line, _)| line.kind == "end");
+    let daemon_lines: Vec<&(LineHeader, &Value)> = parsed
         .iter()
-        .filter(|(line, _)| OF_DAEMON.contains(&line.kind.as_str()) && during(&about, line, ended))
+        .filter(|(line, _)| {
+            DAEMON_KINDS.contains(&line.kind.as_str())
+                && overlaps_request(&request_lines, line, ended)
+        })
         .collect();
-    about.extend(around);
-    put_in_order(&mut about);
-    let mut life: Vec<String> = about
+    request_lines.extend(daemon_lines);
+    sort_and_dedup(&mut request_lines);
+    let mut timeline: Vec<String> = request_lines
         .iter()
         .map(|(line, value)| {
             let at = line.up_ms as f64 / 1_000.0;
-            let told = sentence(&line.kind, value);
-            format!("{} {at:.3} s: {told}", line.instance)
+            let event = describe_line(&line.kind, value);
+            format!("{} {at:.3} s: {event}", line.instance)
         })
         .collect();
-    if let Some((last, _)) = about.last().filter(|_| !ended) {
-        life.push(without_end(&read, last));
+    if let Some((last, _)) = request_lines.last().filter(|_| !ended) {
+        timeline.push(explain_missing_end(&parsed, last));
     }
-    life
+    timeline
 }
 
 /// Whether `line` falls into the time of one of the runs that `about` tells of; a request without
 /// an end lasts for as long as the run.
-fn during(about: &[&(Line, &Value)], line: &Line, ended: bool) -> bool {
-    let same = about
+fn overlaps_request(
+    request_lines: &[&(LineHeader, &Value)],
+    line: &LineHeader,
+    ended: bool,
+) -> bool {
+    let same_run = request_lines
         .iter()
-        .filter(|(own, _)| own.instance == line.instance && own.run == line.run);
-    let times: Vec<u64> = same.map(|(own, _)| own.up_ms).collect();
+        .filter(|(other, _)| other.instance == line.instance && other.run == line.run);
+    let times: Vec<u64> = same_run.map(|(other, _)| other.up_ms).collect();
     let first = times.iter().min();
     let last = times.iter().max();
-    let begun = first.is_some_and(|first| *first <= line.up_ms);
-    begun && (!ended || last.is_some_and(|last| line.up_ms <= *last))
+    let started = first.is_some_and(|first| *first <= line.up_ms);
+    started && (!ended || last.is_some_and(|last| line.up_ms <= *last))
 }
 
 /// Orders lines by instance and time, each once.
-fn put_in_order(about: &mut Vec<&(Line, &Value)>) {
+fn sort_and_dedup(request_lines: &mut Vec<&(LineHeader, &Value)>) {
     // The time of day may jump: it orders the runs, and their other clock orders the lines.
-    let run = |line: &Line| (line.instance.clone(), line.run.clone());
-    let mut begun = HashMap::new();
-    for (line, _) in about.iter().rev() {
-        begun.insert(run(line), line.time.clone());
+    let run = |line: &LineHeader| (line.instance.clone(), line.run.clone());
+    let mut run_starts = HashMap::new();
+    for (line, _) in request_lines.iter().rev() {
+        run_starts.insert(run(line), line.time.clone());
     }
-    about.sort_by_key(|(line, _)| (begun.get(&run(line)).cloned(), run(line), line.up_ms));
-    about.dedup_by(|(_, left), (_, right)| left == right);
+    request_lines
+        .sort_by_key(|(line, _)| (run_starts.get(&run(line)).cloned(), run(line), line.up_ms));
+    request_lines.dedup_by(|(_, left), (_, right)| left == right);
 }
 
 /// Why the request that `last` is the last line of has no end.
-fn without_end(read: &[(Line, &Value)], last: &Line) -> String {
-    let anew = read.iter().find(|(line, _)| {
+fn explain_missing_end(parsed: &[(LineHeader, &Value)], last: &LineHeader) -> String {
+    let restart = parsed.iter().find(|(line, _)| {
         line.kind == "start"
             && line.instance == last.instance
             && line.run != last.run
             && line.time > last.time
     });
-    match anew {
+    match restart {
         Some((line, _)) => format!(
             "NO END is told: the process of {} ended without a word and was started again at {}",
             last.instance, line.time
@@ -147,7 +159,7 @@
     }
 }
 
-fn sentence(kind: &str, line: &Value) -> String {
+fn describe_line(kind: &str, line: &Value) -> String {
     let text = |name: &str| match &line[name] {
         Value::String(text) => text.clone(),
         Value::Null => "?".to_owned(),
@@ -157,18 +169,18 @@
         "send" => format!(
             "sent to {} to {}{} ({} of this daemon at work there, list of replicas {}, plan {}, {} ms left)",
             text("replica"),
-            task(&text("task")),
-            cache(&text("cache")),
+            describe_task(&text("task")),
+            describe_cache(&text("cache")),
             text("in_flight"),
             text("replicas"),
             text("plan"),
             text("left_ms")
         ),
-        "quota" => quota(line, &text),
+        "quota" => describe_quota(line, &text),
         "read" => format!(
             "the prompt was read after {} ms{}",
             text("ms"),
-            cache(&text("cache"))
+            describe_cache(&text("cache"))
         ),
         "first" => format!("the first event went to the caller after {} ms", text("ms")),
         "reserve" if !line["cause"].is_null() => format!(
@@ -233,13 +245,13 @@
         "pause" => format!("(the process stood still for {} ms)", text("ms")),
         "stop" => format!("(the daemon is {})", text("text")),
         "overload" => "(an instance of the data centre was overloaded)".to_owned(),
-        "end" => format!("END: {}", end(&text("outcome"), &text)),
+        "end" => format!("END: {}", describe_end(&text("outcome"), &text)),
         _ => text("text"),
     }
 }
 
 /// What was decided on the quota of a customer, and by whom.
-fn quota(line: &Value, text: &impl Fn(&str) -> String) -> String {
+fn describe_quota(line: &Value, text: &impl Fn(&str) -> String) -> String {
     let asked = format!(
         "the quota of {} was asked for {} units",
         text("customer"),
@@ -257,14 +269,14 @@
 }
 
 /// Which KV cache a line names; nothing if it names none.
-fn cache(name: &str) -> String {
+fn describe_cache(name: &str) -> String {
     match name {
         "" | "?" => String::new(),
         name => format!(" (KV cache {name})"),
     }
 }
 
-fn task(word: &str) -> &str {
+fn describe_task(word: &str) -> &str {
     match word {
         "prefill" => "read the prompt",
         "decode" => "make tokens from the prompt read elsewhere",
@@ -273,7 +285,7 @@
     }
 }
 
-fn end(outcome: &str, text: &impl Fn(&str) -> String) -> String {
+fn describe_end(outcome: &str, text: &impl Fn(&str) -> String) -> String {
     let after = format!("after {} ms", text("ms"));
     match outcome {
         "answered" => format!("answered with {} {after}", text("status")),
--- a/crates/ctl/tests/account.rs
+++ b/crates/ctl/tests/account.rs
@@ -1,7 +1,7 @@
 //! Generations are put to the causes that they were lost for.
 
-use ctl::account::Account;
 use ctl::account::Cause;
+use ctl::account::OutcomeReport;
 use rstest::rstest;
 use serde_json::Value;
 use serde_json::json;
@@ -27,7 +27,7 @@
 }
 
 fn only(lines: &[Value]) -> Cause {
-    let account = Account::new(lines);
+    let account = OutcomeReport::new(lines);
     assert_eq!(account.total(), 1);
     *account.causes.keys().next().unwrap()
 }
@@ -53,7 +53,7 @@
         gap("a", 2_000, "i-1"),
         end("a", 4_000, "answered"),
     ];
-    assert_eq!(only(&lines), Cause::FirstLate);
+    assert_eq!(only(&lines), Cause::LateFirstEvent);
 }
 
 #[test]
@@ -63,7 +63,7 @@
         gap("a", 2_000, "i-1"),
         end("a", 4_000, "answered"),
     ];
-    assert_eq!(only(&lines), Cause::SetAside);
+    assert_eq!(only(&lines), Cause::Preempted);
 }
 
 #[test]
@@ -87,7 +87,7 @@
         lines.push(gap(request, 2_000 + index as u32 * 100, "i-1"));
         lines.push(end(request, 4_000, "answered"));
     }
-    let account = Account::new(&lines);
+    let account = OutcomeReport::new(&lines);
     assert_eq!(account.causes[&Cause::ReplicaPaused], 4);
     assert_eq!(account.seconds[&36_004][&Cause::ReplicaPaused], 4);
 }
@@ -111,7 +111,7 @@
         ended("c", "krmiva", "beyond-quota"),
         ended("d", "", "answered"),
     ];
-    let customers = Account::new(&lines).customers;
+    let customers = OutcomeReport::new(&lines).customers;
     assert_eq!(customers.len(), 1);
     let krmiva = &customers["krmiva"];
     assert_eq!((krmiva["answered"], krmiva["beyond-quota"]), (1, 2));
