--- a/crates/ctl/tests/account.rs
+++ b/crates/ctl/tests/account.rs
@@ -26,10 +26,10 @@
     line(request, "first", 500, &json!({"ms": 500, "late": late}))
 }
 
-fn only(lines: &[Value]) -> Cause {
-    let account = OutcomeReport::new(lines);
-    assert_eq!(account.total(), 1);
-    *account.causes.keys().next().unwrap()
+fn single_cause(lines: &[Value]) -> Cause {
+    let report = OutcomeReport::new(lines);
+    assert_eq!(report.total(), 1);
+    *report.causes.keys().next().unwrap()
 }
 
 #[rstest]
@@ -41,33 +41,33 @@
 #[case("caller-left", Cause::CallerLeft)]
 #[case("failed", Cause::Failed)]
 #[case("something new", Cause::Other)]
-fn the_end_tells_the_cause(#[case] outcome: &str, #[case] cause: Cause) {
+fn outcome_determines_cause(#[case] outcome: &str, #[case] cause: Cause) {
     let lines = [first("a", false), end("a", 4_000, outcome)];
-    assert_eq!(only(&lines), cause);
+    assert_eq!(single_cause(&lines), cause);
 }
 
 #[test]
-fn a_late_first_event_is_the_cause_whatever_follows() {
+fn late_first_event_takes_precedence() {
     let lines = [
         first("a", true),
         gap("a", 2_000, "i-1"),
         end("a", 4_000, "answered"),
     ];
-    assert_eq!(only(&lines), Cause::LateFirstEvent);
+    assert_eq!(single_cause(&lines), Cause::LateFirstEvent);
 }
 
 #[test]
-fn a_stream_that_pauses_alone_was_set_aside() {
+fn stream_that_pauses_alone_is_preempted() {
     let lines = [
         first("a", false),
         gap("a", 2_000, "i-1"),
         end("a", 4_000, "answered"),
     ];
-    assert_eq!(only(&lines), Cause::Preempted);
+    assert_eq!(single_cause(&lines), Cause::Preempted);
 }
 
 #[test]
-fn a_stream_that_went_on_elsewhere_was_resumed() {
+fn stream_after_granted_retry_is_resumed() {
     let retry = line("a", "retry", 1_900, &json!({"granted": "true"}));
     let lines = [
         first("a", false),
@@ -75,11 +75,11 @@
         gap("a", 2_000, "i-1"),
         end("a", 4_000, "answered"),
     ];
-    assert_eq!(only(&lines), Cause::Resumed);
+    assert_eq!(single_cause(&lines), Cause::Resumed);
 }
 
 #[test]
-fn streams_that_pause_together_are_put_to_their_replica() {
+fn simultaneous_pauses_are_attributed_to_replica() {
     let requests = ["a", "b", "c", "d"];
     let mut lines = Vec::new();
     for (index, request) in requests.iter().enumerate() {
@@ -87,20 +87,20 @@
         lines.push(gap(request, 2_000 + index as u32 * 100, "i-1"));
         lines.push(end(request, 4_000, "answered"));
     }
-    let account = OutcomeReport::new(&lines);
-    assert_eq!(account.causes[&Cause::ReplicaPaused], 4);
-    assert_eq!(account.seconds[&36_004][&Cause::ReplicaPaused], 4);
+    let report = OutcomeReport::new(&lines);
+    assert_eq!(report.causes[&Cause::ReplicaPaused], 4);
+    assert_eq!(report.seconds[&36_004][&Cause::ReplicaPaused], 4);
 }
 
 #[test]
-fn plain_calls_do_not_count_and_generations_without_an_end_do() {
+fn plain_calls_are_ignored_and_unfinished_generations_counted() {
     let plain = line("p", "send", 100, &json!({"prompt": 0}));
     let lines = [plain, end("p", 200, "answered"), first("a", false)];
-    assert_eq!(only(&lines), Cause::NoEnd);
+    assert_eq!(single_cause(&lines), Cause::NoEnd);
 }
 
 #[test]
-fn ends_are_told_by_customer() {
+fn outcomes_are_counted_by_customer() {
     let ended = |request, customer, outcome| {
         let fields = json!({"outcome": outcome, "customer": customer});
         line(request, "end", 4_000, &fields)
--- a/crates/ctl/tests/waxwing/edits.rs
+++ b/crates/ctl/tests/waxwing/edits.rs
@@ -7,8 +7,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::env::Admin;
 use crate::env::Env;
+use crate::env::FakeAdmin;
 use crate::env::OPERATOR;
 use crate::env::TOKEN;
 
@@ -18,7 +18,7 @@
 const ROW: &str = "- {service: ration, class: default, pool: ration, share: 3}\n";
 const APPLY: [&str; 4] = ["--wait", "1", "table", "apply"];
 
-fn table() -> Value {
+fn current_table() -> Value {
     json!({ "generation": 7, "rows": [], "drains": [{ "replica": "decode-1" }] })
 }
 
@@ -27,18 +27,18 @@
 }
 
 /// An interface that answers edits by `result`.
-fn admin(status: u16, result: Value) -> Admin {
-    Admin::new()
-        .with(TABLE, 200, table())
-        .with(EDITS, status, result)
-        .with(FORCE, 200, in_force())
+fn admin_answering(status: u16, result: Value) -> FakeAdmin {
+    FakeAdmin::new()
+        .with_answer(TABLE, 200, current_table())
+        .with_answer(EDITS, status, result)
+        .with_answer(FORCE, 200, in_force())
 }
 
-fn apply(admins: &[SocketAddr], more: &[&str]) -> crate::env::Ran {
+fn apply(admins: &[SocketAddr], more: &[&str]) -> crate::env::CommandOutput {
     let env = admins
         .iter()
         .fold(Env::new(), |env, admin| env.with_admin(*admin));
-    let file = env.file("table.yaml", ROW);
+    let file = env.write_file("table.yaml", ROW);
     env.run(&[&APPLY[..], &[file.as_str()], more].concat())
 }
 
@@ -47,28 +47,29 @@
 }
 
 /// An address that refuses connections.
-fn nobody() -> SocketAddr {
+fn refusing_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
 #[test]
-fn difference_acceptance_and_force_are_shown_in_this_order() {
-    let ran = apply(&[admin(200, accepted()).start()], &[]).code(0);
-    let at = |text: &str| {
-        ran.out
+fn difference_is_shown_before_acceptance_and_force() {
+    let output = apply(&[admin_answering(200, accepted()).start()], &[]).assert_code(0);
+    let position = |text: &str| {
+        output
+            .stdout
             .find(text)
-            .unwrap_or_else(|| panic!("no `{text}` in {ran:#?}"))
+            .unwrap_or_else(|| panic!("no `{text}` in {output:#?}"))
     };
-    assert!(at("+ ration/default/ration") < at("accepted by"));
-    assert!(at("as generation 8") < at("in force: generation 8 on 3 of 3"));
+    assert!(position("+ ration/default/ration") < position("accepted by"));
+    assert!(position("as generation 8") < position("in force: generation 8 on 3 of 3"));
 }
 
 #[test]
 fn operator_token_and_note_are_sent() {
-    let admin = admin(200, accepted());
-    apply(&[admin.start()], &["--note", "more drafts"]).code(0);
-    let edit = admin.seen(EDITS).remove(0);
+    let admin = admin_answering(200, accepted());
+    apply(&[admin.start()], &["--note", "more drafts"]).assert_code(0);
+    let edit = admin.calls_to(EDITS).remove(0);
     assert_eq!(edit.operator, OPERATOR);
     assert_eq!(edit.authorization, format!("Bearer {TOKEN}"));
     assert_eq!(edit.body["note"], "more drafts");
@@ -76,159 +77,167 @@
 }
 
 #[test]
-fn accepted_is_not_in_force() {
+fn accepted_edit_that_is_not_in_force_fails() {
     let late = json!({ "generation": 8, "in_force": 2, "known": 3, "missing": ["entry-3"] });
-    let admin = Admin::new()
-        .with(TABLE, 200, table())
-        .with(EDITS, 200, accepted())
-        .with(FORCE, 200, late);
+    let admin = FakeAdmin::new()
+        .with_answer(TABLE, 200, current_table())
+        .with_answer(EDITS, 200, accepted())
+        .with_answer(FORCE, 200, late);
     apply(&[admin.start()], &[])
-        .code(5)
-        .out("accepted by")
-        .err("missing: entry-3");
+        .assert_code(5)
+        .assert_stdout("accepted by")
+        .assert_stderr("missing: entry-3");
 }
 
 #[test]
-fn force_is_awaited() {
+fn command_waits_until_edit_is_in_force() {
     let late = json!({ "generation": 8, "in_force": 2, "known": 3, "missing": ["entry-3"] });
-    let admin = Admin::new()
-        .with(TABLE, 200, table())
-        .with(EDITS, 200, accepted())
-        .with(FORCE, 200, late)
-        .with(FORCE, 200, in_force());
-    apply(&[admin.start()], &[]).code(0).out("in force");
+    let admin = FakeAdmin::new()
+        .with_answer(TABLE, 200, current_table())
+        .with_answer(EDITS, 200, accepted())
+        .with_answer(FORCE, 200, late)
+        .with_answer(FORCE, 200, in_force());
+    apply(&[admin.start()], &[])
+        .assert_code(0)
+        .assert_stdout("in force");
 }
 
 #[test]
 fn conflict_shows_both_values() {
     let line = "ration/default/ration: now share 1 -> 2; wanted share 1 -> 3";
-    let admin = admin(409, json!({ "result": "conflict", "lines": [line] }));
+    let admin = admin_answering(409, json!({ "result": "conflict", "lines": [line] }));
     apply(&[admin.start()], &[])
-        .code(3)
-        .err(line)
-        .err("nothing was changed");
-    assert_eq!(admin.seen(EDITS).len(), 1);
+        .assert_code(3)
+        .assert_stderr(line)
+        .assert_stderr("nothing was changed");
+    assert_eq!(admin.calls_to(EDITS).len(), 1);
 }
 
 #[test]
 fn rejection_by_all_instances_is_final() {
     let rejected = || {
-        admin(
+        admin_answering(
             422,
             json!({ "result": "rejected", "cause": "too many rows" }),
         )
     };
-    let ran = apply(&[rejected().start(), rejected().start()], &[]);
-    ran.code(4).err("too many rows");
+    let output = apply(&[rejected().start(), rejected().start()], &[]);
+    output.assert_code(4).assert_stderr("too many rows");
 }
 
 #[test]
-fn rejection_by_one_instance_leaves_the_others() {
-    let one = admin(422, json!({ "result": "rejected", "cause": "no majority" }));
-    let other = admin(200, accepted());
+fn edit_rejected_by_one_instance_is_sent_to_the_next() {
+    let one = admin_answering(422, json!({ "result": "rejected", "cause": "no majority" }));
+    let other = admin_answering(200, accepted());
     apply(&[one.start(), other.start()], &[])
-        .code(0)
-        .out("accepted by");
+        .assert_code(0)
+        .assert_stdout("accepted by");
 }
 
 #[test]
 fn undecided_edit_is_repeated_under_its_id() {
     let lost = json!({ "result": "undecided", "cause": "the store's answer was lost" });
-    let admin = Admin::new()
-        .with(TABLE, 200, table())
-        .with(EDITS, 504, lost)
-        .with(EDITS, 200, json!({ "result": "repeated", "generation": 8 }))
-        .with(FORCE, 200, in_force());
-    apply(&[admin.start()], &[]).code(0).out("accepted before");
+    let admin = FakeAdmin::new()
+        .with_answer(TABLE, 200, current_table())
+        .with_answer(EDITS, 504, lost)
+        .with_answer(EDITS, 200, json!({ "result": "repeated", "generation": 8 }))
+        .with_answer(FORCE, 200, in_force());
+    apply(&[admin.start()], &[])
+        .assert_code(0)
+        .assert_stdout("accepted before");
     let ids: Vec<Value> = admin
-        .seen(EDITS)
+        .calls_to(EDITS)
         .iter()
-        .map(|seen| seen.body["id"].clone())
+        .map(|call| call.body["id"].clone())
         .collect();
     assert_eq!(ids.len(), 2);
     assert_eq!(ids[0], ids[1]);
 }
 
 #[test]
-fn undecided_to_the_end_says_so_and_names_the_id() {
+fn undecided_edit_error_names_edit_id() {
     let lost = json!({ "result": "undecided", "cause": "the store's answer was lost" });
-    let admin = admin(504, lost);
-    let ran = apply(&[admin.start()], &[]).code(8);
-    let id = admin.seen(EDITS)[0].body["id"].as_str().unwrap().to_owned();
-    ran.err("the store's answer was lost")
-        .err(&format!("--edit-id {id}"));
+    let admin = admin_answering(504, lost);
+    let output = apply(&[admin.start()], &[]).assert_code(8);
+    let id = admin.calls_to(EDITS)[0].body["id"]
+        .as_str()
+        .unwrap()
+        .to_owned();
+    output
+        .assert_stderr("the store's answer was lost")
+        .assert_stderr(&format!("--edit-id {id}"));
 }
 
 #[test]
-fn refusal_after_an_undecided_attempt_proves_nothing() {
-    let admin = Admin::new()
-        .with(TABLE, 200, table())
-        .with(
+fn edit_rejected_after_an_undecided_attempt_stays_undecided() {
+    let admin = FakeAdmin::new()
+        .with_answer(TABLE, 200, current_table())
+        .with_answer(
             EDITS,
             504,
             json!({ "result": "undecided", "cause": "lost" }),
         )
-        .with(
+        .with_answer(
             EDITS,
             422,
             json!({ "result": "rejected", "cause": "no majority" }),
         );
-    apply(&[admin.start()], &[]).code(8);
+    apply(&[admin.start()], &[]).assert_code(8);
 }
 
 #[test]
-fn dead_instance_is_passed_over() {
-    let admin = admin(200, accepted());
-    apply(&[nobody(), admin.start()], &[])
-        .code(0)
-        .out("in force");
+fn unreachable_instance_is_skipped() {
+    let admin = admin_answering(200, accepted());
+    apply(&[refusing_address(), admin.start()], &[])
+        .assert_code(0)
+        .assert_stdout("in force");
 }
 
 #[test]
 fn no_instance_at_all_is_unreachable() {
-    apply(&[nobody()], &[])
-        .code(6)
-        .err("Connection refused")
-        .err("--admin");
+    apply(&[refusing_address()], &[])
+        .assert_code(6)
+        .assert_stderr("Connection refused")
+        .assert_stderr("--admin");
 }
 
 #[rstest]
 #[case::unknown_token(401)]
 #[case::foreign_operator(403)]
-fn foreign_operator_is_denied(#[case] status: u16) {
-    let admin = Admin::new().with(TABLE, status, json!({ "error": "who are you" }));
+fn unknown_operator_is_denied(#[case] status: u16) {
+    let admin = FakeAdmin::new().with_answer(TABLE, status, json!({ "error": "who are you" }));
     apply(&[admin.start()], &[])
-        .code(7)
-        .err("does not know this operator");
+        .assert_code(7)
+        .assert_stderr("does not know this operator");
 }
 
 #[test]
 fn dry_run_sends_nothing() {
-    let admin = admin(200, accepted());
+    let admin = admin_answering(200, accepted());
     apply(&[admin.start()], &["--dry-run"])
-        .code(0)
-        .out("+ ration/default/ration");
-    assert!(admin.seen(EDITS).is_empty());
+        .assert_code(0)
+        .assert_stdout("+ ration/default/ration");
+    assert!(admin.calls_to(EDITS).is_empty());
 }
 
 #[test]
-fn table_that_is_as_wanted_is_not_edited() {
+fn unchanged_table_is_not_edited() {
     let env = Env::new();
     let rows = table::file::parse(ROW).unwrap();
     let current = json!({ "generation": 7, "rows": rows, "drains": [] });
-    let admin = Admin::new().with(TABLE, 200, current);
+    let admin = FakeAdmin::new().with_answer(TABLE, 200, current);
     let env = env.with_admin(admin.start());
-    let file = env.file("table.yaml", ROW);
+    let file = env.write_file("table.yaml", ROW);
     env.run(&["table", "apply", &file])
-        .code(0)
-        .out("no difference to generation 7");
-    assert!(admin.seen(EDITS).is_empty());
+        .assert_code(0)
+        .assert_stdout("no difference to generation 7");
+    assert!(admin.calls_to(EDITS).is_empty());
 }
 
 #[test]
 fn json_output_is_one_object() {
-    let ran = apply(&[admin(200, accepted()).start()], &["--json"]).code(0);
-    let value: Value = serde_json::from_str(&ran.out).unwrap();
+    let output = apply(&[admin_answering(200, accepted()).start()], &["--json"]).assert_code(0);
+    let value: Value = serde_json::from_str(&output.stdout).unwrap();
     assert_eq!(value["result"], "in_force");
     assert_eq!(value["generation"], 8);
 }
@@ -236,25 +245,31 @@
 #[rstest]
 #[case::drain("drain", "decode-2", json!({ "drain": { "replica": "decode-2" } }))]
 #[case::undrain("undrain", "decode-1", json!({ "undrain": { "replica": "decode-1" } }))]
-fn marks_are_edits(#[case] command: &str, #[case] name: &str, #[case] change: Value) {
-    let admin = admin(200, accepted());
+fn drain_and_undrain_are_sent_as_edits(
+    #[case] command: &str,
+    #[case] name: &str,
+    #[case] change: Value,
+) {
+    let admin = admin_answering(200, accepted());
     let env = Env::new().with_admin(admin.start());
-    env.run(&[command, "replica", name]).code(0).out("in force");
-    assert_eq!(admin.seen(EDITS)[0].body["changes"], json!([change]));
+    env.run(&[command, "replica", name])
+        .assert_code(0)
+        .assert_stdout("in force");
+    assert_eq!(admin.calls_to(EDITS)[0].body["changes"], json!([change]));
 }
 
 #[test]
-fn mark_that_is_set_is_not_set_again() {
-    let admin = admin(200, accepted());
+fn draining_replica_is_not_drained_again() {
+    let admin = admin_answering(200, accepted());
     let env = Env::new().with_admin(admin.start());
     env.run(&["drain", "replica", "decode-1"])
-        .code(0)
-        .out("is draining already");
-    assert!(admin.seen(EDITS).is_empty());
+        .assert_code(0)
+        .assert_stdout("is draining already");
+    assert!(admin.calls_to(EDITS).is_empty());
 }
 
 /// The table after another operator's edit 8, which set the share of `ration` from 1 to 2.
-fn after_another_edit() -> Admin {
+fn after_another_edit() -> FakeAdmin {
     let row = |share: u32| {
         let text = format!("- {{service: ration, class: default, pool: ration, share: {share}}}");
         serde_json::to_value(&table::file::parse(&text).unwrap()[0]).unwrap()
@@ -267,15 +282,15 @@
         "unix_s": 1_800_000_000,
         "changes": [{ "put": { "row": row(2), "base": row(1) } }],
     });
-    Admin::new()
-        .with(
+    FakeAdmin::new()
+        .with_answer(
             TABLE,
             200,
             json!({ "generation": 8, "rows": [row(2)], "drains": [] }),
         )
-        .with("/v1/table/history", 200, json!({ "edits": [edit] }))
-        .with(EDITS, 200, json!({ "result": "accepted", "generation": 9 }))
-        .with(
+        .with_answer("/v1/table/history", 200, json!({ "edits": [edit] }))
+        .with_answer(EDITS, 200, json!({ "result": "accepted", "generation": 9 }))
+        .with_answer(
             FORCE,
             200,
             json!({ "generation": 9, "in_force": 3, "known": 3, "missing": [] }),
@@ -283,41 +298,41 @@
 }
 
 #[test]
-fn edit_tells_what_its_file_was_made_from() {
+fn edit_contains_rows_of_the_generation_of_its_file() {
     let admin = after_another_edit();
     let env = Env::new().with_admin(admin.start());
-    let file = env.file("table.yaml", &format!("# generation 7\n{ROW}"));
+    let file = env.write_file("table.yaml", &format!("# generation 7\n{ROW}"));
     env.run(&["table", "apply", &file])
-        .code(0)
-        .out("share 1 -> 3");
-    let change = admin.seen(EDITS)[0].body["changes"][0].clone();
+        .assert_code(0)
+        .assert_stdout("share 1 -> 3");
+    let change = admin.calls_to(EDITS)[0].body["changes"][0].clone();
     assert_eq!(change["put"]["base"]["share"], 1);
     assert_eq!(change["put"]["row"]["share"], 3);
 }
 
 #[test]
-fn edit_keeps_what_others_changed_since_its_file_was_made() {
+fn edit_keeps_concurrent_changes() {
     let admin = after_another_edit();
     let env = Env::new().with_admin(admin.start());
     let unchanged = "- {service: ration, class: default, pool: ration, share: 1}";
     let added = "- {service: stock, class: default, pool: ordering}";
-    let file = env.file(
+    let file = env.write_file(
         "table.yaml",
         &format!("# generation 7\n{unchanged}\n{added}\n"),
     );
-    env.run(&["table", "apply", &file]).code(0);
-    let changes = admin.seen(EDITS)[0].body["changes"].clone();
+    env.run(&["table", "apply", &file]).assert_code(0);
+    let changes = admin.calls_to(EDITS)[0].body["changes"].clone();
     assert_eq!(changes.as_array().unwrap().len(), 1);
     assert_eq!(changes[0]["put"]["row"]["service"], "stock");
 }
 
 #[test]
-fn file_older_than_the_kept_edits_is_refused() {
+fn file_older_than_the_edit_history_is_rejected() {
     let admin = after_another_edit();
     let env = Env::new().with_admin(admin.start());
-    let file = env.file("table.yaml", &format!("# generation 6\n{ROW}"));
+    let file = env.write_file("table.yaml", &format!("# generation 6\n{ROW}"));
     env.run(&["table", "apply", &file])
-        .code(3)
-        .err("made from generation 6");
-    assert!(admin.seen(EDITS).is_empty());
+        .assert_code(3)
+        .assert_stderr("made from generation 6");
+    assert!(admin.calls_to(EDITS).is_empty());
 }
--- a/crates/ctl/tests/waxwing/env.rs
+++ b/crates/ctl/tests/waxwing/env.rs
@@ -22,60 +22,60 @@
 
 /// What an ended command left.
 #[derive(Debug)]
-pub struct Ran {
+pub struct CommandOutput {
     pub code: i32,
-    pub out: String,
-    pub err: String,
+    pub stdout: String,
+    pub stderr: String,
 }
 
-impl Ran {
+impl CommandOutput {
     /// Asserts the exit code, with all output on failure.
     #[track_caller]
-    pub fn code(self, code: i32) -> Self {
+    pub fn assert_code(self, code: i32) -> Self {
         assert_eq!(self.code, code, "{self:#?}");
         self
     }
 
     /// Asserts that standard output contains `text`.
     #[track_caller]
-    pub fn out(self, text: &str) -> Self {
-        assert!(self.out.contains(text), "no `{text}` in {self:#?}");
+    pub fn assert_stdout(self, text: &str) -> Self {
+        assert!(self.stdout.contains(text), "no `{text}` in {self:#?}");
         self
     }
 
     /// Asserts that standard error contains `text`.
     #[track_caller]
-    pub fn err(self, text: &str) -> Self {
-        assert!(self.err.contains(text), "no `{text}` in {self:#?}");
+    pub fn assert_stderr(self, text: &str) -> Self {
+        assert!(self.stderr.contains(text), "no `{text}` in {self:#?}");
         self
     }
 }
 
-type Answers = HashMap<String, VecDeque<(u16, Value)>>;
+type QueuedAnswers = HashMap<String, VecDeque<(u16, Value)>>;
 
 /// Scripted answers: those of a path in their order, the last one again and again.
 #[derive(Debug, Clone, Default)]
-pub struct Admin {
-    answers: Arc<Mutex<Answers>>,
-    calls: Arc<Mutex<Vec<Seen>>>,
+pub struct FakeAdmin {
+    answers: Arc<Mutex<QueuedAnswers>>,
+    calls: Arc<Mutex<Vec<ReceivedCall>>>,
 }
 
 /// A call that arrived.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ReceivedCall {
     pub path: String,
     pub authorization: String,
     pub operator: String,
     pub body: Value,
 }
 
-impl Admin {
+impl FakeAdmin {
     pub fn new() -> Self {
         Self::default()
     }
 
     /// The same with one more answer for `path`.
-    pub fn with(self, path: &str, status: u16, body: Value) -> Self {
+    pub fn with_answer(self, path: &str, status: u16, body: Value) -> Self {
         let mut answers = self.answers.lock().unwrap();
         answers
             .entry(path.to_owned())
@@ -86,11 +86,11 @@
     }
 
     /// The calls to `path`.
-    pub fn seen(&self, path: &str) -> Vec<Seen> {
+    pub fn calls_to(&self, path: &str) -> Vec<ReceivedCall> {
         let calls = self.calls.lock().unwrap();
         calls
             .iter()
-            .filter(|seen| seen.path == path)
+            .filter(|call| call.path == path)
             .cloned()
             .collect()
     }
@@ -124,7 +124,7 @@
                 .get(name)
                 .map_or("", |value| value.to_str().unwrap())
         };
-        self.calls.lock().unwrap().push(Seen {
+        self.calls.lock().unwrap().push(ReceivedCall {
             path: call.path.clone(),
             authorization: header("Authorization").to_owned(),
             operator: header("Waxwing-Operator").to_owned(),
@@ -165,14 +165,14 @@
     }
 
     /// Writes a file; gives its path.
-    pub fn file(&self, name: &str, text: &str) -> String {
+    pub fn write_file(&self, name: &str, text: &str) -> String {
         let path: PathBuf = self.folder.path().join(name);
         fs::write(&path, text).unwrap();
         path.display().to_string()
     }
 
     /// Runs the command with these arguments, and addresses and token in the environment.
-    pub fn run(&self, args: &[&str]) -> Ran {
+    pub fn run(&self, args: &[&str]) -> CommandOutput {
         let output = Command::new(env!("CARGO_BIN_EXE_waxwing"))
             .args(args)
             .env("WAXWING_ADMIN", self.admins.join(","))
@@ -180,10 +180,10 @@
             .env("WAXWING_TOKEN", TOKEN)
             .output()
             .unwrap();
-        Ran {
+        CommandOutput {
             code: output.status.code().unwrap_or(-1),
-            out: String::from_utf8(output.stdout).unwrap(),
-            err: String::from_utf8(output.stderr).unwrap(),
+            stdout: String::from_utf8(output.stdout).unwrap(),
+            stderr: String::from_utf8(output.stderr).unwrap(),
         }
     }
 }
--- a/crates/ctl/tests/waxwing/input.rs
+++ b/crates/ctl/tests/waxwing/input.rs
@@ -24,35 +24,35 @@
 #[case::wrong_generation(&["table", "force", "latest"], "`latest` is not a number")]
 #[case::no_address(&["status"], "no admin address")]
 #[case::wrong_address(&["status", "--admin", "localhost"], "`localhost` is not an address")]
-fn usage(#[case] args: &[&str], #[case] message: &str) {
+fn wrong_arguments_are_usage_errors(#[case] args: &[&str], #[case] message: &str) {
     Env::new()
         .run(args)
-        .code(2)
-        .err(message)
-        .err("try: see `waxwing --help`");
+        .assert_code(2)
+        .assert_stderr(message)
+        .assert_stderr("try: see `waxwing --help`");
 }
 
 #[rstest]
 #[case::long("--help")]
 #[case::short("-h")]
-fn help_teaches_by_example(#[case] option: &str) {
+fn help_contains_examples(#[case] option: &str) {
     Env::new()
         .run(&[option])
-        .code(0)
-        .out("Examples:")
-        .out("waxwing table apply table.yaml");
+        .assert_code(0)
+        .assert_stdout("Examples:")
+        .assert_stdout("waxwing table apply table.yaml");
 }
 
 #[test]
 fn valid_table_passes() {
     let env = Env::new();
-    let file = env.file(
+    let file = env.write_file(
         "table.yaml",
         "- {service: ration, class: default, pool: ration}\n",
     );
     env.run(&["table", "check", &file])
-        .code(0)
-        .out("1 rows, no fault");
+        .assert_code(0)
+        .assert_stdout("1 rows, no fault");
 }
 
 #[rstest]
@@ -60,62 +60,58 @@
 #[case::negative("decode_ceiling: -1", "line 4", "decode_ceiling")]
 #[case::unknown_column("colour: red", "line 4", "colour")]
 #[case::contradiction("max_wait_ms: 10", "line 4", "max_wait_ms")]
-fn faulty_table_is_named_by_line_and_column(
-    #[case] column: &str,
-    #[case] line: &str,
-    #[case] name: &str,
-) {
+fn table_error_names_line_and_column(#[case] column: &str, #[case] line: &str, #[case] name: &str) {
     let env = Env::new();
     let text = format!("- service: ration\n  class: default\n  pool: ration\n  {column}\n");
-    let file = env.file("table.yaml", &text);
+    let file = env.write_file("table.yaml", &text);
     env.run(&["table", "check", &file])
-        .code(4)
-        .err(&file)
-        .err(line)
-        .err(name);
+        .assert_code(4)
+        .assert_stderr(&file)
+        .assert_stderr(line)
+        .assert_stderr(name);
 }
 
 #[test]
-fn missing_file_is_no_fault_of_the_table() {
+fn missing_file_is_a_read_error() {
     Env::new()
         .run(&["table", "check", "absent.yaml"])
-        .code(1)
-        .err("read absent.yaml");
+        .assert_code(1)
+        .assert_stderr("read absent.yaml");
 }
 
 #[test]
 fn valid_settings_pass() {
     let env = Env::new();
-    let file = env.file("entry.yaml", SETTINGS);
+    let file = env.write_file("entry.yaml", SETTINGS);
     env.run(&["config", "check", &file])
-        .code(0)
-        .out("settings of entry-1 in osijek-a");
+        .assert_code(0)
+        .assert_stdout("settings of entry-1 in osijek-a");
 }
 
 #[test]
-fn unknown_setting_is_named_by_line() {
-    faulty_settings("name: entry-1", "nmae: entry-1", "line 2", "nmae");
+fn unknown_setting_error_names_line() {
+    assert_settings_error("name: entry-1", "nmae: entry-1", "line 2", "nmae");
 }
 
 #[rstest]
 #[case::no_port("127.0.0.1:7900", "127.0.0.1", "line 5", "platform")]
 #[case::short_secret("at least sixteen characters", "short", "line 6", "secret")]
 #[case::zero_limit("operators", "limits: {open: 0}\noperators", "line 7", "open")]
-fn faulty_setting_is_named_by_line_and_field(
+fn setting_error_names_line_and_field(
     #[case] right: &str,
     #[case] wrong: &str,
     #[case] line: &str,
     #[case] name: &str,
 ) {
-    faulty_settings(right, wrong, line, name);
+    assert_settings_error(right, wrong, line, name);
 }
 
 #[track_caller]
-fn faulty_settings(right: &str, wrong: &str, line: &str, name: &str) {
+fn assert_settings_error(right: &str, wrong: &str, line: &str, name: &str) {
     let env = Env::new();
-    let file = env.file("entry.yaml", &SETTINGS.replacen(right, wrong, 1));
+    let file = env.write_file("entry.yaml", &SETTINGS.replacen(right, wrong, 1));
     env.run(&["config", "check", &file])
-        .code(4)
-        .err(line)
-        .err(name);
+        .assert_code(4)
+        .assert_stderr(line)
+        .assert_stderr(name);
 }
--- a/crates/ctl/tests/waxwing/views.rs
+++ b/crates/ctl/tests/waxwing/views.rs
@@ -3,8 +3,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::env::Admin;
 use crate::env::Env;
+use crate::env::FakeAdmin;
 
 const TABLE: &str = "/v1/table";
 const ROWS: &str = "- {service: ration, class: default, pool: ration, share: 3}\n";
@@ -23,23 +23,23 @@
 }
 
 #[test]
-fn shown_table_is_a_file_that_check_takes() {
+fn shown_table_passes_check() {
     let rows = table::file::parse(ROWS).unwrap();
     let drains = json!([{ "instance": "entry-2" }]);
     let shown = json!({ "generation": 7, "rows": rows, "drains": drains });
-    let env = Env::new().with_admin(Admin::new().with(TABLE, 200, shown).start());
-    let ran = env
+    let env = Env::new().with_admin(FakeAdmin::new().with_answer(TABLE, 200, shown).start());
+    let output = env
         .run(&["table", "show"])
-        .code(0)
-        .out("# generation 7")
-        .out("instance entry-2");
-    let file = env.file("shown.yaml", &ran.out);
-    env.run(&["table", "check", &file]).code(0);
-    assert_eq!(table::file::parse(&ran.out).unwrap(), rows);
+        .assert_code(0)
+        .assert_stdout("# generation 7")
+        .assert_stdout("instance entry-2");
+    let file = env.write_file("shown.yaml", &output.stdout);
+    env.run(&["table", "check", &file]).assert_code(0);
+    assert_eq!(table::file::parse(&output.stdout).unwrap(), rows);
 }
 
 #[test]
-fn history_tells_who_changed_what_and_why() {
+fn history_shows_operator_changes_and_note() {
     let change = json!({ "drain": { "replica": "decode-1" } });
     let edit = json!({
         "generation": 8,
@@ -49,17 +49,19 @@
         "unix_s": 1_800_000_000,
         "changes": [change],
     });
-    let admin = Admin::new().with("/v1/table/history", 200, json!({ "edits": [edit] }));
+    let admin = FakeAdmin::new().with_answer("/v1/table/history", 200, json!({ "edits": [edit] }));
     let env = Env::new().with_admin(admin.start());
-    let ran = env
+    let output = env
         .run(&["table", "history"])
-        .code(0)
-        .out("generation 8 by ana");
-    ran.out("new disk").out("+ drain replica decode-1");
+        .assert_code(0)
+        .assert_stdout("generation 8 by ana");
+    output
+        .assert_stdout("new disk")
+        .assert_stdout("+ drain replica decode-1");
 }
 
 #[test]
-fn status_shows_each_instance_and_fails_for_a_dead_one() {
+fn status_fails_if_an_instance_is_unreachable() {
     let status = json!({
         "name": "entry-1",
         "incarnation": "1f",
@@ -73,30 +75,33 @@
         "pools": [{ "name": "ration", "waiting": 3, "placed": 4 }],
         "members": [{ "name": "entry-2", "state": "alive", "generation": 8, "heard_ms": 12 }],
     });
-    let alive = Admin::new().with("/v1/status", 200, status).start();
+    let alive = FakeAdmin::new()
+        .with_answer("/v1/status", 200, status)
+        .start();
     let env = Env::new().with_admin(alive);
-    let ran = env
+    let output = env
         .run(&["status"])
-        .code(0)
-        .out("entry-1")
-        .out("generation 8, store read 40 ms ago");
-    ran.out("keeper of ration: 3 waiting, 4 placed")
-        .out("sees entry-2: alive");
+        .assert_code(0)
+        .assert_stdout("entry-1")
+        .assert_stdout("generation 8, store read 40 ms ago");
+    output
+        .assert_stdout("keeper of ration: 3 waiting, 4 placed")
+        .assert_stdout("sees entry-2: alive");
     let dead = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     env.with_admin(dead)
         .run(&["status"])
-        .code(6)
-        .out("entry-1 at")
-        .err(&dead.to_string());
+        .assert_code(6)
+        .assert_stdout("entry-1 at")
+        .assert_stderr(&dead.to_string());
 }
 
 #[test]
 fn explain_merges_instances_and_log_files_by_time() {
-    let there = json!({ "lines": [decision("krmiva/a.b.order-17", "2026-12-02T10:00:00.020+00:00", "place")] });
-    let admin = Admin::new().with("/v1/explain", 200, there);
+    let explanation = json!({ "lines": [decision("krmiva/a.b.order-17", "2026-12-02T10:00:00.020+00:00", "place")] });
+    let admin = FakeAdmin::new().with_answer("/v1/explain", 200, explanation);
     let env = Env::new().with_admin(admin.start());
     let lines = [
         decision(
@@ -113,30 +118,35 @@
         )
         .to_string(),
     ];
-    let log = env.file("entry.log", &lines.join("\n"));
-    let ran = env.run(&["explain", "order-17", "--log", &log]).code(0);
-    let at = |text: &str| {
-        ran.out
+    let log = env.write_file("entry.log", &lines.join("\n"));
+    let output = env
+        .run(&["explain", "order-17", "--log", &log])
+        .assert_code(0);
+    let position = |text: &str| {
+        output
+            .stdout
             .find(text)
-            .unwrap_or_else(|| panic!("no `{text}` in {ran:#?}"))
+            .unwrap_or_else(|| panic!("no `{text}` in {output:#?}"))
     };
-    assert!(at("admit decode-1 (instead of decode-2): least work") < at("place decode-1"));
-    assert!(!ran.out.contains("refuse"));
+    assert!(
+        position("admit decode-1 (instead of decode-2): least work") < position("place decode-1")
+    );
+    assert!(!output.stdout.contains("refuse"));
 }
 
 #[test]
-fn explain_finds_nothing() {
-    let admin = Admin::new().with("/v1/explain", 200, json!({ "lines": [] }));
+fn explain_without_decisions_fails() {
+    let admin = FakeAdmin::new().with_answer("/v1/explain", 200, json!({ "lines": [] }));
     let env = Env::new().with_admin(admin.start());
     env.run(&["explain", "order-17"])
-        .code(9)
-        .err("no decision names `order-17`");
+        .assert_code(9)
+        .assert_stderr("no decision names `order-17`");
 }
 
 #[test]
 fn log_files_need_no_instance() {
     let env = Env::new();
-    let log = env.file(
+    let log = env.write_file(
         "entry.log",
         &decision(
             "krmiva/a.b.order-17",
@@ -146,11 +156,11 @@
         .to_string(),
     );
     env.run(&["explain", "order-17", "--log", &log])
-        .code(0)
-        .out("admit decode-1");
+        .assert_code(0)
+        .assert_stdout("admit decode-1");
 }
 
-const LIFE: [&str; 5] = [
+const REQUEST_LINES: [&str; 5] = [
     r#"{"instance":"edge-1","up_ms":100,"time":"2026-12-02T10:00:05Z","kind":"send","request":"9c41","replica":"i-1","task":"answer","in_flight":2,"replicas":7,"plan":3,"left_ms":2490}"#,
     // The time of day jumped back between these two lines.
     r#"{"instance":"edge-1","up_ms":130,"time":"2026-12-02T10:00:01Z","kind":"failure","request":"9c41","replica":"i-1","cause":"connection reset","outcome":"Lost","status":0}"#,
@@ -160,37 +170,37 @@
 ];
 
 #[track_caller]
-fn in_order(text: &str, parts: &[&str]) {
-    let places: Vec<usize> = parts
+fn assert_in_order(text: &str, parts: &[&str]) {
+    let positions: Vec<usize> = parts
         .iter()
         .map(|part| {
             text.find(part)
                 .unwrap_or_else(|| panic!("no `{part}` in {text}"))
         })
         .collect();
-    assert!(places.is_sorted(), "{text}");
+    assert!(positions.is_sorted(), "{text}");
 }
 
 #[test]
-fn a_life_is_told_in_order_from_mixed_doubled_and_cut_lines() {
+fn timeline_is_ordered_despite_shuffled_duplicate_and_truncated_lines() {
     let env = Env::new();
     let mixed = [
-        LIFE[3],
-        LIFE[4],
-        LIFE[0],
-        LIFE[0],
+        REQUEST_LINES[3],
+        REQUEST_LINES[4],
+        REQUEST_LINES[0],
+        REQUEST_LINES[0],
         "24.1 edge-1 {\"kind\":",
-        LIFE[2],
+        REQUEST_LINES[2],
     ];
-    let first = env.file("one.log", &mixed.join("\n"));
+    let first = env.write_file("one.log", &mixed.join("\n"));
     // A source may put its own words before a line.
-    let second = env.file("two.log", &format!("  7.1 edge-1 {}\n", LIFE[1]));
-    let ran = env
+    let second = env.write_file("two.log", &format!("  7.1 edge-1 {}\n", REQUEST_LINES[1]));
+    let output = env
         .run(&["explain", "9c41", "--log", &first, "--log", &second])
-        .code(0)
-        .out("(1 lines could not be read)");
-    in_order(
-        &ran.out,
+        .assert_code(0)
+        .assert_stdout("(1 lines could not be read)");
+    assert_in_order(
+        &output.stdout,
         &[
             "sent to i-1",
             "connection reset",
@@ -198,21 +208,21 @@
             "END: outcome unknown",
         ],
     );
-    assert_eq!(ran.out.matches("sent to i-1").count(), 1);
-    assert!(!ran.out.contains("answered"));
+    assert_eq!(output.stdout.matches("sent to i-1").count(), 1);
+    assert!(!output.stdout.contains("answered"));
 }
 
 #[test]
-fn a_life_that_no_line_tells_is_not_found() {
+fn request_without_lines_is_not_found() {
     let env = Env::new();
-    let log = env.file("one.log", &LIFE.join("\n"));
-    env.run(&["explain", "9c4", "--log", &log]).code(9);
+    let log = env.write_file("one.log", &REQUEST_LINES.join("\n"));
+    env.run(&["explain", "9c4", "--log", &log]).assert_code(9);
     env.run(&["explain", "9c41", "--log", "/nowhere.log"])
-        .code(1)
-        .err("/nowhere.log");
+        .assert_code(1)
+        .assert_stderr("/nowhere.log");
 }
 
-const FROZEN: [&str; 6] = [
+const SUSPENDED_LINES: [&str; 6] = [
     r#"{"instance":"edge-1","run":"a1","up_ms":90,"time":"2026-12-02T10:00:00Z","kind":"pause","ms":1200,"open":0}"#,
     r#"{"instance":"edge-1","run":"a1","up_ms":100,"time":"2026-12-02T10:00:05Z","kind":"send","request":"77aa","replica":"i-1","task":"decode","in_flight":2,"replicas":7,"plan":3,"left_ms":13900}"#,
     r#"{"instance":"edge-1","run":"a1","up_ms":7300,"time":"2026-12-02T10:00:12Z","kind":"pause","ms":7000,"open":3}"#,
@@ -222,12 +232,12 @@
 ];
 
 #[test]
-fn a_life_tells_that_its_daemon_stood_still_and_a_replica_fell_silent() {
+fn timeline_shows_suspended_daemon_and_unresponsive_replica() {
     let env = Env::new();
-    let log = env.file("one.log", &FROZEN.join("\n"));
-    let ran = env.run(&["explain", "77aa", "--log", &log]).code(0);
-    in_order(
-        &ran.out,
+    let log = env.write_file("one.log", &SUSPENDED_LINES.join("\n"));
+    let output = env.run(&["explain", "77aa", "--log", &log]).assert_code(0);
+    assert_in_order(
+        &output.stdout,
         &[
             "sent to i-1",
             "stood still for 7000 ms",
@@ -235,57 +245,59 @@
             "END: the caller left",
         ],
     );
-    assert!(!ran.out.contains("1200"), "before the request");
-    assert!(!ran.out.contains("5000"), "another daemon");
+    assert!(!output.stdout.contains("1200"), "before the request");
+    assert!(!output.stdout.contains("5000"), "another daemon");
 }
 
 #[test]
-fn a_life_without_an_end_tells_that_the_daemon_was_started_again() {
+fn timeline_without_end_shows_restart_of_daemon() {
     let env = Env::new();
-    let anew = r#"{"instance":"edge-1","run":"a2","up_ms":0,"time":"2026-12-02T10:00:09Z","kind":"start"}"#;
-    let log = env.file("one.log", &[FROZEN[1], anew].join("\n"));
-    env.run(&["explain", "77aa", "--log", &log]).code(0).out(
+    let restart = r#"{"instance":"edge-1","run":"a2","up_ms":0,"time":"2026-12-02T10:00:09Z","kind":"start"}"#;
+    let log = env.write_file("one.log", &[SUSPENDED_LINES[1], restart].join("\n"));
+    env.run(&["explain", "77aa", "--log", &log]).assert_code(0).assert_stdout(
         "the process of edge-1 ended without a word and was started again at 2026-12-02T10:00:09Z",
     );
-    let log = env.file("two.log", FROZEN[1]);
+    let log = env.write_file("two.log", SUSPENDED_LINES[1]);
     env.run(&["explain", "77aa", "--log", &log])
-        .code(0)
-        .out("NO END is told: the lines end before the request");
+        .assert_code(0)
+        .assert_stdout("NO END is told: the lines end before the request");
 }
 
 #[test]
-fn a_replica_that_was_asked_for_room_in_vain_is_told() {
+fn timeline_shows_unanswered_reservation() {
     let env = Env::new();
-    let asked = r#"{"instance":"edge-1","run":"a1","up_ms":95,"time":"2026-12-02T10:00:05Z","kind":"reserve","request":"77aa","cause":"no answer in time"}"#;
-    let log = env.file("one.log", asked);
+    let reserve = r#"{"instance":"edge-1","run":"a1","up_ms":95,"time":"2026-12-02T10:00:05Z","kind":"reserve","request":"77aa","cause":"no answer in time"}"#;
+    let log = env.write_file("one.log", reserve);
     env.run(&["explain", "77aa", "--log", &log])
-        .code(0)
-        .out("a decode replica did not answer when it was asked for room: no answer in time");
+        .assert_code(0)
+        .assert_stdout(
+            "a decode replica did not answer when it was asked for room: no answer in time",
+        );
 }
 
 #[test]
-fn a_move_is_told() {
+fn timeline_shows_migration() {
     let env = Env::new();
     let moved = r#"{"instance":"edge-1","run":"a1","up_ms":95,"time":"2026-12-02T10:00:05Z","kind":"move","request":"77aa","replica":"i-1","to":"i-2","stopped":"true","copied":"true","events":12,"cause":""}"#;
-    let log = env.file("one.log", moved);
+    let log = env.write_file("one.log", moved);
     env.run(&["explain", "77aa", "--log", &log])
-        .code(0)
-        .out("the run left i-1, whose memory was about to end, for i-2 after 12 events");
+        .assert_code(0)
+        .assert_stdout("the run left i-1, whose memory was about to end, for i-2 after 12 events");
 }
 
-const READ_ELSEWHERE: [&str; 2] = [
+const REMOTE_PREFILL_LINES: [&str; 2] = [
     r#"{"instance":"edge-1","up_ms":100,"time":"2026-12-02T10:00:02Z","kind":"read","request":"9c41","ms":50,"cache":"k7","exchanges_before":3}"#,
     r#"{"instance":"edge-1","up_ms":101,"time":"2026-12-02T10:00:02Z","kind":"send","request":"9c41","replica":"i-2","task":"decode","cache":"k7","in_flight":1,"replicas":4,"plan":2,"left_ms":3900}"#,
 ];
 
 /// Two requests that went on from one KV cache can be told by its name alone.
 #[test]
-fn a_life_names_the_cache_that_a_generation_goes_on_from() {
+fn timeline_names_kv_cache_of_remote_prefill() {
     let env = Env::new();
-    let log = env.file("one.log", &READ_ELSEWHERE.join("\n"));
-    let ran = env.run(&["explain", "9c41", "--log", &log]).code(0);
-    in_order(
-        &ran.out,
+    let log = env.write_file("one.log", &REMOTE_PREFILL_LINES.join("\n"));
+    let output = env.run(&["explain", "9c41", "--log", &log]).assert_code(0);
+    assert_in_order(
+        &output.stdout,
         &[
             "the prompt was read after 50 ms (KV cache k7)",
             "sent to i-2 to make tokens from the prompt read elsewhere (KV cache k7)",
