--- a/crates/ctl/src/account.rs
+++ b/crates/ctl/src/account.rs
@@ -1,46 +1,46 @@
-//! Where generations were lost: each put to one cause, told from the log lines of gateway daemons.
+//! Classifies each generation in the log lines of gateway daemons by why it was late or lost.
 //!
-//! A daemon knows one attempt of a caller. One that was refused and came back counts as two here.
+//! A daemon sees single attempts: a request that is refused and retried by its caller counts twice.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
 use serde_json::Value;
 
-/// Pauses in streams of one replica within this time are put to the replica, not to one run.
+/// Distance within which pauses in streams of one replica count as simultaneous.
 const PAUSE_WINDOW_MS: u64 = 700;
-/// Streams that pause together from which on the replica is the cause.
+/// Most simultaneous pauses attributed to single runs; with more, the replica is the cause.
 const MAX_UNRELATED_PAUSES: usize = 3;
 
-/// How one generation ended, and for which reason.
+/// Why a generation was late or lost, or that it was neither.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
     /// Complete and on time.
     InTime,
     /// No decode replica had room.
     Refused,
-    /// The first event came after the objective.
+    /// The first event was sent later than the latency objective.
     LateFirstEvent,
-    /// Its stream paused, and those of its replica did as well: the replica read a prompt.
+    /// Its stream paused together with others of its replica: the replica was prefilling a prompt.
     ReplicaPaused,
-    /// Its stream paused alone: its replica set it aside.
+    /// Only its own stream paused: its replica preempted it.
     Preempted,
-    /// It went on at another replica after its own was lost.
+    /// It was resumed on another replica after its own was lost.
     Resumed,
-    /// The stream broke off.
+    /// Its stream broke off, its outcome is unknown, or it ran out of time.
     BrokenOff,
-    /// The caller left.
+    /// The caller left before the end.
     CallerLeft,
-    /// The replica's own failure.
+    /// The replica answered with an error.
     Failed,
-    /// Its daemon was killed, or the logs end before it does.
+    /// No end was logged: its daemon was killed, or the logs stop earlier.
     NoEnd,
-    /// Anything else.
+    /// An outcome that this version does not know.
     Other,
 }
 
 impl Cause {
-    /// In plain words.
+    /// Description for operators, also the value of `cause` in JSON output.
     pub const fn text(self) -> &'static str {
         match self {
             Self::InTime => "in time",
@@ -58,31 +58,31 @@
     }
 }
 
-/// What the lines tell of one generation.
+/// What the log lines say about one generation.
 #[derive(Debug, Default)]
 struct Generation {
-    /// Second of the last line about it.
+    /// Second of the day of its last line.
     second: u64,
     late: bool,
     resumed: bool,
-    /// Replica and time of the first pause.
+    /// Replica and time in milliseconds of the first pause.
     pause: Option<(String, u64)>,
     outcome: Option<String>,
 }
 
-/// Counts by cause, of all and by second.
+/// Numbers of generations by cause, in total and by second, and of requests by customer.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct OutcomeReport {
     /// Generations by cause.
     pub causes: BTreeMap<Cause, u64>,
-    /// Requests that ended, of customers, by customer and outcome.
+    /// Ended requests by customer and outcome; those without a customer are left out.
     pub customers: BTreeMap<String, BTreeMap<String, u64>>,
-    /// Generations by second of the daemons' clocks.
+    /// Generations by cause for each second of the day, by the daemons' clocks.
     pub seconds: BTreeMap<u64, BTreeMap<Cause, u64>>,
 }
 
 impl OutcomeReport {
-    /// Puts the generations of `lines` to causes.
+    /// Classifies the generations in `lines`.
     pub fn new(lines: &[Value]) -> Self {
         let mut generations: HashMap<&str, Generation> = HashMap::new();
         let mut pauses: HashMap<String, Vec<u64>> = HashMap::new();
@@ -111,13 +111,13 @@
         report
     }
 
-    /// Generations.
+    /// Number of generations.
     pub fn total(&self) -> u64 {
         self.causes.values().sum()
     }
 }
 
-/// How the requests of each customer ended.
+/// Counts the ended requests of each customer by outcome.
 fn count_by_customer(lines: &[Value]) -> BTreeMap<String, BTreeMap<String, u64>> {
     let mut customers: BTreeMap<String, BTreeMap<String, u64>> = BTreeMap::new();
     for line in lines.iter().filter(|line| line["kind"] == "end") {
@@ -130,7 +130,7 @@
     customers
 }
 
-/// Whether only generations have such lines.
+/// Whether `line` is of a kind that is logged for generations only.
 fn is_of_generation(line: &Value) -> bool {
     match line["kind"].as_str() {
         Some("reserve" | "read" | "first" | "gap" | "move") => true,
@@ -175,7 +175,7 @@
     }
 }
 
-/// Milliseconds of the day at which a line was written; daemons of a fleet differ little.
+/// Time of day in milliseconds; the clocks of the daemons are assumed to agree closely.
 fn time_of_day_ms(line: &Value) -> u64 {
     let time = field(line, "time");
     let clock = time.get(11..23).unwrap_or_default();
--- a/crates/ctl/src/answer.rs
+++ b/crates/ctl/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the admin interface.
+//! Bodies of the answers of the admin interface.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,64 +9,64 @@
 pub use node::status::Pool;
 pub use node::status::Status;
 
-/// What became of an edit.
+/// Result of submitting an edit.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum EditResult {
-    /// It is accepted.
+    /// The edit is accepted.
     Accepted {
-        /// The generation it made.
+        /// Generation created by the edit.
         generation: u64,
     },
-    /// It had been accepted before.
+    /// An edit with this id was accepted before.
     Repeated {
-        /// The generation it made.
+        /// Generation created by the edit.
         generation: u64,
     },
-    /// Another operator was first.
+    /// Another operator changed the same rows first.
     Conflict {
-        /// Both values of each row.
+        /// One line for each row, with both values.
         lines: Vec<String>,
     },
-    /// It did not pass the checks.
+    /// The edit did not pass the checks.
     Rejected {
-        /// Why.
+        /// Reason given by the instance.
         cause: String,
     },
-    /// It may have been accepted.
+    /// Whether the edit was accepted is not known.
     Undecided {
-        /// Why that is not known.
+        /// Why it is not known.
         cause: String,
     },
 }
 
-/// Accepted edits, newest first.
+/// Answer to `table history`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 pub struct History {
-    /// The edits.
+    /// Accepted edits, newest first.
     pub edits: Vec<AcceptedEdit>,
 }
 
-/// An accepted edit.
+/// An edit in the history of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 pub struct AcceptedEdit {
-    /// The generation it made.
+    /// Generation created by the edit.
     pub generation: u64,
-    /// Its id.
+    /// Id of the edit.
     pub id: String,
-    /// Who made it.
+    /// Name of the operator who submitted it.
     pub operator: String,
-    /// Why.
+    /// The operator's reason.
     pub note: String,
-    /// When, in seconds of the Unix clock.
+    /// Time of acceptance in seconds since the Unix epoch.
     pub unix_s: u64,
-    /// Its changes; a later version may know kinds that this one does not.
+    /// Its changes, unparsed: later versions may add kinds that this one does not know.
     pub changes: Vec<Value>,
 }
 
-/// Decision lines.
+/// Answer to `explain`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Explanation {
-    /// The lines, oldest first.
+    /// Decision lines, oldest first.
     pub lines: Vec<Value>,
 }
--- a/crates/ctl/src/base.rs
+++ b/crates/ctl/src/base.rs
@@ -1,9 +1,8 @@
-//! The table that an operator's file was made from.
+//! Reconstructs the base of a table file, which is the table that the file was made from.
 //!
 //! `table show` writes the generation into the first line of its output. `table apply` compares the
-//! file with the table of that generation, so that the edit holds what this operator changed and
-//! nothing else: another operator's edit since then is kept, and it is a conflict if both changed
-//! the same row.
+//! file with the table of that generation, so the edit contains only this operator's changes:
+//! later edits of other operators are kept, and a row changed by both is a conflict.
 
 use table::Table;
 use table::edit::Change;
@@ -13,12 +12,12 @@
 
 const HEADER_PREFIX: &str = "# generation ";
 
-/// The first line of a file that shows `generation`.
+/// First line of a file made from `generation`.
 pub fn header(generation: u64) -> String {
     format!("{HEADER_PREFIX}{generation}")
 }
 
-/// The generation that a file says it was made from.
+/// Generation in the first line of a file; `None` if the line has none.
 pub fn parse_generation(text: &str) -> Option<u64> {
     text.lines()
         .next()?
@@ -28,8 +27,9 @@
         .ok()
 }
 
-/// The table of `generation`, from the one in force and the accepted edits; `None` if the edits
-/// don't reach back so far.
+/// Restores the table of `generation` by reverting accepted edits of the current one.
+///
+/// `None` if an edit since then is missing from `edits` or is of an unknown kind.
 pub fn rewind(current: &Table, edits: &[AcceptedEdit], generation: u64) -> Option<Table> {
     let mut rows = current.rows.clone();
     for number in (generation + 1..=current.generation).rev() {
@@ -48,7 +48,7 @@
             rows.extend(base);
         }
         Change::Remove { base } => rows.push(base),
-        // Marks are no part of a file.
+        // Files contain rows only.
         Change::Drain(_) | Change::Undrain(_) => {}
     }
 }
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 
 /// Name and version of the program.
 pub const VERSION: &str = concat!("waxwing ", env!("CARGO_PKG_VERSION"));
-/// How long an accepted edit may take to come into force before the command gives up.
+/// Default of `--wait`: how long the command waits until an accepted edit is in force.
 const DEFAULT_WAIT: Duration = Duration::from_secs(10);
-/// Options that only some commands take, with the first words of these commands.
+/// Options that only some commands accept, with the first words of these commands.
 const COMMAND_OPTIONS: [(&str, &[&str]); 5] = [
     ("dry-run", &["table apply", "drain", "undrain"]),
     ("wait", &["table apply", "table force", "drain", "undrain"]),
@@ -24,18 +24,18 @@
 const USAGE: &str = "Usage: waxwing [options] COMMAND
 
 Commands:
-    table show              print the table in force, as a file that `table apply` takes
-    table check FILE        check a table file, without any instance
-    table apply FILE        make the table as in FILE; wait until it is in force
+    table show              print the table in force, as a file for `table apply`
+    table check FILE        check a table file, without contacting an instance
+    table apply FILE        change the table to match FILE; wait until it is in force
     table force GENERATION  wait until a generation is in force
     table history           list the accepted edits, newest first
     drain   instance|replica NAME
-                            give it no new work; what is in progress is finished
+                            send it no new work; work in progress is completed
     undrain instance|replica NAME
-                            take the mark away
-    status                  show each instance as it sees itself and the others
+                            stop draining it
+    status                  show the state of each instance and its view of the others
     explain REQUEST         show what was decided for a request, and why
-    account                 put each generation in log files to the cause that it was late or lost for
+    account                 count the generations in log files by why they were late or lost
     config check FILE       check the settings file of a daemon
 
 Examples:
@@ -47,25 +47,25 @@
     waxwing drain replica decode-3
     waxwing explain order-17                  ask every instance about a request
     waxwing explain order-17 --log entry-1.log
-    cat edge-*.log | waxwing explain 9c41d07b --log -   a request's life, no daemon needed
-    cat edge-*.log | waxwing account --log -            what was lost, by cause and moment
+    cat edge-*.log | waxwing explain 9c41d07b --log -   timeline of a request, no daemon needed
+    cat edge-*.log | waxwing account --log -            what was lost, by cause and time
 
 Exit codes: 0 done and in force, 1 other failure, 2 usage, 3 conflict, 4 rejected,
 5 accepted but not yet in force, 6 unreachable, 7 denied, 8 undecided, 9 not found.";
 
-/// A command with its options.
+/// A parsed command line.
 #[derive(Debug)]
 pub struct Invocation {
-    /// What to do.
+    /// The command to run.
     pub command: Command,
-    /// Options of every command.
+    /// Options that every command accepts.
     pub options: Options,
 }
 
-/// Options of every command.
+/// Options that every command accepts.
 #[derive(Debug, Default)]
 pub struct Options {
-    /// Admin addresses, as given.
+    /// Admin addresses as given on the command line.
     pub admins: Vec<String>,
     /// Name of the operator.
     pub operator: Option<String>,
@@ -75,30 +75,30 @@
     pub json: bool,
 }
 
-/// What to do.
+/// A command with its arguments and its own options.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command {
     /// Print the table in force.
     TableShow,
     /// Check a table file.
     TableCheck(PathBuf),
-    /// Make the table as in a file.
+    /// Change the table to match a file.
     TableApply(PathBuf, SubmitOptions),
     /// Wait until a generation is in force.
     TableForce(u64, Duration),
     /// List the accepted edits.
     TableHistory,
-    /// Mark to drain.
+    /// Drain an instance or a replica.
     Drain(Mark, SubmitOptions),
-    /// Take the mark away.
+    /// Stop draining an instance or a replica.
     Undrain(Mark, SubmitOptions),
-    /// Show the instances.
+    /// Show the state of the instances.
     Status,
-    /// Show the decisions for a request; log files to search in.
+    /// Show the decisions for a request, from the instances and from log files.
     Explain(String, Vec<PathBuf>),
-    /// Put generations to causes; log files to read.
+    /// Count the generations in log files by cause.
     Account(Vec<PathBuf>),
-    /// Check settings of a daemon.
+    /// Check the settings file of a daemon.
     ConfigCheck(PathBuf),
     /// Print the help text.
     Help,
@@ -106,24 +106,24 @@
     Version,
 }
 
-/// How an edit is submitted.
+/// Options of commands that submit an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubmitOptions {
-    /// Whether to stop after the difference was shown.
+    /// Whether to show the difference without submitting the edit.
     pub dry_run: bool,
     /// How long to wait until it is in force.
     pub wait: Duration,
-    /// Why the edit is made.
+    /// Reason for the edit, kept in the history.
     pub note: String,
-    /// Id of an earlier, undecided try.
+    /// Id of an earlier, undecided attempt.
     pub id: Option<String>,
 }
 
-/// Reads the arguments that follow the program's name.
+/// Parses the arguments that follow the program's name.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] if they do not make a command.
+/// [`Error::Usage`] if they are not a valid command.
 pub fn parse(args: Vec<String>) -> Result<Invocation, Error> {
     let matches = option_definitions()
         .parse(args)
@@ -138,7 +138,7 @@
     Ok(Invocation { command, options })
 }
 
-/// The help text.
+/// Returns the help text.
 pub fn help() -> String {
     option_definitions().usage(USAGE)
 }
@@ -186,13 +186,13 @@
     }
 }
 
-/// The log files that are named.
+/// Paths given with `--log`.
 fn log_paths(matches: &Matches) -> Vec<PathBuf> {
     let logs = matches.opt_strs("log").into_iter();
     logs.map(PathBuf::from).collect()
 }
 
-/// Refuses options that the command would ignore.
+/// Rejects options that the command would ignore.
 fn check_options(matches: &Matches, words: &[&str]) -> Result<(), Error> {
     let line = words.join(" ");
     let given = COMMAND_OPTIONS
@@ -230,7 +230,7 @@
 
 fn parse_number(text: &str, name: &str) -> Result<u64, Error> {
     text.parse()
-        .map_err(|_| usage_error(format!("{name}: `{text}` is not a number from 0 up")))
+        .map_err(|_| usage_error(format!("{name}: `{text}` is not a number of 0 or more")))
 }
 
 fn drain_target(kind: &str, name: &str) -> Result<Mark, Error> {
@@ -265,8 +265,18 @@
         "wait this long until the edit is in force (10)",
         "SECONDS",
     );
-    options.optopt("", "note", "why the edit is made", "TEXT");
-    options.optopt("", "edit-id", "repeat an undecided edit under its id", "ID");
+    options.optopt(
+        "",
+        "note",
+        "reason for the edit, shown in the history",
+        "TEXT",
+    );
+    options.optopt(
+        "",
+        "edit-id",
+        "send an undecided edit again under its id",
+        "ID",
+    );
     options.optmulti(
         "",
         "log",
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the admin addresses.
+//! HTTP client for the admin interface of the instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::error::Error;
 use crate::error::FailedAttempt;
 
-/// Longest wait for a connection.
+/// Time limit for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for an answer; an edit waits for the store and for a majority of the instances.
+/// Time limit for an answer; an edit waits for the store and for a majority of the instances.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest part of an unexpected body that an error shows.
+/// Most characters of an unexpected body that an error shows.
 const MAX_EXCERPT_CHARS: usize = 300;
 
-/// The admin interface of all instances.
+/// Client for the admin addresses, with the credentials of one operator.
 pub struct AdminClient {
     client: Client,
     config: Config,
@@ -35,26 +35,26 @@
     }
 }
 
-/// An answer of one instance.
+/// Answer of one instance.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// What was asked.
+    /// Method and path of the request.
     pub step: String,
     /// Address of the instance.
     pub peer: String,
     /// Status code.
     pub status: StatusCode,
-    /// The body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// Reads the body.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// [`Error::Denied`] for an unknown operator, [`Error::UnexpectedAnswer`] if the body is of
-    /// another kind.
+    /// [`Error::Denied`] for an unknown operator, [`Error::UnexpectedAnswer`] if the body does not
+    /// parse.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, Error> {
         if matches!(
             self.status,
@@ -68,7 +68,7 @@
         serde_json::from_slice(&self.body).map_err(|_| self.unexpected())
     }
 
-    /// An error that shows the answer.
+    /// Error that shows the status and the beginning of the body.
     pub fn unexpected(&self) -> Error {
         Error::UnexpectedAnswer {
             step: self.step.clone(),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The beginning of the body as text.
+    /// Beginning of the body as text.
     pub fn body_excerpt(&self) -> String {
         let text = String::from_utf8_lossy(&self.body);
         text.chars().take(MAX_EXCERPT_CHARS).collect()
@@ -86,16 +86,16 @@
 }
 
 impl AdminClient {
-    /// The interface as `config` names it.
+    /// Creates a client for the addresses and the operator of `config`.
     ///
     /// # Panics
     ///
-    /// If the client library refuses its fixed settings, which is a fault of this module.
+    /// If the HTTP library rejects the fixed settings, which is a bug in this module.
     pub fn new(config: Config) -> Self {
         let mut builder = Client::builder();
         builder.set_connect_timeout(CONNECT_TIMEOUT);
         builder.set_request_timeout(REQUEST_TIMEOUT);
-        // An edit must not be resent by the library on a stale connection.
+        // With idle connections, the library could resend an edit after a stale one fails.
         builder.set_max_idle_per_host(0);
         Self {
             client: builder.build().expect("fixed settings are valid"),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The addresses, in the order in which they are tried.
+    /// Admin addresses, in the order in which they are tried.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.config.admins
     }
@@ -113,21 +113,21 @@
         &self.config.operator
     }
 
-    /// Asks one instance.
+    /// Sends a GET request to one instance.
     ///
     /// # Errors
     ///
-    /// What happened, if no whole answer came.
+    /// The cause, if no complete answer arrived.
     pub async fn get_at(&self, address: SocketAddr, path: &str) -> Result<Answer, FailedAttempt> {
         let request = self.request(Method::GET, address, path);
         self.send(request, address, format!("GET {path}")).await
     }
 
-    /// Sends JSON to one instance.
+    /// Sends a POST request with a JSON body to one instance.
     ///
     /// # Errors
     ///
-    /// What happened, if no whole answer came.
+    /// The cause, if no complete answer arrived.
     pub async fn post_at(
         &self,
         address: SocketAddr,
@@ -141,11 +141,11 @@
         self.send(request, address, format!("POST {path}")).await
     }
 
-    /// Asks the instances in turn until one gives an answer other than a failure of its own.
+    /// Sends a GET request to the instances in turn until one answers without a server error.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] if none does, and as [`Answer::parse`].
+    /// [`Error::Unreachable`] if none does, and the errors of [`Answer::parse`].
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let mut failures = Vec::new();
         for &address in self.addresses() {
@@ -196,7 +196,7 @@
     }
 }
 
-/// An error with its causes in one line, each said once.
+/// Formats an error and its sources in one line, without repetitions.
 fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/ctl/src/commands/account.rs
+++ b/crates/ctl/src/commands/account.rs
@@ -1,4 +1,4 @@
-//! `account`: where generations were lost, by cause and moment.
+//! `account`: counts the generations in log files by why and when they were late or lost.
 
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 use crate::output::Output;
 use crate::timeline::Log;
 
-/// Prints the account of all `logs` together.
+/// Prints one report on all `logs`.
 pub(super) fn run(logs: &[PathBuf], output: Output) -> Result<(), Error> {
     let mut lines = Vec::new();
     let mut unreadable = 0;
@@ -49,7 +49,7 @@
         let outcomes: Vec<String> = outcomes.collect();
         lines.push(format!("customer {customer}: {}", outcomes.join(", ")));
     }
-    lines.push("seconds in which some were lost:".to_owned());
+    lines.push("seconds with late or lost generations:".to_owned());
     for (second, causes) in &report.seconds {
         let lost = causes.iter().filter(|(cause, _)| **cause != Cause::InTime);
         let lost: Vec<String> = lost
--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `table apply`: makes the table as in a file.
+//! `table apply`: changes the table to match a file.
 
 use std::path::Path;
 
@@ -21,7 +21,7 @@
 use crate::output::Output;
 use crate::submit;
 
-/// Shows what changes, sends the edit, and waits until it is in force.
+/// Prints the difference, submits the edit, and waits until it is in force.
 pub(super) async fn run(
     admin: &AdminClient,
     path: &Path,
@@ -35,7 +35,8 @@
     let next = Table::new(base.generation, file.rows).with_drains(base.drains.clone());
     let lines = diff::lines(&base, &next);
     print_difference(base.generation, &lines, output);
-    // An undecided edit that took effect leaves no difference, yet its id tells its generation.
+    // An undecided edit may have been accepted: then there is no difference, but submitting it
+    // again under its id returns its generation.
     if options.dry_run || (edit.changes.is_empty() && options.id.is_none()) {
         output.value(&json!({
             "result": if lines.is_empty() { "unchanged" } else { "dry_run" },
@@ -47,7 +48,7 @@
     submit::submit(admin, &edit, options, output).await
 }
 
-/// The table that the file was made from; the one in force if the file does not tell.
+/// Fetches the table that the file was made from; the one in force if the file names none.
 async fn fetch_base(
     admin: &AdminClient,
     file: &TableFile,
@@ -61,8 +62,8 @@
     };
     let history: History = admin.get(HISTORY_PATH).await?;
     output.line(&format!(
-        "the file was made from generation {made_from}; generation {} is in force, and what \
-         others changed since stays",
+        "the file was made from generation {made_from}; generation {} is in force, and \
+         later changes by others are kept",
         current.generation
     ));
     base::rewind(&current, &history.edits, made_from).ok_or(Error::Outdated {
@@ -71,7 +72,7 @@
     })
 }
 
-/// The table in force; an instance that is behind `generation` gets time to catch up.
+/// Fetches the table in force, waiting for an instance that is behind `generation`.
 async fn fetch_table(
     admin: &AdminClient,
     generation: u64,
@@ -87,7 +88,7 @@
     }
 }
 
-/// Prints the difference to `generation`.
+/// Prints the difference between `generation` and the wanted table.
 pub(super) fn print_difference(generation: u64, lines: &[String], output: Output) {
     match lines.len() {
         0 => output.line(&format!("no difference to generation {generation}")),
--- a/crates/ctl/src/commands/check.rs
+++ b/crates/ctl/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `table check` and `config check`: files checked without any instance.
+//! `table check` and `config check`: check files without contacting an instance.
 
 use std::fs;
 use std::path::Path;
@@ -12,16 +12,16 @@
 use crate::error::Error;
 use crate::output::Output;
 
-/// A table file that passed its checks.
+/// A valid table file.
 #[derive(Debug)]
 pub(super) struct TableFile {
-    /// Its rows.
+    /// Rows of the table.
     pub(super) rows: Vec<Row>,
-    /// The generation that it says it was made from.
+    /// Generation that the file was made from, if it names one.
     pub(super) generation: Option<u64>,
 }
 
-/// Checks a table file.
+/// Checks a table file and prints the number of its rows.
 pub(super) fn run(path: &Path, output: Output) -> Result<(), Error> {
     let TableFile { rows, .. } = read(path)?;
     output.line(&format!(
@@ -49,7 +49,7 @@
     })
 }
 
-/// Checks a daemon's settings file with the daemon's own reader.
+/// Checks a daemon's settings file with the daemon's own parser.
 pub(super) fn settings(path: &Path, output: Output) -> Result<(), Error> {
     let config = Config::read(path).map_err(|fault| to_file_error(path, fault))?;
     output.line(&format!(
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `drain` and `undrain`: marks on instances and replicas.
+//! `drain` and `undrain`: start and stop draining an instance or a replica.
 
 use serde_json::json;
 use table::Table;
@@ -14,7 +14,7 @@
 use crate::output::Output;
 use crate::submit;
 
-/// Sets or clears `target`, and waits until that is in force.
+/// Starts draining `target` if `set`, or else stops it, and waits until that is in force.
 pub(super) async fn run(
     admin: &AdminClient,
     target: &Mark,
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: what was decided for a request, and why.
+//! `explain`: shows what was decided for a request, and why.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -17,16 +17,16 @@
 use crate::timeline;
 use crate::timeline::Log;
 
-/// Decision lines of one source.
+/// Decision lines of one instance or log file.
 struct SourceLines {
     source: String,
     lines: Vec<Value>,
 }
 
-/// The parts of a decision line that are shown.
+/// Fields of a decision line that are printed.
 #[derive(Debug, Deserialize)]
 struct Decision {
-    /// When, as RFC 3339; an instance's own answer has none, but keeps the order.
+    /// Time in RFC 3339 format; lines from an instance have none, but are in order.
     #[serde(default)]
     time: String,
     request: String,
@@ -40,7 +40,7 @@
     generation: u64,
 }
 
-/// Searches the log files, and the instances unless only log files are named.
+/// Searches the log files, and the instances unless only log files are given.
 pub(super) async fn run(
     options: &Options,
     request: &str,
@@ -61,7 +61,7 @@
     let mut failed = Vec::new();
     match Config::new(options) {
         Ok(config) => query(&AdminClient::new(config), request, &mut found, &mut failed).await?,
-        // Log files alone need no instance; what is named wrongly is still a fault.
+        // Log files alone need no instance; invalid admin addresses are still an error.
         Err(Error::Usage { .. }) if !logs.is_empty() && options.admins.is_empty() => {}
         Err(error) => return Err(error),
     }
@@ -101,7 +101,7 @@
     Ok(())
 }
 
-/// The decision lines of a log whose request contains `request`.
+/// Finds the decision lines of a log whose request contains `request`.
 fn find_decisions(path: &Path, request: &str, log: &Log) -> SourceLines {
     let lines = log.lines.iter().filter(|line| {
         let named = line["request"]
@@ -115,7 +115,7 @@
     }
 }
 
-/// Tells the life of `request` from the lines of gateway daemons; whether any names it.
+/// Prints the timeline of `request`; returns whether any line names it.
 fn print_timeline(logs: &[Log], request: &str, output: Output) -> bool {
     let lines: Vec<Value> = logs.iter().flat_map(|log| log.lines.clone()).collect();
     let timeline = timeline::build(&lines, request);
@@ -139,7 +139,7 @@
     let mut decisions: Vec<(&String, Decision)> = all
         .filter_map(|(source, line)| Some((source, serde_json::from_value(line.clone()).ok()?)))
         .collect();
-    // Stable: lines without a time keep the order of their source.
+    // The sort is stable: lines without a time keep the order of their source.
     decisions.sort_by(|(_, a), (_, b)| a.time.cmp(&b.time));
     for (source, decision) in &decisions {
         output.line(&describe_decision(source, decision));
@@ -168,7 +168,7 @@
     format!("{source}: {request}: {step} {choice}{instead}: {reason} [generation {generation}]")
 }
 
-/// Percent-encodes what may not stand in a query value.
+/// Percent-encodes the characters that are not allowed in a query value.
 fn percent_encode(text: &str) -> String {
     let unreserved = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.~/".contains(byte);
     text.bytes()
--- a/crates/ctl/src/commands/history.rs
+++ b/crates/ctl/src/commands/history.rs
@@ -1,4 +1,4 @@
-//! `table history`: the accepted edits.
+//! `table history`: lists the accepted edits.
 
 use serde_json::Value;
 use table::diff;
@@ -10,7 +10,7 @@
 use crate::error::Error;
 use crate::output::Output;
 
-/// Path of the accepted edits.
+/// Path of the history in the admin interface.
 pub(super) const HISTORY_PATH: &str = "/v1/table/history";
 
 /// Prints the edits, newest first.
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! Implementation of the commands, one module each.
 
 mod account;
 mod apply;
@@ -18,11 +18,11 @@
 use crate::output::Output;
 use crate::submit;
 
-/// Runs `invocation`.
+/// Runs the command of `invocation`.
 ///
 /// # Errors
 ///
-/// What the command could not do.
+/// The reason why the command failed.
 pub async fn run(invocation: &Invocation, output: Output) -> Result<(), Error> {
     let admin = || Config::new(&invocation.options).map(AdminClient::new);
     match &invocation.command {
--- a/crates/ctl/src/commands/show.rs
+++ b/crates/ctl/src/commands/show.rs
@@ -1,4 +1,4 @@
-//! `table show`: the table in force, in the file form.
+//! `table show`: prints the table in force as a file.
 
 use table::Table;
 use table::file;
@@ -8,10 +8,10 @@
 use crate::error::Error;
 use crate::output::Output;
 
-/// Path of the table in force.
+/// Path of the table in the admin interface.
 pub(super) const TABLE_PATH: &str = "/v1/table";
 
-/// Prints the table; generation and marks stand in comments, so that the text is a valid file.
+/// Prints the table as a valid file, with its generation and what is draining in comments.
 pub(super) async fn run(admin: &AdminClient, output: Output) -> Result<(), Error> {
     let table: Table = admin.get(TABLE_PATH).await?;
     output.line(&base::header(table.generation));
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: each instance as it sees itself and the others.
+//! `status`: shows the state of each instance and its view of the others.
 
 use serde_json::json;
 
@@ -10,7 +10,7 @@
 use crate::error::FailedAttempt;
 use crate::output::Output;
 
-/// Prints the view of every instance; fails at the end if one did not answer.
+/// Prints the status of every instance; fails at the end if one did not answer.
 pub(super) async fn run(admin: &AdminClient, output: Output) -> Result<(), Error> {
     let mut views = Vec::new();
     let mut failures = Vec::new();
@@ -80,6 +80,6 @@
         .map_or(String::new(), |number| format!(", generation {number}"));
     let last_heard = member
         .heard_ms
-        .map_or(String::new(), |ms| format!(", heard {ms} ms ago"));
+        .map_or(String::new(), |ms| format!(", last heard {ms} ms ago"));
     format!("{}: {}{generation}{last_heard}", member.name, member.state)
 }
--- a/crates/ctl/src/config.rs
+++ b/crates/ctl/src/config.rs
@@ -1,4 +1,4 @@
-//! What a command needs to talk to the instances, from options and environment.
+//! Addresses and credentials for the instances, from options and environment variables.
 
 use std::env;
 use std::fs;
@@ -12,7 +12,7 @@
 const OPERATOR_VARIABLE: &str = "WAXWING_OPERATOR";
 const TOKEN_VARIABLE: &str = "WAXWING_TOKEN";
 
-/// Whom to ask, and as whom.
+/// Addresses of the instances and credentials of the operator.
 #[derive(Clone)]
 pub struct Config {
     /// Admin addresses, in the order in which they are tried.
@@ -33,12 +33,12 @@
 }
 
 impl Config {
-    /// Takes what `options` name, or else the environment.
+    /// Reads each value from `options`, or else from its environment variable.
     ///
     /// # Errors
     ///
-    /// [`Error::Usage`] if something is missing or is not an address; [`Error::Read`] if the token
-    /// file can't be read.
+    /// [`Error::Usage`] if a value is missing or an address is invalid; [`Error::Read`] if the
+    /// token file can't be read.
     pub fn new(options: &Options) -> Result<Self, Error> {
         let operator = options
             .operator
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, where, and what to try.
+//! Errors of the command, each with its exit code and advice.
 
 use std::fmt;
 use std::io;
@@ -6,7 +6,7 @@
 
 use crate::exit_codes::ExitCode;
 
-/// Why a command did not do what was asked.
+/// Why a command failed.
 #[derive(Debug)]
 pub enum Error {
     /// The command line is wrong.
@@ -16,33 +16,33 @@
     },
     /// A file can't be read.
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's answer.
+        /// Error of the operating system.
         cause: io::Error,
     },
-    /// A file did not pass its checks.
+    /// The content of a file is invalid.
     InvalidFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Every fault, one a line.
+        /// All faults, one per line.
         faults: String,
     },
-    /// The asynchronous runtime did not start.
+    /// The asynchronous runtime could not be started.
     Runtime {
-        /// The system's answer.
+        /// Error of the operating system.
         cause: io::Error,
     },
-    /// Instances did not answer: all that were asked, or one that had to.
+    /// No instance answered, or one that had to did not.
     Unreachable {
-        /// What was asked.
+        /// Method and path of the request.
         step: String,
-        /// Each address with its failure.
+        /// Failures by address.
         failures: Vec<FailedAttempt>,
     },
-    /// An instance does not know this operator or token.
+    /// An instance rejected the operator's name or token.
     Denied {
-        /// What was asked.
+        /// Method and path of the request.
         step: String,
         /// Address of the instance.
         peer: String,
@@ -51,53 +51,53 @@
     Conflict {
         /// Address of the instance.
         peer: String,
-        /// Both values of each row.
+        /// One line for each row, with both values.
         lines: Vec<String>,
     },
-    /// The file was made from a table that can't be reconstructed.
+    /// The table that the file was made from can't be reconstructed.
     Outdated {
-        /// The generation that the file names.
+        /// Generation that the file names.
         made_from: u64,
-        /// The generation in force.
+        /// Generation in force.
         current: u64,
     },
-    /// The edit did not pass the instance's checks.
+    /// The edit did not pass the checks of the instance.
     Rejected {
         /// Address of the instance.
         peer: String,
-        /// Why.
+        /// Reason given by the instance.
         cause: String,
     },
     /// Whether the edit was accepted is not known.
     Undecided {
         /// Id of the edit.
         id: String,
-        /// Each attempt with its failure.
+        /// Last failure of each address.
         failures: Vec<FailedAttempt>,
     },
-    /// The edit is accepted, but instances do not decide by it yet.
+    /// The edit is accepted, but not yet in force on every instance.
     NotInForce {
-        /// Its generation.
+        /// Generation created by the edit.
         generation: u64,
-        /// Names of the instances; empty if nobody could tell.
+        /// Names of the instances where it is not in force; empty if no instance reported them.
         missing: Vec<String>,
-        /// Seconds waited.
+        /// Time waited, in seconds.
         waited: u64,
     },
-    /// An answer that this version of the command does not understand.
+    /// This version of the command can't parse an answer.
     UnexpectedAnswer {
-        /// What was asked.
+        /// Method and path of the request.
         step: String,
         /// Address of the instance.
         peer: String,
-        /// Status code.
+        /// HTTP status code.
         status: u16,
         /// Beginning of the body.
         body: String,
     },
-    /// No decision line names the request.
+    /// No log line names the request.
     NotFound {
-        /// The text looked for.
+        /// Request that was searched for.
         request: String,
     },
 }
@@ -105,14 +105,14 @@
 /// A failed attempt at one address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// The address.
+    /// Address of the instance.
     pub peer: String,
-    /// What happened.
+    /// Why it failed.
     pub cause: String,
 }
 
 impl Error {
-    /// The exit code.
+    /// Exit code of the command.
     pub const fn code(&self) -> ExitCode {
         match self {
             Self::Usage { .. } => ExitCode::Usage,
@@ -129,15 +129,15 @@
         }
     }
 
-    /// What to try.
+    /// What the operator can do about the error.
     pub fn advice(&self) -> String {
         match self {
             Self::Usage { .. } => "see `waxwing --help`".to_owned(),
-            Self::Read { .. } => "check the name and who may read the file".to_owned(),
+            Self::Read { .. } => "check the path and the permissions of the file".to_owned(),
             Self::InvalidFile { .. } => "correct the file and run the command again".to_owned(),
             Self::Runtime { .. } => "check the limits on processes and open files".to_owned(),
             Self::Unreachable { .. } => {
-                "check that the instance runs, or name other admin addresses with --admin"
+                "check that the instance is running, or give other admin addresses with --admin"
                     .to_owned()
             }
             Self::Denied { .. } => "check --operator and --token-file against `operators:` in the \
@@ -154,20 +154,22 @@
                     .to_owned()
             }
             Self::Rejected { .. } => {
-                "nothing was changed: correct the edit, or do as the cause says".to_owned()
+                "nothing was changed: correct the edit as the cause says".to_owned()
             }
             Self::Undecided { id, .. } => format!(
                 "run the same command with `--edit-id {id}`: an edit that was accepted is not \
-                 made twice"
+                 applied twice"
             ),
             Self::NotInForce { generation, .. } => {
-                format!("the edit stands; go on waiting with `waxwing table force {generation}`")
+                format!(
+                    "the edit is accepted; keep waiting with `waxwing table force {generation}`"
+                )
             }
             Self::UnexpectedAnswer { .. } => {
                 "check that the address is an admin address and the versions match".to_owned()
             }
-            Self::NotFound { .. } => "ask all instances (--admin, repeated), or search kept log \
-                                      files with --log FILE"
+            Self::NotFound { .. } => "query all instances (repeat --admin), or search log files \
+                                      with --log FILE"
                 .to_owned(),
         }
     }
@@ -179,7 +181,7 @@
             Self::Usage { cause } => write!(f, "usage: {cause}"),
             Self::Read { path, cause } => write!(f, "read {}: {cause}", path.display()),
             Self::InvalidFile { path, faults } => {
-                write!(f, "{} is faulty:\n{faults}", path.display())
+                write!(f, "{} is invalid:\n{faults}", path.display())
             }
             Self::Runtime { cause } => write!(f, "start the runtime: {cause}"),
             Self::Unreachable { step, failures } => {
@@ -193,13 +195,16 @@
                 )
             }
             Self::Conflict { peer, lines } => {
-                write!(f, "conflict (from {peer}): another operator was first")?;
+                write!(
+                    f,
+                    "conflict (from {peer}): another operator changed the same rows first"
+                )?;
                 lines.iter().try_for_each(|line| write!(f, "\n  {line}"))
             }
             Self::Outdated { made_from, current } => write!(
                 f,
                 "the file was made from generation {made_from}; generation {current} is in force, \
-                 and the edits between them are not kept any more"
+                 and the edits between them are no longer stored"
             ),
             Self::Rejected { peer, cause } => write!(f, "rejected by {peer}: {cause}"),
             Self::Undecided { id, failures } => {
@@ -212,7 +217,7 @@
                 waited,
             } => {
                 let names = if missing.is_empty() {
-                    "no instance could tell".to_owned()
+                    "no instance reported which ones are missing".to_owned()
                 } else {
                     format!("missing: {}", missing.join(", "))
                 };
--- a/crates/ctl/src/exit_codes.rs
+++ b/crates/ctl/src/exit_codes.rs
@@ -2,33 +2,33 @@
 
 use std::process;
 
-/// How the command ended.
+/// Result of the command, as reported to the shell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCode {
-    /// It did what was asked; an edit is in force.
+    /// The command succeeded; an edit is in force.
     Success,
-    /// It failed in a way that no other code names.
+    /// Any failure without a code of its own.
     Failure,
     /// The command line is wrong.
     Usage,
     /// Another operator changed the same rows first; nothing was changed.
     Conflict,
-    /// A table, an edit or settings did not pass the checks; nothing was changed.
+    /// A table, an edit or a settings file is invalid; nothing was changed.
     Rejected,
     /// The edit is accepted, but not yet in force on every instance.
     NotInForce,
     /// No instance answered, or one that had to did not.
     Unreachable,
-    /// The instances do not know this operator or token.
+    /// The instances rejected the operator's name or token.
     Denied,
     /// Whether the edit was accepted is not known.
     Undecided,
-    /// Nothing was found.
+    /// No log line names the request.
     NotFound,
 }
 
 impl ExitCode {
-    /// The number that the operating system is told.
+    /// Exit status of the process.
     pub const fn code(self) -> u8 {
         match self {
             Self::Success => 0,
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,5 +1,7 @@
-//! The operators' command: reads and edits the table, marks instances and replicas to drain, and
-//! explains decisions, all through the admin addresses of the daemons.
+//! Implementation of the operators' command `waxwing`.
+//!
+//! It reads and edits the table, drains instances and replicas, and explains decisions, through the
+//! admin addresses of the daemons and from their log files.
 
 pub mod account;
 pub mod answer;
@@ -19,7 +21,7 @@
 use crate::exit_codes::ExitCode;
 use crate::output::Output;
 
-/// Runs the command line `args`, without the program's name.
+/// Runs the command given by `args`, which do not include the program's name.
 pub fn run(args: Vec<String>) -> ExitCode {
     let invocation = match cli::parse(args) {
         Ok(invocation) => invocation,
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `waxwing`, the operators' command.
+//! The operators' command `waxwing`.
 
 use std::process::ExitCode;
 
--- a/crates/ctl/src/submit.rs
+++ b/crates/ctl/src/submit.rs
@@ -1,8 +1,8 @@
-//! The way of an edit from the operator into force.
+//! Submits an edit and waits until it is in force.
 //!
-//! An edit is *accepted* when an instance says so, with the generation that it made. It is *in
-//! force* when every instance decides by that generation or a later one. Between the two lie
-//! seconds at most; the command reports them as different things.
+//! An edit is *accepted* when an instance confirms it with the generation that it created. It is
+//! *in force* when every instance uses that generation or a later one, at most seconds later. The
+//! command reports the two separately.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,15 +23,15 @@
 use crate::error::FailedAttempt;
 use crate::output::Output;
 
-/// Pause between two questions about the table.
+/// Pause between two requests for the state of the table.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause before an undecided edit is sent again.
 const RESEND_DELAY: Duration = Duration::from_millis(500);
-/// Least number of rounds over all addresses before an edit is given up.
+/// Minimum number of rounds over all addresses before the command gives up.
 const MIN_ROUNDS: usize = 3;
 const EDITS_PATH: &str = "/v1/table/edits";
 
-/// An edit in force, as printed in JSON mode.
+/// JSON output for an edit in force.
 #[derive(Debug, Serialize)]
 struct InForce {
     result: &'static str,
@@ -41,7 +41,7 @@
     waited_ms: u64,
 }
 
-/// A fresh id for an edit.
+/// Generates a random id for an edit.
 pub fn new_id() -> String {
     format!("ctl-{:016x}", rand::random::<u64>())
 }
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// The variants of [`Error`] that say how far it came.
+/// The variant of [`Error`] that says how far the edit got.
 pub async fn submit(
     admin: &AdminClient,
     edit: &Edit,
@@ -74,20 +74,20 @@
     wait_until_in_force(admin, accepted.generation, options.wait, &edit.id, output).await
 }
 
-/// An accepted edit.
+/// Confirmation that an edit is accepted.
 struct Accepted {
     peer: String,
     generation: u64,
-    /// Whether an earlier attempt had been accepted.
+    /// Whether an earlier attempt was accepted.
     repeated: bool,
 }
 
-/// What came of one attempt.
+/// Result of one attempt to submit an edit.
 enum AttemptResult {
     Accepted(Accepted),
-    /// The instance did not take it and nothing was sent to the store.
+    /// The instance rejected the edit and sent nothing to the store.
     Refused(Error),
-    /// Nobody took it, or nobody knows.
+    /// The edit was not accepted, or its result is not known.
     Inconclusive {
         failure: FailedAttempt,
         maybe_reached: bool,
@@ -99,7 +99,7 @@
     let body = serde_json::to_string(edit).unwrap_or_default();
     let end = Instant::now() + wait;
     let mut failures = Vec::new();
-    // Once an attempt may have reached the store, what other instances say proves nothing.
+    // Once an attempt may have reached the store, a refusal by another instance proves nothing.
     let mut maybe_reached = false;
     let mut round = 0;
     while round < MIN_ROUNDS || Instant::now() < end {
@@ -119,7 +119,7 @@
         }
         round += 1;
         match refused {
-            // The edit passed the checks above, so a refusal may be a matter of time.
+            // The edit passed the local checks, so a refusal may be temporary.
             Some(error) if !maybe_reached && round >= MIN_ROUNDS => return Err(error),
             _ => {}
         }
@@ -142,7 +142,7 @@
     address: SocketAddr,
     body: String,
 ) -> Result<AttemptResult, Error> {
-    // Only an address that refuses a connection beforehand proves that nothing was sent to it.
+    // Only a failed connection proves that nothing was sent.
     if let Err(cause) = TcpStream::connect(address).await {
         let failure = FailedAttempt {
             peer: address.to_string(),
@@ -164,7 +164,7 @@
 
 fn classify(answer: Answer) -> Result<AttemptResult, Error> {
     let result = match answer.parse::<EditResult>() {
-        // An instance that can't decide at all says so by 503 before it sends anything.
+        // An instance that can't decide answers 503 before it sends anything to the store.
         Err(Error::UnexpectedAnswer { .. }) if answer.status.is_server_error() => {
             let cause = format!("{} {}", answer.status, answer.body_excerpt());
             let maybe_reached = answer.status != StatusCode::SERVICE_UNAVAILABLE;
@@ -191,7 +191,7 @@
             repeated: true,
         }),
         EditResult::Conflict { lines } => return Err(Error::Conflict { peer, lines }),
-        // Another instance may be in a position to take it.
+        // Another instance may be able to accept it.
         EditResult::Rejected { cause } => AttemptResult::Refused(Error::Rejected { peer, cause }),
         EditResult::Undecided { cause } => AttemptResult::Inconclusive {
             failure: FailedAttempt { peer, cause },
@@ -200,7 +200,7 @@
     })
 }
 
-/// Keeps the last failure of each address.
+/// Adds a failure and removes an earlier one of the same address.
 fn record_failure(failures: &mut Vec<FailedAttempt>, failure: FailedAttempt) {
     failures.retain(|earlier| earlier.peer != failure.peer);
     failures.push(failure);
@@ -215,7 +215,7 @@
     admin: &AdminClient,
     generation: u64,
     wait: Duration,
-    edit: &str,
+    edit_id: &str,
     output: Output,
 ) -> Result<(), Error> {
     let start = Instant::now();
@@ -224,12 +224,12 @@
     loop {
         match admin.get::<Force>(&path).await {
             Ok(force) if force.complete() => {
-                report_in_force(generation, &force, start.elapsed(), edit, output);
+                report_in_force(generation, &force, start.elapsed(), edit_id, output);
                 return Ok(());
             }
             Ok(force) => missing = force.missing,
             Err(error @ Error::Denied { .. }) => return Err(error),
-            // An instance that can't tell now may tell a moment later.
+            // The state may be available at the next poll.
             Err(_) => {}
         }
         if start.elapsed() >= wait {
@@ -243,7 +243,13 @@
     }
 }
 
-fn report_in_force(generation: u64, force: &Force, waited: Duration, edit: &str, output: Output) {
+fn report_in_force(
+    generation: u64,
+    force: &Force,
+    waited: Duration,
+    edit_id: &str,
+    output: Output,
+) {
     output.line(&format!(
         "in force: generation {generation} on {} of {} instances after {:.1} s",
         force.in_force,
@@ -252,7 +258,7 @@
     ));
     output.value(&InForce {
         result: "in_force",
-        edit: edit.to_owned(),
+        edit: edit_id.to_owned(),
         generation,
         instances: force.known,
         waited_ms: waited.as_millis() as u64,
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -1,4 +1,4 @@
-//! One request's life, told from the log lines of gateway daemons.
+//! Builds the timeline of one request from the log lines of gateway daemons.
 
 use std::collections::HashMap;
 use std::fs;
@@ -14,21 +14,21 @@
 /// Path that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// The lines of a source, read one by one.
+/// Parsed lines of a log file.
 #[derive(Debug, Default)]
 pub struct Log {
     /// Lines that are JSON objects.
     pub lines: Vec<Value>,
-    /// Lines that are not, such as one cut off at the end.
+    /// Number of other lines, such as one truncated at the end of the file.
     pub unreadable: usize,
 }
 
-/// What all lines about a request have.
+/// Fields that the lines of all kinds have in common.
 #[derive(Debug, Deserialize)]
 struct LineHeader {
     #[serde(default)]
     instance: String,
-    /// The run of its process.
+    /// Id of the run of the daemon's process.
     #[serde(default)]
     run: String,
     #[serde(default)]
@@ -43,7 +43,7 @@
     /// Reads the file at `path`, or standard input if that is `-`.
     ///
     /// # Errors
-    /// `Read` if it cannot be read.
+    /// [`Error::Read`] if it can't be read.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let mut bytes = Vec::new();
         let read = match path.to_str() {
@@ -57,7 +57,7 @@
         Ok(Self::parse(&String::from_utf8_lossy(&bytes)))
     }
 
-    /// Takes the lines of `text`; what stands before the first brace of a line is passed over.
+    /// Parses the lines of `text`; any prefix before the first brace of a line is skipped.
     pub fn parse(text: &str) -> Self {
         let mut log = Self::default();
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
@@ -71,10 +71,10 @@
     }
 }
 
-/// Kinds of lines about a whole daemon that bear on each of its requests at that time.
+/// Kinds of lines about a daemon as a whole, which affect all of its requests at that time.
 const DAEMON_KINDS: [&str; 3] = ["pause", "stop", "overload"];
 
-/// The life of `request` in plain words, in order of time; empty if no line names it.
+/// Describes what happened to `request`, in order of time; empty if no line names it.
 pub fn build(lines: &[Value], request: &str) -> Vec<String> {
     let parsed = lines.iter().filter_map(|value| {
         Some((
@@ -112,8 +112,8 @@
     timeline
 }
 
-/// Whether `line` falls into the time of one of the runs that `about` tells of; a request without
-/// an end lasts for as long as the run.
+/// Whether `line` is from a run that handled the request, at a time when it did; a request without
+/// an end lasts until the end of the run.
 fn overlaps_request(
     request_lines: &[&(LineHeader, &Value)],
     line: &LineHeader,
@@ -129,9 +129,9 @@
     started && (!ended || last.is_some_and(|last| line.up_ms <= *last))
 }
 
-/// Orders lines by instance and time, each once.
+/// Orders lines by run and time, and removes duplicates.
 fn sort_and_dedup(request_lines: &mut Vec<&(LineHeader, &Value)>) {
-    // The time of day may jump: it orders the runs, and their other clock orders the lines.
+    // The time of day may jump, so it only orders the runs; `up_ms` orders the lines of a run.
     let run = |line: &LineHeader| (line.instance.clone(), line.run.clone());
     let mut run_starts = HashMap::new();
     for (line, _) in request_lines.iter().rev() {
@@ -142,7 +142,7 @@
     request_lines.dedup_by(|(_, left), (_, right)| left == right);
 }
 
-/// Why the request that `last` is the last line of has no end.
+/// Explains why the request with the last line `last` has no end.
 fn explain_missing_end(parsed: &[(LineHeader, &Value)], last: &LineHeader) -> String {
     let restart = parsed.iter().find(|(line, _)| {
         line.kind == "start"
@@ -152,10 +152,10 @@
     });
     match restart {
         Some((line, _)) => format!(
-            "NO END is told: the process of {} ended without a word and was started again at {}",
+            "NO END: the process of {} died without a log line and was restarted at {}",
             last.instance, line.time
         ),
-        None => "NO END is told: the lines end before the request".to_owned(),
+        None => "NO END: the log lines stop before the request ends".to_owned(),
     }
 }
 
@@ -167,7 +167,7 @@
     };
     match kind {
         "send" => format!(
-            "sent to {} to {}{} ({} of this daemon at work there, list of replicas {}, plan {}, {} ms left)",
+            "sent to {} to {}{} ({} of this daemon's requests in progress there, replica list {}, plan {}, {} ms left)",
             text("replica"),
             describe_task(&text("task")),
             describe_cache(&text("cache")),
@@ -178,13 +178,16 @@
         ),
         "quota" => describe_quota(line, &text),
         "read" => format!(
-            "the prompt was read after {} ms{}",
+            "the prefill was finished after {} ms{}",
             text("ms"),
             describe_cache(&text("cache"))
         ),
-        "first" => format!("the first event went to the caller after {} ms", text("ms")),
+        "first" => format!(
+            "the first event was sent to the caller after {} ms",
+            text("ms")
+        ),
         "reserve" if !line["cause"].is_null() => format!(
-            "a decode replica did not answer when it was asked for room: {}",
+            "a decode replica did not answer a reservation: {}",
             text("cause")
         ),
         "reserve" => format!(
@@ -210,7 +213,7 @@
             text("status")
         ),
         "silence" => format!(
-            "{} has been silent for {} ms; asked on another connection, it {}",
+            "{} has sent nothing for {} ms; probed on another connection, it {}",
             text("replica"),
             text("ms"),
             if text("answers") == "true" {
@@ -226,23 +229,23 @@
             text("events")
         ),
         "move" if text("stopped") == "true" => format!(
-            "the run left {}, whose memory was about to end, for {} after {} events{}",
+            "the run moved from {}, whose memory was nearly full, to {} after {} events{}",
             text("replica"),
             text("to"),
             text("events"),
             if text("copied") == "true" {
                 ""
             } else {
-                "; its memory could not be copied"
+                "; its KV cache could not be copied"
             }
         ),
         "move" => format!(
-            "the run was to leave {} for {} and did not: {}",
+            "the run could not be moved from {} to {}: {}",
             text("replica"),
             text("to"),
             text("cause")
         ),
-        "pause" => format!("(the process stood still for {} ms)", text("ms")),
+        "pause" => format!("(the process did not run for {} ms)", text("ms")),
         "stop" => format!("(the daemon is {})", text("text")),
         "overload" => "(an instance of the data centre was overloaded)".to_owned(),
         "end" => format!("END: {}", describe_end(&text("outcome"), &text)),
@@ -250,25 +253,25 @@
     }
 }
 
-/// What was decided on the quota of a customer, and by whom.
+/// Describes the decision on a quota request and names the keeper that made it.
 fn describe_quota(line: &Value, text: &impl Fn(&str) -> String) -> String {
-    let asked = format!(
-        "the quota of {} was asked for {} units",
+    let demand = format!(
+        "quota of {}: {} units requested",
         text("customer"),
         text("units")
     );
     let decision = text("decision");
     match line["keeper"].as_str() {
-        None | Some("") => format!("{asked}, and no daemon that keeps it could tell"),
+        None | Some("") => format!("{demand}; no keeper replied"),
         Some(keeper) => format!(
-            "{asked}; {keeper} told after {} ms: {decision}, {} units left",
+            "{demand}; {keeper} replied after {} ms: {decision}, {} units left",
             text("ms"),
             text("left")
         ),
     }
 }
 
-/// Which KV cache a line names; nothing if it names none.
+/// Names the KV cache of a line; empty if the line has none.
 fn describe_cache(name: &str) -> String {
     match name {
         "" | "?" => String::new(),
@@ -278,9 +281,9 @@
 
 fn describe_task(word: &str) -> &str {
     match word {
-        "prefill" => "read the prompt",
-        "decode" => "make tokens from the prompt read elsewhere",
-        "resume" => "go on after the last event",
+        "prefill" => "prefill the prompt",
+        "decode" => "decode after a prefill on another replica",
+        "resume" => "resume after the last event",
         _ => "answer",
     }
 }
@@ -290,7 +293,7 @@
     match outcome {
         "answered" => format!("answered with {} {after}", text("status")),
         "failed" => format!(
-            "the replica's failure {} was passed on {after}; it ran",
+            "the replica's failure {} was forwarded {after}; it ran",
             text("status")
         ),
         "refused" => format!("refused, it has not run: {}", text("cause")),
@@ -304,7 +307,7 @@
             "outcome unknown, it may have run: {} ({after})",
             text("cause")
         ),
-        "overdue" => format!("time was up, it may have run: {} ({after})", text("cause")),
+        "overdue" => format!("timed out, it may have run: {} ({after})", text("cause")),
         "broken" => format!("the stream was broken off: {} ({after})", text("cause")),
         "caller-left" => format!("the caller left {after}"),
         other => format!("{other}: {}", text("cause")),
--- a/crates/ctl/tests/waxwing/views.rs
+++ b/crates/ctl/tests/waxwing/views.rs
@@ -1,4 +1,4 @@
-//! Commands that only look.
+//! Commands that read without changing anything.
 
 use serde_json::Value;
 use serde_json::json;
@@ -162,7 +162,7 @@
 
 const REQUEST_LINES: [&str; 5] = [
     r#"{"instance":"edge-1","up_ms":100,"time":"2026-12-02T10:00:05Z","kind":"send","request":"9c41","replica":"i-1","task":"answer","in_flight":2,"replicas":7,"plan":3,"left_ms":2490}"#,
-    // The time of day jumped back between these two lines.
+    // The time of day jumps back before this line.
     r#"{"instance":"edge-1","up_ms":130,"time":"2026-12-02T10:00:01Z","kind":"failure","request":"9c41","replica":"i-1","cause":"connection reset","outcome":"Lost","status":0}"#,
     r#"{"instance":"edge-1","up_ms":131,"time":"2026-12-02T10:00:01Z","kind":"retry","request":"9c41","granted":false,"left":"0.4","sharers":9}"#,
     r#"{"instance":"edge-1","up_ms":132,"time":"2026-12-02T10:00:01Z","kind":"end","request":"9c41","outcome":"unknown","status":502,"ms":32,"cause":"the replica was lost"}"#,
@@ -193,7 +193,7 @@
         REQUEST_LINES[2],
     ];
     let first = env.write_file("one.log", &mixed.join("\n"));
-    // A source may put its own words before a line.
+    // A log collector may add a prefix to a line.
     let second = env.write_file("two.log", &format!("  7.1 edge-1 {}\n", REQUEST_LINES[1]));
     let output = env
         .run(&["explain", "9c41", "--log", &first, "--log", &second])
@@ -240,8 +240,8 @@
         &output.stdout,
         &[
             "sent to i-1",
-            "stood still for 7000 ms",
-            "i-1 has been silent for 800 ms; asked on another connection, it does not answer",
+            "did not run for 7000 ms",
+            "i-1 has sent nothing for 800 ms; probed on another connection, it does not answer",
             "END: the caller left",
         ],
     );
@@ -255,12 +255,12 @@
     let restart = r#"{"instance":"edge-1","run":"a2","up_ms":0,"time":"2026-12-02T10:00:09Z","kind":"start"}"#;
     let log = env.write_file("one.log", &[SUSPENDED_LINES[1], restart].join("\n"));
     env.run(&["explain", "77aa", "--log", &log]).assert_code(0).assert_stdout(
-        "the process of edge-1 ended without a word and was started again at 2026-12-02T10:00:09Z",
+        "the process of edge-1 died without a log line and was restarted at 2026-12-02T10:00:09Z",
     );
     let log = env.write_file("two.log", SUSPENDED_LINES[1]);
     env.run(&["explain", "77aa", "--log", &log])
         .assert_code(0)
-        .assert_stdout("NO END is told: the lines end before the request");
+        .assert_stdout("NO END: the log lines stop before the request ends");
 }
 
 #[test]
@@ -270,9 +270,7 @@
     let log = env.write_file("one.log", reserve);
     env.run(&["explain", "77aa", "--log", &log])
         .assert_code(0)
-        .assert_stdout(
-            "a decode replica did not answer when it was asked for room: no answer in time",
-        );
+        .assert_stdout("a decode replica did not answer a reservation: no answer in time");
 }
 
 #[test]
@@ -282,7 +280,9 @@
     let log = env.write_file("one.log", moved);
     env.run(&["explain", "77aa", "--log", &log])
         .assert_code(0)
-        .assert_stdout("the run left i-1, whose memory was about to end, for i-2 after 12 events");
+        .assert_stdout(
+            "the run moved from i-1, whose memory was nearly full, to i-2 after 12 events",
+        );
 }
 
 const REMOTE_PREFILL_LINES: [&str; 2] = [
@@ -290,7 +290,7 @@
     r#"{"instance":"edge-1","up_ms":101,"time":"2026-12-02T10:00:02Z","kind":"send","request":"9c41","replica":"i-2","task":"decode","cache":"k7","in_flight":1,"replicas":4,"plan":2,"left_ms":3900}"#,
 ];
 
-/// Two requests that went on from one KV cache can be told by its name alone.
+/// The name of the KV cache shows when two requests decode from the same one.
 #[test]
 fn timeline_names_kv_cache_of_remote_prefill() {
     let env = Env::new();
@@ -299,8 +299,8 @@
     assert_in_order(
         &output.stdout,
         &[
-            "the prompt was read after 50 ms (KV cache k7)",
-            "sent to i-2 to make tokens from the prompt read elsewhere (KV cache k7)",
+            "the prefill was finished after 50 ms (KV cache k7)",
+            "sent to i-2 to decode after a prefill on another replica (KV cache k7)",
         ],
     );
 }
