--- a/crates/ctl/tests/account.rs
+++ b/crates/ctl/tests/account.rs
@@ -1,4 +1,4 @@
-//! Generations are put to the causes that they were lost for.
+//! Classification of generations by why they were late or lost.
 
 use ctl::account::Cause;
 use ctl::account::OutcomeReport;
--- a/crates/ctl/tests/waxwing/edits.rs
+++ b/crates/ctl/tests/waxwing/edits.rs
@@ -1,5 +1,5 @@
-//! An edit's way into force: accepted, in force, conflict, rejected and undecided are different
-//! answers with different exit codes.
+//! Submitting edits: accepted, in force, conflict, rejected and undecided are reported separately,
+//! with different exit codes.
 
 use std::net::SocketAddr;
 
@@ -26,7 +26,7 @@
     json!({ "generation": 8, "in_force": 3, "known": 3, "missing": [] })
 }
 
-/// An interface that answers edits by `result`.
+/// Admin interface that answers edits with `result`.
 fn admin_answering(status: u16, result: Value) -> FakeAdmin {
     FakeAdmin::new()
         .with_answer(TABLE, 200, current_table())
@@ -268,7 +268,8 @@
     assert!(admin.calls_to(EDITS).is_empty());
 }
 
-/// The table after another operator's edit 8, which set the share of `ration` from 1 to 2.
+/// Admin interface after edit 8 of another operator, which changed the share of `ration` from 1
+/// to 2.
 fn after_another_edit() -> FakeAdmin {
     let row = |share: u32| {
         let text = format!("- {{service: ration, class: default, pool: ration, share: {share}}}");
--- a/crates/ctl/tests/waxwing/env.rs
+++ b/crates/ctl/tests/waxwing/env.rs
@@ -1,4 +1,4 @@
-//! Runs the real command against a scripted admin interface.
+//! Runs the command's binary against a scripted admin interface.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -20,7 +20,7 @@
 pub const OPERATOR: &str = "ana";
 pub const TOKEN: &str = "token-of-the-tests";
 
-/// What an ended command left.
+/// Exit code and output of a command.
 #[derive(Debug)]
 pub struct CommandOutput {
     pub code: i32,
@@ -53,14 +53,15 @@
 
 type QueuedAnswers = HashMap<String, VecDeque<(u16, Value)>>;
 
-/// Scripted answers: those of a path in their order, the last one again and again.
+/// Admin interface with scripted answers: each path gives its answers in order, then repeats the
+/// last one.
 #[derive(Debug, Clone, Default)]
 pub struct FakeAdmin {
     answers: Arc<Mutex<QueuedAnswers>>,
     calls: Arc<Mutex<Vec<ReceivedCall>>>,
 }
 
-/// A call that arrived.
+/// A call received by [`FakeAdmin`].
 #[derive(Debug, Clone)]
 pub struct ReceivedCall {
     pub path: String,
@@ -74,7 +75,7 @@
         Self::default()
     }
 
-    /// The same with one more answer for `path`.
+    /// Adds an answer for `path`.
     pub fn with_answer(self, path: &str, status: u16, body: Value) -> Self {
         let mut answers = self.answers.lock().unwrap();
         answers
@@ -85,7 +86,7 @@
         self
     }
 
-    /// The calls to `path`.
+    /// Calls received for `path`.
     pub fn calls_to(&self, path: &str) -> Vec<ReceivedCall> {
         let calls = self.calls.lock().unwrap();
         calls
@@ -95,7 +96,7 @@
             .collect()
     }
 
-    /// Serves on a thread that lasts as long as the test process; gives the address.
+    /// Serves on a thread that runs until the test process ends; returns the address.
     pub fn start(&self) -> SocketAddr {
         let (sender, receiver) = mpsc::channel();
         let admin = self.clone();
@@ -142,7 +143,7 @@
     }
 }
 
-/// A folder for files, and the addresses given to the command.
+/// A temporary folder for files, and the addresses given to the command.
 #[derive(Debug)]
 pub struct Env {
     folder: TempDir,
@@ -158,20 +159,20 @@
         }
     }
 
-    /// The same with one more admin address.
+    /// Adds an admin address.
     pub fn with_admin(mut self, address: SocketAddr) -> Self {
         self.admins.push(address.to_string());
         self
     }
 
-    /// Writes a file; gives its path.
+    /// Writes a file and returns its path.
     pub fn write_file(&self, name: &str, text: &str) -> String {
         let path: PathBuf = self.folder.path().join(name);
         fs::write(&path, text).unwrap();
         path.display().to_string()
     }
 
-    /// Runs the command with these arguments, and addresses and token in the environment.
+    /// Runs the command with `args`, and with addresses, operator and token in the environment.
     pub fn run(&self, args: &[&str]) -> CommandOutput {
         let output = Command::new(env!("CARGO_BIN_EXE_waxwing"))
             .args(args)
--- a/crates/ctl/tests/waxwing/input.rs
+++ b/crates/ctl/tests/waxwing/input.rs
@@ -1,4 +1,4 @@
-//! Wrong input gets a clear error and the right exit code, without any instance.
+//! Invalid input is reported with a clear error and exit code, without contacting an instance.
 
 use rstest::rstest;
 
--- a/crates/ctl/tests/waxwing/main.rs
+++ b/crates/ctl/tests/waxwing/main.rs
@@ -1,4 +1,4 @@
-//! The real command, run as an operator runs it.
+//! Tests of the command's binary.
 
 mod edits;
 mod env;
