--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 /// Name and version of the program.
 pub const VERSION: &str = concat!("waxwing ", env!("CARGO_PKG_VERSION"));
-/// How long an accepted edit may take to come into force before the command gives up.
+/// Default of `--wait`: how long the command waits until an accepted edit is in force.
 const DEFAULT_WAIT: Duration = Duration::from_secs(10);
-/// Options that only some commands take, with the first words of these commands.
-const SPECIAL: [(&str, &[&str]); 5] = [
+/// Options that only some commands accept, with the first words of these commands.
+const COMMAND_OPTIONS: [(&str, &[&str]); 5] = [
     ("dry-run", &["table apply", "drain", "undrain"]),
     ("wait", &["table apply", "table force", "drain", "undrain"]),
     ("note", &["table apply", "drain", "undrain"]),
@@ -21,21 +21,21 @@
     ("log", &["explain", "account"]),
 ];
 
-const BRIEF: &str = "Usage: waxwing [options] COMMAND
+const USAGE: &str = "Usage: waxwing [options] COMMAND
 
 Commands:
-    table show              print the table in force, as a file that `table apply` takes
-    table check FILE        check a table file, without any instance
-    table apply FILE        make the table as in FILE; wait until it is in force
+    table show              print the table in force, as a file for `table apply`
+    table check FILE        check a table file, without contacting an instance
+    table apply FILE        change the table to match FILE; wait until it is in force
     table force GENERATION  wait until a generation is in force
     table history           list the accepted edits, newest first
     drain   instance|replica NAME
-                            give it no new work; what is in progress is finished
+                            send it no new work; work in progress is completed
     undrain instance|replica NAME
-                            take the mark away
-    status                  show each instance as it sees itself and the others
+                            stop draining it
+    status                  show the state of each instance and its view of the others
     explain REQUEST         show what was decided for a request, and why
-    account                 put each generation in log files to the cause that it was late or lost for
+    account                 count the generations in log files by why they were late or lost
     config check FILE       check the settings file of a daemon
 
 Examples:
@@ -47,25 +47,25 @@
     waxwing drain replica decode-3
     waxwing explain order-17                  ask every instance about a request
     waxwing explain order-17 --log entry-1.log
-    cat edge-*.log | waxwing explain 9c41d07b --log -   a request's life, no daemon needed
-    cat edge-*.log | waxwing account --log -            what was lost, by cause and moment
+    cat edge-*.log | waxwing explain 9c41d07b --log -   timeline of a request, no daemon needed
+    cat edge-*.log | waxwing account --log -            what was lost, by cause and time
 
 Exit codes: 0 done and in force, 1 other failure, 2 usage, 3 conflict, 4 rejected,
 5 accepted but not yet in force, 6 unreachable, 7 denied, 8 undecided, 9 not found.";
 
-/// A command with its options.
+/// A parsed command line.
 #[derive(Debug)]
-pub struct Call {
-    /// What to do.
+pub struct Invocation {
+    /// The command to run.
     pub command: Command,
-    /// Options of every command.
+    /// Options that every command accepts.
     pub options: Options,
 }
 
-/// Options of every command.
+/// Options that every command accepts.
 #[derive(Debug, Default)]
 pub struct Options {
-    /// Admin addresses, as given.
+    /// Admin addresses as given on the command line.
     pub admins: Vec<String>,
     /// Name of the operator.
     pub operator: Option<String>,
@@ -75,30 +75,30 @@
     pub json: bool,
 }
 
-/// What to do.
+/// A command with its arguments and its own options.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command {
     /// Print the table in force.
     TableShow,
     /// Check a table file.
     TableCheck(PathBuf),
-    /// Make the table as in a file.
-    TableApply(PathBuf, Submission),
+    /// Change the table to match a file.
+    TableApply(PathBuf, SubmitOptions),
     /// Wait until a generation is in force.
     TableForce(u64, Duration),
     /// List the accepted edits.
     TableHistory,
-    /// Mark to drain.
-    Drain(Mark, Submission),
-    /// Take the mark away.
-    Undrain(Mark, Submission),
-    /// Show the instances.
+    /// Drain an instance or a replica.
+    Drain(Mark, SubmitOptions),
+    /// Stop draining an instance or a replica.
+    Undrain(Mark, SubmitOptions),
+    /// Show the state of the instances.
     Status,
-    /// Show the decisions for a request; log files to search in.
+    /// Show the decisions for a request, from the instances and from log files.
     Explain(String, Vec<PathBuf>),
-    /// Put generations to causes; log files to read.
+    /// Count the generations in log files by cause.
     Account(Vec<PathBuf>),
-    /// Check settings of a daemon.
+    /// Check the settings file of a daemon.
     ConfigCheck(PathBuf),
     /// Print the help text.
     Help,
@@ -106,44 +106,44 @@
     Version,
 }
 
-/// How an edit is submitted.
+/// Options of commands that submit an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Submission {
-    /// Whether to stop after the difference was shown.
+pub struct SubmitOptions {
+    /// Whether to show the difference without submitting the edit.
     pub dry_run: bool,
     /// How long to wait until it is in force.
     pub wait: Duration,
-    /// Why the edit is made.
+    /// Reason for the edit, kept in the history.
     pub note: String,
-    /// Id of an earlier, undecided try.
+    /// Id of an earlier, undecided attempt.
     pub id: Option<String>,
 }
 
-/// Reads the arguments that follow the program's name.
+/// Parses the arguments that follow the program's name.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] if they do not make a command.
-pub fn parse(args: Vec<String>) -> Result<Call, Error> {
-    let matches = definitions()
+/// [`Error::Usage`] if they are not a valid command.
+pub fn parse(args: Vec<String>) -> Result<Invocation, Error> {
+    let matches = option_definitions()
         .parse(args)
-        .map_err(|cause| usage(cause.to_string()))?;
-    let command = command(&matches)?;
+        .map_err(|cause| usage_error(cause.to_string()))?;
+    let command = parse_command(&matches)?;
     let options = Options {
         admins: matches.opt_strs("admin"),
         operator: matches.opt_str("operator"),
         token_file: matches.opt_str("token-file").map(PathBuf::from),
         json: matches.opt_present("json"),
     };
-    Ok(Call { command, options })
+    Ok(Invocation { command, options })
 }
 
-/// The help text.
+/// Returns the help text.
 pub fn help() -> String {
-    definitions().usage(BRIEF)
+    option_definitions().usage(USAGE)
 }
 
-fn command(matches: &Matches) -> Result<Command, Error> {
+fn parse_command(matches: &Matches) -> Result<Command, Error> {
     match matches {
         m if m.opt_present("help") => return Ok(Command::Help),
         m if m.opt_present("version") => return Ok(Command::Version),
@@ -155,43 +155,56 @@
         ["help"] => Ok(Command::Help),
         ["table", "show"] => Ok(Command::TableShow),
         ["table", "check", file] => Ok(Command::TableCheck(file.into())),
-        ["table", "apply", file] => Ok(Command::TableApply(file.into(), submission(matches)?)),
+        ["table", "apply", file] => Ok(Command::TableApply(file.into(), submit_options(matches)?)),
         ["table", "force", generation] => Ok(Command::TableForce(
-            number(generation, "GENERATION")?,
-            wait(matches)?,
+            parse_number(generation, "GENERATION")?,
+            parse_wait(matches)?,
         )),
         ["table", "history"] => Ok(Command::TableHistory),
-        ["drain", kind, name] => Ok(Command::Drain(mark(kind, name)?, submission(matches)?)),
-        ["undrain", kind, name] => Ok(Command::Undrain(mark(kind, name)?, submission(matches)?)),
+        ["drain", kind, name] => Ok(Command::Drain(
+            drain_target(kind, name)?,
+            submit_options(matches)?,
+        )),
+        ["undrain", kind, name] => Ok(Command::Undrain(
+            drain_target(kind, name)?,
+            submit_options(matches)?,
+        )),
         ["status"] => Ok(Command::Status),
-        ["explain", request] => Ok(Command::Explain(request.to_owned(), logs(matches))),
-        ["account"] => match logs(matches) {
-            logs if logs.is_empty() => Err(usage("account: --log FILE is missing".to_owned())),
+        ["explain", request] => Ok(Command::Explain(request.to_owned(), log_paths(matches))),
+        ["account"] => match log_paths(matches) {
+            logs if logs.is_empty() => {
+                Err(usage_error("account: --log FILE is missing".to_owned()))
+            }
             logs => Ok(Command::Account(logs)),
         },
         ["config", "check", file] => Ok(Command::ConfigCheck(file.into())),
-        [] => Err(usage("no command given".to_owned())),
-        _ => Err(usage(format!("`{}` is not a command", words.join(" ")))),
+        [] => Err(usage_error("no command given".to_owned())),
+        _ => Err(usage_error(format!(
+            "`{}` is not a command",
+            words.join(" ")
+        ))),
     }
 }
 
-/// The log files that are named.
-fn logs(matches: &Matches) -> Vec<PathBuf> {
+/// Paths given with `--log`.
+fn log_paths(matches: &Matches) -> Vec<PathBuf> {
     let logs = matches.opt_strs("log").into_iter();
     logs.map(PathBuf::from).collect()
 }
 
-/// Refuses options that the command would ignore.
+/// Rejects options that the command would ignore.
 fn check_options(matches: &Matches, words: &[&str]) -> Result<(), Error> {
     let line = words.join(" ");
-    let given = SPECIAL.iter().filter(|(name, _)| matches.opt_present(name));
-    let mut foreign = given.filter(|(_, commands)| {
+    let given = COMMAND_OPTIONS
+        .iter()
+        .filter(|(name, _)| matches.opt_present(name));
+    let mut misplaced = given.filter(|(_, commands)| {
         !commands
             .iter()
             .any(|command| line == *command || line.starts_with(&format!("{command} ")))
     });
-    match foreign.next() {
-        Some((name, commands)) => Err(usage(format!(
+    match misplaced.next() {
+        Some((name, commands)) => Err(usage_error(format!(
             "--{name} belongs to: {}",
             commands.join(", ")
         ))),
@@ -199,37 +212,37 @@
     }
 }
 
-fn submission(matches: &Matches) -> Result<Submission, Error> {
-    Ok(Submission {
+fn submit_options(matches: &Matches) -> Result<SubmitOptions, Error> {
+    Ok(SubmitOptions {
         dry_run: matches.opt_present("dry-run"),
-        wait: wait(matches)?,
+        wait: parse_wait(matches)?,
         note: matches.opt_str("note").unwrap_or_default(),
         id: matches.opt_str("edit-id"),
     })
 }
 
-fn wait(matches: &Matches) -> Result<Duration, Error> {
+fn parse_wait(matches: &Matches) -> Result<Duration, Error> {
     match matches.opt_str("wait") {
-        Some(text) => number(&text, "--wait").map(Duration::from_secs),
+        Some(text) => parse_number(&text, "--wait").map(Duration::from_secs),
         None => Ok(DEFAULT_WAIT),
     }
 }
 
-fn number(text: &str, name: &str) -> Result<u64, Error> {
+fn parse_number(text: &str, name: &str) -> Result<u64, Error> {
     text.parse()
-        .map_err(|_| usage(format!("{name}: `{text}` is not a number from 0 up")))
+        .map_err(|_| usage_error(format!("{name}: `{text}` is not a number of 0 or more")))
 }
 
-fn mark(kind: &str, name: &str) -> Result<Mark, Error> {
-    let problem = || usage(format!("`{kind}` is neither `instance` nor `replica`"));
+fn drain_target(kind: &str, name: &str) -> Result<Mark, Error> {
+    let problem = || usage_error(format!("`{kind}` is neither `instance` nor `replica`"));
     Mark::with_kind(kind, name).ok_or_else(problem)
 }
 
-fn usage(cause: String) -> Error {
+fn usage_error(cause: String) -> Error {
     Error::Usage { cause }
 }
 
-fn definitions() -> getopts::Options {
+fn option_definitions() -> getopts::Options {
     let mut options = getopts::Options::new();
     options.optmulti(
         "a",
@@ -252,8 +265,18 @@
         "wait this long until the edit is in force (10)",
         "SECONDS",
     );
-    options.optopt("", "note", "why the edit is made", "TEXT");
-    options.optopt("", "edit-id", "repeat an undecided edit under its id", "ID");
+    options.optopt(
+        "",
+        "note",
+        "reason for the edit, shown in the history",
+        "TEXT",
+    );
+    options.optopt(
+        "",
+        "edit-id",
+        "send an undecided edit again under its id",
+        "ID",
+    );
     options.optmulti(
         "",
         "log",
--- a/crates/ctl/src/commands/check.rs
+++ b/crates/ctl/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `table check` and `config check`: files checked without any instance.
+//! `table check` and `config check`: check files without contacting an instance.
 
 use std::fs;
 use std::path::Path;
@@ -12,16 +12,16 @@
 use crate::error::Error;
 use crate::output::Output;
 
-/// A table file that passed its checks.
+/// A valid table file.
 #[derive(Debug)]
 pub(super) struct TableFile {
-    /// Its rows.
+    /// Rows of the table.
     pub(super) rows: Vec<Row>,
-    /// The generation that it says it was made from.
+    /// Generation that the file was made from, if it names one.
     pub(super) generation: Option<u64>,
 }
 
-/// Checks a table file.
+/// Checks a table file and prints the number of its rows.
 pub(super) fn run(path: &Path, output: Output) -> Result<(), Error> {
     let TableFile { rows, .. } = read(path)?;
     output.line(&format!(
@@ -39,19 +39,19 @@
         path: path.to_owned(),
         cause,
     })?;
-    let rows = file::parse(&text).map_err(|report| Error::File {
+    let rows = file::parse(&text).map_err(|report| Error::InvalidFile {
         path: path.to_owned(),
         faults: report.to_string(),
     })?;
     Ok(TableFile {
         rows,
-        generation: base::generation(&text),
+        generation: base::parse_generation(&text),
     })
 }
 
-/// Checks a daemon's settings file with the daemon's own reader.
+/// Checks a daemon's settings file with the daemon's own parser.
 pub(super) fn settings(path: &Path, output: Output) -> Result<(), Error> {
-    let config = Config::read(path).map_err(|fault| fault_of(path, fault))?;
+    let config = Config::read(path).map_err(|fault| to_file_error(path, fault))?;
     output.line(&format!(
         "{}: settings of {} in {}, no fault",
         path.display(),
@@ -62,10 +62,10 @@
     Ok(())
 }
 
-fn fault_of(path: &Path, fault: launch::error::Error) -> Error {
+fn to_file_error(path: &Path, fault: launch::error::Error) -> Error {
     match fault {
         launch::error::Error::Read { path, cause } => Error::Read { path, cause },
-        other => Error::File {
+        other => Error::InvalidFile {
             path: path.to_owned(),
             faults: other.to_string(),
         },
--- a/crates/ctl/src/story.rs
+++ b/crates/ctl/src/timeline.rs
@@ -1,4 +1,4 @@
-//! One request's life, told from the log lines of gateway daemons.
+//! Builds the timeline of one request from the log lines of gateway daemons.
 
 use std::collections::HashMap;
 use std::fs;
@@ -14,21 +14,21 @@
 /// Path that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// The lines of a source, read one by one.
+/// Parsed lines of a log file.
 #[derive(Debug, Default)]
 pub struct Log {
     /// Lines that are JSON objects.
     pub lines: Vec<Value>,
-    /// Lines that are not, such as one cut off at the end.
-    pub bad: usize,
+    /// Number of other lines, such as one truncated at the end of the file.
+    pub unreadable: usize,
 }
 
-/// What all lines about a request have.
+/// Fields that the lines of all kinds have in common.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LineHeader {
     #[serde(default)]
     instance: String,
-    /// The run of its process.
+    /// Id of the run of the daemon's process.
     #[serde(default)]
     run: String,
     #[serde(default)]
@@ -43,7 +43,7 @@
     /// Reads the file at `path`, or standard input if that is `-`.
     ///
     /// # Errors
-    /// `Read` if it cannot be read.
+    /// [`Error::Read`] if it can't be read.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let mut bytes = Vec::new();
         let read = match path.to_str() {
@@ -57,97 +57,109 @@
         Ok(Self::parse(&String::from_utf8_lossy(&bytes)))
     }
 
-    /// Takes the lines of `text`; what stands before the first brace of a line is passed over.
+    /// Parses the lines of `text`; any prefix before the first brace of a line is skipped.
     pub fn parse(text: &str) -> Self {
         let mut log = Self::default();
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             let object = line.find('{').map(|start| &line[start..]);
             match object.and_then(|object| serde_json::from_str::<Value>(object).ok()) {
                 Some(value) => log.lines.push(value),
-                None => log.bad += 1,
+                None => log.unreadable += 1,
             }
         }
         log
     }
 }
 
-/// Kinds of lines about a whole daemon that bear on each of its requests at that time.
-const OF_DAEMON: [&str; 3] = ["pause", "stop", "overload"];
+/// Kinds of lines about a daemon as a whole, which affect all of its requests at that time.
+const DAEMON_KINDS: [&str; 3] = ["pause", "stop", "overload"];
 
-/// The life of `request` in plain words, in order of time; empty if no line names it.
-pub fn tell(lines: &[Value], request: &str) -> Vec<String> {
-    let read = lines
-        .iter()
-        .filter_map(|value| Some((serde_json::from_value::<Line>(value.clone()).ok()?, value)));
-    let read: Vec<(Line, &Value)> = read.filter(|(line, _)| line.kind != "decision").collect();
-    let mut about: Vec<&(Line, &Value)> = read
+/// Describes what happened to `request`, in order of time; empty if no line names it.
+pub fn build(lines: &[Value], request: &str) -> Vec<String> {
+    let parsed = lines.iter().filter_map(|value| {
+        Some((
+            serde_json::from_value::<LineHeader>(value.clone()).ok()?,
+            value,
+        ))
+    });
+    let parsed: Vec<(LineHeader, &Value)> =
+        parsed.filter(|(line, _)| line.kind != "decision").collect();
+    let mut request_lines: Vec<&(LineHeader, &Value)> = parsed
         .iter()
         .filter(|(_, value)| value["request"] == request)
         .collect();
-    let ended = about.iter().any(|(line, _)| line.kind == "end");
-    let around: Vec<&(Line, &Value)> = read
+    let ended = request_lines.iter().any(|(line, _)| line.kind == "end");
+    let daemon_lines: Vec<&(LineHeader, &Value)> = parsed
         .iter()
-        .filter(|(line, _)| OF_DAEMON.contains(&line.kind.as_str()) && during(&about, line, ended))
+        .filter(|(line, _)| {
+            DAEMON_KINDS.contains(&line.kind.as_str())
+                && overlaps_request(&request_lines, line, ended)
+        })
         .collect();
-    about.extend(around);
-    put_in_order(&mut about);
-    let mut life: Vec<String> = about
+    request_lines.extend(daemon_lines);
+    sort_and_dedup(&mut request_lines);
+    let mut timeline: Vec<String> = request_lines
         .iter()
         .map(|(line, value)| {
             let at = line.up_ms as f64 / 1_000.0;
-            let told = sentence(&line.kind, value);
-            format!("{} {at:.3} s: {told}", line.instance)
+            let event = describe_line(&line.kind, value);
+            format!("{} {at:.3} s: {event}", line.instance)
         })
         .collect();
-    if let Some((last, _)) = about.last().filter(|_| !ended) {
-        life.push(without_end(&read, last));
+    if let Some((last, _)) = request_lines.last().filter(|_| !ended) {
+        timeline.push(explain_missing_end(&parsed, last));
     }
-    life
+    timeline
 }
 
-/// Whether `line` falls into the time of one of the runs that `about` tells of; a request without
-/// an end lasts for as long as the run.
-fn during(about: &[&(Line, &Value)], line: &Line, ended: bool) -> bool {
-    let same = about
+/// Whether `line` is from a run that handled the request, at a time when it did; a request without
+/// an end lasts until the end of the run.
+fn overlaps_request(
+    request_lines: &[&(LineHeader, &Value)],
+    line: &LineHeader,
+    ended: bool,
+) -> bool {
+    let same_run = request_lines
         .iter()
-        .filter(|(own, _)| own.instance == line.instance && own.run == line.run);
-    let times: Vec<u64> = same.map(|(own, _)| own.up_ms).collect();
+        .filter(|(other, _)| other.instance == line.instance && other.run == line.run);
+    let times: Vec<u64> = same_run.map(|(other, _)| other.up_ms).collect();
     let first = times.iter().min();
     let last = times.iter().max();
-    let begun = first.is_some_and(|first| *first <= line.up_ms);
-    begun && (!ended || last.is_some_and(|last| line.up_ms <= *last))
+    let started = first.is_some_and(|first| *first <= line.up_ms);
+    started && (!ended || last.is_some_and(|last| line.up_ms <= *last))
 }
 
-/// Orders lines by instance and time, each once.
-fn put_in_order(about: &mut Vec<&(Line, &Value)>) {
-    // The time of day may jump: it orders the runs, and their other clock orders the lines.
-    let run = |line: &Line| (line.instance.clone(), line.run.clone());
-    let mut begun = HashMap::new();
-    for (line, _) in about.iter().rev() {
-        begun.insert(run(line), line.time.clone());
+/// Orders lines by run and time, and removes duplicates.
+fn sort_and_dedup(request_lines: &mut Vec<&(LineHeader, &Value)>) {
+    // The time of day may jump, so it only orders the runs; `up_ms` orders the lines of a run.
+    let run = |line: &LineHeader| (line.instance.clone(), line.run.clone());
+    let mut run_starts = HashMap::new();
+    for (line, _) in request_lines.iter().rev() {
+        run_starts.insert(run(line), line.time.clone());
     }
-    about.sort_by_key(|(line, _)| (begun.get(&run(line)).cloned(), run(line), line.up_ms));
-    about.dedup_by(|(_, left), (_, right)| left == right);
+    request_lines
+        .sort_by_key(|(line, _)| (run_starts.get(&run(line)).cloned(), run(line), line.up_ms));
+    request_lines.dedup_by(|(_, left), (_, right)| left == right);
 }
 
-/// Why the request that `last` is the last line of has no end.
-fn without_end(read: &[(Line, &Value)], last: &Line) -> String {
-    let anew = read.iter().find(|(line, _)| {
+/// Explains why the request with the last line `last` has no end.
+fn explain_missing_end(parsed: &[(LineHeader, &Value)], last: &LineHeader) -> String {
+    let restart = parsed.iter().find(|(line, _)| {
         line.kind == "start"
             && line.instance == last.instance
             && line.run != last.run
             && line.time > last.time
     });
-    match anew {
+    match restart {
         Some((line, _)) => format!(
-            "NO END is told: the process of {} ended without a word and was started again at {}",
+            "NO END: the process of {} died without a log line and was restarted at {}",
             last.instance, line.time
         ),
-        None => "NO END is told: the lines end before the request".to_owned(),
+        None => "NO END: the log lines stop before the request ends".to_owned(),
     }
 }
 
-fn sentence(kind: &str, line: &Value) -> String {
+fn describe_line(kind: &str, line: &Value) -> String {
     let text = |name: &str| match &line[name] {
         Value::String(text) => text.clone(),
         Value::Null => "?".to_owned(),
@@ -155,24 +167,27 @@
     };
     match kind {
         "send" => format!(
-            "sent to {} to {}{} ({} of this daemon at work there, list of replicas {}, plan {}, {} ms left)",
+            "sent to {} to {}{} ({} of this daemon's requests in progress there, replica list {}, plan {}, {} ms left)",
             text("replica"),
-            task(&text("task")),
-            cache(&text("cache")),
+            describe_task(&text("task")),
+            describe_cache(&text("cache")),
             text("in_flight"),
             text("replicas"),
             text("plan"),
             text("left_ms")
         ),
-        "quota" => quota(line, &text),
+        "quota" => describe_quota(line, &text),
         "read" => format!(
-            "the prompt was read after {} ms{}",
+            "the prefill was finished after {} ms{}",
             text("ms"),
-            cache(&text("cache"))
+            describe_cache(&text("cache"))
+        ),
+        "first" => format!(
+            "the first event was sent to the caller after {} ms",
+            text("ms")
         ),
-        "first" => format!("the first event went to the caller after {} ms", text("ms")),
         "reserve" if !line["cause"].is_null() => format!(
-            "a decode replica did not answer when it was asked for room: {}",
+            "a decode replica did not answer a reservation: {}",
             text("cause")
         ),
         "reserve" => format!(
@@ -198,7 +213,7 @@
             text("status")
         ),
         "silence" => format!(
-            "{} has been silent for {} ms; asked on another connection, it {}",
+            "{} has sent nothing for {} ms; probed on another connection, it {}",
             text("replica"),
             text("ms"),
             if text("answers") == "true" {
@@ -214,71 +229,71 @@
             text("events")
         ),
         "move" if text("stopped") == "true" => format!(
-            "the run left {}, whose memory was about to end, for {} after {} events{}",
+            "the run moved from {}, whose memory was nearly full, to {} after {} events{}",
             text("replica"),
             text("to"),
             text("events"),
             if text("copied") == "true" {
                 ""
             } else {
-                "; its memory could not be copied"
+                "; its KV cache could not be copied"
             }
         ),
         "move" => format!(
-            "the run was to leave {} for {} and did not: {}",
+            "the run could not be moved from {} to {}: {}",
             text("replica"),
             text("to"),
             text("cause")
         ),
-        "pause" => format!("(the process stood still for {} ms)", text("ms")),
+        "pause" => format!("(the process did not run for {} ms)", text("ms")),
         "stop" => format!("(the daemon is {})", text("text")),
         "overload" => "(an instance of the data centre was overloaded)".to_owned(),
-        "end" => format!("END: {}", end(&text("outcome"), &text)),
+        "end" => format!("END: {}", describe_end(&text("outcome"), &text)),
         _ => text("text"),
     }
 }
 
-/// What was decided on the quota of a customer, and by whom.
-fn quota(line: &Value, text: &impl Fn(&str) -> String) -> String {
-    let asked = format!(
-        "the quota of {} was asked for {} units",
+/// Describes the decision on a quota request and names the keeper that made it.
+fn describe_quota(line: &Value, text: &impl Fn(&str) -> String) -> String {
+    let demand = format!(
+        "quota of {}: {} units requested",
         text("customer"),
         text("units")
     );
     let decision = text("decision");
     match line["keeper"].as_str() {
-        None | Some("") => format!("{asked}, and no daemon that keeps it could tell"),
+        None | Some("") => format!("{demand}; no keeper replied"),
         Some(keeper) => format!(
-            "{asked}; {keeper} told after {} ms: {decision}, {} units left",
+            "{demand}; {keeper} replied after {} ms: {decision}, {} units left",
             text("ms"),
             text("left")
         ),
     }
 }
 
-/// Which KV cache a line names; nothing if it names none.
-fn cache(name: &str) -> String {
+/// Names the KV cache of a line; empty if the line has none.
+fn describe_cache(name: &str) -> String {
     match name {
         "" | "?" => String::new(),
         name => format!(" (KV cache {name})"),
     }
 }
 
-fn task(word: &str) -> &str {
+fn describe_task(word: &str) -> &str {
     match word {
-        "prefill" => "read the prompt",
-        "decode" => "make tokens from the prompt read elsewhere",
-        "resume" => "go on after the last event",
+        "prefill" => "prefill the prompt",
+        "decode" => "decode after a prefill on another replica",
+        "resume" => "resume after the last event",
         _ => "answer",
     }
 }
 
-fn end(outcome: &str, text: &impl Fn(&str) -> String) -> String {
+fn describe_end(outcome: &str, text: &impl Fn(&str) -> String) -> String {
     let after = format!("after {} ms", text("ms"));
     match outcome {
         "answered" => format!("answered with {} {after}", text("status")),
         "failed" => format!(
-            "the replica's failure {} was passed on {after}; it ran",
+            "the replica's failure {} was forwarded {after}; it ran",
             text("status")
         ),
         "refused" => format!("refused, it has not run: {}", text("cause")),
@@ -292,7 +307,7 @@
             "outcome unknown, it may have run: {} ({after})",
             text("cause")
         ),
-        "overdue" => format!("time was up, it may have run: {} ({after})", text("cause")),
+        "overdue" => format!("timed out, it may have run: {} ({after})", text("cause")),
         "broken" => format!("the stream was broken off: {} ({after})", text("cause")),
         "caller-left" => format!("the caller left {after}"),
         other => format!("{other}: {}", text("cause")),
