--- a/crates/bench/src/slopes/frames.rs
+++ b/crates/bench/src/slopes/frames.rs
@@ -10,12 +10,12 @@
 use route::ticket::Ticket;
 use route::ticket::Work;
 use route::verdict::Choice;
+use route::verdict::DecisionDetails;
 use route::verdict::Verdict;
-use route::verdict::Why;
 use wire::Body;
 use wire::Decoder;
 use wire::Frame;
-use wire::News;
+use wire::TableStatus;
 
 use crate::report::Report;
 use crate::usage;
@@ -58,7 +58,7 @@
     let decode = time(|| {
         let mut decoder = Decoder::new();
         decoder.extend(&bytes);
-        drop(black_box(decoder.frame()));
+        drop(black_box(decoder.next_frame()));
     });
     vec![size as f64, bytes.len() as f64, encode, decode]
 }
@@ -112,7 +112,7 @@
             prefill: replica(Role::Prefill),
             decode: replica(Role::Decode),
         },
-        why: Why::default(),
+        why: DecisionDetails::default(),
     }
 }
 
@@ -126,8 +126,8 @@
     }
 }
 
-const fn news() -> News {
-    News {
+const fn news() -> TableStatus {
+    TableStatus {
         generation: 12_345,
         store_age_ms: Some(800),
         settled: true,
--- a/crates/bench/src/slopes/keys.rs
+++ b/crates/bench/src/slopes/keys.rs
@@ -6,8 +6,8 @@
 use ident::Incarnation;
 use ident::Key;
 use ident::Prefix;
-use ledger::keys::Mark;
-use ledger::keys::Memory;
+use ledger::keys::KeyRegistry;
+use ledger::keys::KeyState;
 
 use crate::report::Report;
 use crate::usage;
@@ -34,14 +34,14 @@
 
 fn one(size: usize) -> Vec<f64> {
     let before = usage::own_memory().unwrap_or(0.0);
-    let mut memory: Memory<u64> = Memory::new(WINDOW_S, usize::MAX);
+    let mut memory: KeyRegistry<u64> = KeyRegistry::new(WINDOW_S, usize::MAX);
     let begun = usage::thread_time();
     for number in 0..size {
-        let mark = Mark::Answered {
+        let mark = KeyState::Answered {
             status: 200,
             body: Some(Bytes::from(vec![b'x'; ANSWER])),
         };
-        memory.mark(NOW, &key(number), mark);
+        memory.set(NOW, &key(number), mark);
     }
     let marked = usage::thread_time().saturating_sub(begun);
     let bytes = usage::own_memory().unwrap_or(0.0) - before;
--- a/crates/bench/src/world/act.rs
+++ b/crates/bench/src/world/act.rs
@@ -8,7 +8,7 @@
 use node::action::Tell;
 use node::action::Verdict;
 use node::event::Event;
-use node::ids::Query;
+use node::ids::QueryId;
 use wire::Frame;
 
 use crate::world::World;
@@ -67,7 +67,7 @@
     }
 }
 
-fn ask_store(world: &mut World, index: usize, query: Query, ask: &Ask) {
+fn ask_store(world: &mut World, index: usize, query: QueryId, ask: &Ask) {
     let outcome = if world.store.reachable(world.cut[index]) {
         world.store.answer(ask)
     } else {
--- a/crates/bench/src/world/backs.rs
+++ b/crates/bench/src/world/backs.rs
@@ -14,7 +14,7 @@
 use node::event::Inspection;
 use node::event::Piece;
 use node::event::Reply;
-use node::ids::Order;
+use node::ids::OrderId;
 use route::replica::Report;
 
 use crate::world::list;
@@ -78,7 +78,7 @@
     pub(super) fn order(
         &mut self,
         now: Time,
-        order: Order,
+        order: OrderId,
         replica: Replica,
         handle: Handle,
         owner: Incarnation,
@@ -136,7 +136,7 @@
 }
 
 /// The pieces of a stream: its first token, the others at once at their end, and the end.
-fn stream(order: Order, tokens: u32) -> Vec<(Duration, Event)> {
+fn stream(order: OrderId, tokens: u32) -> Vec<(Duration, Event)> {
     let run = |offset, count| Piece::Tokens {
         offset,
         count,
--- a/crates/bench/src/world/tally.rs
+++ b/crates/bench/src/world/tally.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use node::ids::Call;
+use node::ids::CallId;
 
 use crate::usage;
 use crate::world::kind::Kind;
@@ -69,9 +69,9 @@
     }
 
     /// A fresh number for a caller's connection.
-    pub(super) fn call(&mut self) -> Call {
+    pub(super) fn call(&mut self) -> CallId {
         self.calls += 1;
-        Call(self.calls)
+        CallId(self.calls)
     }
 
     pub(super) fn step(&mut self, daemon: usize, kind: Kind, spent: Duration) {
--- a/crates/entry/src/backends/mod.rs
+++ b/crates/entry/src/backends/mod.rs
@@ -19,7 +19,7 @@
 use node::action::Task;
 use node::event::Event;
 use node::event::Failure;
-use node::ids::Order;
+use node::ids::OrderId;
 use tokio::sync::oneshot;
 
 use crate::backends::plan::Plan;
@@ -47,7 +47,7 @@
     directory: Arc<Directory>,
     inbox: Inbox,
     metrics: Arc<Metrics>,
-    running: HashMap<Order, Running>,
+    running: HashMap<OrderId, Running>,
 }
 
 impl Backends {
@@ -68,7 +68,7 @@
     /// Carries out `task` on `replica`; bodies are taken from `contents`.
     pub fn order(
         &mut self,
-        order: Order,
+        order: OrderId,
         replica: Replica,
         claim: Claim,
         task: &Task,
@@ -105,7 +105,7 @@
     }
 
     /// Aborts `order`, unless it has ended.
-    pub fn abort(&mut self, order: Order) {
+    pub fn abort(&mut self, order: OrderId) {
         let abort = self
             .running
             .get_mut(&order)
@@ -140,17 +140,17 @@
     }
 
     /// The attempt of `order`, until the core is told of its end.
-    pub fn handle(&self, order: Order) -> Option<Handle> {
+    pub fn handle(&self, order: OrderId) -> Option<Handle> {
         self.running.get(&order).map(|running| running.handle)
     }
 
     /// The core is told of the end of `order` now.
-    pub fn ended(&mut self, order: Order) {
+    pub fn ended(&mut self, order: OrderId) {
         self.running.remove(&order);
     }
 }
 
-fn aborted(order: Order, began: bool) -> Event {
+fn aborted(order: OrderId, began: bool) -> Event {
     let failure = if began {
         Failure::Lost
     } else {
--- a/crates/entry/src/backends/run.rs
+++ b/crates/entry/src/backends/run.rs
@@ -13,7 +13,7 @@
 use node::event::Failure;
 use node::event::Piece;
 use node::event::Reply;
-use node::ids::Order;
+use node::ids::OrderId;
 
 use super::plan::Plan;
 use super::plan::Request;
@@ -44,7 +44,7 @@
 pub(super) async fn run(
     client: &Client,
     inbox: &Inbox,
-    order: Order,
+    order: OrderId,
     handle: Handle,
     plan: Plan,
 ) -> Event {
@@ -64,7 +64,7 @@
 async fn send(
     client: &Client,
     inbox: &Inbox,
-    order: Order,
+    order: OrderId,
     peer: SocketAddr,
     request: Request,
 ) -> Result<Reply, Fault> {
@@ -99,7 +99,7 @@
     }
 }
 
-async fn read(mut stream: Stream, inbox: &Inbox, order: Order) -> Result<Reply, Fault> {
+async fn read(mut stream: Stream, inbox: &Inbox, order: OrderId) -> Result<Reply, Fault> {
     while let Some(event) = stream.next().await {
         let piece = piece(event?)?;
         inbox.event(Event::Streamed { order, piece }).await;
--- a/crates/entry/src/driver/content/mod.rs
+++ b/crates/entry/src/driver/content/mod.rs
@@ -9,7 +9,7 @@
 use http::HeaderMap;
 use http::Method;
 use ident::Handle;
-use node::ids::Call;
+use node::ids::CallId;
 use slotmap::SlotMap;
 use slotmap::new_key_type;
 
@@ -78,10 +78,10 @@
 /// one, whose prompt was prefilled, and repeats, which are told the head of the same attempt.
 #[derive(Debug, Default)]
 pub struct Store {
-    records: HashMap<Call, Record>,
+    records: HashMap<CallId, Record>,
     texts: SlotMap<TextKey, Text>,
     handles: HashMap<Handle, TextKey>,
-    closed: VecDeque<(Call, usize)>,
+    closed: VecDeque<(CallId, usize)>,
     closed_bytes: usize,
 }
 
@@ -92,7 +92,7 @@
     }
 
     /// Keeps `content` under `call`.
-    pub fn insert(&mut self, call: Call, content: Content, grant: Grant) {
+    pub fn insert(&mut self, call: CallId, content: Content, grant: Grant) {
         self.records.insert(
             call,
             Record {
@@ -104,7 +104,7 @@
     }
 
     /// The caller of `call` needs no more answers; its content may go when space is short.
-    pub fn close(&mut self, call: Call) {
+    pub fn close(&mut self, call: CallId) {
         let Some(len) = self.len(call) else {
             return;
         };
@@ -116,12 +116,12 @@
     }
 
     /// The content kept under `call`.
-    pub fn content(&self, call: Call) -> Option<&Content> {
+    pub fn content(&self, call: CallId) -> Option<&Content> {
         self.records.get(&call).map(|record| &record.content)
     }
 
     /// The first `count` tokens generated for `call`, if so many are known.
-    pub fn tokens(&self, call: Call, count: u32) -> Option<Vec<String>> {
+    pub fn tokens(&self, call: CallId, count: u32) -> Option<Vec<String>> {
         let text = self
             .records
             .get(&call)?
@@ -134,7 +134,7 @@
     }
 
     /// `handle` is a new attempt at the request kept under `call`.
-    pub fn begin(&mut self, handle: Handle, call: Call) {
+    pub fn begin(&mut self, handle: Handle, call: CallId) {
         let Some(record) = self.records.get_mut(&call) else {
             return;
         };
@@ -146,7 +146,7 @@
     }
 
     /// `call` reads the answer that the attempt `handle` generates.
-    pub fn join(&mut self, call: Call, handle: Handle) {
+    pub fn join(&mut self, call: CallId, handle: Handle) {
         match (self.records.get_mut(&call), self.handles.get(&handle)) {
             (Some(record), Some(key)) if record.text.is_none() => {
                 record.text = Some(*key);
@@ -163,7 +163,7 @@
         }
     }
 
-    fn len(&self, call: Call) -> Option<usize> {
+    fn len(&self, call: CallId) -> Option<usize> {
         let record = self.records.get(&call)?;
         let text = record.text.map_or(0, |key| self.texts[key].len());
         Some(record.content.len() + text)
--- a/crates/entry/src/driver/inbox.rs
+++ b/crates/entry/src/driver/inbox.rs
@@ -7,7 +7,7 @@
 use ident::Zone;
 use node::action::Tell;
 use node::event::Event;
-use node::ids::Call;
+use node::ids::CallId;
 use node::request::Request;
 use node::status;
 use table::Table;
@@ -69,14 +69,14 @@
     /// A connection wants something.
     Opened {
         /// Its number.
-        call: Call,
+        call: CallId,
         /// What it wants.
         wish: Wish,
         /// Where its answers go.
         teller: mpsc::Sender<Tell>,
     },
     /// A connection closed.
-    Closed(Call),
+    Closed(CallId),
     /// A question.
     Question(Question),
 }
@@ -108,7 +108,7 @@
 
     /// Passes a wish to the core; answers come out of the receiver.
     pub async fn open(&self, wish: Wish) -> Open {
-        let call = Call(self.calls.fetch_add(1, Ordering::Relaxed));
+        let call = CallId(self.calls.fetch_add(1, Ordering::Relaxed));
         let (teller, tells) = mpsc::channel(TELLS);
         let open = Open {
             call,
@@ -131,7 +131,7 @@
         let _ = self.sender.send(input).await;
     }
 
-    fn close(&self, call: Call) {
+    fn close(&self, call: CallId) {
         if let Err(mpsc::error::TrySendError::Full(input)) =
             self.sender.try_send(Input::Closed(call))
         {
@@ -144,14 +144,14 @@
 /// An open connection; dropping it tells the driver that it closed.
 #[derive(Debug)]
 pub struct Open {
-    call: Call,
+    call: CallId,
     tells: mpsc::Receiver<Tell>,
     inbox: Inbox,
 }
 
 impl Open {
     /// The number of the connection.
-    pub const fn call(&self) -> Call {
+    pub const fn call(&self) -> CallId {
         self.call
     }
 
--- a/crates/entry/src/driver/mod.rs
+++ b/crates/entry/src/driver/mod.rs
@@ -17,7 +17,7 @@
 use node::action::Tell;
 use node::event::Event;
 use node::event::Piece;
-use node::ids::Call;
+use node::ids::CallId;
 use tokio::sync::mpsc;
 
 use crate::backends::Backends;
@@ -118,7 +118,7 @@
         }
     }
 
-    fn open(&mut self, call: Call, wish: Wish) {
+    fn open(&mut self, call: CallId, wish: Wish) {
         let event = match wish {
             Wish::Request {
                 request,
@@ -146,7 +146,7 @@
         self.step(event);
     }
 
-    fn close(&mut self, call: Call) {
+    fn close(&mut self, call: CallId) {
         // A call that got its last answer is known to be over; the core isn't told again.
         if self.tellers.remove(call) {
             self.contents.close(call);
@@ -225,7 +225,7 @@
         }
     }
 
-    fn tell(&mut self, call: Call, tell: Tell) {
+    fn tell(&mut self, call: CallId, tell: Tell) {
         if let Tell::Head { handle, .. } = &tell {
             self.contents.join(call, *handle);
         }
--- a/crates/entry/src/driver/tellers.rs
+++ b/crates/entry/src/driver/tellers.rs
@@ -3,23 +3,23 @@
 use std::collections::HashMap;
 
 use node::action::Tell;
-use node::ids::Call;
+use node::ids::CallId;
 use tokio::sync::mpsc;
 
 /// The response channels of open connections.
 #[derive(Debug, Default)]
 pub(super) struct Tellers {
-    senders: HashMap<Call, mpsc::Sender<Tell>>,
+    senders: HashMap<CallId, mpsc::Sender<Tell>>,
 }
 
 impl Tellers {
     /// Answers of `call` go to `sender`.
-    pub(super) fn insert(&mut self, call: Call, sender: mpsc::Sender<Tell>) {
+    pub(super) fn insert(&mut self, call: CallId, sender: mpsc::Sender<Tell>) {
         self.senders.insert(call, sender);
     }
 
     /// Forgets `call`; true if it was open.
-    pub(super) fn remove(&mut self, call: Call) -> bool {
+    pub(super) fn remove(&mut self, call: CallId) -> bool {
         self.senders.remove(&call).is_some()
     }
 
@@ -27,7 +27,7 @@
     ///
     /// A caller that does not read loses its connection: the channel is left full and closed
     /// without a last answer, the caller's task drops it and the core hears that the caller left.
-    pub(super) fn tell(&mut self, call: Call, tell: Tell) -> bool {
+    pub(super) fn tell(&mut self, call: CallId, tell: Tell) -> bool {
         let last = is_last(&tell);
         let Some(sender) = self.senders.get_mut(&call) else {
             return false;
--- a/crates/entry/src/peers/mod.rs
+++ b/crates/entry/src/peers/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A daemon dials a peer when it first has a frame for it and sends all frames on the body of one
 //! long `POST`, whose head proves that the sender holds the fleet's secret: a stranger's frames
-//! could replace the table. Frames tell ages (`wire::News`), so one that is late lies: a frame that waited too
+//! could replace the table. Frames tell ages (`wire::TableStatus`), so one that is late lies: a frame that waited too
 //! long here is dropped, a connection whose peer does not answer pings is reset together with what
 //! the system buffered for it, and a daemon that was paused drops its incoming connections before
 //! it reads from them.
--- a/crates/entry/src/peers/server.rs
+++ b/crates/entry/src/peers/server.rs
@@ -177,7 +177,7 @@
             .release_capacity(data.len())
             .map_err(Error::http("window"))?;
         decoder.extend(&data);
-        while let Some(frame) = decoder.frame().map_err(Error::Frame)? {
+        while let Some(frame) = decoder.next_frame().map_err(Error::Frame)? {
             shared.inbox.event(Event::Frame(Box::new(frame))).await;
         }
     }
--- a/crates/entry/src/platform/mod.rs
+++ b/crates/entry/src/platform/mod.rs
@@ -13,7 +13,7 @@
 use node::action::Ask;
 use node::event::Event;
 use node::event::Stored;
-use node::ids::Query;
+use node::ids::QueryId;
 use store::Client;
 
 use crate::config::Config;
@@ -47,7 +47,7 @@
     }
 
     /// Carries out `ask`; `Event::Stored` follows.
-    pub fn query(&self, query: Query, ask: Ask) {
+    pub fn query(&self, query: QueryId, ask: Ask) {
         let client = self.client.clone();
         let inbox = self.inbox.clone();
         tokio::spawn(async move {
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -9,11 +9,11 @@
 use ident::Row;
 use ident::Time;
 use ident::Zone;
-use route::cell::Cell;
 use route::phase::Phase;
 use route::replica::Member;
 use route::replica::Role;
 use route::rule::Rule;
+use route::scheduler::Scheduler;
 use route::settings::Settings;
 use route::ticket::Ticket;
 use route::ticket::Work;
@@ -87,7 +87,7 @@
 }
 
 fn place(
-    cell: &mut Cell,
+    cell: &mut Scheduler,
     now: Time,
     n: u64,
     out: &mut Vec<Verdict>,
@@ -99,7 +99,7 @@
 }
 
 fn take(
-    cell: &mut Cell,
+    cell: &mut Scheduler,
     now: Time,
     out: &mut Vec<Verdict>,
     live: &mut std::collections::VecDeque<Handle>,
@@ -121,8 +121,8 @@
     Row::from_parts("bench", &format!("c{}", n % ROWS), "pool")
 }
 
-fn cell(replicas: u64, busy: u64, full: bool) -> Cell {
-    let mut cell = Cell::new(Settings::new(), 1);
+fn cell(replicas: u64, busy: u64, full: bool) -> Scheduler {
+    let mut cell = Scheduler::new(Settings::new(), 1);
     let rules: Vec<Rule> = (0..ROWS).map(rule).collect();
     cell.set_rules(Time::ZERO, &rules);
     let prefills = replicas / 3;
--- a/crates/lab/src/world/seat.rs
+++ b/crates/lab/src/world/seat.rs
@@ -4,11 +4,11 @@
 
 use ident::Replica;
 use ident::Time;
-use route::cell::Cell;
-use route::cell::Hold;
 use route::phase::Phase;
 use route::replica::Report;
 use route::replica::Role;
+use route::scheduler::Hold;
+use route::scheduler::Scheduler;
 use route::settings::Settings;
 
 use crate::engine::Attempt;
@@ -31,7 +31,7 @@
 /// A cell and where it runs.
 #[derive(Debug)]
 pub(super) struct Seat {
-    pub(super) cell: Cell,
+    pub(super) cell: Scheduler,
     pub(super) zone: usize,
     pub(super) alive: bool,
     wake: Time,
@@ -58,7 +58,7 @@
         if self.setup.rival.mode == Mode::Each {
             settings.min_retries /= OWNERS as f64;
         }
-        let mut cell = Cell::with_policy(settings, seed, self.setup.rival.policy);
+        let mut cell = Scheduler::with_policy(settings, seed, self.setup.rival.policy);
         cell.set_rules(self.now, &self.setup.workload.rules());
         cell.set_members(self.now, &self.members(plain));
         Seat {
@@ -207,14 +207,16 @@
         }
         self.seats[seat]
             .cell
-            .report(self.now, self.names[engine], report);
+            .apply_report(self.now, self.names[engine], report);
         self.step(seat);
     }
 
     /// Tells every cell that a replica does not answer.
     pub(super) fn report_lost(&mut self, engine: usize) {
         for seat in 0..self.seats.len() {
-            self.seats[seat].cell.lost(self.now, self.names[engine]);
+            self.seats[seat]
+                .cell
+                .mark_lost(self.now, self.names[engine]);
         }
     }
 
@@ -222,7 +224,7 @@
     pub(super) fn resync(&mut self) {
         for plain in [false, true] {
             let mut seat = self.new_seat(1, plain);
-            seat.cell.takeover(self.now);
+            seat.cell.begin_takeover(self.now);
             self.seats[usize::from(plain)] = seat;
         }
         for attempt in 0..self.tries.len() {
@@ -243,7 +245,7 @@
     /// All owners have told the new keeper what they have in progress.
     pub(super) fn settle_keeper(&mut self) {
         for seat in 0..self.seats.len() {
-            self.seats[seat].cell.settled(self.now);
+            self.seats[seat].cell.end_grace(self.now);
             self.step(seat);
         }
     }
--- a/crates/ledger/src/holds.rs
+++ b/crates/ledger/src/holds.rs
@@ -15,7 +15,7 @@
 use slotmap::new_key_type;
 
 use crate::backoff;
-use crate::ids::Order;
+use crate::ids::OrderId;
 
 new_key_type! {
     /// A hold in its arena.
@@ -26,7 +26,7 @@
 enum State {
     Wanted,
     Due(Time),
-    Cancelling(Order),
+    Cancelling(OrderId),
 }
 
 /// One hold.
@@ -40,7 +40,7 @@
     pub owner: Incarnation,
     /// The fencing number the replica was told.
     pub fence: u64,
-    start: Option<Order>,
+    start: Option<OrderId>,
     state: State,
     tries: u32,
 }
@@ -64,8 +64,8 @@
 #[derive(Debug, Default)]
 pub struct Holds {
     arena: SlotMap<HoldKey, Hold>,
-    starts: HashMap<Order, HoldKey>,
-    cancels: HashMap<Order, HoldKey>,
+    starts: HashMap<OrderId, HoldKey>,
+    cancels: HashMap<OrderId, HoldKey>,
     releasing: Vec<HoldKey>,
 }
 
@@ -91,20 +91,20 @@
     }
 
     /// Whether `handle` has a hold on `replica`.
-    pub fn has(&self, replica: Replica, handle: Handle) -> bool {
+    pub fn contains(&self, replica: Replica, handle: Handle) -> bool {
         self.arena
             .values()
             .any(|hold| hold.replica == replica && hold.handle == handle)
     }
 
     /// Enters a hold for work that `start` is about to begin.
-    pub fn take(
+    pub fn insert(
         &mut self,
         replica: Replica,
         handle: Handle,
         owner: Incarnation,
         fence: u64,
-        start: Order,
+        start: OrderId,
     ) -> HoldKey {
         let state = State::Wanted;
         let hold = Hold {
@@ -122,7 +122,7 @@
     }
 
     /// Enters memory found on a replica that is to be released, with the owner it names.
-    pub fn take_orphan(
+    pub fn insert_orphan(
         &mut self,
         now: Time,
         replica: Replica,
@@ -146,7 +146,7 @@
     }
 
     /// Notes that `start` reads the work of `key` from now on, under another owner and fence.
-    pub fn reopen(&mut self, key: HoldKey, start: Order, owner: Incarnation, fence: u64) {
+    pub fn restart(&mut self, key: HoldKey, start: OrderId, owner: Incarnation, fence: u64) {
         if let Some(hold) = self.arena.get_mut(key) {
             if let Some(former) = hold.start.replace(start) {
                 self.starts.remove(&former);
@@ -158,7 +158,7 @@
     }
 
     /// Notes that a starting order is over, however it ended.
-    pub fn closed(&mut self, start: Order) {
+    pub fn start_ended(&mut self, start: OrderId) {
         let hold = self
             .starts
             .remove(&start)
@@ -169,7 +169,7 @@
     }
 
     /// Begins the release of `key`; returns the starting order to abort, if it is still open.
-    pub fn release(&mut self, now: Time, key: HoldKey) -> Option<Order> {
+    pub fn release(&mut self, now: Time, key: HoldKey) -> Option<OrderId> {
         let hold = self.arena.get_mut(key)?;
         if hold.state == State::Wanted {
             hold.state = State::Due(now);
@@ -222,7 +222,7 @@
     }
 
     /// When the next release can be sent.
-    pub fn next(&self) -> Time {
+    pub fn next_due(&self) -> Time {
         self.releasing
             .iter()
             .filter_map(|key| match self.arena.get(*key)? {
@@ -238,7 +238,7 @@
     }
 
     /// Notes that the release of `key` was sent as `order`.
-    pub fn sent(&mut self, key: HoldKey, order: Order) {
+    pub fn sent(&mut self, key: HoldKey, order: OrderId) {
         if let Some(hold) = self.arena.get_mut(key) {
             hold.state = State::Cancelling(order);
             self.cancels.insert(order, key);
@@ -246,7 +246,7 @@
     }
 
     /// Notes that the replica confirmed the release `order`; returns the hold, now erased.
-    pub fn confirmed(&mut self, order: Order) -> Option<Hold> {
+    pub fn confirmed(&mut self, order: OrderId) -> Option<Hold> {
         let key = self.cancels.remove(&order)?;
         let hold = self.arena.get(key).copied();
         self.erase(key);
@@ -254,7 +254,7 @@
     }
 
     /// Notes that the release `order` failed; it is sent again after a pause.
-    pub fn failed(&mut self, now: Time, order: Order) {
+    pub fn failed(&mut self, now: Time, order: OrderId) {
         let hold = self
             .cancels
             .remove(&order)
@@ -267,7 +267,7 @@
 
     /// Notes that the replica refused the release `order` because another owner took the work
     /// over: the memory is that owner's now.
-    pub fn overtaken(&mut self, order: Order) {
+    pub fn superseded(&mut self, order: OrderId) {
         if let Some(key) = self.cancels.remove(&order) {
             self.erase(key);
         }
--- a/crates/ledger/src/ids.rs
+++ b/crates/ledger/src/ids.rs
@@ -2,12 +2,12 @@
 
 /// A caller's or operator's connection; chosen by the driver, never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Call(pub u64);
+pub struct CallId(pub u64);
 
 /// An order to a replica; chosen by the core, never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Order(pub u64);
+pub struct OrderId(pub u64);
 
 /// A query to the store; chosen by the core, never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Query(pub u64);
+pub struct QueryId(pub u64);
--- a/crates/ledger/src/keys.rs
+++ b/crates/ledger/src/keys.rs
@@ -14,7 +14,7 @@
 
 /// What is known of a key. `T` names an open request in the arena of whoever keeps it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Mark<T> {
+pub enum KeyState<T> {
     /// The request is in progress.
     Open(T),
     /// It was answered by a plain application.
@@ -48,18 +48,18 @@
 
 /// The keys of the window, with their marks.
 #[derive(Debug)]
-pub struct Memory<T> {
+pub struct KeyRegistry<T> {
     window_s: u64,
     capacity: usize,
-    marks: HashMap<Key, Mark<T>>,
+    marks: HashMap<Key, KeyState<T>>,
     expiry: VecDeque<(u64, Key)>,
 }
 
 /// How far ahead of this daemon's clock a key may be issued, in seconds: other instances issue
 /// prefixes for this daemon by their own clocks.
-pub const SKEW_S: u64 = 120;
+pub const MAX_CLOCK_SKEW_S: u64 = 120;
 
-impl<T: Copy> Memory<T> {
+impl<T: Copy> KeyRegistry<T> {
     /// An empty memory for keys of `window_s` seconds, at most `capacity` of them.
     pub fn new(window_s: u64, capacity: usize) -> Self {
         Self {
@@ -81,14 +81,14 @@
     }
 
     /// What is known of `key`.
-    pub fn get(&self, key: &Key) -> Option<&Mark<T>> {
+    pub fn get(&self, key: &Key) -> Option<&KeyState<T>> {
         self.marks.get(key)
     }
 
     /// Whether a request with a key issued at `issued` may start at `now` (seconds).
     pub fn admit(&self, now: u64, issued: u64) -> Admission {
         let too_old = now > issued.saturating_add(self.window_s);
-        let too_new = issued > now.saturating_add(SKEW_S);
+        let too_new = issued > now.saturating_add(MAX_CLOCK_SKEW_S);
         match () {
             () if too_old || too_new => Admission::Expired,
             () if self.marks.len() >= self.capacity => Admission::Full,
@@ -97,9 +97,9 @@
     }
 
     /// Enters or replaces the mark of `key`; it is kept until it can no longer start anything.
-    pub fn mark(&mut self, now: u64, key: &Key, mark: Mark<T>) {
+    pub fn set(&mut self, now: u64, key: &Key, mark: KeyState<T>) {
         if self.marks.insert(key.clone(), mark).is_none() {
-            let until = now + self.window_s + SKEW_S + 1;
+            let until = now + self.window_s + MAX_CLOCK_SKEW_S + 1;
             self.expiry.push_back((until, key.clone()));
         }
     }
@@ -116,7 +116,7 @@
             let Some((_, key)) = self.expiry.pop_front() else {
                 return;
             };
-            if matches!(self.marks.get(&key), Some(Mark::Open(_))) {
+            if matches!(self.marks.get(&key), Some(KeyState::Open(_))) {
                 self.expiry.push_back((now + self.window_s, key));
             } else {
                 self.marks.remove(&key);
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -6,5 +6,5 @@
 pub mod holds;
 pub mod ids;
 pub mod keys;
-pub mod order;
+pub mod reassembly;
 pub mod stage;
--- a/crates/ledger/src/order.rs
+++ b/crates/ledger/src/reassembly.rs
@@ -9,7 +9,7 @@
 
 /// A run of tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Run {
+pub struct TokenRun {
     /// Index of the first token.
     pub offset: u32,
     /// Number of tokens.
@@ -33,12 +33,12 @@
 
 /// Delivers each token once and in order.
 #[derive(Debug, Clone, Default)]
-pub struct Sequence {
+pub struct Reassembler {
     delivered: u32,
-    early: BTreeMap<u32, Run>,
+    early: BTreeMap<u32, TokenRun>,
 }
 
-impl Sequence {
+impl Reassembler {
     /// A sequence whose first `delivered` tokens the caller already has.
     pub fn new(delivered: u32) -> Self {
         Self {
@@ -53,7 +53,7 @@
     }
 
     /// Takes a piece; what can be delivered now is appended to `out`.
-    pub fn arrive(&mut self, run: Run, out: &mut Vec<Run>) -> Arrival {
+    pub fn push(&mut self, run: TokenRun, out: &mut Vec<TokenRun>) -> Arrival {
         let end = run.offset.saturating_add(run.count);
         if end <= self.delivered {
             return Arrival::Repeated;
@@ -75,7 +75,7 @@
         self.early.clear();
     }
 
-    fn keep(&mut self, run: Run) -> Arrival {
+    fn keep(&mut self, run: TokenRun) -> Arrival {
         if self.early.len() >= MAX_EARLY {
             return Arrival::Broken;
         }
@@ -83,7 +83,7 @@
         Arrival::Early
     }
 
-    fn follow(&mut self, out: &mut Vec<Run>) {
+    fn follow(&mut self, out: &mut Vec<TokenRun>) {
         while let Some(run) = self.early.remove(&self.delivered) {
             self.delivered = self.delivered.saturating_add(run.count);
             out.push(run);
--- a/crates/ledger/src/stage.rs
+++ b/crates/ledger/src/stage.rs
@@ -48,7 +48,7 @@
     }
 
     /// The word used in log lines.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
             Self::Prefill => "prefill",
@@ -76,8 +76,8 @@
         write!(
             f,
             "attempt {handle}: {} cannot follow {}",
-            to.word(),
-            from.word()
+            to.as_str(),
+            from.as_str()
         )
     }
 }
--- a/crates/ledger/tests/holds.rs
+++ b/crates/ledger/tests/holds.rs
@@ -8,7 +8,7 @@
 use ident::Time;
 use ledger::holds::HoldKey;
 use ledger::holds::Holds;
-use ledger::ids::Order;
+use ledger::ids::OrderId;
 use proptest::collection::vec;
 use proptest::prop_assert;
 use proptest::prop_assert_eq;
@@ -17,8 +17,8 @@
 const ME: Incarnation = Incarnation(0x91c5);
 const ENGINE: Replica = Replica(1);
 const OTHER: Replica = Replica(2);
-const START: Order = Order(1);
-const CANCEL: Order = Order(2);
+const START: OrderId = OrderId(1);
+const CANCEL: OrderId = OrderId(2);
 const NOW: Time = Time::from_millis(1_000);
 
 const fn handle(sequence: u64) -> Handle {
@@ -27,7 +27,7 @@
 
 fn one() -> (Holds, HoldKey) {
     let mut holds = Holds::new();
-    let key = holds.take(ENGINE, handle(1), ME, 5, START);
+    let key = holds.insert(ENGINE, handle(1), ME, 5, START);
     (holds, key)
 }
 
@@ -36,8 +36,8 @@
     let (mut holds, key) = one();
     assert_eq!(holds.release(NOW, key), Some(START));
     assert!(holds.due(NOW).is_none());
-    assert_eq!(holds.next(), Time::NEVER);
-    holds.closed(START);
+    assert_eq!(holds.next_due(), Time::NEVER);
+    holds.start_ended(START);
     let cancel = holds.due(NOW).expect("the start is over");
     assert_eq!(
         (cancel.hold, cancel.replica, cancel.handle),
@@ -49,51 +49,51 @@
 #[test]
 fn a_lost_confirmation_is_asked_for_again_and_later_each_time() {
     let (mut holds, key) = one();
-    holds.closed(START);
+    holds.start_ended(START);
     assert_eq!(holds.release(NOW, key), None);
     let mut now = NOW;
     let mut former = Duration::ZERO;
     for number in 2..12 {
-        let order = Order(number);
+        let order = OrderId(number);
         assert!(holds.due(now).is_some());
         holds.sent(key, order);
         assert!(holds.due(now + Duration::from_hours(1)).is_none());
         holds.failed(now, order);
-        let pause = holds.next().since(now);
+        let pause = holds.next_due().since(now);
         assert!(pause >= former && pause > Duration::ZERO);
         assert!(holds.due(now).is_none());
         former = pause;
-        now = holds.next();
+        now = holds.next_due();
         assert_eq!(holds.len(), 1);
     }
     assert!(former <= Duration::from_secs(2));
-    holds.sent(key, Order(20));
-    assert!(holds.confirmed(Order(20)).is_some());
+    holds.sent(key, OrderId(20));
+    assert!(holds.confirmed(OrderId(20)).is_some());
     assert!(holds.is_empty());
 }
 
 #[test]
 fn answers_to_former_cancels_change_nothing() {
     let (mut holds, key) = one();
-    holds.closed(START);
+    holds.start_ended(START);
     holds.release(NOW, key);
     holds.sent(key, CANCEL);
     holds.failed(NOW, CANCEL);
     assert!(holds.confirmed(CANCEL).is_none());
     assert_eq!(holds.len(), 1);
-    assert!(holds.due(holds.next()).is_some());
+    assert!(holds.due(holds.next_due()).is_some());
 }
 
 #[test]
 fn a_stream_read_by_a_later_order_is_released_under_that_owner_and_fence() {
     let (mut holds, key) = one();
-    let (attach, fresh) = (Order(7), Incarnation(0xa5));
-    holds.reopen(key, attach, fresh, 6);
+    let (attach, fresh) = (OrderId(7), Incarnation(0xa5));
+    holds.restart(key, attach, fresh, 6);
     // The former order is not what the release waits for any more.
-    holds.closed(START);
+    holds.start_ended(START);
     assert_eq!(holds.release(NOW, key), Some(attach));
     assert!(holds.due(NOW).is_none());
-    holds.closed(attach);
+    holds.start_ended(attach);
     let cancel = holds.due(NOW).expect("the reader is gone");
     assert_eq!((cancel.owner, cancel.fence), (fresh, 6));
 }
@@ -101,32 +101,32 @@
 #[test]
 fn memory_of_a_replica_that_is_gone_needs_no_release() {
     let (mut holds, key) = one();
-    holds.closed(START);
+    holds.start_ended(START);
     holds.release(NOW, key);
     holds.sent(key, CANCEL);
-    let kept = holds.take(OTHER, handle(2), ME, 5, Order(3));
+    let kept = holds.insert(OTHER, handle(2), ME, 5, OrderId(3));
     holds.erase_replica(ENGINE);
     assert!(holds.get(key).is_none() && holds.get(kept).is_some());
     assert!(holds.confirmed(CANCEL).is_none());
-    assert!(holds.has(OTHER, handle(2)) && !holds.has(ENGINE, handle(1)));
+    assert!(holds.contains(OTHER, handle(2)) && !holds.contains(ENGINE, handle(1)));
 }
 
 #[test]
 fn memory_that_another_owner_took_is_not_ours_to_release() {
     let (mut holds, key) = one();
-    holds.closed(START);
+    holds.start_ended(START);
     holds.release(NOW, key);
     holds.sent(key, CANCEL);
-    holds.overtaken(CANCEL);
+    holds.superseded(CANCEL);
     assert!(holds.is_empty());
-    assert_eq!(holds.next(), Time::NEVER);
+    assert_eq!(holds.next_due(), Time::NEVER);
 }
 
 #[test]
 fn found_memory_is_released_in_the_name_of_its_owner() {
     let mut holds = Holds::new();
     let gone = Incarnation(0xdead);
-    holds.take_orphan(NOW, ENGINE, handle(9), gone, 40);
+    holds.insert_orphan(NOW, ENGINE, handle(9), gone, 40);
     let cancel = holds.due(NOW).expect("nothing to wait for");
     assert_eq!((cancel.owner, cancel.fence), (gone, 40));
 }
@@ -155,8 +155,8 @@
 #[derive(Debug)]
 struct Model {
     key: HoldKey,
-    start: Order,
-    cancel: Option<Order>,
+    start: OrderId,
+    cancel: Option<OrderId>,
 }
 
 proptest! {
@@ -168,12 +168,12 @@
         let mut next = 0;
         let mut order = move || {
             next += 1;
-            Order(next)
+            OrderId(next)
         };
         let mut models: Vec<Model> = (0..4)
             .map(|number| {
                 let start = order();
-                let key = holds.take(ENGINE, handle(number), ME, 1, start);
+                let key = holds.insert(ENGINE, handle(number), ME, 1, start);
                 Model { key, start, cancel: None }
             })
             .collect();
@@ -184,7 +184,7 @@
             let model = &mut models[index];
             let alive = holds.get(model.key).is_some();
             match STEPS[step] {
-                Step::Close => holds.closed(model.start),
+                Step::Close => holds.start_ended(model.start),
                 Step::Release => {
                     holds.release(now, model.key);
                 }
@@ -209,14 +209,14 @@
                 }
                 Step::Reopen if alive && model.cancel.is_none() => {
                     model.start = order();
-                    holds.reopen(model.key, model.start, ME, 2);
+                    holds.restart(model.key, model.start, ME, 2);
                 }
                 Step::Reopen => (),
             }
             prop_assert_eq!(holds.len(), models.len() - confirmed);
         }
         for model in &models {
-            holds.closed(model.start);
+            holds.start_ended(model.start);
             holds.release(now, model.key);
             if let Some(cancel) = model.cancel {
                 holds.failed(now, cancel);
--- a/crates/ledger/tests/keys.rs
+++ b/crates/ledger/tests/keys.rs
@@ -2,9 +2,9 @@
 
 use ident::Key;
 use ledger::keys::Admission;
-use ledger::keys::Mark;
-use ledger::keys::Memory;
-use ledger::keys::SKEW_S;
+use ledger::keys::KeyRegistry;
+use ledger::keys::KeyState;
+use ledger::keys::MAX_CLOCK_SKEW_S;
 use proptest::collection::vec;
 use proptest::prop_assert;
 use proptest::proptest;
@@ -21,22 +21,22 @@
 #[case::issued_now(NOW, Admission::New)]
 #[case::at_the_end_of_its_window(NOW - WINDOW_S, Admission::New)]
 #[case::past_its_window(NOW - WINDOW_S - 1, Admission::Expired)]
-#[case::by_a_clock_ahead(NOW + SKEW_S, Admission::New)]
-#[case::in_the_future(NOW + SKEW_S + 1, Admission::Expired)]
+#[case::by_a_clock_ahead(NOW + MAX_CLOCK_SKEW_S, Admission::New)]
+#[case::in_the_future(NOW + MAX_CLOCK_SKEW_S + 1, Admission::Expired)]
 #[case::at_the_origin(0, Admission::Expired)]
 #[case::at_the_end_of_time(u64::MAX, Admission::Expired)]
 fn a_key_starts_only_inside_its_window(#[case] issued: u64, #[case] expected: Admission) {
-    let memory: Memory<u32> = Memory::new(WINDOW_S, 4);
+    let memory: KeyRegistry<u32> = KeyRegistry::new(WINDOW_S, 4);
     assert_eq!(memory.admit(NOW, issued), expected);
 }
 
 #[test]
 fn a_full_memory_takes_no_new_key_and_forgets_none() {
-    let mut memory: Memory<u32> = Memory::new(WINDOW_S, 2);
-    memory.mark(NOW, &key(1), Mark::Unknown);
-    memory.mark(NOW, &key(2), Mark::Failed);
+    let mut memory: KeyRegistry<u32> = KeyRegistry::new(WINDOW_S, 2);
+    memory.set(NOW, &key(1), KeyState::Unknown);
+    memory.set(NOW, &key(2), KeyState::Failed);
     assert_eq!(memory.admit(NOW, NOW), Admission::Full);
-    memory.mark(NOW, &key(1), Mark::Failed);
+    memory.set(NOW, &key(1), KeyState::Failed);
     assert_eq!(memory.len(), 2);
     memory.forget(&key(2));
     assert_eq!(memory.get(&key(2)), None);
@@ -45,13 +45,13 @@
 
 #[test]
 fn an_open_request_is_never_forgotten() {
-    let mut memory = Memory::new(WINDOW_S, 4);
-    memory.mark(NOW, &key(1), Mark::Open(7));
-    let late = NOW + 3 * (WINDOW_S + SKEW_S);
+    let mut memory = KeyRegistry::new(WINDOW_S, 4);
+    memory.set(NOW, &key(1), KeyState::Open(7));
+    let late = NOW + 3 * (WINDOW_S + MAX_CLOCK_SKEW_S);
     memory.expire(late);
-    assert_eq!(memory.get(&key(1)), Some(&Mark::Open(7)));
-    memory.mark(late, &key(1), Mark::Unknown);
-    memory.expire(late + 2 * (WINDOW_S + SKEW_S));
+    assert_eq!(memory.get(&key(1)), Some(&KeyState::Open(7)));
+    memory.set(late, &key(1), KeyState::Unknown);
+    memory.expire(late + 2 * (WINDOW_S + MAX_CLOCK_SKEW_S));
     assert!(memory.is_empty());
 }
 
@@ -63,7 +63,7 @@
         window in 1..50_u64,
         steps in vec((0..40_u64, 0..6_u64, 0..100_u64), 1..200),
     ) {
-        let mut memory: Memory<u32> = Memory::new(window, 1_000);
+        let mut memory: KeyRegistry<u32> = KeyRegistry::new(window, 1_000);
         let mut now = NOW;
         // The time at which each key was issued, by a clock that may be ahead.
         let issued: Vec<u64> = (0..6).map(|index| NOW + 13 * index).collect();
@@ -76,10 +76,10 @@
             if !known && memory.admit(now, issued[index]) == Admission::New {
                 prop_assert!(!started[index], "key {number} starts twice");
                 started[index] = true;
-                let mark = if end % 2 == 0 { Mark::Unknown } else { Mark::Open(1) };
-                memory.mark(now, &key(number), mark);
+                let mark = if end % 2 == 0 { KeyState::Unknown } else { KeyState::Open(1) };
+                memory.set(now, &key(number), mark);
             } else if known && end % 3 == 0 {
-                memory.mark(now, &key(number), Mark::Failed);
+                memory.set(now, &key(number), KeyState::Failed);
             } else if known && end % 7 == 0 {
                 // No byte of it reached a back end: it may start again.
                 memory.forget(&key(number));
--- a/crates/ledger/tests/order.rs
+++ b/crates/ledger/tests/order.rs
@@ -1,10 +1,10 @@
 //! Pieces of a stream, in whatever order they arrive.
 
 use bytes::Bytes;
-use ledger::order::Arrival;
-use ledger::order::MAX_EARLY;
-use ledger::order::Run;
-use ledger::order::Sequence;
+use ledger::reassembly::Arrival;
+use ledger::reassembly::MAX_EARLY;
+use ledger::reassembly::Reassembler;
+use ledger::reassembly::TokenRun;
 use proptest::collection::vec;
 use proptest::prelude::any;
 use proptest::prelude::prop;
@@ -15,9 +15,9 @@
 use proptest::strategy::Strategy;
 use rstest::rstest;
 
-fn run(offset: u32, count: u32) -> Run {
+fn run(offset: u32, count: u32) -> TokenRun {
     let words = (offset..offset + count).map(|index| format!(" w{index}"));
-    Run {
+    TokenRun {
         offset,
         count,
         text: Bytes::from(words.collect::<String>()),
@@ -25,7 +25,7 @@
 }
 
 /// A stream cut into runs, from token `first` on.
-fn cut(first: u32, counts: &[u32]) -> Vec<Run> {
+fn cut(first: u32, counts: &[u32]) -> Vec<TokenRun> {
     let mut offset = first;
     let mut runs = Vec::new();
     for count in counts {
@@ -35,7 +35,7 @@
     runs
 }
 
-fn shuffled() -> impl Strategy<Value = (u32, Vec<Run>, Vec<Run>)> {
+fn shuffled() -> impl Strategy<Value = (u32, Vec<TokenRun>, Vec<TokenRun>)> {
     let counts = vec(1..4_u32, 1..MAX_EARLY);
     let runs = (0..100_u32, counts).prop_map(|(first, counts)| (first, cut(first, &counts)));
     runs.prop_flat_map(|(first, runs)| {
@@ -44,7 +44,7 @@
         (Just(first), Just(runs), doubled)
     })
     .prop_flat_map(|(first, runs, doubled)| {
-        let arrivals: Vec<Run> = runs.iter().cloned().chain(doubled).collect();
+        let arrivals: Vec<TokenRun> = runs.iter().cloned().chain(doubled).collect();
         (Just(first), Just(runs), Just(arrivals).prop_shuffle())
     })
 }
@@ -52,11 +52,11 @@
 proptest! {
     #[test]
     fn every_token_comes_once_and_in_order((first, runs, arrivals) in shuffled()) {
-        let mut sequence = Sequence::new(first);
+        let mut sequence = Reassembler::new(first);
         let mut out = Vec::new();
         for run in arrivals {
             let before = out.len();
-            let arrival = sequence.arrive(run, &mut out);
+            let arrival = sequence.push(run, &mut out);
             prop_assert!(arrival != Arrival::Broken);
             prop_assert_eq!(arrival == Arrival::Ready, out.len() > before);
         }
@@ -70,10 +70,10 @@
         first in 0..20_u32,
         arrivals in vec((0..60_u32, 0..6_u32), 0..200),
     ) {
-        let mut sequence = Sequence::new(first);
+        let mut sequence = Reassembler::new(first);
         let mut out = Vec::new();
         for (offset, count) in arrivals {
-            sequence.arrive(run(offset, count), &mut out);
+            sequence.push(run(offset, count), &mut out);
         }
         let mut due = first;
         for run in &out {
@@ -88,12 +88,12 @@
         first in any::<u32>(),
         arrivals in vec((any::<u32>(), any::<u32>()), 0..4),
     ) {
-        let mut sequence = Sequence::new(first);
+        let mut sequence = Reassembler::new(first);
         let mut out = Vec::new();
         let due = std::iter::once((first, 1));
         for (offset, count) in arrivals.into_iter().chain(due) {
             let text = Bytes::new();
-            sequence.arrive(Run { offset, count, text }, &mut out);
+            sequence.push(TokenRun { offset, count, text }, &mut out);
         }
         prop_assert!(sequence.delivered() >= first);
     }
@@ -104,39 +104,39 @@
 #[case::partly_delivered(run(3, 4), Arrival::Broken)]
 #[case::due(run(5, 1), Arrival::Ready)]
 #[case::early(run(6, 1), Arrival::Early)]
-fn a_piece_after_five_tokens(#[case] piece: Run, #[case] expected: Arrival) {
-    let mut sequence = Sequence::new(5);
-    assert_eq!(sequence.arrive(piece, &mut Vec::new()), expected);
+fn a_piece_after_five_tokens(#[case] piece: TokenRun, #[case] expected: Arrival) {
+    let mut sequence = Reassembler::new(5);
+    assert_eq!(sequence.push(piece, &mut Vec::new()), expected);
 }
 
 #[test]
 fn too_many_early_pieces_break_the_stream_until_it_is_read_anew() {
-    let mut sequence = Sequence::new(0);
+    let mut sequence = Reassembler::new(0);
     let mut out = Vec::new();
     for offset in 1..=MAX_EARLY as u32 {
-        assert_eq!(sequence.arrive(run(offset, 1), &mut out), Arrival::Early);
+        assert_eq!(sequence.push(run(offset, 1), &mut out), Arrival::Early);
     }
     let next = run(MAX_EARLY as u32 + 1, 1);
-    assert_eq!(sequence.arrive(next, &mut out), Arrival::Broken);
+    assert_eq!(sequence.push(next, &mut out), Arrival::Broken);
     sequence.reset();
-    assert_eq!(sequence.arrive(run(0, 1), &mut out), Arrival::Ready);
+    assert_eq!(sequence.push(run(0, 1), &mut out), Arrival::Ready);
     assert_eq!(out, [run(0, 1)]);
 }
 
 #[test]
 fn an_early_piece_that_claims_more_than_fits_never_panics() {
-    let mut sequence = Sequence::new(0);
+    let mut sequence = Reassembler::new(0);
     let mut out = Vec::new();
     let text = Bytes::new();
     let count = u32::MAX;
-    sequence.arrive(
-        Run {
+    sequence.push(
+        TokenRun {
             offset: 5,
             count,
             text,
         },
         &mut out,
     );
-    sequence.arrive(run(0, 5), &mut out);
+    sequence.push(run(0, 5), &mut out);
     assert!(sequence.delivered() >= 5);
 }
--- a/crates/ledger/tests/stage.rs
+++ b/crates/ledger/tests/stage.rs
@@ -40,7 +40,7 @@
                 Err(error) => {
                     let text = error.to_string();
                     assert!(!ALLOWED.contains(&(from, to)), "{text}");
-                    assert!(text.contains(from.word()) && text.contains(to.word()));
+                    assert!(text.contains(from.as_str()) && text.contains(to.as_str()));
                     assert!(text.contains(&handle.to_string()));
                 }
             }
--- a/crates/node/examples/drive.rs
+++ b/crates/node/examples/drive.rs
@@ -27,8 +27,8 @@
 use node::event::Piece;
 use node::event::Reply;
 use node::event::Stored;
-use node::ids::Call;
-use node::ids::Order;
+use node::ids::CallId;
+use node::ids::OrderId;
 use node::list::Backend;
 use node::list::List;
 use node::list::Seat;
@@ -54,13 +54,13 @@
 
     println!("-- a model request, streamed to its end");
     drive.feed(Event::Arrived {
-        call: Call(1),
+        call: CallId(1),
         request: draft(),
     });
     drive.run(Duration::from_secs(1));
 
     println!("-- a booking that may run only once, and its retry with the same key");
-    for call in [Call(2), Call(3)] {
+    for call in [CallId(2), CallId(3)] {
         let request = booking();
         drive.feed(Event::Arrived { call, request });
         drive.run(Duration::from_secs(1));
@@ -142,7 +142,7 @@
         }
     }
 
-    fn answer_order(&mut self, order: Order, task: &Task) {
+    fn answer_order(&mut self, order: OrderId, task: &Task) {
         match task {
             Task::Prefill { prompt_tokens, .. } => {
                 let reply = Reply::Prefilled {
@@ -167,7 +167,7 @@
         }
     }
 
-    fn stream(&mut self, order: Order, from: u32) {
+    fn stream(&mut self, order: OrderId, from: u32) {
         let tokens = (from..TOKENS).map(|offset| Piece::Tokens {
             offset,
             count: 1,
--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -10,9 +10,9 @@
 use wire::Frame;
 
 use crate::decision::Decision;
-use crate::ids::Call;
-use crate::ids::Order;
-use crate::ids::Query;
+use crate::ids::CallId;
+use crate::ids::OrderId;
+use crate::ids::QueryId;
 
 /// One action.
 #[derive(Debug, Clone)]
@@ -20,7 +20,7 @@
     /// Send an order to a replica.
     Order {
         /// Names the order in the answering event.
-        order: Order,
+        order: OrderId,
         /// The replica.
         replica: Replica,
         /// The attempt.
@@ -35,7 +35,7 @@
     /// Drop the connection of an order; `Event::Failed` with `Lost` follows unless it ended before.
     Abort {
         /// The order.
-        order: Order,
+        order: OrderId,
     },
     /// Ask a replica for its state; cache events after the last one seen.
     Inspect {
@@ -49,7 +49,7 @@
     /// Say something to a caller.
     Tell {
         /// The caller's connection.
-        call: Call,
+        call: CallId,
         /// What to say.
         tell: Tell,
     },
@@ -66,7 +66,7 @@
     /// Ask the store.
     Query {
         /// Names the query in the answering event.
-        query: Query,
+        query: QueryId,
         /// What to ask.
         ask: Ask,
     },
@@ -89,7 +89,7 @@
     /// Prefill the prompt kept under `call`, and after it what was already generated there.
     Prefill {
         /// Where the driver keeps the prompt.
-        call: Call,
+        call: CallId,
         /// Length of the prompt in tokens.
         prompt_tokens: u32,
         /// Most tokens wanted.
@@ -122,7 +122,7 @@
     /// Carry out the plain call kept under `call`.
     Plain {
         /// Where the driver keeps the call.
-        call: Call,
+        call: CallId,
     },
 }
 
--- a/crates/node/src/asking.rs
+++ b/crates/node/src/asking.rs
@@ -8,10 +8,10 @@
 use ident::Instance;
 use ident::Key;
 use ident::Pool;
-use ledger::ids::Call;
-use ledger::ids::Query;
+use ledger::ids::CallId;
+use ledger::ids::QueryId;
 use wire::Body;
-use wire::Told;
+use wire::KeyStatus;
 
 use crate::action::Action;
 use crate::action::Ask;
@@ -36,7 +36,7 @@
     /// Finds out what became of `key`, which belongs to another run.
     pub(crate) fn ask(
         &mut self,
-        call: Call,
+        call: CallId,
         key: Key,
         request: Option<Request>,
         out: &mut Vec<Action>,
@@ -152,7 +152,7 @@
     /// The store answered a lookup; `false` if `query` is none.
     pub(crate) fn looked_up(
         &mut self,
-        query: Query,
+        query: QueryId,
         outcome: &Stored,
         out: &mut Vec<Action>,
     ) -> bool {
@@ -254,7 +254,7 @@
     }
 
     /// A runner answered.
-    pub(crate) fn told(&mut self, nonce: u64, told: Told, out: &mut Vec<Action>) {
+    pub(crate) fn told(&mut self, nonce: u64, told: KeyStatus, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(question) = self.requests.questions.get_mut(&nonce) else {
             return;
@@ -262,19 +262,19 @@
         question.heard = now;
         let runner = question.runner;
         match told {
-            Told::InProgress => (),
-            Told::OtherRun => self.runner_silent(nonce, out),
-            Told::Streaming { token } => self.follow_stream(nonce, &token, out),
-            Told::Answered { status, body } => {
+            KeyStatus::InProgress => (),
+            KeyStatus::OtherRun => self.runner_silent(nonce, out),
+            KeyStatus::Streaming { token } => self.follow_stream(nonce, &token, out),
+            KeyStatus::Answered { status, body } => {
                 self.tell_recorded(nonce, Recorded { status, body }, out);
             }
-            Told::Unknown => self.close_tried(nonce, Outcome::Unknown, out),
-            Told::Failed => self.close_tried(nonce, Outcome::Failed, out),
-            Told::Expired => {
+            KeyStatus::Unknown => self.close_tried(nonce, Outcome::Unknown, out),
+            KeyStatus::Failed => self.close_tried(nonce, Outcome::Failed, out),
+            KeyStatus::Expired => {
                 let refusal = Self::refusal(Outcome::NotRun, Reason::KeyExpired, Duration::ZERO);
                 self.close(nonce, refusal, out);
             }
-            Told::NotSeen => self.close_unseen(nonce, runner, out),
+            KeyStatus::NotSeen => self.close_unseen(nonce, runner, out),
         }
     }
 
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -5,11 +5,11 @@
 use ident::Instance;
 use ident::Replica;
 use ledger::stage::Stage;
-use route::cell::Hold;
 use route::phase::Phase;
+use route::scheduler::Hold;
 use route::verdict::Choice;
+use route::verdict::DecisionDetails;
 use route::verdict::Verdict;
-use route::verdict::Why;
 use wire::Body;
 
 use crate::action::Action;
@@ -150,7 +150,7 @@
         opened: OpenKey,
         first: Replica,
         second: Option<Replica>,
-        why: &Why,
+        why: &DecisionDetails,
         out: &mut Vec<Action>,
     ) {
         let first = self.replica_name(first);
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -5,9 +5,9 @@
 use ident::Handle;
 use ident::Key;
 use ident::Pool;
-use ledger::ids::Call;
+use ledger::ids::CallId;
 use ledger::keys::Admission;
-use ledger::keys::Mark;
+use ledger::keys::KeyState;
 use ledger::stage::Stage;
 use rand::RngExt;
 use route::ticket::Ticket;
@@ -35,7 +35,7 @@
 const LEAVING_TTLS: u32 = 2;
 
 impl Node {
-    pub(crate) fn arrived(&mut self, call: Call, request: Request, out: &mut Vec<Action>) {
+    pub(crate) fn arrived(&mut self, call: CallId, request: Request, out: &mut Vec<Action>) {
         let key = match Self::key_of(&request) {
             Ok(key) => key,
             Err(refusal) => return self.refuse(call, &request.customer, refusal, out),
@@ -45,10 +45,10 @@
             .and_then(|key| self.requests.keys.get(key))
             .cloned();
         match (known, &key) {
-            (Some(Mark::Failed), Some(_)) if self.is_repeatable(&request) => {
+            (Some(KeyState::Failed), Some(_)) if self.is_repeatable(&request) => {
                 self.open_new(call, key, &request, Some(Outcome::Failed), out);
             }
-            (Some(Mark::Unknown), Some(_)) if self.is_repeatable(&request) => {
+            (Some(KeyState::Unknown), Some(_)) if self.is_repeatable(&request) => {
                 self.open_new(call, key, &request, Some(Outcome::Unknown), out);
             }
             (Some(mark), Some(key)) => self.repeat(call, key, mark, out),
@@ -76,7 +76,7 @@
     /// place of *not run* if an earlier try with the same key may have got further.
     pub(crate) fn open_new(
         &mut self,
-        call: Call,
+        call: CallId,
         key: Option<Key>,
         request: &Request,
         earlier: Option<Outcome>,
@@ -117,7 +117,7 @@
     /// Opens a request, unless a rule forbids it.
     fn admit(
         &mut self,
-        call: Call,
+        call: CallId,
         key: Option<Key>,
         request: &Request,
     ) -> Result<OpenKey, Refusal> {
@@ -195,7 +195,7 @@
 
     fn insert(
         &mut self,
-        call: Call,
+        call: CallId,
         key: Option<Key>,
         request: &Request,
         row: &Row,
@@ -220,7 +220,7 @@
         if let Some(key) = key {
             self.requests
                 .keys
-                .mark(self.unix_s(), &key, Mark::Open(opened));
+                .set(self.unix_s(), &key, KeyState::Open(opened));
         }
         opened
     }
@@ -239,7 +239,7 @@
     }
 
     /// A key that was seen before.
-    fn repeat(&mut self, call: Call, key: &Key, mark: Mark<OpenKey>, out: &mut Vec<Action>) {
+    fn repeat(&mut self, call: CallId, key: &Key, mark: KeyState<OpenKey>, out: &mut Vec<Action>) {
         let label = key.to_string();
         self.log(
             &label,
@@ -249,8 +249,8 @@
             out,
         );
         match mark {
-            Mark::Open(opened) => self.take_over_locally(opened, call, 0, true, out),
-            Mark::Answered {
+            KeyState::Open(opened) => self.take_over_locally(opened, call, 0, true, out),
+            KeyState::Answered {
                 status,
                 body: Some(body),
             } => {
@@ -261,23 +261,23 @@
                 };
                 out.push(Action::Tell { call, tell });
             }
-            Mark::Answered { body: None, .. } => {
+            KeyState::Answered { body: None, .. } => {
                 let refusal = Self::refusal(Outcome::Failed, Reason::AnswerGone, Duration::ZERO);
                 self.refuse(call, &label, refusal, out);
             }
-            Mark::Streamed { token } => self.resumed(call, &key.customer, &token, 0, out),
-            Mark::Unknown => {
+            KeyState::Streamed { token } => self.resumed(call, &key.customer, &token, 0, out),
+            KeyState::Unknown => {
                 let refusal = Self::refusal(Outcome::Unknown, Reason::Backend, Duration::ZERO);
                 self.refuse(call, &label, refusal, out);
             }
-            Mark::Failed => {
+            KeyState::Failed => {
                 let refusal = Self::refusal(Outcome::Failed, Reason::Backend, Duration::ZERO);
                 self.refuse(call, &label, refusal, out);
             }
         }
     }
 
-    pub(crate) fn left(&mut self, call: Call, out: &mut Vec<Action>) {
+    pub(crate) fn left(&mut self, call: CallId, out: &mut Vec<Action>) {
         self.requests
             .questions
             .retain(|_, question| question.call != call);
@@ -349,12 +349,12 @@
     }
 }
 
-const fn mark_word(mark: &Mark<OpenKey>) -> &'static str {
+const fn mark_word(mark: &KeyState<OpenKey>) -> &'static str {
     match mark {
-        Mark::Open(_) => "attached",
-        Mark::Answered { .. } => "answered before",
-        Mark::Streamed { .. } => "streamed before",
-        Mark::Unknown => "unknown",
-        Mark::Failed => "failed",
+        KeyState::Open(_) => "attached",
+        KeyState::Answered { .. } => "answered before",
+        KeyState::Streamed { .. } => "streamed before",
+        KeyState::Unknown => "unknown",
+        KeyState::Failed => "failed",
     }
 }
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/desk.rs
@@ -5,14 +5,14 @@
 
 use ident::Instance;
 use ident::Time;
-use ledger::ids::Query;
+use ledger::ids::QueryId;
 
 use crate::edition::Edition;
 
 /// What this daemon does about the table.
 #[derive(Debug)]
 pub(crate) struct Desk {
-    pub(crate) reading: Option<(Query, Time)>,
+    pub(crate) reading: Option<(QueryId, Time)>,
     /// When the store was last proved to hold this generation, here or by whoever told.
     pub(crate) proved: Option<Time>,
     /// What each instance last told.
--- a/crates/node/src/edits.rs
+++ b/crates/node/src/edits.rs
@@ -5,7 +5,7 @@
 
 use ident::Instance;
 use ident::Time;
-use ledger::ids::Call;
+use ledger::ids::CallId;
 use table::edit::Edit;
 use wire::Body;
 
@@ -26,7 +26,7 @@
 
 impl Node {
     /// An operator's edit arrived.
-    pub(crate) fn edited(&mut self, call: Call, edit: Edit, out: &mut Vec<Action>) {
+    pub(crate) fn edited(&mut self, call: CallId, edit: Edit, out: &mut Vec<Action>) {
         if let Err(report) = edit.check() {
             return answer(
                 call,
@@ -212,7 +212,7 @@
     }
 }
 
-fn answer(call: Call, verdict: Verdict, out: &mut Vec<Action>) {
+fn answer(call: CallId, verdict: Verdict, out: &mut Vec<Action>) {
     out.push(Action::Tell {
         call,
         tell: Tell::Edit(verdict),
--- a/crates/node/src/endings.rs
+++ b/crates/node/src/endings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ledger::keys::Mark;
+use ledger::keys::KeyState;
 use route::phase::Phase;
 
 use crate::action::Action;
@@ -96,20 +96,22 @@
                     self.requests.journal.push(&key, *status, body);
                 }
                 let kept = (body.len() <= ledger::keys::MAX_BODY).then(|| body.clone());
-                Some(Mark::Answered {
+                Some(KeyState::Answered {
                     status: *status,
                     body: kept,
                 })
             }
-            End::Streamed { .. } | End::Superseded => token.map(|token| Mark::Streamed { token }),
+            End::Streamed { .. } | End::Superseded => {
+                token.map(|token| KeyState::Streamed { token })
+            }
             End::Refused(refusal) => match refusal.outcome {
                 Outcome::NotRun => None,
-                Outcome::Unknown => Some(Mark::Unknown),
-                Outcome::Failed => Some(Mark::Failed),
+                Outcome::Unknown => Some(KeyState::Unknown),
+                Outcome::Failed => Some(KeyState::Failed),
             },
         };
         match mark {
-            Some(mark) => self.requests.keys.mark(now, &key, mark),
+            Some(mark) => self.requests.keys.set(now, &key, mark),
             None => self.requests.keys.forget(&key),
         }
     }
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -8,9 +8,9 @@
 use table::edit::Edit;
 use wire::Frame;
 
-use crate::ids::Call;
-use crate::ids::Order;
-use crate::ids::Query;
+use crate::ids::CallId;
+use crate::ids::OrderId;
+use crate::ids::QueryId;
 use crate::list::List;
 use crate::request::Request;
 
@@ -20,14 +20,14 @@
     /// A caller sent a request; the driver keeps its body under `call`.
     Arrived {
         /// The caller's connection.
-        call: Call,
+        call: CallId,
         /// What is asked.
         request: Request,
     },
     /// A caller presented a resume token.
     Resumed {
         /// The caller's connection.
-        call: Call,
+        call: CallId,
         /// The customer that presents it.
         customer: String,
         /// Sealed token.
@@ -38,26 +38,26 @@
     /// A caller's connection closed before its answer was complete.
     Left {
         /// The caller's connection.
-        call: Call,
+        call: CallId,
     },
     /// An order ended well.
     Answered {
         /// The order.
-        order: Order,
+        order: OrderId,
         /// What the replica said.
         reply: Reply,
     },
     /// A streaming order delivered something.
     Streamed {
         /// The order.
-        order: Order,
+        order: OrderId,
         /// The piece.
         piece: Piece,
     },
     /// An order ended badly, or was aborted.
     Failed {
         /// The order.
-        order: Order,
+        order: OrderId,
         /// How far it got.
         failure: Failure,
     },
@@ -79,14 +79,14 @@
     /// The store answered `Action::Query`.
     Stored {
         /// The query.
-        query: Query,
+        query: QueryId,
         /// What it said.
         outcome: Stored,
     },
     /// An operator's edit arrived.
     Edited {
         /// The operator's connection.
-        call: Call,
+        call: CallId,
         /// The edit.
         edit: Edit,
     },
--- a/crates/node/src/ids.rs
+++ b/crates/node/src/ids.rs
@@ -1,5 +1,5 @@
 //! Numbers that tie an action to the event that answers it.
 
-pub use ledger::ids::Call;
-pub use ledger::ids::Order;
-pub use ledger::ids::Query;
+pub use ledger::ids::CallId;
+pub use ledger::ids::OrderId;
+pub use ledger::ids::QueryId;
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use ident::Incarnation;
 use ident::Key;
-use ledger::ids::Query;
+use ledger::ids::QueryId;
 use ledger::keys::MAX_BODY;
 
 /// Most outcomes that wait; beyond it the oldest are dropped and stay unknown after a death.
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(crate) struct Journal {
     pub(crate) waiting: VecDeque<Line>,
-    pub(crate) sent: Option<(Query, Vec<Line>)>,
+    pub(crate) sent: Option<(QueryId, Vec<Line>)>,
     pub(crate) sequence: u64,
 }
 
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -13,11 +13,11 @@
 use ident::Replica;
 use ident::Time;
 use rand::Rng;
-use route::cell::Cell;
-use route::cell::Hold;
 use route::phase::Phase;
 use route::replica::Member;
 use route::rule::Rule;
+use route::scheduler::Hold;
+use route::scheduler::Scheduler;
 use route::ticket::Ticket;
 use table::row::Row;
 use wire::Body;
@@ -94,7 +94,7 @@
     }
 
     fn begin_keeping(&mut self, pool: Pool, name: String) {
-        let mut cell = Cell::new(route::settings::Settings::default(), self.rng.next_u64());
+        let mut cell = Scheduler::new(route::settings::Settings::default(), self.rng.next_u64());
         let alone = self
             .members
             .fleet
@@ -102,7 +102,7 @@
             .all(|member| member.instance == self.settings.instance);
         let settle = if alone { Duration::ZERO } else { SETTLE };
         if !alone {
-            cell.takeover(self.now);
+            cell.begin_takeover(self.now);
         }
         let kept = Kept {
             name,
@@ -243,7 +243,7 @@
         let may_decide = self.may_decide();
         for kept in self.pools.cells.values_mut() {
             if may_decide && now >= kept.ready {
-                kept.cell.settled(now);
+                kept.cell.end_grace(now);
                 next = next.min(kept.cell.step(now, &mut verdicts));
             } else {
                 next = next.min(kept.ready.max(now + SETTLE));
@@ -296,7 +296,7 @@
             if now >= since + SILENCE && !watch.lost {
                 watch.lost = true;
                 watch.after = 0;
-                kept.cell.lost(now, replica);
+                kept.cell.mark_lost(now, replica);
             }
             let after = watch.after;
             out.push(Action::Inspect {
@@ -341,7 +341,7 @@
         watch.lost = false;
         let last = inspection.report.events.iter().map(|event| event.seq).max();
         watch.after = last.unwrap_or(watch.after);
-        kept.cell.report(now, replica, &inspection.report);
+        kept.cell.apply_report(now, replica, &inspection.report);
         self.timers.cells = now;
     }
 }
--- a/crates/node/src/kept.rs
+++ b/crates/node/src/kept.rs
@@ -7,7 +7,7 @@
 use ident::Instance;
 use ident::Replica;
 use ident::Time;
-use route::cell::Cell;
+use route::scheduler::Scheduler;
 
 /// An attempt as the keeper knows it.
 #[derive(Debug, Clone, Copy)]
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(crate) struct Kept {
     pub(crate) name: String,
-    pub(crate) cell: Cell,
+    pub(crate) cell: Scheduler,
     pub(crate) ready: Time,
     pub(crate) placed: BTreeMap<Handle, Placed>,
     pub(crate) watches: BTreeMap<Replica, Watch>,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,8 +7,8 @@
 use ident::Instance;
 use ident::Replica;
 use ident::Time;
-use ledger::ids::Order;
-use ledger::ids::Query;
+use ledger::ids::OrderId;
+use ledger::ids::QueryId;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -137,15 +137,15 @@
     }
 
     /// A fresh order for `purpose`.
-    pub(crate) fn order(&mut self, purpose: Purpose) -> Order {
-        let order = ids::Order(self.number());
+    pub(crate) fn order(&mut self, purpose: Purpose) -> OrderId {
+        let order = ids::OrderId(self.number());
         self.requests.orders.insert(order, purpose);
         order
     }
 
     /// A fresh query to the store.
-    pub(crate) fn query(&mut self) -> Query {
-        ids::Query(self.number())
+    pub(crate) fn query(&mut self) -> QueryId {
+        ids::QueryId(self.number())
     }
 
     /// This run of this daemon.
--- a/crates/node/src/open.rs
+++ b/crates/node/src/open.rs
@@ -10,9 +10,9 @@
 use ident::Replica;
 use ident::Time;
 use ledger::holds::HoldKey;
-use ledger::ids::Call;
-use ledger::ids::Order;
-use ledger::order::Sequence;
+use ledger::ids::CallId;
+use ledger::ids::OrderId;
+use ledger::reassembly::Reassembler;
 use ledger::stage::Stage;
 use route::phase::Phase;
 use route::ticket::Ticket;
@@ -62,9 +62,9 @@
 #[derive(Debug, Clone)]
 pub enum Withheld {
     /// A piece.
-    Piece(Order, Piece),
+    Piece(OrderId, Piece),
     /// The end of the order.
-    End(Order, Failure),
+    End(OrderId, Failure),
 }
 
 /// How far a request may have got towards a replica.
@@ -131,10 +131,10 @@
 #[derive(Debug)]
 pub struct Open {
     /// The caller's present connection.
-    pub call: Option<Call>,
+    pub call: Option<CallId>,
     /// The connection under which the driver keeps the prompt or the plain call; `None` for a
     /// stream taken over.
-    pub origin: Option<Call>,
+    pub origin: Option<CallId>,
     /// Its idempotency key.
     pub key: Option<Key>,
     /// Its customer.
@@ -152,7 +152,7 @@
     /// The last phase told to the keeper.
     pub phase: Option<Phase>,
     /// The order that starts or streams its present work.
-    pub order: Option<Order>,
+    pub order: Option<OrderId>,
     /// Its memory on the prefill replica.
     pub prefill_hold: Option<HoldKey>,
     /// Its memory on the decode replica.
@@ -160,7 +160,7 @@
     /// Fencing number of this owner.
     pub fence: u64,
     /// Tokens in order.
-    pub sequence: Sequence,
+    pub sequence: Reassembler,
     /// How far it may have got.
     pub reach: Reach,
     /// When its present attempt began to wait.
@@ -189,7 +189,7 @@
 
 impl Open {
     /// A request that waits for its first attempt: repeatable, without key, targets or prompt.
-    pub fn new(call: Call, customer: &str, pool: Pool, ticket: Ticket, now: Time) -> Self {
+    pub fn new(call: CallId, customer: &str, pool: Pool, ticket: Ticket, now: Time) -> Self {
         Self {
             call: Some(call),
             origin: None,
@@ -205,7 +205,7 @@
             prefill_hold: None,
             decode_hold: None,
             fence: 0,
-            sequence: Sequence::new(0),
+            sequence: Reassembler::new(0),
             reach: Reach::Untouched,
             queued: now,
             patience: Duration::ZERO,
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to replicas: how they go out, and what their ends mean.
 
 use ident::Replica;
-use ledger::ids::Order;
+use ledger::ids::OrderId;
 use ledger::stage::Stage;
 use route::phase::Phase;
 
@@ -44,7 +44,7 @@
         entry.prefill_hold = Some(
             self.requests
                 .holds
-                .take(prefill, handle, owner, fence, order),
+                .insert(prefill, handle, owner, fence, order),
         );
         let task = Task::Prefill {
             call,
@@ -87,7 +87,7 @@
         entry.decode_hold = Some(
             self.requests
                 .holds
-                .take(replica, handle, owner, fence, order),
+                .insert(replica, handle, owner, fence, order),
         );
         let task = Task::Decode {
             source,
@@ -132,9 +132,9 @@
         });
     }
 
-    pub(crate) fn answered(&mut self, order: Order, reply: Reply, out: &mut Vec<Action>) {
+    pub(crate) fn answered(&mut self, order: OrderId, reply: Reply, out: &mut Vec<Action>) {
         let purpose = self.requests.orders.remove(&order);
-        self.requests.holds.closed(order);
+        self.requests.holds.start_ended(order);
         match (purpose, reply) {
             (Some(Purpose::Cancel), _) => self.release_confirmed(order, out),
             (
@@ -165,9 +165,9 @@
         }
     }
 
-    pub(crate) fn failed(&mut self, order: Order, failure: Failure, out: &mut Vec<Action>) {
+    pub(crate) fn failed(&mut self, order: OrderId, failure: Failure, out: &mut Vec<Action>) {
         let purpose = self.requests.orders.remove(&order);
-        self.requests.holds.closed(order);
+        self.requests.holds.start_ended(order);
         match purpose {
             Some(Purpose::Cancel) => self.release_failed(order, failure),
             Some(Purpose::Prefill(opened) | Purpose::Plain(opened))
@@ -185,7 +185,7 @@
     }
 
     /// Whether `order` carries the present work of an open request.
-    pub(crate) fn is_current(&self, opened: OpenKey, order: Order) -> bool {
+    pub(crate) fn is_current(&self, opened: OpenKey, order: OrderId) -> bool {
         self.requests
             .open
             .get(opened)
--- a/crates/node/src/proofs.rs
+++ b/crates/node/src/proofs.rs
@@ -5,7 +5,7 @@
 use ident::Instance;
 use ident::Time;
 use wire::Body;
-use wire::News;
+use wire::TableStatus;
 
 use crate::action::Action;
 use crate::desk::Heard;
@@ -48,13 +48,13 @@
         NEWS_FANOUT.max(others.div_ceil(rounds))
     }
 
-    fn my_news(&self, asked: u64, answer: bool) -> News {
+    fn my_news(&self, asked: u64, answer: bool) -> TableStatus {
         let age = self
             .tables
             .desk
             .proved
             .map(|proved| millis(self.now.since(proved)));
-        News {
+        TableStatus {
             generation: self.tables.view.generation(),
             store_age_ms: age.and_then(|age| u32::try_from(age).ok()),
             settled: !self.tables.view.behind(),
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(crate) fn news(&mut self, from: Instance, news: News, out: &mut Vec<Action>) {
+    pub(crate) fn news(&mut self, from: Instance, news: TableStatus, out: &mut Vec<Action>) {
         self.tables.view.announce(news.generation);
         self.note_told(from, news);
         if self.tables.view.behind() {
@@ -81,12 +81,12 @@
     ///
     /// Clocks of all runs begin at zero, so that a late answer to an earlier run would pass for one
     /// to a question asked just now: questions tell the time from a point that no two runs share.
-    fn asked_at(&self, news: News) -> Option<Time> {
+    fn asked_at(&self, news: TableStatus) -> Option<Time> {
         let asked = Time(news.asked.wrapping_sub(self.incarnation().0));
         Some(asked).filter(|asked| news.answer && (self.begun..=self.now).contains(asked))
     }
 
-    fn note_told(&mut self, from: Instance, news: News) {
+    fn note_told(&mut self, from: Instance, news: TableStatus) {
         let before = self
             .tables
             .desk
@@ -103,7 +103,7 @@
     }
 
     /// An answer proves as much as its sender could prove when the question was asked.
-    fn take_proof(&mut self, news: News) {
+    fn take_proof(&mut self, news: TableStatus) {
         let Some(asked) = self.asked_at(news) else {
             return;
         };
--- a/crates/node/src/question.rs
+++ b/crates/node/src/question.rs
@@ -3,8 +3,8 @@
 use ident::Instance;
 use ident::Key;
 use ident::Time;
-use ledger::ids::Call;
-use ledger::ids::Query;
+use ledger::ids::CallId;
+use ledger::ids::QueryId;
 
 use crate::request::Request;
 
@@ -12,11 +12,11 @@
 #[derive(Debug)]
 pub(crate) struct Question {
     /// The caller's connection.
-    pub(crate) call: Call,
+    pub(crate) call: CallId,
     pub(crate) key: Key,
     pub(crate) request: Option<Request>,
     pub(crate) runner: Option<Instance>,
     pub(crate) heard: Time,
     pub(crate) asked: Time,
-    pub(crate) lookup: Option<Query>,
+    pub(crate) lookup: Option<QueryId>,
 }
--- a/crates/node/src/readers.rs
+++ b/crates/node/src/readers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ledger::backoff;
-use ledger::order::Sequence;
+use ledger::reassembly::Reassembler;
 use route::phase::Phase;
 
 use crate::action::Action;
@@ -127,15 +127,15 @@
         entry.attach_at = None;
         entry.dispatch(self.now);
         let (handle, fence) = (entry.handle(), entry.fence);
-        entry.sequence = Sequence::new(offset);
+        entry.sequence = Reassembler::new(offset);
         entry.withheld = None;
         match entry.decode_hold {
-            Some(hold) => self.requests.holds.reopen(hold, order, owner, fence),
+            Some(hold) => self.requests.holds.restart(hold, order, owner, fence),
             None => {
                 let hold = self
                     .requests
                     .holds
-                    .take(place.run, handle, owner, fence, order);
+                    .insert(place.run, handle, owner, fence, order);
                 self.requests.open[opened].decode_hold = Some(hold);
             }
         }
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ledger::ids::Query;
+use ledger::ids::QueryId;
 
 use crate::action::Action;
 use crate::action::Ask;
@@ -64,7 +64,7 @@
     }
 
     /// Notes the end of a record; `false` if `query` is none.
-    pub(crate) fn recorded(&mut self, query: Query, done: bool) -> bool {
+    pub(crate) fn recorded(&mut self, query: QueryId, done: bool) -> bool {
         if self
             .requests
             .journal
--- a/crates/node/src/refusals.rs
+++ b/crates/node/src/refusals.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ident::Instance;
-use ledger::ids::Call;
+use ledger::ids::CallId;
 
 use crate::action::Action;
 use crate::action::Count;
@@ -114,7 +114,13 @@
     }
 
     /// Refuses a call that opened no request.
-    pub(crate) fn refuse(&self, call: Call, label: &str, refusal: Refusal, out: &mut Vec<Action>) {
+    pub(crate) fn refuse(
+        &self,
+        call: CallId,
+        label: &str,
+        refusal: Refusal,
+        out: &mut Vec<Action>,
+    ) {
         self.log(
             label,
             Step::Refuse,
--- a/crates/node/src/releases.rs
+++ b/crates/node/src/releases.rs
@@ -1,7 +1,7 @@
 //! Release of memory on replicas.
 
 use ledger::holds::HoldKey;
-use ledger::ids::Order;
+use ledger::ids::OrderId;
 
 use crate::action::Action;
 use crate::action::Task;
@@ -44,16 +44,16 @@
         }
     }
 
-    pub(crate) fn release_confirmed(&mut self, order: Order, _out: &mut Vec<Action>) {
+    pub(crate) fn release_confirmed(&mut self, order: OrderId, _out: &mut Vec<Action>) {
         self.requests.holds.confirmed(order);
     }
 
-    pub(crate) fn release_failed(&mut self, order: Order, failure: Failure) {
+    pub(crate) fn release_failed(&mut self, order: OrderId, failure: Failure) {
         match failure {
             Failure::Refused {
                 status: http_status::CONFLICT,
                 ..
-            } => self.requests.holds.overtaken(order),
+            } => self.requests.holds.superseded(order),
             _ => self.requests.holds.failed(self.now, order),
         }
     }
--- a/crates/node/src/rounds.rs
+++ b/crates/node/src/rounds.rs
@@ -15,7 +15,7 @@
 impl Node {
     /// When `Event::Tick` is wanted at the latest.
     pub fn wake(&self) -> Time {
-        self.timers.first().min(self.requests.holds.next())
+        self.timers.first().min(self.requests.holds.next_due())
     }
 
     /// Carries out all that is due.
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -12,9 +12,9 @@
 use ident::Replica;
 use ident::Time;
 use ledger::holds::Holds;
-use ledger::ids::Call;
-use ledger::ids::Order;
-use ledger::keys::Memory;
+use ledger::ids::CallId;
+use ledger::ids::OrderId;
+use ledger::keys::KeyRegistry;
 use slotmap::SlotMap;
 use table::view::View;
 
@@ -47,12 +47,12 @@
 pub(crate) struct Requests {
     pub(crate) open: SlotMap<OpenKey, Open>,
     pub(crate) by_handle: HashMap<Handle, OpenKey>,
-    pub(crate) by_call: HashMap<Call, OpenKey>,
+    pub(crate) by_call: HashMap<CallId, OpenKey>,
     /// Orders to replicas that are not answered yet.
-    pub(crate) orders: HashMap<Order, Purpose>,
+    pub(crate) orders: HashMap<OrderId, Purpose>,
     pub(crate) holds: Holds,
     /// Keys of requests that run or ran here.
-    pub(crate) keys: Memory<OpenKey>,
+    pub(crate) keys: KeyRegistry<OpenKey>,
     /// Callers that wait for what another instance knows of their key.
     pub(crate) questions: HashMap<u64, Question>,
     pub(crate) journal: Journal,
@@ -67,7 +67,7 @@
             by_call: HashMap::new(),
             orders: HashMap::new(),
             holds: Holds::new(),
-            keys: Memory::new(settings.window.as_secs(), settings.max_keys),
+            keys: KeyRegistry::new(settings.window.as_secs(), settings.max_keys),
             questions: HashMap::new(),
             journal: Journal::new(),
         }
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -1,8 +1,8 @@
 //! Streams: tokens in order, and their figures.
 
-use ledger::ids::Order;
-use ledger::order::Arrival;
-use ledger::order::Run;
+use ledger::ids::OrderId;
+use ledger::reassembly::Arrival;
+use ledger::reassembly::TokenRun;
 use route::phase::Phase;
 
 use crate::action::Action;
@@ -17,7 +17,7 @@
 use crate::state::Purpose;
 
 impl Node {
-    pub(crate) fn streamed(&mut self, order: Order, piece: Piece, out: &mut Vec<Action>) {
+    pub(crate) fn streamed(&mut self, order: OrderId, piece: Piece, out: &mut Vec<Action>) {
         let Some(Purpose::Decode(opened)) = self.requests.orders.get(&order).copied() else {
             return;
         };
@@ -42,7 +42,7 @@
             } => {
                 self.tokens(
                     opened,
-                    Run {
+                    TokenRun {
                         offset,
                         count,
                         text,
@@ -68,13 +68,13 @@
         }
     }
 
-    fn tokens(&mut self, opened: OpenKey, run: Run, out: &mut Vec<Action>) {
+    fn tokens(&mut self, opened: OpenKey, run: TokenRun, out: &mut Vec<Action>) {
         let now = self.now;
         let entry = &mut self.requests.open[opened];
         entry.attach_tries = 0;
         entry.times.progress = now;
         let mut ready = Vec::new();
-        let arrival = entry.sequence.arrive(run, &mut ready);
+        let arrival = entry.sequence.push(run, &mut ready);
         if arrival == Arrival::Ready {
             note_tokens(entry, now, out);
         }
--- a/crates/node/src/sweeping.rs
+++ b/crates/node/src/sweeping.rs
@@ -103,10 +103,10 @@
 
     fn sweep_one(&mut self, replica: Replica, held: Held, out: &mut Vec<Action>) {
         let handle = held.handle;
-        if !self.requests.holds.has(replica, handle) {
+        if !self.requests.holds.contains(replica, handle) {
             self.requests
                 .holds
-                .take_orphan(self.now, replica, handle, held.owner, held.fence);
+                .insert_orphan(self.now, replica, handle, held.owner, held.fence);
         }
         let name = self.replica_name(replica);
         self.log(
@@ -155,13 +155,13 @@
         for handle in handles {
             self.advanced(*handle, Phase::Gone);
             if self.replicas.backends.contains_key(&replica)
-                && !self.requests.holds.has(replica, *handle)
+                && !self.requests.holds.contains(replica, *handle)
             {
                 let fence = self.unix_ms();
                 let owner = handle.owner;
                 self.requests
                     .holds
-                    .take_orphan(self.now, replica, *handle, owner, fence);
+                    .insert_orphan(self.now, replica, *handle, owner, fence);
                 let name = self.replica_name(replica);
                 self.log(
                     &handle.to_string(),
--- a/crates/node/src/tables.rs
+++ b/crates/node/src/tables.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use ident::Instance;
-use ledger::ids::Query;
+use ledger::ids::QueryId;
 use table::Table;
 use table::view::Offer;
 use wire::Body;
@@ -62,7 +62,7 @@
     }
 
     /// The store answered.
-    pub(crate) fn stored(&mut self, query: Query, outcome: Stored, out: &mut Vec<Action>) {
+    pub(crate) fn stored(&mut self, query: QueryId, outcome: Stored, out: &mut Vec<Action>) {
         let recorded = matches!(outcome, Stored::Recorded);
         if self.recorded(query, recorded) || self.looked_up(query, &outcome, out) {
             return;
--- a/crates/node/src/takeovers.rs
+++ b/crates/node/src/takeovers.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use ledger::ids::Call;
-use ledger::order::Sequence;
+use ledger::ids::CallId;
+use ledger::reassembly::Reassembler;
 use ledger::stage::Stage;
 use route::phase::Phase;
 use route::ticket::Ticket;
@@ -73,7 +73,7 @@
 
     pub(crate) fn resumed(
         &mut self,
-        call: Call,
+        call: CallId,
         customer: &str,
         text: &str,
         offset: u32,
@@ -98,7 +98,7 @@
     pub(crate) fn take_over_locally(
         &mut self,
         opened: OpenKey,
-        call: Call,
+        call: CallId,
         offset: u32,
         brings_body: bool,
         out: &mut Vec<Action>,
@@ -116,7 +116,7 @@
         entry.times.left = None;
         entry.headed = false;
         if entry.stage != Stage::Decode {
-            entry.sequence = Sequence::new(offset);
+            entry.sequence = Reassembler::new(offset);
             if entry.stage == Stage::Waiting {
                 continue_from(&mut entry.ticket.work, offset);
             }
@@ -130,7 +130,13 @@
     }
 
     /// Takes over a stream that another daemon, or a former run, began.
-    pub(crate) fn adopt(&mut self, call: Call, token: &Token, offset: u32, out: &mut Vec<Action>) {
+    pub(crate) fn adopt(
+        &mut self,
+        call: CallId,
+        token: &Token,
+        offset: u32,
+        out: &mut Vec<Action>,
+    ) {
         if self.requests.open.len() >= self.settings.max_open {
             let refusal = self.refusal_elsewhere(Outcome::NotRun, Reason::Full);
             return self.refuse(call, &token.customer, refusal, out);
@@ -153,7 +159,7 @@
         }
     }
 
-    fn insert_adopted(&mut self, call: Call, token: &Token, offset: u32) -> OpenKey {
+    fn insert_adopted(&mut self, call: CallId, token: &Token, offset: u32) -> OpenKey {
         let work = Work::Model {
             prompt_tokens: token.prompt_tokens,
             max_tokens: token.max_tokens,
@@ -174,7 +180,7 @@
             }),
             phase: Some(Phase::Decoding),
             fence: self.unix_ms().max(token.fence + TAKEOVER_STEP),
-            sequence: Sequence::new(offset),
+            sequence: Reassembler::new(offset),
             reach: Reach::Touched,
             targets,
             ..Open::new(call, &token.customer, token.pool, ticket, self.now)
--- a/crates/node/src/telling.rs
+++ b/crates/node/src/telling.rs
@@ -3,10 +3,10 @@
 use ident::Instance;
 use ident::Key;
 use ledger::keys::Admission;
-use ledger::keys::Mark;
+use ledger::keys::KeyState;
 use ledger::stage::Stage;
 use wire::Body;
-use wire::Told;
+use wire::KeyStatus;
 
 use crate::action::Action;
 use crate::action::Outcome;
@@ -22,46 +22,46 @@
     /// Another instance asks what became of a key that names this run.
     pub(crate) fn asked(&mut self, from: Instance, nonce: u64, key: &Key, out: &mut Vec<Action>) {
         let told = match self.requests.keys.get(key).cloned() {
-            Some(Mark::Open(opened)) => self.told_open(
+            Some(KeyState::Open(opened)) => self.told_open(
                 opened,
                 Asker {
                     instance: from,
                     nonce,
                 },
             ),
-            Some(Mark::Answered { status, body }) => Told::Answered { status, body },
-            Some(Mark::Streamed { token }) => Told::Streaming { token },
-            Some(Mark::Unknown) => Told::Unknown,
-            Some(Mark::Failed) => Told::Failed,
+            Some(KeyState::Answered { status, body }) => KeyStatus::Answered { status, body },
+            Some(KeyState::Streamed { token }) => KeyStatus::Streaming { token },
+            Some(KeyState::Unknown) => KeyStatus::Unknown,
+            Some(KeyState::Failed) => KeyStatus::Failed,
             None => self.told_unseen(key),
         };
         self.send(from, Body::Told { nonce, told }, out);
     }
 
     /// What is told of a key that is not remembered: only its own run can say that it never ran.
-    fn told_unseen(&self, key: &Key) -> Told {
+    fn told_unseen(&self, key: &Key) -> KeyStatus {
         let Some(prefix) = key.prefix() else {
-            return Told::OtherRun;
+            return KeyStatus::OtherRun;
         };
         let expired = self.requests.keys.admit(self.unix_s(), prefix.issued) == Admission::Expired;
         match prefix.runner {
-            runner if self.members.former.contains(&runner) => Told::Expired,
-            runner if runner != self.incarnation() => Told::OtherRun,
-            _ if expired => Told::Expired,
-            _ => Told::NotSeen,
+            runner if self.members.former.contains(&runner) => KeyStatus::Expired,
+            runner if runner != self.incarnation() => KeyStatus::OtherRun,
+            _ if expired => KeyStatus::Expired,
+            _ => KeyStatus::NotSeen,
         }
     }
 
-    fn told_open(&mut self, opened: OpenKey, asker: Asker) -> Told {
+    fn told_open(&mut self, opened: OpenKey, asker: Asker) -> KeyStatus {
         let streams = self.requests.open[opened].stage == Stage::Decode;
         match self.token_of(opened).filter(|_| streams) {
-            Some(token) => Told::Streaming { token },
+            Some(token) => KeyStatus::Streaming { token },
             None => {
                 let askers = &mut self.requests.open[opened].askers;
                 if !askers.iter().any(|other| other.nonce == asker.nonce) {
                     askers.push(asker);
                 }
-                Told::InProgress
+                KeyStatus::InProgress
             }
         }
     }
@@ -74,16 +74,16 @@
         }
         let token = self.token_of(opened);
         let told = match (end, token) {
-            (End::Answered { status, body }, _) => Told::Answered {
+            (End::Answered { status, body }, _) => KeyStatus::Answered {
                 status: *status,
                 body: Some(body.clone()).filter(|body| body.len() <= MAX_TOLD_BODY),
             },
-            (End::Streamed { .. } | End::Superseded, Some(token)) => Told::Streaming { token },
-            (End::Streamed { .. } | End::Superseded, None) => Told::Unknown,
+            (End::Streamed { .. } | End::Superseded, Some(token)) => KeyStatus::Streaming { token },
+            (End::Streamed { .. } | End::Superseded, None) => KeyStatus::Unknown,
             (End::Refused(refusal), _) => match refusal.outcome {
-                Outcome::NotRun => Told::NotSeen,
-                Outcome::Unknown => Told::Unknown,
-                Outcome::Failed => Told::Failed,
+                Outcome::NotRun => KeyStatus::NotSeen,
+                Outcome::Unknown => KeyStatus::Unknown,
+                Outcome::Failed => KeyStatus::Failed,
             },
         };
         for asker in askers {
--- a/crates/node/tests/one/mod.rs
+++ b/crates/node/tests/one/mod.rs
@@ -26,8 +26,8 @@
 use node::event::Piece;
 use node::event::Reply;
 use node::event::Stored;
-use node::ids::Call;
-use node::ids::Order;
+use node::ids::CallId;
+use node::ids::OrderId;
 use node::list::Backend;
 use node::list::List;
 use node::list::Seat;
@@ -52,8 +52,8 @@
 pub struct One {
     node: Node,
     now: Time,
-    pub orders: Vec<(Order, Task)>,
-    pub tells: Vec<(Call, Tell)>,
+    pub orders: Vec<(OrderId, Task)>,
+    pub tells: Vec<(CallId, Tell)>,
     pub sent: Vec<(Instance, Body)>,
     /// Whether replicas answer inspections.
     pub inspected: bool,
@@ -137,13 +137,13 @@
     }
 
     /// The last order that is not a cancel.
-    pub fn last(&self) -> (Order, Task) {
-        let is_work = |(_, task): &&(Order, Task)| !matches!(task, Task::Cancel);
+    pub fn last(&self) -> (OrderId, Task) {
+        let is_work = |(_, task): &&(OrderId, Task)| !matches!(task, Task::Cancel);
         let found = self.orders.iter().rev().find(is_work);
         found.cloned().expect("an order was put out")
     }
 
-    pub fn arrive(&mut self, call: Call) {
+    pub fn arrive(&mut self, call: CallId) {
         let request = request();
         self.feed(Event::Arrived { call, request });
         self.run(Duration::from_millis(100));
@@ -216,7 +216,7 @@
     }
 
     /// Lets the prefill that was ordered last end well; the decode order that follows.
-    pub fn prefill(&mut self) -> (Order, Task) {
+    pub fn prefill(&mut self) -> (OrderId, Task) {
         let (order, task) = self.last();
         assert!(matches!(task, Task::Prefill { .. }), "{task:?}");
         let reply = Reply::Prefilled {
@@ -228,7 +228,7 @@
         self.last()
     }
 
-    pub fn stream(&mut self, order: Order, from: u32, count: u32) {
+    pub fn stream(&mut self, order: OrderId, from: u32, count: u32) {
         let tokens = Piece::Tokens {
             offset: from,
             count,
@@ -239,13 +239,13 @@
         }
     }
 
-    pub fn fail(&mut self, order: Order, failure: Failure) {
+    pub fn fail(&mut self, order: OrderId, failure: Failure) {
         self.feed(Event::Failed { order, failure });
         self.run(Duration::from_millis(200));
     }
 
     /// Offsets and counts of the tokens that `call` was told.
-    pub fn tokens(&self, call: Call) -> Vec<(u32, u32)> {
+    pub fn tokens(&self, call: CallId) -> Vec<(u32, u32)> {
         let told = self.tells.iter().filter(|(to, _)| *to == call);
         told.filter_map(|(_, tell)| match tell {
             Tell::Tokens { offset, count, .. } => Some((*offset, *count)),
--- a/crates/node/tests/pauses.rs
+++ b/crates/node/tests/pauses.rs
@@ -7,12 +7,12 @@
 use node::action::Outcome;
 use node::action::Tell;
 use node::event::Event;
-use node::ids::Call;
+use node::ids::CallId;
 use rstest::rstest;
 
 use crate::one::One;
 
-const CALL: Call = Call(1);
+const CALL: CallId = CallId(1);
 /// Longer than the others wait before they run a repeatable request of a silent daemon.
 const PAUSE: Duration = Duration::from_secs(10);
 /// Until a stopping daemon takes no more requests.
--- a/crates/node/tests/proofs.rs
+++ b/crates/node/tests/proofs.rs
@@ -10,13 +10,13 @@
 use ident::Zone;
 use node::action::Reason;
 use node::action::Tell;
-use node::ids::Call;
+use node::ids::CallId;
 use wire::Body;
-use wire::News;
+use wire::TableStatus;
 
 use crate::one::One;
 
-const CALL: Call = Call(1);
+const CALL: CallId = CallId(1);
 const EARLIER: Incarnation = Incarnation(0x2a90_77e1_c3d8_5b16);
 /// Longer than a table may be decided by without proof.
 const OUTAGE: Duration = Duration::from_secs(5);
@@ -32,7 +32,7 @@
 }
 
 /// Lets `one` ask its peer while the store is silent, until its proof is too old; its last question.
-fn question(one: &mut One) -> News {
+fn question(one: &mut One) -> TableStatus {
     one.join(&peer());
     one.stored = false;
     one.run_beside(&peer(), OUTAGE);
@@ -44,8 +44,8 @@
 }
 
 /// The answer of a peer that has just read the store.
-fn answer(question: News) -> Body {
-    Body::News(News {
+fn answer(question: TableStatus) -> Body {
+    Body::News(TableStatus {
         store_age_ms: Some(0),
         settled: true,
         answer: true,
--- a/crates/node/tests/questions.rs
+++ b/crates/node/tests/questions.rs
@@ -9,14 +9,14 @@
 use ident::Zone;
 use node::action::Tell;
 use node::event::Event;
-use node::ids::Call;
+use node::ids::CallId;
 use node::request::Request;
 use wire::Body;
-use wire::Told;
+use wire::KeyStatus;
 
 use crate::one::One;
 
-const CALL: Call = Call(1);
+const CALL: CallId = CallId(1);
 const RUNNER: Incarnation = Incarnation(0x5b1d_03c7_9e62_a8f4);
 const EARLIER: Incarnation = Incarnation(0x2a90_77e1_c3d8_5b16);
 
@@ -44,7 +44,7 @@
 }
 
 fn answered(nonce: u64, body: &'static str) -> Body {
-    let told = Told::Answered {
+    let told = KeyStatus::Answered {
         status: 200,
         body: Some(Bytes::from_static(body.as_bytes())),
     };
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -11,12 +11,12 @@
 use node::event::Event;
 use node::event::Failure;
 use node::event::Piece;
-use node::ids::Call;
+use node::ids::CallId;
 use rstest::rstest;
 
 use crate::one::One;
-const FIRST: Call = Call(1);
-const SECOND: Call = Call(2);
+const FIRST: CallId = CallId(1);
+const SECOND: CallId = CallId(2);
 /// Not above the fencing number of the reader.
 const OWN_FENCE: u64 = 0;
 const NOT_FOUND: Failure = Failure::Refused {
--- a/crates/node/tests/world/actions.rs
+++ b/crates/node/tests/world/actions.rs
@@ -9,7 +9,7 @@
 use node::decision::Step;
 use node::event::Event;
 use node::event::Stored;
-use node::ids::Query;
+use node::ids::QueryId;
 use rand::RngExt;
 use wire::Decoder;
 use wire::Frame;
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn query(&mut self, host: usize, run: u32, query: Query, ask: Ask) {
+    pub(super) fn query(&mut self, host: usize, run: u32, query: QueryId, ask: Ask) {
         let slow = self.now < self.store.slow;
         let micros = if slow {
             self.rng.random_range(500_000..4_000_000)
@@ -106,7 +106,7 @@
         );
     }
 
-    pub(super) fn query_arrives(&mut self, host: usize, run: u32, query: Query, ask: Ask) {
+    pub(super) fn query_arrives(&mut self, host: usize, run: u32, query: QueryId, ask: Ask) {
         let cut = self.net.is_cut(self.now, Way::Store(host));
         let (outcome, delay) = if cut {
             let outcome = Stored::Failed {
@@ -180,7 +180,7 @@
     let bytes = wire::encode(frame).ok()?;
     let mut decoder = Decoder::new();
     decoder.extend(&bytes);
-    decoder.frame().ok().flatten()
+    decoder.next_frame().ok().flatten()
 }
 
 fn kind_number(action: &Action) -> u64 {
--- a/crates/node/tests/world/answers.rs
+++ b/crates/node/tests/world/answers.rs
@@ -5,7 +5,7 @@
 use node::action::Reason;
 use node::action::Refusal;
 use node::action::Tell;
-use node::ids::Call;
+use node::ids::CallId;
 
 use super::LEASE;
 use super::World;
@@ -24,7 +24,7 @@
 
 impl World {
     /// A daemon tells a connection something.
-    pub(super) fn tell(&mut self, host: usize, call: Call, tell: Tell) {
+    pub(super) fn tell(&mut self, host: usize, call: CallId, tell: Tell) {
         self.note(|| format!("entry-{host} tells {call:?} {}", short(&tell)));
         let Some(conn) = self.conns.get(&call).copied() else {
             return self.violate(format!("entry-{host} tells {call:?}, which never was"));
@@ -47,7 +47,7 @@
         }
     }
 
-    fn tell_operator(&mut self, call: Call, operator: usize, tell: Tell) {
+    fn tell_operator(&mut self, call: CallId, operator: usize, tell: Tell) {
         let Tell::Edit(verdict) = tell else {
             return self.violate(format!("operator at {call:?} is told {tell:?}"));
         };
@@ -57,13 +57,13 @@
         self.after_micros(2_000, Item::Operator { operator, verdict });
     }
 
-    fn set_answered(&mut self, call: Call) {
+    fn set_answered(&mut self, call: CallId) {
         if let Some(conn) = self.conns.get_mut(&call) {
             conn.state = State::Answered;
         }
     }
 
-    fn tell_caller(&mut self, call: Call, caller: usize, is_request: bool, tell: Tell) {
+    fn tell_caller(&mut self, call: CallId, caller: usize, is_request: bool, tell: Tell) {
         if matches!(tell, Tell::Tokens { .. } | Tell::Done { .. }) {
             self.check_owner(call);
         }
@@ -93,7 +93,7 @@
         self.after_micros(delay, Item::Caller { caller, note });
     }
 
-    fn check_tokens(&mut self, call: Call, caller: usize, offset: u32, count: u32, text: &Bytes) {
+    fn check_tokens(&mut self, call: CallId, caller: usize, offset: u32, count: u32, text: &Bytes) {
         let Some(conn) = self.conns.get_mut(&call) else {
             return;
         };
@@ -112,7 +112,7 @@
     }
 
     /// A daemon from which a stream was taken must have found out once its lease has passed.
-    fn check_owner(&mut self, call: Call) {
+    fn check_owner(&mut self, call: CallId) {
         let Conn { host, handle, .. } = self.conns[&call];
         let taken = handle.and_then(|handle| self.taken.get(&handle).copied());
         if let Some((by, _)) = taken.filter(|(by, at)| *by != host && self.now > *at + LEASE) {
@@ -122,7 +122,7 @@
         }
     }
 
-    fn check_done(&mut self, call: Call, caller: usize, tokens: u32) {
+    fn check_done(&mut self, call: CallId, caller: usize, tokens: u32) {
         let length = self.callers[caller].length;
         let next = self.conns[&call].next;
         if tokens != length || next != length {
@@ -132,7 +132,7 @@
         }
     }
 
-    fn check_superseded(&mut self, call: Call, caller: usize) {
+    fn check_superseded(&mut self, call: CallId, caller: usize) {
         let of_caller = |peer| peer == Peer::Caller(caller) || peer == Peer::Reader(caller);
         let mut others = self.conns.iter().filter(|(other, _)| **other != call);
         let is_read = others.any(|(other, conn)| {
@@ -143,13 +143,13 @@
         }
     }
 
-    fn check_body(&mut self, call: Call, caller: usize, body: &Bytes) {
+    fn check_body(&mut self, call: CallId, caller: usize, body: &Bytes) {
         if body != format!("confirmed for {caller}").as_bytes() {
             self.violate(format!("{call:?} of caller {caller} gets {body:?}"));
         }
     }
 
-    fn check_refusal(&mut self, call: Call, caller: usize, is_request: bool, refusal: &Refusal) {
+    fn check_refusal(&mut self, call: CallId, caller: usize, is_request: bool, refusal: &Refusal) {
         let touched = if self.callers[caller].keyed {
             self.callers[caller].touched
         } else {
--- a/crates/node/tests/world/callers.rs
+++ b/crates/node/tests/world/callers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use node::action::Outcome;
-use node::ids::Call;
+use node::ids::CallId;
 use node::request::Request;
 use node::request::Work;
 use rand::RngExt;
@@ -50,7 +50,7 @@
     pub key: Option<String>,
     pub token: Option<String>,
     pub had: u32,
-    pub conn: Option<Call>,
+    pub conn: Option<CallId>,
     /// Where to go next.
     pub hint: Option<usize>,
     pub tries: u32,
@@ -168,7 +168,7 @@
         self.callers[caller].conn = None;
         let of_caller = |peer| peer == Peer::Caller(caller) || peer == Peer::Reader(caller);
         let open = self.conns.iter().filter(|(_, conn)| of_caller(conn.peer));
-        let open: Vec<Call> = open.map(|(call, _)| *call).collect();
+        let open: Vec<CallId> = open.map(|(call, _)| *call).collect();
         for call in open {
             self.close_conn(call);
         }
--- a/crates/node/tests/world/conns.rs
+++ b/crates/node/tests/world/conns.rs
@@ -3,7 +3,7 @@
 use ident::Handle;
 use node::action::Task;
 use node::event::Event;
-use node::ids::Call;
+use node::ids::CallId;
 use rand::RngExt;
 
 use super::World;
@@ -62,9 +62,9 @@
 
 impl World {
     /// Opens a connection to `host`, whose process must be there.
-    pub(super) fn open_conn(&mut self, host: usize, peer: Peer, next: u32) -> Call {
+    pub(super) fn open_conn(&mut self, host: usize, peer: Peer, next: u32) -> CallId {
         self.counter += 1;
-        let call = Call(self.counter);
+        let call = CallId(self.counter);
         let conn = Conn {
             peer,
             host,
@@ -81,7 +81,7 @@
     }
 
     /// Closes a connection from outside.
-    pub(super) fn close_conn(&mut self, call: Call) {
+    pub(super) fn close_conn(&mut self, call: CallId) {
         let Some(conn) = self.conns.get_mut(&call).filter(|conn| conn.is_open()) else {
             return;
         };
@@ -93,7 +93,7 @@
     }
 
     /// Connections of the present process of `host` that have no last answer.
-    pub(super) fn open_conns(&self, host: usize) -> Vec<Call> {
+    pub(super) fn open_conns(&self, host: usize) -> Vec<CallId> {
         let run = self.hosts[host].run;
         self.conns
             .iter()
@@ -128,7 +128,7 @@
     }
 
     /// Whose body an order carries, and under which connection, if the daemon still keeps it.
-    pub(super) fn origin_of(&self, task: &Task) -> Option<(Call, usize)> {
+    pub(super) fn origin_of(&self, task: &Task) -> Option<(CallId, usize)> {
         let (Task::Prefill { call, .. } | Task::Plain { call }) = task else {
             return None;
         };
@@ -139,7 +139,7 @@
     }
 
     /// Whether something told to `call` reaches its caller.
-    pub(super) fn is_lost(&self, call: Call) -> bool {
+    pub(super) fn is_lost(&self, call: CallId) -> bool {
         self.conns
             .get(&call)
             .is_none_or(|conn| conn.state == State::Dropped)
--- a/crates/node/tests/world/engine.rs
+++ b/crates/node/tests/world/engine.rs
@@ -10,7 +10,7 @@
 use node::event::Failure;
 use node::event::Held;
 use node::event::Inspection;
-use node::ids::Order;
+use node::ids::OrderId;
 use route::replica::Report;
 use route::replica::Role;
 
@@ -30,7 +30,7 @@
     /// Its process, by number.
     pub run: u32,
     /// The order.
-    pub order: Order,
+    pub order: OrderId,
 }
 
 /// Where a work is.
--- a/crates/node/tests/world/item.rs
+++ b/crates/node/tests/world/item.rs
@@ -8,8 +8,8 @@
 use node::action::Task;
 use node::action::Tell;
 use node::event::Event;
-use node::ids::Call;
-use node::ids::Query;
+use node::ids::CallId;
+use node::ids::QueryId;
 
 use super::engine::Ticket;
 
@@ -45,7 +45,7 @@
     Query {
         host: usize,
         run: u32,
-        query: Query,
+        query: QueryId,
         ask: Ask,
     },
     /// A replica is asked for its state.
@@ -91,7 +91,7 @@
     pub fence: u64,
     pub task: Task,
     /// Whose body it carries, and under which connection.
-    pub origin: Option<(Call, usize)>,
+    pub origin: Option<(CallId, usize)>,
 }
 
 /// What a caller notices.
@@ -108,7 +108,7 @@
     /// Its connection reaches a daemon.
     Connect { host: usize, resume: Option<String> },
     /// Its connection said something.
-    Told { call: Call, tell: Tell },
+    Told { call: CallId, tell: Tell },
     /// Its connection broke, or was never made.
-    Broken { call: Option<Call> },
+    Broken { call: Option<CallId> },
 }
--- a/crates/node/tests/world/mod.rs
+++ b/crates/node/tests/world/mod.rs
@@ -28,8 +28,8 @@
 use ident::Handle;
 use ident::Replica;
 use ident::Time;
-use node::ids::Call;
-use node::ids::Order;
+use node::ids::CallId;
+use node::ids::OrderId;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -76,7 +76,7 @@
     engines: Vec<Engine>,
     callers: Vec<Caller>,
     operators: Vec<Operator>,
-    conns: BTreeMap<Call, Conn>,
+    conns: BTreeMap<CallId, Conn>,
     sent: BTreeMap<Ticket, Sent>,
     /// Which daemon last took a stream over, and when.
     taken: BTreeMap<Handle, (usize, Time)>,
@@ -284,6 +284,6 @@
 }
 
 /// The order that `order` stands for, at its daemon.
-const fn ticket(host: usize, run: u32, order: Order) -> Ticket {
+const fn ticket(host: usize, run: u32, order: OrderId) -> Ticket {
     Ticket { host, run, order }
 }
--- a/crates/node/tests/world/visits.rs
+++ b/crates/node/tests/world/visits.rs
@@ -6,7 +6,7 @@
 use node::action::Refusal;
 use node::action::Tell;
 use node::event::Event;
-use node::ids::Call;
+use node::ids::CallId;
 use rand::RngExt;
 
 use super::UNIX_MS;
@@ -110,7 +110,7 @@
         self.event(host, run, event);
     }
 
-    pub(super) fn told(&mut self, caller: usize, call: Call, tell: Tell) {
+    pub(super) fn told(&mut self, caller: usize, call: CallId, tell: Tell) {
         if self.is_lost(call) {
             return;
         }
@@ -132,7 +132,7 @@
         self.note_in(ms + jitter, caller, Note::Try);
     }
 
-    pub(super) fn refused(&mut self, caller: usize, call: Call, refusal: &Refusal) {
+    pub(super) fn refused(&mut self, caller: usize, call: CallId, refusal: &Refusal) {
         let resumed = self.conns[&call].peer == Peer::Reader(caller);
         let slot = &mut self.callers[caller];
         slot.token = None;
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -92,7 +92,7 @@
 
     /// The latest time at which a replica may be ready that is given work now.
     pub(crate) fn horizon(&self) -> Time {
-        self.now + self.settings.lead
+        self.now + self.settings.prefill_lead
     }
 }
 
--- a/crates/route/src/policy/predicted.rs
+++ b/crates/route/src/policy/predicted.rs
@@ -166,7 +166,7 @@
 /// If that leaves none because links were bad, one transfer at a time may try them again.
 pub(crate) fn keep_lasting(view: &View<'_>, ask: &Ask<'_>, pairs: &mut Vec<Pair>) {
     let part = KEEP_PART - THRIFT_PART * ask.thrift;
-    let longest = view.settings.keep.mul_f64(part);
+    let longest = view.settings.prefill_retention.mul_f64(part);
     let lasts = |pair: &Pair| {
         let done = view.ready(pair.prefill) + pair.span;
         pair.first.since(done) <= longest
@@ -189,7 +189,7 @@
         return false;
     }
     let wanted = (1 - net) as u32;
-    let rate = view.settings.slowest_prefill;
+    let rate = view.settings.min_prefill_rate;
     let longest = Duration::from_secs_f64(f64::from(ask.ticket.prompt_tokens()) / rate);
     let arrival = view.horizon() + longest;
     match secured {
@@ -251,7 +251,7 @@
     }
     let span = arrival.since(view.now);
     let transfer = pair.first.since(arrival);
-    let patience = (view.settings.keep.mul_f64(KEEP_PART)).saturating_sub(transfer);
+    let patience = (view.settings.prefill_retention.mul_f64(KEEP_PART)).saturating_sub(transfer);
     let in_time = view.turnover.likely(span, 0.5);
     in_time.min(view.turnover.likely(span + patience, risk))
 }
--- a/crates/route/src/cell.rs
+++ b/crates/route/src/scheduler.rs
@@ -42,7 +42,7 @@
 
 /// A group of replicas with one queue; only its keeper drives it.
 #[derive(Debug)]
-pub struct Cell {
+pub struct Scheduler {
     settings: Settings,
     policy: Policy,
     random: Pcg64Mcg,
@@ -62,7 +62,7 @@
     turn: u64,
 }
 
-impl Cell {
+impl Scheduler {
     /// An empty cell with the project's own policy.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self::with_policy(settings, seed, crate::policy::deadline::policy())
@@ -76,7 +76,7 @@
             random: Pcg64Mcg::seed_from_u64(seed),
             pool: Pool::default(),
             cache: Cache::default(),
-            links: Links::new(settings.transfer_token.as_secs_f64()),
+            links: Links::new(settings.transfer_per_token.as_secs_f64()),
             turnover: Turnover::new(),
             fit: Fit::default(),
             lanes: BTreeMap::new(),
@@ -122,7 +122,7 @@
             .filter(|replica| !listed.contains(replica))
             .collect();
         for replica in missing {
-            self.lost(now, replica);
+            self.mark_lost(now, replica);
             self.close(replica);
         }
         for member in members {
@@ -131,13 +131,13 @@
     }
 
     /// Takes in a load report.
-    pub fn report(&mut self, now: Time, replica: Replica, report: &Report) {
+    pub fn apply_report(&mut self, now: Time, replica: Replica, report: &Report) {
         let Some(key) = self.pool.key(replica) else {
             return;
         };
         let boot = self.pool.get(key).boot;
         if boot != 0 && boot != report.boot {
-            self.lost(now, replica);
+            self.mark_lost(now, replica);
         }
         self.pool.update(key, |server| server.boot = report.boot);
         self.pool.update(key, |server| server.report(report));
@@ -157,21 +157,21 @@
     }
 
     /// Slots that requests of this cell claim on `replica`.
-    pub fn claimed(&self, replica: Replica) -> u32 {
+    pub fn claimed_slots(&self, replica: Replica) -> u32 {
         self.pool
             .key(replica)
             .map_or(0, |key| self.pool.get(key).claims)
     }
 
     /// Requests of `row` in prefill and holding a decode slot.
-    pub fn used(&self, row: Row) -> (u32, u32) {
+    pub fn row_usage(&self, row: Row) -> (u32, u32) {
         self.lanes
             .get(&row)
             .map_or((0, 0), |lane| (lane.prefills, lane.decodes))
     }
 
     /// Handles that `owner` submitted and that have not ended.
-    pub fn owned(&self, owner: ident::Incarnation) -> Vec<Handle> {
+    pub fn handles_of(&self, owner: ident::Incarnation) -> Vec<Handle> {
         let mut handles: Vec<Handle> = self
             .flows
             .keys()
--- a/crates/route/src/cell/admit.rs
+++ b/crates/route/src/scheduler/admit.rs
@@ -6,18 +6,18 @@
 use ident::Row;
 use ident::Time;
 
-use crate::cell::Cell;
 use crate::flow::Flow;
 use crate::flow::State;
 use crate::policy::Secured;
+use crate::scheduler::Scheduler;
 use crate::ticket::Ticket;
 use crate::ticket::Work;
 use crate::verdict::Choice;
+use crate::verdict::DecisionDetails;
 use crate::verdict::Reason;
 use crate::verdict::Verdict;
-use crate::verdict::Why;
 
-impl Cell {
+impl Scheduler {
     /// Queues a request; a repeat of a known handle gets its former verdict again.
     pub fn submit(&mut self, now: Time, ticket: Ticket) {
         let handle = ticket.handle;
@@ -130,10 +130,10 @@
         waited: Duration,
     ) {
         let retry_after = self.retry_after(now, row);
-        let why = Why {
+        let why = DecisionDetails {
             waited,
             queued: self.waiting as u32,
-            ..Why::default()
+            ..DecisionDetails::default()
         };
         let verdict = Verdict {
             handle,
--- a/crates/route/src/cell/adopt.rs
+++ b/crates/route/src/scheduler/adopt.rs
@@ -5,15 +5,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::cell::Cell;
 use crate::flow::Flow;
 use crate::flow::State;
 use crate::phase::Phase;
 use crate::replica::Role;
+use crate::scheduler::Scheduler;
 use crate::ticket::Ticket;
 use crate::verdict::Choice;
+use crate::verdict::DecisionDetails;
 use crate::verdict::Verdict;
-use crate::verdict::Why;
 
 /// A placed request as its owner knows it, told to a new keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,25 +28,25 @@
     pub phase: Option<Phase>,
 }
 
-impl Cell {
+impl Scheduler {
     /// Starts the work of a new keeper: nothing is granted until the grace period ends, so that all
     /// owners can report their holds before free slots are counted.
-    pub fn takeover(&mut self, now: Time) {
+    pub fn begin_takeover(&mut self, now: Time) {
         self.grace_end = now + self.settings.grace;
     }
 
     /// Ends the grace period early: every live owner has reported its holds.
-    pub fn settled(&mut self, now: Time) {
+    pub fn end_grace(&mut self, now: Time) {
         self.grace_end = self.grace_end.min(now);
     }
 
     /// Takes over a placed request from its owner after the keeper moved.
     ///
-    /// The first one starts the grace period of [`Cell::takeover`] if that was not called.
+    /// The first one starts the grace period of [`Scheduler::begin_takeover`] if that was not called.
     pub fn adopt(&mut self, now: Time, hold: &Hold) {
         let handle = hold.ticket.handle;
         if self.grace_end == Time::ZERO {
-            self.takeover(now);
+            self.begin_takeover(now);
         }
         if self.flows.contains_key(&handle) || self.memo.contains(handle) {
             return;
@@ -84,7 +84,7 @@
         let verdict = Verdict {
             handle: hold.ticket.handle,
             choice,
-            why: Why::default(),
+            why: DecisionDetails::default(),
         };
         Flow {
             verdict: Some(verdict),
--- a/crates/route/src/cell/claim.rs
+++ b/crates/route/src/scheduler/claim.rs
@@ -5,15 +5,15 @@
 use ident::Handle;
 use ident::Time;
 
-use crate::cell::Cell;
 use crate::flow::Flow;
 use crate::flow::State;
 use crate::link::Path;
 use crate::policy::Secured;
+use crate::scheduler::Scheduler;
 use crate::server::Key;
 use crate::ticket::Work;
 
-impl Cell {
+impl Scheduler {
     /// Notes that `handle` was given to `prefill` and claims a slot on `decode`.
     pub(super) fn claim_pair(
         &mut self,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Undoes what [`Cell::enter`] did; `completed` if the state ended as it should.
+    /// Undoes what [`Scheduler::enter`] did; `completed` if the state ended as it should.
     pub(super) fn leave(&mut self, now: Time, handle: Handle, completed: bool) {
         let Some(flow) = self.flows.get(&handle) else {
             return;
--- a/crates/route/src/cell/expire.rs
+++ b/crates/route/src/scheduler/expire.rs
@@ -3,8 +3,8 @@
 use ident::Handle;
 use ident::Time;
 
-use crate::cell::Cell;
 use crate::row::Lane;
+use crate::scheduler::Scheduler;
 use crate::verdict::Reason;
 
 /// Grants in the window without which the drain rate is unknown.
@@ -12,7 +12,7 @@
 /// The least drain rate that is reckoned with, in requests a second.
 const LEAST_RATE: f64 = 1e-6;
 
-impl Cell {
+impl Scheduler {
     /// Moves requests that miss their target to the late tier, and refuses doomed ones.
     pub(super) fn expire(&mut self, now: Time) {
         let mut missing = Vec::new();
--- a/crates/route/src/cell/grant.rs
+++ b/crates/route/src/scheduler/grant.rs
@@ -7,18 +7,18 @@
 use ident::Row;
 use ident::Time;
 
-use crate::cell::Cell;
 use crate::flow::Flow;
 use crate::flow::State;
 use crate::policy::Ask;
 use crate::policy::Pair;
 use crate::policy::Secured;
 use crate::policy::Wait;
+use crate::scheduler::Scheduler;
 use crate::server::Key;
 use crate::ticket::Work;
 use crate::verdict::Choice;
+use crate::verdict::DecisionDetails;
 use crate::verdict::Verdict;
-use crate::verdict::Why;
 
 /// The soonest and the latest time at which the cell looks again while requests wait.
 const MIN_POLL: Duration = Duration::from_millis(1);
@@ -37,7 +37,7 @@
     kept: Option<Key>,
 }
 
-impl Cell {
+impl Scheduler {
     /// Decides all that can be decided at `now`; answers when it wants to be called next.
     pub fn step(&mut self, now: Time, out: &mut Vec<Verdict>) -> Time {
         self.expire(now);
@@ -58,7 +58,7 @@
             .prefills()
             .next()
             .map_or(Time::NEVER, |(ready, _)| ready);
-        let ready = ready - self.settings.lead;
+        let ready = ready - self.settings.prefill_lead;
         ready.clamp(now + MIN_POLL, now + MAX_POLL)
     }
 
@@ -95,10 +95,10 @@
             prefill: self.pool.get(prefill).member.replica,
             decode: self.pool.get(decode).member.replica,
         };
-        self.answer(handle, choice, Why::default());
+        self.answer(handle, choice, DecisionDetails::default());
     }
 
-    fn answer(&mut self, handle: Handle, choice: Choice, why: Why) {
+    fn answer(&mut self, handle: Handle, choice: Choice, why: DecisionDetails) {
         let verdict = Verdict {
             handle,
             choice,
@@ -164,7 +164,7 @@
         if self.policy.secured == Secured::Nothing {
             return false;
         }
-        let horizon = now + self.settings.lead;
+        let horizon = now + self.settings.prefill_lead;
         let prefill = self
             .pool
             .prefills()
@@ -198,7 +198,7 @@
         let slots = f64::from(self.pool.open_slots().max(1));
         let decode = self.turnover.stay().as_secs_f64() / slots;
         self.charge(now, row, prefill.max(decode));
-        let why = Why {
+        let why = DecisionDetails {
             candidates: pair.candidates,
             waited,
             ttft,
@@ -224,10 +224,10 @@
             row,
             1.0 / f64::from(self.pool.get(key).member.slots.max(1)),
         );
-        let why = Why {
+        let why = DecisionDetails {
             waited,
             queued: self.waiting as u32,
-            ..Why::default()
+            ..DecisionDetails::default()
         };
         let choice = Choice::Single {
             replica: self.pool.get(key).member.replica,
--- a/crates/route/src/cell/progress.rs
+++ b/crates/route/src/scheduler/progress.rs
@@ -4,13 +4,13 @@
 use ident::Replica;
 use ident::Time;
 
-use crate::cell::Cell;
 use crate::flow::State;
 use crate::phase::Phase;
+use crate::scheduler::Scheduler;
 use crate::server::Key;
 use crate::server::Server;
 
-impl Cell {
+impl Scheduler {
     /// Takes in what an owner reports about a request.
     pub fn advance(&mut self, now: Time, handle: Handle, phase: Phase) {
         let Some(flow) = self.flows.get(&handle) else {
@@ -97,7 +97,7 @@
     ///
     /// It gets no new work until its next report. Its requests stay known until their owners
     /// report how they go on.
-    pub fn lost(&mut self, now: Time, replica: Replica) {
+    pub fn mark_lost(&mut self, now: Time, replica: Replica) {
         let Some(key) = self.pool.key(replica) else {
             return;
         };
--- a/crates/route/src/cell/rank.rs
+++ b/crates/route/src/scheduler/rank.rs
@@ -6,10 +6,10 @@
 use ident::Handle;
 use ident::Time;
 
-use crate::cell::Cell;
 use crate::policy::Fair;
 use crate::policy::Secured;
 use crate::row::Lane;
+use crate::scheduler::Scheduler;
 
 /// How far a row may run ahead of its share, in seconds of the whole cell.
 const AHEAD: f64 = 3.0;
@@ -43,7 +43,7 @@
     }
 }
 
-impl Cell {
+impl Scheduler {
     /// The waiting request that is considered first: by priority, those on time before those that
     /// are late, then by the rows' shares, then by their own order.
     pub(super) fn first(&self) -> Option<Handle> {
@@ -53,7 +53,7 @@
         heads.max().map(|rank| rank.handle)
     }
 
-    /// The first `count` waiting requests in the order of [`Cell::first`].
+    /// The first `count` waiting requests in the order of [`Scheduler::first`].
     pub(super) fn ranked(&self, count: usize) -> Vec<Handle> {
         let level = self.level();
         let open = self.lanes.values().filter(|lane| lane.queue.len() > 0);
--- a/crates/route/src/settings.rs
+++ b/crates/route/src/settings.rs
@@ -7,17 +7,17 @@
 pub struct Settings {
     /// How long before a prefill replica falls idle it is given its next prefill: it covers the
     /// way of a verdict through the owner to the replica.
-    pub lead: Duration,
+    pub prefill_lead: Duration,
     /// Time after a change of keeper in which nothing is granted while owners report their holds.
     pub grace: Duration,
     /// Time for which an engine keeps a finished prefill.
-    pub keep: Duration,
+    pub prefill_retention: Duration,
     /// Prefill tokens a second, until learned.
     pub prefill_rate: f64,
     /// Prefill tokens a second that every replica exceeds.
-    pub slowest_prefill: f64,
+    pub min_prefill_rate: f64,
     /// Transfer time for one token, until learned.
-    pub transfer_token: Duration,
+    pub transfer_per_token: Duration,
     /// Retries that a row is granted in any ten seconds, so that a quiet row can retry at all.
     pub min_retries: f64,
     /// The least time to come back that a refusal names.
@@ -30,12 +30,12 @@
     /// The defaults.
     pub const fn new() -> Self {
         Self {
-            lead: Duration::from_millis(20),
+            prefill_lead: Duration::from_millis(20),
             grace: Duration::from_secs(2),
-            keep: Duration::from_millis(800),
+            prefill_retention: Duration::from_millis(800),
             prefill_rate: 10_000.0,
-            slowest_prefill: 2_000.0,
-            transfer_token: Duration::from_micros(10),
+            min_prefill_rate: 2_000.0,
+            transfer_per_token: Duration::from_micros(10),
             min_retries: 12.0,
             min_retry_after: Duration::from_millis(100),
             max_retry_after: Duration::from_secs(30),
--- a/crates/route/src/verdict.rs
+++ b/crates/route/src/verdict.rs
@@ -64,7 +64,7 @@
 
 /// The figures behind a verdict, for the decision log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Why {
+pub struct DecisionDetails {
     /// Replicas (or pairs) that were compared.
     pub candidates: u32,
     /// Time since the request arrived at its owner.
@@ -85,5 +85,5 @@
     /// What becomes of it.
     pub choice: Choice,
     /// The figures behind the choice.
-    pub why: Why,
+    pub why: DecisionDetails,
 }
--- a/crates/route/tests/admit.rs
+++ b/crates/route/tests/admit.rs
@@ -6,9 +6,9 @@
 
 use ident::Row;
 use ident::Time;
-use route::cell::Cell;
 use route::phase::Phase;
 use route::rule::Rule;
+use route::scheduler::Scheduler;
 use route::settings::Settings;
 use route::ticket::Ticket;
 use route::verdict::Choice;
@@ -34,8 +34,8 @@
     }
 }
 
-fn cell_with(rules: &[Rule], prefills: usize, slots: u32) -> Cell {
-    let mut cell = Cell::new(Settings::new(), 1);
+fn cell_with(rules: &[Rule], prefills: usize, slots: u32) -> Scheduler {
+    let mut cell = Scheduler::new(Settings::new(), 1);
     cell.set_rules(Time::ZERO, rules);
     cell.set_members(Time::ZERO, &members(prefills, 1, slots));
     cell
--- a/crates/route/tests/bounds.rs
+++ b/crates/route/tests/bounds.rs
@@ -19,11 +19,11 @@
 use proptest::prop_oneof;
 use proptest::proptest;
 use proptest::test_runner::TestCaseError;
-use route::cell::Cell;
 use route::phase::Phase;
 use route::replica::Member;
 use route::replica::Report;
 use route::rule::Rule;
+use route::scheduler::Scheduler;
 use route::settings::Settings;
 use route::verdict::Choice;
 use route::verdict::Verdict;
@@ -75,7 +75,7 @@
 
 /// A cell with what the test knows about it.
 struct Model {
-    cell: Cell,
+    cell: Scheduler,
     now: Time,
     members: Vec<Member>,
     rows: Vec<Row>,
@@ -98,7 +98,7 @@
                 ..rule(*row)
             })
             .collect();
-        let mut cell = Cell::new(Settings::new(), 1);
+        let mut cell = Scheduler::new(Settings::new(), 1);
         cell.set_rules(Time::ZERO, &rules);
         cell.set_members(Time::ZERO, &members);
         Self {
@@ -167,12 +167,12 @@
             }
             Op::Lost(at) => {
                 self.lost.insert(self.members[*at].replica);
-                self.cell.lost(self.now, self.members[*at].replica);
+                self.cell.mark_lost(self.now, self.members[*at].replica);
             }
             Op::Report(at) => {
                 self.lost.remove(&self.members[*at].replica);
                 self.cell
-                    .report(self.now, self.members[*at].replica, &report());
+                    .apply_report(self.now, self.members[*at].replica, &report());
             }
             Op::Pass(ms) => self.now = self.now + Duration::from_millis(*ms),
         }
@@ -220,7 +220,7 @@
             .iter()
             .filter(|m| self.is_open(m.replica));
         let (claims, slots) = open.fold((0, 0), |(claims, slots), member| {
-            let claimed = self.cell.claimed(member.replica);
+            let claimed = self.cell.claimed_slots(member.replica);
             (claims + claimed, slots + member.slots + OVER)
         });
         claims <= slots
@@ -240,7 +240,7 @@
 
     fn check_counts(&self) -> Result<(), TestCaseError> {
         for row in &self.rows {
-            let (prefills, decodes) = self.cell.used(*row);
+            let (prefills, decodes) = self.cell.row_usage(*row);
             prop_assert!(decodes <= CEILING);
             prop_assert!(prefills <= decodes);
         }
@@ -291,10 +291,10 @@
         prop_assert_eq!(model.cell.in_progress(), 0);
         prop_assert_eq!(model.cell.waiting(), 0);
         for member in &model.members {
-            prop_assert_eq!(model.cell.claimed(member.replica), 0);
+            prop_assert_eq!(model.cell.claimed_slots(member.replica), 0);
         }
         for row in &model.rows {
-            prop_assert_eq!(model.cell.used(*row), (0, 0));
+            prop_assert_eq!(model.cell.row_usage(*row), (0, 0));
         }
     }
 
--- a/crates/route/tests/common/mod.rs
+++ b/crates/route/tests/common/mod.rs
@@ -10,11 +10,11 @@
 use ident::Row;
 use ident::Time;
 use ident::Zone;
-use route::cell::Cell;
 use route::phase::Phase;
 use route::replica::Member;
 use route::replica::Role;
 use route::rule::Rule;
+use route::scheduler::Scheduler;
 use route::settings::Settings;
 use route::ticket::Ticket;
 use route::ticket::Work;
@@ -62,8 +62,8 @@
 }
 
 /// A cell with [`row`] and the given replicas.
-pub fn cell(members: &[Member]) -> Cell {
-    let mut cell = Cell::new(Settings::new(), 1);
+pub fn cell(members: &[Member]) -> Scheduler {
+    let mut cell = Scheduler::new(Settings::new(), 1);
     cell.set_rules(Time::ZERO, &[rule(row())]);
     cell.set_members(Time::ZERO, members);
     cell
@@ -101,7 +101,7 @@
 }
 
 /// Verdicts of one step.
-pub fn step(cell: &mut Cell, now: Time) -> Vec<Verdict> {
+pub fn step(cell: &mut Scheduler, now: Time) -> Vec<Verdict> {
     let mut out = Vec::new();
     cell.step(now, &mut out);
     out
@@ -116,7 +116,7 @@
 }
 
 /// Leads request `n` from prefill to decode.
-pub fn decode(cell: &mut Cell, now: Time, n: u64) {
+pub fn decode(cell: &mut Scheduler, now: Time, n: u64) {
     cell.advance(
         now,
         handle(n),
--- a/crates/route/tests/keeper.rs
+++ b/crates/route/tests/keeper.rs
@@ -6,11 +6,11 @@
 
 use ident::Replica;
 use ident::Time;
-use route::cell::Hold;
 use route::phase::Phase;
 use route::replica::Member;
 use route::replica::Report;
 use route::replica::Role;
+use route::scheduler::Hold;
 use route::settings::Settings;
 use route::verdict::Choice;
 use rstest::rstest;
@@ -43,7 +43,7 @@
 #[rstest]
 fn a_new_keeper_grants_nothing_until_the_grace_ends() {
     let mut cell = cell(&members(2, 1, 2));
-    cell.takeover(Time::ZERO);
+    cell.begin_takeover(Time::ZERO);
     cell.submit(Time::ZERO, ticket(1, row()));
     assert!(step(&mut cell, Time::from_millis(100)).is_empty());
     assert_eq!(step(&mut cell, after_grace()).len(), 1);
@@ -52,10 +52,10 @@
 #[rstest]
 fn the_grace_ends_early_once_all_owners_have_reported() {
     let mut cell = cell(&members(2, 1, 2));
-    cell.takeover(Time::ZERO);
+    cell.begin_takeover(Time::ZERO);
     cell.submit(Time::ZERO, ticket(1, row()));
     let now = Time::from_millis(50);
-    cell.settled(now);
+    cell.end_grace(now);
     assert_eq!(step(&mut cell, now).len(), 1);
 }
 
@@ -67,8 +67,8 @@
     let mut cell = cell(&members(2, 1, 2));
     cell.adopt(Time::ZERO, &hold(1, phase));
     cell.adopt(Time::ZERO, &hold(1, phase));
-    assert_eq!(cell.claimed(Replica::new("d0")), 1);
-    assert_eq!(cell.used(row()).1, 1);
+    assert_eq!(cell.claimed_slots(Replica::new("d0")), 1);
+    assert_eq!(cell.row_usage(row()).1, 1);
     cell.submit(Time::ZERO, ticket(2, row()));
     cell.submit(Time::ZERO, ticket(3, row()));
     assert!(step(&mut cell, Time::from_millis(100)).is_empty());
@@ -122,23 +122,23 @@
 #[rstest]
 fn a_lost_replica_gets_nothing_until_it_reports() {
     let mut cell = cell(&members(1, 1, 2));
-    cell.lost(Time::ZERO, Replica::new("d0"));
+    cell.mark_lost(Time::ZERO, Replica::new("d0"));
     cell.submit(Time::ZERO, ticket(1, row()));
     assert!(step(&mut cell, Time::ZERO).is_empty());
-    cell.report(Time::ZERO, Replica::new("d0"), &report(1, 0));
+    cell.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 0));
     assert_eq!(step(&mut cell, Time::ZERO).len(), 1);
 }
 
 #[rstest]
 fn a_reboot_frees_the_slots() {
     let mut cell = cell(&members(1, 1, 1));
-    cell.report(Time::ZERO, Replica::new("d0"), &report(1, 0));
+    cell.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 0));
     cell.submit(Time::ZERO, ticket(1, row()));
     step(&mut cell, Time::ZERO);
     decode(&mut cell, Time::ZERO, 1);
-    assert_eq!(cell.claimed(Replica::new("d0")), 1);
-    cell.report(Time::ZERO, Replica::new("d0"), &report(2, 0));
-    assert_eq!(cell.claimed(Replica::new("d0")), 0);
+    assert_eq!(cell.claimed_slots(Replica::new("d0")), 1);
+    cell.apply_report(Time::ZERO, Replica::new("d0"), &report(2, 0));
+    assert_eq!(cell.claimed_slots(Replica::new("d0")), 0);
     assert_eq!(cell.in_progress(), 1);
     cell.advance(Time::ZERO, handle(1), Phase::Gone);
     assert_eq!(cell.in_progress(), 0);
@@ -147,10 +147,10 @@
 #[rstest]
 fn work_of_others_takes_slots() {
     let mut cell = cell(&members(1, 1, 2));
-    cell.report(Time::ZERO, Replica::new("d0"), &report(1, 2));
+    cell.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 2));
     cell.submit(Time::ZERO, ticket(1, row()));
     assert!(step(&mut cell, Time::ZERO).is_empty());
-    cell.report(Time::ZERO, Replica::new("d0"), &report(1, 1));
+    cell.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 1));
     assert_eq!(step(&mut cell, Time::ZERO).len(), 1);
 }
 
--- a/crates/route/tests/place.rs
+++ b/crates/route/tests/place.rs
@@ -40,7 +40,7 @@
         cell.submit(Time::ZERO, ticket(n, row()));
     }
     assert_eq!(step(&mut cell, Time::ZERO).len(), 2);
-    assert_eq!(cell.claimed(Replica::new("d0")), 2);
+    assert_eq!(cell.claimed_slots(Replica::new("d0")), 2);
     assert_eq!(cell.waiting(), 3);
 }
 
@@ -66,7 +66,7 @@
     let first = step(&mut cell, Time::ZERO);
     cell.submit(Time::ZERO, ticket(1, row()));
     assert_eq!(step(&mut cell, Time::ZERO), first);
-    assert_eq!(cell.claimed(Replica::new("d0")), 1);
+    assert_eq!(cell.claimed_slots(Replica::new("d0")), 1);
     cell.advance(Time::ZERO, handle(1), Phase::Gone);
     cell.submit(Time::ZERO, ticket(1, row()));
     assert_eq!(step(&mut cell, Time::ZERO), first);
@@ -103,7 +103,7 @@
             cached: 0,
         },
     );
-    cell.lost(Time::ZERO, first.1);
+    cell.mark_lost(Time::ZERO, first.1);
     let left: Vec<Member> = members(1, 2, 1)
         .into_iter()
         .filter(|member| member.replica != first.1)
--- a/crates/route/tests/targets.rs
+++ b/crates/route/tests/targets.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use ident::Time;
-use route::cell::Cell;
 use route::phase::Phase;
 use route::rule::Rule;
+use route::scheduler::Scheduler;
 use route::settings::Settings;
 
 use common::decode;
@@ -24,8 +24,8 @@
 
 /// A cell whose engines take 100 ms for a token in any batch, as it has learned, and the number of
 /// requests that taught it; the target is `tbt`.
-fn taught(tbt: Duration) -> (Cell, Time, u64) {
-    let mut cell = Cell::new(Settings::new(), 1);
+fn taught(tbt: Duration) -> (Scheduler, Time, u64) {
+    let mut cell = Scheduler::new(Settings::new(), 1);
     cell.set_rules(Time::ZERO, &[Rule { tbt, ..rule(row()) }]);
     cell.set_members(Time::ZERO, &members(PREFILLS, 1, SLOTS));
     let mut now = Time::ZERO + Duration::from_secs(10);
--- a/crates/route/tests/transfer.rs
+++ b/crates/route/tests/transfer.rs
@@ -7,12 +7,12 @@
 use ident::Replica;
 use ident::Time;
 use ident::Zone;
-use route::cell::Cell;
 use route::phase::Phase;
 use route::replica::CacheEvent;
 use route::replica::Member;
 use route::replica::Report;
 use route::replica::Role;
+use route::scheduler::Scheduler;
 use route::ticket::Ticket;
 use route::ticket::Work;
 use rstest::rstest;
@@ -35,7 +35,7 @@
 }
 
 /// Request 1 goes to `d0` in zone `b`, and its transfer never ends.
-fn stall(cell: &mut Cell) {
+fn stall(cell: &mut Scheduler) {
     cell.submit(Time::ZERO, ticket(1, row()));
     step(cell, Time::ZERO);
     cell.advance(
@@ -49,7 +49,7 @@
 }
 
 /// The first time at which request 2, submitted at `now`, is granted.
-fn granted_at(cell: &mut Cell, now: Time) -> Option<(Time, Replica)> {
+fn granted_at(cell: &mut Scheduler, now: Time) -> Option<(Time, Replica)> {
     let late = now + Duration::from_secs(9);
     cell.submit(now, ticket(2, row()));
     let mut at = now;
@@ -139,9 +139,9 @@
         stored,
     };
     let stored = (0..32).map(|i| event(100 + i, true)).collect();
-    cell.report(Time::ZERO, Replica::new("p2"), &report(stored));
+    cell.apply_report(Time::ZERO, Replica::new("p2"), &report(stored));
     let evicted = (0..32).map(|i| event(200 + i, false)).collect();
-    cell.report(Time::ZERO, Replica::new("p2"), &report(evicted));
+    cell.apply_report(Time::ZERO, Replica::new("p2"), &report(evicted));
     cell.submit(Time::ZERO, long(1));
     let verdicts = step(&mut cell, Time::ZERO);
     assert_eq!(verdicts[0].why.cached_blocks, 0);
@@ -159,7 +159,7 @@
         block: i,
         stored: true,
     };
-    cell.report(
+    cell.apply_report(
         Time::ZERO,
         Replica::new("p2"),
         &report((0..32).map(event).collect()),
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// Any `Error` but `Encode`; the connection cannot be read on after one.
-    pub fn frame(&mut self) -> Result<Option<Frame>, Error> {
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, Error> {
         let Some(head) = self.pending.first_chunk::<LENGTH_LEN>() else {
             return Ok(None);
         };
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -7,8 +7,8 @@
 use ident::Instance;
 use ident::Key;
 use ident::Replica;
-use route::cell::Hold;
 use route::phase::Phase;
+use route::scheduler::Hold;
 use route::ticket::Ticket;
 use route::verdict::Verdict;
 use serde::Deserialize;
@@ -40,7 +40,7 @@
 /// What a daemon knows of the table. Daemons ask a few peers several times a second, and count an
 /// answer from the time of the question, so that a delayed frame proves nothing.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct News {
+pub struct TableStatus {
     /// Generation in force at the sender.
     pub generation: u64,
     /// Milliseconds since the store was read, by the sender or by whoever told it; `None` if it
@@ -57,7 +57,7 @@
 
 /// What a runner tells another instance about a key.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Told {
+pub enum KeyStatus {
     /// The runner never saw the key, and no byte of the request reached a back end.
     NotSeen,
     /// The key names an earlier run of the asked instance, which cannot know what became of it.
@@ -90,7 +90,7 @@
     /// Membership.
     Gossip(Message),
     /// Table generation and freshness.
-    News(News),
+    News(TableStatus),
     /// Asks for the whole table.
     Pull,
     /// The whole table.
@@ -136,7 +136,7 @@
         /// Nonce of the question.
         nonce: u64,
         /// The answer.
-        told: Told,
+        told: KeyStatus,
     },
     /// The keeper found these attempts on a replica: are they still wanted?
     Claimed {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -13,8 +13,8 @@
 pub use error::Error;
 pub use frame::Body;
 pub use frame::Frame;
-pub use frame::News;
-pub use frame::Told;
+pub use frame::KeyStatus;
+pub use frame::TableStatus;
 
 /// Version of the frame layout; raised with every incompatible change.
 pub const VERSION: u16 = 1;
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -23,7 +23,7 @@
     decoder.extend(bytes);
     let mut frames = Vec::new();
     loop {
-        match decoder.frame() {
+        match decoder.next_frame() {
             Ok(Some(frame)) => frames.push(frame),
             Ok(None) => return (frames, None),
             Err(error) => return (frames, Some(error)),
@@ -103,7 +103,7 @@
         let mut frames = Vec::new();
         for piece in bytes.chunks(size) {
             decoder.extend(piece);
-            while let Some(frame) = decoder.frame().expect("whole frames") {
+            while let Some(frame) = decoder.next_frame().expect("whole frames") {
                 frames.push(frame);
             }
         }
--- a/crates/wire/tests/sample/mod.rs
+++ b/crates/wire/tests/sample/mod.rs
@@ -12,19 +12,19 @@
 use ident::Replica;
 use ident::Row;
 use ident::Zone;
-use route::cell::Hold;
 use route::phase::Phase;
+use route::scheduler::Hold;
 use route::ticket::Ticket;
 use route::ticket::Work;
 use route::verdict::Choice;
+use route::verdict::DecisionDetails;
 use route::verdict::Reason;
 use route::verdict::Verdict;
-use route::verdict::Why;
 use table::Table;
 use wire::Body;
 use wire::Frame;
-use wire::News;
-use wire::Told;
+use wire::KeyStatus;
+use wire::TableStatus;
 
 const INCARNATION: Incarnation = Incarnation(u64::MAX);
 
@@ -36,7 +36,7 @@
 
 /// A frame with `length` bytes inside.
 pub fn large(length: usize) -> Frame {
-    frame(told(Told::Answered {
+    frame(told(KeyStatus::Answered {
         status: 200,
         body: Some(Bytes::from(vec![b'x'; length])),
     }))
@@ -84,7 +84,7 @@
 
 fn table() -> Vec<Body> {
     let row = table::row::Row::new("ration", "default", "ration");
-    let news = News {
+    let news = TableStatus {
         generation: 7,
         store_age_ms: Some(300),
         settled: true,
@@ -93,7 +93,7 @@
     };
     vec![
         Body::News(news),
-        Body::News(News {
+        Body::News(TableStatus {
             store_age_ms: None,
             answer: false,
             ..news
@@ -165,7 +165,7 @@
     Body::Verdict(Verdict {
         handle: handle(),
         choice,
-        why: Why::default(),
+        why: DecisionDetails::default(),
     })
 }
 
@@ -173,22 +173,22 @@
     let replica = Replica::new("ration-decode");
     let key = Key::new("farm-17", "91c5b8f0aa31e2d4.6930b2f1.lorry-12");
     let tolds = [
-        Told::NotSeen,
-        Told::InProgress,
-        Told::Streaming {
+        KeyStatus::NotSeen,
+        KeyStatus::InProgress,
+        KeyStatus::Streaming {
             token: "sealed".to_owned(),
         },
-        Told::Answered {
+        KeyStatus::Answered {
             status: 200,
             body: None,
         },
-        Told::Answered {
+        KeyStatus::Answered {
             status: 503,
             body: Some(Bytes::from_static(b"lorry 12")),
         },
-        Told::Unknown,
-        Told::Failed,
-        Told::Expired,
+        KeyStatus::Unknown,
+        KeyStatus::Failed,
+        KeyStatus::Expired,
     ];
     let handles = vec![handle(); 3];
     let mut bodies = vec![
@@ -203,6 +203,6 @@
     bodies
 }
 
-const fn told(told: Told) -> Body {
+const fn told(told: KeyStatus) -> Body {
     Body::Told { nonce: 5, told }
 }
