--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -12,7 +12,7 @@
 
 /// Tokens that a run of another daemon is taken for that did not tell of it: a prompt of usual length
 /// and half of its answer.
-const USUAL_TOKENS: f64 = 5_000.0;
+const TYPICAL_RUN_TOKENS: f64 = 5_000.0;
 
 /// What a run asks of the memory of a replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -28,18 +28,18 @@
 impl MemoryDemand {
     /// Whether `server`, which holds `memory` tokens, has room.
     pub fn fits(&self, now: Time, server: &Server, memory: u64) -> bool {
-        self.used(now, server, memory) <= 1.0 - self.spare
+        self.peak_utilization(now, server, memory) <= 1.0 - self.spare
     }
 
     /// Most of the memory of `server` that is in use over the next seconds with this run there, as a
     /// part of `memory` tokens.
-    pub fn used(&self, now: Time, server: &Server, memory: u64) -> f64 {
+    pub fn peak_utilization(&self, now: Time, server: &Server, memory: u64) -> f64 {
         let known = server.forecast.plus(&self.curve).peak(self.spreads);
-        (known + unknown(now, server)) / memory as f64
+        (known + unreported_tokens(now, server)) / memory as f64
     }
 }
 
 /// Tokens of runs of which the replica told, and no daemon.
-pub(crate) fn unknown(now: Time, server: &Server) -> f64 {
-    (server.foreign(now) - f64::from(server.told_runs)).max(0.0) * USUAL_TOKENS
+pub(crate) fn unreported_tokens(now: Time, server: &Server) -> f64 {
+    (server.peer_requests(now) - f64::from(server.peer_runs)).max(0.0) * TYPICAL_RUN_TOKENS
 }
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -42,7 +42,7 @@
 
     /// Counts a request of a caller.
     pub fn record_request(&mut self, now: Time, rule: &RetryPolicy) {
-        forget(&mut self.requests, now, rule.window);
+        remove_expired(&mut self.requests, now, rule.window);
         self.requests.push_back(now);
     }
 
@@ -57,8 +57,8 @@
 
     /// Retries that are left at `now`, a time since the start of the process.
     pub fn remaining(&mut self, now: Time, rule: &RetryPolicy, daemons: usize) -> f64 {
-        forget(&mut self.requests, now, rule.window);
-        forget(&mut self.retries, now, rule.window);
+        remove_expired(&mut self.requests, now, rule.window);
+        remove_expired(&mut self.retries, now, rule.window);
         let earned = self.requests.len() as f64 * rule.ratio * RATIO_PART;
         let part = match now.since(Time::ZERO) {
             age if age < rule.window => STARTING_SLACK_PART,
@@ -69,7 +69,7 @@
     }
 }
 
-fn forget(times: &mut VecDeque<Time>, now: Time, window: Duration) {
+fn remove_expired(times: &mut VecDeque<Time>, now: Time, window: Duration) {
     while times.front().is_some_and(|time| now.since(*time) > window) {
         times.pop_front();
     }
--- a/crates/relay/src/claim_publisher.rs
+++ b/crates/relay/src/claim_publisher.rs
@@ -18,29 +18,29 @@
 
 /// Time between two messages with all claims: what was told is expected to go on, and a message that
 /// was lost is made good by the next one.
-const ALL_PERIOD: Duration = Duration::from_millis(400);
+const FULL_INTERVAL: Duration = Duration::from_millis(400);
 /// Time between two messages at least, where something changed: in a burst, daemons that do not know
 /// of each other's newest runs place them on top of each other.
-const PAUSE: Duration = Duration::from_millis(5);
+const MIN_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Runs at one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Count {
+struct RunCount {
     key: Key,
     runs: u16,
     /// Those of them whose prompts the replica reads itself.
     reads: u16,
     /// Those that make tokens: the newest of them is the one that leaves when the memory ends.
-    making: u16,
+    generating: u16,
 }
 
 /// What was told, and when.
 #[derive(Debug, Default)]
 pub struct ClaimPublisher {
     last: Time,
-    last_all: Time,
+    last_full: Time,
     /// By the hash of the replica.
-    told: BTreeMap<u64, Count>,
+    told: BTreeMap<u64, RunCount>,
     /// Tokens that are being read, by the hash of the replica.
     read: BTreeMap<u64, u32>,
     /// Replicas that do not answer, by their hashes.
@@ -55,8 +55,8 @@
 
     /// What is to be told at `now`, if anything.
     pub fn due(&mut self, now: Time, runs: &Runs, pool: &Pool) -> Option<ClaimUpdate> {
-        let all = now.since(self.last_all) >= ALL_PERIOD;
-        if !all && now.since(self.last) < PAUSE {
+        let all = now.since(self.last_full) >= FULL_INTERVAL;
+        if !all && now.since(self.last) < MIN_INTERVAL {
             return None;
         }
         let counts = count(runs, pool);
@@ -64,7 +64,7 @@
             .prefill_backlogs()
             .map(|r| (r.replica, r.tokens))
             .collect();
-        let claim = |(replica, count): (&u64, &Count)| runs.claim(now, count.key, *replica);
+        let claim = |(replica, count): (&u64, &RunCount)| runs.claim(now, count.key, *replica);
         let reading = |(replica, tokens): (&u64, &u32)| PrefillBacklog {
             replica: *replica,
             tokens: *tokens,
@@ -99,7 +99,7 @@
         self.silent = silent;
         self.last = now;
         if all {
-            self.last_all = now;
+            self.last_full = now;
         }
         self.told = counts;
         self.read = read;
@@ -107,22 +107,22 @@
     }
 }
 
-fn count(runs: &Runs, pool: &Pool) -> BTreeMap<u64, Count> {
+fn count(runs: &Runs, pool: &Pool) -> BTreeMap<u64, RunCount> {
     let mut counts = BTreeMap::new();
     for (_, run) in runs.iter() {
         let key = run.server;
         let Some(server) = pool.get(key) else {
             continue;
         };
-        let count = counts.entry(server.hash).or_insert(Count {
+        let count = counts.entry(server.hash).or_insert(RunCount {
             key,
             runs: 0,
             reads: 0,
-            making: 0,
+            generating: 0,
         });
         count.runs += 1;
         count.reads += u16::from(run.is_prefilling());
-        count.making += u16::from(run.started().is_some());
+        count.generating += u16::from(run.started().is_some());
     }
     counts
 }
--- a/crates/relay/src/claims.rs
+++ b/crates/relay/src/claims.rs
@@ -19,13 +19,13 @@
 use crate::replica::Birth;
 
 /// Tokens that the figures of a claim are rounded to; engines give memory in such blocks.
-const UNIT: f32 = 16.0;
+const BLOCK_TOKENS: f32 = 16.0;
 /// Odd number that spreads the milliseconds of a birth over all bits of a hash (2^64 divided by the
 /// golden ratio).
 const BIRTH_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 /// How long a claim counts: some three times as long as daemons are silent at most, since datagrams
 /// are lost at times. The runs of a daemon that died are over by then.
-const LIFE: Duration = Duration::from_millis(1_200);
+const CLAIM_TTL: Duration = Duration::from_millis(1_200);
 
 /// What the runs of one daemon at one replica will hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
     /// `runs` runs at the replica with the hash `replica`, `reads` of which it reads itself, that will hold
     /// `curve`.
     pub fn new(replica: u64, runs: u16, reads: u16, newest_ms: u16, curve: &Curve) -> Self {
-        let units = |tokens: f32| (tokens / UNIT).round() as u16;
+        let units = |tokens: f32| (tokens / BLOCK_TOKENS).round() as u16;
         Self {
             replica,
             runs,
@@ -68,7 +68,7 @@
     }
 
     fn curve(&self) -> Curve {
-        let tokens = |units: u16| f32::from(units) * UNIT;
+        let tokens = |units: u16| f32::from(units) * BLOCK_TOKENS;
         Curve::with_spread(
             self.mean.map(tokens),
             self.spread.map(tokens),
@@ -146,15 +146,15 @@
 #[derive(Debug, Default)]
 pub struct Claims {
     /// In a fixed order, so that sums of the same claims are the same to the last bit.
-    told: BTreeMap<Instance, BTreeMap<u64, Fresh<Claim>>>,
-    readings: BTreeMap<Instance, BTreeMap<u64, Fresh<PrefillBacklog>>>,
+    claims: BTreeMap<Instance, BTreeMap<u64, Received<Claim>>>,
+    backlogs: BTreeMap<Instance, BTreeMap<u64, Received<PrefillBacklog>>>,
 }
 
 /// Something and when it was told.
 #[derive(Debug)]
-struct Fresh<T> {
+struct Received<T> {
     at: Time,
-    what: T,
+    value: T,
 }
 
 impl Claims {
@@ -165,8 +165,8 @@
 
     /// Takes what `peer` tells.
     pub fn apply(&mut self, now: Time, peer: Instance, told: ClaimUpdate) {
-        let claims = self.told.entry(peer).or_default();
-        let readings = self.readings.entry(peer).or_default();
+        let claims = self.claims.entry(peer).or_default();
+        let readings = self.backlogs.entry(peer).or_default();
         if told.all {
             claims.clear();
             readings.clear();
@@ -174,46 +174,49 @@
         for claim in told.claims {
             match claim.runs {
                 0 => claims.remove(&claim.replica),
-                _ => claims.insert(claim.replica, Fresh::new(now, claim)),
+                _ => claims.insert(claim.replica, Received::new(now, claim)),
             };
         }
         for reading in told.readings {
             match reading.tokens {
                 0 => readings.remove(&reading.replica),
-                _ => readings.insert(reading.replica, Fresh::new(now, reading)),
+                _ => readings.insert(reading.replica, Received::new(now, reading)),
             };
         }
     }
 
     /// Forgets what is too old.
     pub fn remove_expired(&mut self, now: Time) {
-        sweep(&mut self.told, now);
-        sweep(&mut self.readings, now);
+        remove_all_expired(&mut self.claims, now);
+        remove_all_expired(&mut self.backlogs, now);
     }
 
     /// Tokens that replicas are to read for other daemons, by the replicas' hashes; `None` if no other
     /// daemon is heard of.
     pub fn pending_prefills(&self, now: Time) -> Option<HashMap<u64, u64>> {
-        let readings = self.readings.values().flat_map(BTreeMap::values);
+        let readings = self.backlogs.values().flat_map(BTreeMap::values);
         let mut all: HashMap<u64, u64> = HashMap::new();
-        for fresh in readings.filter(|fresh| fresh.counts(now)) {
-            *all.entry(fresh.what.replica).or_default() += u64::from(fresh.what.tokens);
+        for fresh in readings.filter(|fresh| fresh.is_current(now)) {
+            *all.entry(fresh.value.replica).or_default() += u64::from(fresh.value.tokens);
         }
-        (!self.told.is_empty() || !all.is_empty()).then_some(all)
+        (!self.claims.is_empty() || !all.is_empty()).then_some(all)
     }
 
     /// Daemons whose claims count, that have runs.
     pub fn active_peers(&self) -> impl Iterator<Item = Instance> + '_ {
-        let active = self.told.iter().filter(|(_, claims)| !claims.is_empty());
+        let active = self.claims.iter().filter(|(_, claims)| !claims.is_empty());
         active.map(|(peer, _)| *peer)
     }
 
     /// What the others hold at the replica with the hash `replica`.
     pub fn peer_usage(&self, now: Time, replica: u64) -> PeerUsage {
         let mut others = PeerUsage::default();
-        let told = self.told.values().filter_map(|claims| claims.get(&replica));
-        for fresh in told.filter(|fresh| fresh.counts(now)) {
-            others.add(&fresh.what, now.since(fresh.at));
+        let told = self
+            .claims
+            .values()
+            .filter_map(|claims| claims.get(&replica));
+        for fresh in told.filter(|fresh| fresh.is_current(now)) {
+            others.add(&fresh.value, now.since(fresh.at));
         }
         others
     }
@@ -221,29 +224,29 @@
     /// The same for all replicas at once, by their hashes.
     pub fn all_peer_usage(&self, now: Time) -> HashMap<u64, PeerUsage> {
         let mut all: HashMap<u64, PeerUsage> = HashMap::new();
-        let told = self.told.values().flat_map(BTreeMap::values);
-        for fresh in told.filter(|fresh| fresh.counts(now)) {
-            let others = all.entry(fresh.what.replica).or_default();
-            others.add(&fresh.what, now.since(fresh.at));
+        let told = self.claims.values().flat_map(BTreeMap::values);
+        for fresh in told.filter(|fresh| fresh.is_current(now)) {
+            let others = all.entry(fresh.value.replica).or_default();
+            others.add(&fresh.value, now.since(fresh.at));
         }
         all
     }
 }
 
-fn sweep<T>(told: &mut BTreeMap<Instance, BTreeMap<u64, Fresh<T>>>, now: Time) {
+fn remove_all_expired<T>(told: &mut BTreeMap<Instance, BTreeMap<u64, Received<T>>>, now: Time) {
     for of_peer in told.values_mut() {
-        of_peer.retain(|_, fresh| fresh.counts(now));
+        of_peer.retain(|_, fresh| fresh.is_current(now));
     }
     told.retain(|_, of_peer| !of_peer.is_empty());
 }
 
-impl<T> Fresh<T> {
-    const fn new(at: Time, what: T) -> Self {
-        Self { at, what }
+impl<T> Received<T> {
+    const fn new(at: Time, value: T) -> Self {
+        Self { at, value }
     }
 
-    fn counts(&self, now: Time) -> bool {
-        now.since(self.at) < LIFE
+    fn is_current(&self, now: Time) -> bool {
+        now.since(self.at) < CLAIM_TTL
     }
 }
 
@@ -253,11 +256,11 @@
         self.curve = self.curve.plus(&curve);
         self.runs += u32::from(claim.runs);
         self.prefills += u32::from(claim.reads);
-        self.newest = youngest(self.newest, claim.newest_ms, age);
+        self.newest = newest_age(self.newest, claim.newest_ms, age);
     }
 }
 
-fn youngest(so_far: Option<Duration>, newest_ms: u16, age: Duration) -> Option<Duration> {
+fn newest_age(so_far: Option<Duration>, newest_ms: u16, age: Duration) -> Option<Duration> {
     if newest_ms == u16::MAX {
         return so_far;
     }
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -8,14 +8,14 @@
 const MAX_ADDRESSES: usize = 64;
 /// Instances of the caller's own data centre from which on no others are told. One alone would
 /// leave callers without another address when it fails.
-const ENOUGH: usize = 2;
+const MIN_LOCAL: usize = 2;
 
 /// Large instances of the caller's data centre from which on no large ones of others are told. All of
 /// two may fail together, and the small ones that were left out would have served meanwhile.
-const LARGE_ENOUGH: usize = 4;
+const MIN_LARGE: usize = 4;
 /// Part of the largest instance's capacity from which on an instance is large. The fewer instances
 /// take requests, the more each of them knows of the replicas' load from its own requests.
-const LARGE: f64 = 0.5;
+const LARGE_SHARE: f64 = 0.5;
 
 /// An instance that takes callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,11 +53,11 @@
         Scope::All => Vec::new(),
     };
     let told = match (large.len(), own.len()) {
-        (count, all) if count >= ENOUGH && count < all.min(LARGE_ENOUGH) => {
+        (count, all) if count >= MIN_LOCAL && count < all.min(MIN_LARGE) => {
             self::large(entries, &own)
         }
-        (count, _) if count >= ENOUGH => large,
-        (_, count) if count >= ENOUGH => own,
+        (count, _) if count >= MIN_LOCAL => large,
+        (_, count) if count >= MIN_LOCAL => own,
         _ => entries.to_vec(),
     };
     let told = told.iter().take(MAX_ADDRESSES);
@@ -67,7 +67,7 @@
 /// Those of `entries` that have at least [`LARGE`] of the capacity of the largest one in `own`.
 fn large(entries: &[Endpoint], own: &[Endpoint]) -> Vec<Endpoint> {
     let largest = own.iter().map(|entry| entry.capacity).max();
-    let least = f64::from(largest.unwrap_or_default()) * LARGE;
+    let least = f64::from(largest.unwrap_or_default()) * LARGE_SHARE;
     let large = entries
         .iter()
         .filter(|entry| f64::from(entry.capacity) >= least);
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// Bytes of one event at most; longer ones are passed on in parts.
-const MAX_EVENT: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// Why a stream cannot go on from another replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -88,7 +88,7 @@
                 };
                 Ok(whole)
             }
-            None if self.pending.len() > MAX_EVENT => {
+            None if self.pending.len() > MAX_EVENT_BYTES => {
                 let part = self.take_checked(self.pending.len())?;
                 self.position = Position::InsideEvent;
                 Ok(part)
--- a/crates/relay/src/forecast.rs
+++ b/crates/relay/src/forecast.rs
@@ -16,9 +16,9 @@
 pub const HORIZONS: [f64; 6] = [0.0, 0.3, 0.7, 1.4, 2.4, 4.0];
 /// Chance of going on below which a run is taken for one that ends at any moment: more tokens were
 /// made than any answer had lately.
-const RARE: f64 = 0.01;
+const MIN_SURVIVAL: f64 = 0.01;
 /// Seconds that such a run goes on for in the mean.
-const RARE_STAY: f64 = 1.0;
+const OVERLONG_MEAN_S: f64 = 1.0;
 
 /// Memory over the moments [`HORIZONS`], in tokens: what is expected, how far that may be off, and what is
 /// held if no run ends. Where answers add little to what a run holds, the last is the closest bound.
@@ -59,7 +59,7 @@
             let goes_on = match made {
                 _ if ahead == 0.0 => 1.0,
                 made if made >= self.max_tokens => 0.0,
-                _ if now < RARE => (-ahead / RARE_STAY).exp(),
+                _ if now < MIN_SURVIVAL => (-ahead / OVERLONG_MEAN_S).exp(),
                 made => length.share_longer_than(made, self.estimate) / now,
             };
             let size = self.prompt + made;
@@ -128,9 +128,9 @@
     pub fn shifted(&self, seconds: f64) -> Self {
         let moments = HORIZONS.map(|ahead| ahead + seconds);
         Self {
-            mean: moments.map(|at| between(&self.mean, at)),
-            variance: moments.map(|at| between(&self.variance, at)),
-            most: moments.map(|at| between(&self.most, at)),
+            mean: moments.map(|at| interpolate(&self.mean, at)),
+            variance: moments.map(|at| interpolate(&self.variance, at)),
+            most: moments.map(|at| interpolate(&self.most, at)),
         }
     }
 
@@ -153,7 +153,7 @@
 }
 
 /// The value at `at` seconds, on straight lines between the moments; the last one holds on.
-fn between(values: &[f32; HORIZONS.len()], at: f64) -> f32 {
+fn interpolate(values: &[f32; HORIZONS.len()], at: f64) -> f32 {
     let Some(upper) = HORIZONS.iter().position(|ahead| *ahead >= at) else {
         return values[HORIZONS.len() - 1];
     };
--- a/crates/relay/src/migration.rs
+++ b/crates/relay/src/migration.rs
@@ -19,9 +19,9 @@
 
 /// How far ahead the memory has to suffice, in seconds: a move takes some milliseconds, and daemons
 /// look every 50 ms with claims that are up to 200 ms old.
-const AHEAD: f64 = 0.3;
+const LOOKAHEAD_S: f64 = 0.3;
 /// Part of the memory from which on runs are moved: blocks are partly filled, and claims rounded.
-const FULL: f64 = 0.97;
+const FULL_SHARE: f64 = 0.97;
 /// Standard deviations for which the other replica has to have room.
 const SPREADS: f64 = 0.5;
 /// Part of the memory of the other replica that stays free; a run that is moved twice gains nothing.
@@ -48,10 +48,10 @@
     let servers: BTreeSet<Key> = runs.iter().map(|(_, entry)| entry.server).collect();
     let ending = servers
         .into_iter()
-        .filter(|key| is_ending(now, pool, *key) && runs.may_move_from(now, *key));
+        .filter(|key| is_nearly_full(now, pool, *key) && runs.may_move_from(now, *key));
     let mut moves = Vec::new();
     for key in ending {
-        let Some(run) = newest(now, pool, runs, claims, key) else {
+        let Some(run) = newest_movable(now, pool, runs, claims, key) else {
             continue;
         };
         let ask = MemoryDemand {
@@ -65,19 +65,20 @@
 }
 
 /// Whether the memory of `key` ends in a moment.
-fn is_ending(now: Time, pool: &Pool, key: Key) -> bool {
+fn is_nearly_full(now: Time, pool: &Pool, key: Key) -> bool {
     let Some(server) = pool.get(key) else {
         return false;
     };
     let Some(memory) = pool.memory(&server.replica.service) else {
         return false;
     };
-    let used = server.forecast.peak_within(AHEAD, 0.0) + admission::unknown(now, server);
-    used > memory as f64 * FULL
+    let used =
+        server.forecast.peak_within(LOOKAHEAD_S, 0.0) + admission::unreported_tokens(now, server);
+    used > memory as f64 * FULL_SHARE
 }
 
 /// The newest run at `key`, if it is one of this daemon's and can be moved.
-fn newest(now: Time, pool: &Pool, runs: &Runs, claims: &Claims, key: Key) -> Option<RunId> {
+fn newest_movable(now: Time, pool: &Pool, runs: &Runs, claims: &Claims, key: Key) -> Option<RunId> {
     let here = runs.iter().filter(|(_, entry)| entry.server == key);
     let movable = here.filter(|(_, entry)| entry.is_movable(now));
     let (id, entry) = movable.max_by_key(|(_, entry)| entry.started())?;
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -2,7 +2,7 @@
 
 mod incarnation;
 mod list;
-mod reads;
+mod prefill;
 mod silence;
 
 use std::cell::Cell;
@@ -40,7 +40,7 @@
     servers: SlotMap<Key, Server>,
     by_id: HashMap<String, Key>,
     /// Mean seconds that a token of a prompt takes, by service.
-    read_paces: HashMap<String, f64>,
+    prefill_paces: HashMap<String, f64>,
     /// Hashes of incarnations that ended while their replica started again; at most one a slot of `servers`.
     restarted: SecondaryMap<Key, u64>,
     version: u64,
@@ -50,11 +50,11 @@
     /// to have been read yet.
     outdated_at: Option<Time>,
     /// When the list last could not be read from the store while it was out of date for that long.
-    outage: Option<Time>,
+    last_outage: Option<Time>,
     memory: HashMap<String, u64>,
     /// Hash of the list, until the list changes.
     digest: Cell<Option<u64>>,
-    gone: Tombstones,
+    tombstones: Tombstones,
 }
 
 impl Pool {
@@ -77,7 +77,7 @@
 
     fn hash(&self) -> u64 {
         let servers = self.servers.values();
-        let listed = servers.filter(|server| server.lapses.is_none());
+        let listed = servers.filter(|server| server.lapses_at.is_none());
         let mut replicas: Vec<&Replica> = listed.map(|server| &server.replica).collect();
         replicas.sort_by(|left, right| left.id.cmp(&right.id));
         let texts = replicas.into_iter().map(|replica| format!("{replica:?}"));
@@ -117,7 +117,7 @@
 
     /// All replicas that are listed.
     pub fn replicas(&self) -> impl Iterator<Item = &Replica> + '_ {
-        let listed = self.servers.values().filter(|s| s.lapses.is_none());
+        let listed = self.servers.values().filter(|s| s.lapses_at.is_none());
         listed.map(|server| &server.replica)
     }
 
@@ -126,7 +126,7 @@
         let count = |stage| {
             let servers = self.servers.values();
             let fitting = servers.filter(|server| {
-                server.usable(now)
+                server.is_available(now)
                     && server.replica.service == service
                     && server.replica.stage == Some(stage)
             });
@@ -147,7 +147,7 @@
     pub fn note_outage(&mut self, now: Time) {
         if self.is_outdated(now) {
             self.outdated_at = Some(now);
-            self.outage = Some(now);
+            self.last_outage = Some(now);
         }
     }
 
@@ -167,7 +167,7 @@
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
-        server.expect(claims.peer_usage(now, server.hash));
+        server.reset_forecast(claims.peer_usage(now, server.hash));
         for (id, entry) in runs.iter().filter(|(_, entry)| entry.server == key) {
             server.add_run(&runs.curve(now, id), entry.is_prefilling());
         }
@@ -179,7 +179,7 @@
         let told = claims.all_peer_usage(now);
         for server in self.servers.values_mut() {
             let others = told.get(&server.hash);
-            server.expect(others.copied().unwrap_or_default());
+            server.reset_forecast(others.copied().unwrap_or_default());
         }
         for (id, entry) in runs.iter() {
             if let Some(server) = self.servers.get_mut(entry.server) {
@@ -198,14 +198,14 @@
     /// Notes that a request of `tokens` is sent to `key`.
     pub fn start_request(&mut self, key: Key, tokens: u64) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.begin(tokens);
+            server.start_request(tokens);
         }
     }
 
     /// Notes that a request of `tokens` sent to `key` is over there.
     pub fn end_request(&mut self, key: Key, tokens: u64) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.end(tokens);
+            server.end_request(tokens);
         }
     }
 
@@ -231,7 +231,9 @@
     pub fn throttle_remaining(&self, now: Time, service: &str) -> Option<Duration> {
         let servers = self.servers.values();
         let throttled = servers.filter(|server| {
-            server.usable(now) && server.throttled_until > now && server.replica.service == service
+            server.is_available(now)
+                && server.throttled_until > now
+                && server.replica.service == service
         });
         throttled
             .map(|server| server.throttled_until.since(now))
@@ -241,7 +243,7 @@
     /// Notes whether a send to `key` failed.
     pub fn record_result(&mut self, now: Time, key: Key, failed: bool) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note(now, failed);
+            server.record_result(now, failed);
         }
     }
 
@@ -249,28 +251,28 @@
     /// stage of a service.
     pub fn record_work(&mut self, now: Time, key: Key, took: Duration, units: f64) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note_pace(now, took.as_secs_f64() / units.max(1.0));
+            server.record_work(now, took.as_secs_f64() / units.max(1.0));
         }
     }
 
     /// Notes that `key` had no room.
     pub fn record_full(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note_full(now);
+            server.record_full(now);
         }
     }
 
     /// Notes that `key` had room.
     pub fn record_room(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note_room(now);
+            server.record_room(now);
         }
     }
 
     /// Takes the load that `key` told.
     pub fn record_load(&mut self, now: Time, key: Key, load: Load) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.told(now, load);
+            server.record_load(now, load);
         }
     }
 
@@ -281,9 +283,9 @@
         let memory = self.memory(want.service);
         let fitting = self.servers.iter();
         let mut fitting: Vec<(Key, &Server)> = fitting
-            .filter(|(key, server)| want.fits(now, *key, server))
+            .filter(|(key, server)| want.matches(now, *key, server))
             .collect();
-        let drawn = draw_some(&mut fitting, &draw);
+        let drawn = sample(&mut fitting, &draw);
         let best = |candidates: &[(Key, &Server)]| {
             let roomy = candidates.iter().copied();
             let roomy = roomy.filter(|(_, server)| want.has_room(now, server, memory));
@@ -294,7 +296,7 @@
 }
 
 /// Puts [`MAX_WEIGHED`] of the candidates, drawn by chance, to the front; gives how many there are.
-fn draw_some(candidates: &mut [(Key, &Server)], draw: impl Fn() -> f64) -> usize {
+fn sample(candidates: &mut [(Key, &Server)], draw: impl Fn() -> f64) -> usize {
     let count = candidates.len();
     if count <= MAX_WEIGHED {
         return count;
--- a/crates/relay/src/pool/list.rs
+++ b/crates/relay/src/pool/list.rs
@@ -38,15 +38,22 @@
 
     /// What a peer is told whose list is of the version `since`: what changed, if that is known.
     pub fn update_since(&self, now: Time, since: u64) -> Update {
-        if since < self.gone.since {
+        if since < self.tombstones.since {
             return Update::All(self.snapshot(now));
         }
         let servers = self.servers.values();
-        let changed = servers.filter(|server| server.changed > since && server.lapses.is_none());
-        let gone = self.gone.ids.iter().filter(|(version, _)| *version > since);
+        let changed = servers.filter(|server| server.changed > since && server.lapses_at.is_none());
+        let gone = self
+            .tombstones
+            .ids
+            .iter()
+            .filter(|(version, _)| *version > since);
         let gone = gone.map(|(_, id)| id.clone());
         // Their time ran out since the last reading, and the peer may still list them.
-        let over = self.servers.values().filter(|server| server.is_over(now));
+        let over = self
+            .servers
+            .values()
+            .filter(|server| server.has_lapsed(now));
         let over = over.map(|server| server.replica.id.clone());
         Update::Changed(Delta {
             since,
@@ -69,7 +76,7 @@
     fn lapsing(&self, now: Time) -> Vec<Lapsing> {
         let servers = self.servers.values();
         let lapsing = servers.filter_map(|server| {
-            let until = server.lapses.filter(|until| now < *until)?;
+            let until = server.lapses_at.filter(|until| now < *until)?;
             Some(Lapsing {
                 replica: server.replica.clone(),
                 left: until.since(now),
@@ -87,24 +94,24 @@
         update: &Update,
     ) -> Option<Vec<StateChange>> {
         match update {
-            Update::All(snapshot) => self.take_snapshot(now, source, snapshot),
-            Update::Changed(delta) => self.take_delta(now, source, delta),
+            Update::All(snapshot) => self.apply_snapshot_from(now, source, snapshot),
+            Update::Changed(delta) => self.apply_delta_from(now, source, delta),
         }
     }
 
     /// Applies a snapshot read from the store. Returns `None` if it is older than the current
     /// version.
     pub fn apply(&mut self, now: Time, snapshot: &Snapshot) -> Option<Vec<StateChange>> {
-        self.take_snapshot(now, Source::Store, snapshot)
+        self.apply_snapshot_from(now, Source::Store, snapshot)
     }
 
     /// Applies a delta read from the store. Returns `None` if it is older than the current version,
     /// or if its base version has not been reached yet.
     pub fn apply_delta(&mut self, now: Time, delta: &Delta) -> Option<Vec<StateChange>> {
-        self.take_delta(now, Source::Store, delta)
+        self.apply_delta_from(now, Source::Store, delta)
     }
 
-    fn take_snapshot(
+    fn apply_snapshot_from(
         &mut self,
         now: Time,
         source: Source,
@@ -114,17 +121,17 @@
             return None;
         }
         if self.servers.is_empty() {
-            self.gone.since = snapshot.version;
+            self.tombstones.since = snapshot.version;
         }
-        self.reach(snapshot.version);
+        self.set_version(snapshot.version);
         self.note_refresh(now);
         let (lapsing, _) = self.split_lapsing(now, &snapshot.lapsing);
         let mut changes = Vec::new();
         for replica in &snapshot.replicas {
-            self.list(now, replica, &mut changes);
+            self.upsert(now, replica, &mut changes);
         }
         for lapsing in lapsing {
-            self.lapse(now, lapsing, &mut changes);
+            self.mark_lapsing(now, lapsing, &mut changes);
         }
         let listed = snapshot.replicas.iter();
         let lapsing = lapsing.iter().map(|lapsing| &lapsing.replica);
@@ -133,19 +140,24 @@
         Some(changes)
     }
 
-    fn take_delta(&mut self, now: Time, source: Source, delta: &Delta) -> Option<Vec<StateChange>> {
+    fn apply_delta_from(
+        &mut self,
+        now: Time,
+        source: Source,
+        delta: &Delta,
+    ) -> Option<Vec<StateChange>> {
         if delta.version < self.version || delta.since > self.version {
             return None;
         }
-        self.reach(delta.version);
+        self.set_version(delta.version);
         self.note_refresh(now);
         let (lapsing, gone) = self.split_lapsing(now, &delta.lapsing);
         let mut changes = Vec::new();
         for replica in &delta.replicas {
-            self.list(now, replica, &mut changes);
+            self.upsert(now, replica, &mut changes);
         }
         for lapsing in lapsing {
-            self.lapse(now, lapsing, &mut changes);
+            self.mark_lapsing(now, lapsing, &mut changes);
         }
         let gone = gone.iter().map(|lapsing| &lapsing.replica.id);
         let gone: HashSet<&str> = delta.gone.iter().chain(gone).map(String::as_str).collect();
@@ -168,12 +180,12 @@
         }
     }
 
-    fn reach(&mut self, version: u64) {
+    fn set_version(&mut self, version: u64) {
         self.version = version;
         self.digest.set(None);
     }
 
-    fn list(&mut self, now: Time, replica: &Replica, changes: &mut Vec<StateChange>) {
+    fn upsert(&mut self, now: Time, replica: &Replica, changes: &mut Vec<StateChange>) {
         let belief = if replica.draining {
             ReplicaState::Draining
         } else {
@@ -206,7 +218,7 @@
     fn update_entry(&mut self, now: Time, key: Key, replica: &Replica) -> bool {
         let version = self.version;
         let server = &mut self.servers[key];
-        let is_listed = server.lapses.is_none();
+        let is_listed = server.lapses_at.is_none();
         let changed = server.replica.draining != replica.draining || !is_listed;
         let birth = replica.birth.or(server.replica.birth);
         let replica = Replica {
@@ -224,12 +236,12 @@
             since => since,
         };
         server.replica = replica;
-        server.lapses = None;
+        server.lapses_at = None;
         changed
     }
 
     pub(super) fn insert(&mut self, now: Time, replica: &Replica) -> Key {
-        self.gone.forget(&replica.id);
+        self.tombstones.remove(&replica.id);
         let server = Server::new(replica.clone(), self.version, now);
         let key = self.servers.insert(server);
         self.by_id.insert(replica.id.clone(), key);
@@ -238,17 +250,17 @@
 
     /// Marks a replica as lapsing because a peer reported it. Ignored for a replica recorded as
     /// gone, since the outage may have affected only the peer.
-    fn lapse(&mut self, now: Time, lapsing: &Lapsing, changes: &mut Vec<StateChange>) {
+    fn mark_lapsing(&mut self, now: Time, lapsing: &Lapsing, changes: &mut Vec<StateChange>) {
         let id = &lapsing.replica.id;
         let key = match self.by_id.get(id) {
             Some(key) => *key,
-            None if self.gone.contains(id) => return,
+            None if self.tombstones.contains(id) => return,
             None => self.insert(now, &lapsing.replica),
         };
         let server = &mut self.servers[key];
         let is_same = lapsing.replica.compare_incarnation(server.replica.birth) == Ordering::Equal;
-        if is_same && server.lapses.is_none() {
-            server.lapses = Some(now + lapsing.left);
+        if is_same && server.lapses_at.is_none() {
+            server.lapses_at = Some(now + lapsing.left);
             changes.push(StateChange {
                 id: id.clone(),
                 now: ReplicaState::Lapsed,
@@ -267,18 +279,18 @@
         missing: impl Fn(&str) -> bool,
         changes: &mut Vec<StateChange>,
     ) {
-        let outage = self.outage.filter(|_| source == Source::Store);
+        let outage = self.last_outage.filter(|_| source == Source::Store);
         let returns_until = outage.map(|outage| outage + LAPSE_GRACE);
         let returns_until = returns_until.filter(|until| now < *until);
         let mut gone = Vec::new();
         for (key, server) in &mut self.servers {
             let id = server.replica.id.as_str();
             let is_missing = missing(id);
-            match (server.lapses, returns_until) {
+            match (server.lapses_at, returns_until) {
                 (Some(until), _) if now < until && (!is_missing || source == Source::Store) => {}
                 (None, _) if !is_missing => {}
                 (None, Some(until)) if !server.replica.draining => {
-                    server.lapses = Some(until);
+                    server.lapses_at = Some(until);
                     changes.push(StateChange {
                         id: id.to_owned(),
                         now: ReplicaState::Lapsed,
@@ -290,7 +302,7 @@
         for key in gone {
             if let Some(server) = self.servers.remove(key) {
                 self.by_id.remove(&server.replica.id);
-                self.gone.push(self.version, &server.replica.id);
+                self.tombstones.add(self.version, &server.replica.id);
                 changes.push(StateChange {
                     id: server.replica.id,
                     now: ReplicaState::Gone,
--- a/crates/relay/src/pool/reads.rs
+++ b/crates/relay/src/pool/prefill.rs
@@ -17,14 +17,14 @@
 /// Part of the objective from which on as few as possible are sent.
 const SLOW_TO: f64 = 1.0;
 /// Weight of the newest read in the mean pace of a service's replicas.
-const READ_PACE_STEP: f64 = 0.05;
+const PACE_WEIGHT: f64 = 0.05;
 /// Most that is left to decode replicas; the rest tells when it is better again.
-const MAX_OWN_READS: f64 = 0.85;
+const MAX_DECODE_PREFILL_SHARE: f64 = 0.85;
 
 impl Pool {
     /// Tokens that `key` is to read, as far as is known.
     pub fn queued_tokens(&self, key: Key) -> u64 {
-        self.servers.get(key).map_or(0, Server::queued)
+        self.servers.get(key).map_or(0, Server::queued_tokens)
     }
 
     /// Notes that `key` took `took` to read `tokens`, those that waited before them included.
@@ -33,20 +33,20 @@
             return;
         };
         let seconds = took.as_secs_f64() / tokens.max(1) as f64;
-        server.note_read(now, seconds);
-        let mean = self.read_paces.entry(server.replica.service.clone());
+        server.record_prefill(now, seconds);
+        let mean = self.prefill_paces.entry(server.replica.service.clone());
         let mean = mean.or_insert(seconds);
-        *mean += READ_PACE_STEP * (seconds - *mean);
+        *mean += PACE_WEIGHT * (seconds - *mean);
     }
 
     /// Time that `key` will take to read a prompt of `tokens`, by what it is to read before; `None` if
     /// no prompt was read yet.
     pub fn estimate_prefill_time(&self, now: Time, key: Key, tokens: u64) -> Option<Duration> {
         let server = self.servers.get(key)?;
-        let usual = self.read_paces.get(&server.replica.service).copied();
-        let pace = server.read_pace(now).or(usual)?;
+        let usual = self.prefill_paces.get(&server.replica.service).copied();
+        let pace = server.prefill_pace(now).or(usual)?;
         Some(Duration::from_secs_f64(
-            pace * (server.queued() + tokens) as f64,
+            pace * (server.queued_tokens() + tokens) as f64,
         ))
     }
 
@@ -60,7 +60,7 @@
         };
         for server in self.servers.values_mut() {
             if server.replica.stage == Some(Stage::Prefill) {
-                server.unread = told(server.hash);
+                server.peer_prefill_tokens = told(server.hash);
             }
         }
     }
@@ -80,7 +80,7 @@
     /// so each read is a pause in all of its streams; two in a row are a long one.
     pub fn may_prefill(&self, decode: Key) -> bool {
         let server = self.servers.get(decode);
-        server.is_none_or(|server| server.reads == 0 || server.known_runs <= 1)
+        server.is_none_or(|server| server.prefills == 0 || server.known_runs <= 1)
     }
 
     /// Part of the prompts of `tokens` that a decode replica is to read itself, since the prefill replica
@@ -101,6 +101,6 @@
         let part = read.as_secs_f64() / objective.as_secs_f64().max(f64::EPSILON);
         let slow = (part - SLOW_FROM) / (SLOW_TO - SLOW_FROM);
         slow.max(server.failure_share(now))
-            .clamp(0.0, MAX_OWN_READS)
+            .clamp(0.0, MAX_DECODE_PREFILL_SHARE)
     }
 }
--- a/crates/relay/src/pool/silence.rs
+++ b/crates/relay/src/pool/silence.rs
@@ -24,7 +24,7 @@
     pub fn apply_silent_report(&mut self, now: Time, silent: &[u64]) {
         for server in self.servers.values_mut() {
             if silent.contains(&server.hash) {
-                server.hear_silent(now);
+                server.apply_silent_report(now);
             }
         }
     }
@@ -32,7 +32,7 @@
     /// Notes that `key` did not answer a question.
     pub fn record_no_answer(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note_silent(now);
+            server.record_no_answer(now);
         }
     }
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -23,11 +23,11 @@
 const SUSPECT: usize = LIMIT - 1;
 /// Time after the last end for which a record counts. The request would end replicas again until the engines
 /// are replaced, which takes operators a day.
-const KEEP: Duration = Duration::from_hours(24);
+const RECORD_TTL: Duration = Duration::from_hours(24);
 /// Time after a request was served for which no end is put down to it. One that ends each replica is served
 /// nowhere; one that many callers send at once is at work at several replicas that end together, as those of
 /// one rack do. Also covers the difference between the daemons' clocks.
-const SERVED_LATELY: Duration = Duration::from_mins(1);
+const SERVED_GRACE: Duration = Duration::from_mins(1);
 /// Records at most: those of the runs at 128 replicas of 64 slots that end together.
 const MAX_RECORDS: usize = 8_192;
 /// Served requests that are remembered at most.
@@ -95,7 +95,7 @@
     /// When it is forgotten.
     pub fn expires(&self) -> UnixMs {
         let last = self.ends.iter().map(|end| end.at).max();
-        last.unwrap_or(self.served).plus(KEEP)
+        last.unwrap_or(self.served).plus(RECORD_TTL)
     }
 
     fn has(&self, end: &End) -> bool {
@@ -104,7 +104,7 @@
 
     /// Its part of the hash that daemons compare. Which replicas ended counts only while one more would
     /// quarantine the request.
-    fn weight(&self) -> u64 {
+    fn digest_part(&self) -> u64 {
         let replicas = self.ends.iter().map(|end| end.replica);
         match self {
             record if record.is_quarantined() => record.fingerprint.0,
@@ -123,7 +123,7 @@
                 self.ends.push(*end);
             }
         }
-        let counted_after = self.served.plus(SERVED_LATELY);
+        let counted_after = self.served.plus(SERVED_GRACE);
         let served = self.served > UnixMs(0);
         self.ends.retain(|end| !served || end.at > counted_after);
         self.ends.truncate(LIMIT);
@@ -182,7 +182,7 @@
         let own = self.served.get(&fingerprint).copied();
         let told = self.records.get(&fingerprint).map(|record| record.served);
         let served = own.max(told).unwrap_or_default();
-        served > UnixMs(0) && now <= served.plus(SERVED_LATELY)
+        served > UnixMs(0) && now <= served.plus(SERVED_GRACE)
     }
 
     /// How many requests are quarantined.
@@ -257,36 +257,36 @@
         let records = self.records.values();
         let over: Vec<Record> = records.filter(|r| r.expires() <= now).cloned().collect();
         for record in over {
-            self.forget(&record);
+            self.remove(&record);
         }
     }
 
     fn replace(&mut self, before: &Record, record: Record) {
-        self.discount(before);
-        self.digest = self.digest.wrapping_add(record.weight());
+        self.subtract(before);
+        self.digest = self.digest.wrapping_add(record.digest_part());
         self.quarantined += usize::from(record.is_quarantined());
         self.records.insert(record.fingerprint, record);
         if self.records.len() > MAX_RECORDS {
-            self.make_room();
+            self.evict();
         }
     }
 
     /// Forgets half of the records: those with the fewest ends, the oldest of them before the others.
-    fn make_room(&mut self) {
+    fn evict(&mut self) {
         let mut records: Vec<Record> = self.records.values().cloned().collect();
         records.sort_by_key(|record| (record.ends.len(), record.expires()));
         for record in &records[..MAX_RECORDS / 2] {
-            self.forget(record);
+            self.remove(record);
         }
     }
 
-    fn forget(&mut self, record: &Record) {
+    fn remove(&mut self, record: &Record) {
         self.records.remove(&record.fingerprint);
-        self.discount(record);
+        self.subtract(record);
     }
 
-    fn discount(&mut self, record: &Record) {
-        self.digest = self.digest.wrapping_sub(record.weight());
+    fn subtract(&mut self, record: &Record) {
+        self.digest = self.digest.wrapping_sub(record.digest_part());
         self.quarantined -= usize::from(record.is_quarantined());
     }
 }
--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -19,11 +19,11 @@
 }
 
 /// Seconds that an answer as long as estimated takes until some were seen.
-const USUAL_ANSWER: f64 = 3.0;
+const DEFAULT_ANSWER_S: f64 = 3.0;
 /// Weight of the newest answer in the mean pace of a service.
-const PACE_STEP: f64 = 0.1;
+const PACE_WEIGHT: f64 = 0.1;
 /// Time for which a run has to make tokens before its own pace counts: some ten steps.
-const PACE_FROM: f64 = 0.25;
+const MIN_PACE_S: f64 = 0.25;
 
 /// What a generation asks of a decode replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -47,18 +47,18 @@
     pub server: Key,
     size: Size,
     /// Tokens made in all.
-    made: f64,
+    generated: f64,
     /// When the first event came from this replica, and the tokens made by then.
     started: Option<(Time, f64)>,
     /// Whether its replica reads its prompt.
-    reads: bool,
+    is_prefilling: bool,
     /// Until when it is not moved: a move is in progress, or one failed.
-    settled: Option<Time>,
+    no_move_before: Option<Time>,
 }
 
 /// What was learnt of the answers of one service.
 #[derive(Debug, Default)]
-struct Learnt {
+struct ServiceStats {
     length: LengthDistribution,
     /// Mean tokens a second.
     pace: Option<f64>,
@@ -68,9 +68,9 @@
 #[derive(Debug, Default)]
 pub struct Runs {
     entries: SlotMap<RunId, RunState>,
-    learnt: HashMap<String, Learnt>,
+    stats: HashMap<String, ServiceStats>,
     /// Until when no run leaves a replica, since it did not move one.
-    unmoved: SecondaryMap<Key, Time>,
+    no_moves_before: SecondaryMap<Key, Time>,
 }
 
 impl RunState {
@@ -81,18 +81,19 @@
 
     /// Whether it may be moved at `now`.
     pub fn is_movable(&self, now: Time) -> bool {
-        self.started.is_some() && self.settled.is_none_or(|until| until <= now)
+        self.started.is_some() && self.no_move_before.is_none_or(|until| until <= now)
     }
 
     /// Whether its replica reads its prompt.
     pub const fn is_prefilling(&self) -> bool {
-        self.reads
+        self.is_prefilling
     }
 
-    fn pace(&self, now: Time) -> Option<f64> {
+    fn tokens_per_s(&self, now: Time) -> Option<f64> {
         let (at, before) = self.started?;
         let seconds = now.since(at).as_secs_f64();
-        (seconds > PACE_FROM && self.made > before).then(|| (self.made - before) / seconds)
+        (seconds > MIN_PACE_S && self.generated > before)
+            .then(|| (self.generated - before) / seconds)
     }
 }
 
@@ -104,34 +105,35 @@
 
     /// Notes that a run of `size` gets a place at `server`.
     pub fn begin(&mut self, service: &str, server: Key, size: Size) -> RunId {
-        if !self.learnt.contains_key(service) {
-            self.learnt.insert(service.to_owned(), Learnt::default());
+        if !self.stats.contains_key(service) {
+            self.stats
+                .insert(service.to_owned(), ServiceStats::default());
         }
         self.entries.insert(RunState {
             service: service.to_owned(),
             server,
             size,
-            made: size.generated as f64,
+            generated: size.generated as f64,
             started: None,
-            reads: false,
-            settled: None,
+            is_prefilling: false,
+            no_move_before: None,
         })
     }
 
     /// Notes that the replica of `id` reads its prompt.
     pub fn mark_prefilling(&mut self, id: RunId) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.reads = true;
+            entry.is_prefilling = true;
         }
     }
 
     /// Notes that `tokens` came.
     pub fn record_tokens(&mut self, now: Time, id: RunId, tokens: u64) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.made += tokens as f64;
-            entry.reads = false;
+            entry.generated += tokens as f64;
+            entry.is_prefilling = false;
             if entry.started.is_none() {
-                entry.started = Some((now, entry.made));
+                entry.started = Some((now, entry.generated));
             }
         }
     }
@@ -147,20 +149,22 @@
     /// Leaves the run where it is until `until`.
     pub fn block_moves(&mut self, id: RunId, until: Time) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.settled = Some(until);
+            entry.no_move_before = Some(until);
         }
     }
 
     /// Notes that the replica of `id` did not move it, or may not have: no run leaves it until `until`.
     pub fn block_moves_from_replica(&mut self, id: RunId, until: Time) {
         if let Some(entry) = self.entries.get(id) {
-            self.unmoved.insert(entry.server, until);
+            self.no_moves_before.insert(entry.server, until);
         }
     }
 
     /// Whether runs may leave `server` at `now`.
     pub fn may_move_from(&self, now: Time, server: Key) -> bool {
-        self.unmoved.get(server).is_none_or(|until| *until <= now)
+        self.no_moves_before
+            .get(server)
+            .is_none_or(|until| *until <= now)
     }
 
     /// Notes that the run is over; if it is `complete`, its length is learnt.
@@ -168,16 +172,18 @@
         let Some(entry) = self.entries.remove(id) else {
             return;
         };
-        let Some(learnt) = self.learnt.get_mut(&entry.service) else {
+        let Some(stats) = self.stats.get_mut(&entry.service) else {
             return;
         };
-        if !complete || entry.made <= 0.0 {
+        if !complete || entry.generated <= 0.0 {
             return;
         }
-        learnt.length.record(entry.made, entry.size.estimate as f64);
-        if let Some(pace) = entry.pace(now) {
-            let mean = learnt.pace.unwrap_or(pace);
-            learnt.pace = Some(mean + PACE_STEP * (pace - mean));
+        stats
+            .length
+            .record(entry.generated, entry.size.estimate as f64);
+        if let Some(pace) = entry.tokens_per_s(now) {
+            let mean = stats.pace.unwrap_or(pace);
+            stats.pace = Some(mean + PACE_WEIGHT * (pace - mean));
         }
     }
 
@@ -194,21 +200,23 @@
     /// Tokens that `id` holds now.
     pub fn held_tokens(&self, id: RunId) -> u64 {
         let entry = self.entries.get(id);
-        entry.map_or(0, |entry| entry.size.prompt + entry.made as u64)
+        entry.map_or(0, |entry| entry.size.prompt + entry.generated as u64)
     }
 
     /// Tokens that `id` has made.
     pub fn generated_tokens(&self, id: RunId) -> u64 {
-        self.entries.get(id).map_or(0, |entry| entry.made as u64)
+        self.entries
+            .get(id)
+            .map_or(0, |entry| entry.generated as u64)
     }
 
     /// What a run of `size` of `service` will hold, if it begins now.
     pub fn forecast(&self, service: &str, size: Size) -> Curve {
-        let learnt = self.learnt.get(service);
-        let pace = learnt.and_then(|learnt| learnt.pace);
+        let stats = self.stats.get(service);
+        let pace = stats.and_then(|stats| stats.pace);
         let run = run(size, size.generated as f64, pace);
-        match learnt {
-            Some(learnt) => run.curve(&learnt.length),
+        match stats {
+            Some(stats) => run.curve(&stats.length),
             None => run.curve(&LengthDistribution::new()),
         }
     }
@@ -218,9 +226,9 @@
         let Some(entry) = self.entries.get(id) else {
             return Curve::default();
         };
-        let learnt = &self.learnt[&entry.service];
-        let pace = entry.pace(now).or(learnt.pace);
-        run(entry.size, entry.made, pace).curve(&learnt.length)
+        let stats = &self.stats[&entry.service];
+        let pace = entry.tokens_per_s(now).or(stats.pace);
+        run(entry.size, entry.generated, pace).curve(&stats.length)
     }
 
     /// What other daemons are told of the runs at `server`, the replica with this `hash`; `None` if
@@ -250,6 +258,6 @@
         generated,
         estimate,
         max_tokens: size.max_tokens as f64,
-        tokens_per_s: pace.unwrap_or(estimate / USUAL_ANSWER).max(1.0),
+        tokens_per_s: pace.unwrap_or(estimate / DEFAULT_ANSWER_S).max(1.0),
     }
 }
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -11,13 +11,13 @@
 
 /// Part of the objective by which the prompt of a new generation is to be read; the first event
 /// follows some tens of milliseconds later.
-const READ_BY: f64 = 0.8;
+const PREFILL_DEADLINE: f64 = 0.8;
 /// Part of the objective that reading may take for a generation which is late: longer reads say that
 /// new ones wait as well.
-const LATE_READ: f64 = 0.5;
+const MAX_LATE_PREFILL: f64 = 0.5;
 /// Part of its memory that a decode replica has to have free for a prompt that it reads itself since
 /// all others would be late: it makes next to no tokens meanwhile.
-const IDLE: f64 = 0.2;
+const IDLE_SHARE: f64 = 0.2;
 /// Part of a replica's memory that late generations leave free: most of a run, where a replica has room for
 /// seven.
 const LATE_SPARE: f64 = 0.1;
@@ -26,10 +26,10 @@
 /// 1.6 of it, 26 % in place of 15 % of the generations of a lasting overload were late.
 const LATE_WAIT: f64 = 2.4;
 /// Callers' limits that are remembered of a route.
-const REMEMBERED: usize = 128;
+const MAX_LIMITS: usize = 128;
 /// Part of them that is taken for those of callers which come for the first time: they have the longest
 /// limits, unless some caller has a limit of its own.
-const FIRST_TIMERS: f64 = 0.9;
+const FIRST_ATTEMPT_QUANTILE: f64 = 0.9;
 
 /// What kind of generation looks for a place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -68,11 +68,11 @@
     /// request came.
     pub fn required_idle_share(self, objective: Duration, age: Duration, read: Duration) -> f64 {
         let timely = match self {
-            Self::New => age + read <= objective.mul_f64(READ_BY),
-            Self::Returned => read <= objective.mul_f64(LATE_READ),
+            Self::New => age + read <= objective.mul_f64(PREFILL_DEADLINE),
+            Self::Returned => read <= objective.mul_f64(MAX_LATE_PREFILL),
             Self::Due => true,
         };
-        if timely { 0.0 } else { IDLE }
+        if timely { 0.0 } else { IDLE_SHARE }
     }
 }
 
@@ -94,11 +94,11 @@
     /// Notes a caller's limit; the time that it seems to have waited before.
     pub fn estimate_waited(&mut self, limit: Duration) -> Duration {
         self.limits.push_back(limit);
-        if self.limits.len() > REMEMBERED {
+        if self.limits.len() > MAX_LIMITS {
             self.limits.pop_front();
         }
         let mut sorted: Vec<Duration> = self.limits.iter().copied().collect();
-        let rank = ((sorted.len() - 1) as f64 * FIRST_TIMERS) as usize;
+        let rank = ((sorted.len() - 1) as f64 * FIRST_ATTEMPT_QUANTILE) as usize;
         let (_, usual, _) = sorted.select_nth_unstable(rank);
         usual.saturating_sub(limit)
     }
--- a/crates/relay/src/tombstones.rs
+++ b/crates/relay/src/tombstones.rs
@@ -21,12 +21,12 @@
     }
 
     /// Forgets `id`, which is listed again.
-    pub(crate) fn forget(&mut self, id: &str) {
+    pub(crate) fn remove(&mut self, id: &str) {
         self.ids.retain(|(_, gone_id)| gone_id != id);
     }
 
     /// Notes that `id` is missing at `version`.
-    pub(crate) fn push(&mut self, version: u64, id: &str) {
+    pub(crate) fn add(&mut self, version: u64, id: &str) {
         self.ids.push_back((version, id.to_owned()));
         if self.ids.len() > MAX_GONE {
             let dropped = self.ids.pop_front();
--- a/crates/relay/src/wait_queue.rs
+++ b/crates/relay/src/wait_queue.rs
@@ -13,14 +13,14 @@
     /// 0 is the most urgent.
     priority: u8,
     late: bool,
-    number: u64,
+    sequence: u64,
 }
 
 /// Those who wait, by service, the first come first.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
     waiting: HashMap<String, BTreeSet<Ticket>>,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl WaitQueue {
@@ -34,9 +34,9 @@
         let ticket = Ticket {
             priority,
             late,
-            number: self.next,
+            sequence: self.next_sequence,
         };
-        self.next += 1;
+        self.next_sequence += 1;
         let waiting = self.waiting.entry(service.to_owned()).or_default();
         waiting.insert(ticket);
         ticket
