--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -91,9 +91,10 @@
         }
         // A send that never arrived is no load on the service and needs no budget.
         let withheld = matches!(outcome, Outcome::Quarantined | Outcome::Denied);
-        let may = !withheld && self.may_run_again() && (outcome == Outcome::NotSent || in_budget());
+        let may_retry =
+            !withheld && self.may_run_again() && (outcome == Outcome::NotSent || in_budget());
         match outcome {
-            _ if may => Next::Retry,
+            _ if may_retry => Next::Retry,
             Outcome::Failed => Next::Relay,
             _ if self.runs > 0 => Next::Unknown,
             _ => Next::Refuse,
--- a/crates/relay/src/balance.rs
+++ b/crates/relay/src/balance.rs
@@ -100,14 +100,14 @@
             },
         };
         self.imbalance = Some(imbalance);
-        let settle = match due.stage {
+        let delay = match due.stage {
             Stage::Decode => SURPLUS_DELAY,
             Stage::Prefill => SHORTAGE_DELAY,
         };
         let paused = self
             .last_order
             .is_some_and(|last_order| now.since(last_order) < self.change_time + CHANGE_PAUSE);
-        (now.since(imbalance.since) >= settle && !paused).then_some(due)
+        (now.since(imbalance.since) >= delay && !paused).then_some(due)
     }
 
     /// Notes that no order could be given; the division has to be off for a while again.
@@ -146,11 +146,11 @@
         prefill if prefill + 1 < wanted => (Stage::Prefill, wanted - prefill),
         _ => return None,
     };
-    let part = match stage {
+    let fraction = match stage {
         Stage::Decode => MAX_TO_DECODE,
         Stage::Prefill => MAX_TO_PREFILL,
     };
-    let most = (total as f64 * part) as usize;
-    let count = missing.clamp(1, most.max(1));
+    let max_count = (total as f64 * fraction) as usize;
+    let count = missing.clamp(1, max_count.max(1));
     Some(Rebalance { stage, count })
 }
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -41,14 +41,14 @@
     }
 
     /// Counts a request of a caller.
-    pub fn record_request(&mut self, now: Time, rule: &RetryPolicy) {
-        remove_expired(&mut self.requests, now, rule.window);
+    pub fn record_request(&mut self, now: Time, policy: &RetryPolicy) {
+        remove_expired(&mut self.requests, now, policy.window);
         self.requests.push_back(now);
     }
 
     /// Takes one retry out of the budget, if one is left; `daemons` share the slack.
-    pub fn take(&mut self, now: Time, rule: &RetryPolicy, daemons: usize) -> Option<Permit> {
-        if self.remaining(now, rule, daemons) < 1.0 {
+    pub fn take(&mut self, now: Time, policy: &RetryPolicy, daemons: usize) -> Option<Permit> {
+        if self.remaining(now, policy, daemons) < 1.0 {
             return None;
         }
         self.retries.push_back(now);
@@ -56,15 +56,15 @@
     }
 
     /// Retries that are left at `now`, a time since the start of the process.
-    pub fn remaining(&mut self, now: Time, rule: &RetryPolicy, daemons: usize) -> f64 {
-        remove_expired(&mut self.requests, now, rule.window);
-        remove_expired(&mut self.retries, now, rule.window);
-        let earned = self.requests.len() as f64 * rule.ratio * RATIO_PART;
+    pub fn remaining(&mut self, now: Time, policy: &RetryPolicy, daemons: usize) -> f64 {
+        remove_expired(&mut self.requests, now, policy.window);
+        remove_expired(&mut self.retries, now, policy.window);
+        let earned = self.requests.len() as f64 * policy.ratio * RATIO_PART;
         let part = match now.since(Time::ZERO) {
-            age if age < rule.window => STARTING_SLACK_PART,
+            age if age < policy.window => STARTING_SLACK_PART,
             _ => SLACK_PART,
         };
-        let share = rule.slack * part / daemons.max(1) as f64;
+        let share = policy.slack * part / daemons.max(1) as f64;
         earned + share - self.retries.len() as f64
     }
 }
--- a/crates/relay/src/claim_publisher.rs
+++ b/crates/relay/src/claim_publisher.rs
@@ -29,7 +29,7 @@
     key: Key,
     runs: u16,
     /// Those of them whose prompts the replica reads itself.
-    reads: u16,
+    prefills: u16,
     /// Those that make tokens: the newest of them is the one that leaves when the memory ends.
     generating: u16,
 }
@@ -40,11 +40,11 @@
     last: Time,
     last_full: Time,
     /// By the hash of the replica.
-    told: BTreeMap<u64, RunCount>,
+    sent_counts: BTreeMap<u64, RunCount>,
     /// Tokens that are being read, by the hash of the replica.
-    read: BTreeMap<u64, u32>,
+    sent_prefills: BTreeMap<u64, u32>,
     /// Replicas that do not answer, by their hashes.
-    silent: Vec<u64>,
+    sent_silent: Vec<u64>,
 }
 
 impl ClaimPublisher {
@@ -60,50 +60,57 @@
             return None;
         }
         let counts = count(runs, pool);
-        let read: BTreeMap<u64, u32> = pool
+        let prefills: BTreeMap<u64, u32> = pool
             .prefill_backlogs()
             .map(|r| (r.replica, r.tokens))
             .collect();
         let claim = |(replica, count): (&u64, &RunCount)| runs.claim(now, count.key, *replica);
-        let reading = |(replica, tokens): (&u64, &u32)| PrefillBacklog {
+        let backlog = |(replica, tokens): (&u64, &u32)| PrefillBacklog {
             replica: *replica,
             tokens: *tokens,
         };
         let silent = pool.silent_replicas(now);
-        let news = silent.iter().any(|hash| !self.silent.contains(hash));
-        let nothing = counts.is_empty() && read.is_empty() && silent.is_empty();
-        let same = counts == self.told && read == self.read && !news;
-        let told = match all {
-            true if nothing && same => return None,
-            false if same => return None,
+        let newly_silent = silent.iter().any(|hash| !self.sent_silent.contains(hash));
+        let is_empty = counts.is_empty() && prefills.is_empty() && silent.is_empty();
+        let is_unchanged =
+            counts == self.sent_counts && prefills == self.sent_prefills && !newly_silent;
+        let update = match all {
+            true if is_empty && is_unchanged => return None,
+            false if is_unchanged => return None,
             true => {
                 let claims = counts.iter().filter_map(claim).collect();
-                ClaimUpdate::all(claims).with_readings(read.iter().map(reading).collect())
+                ClaimUpdate::all(claims).with_readings(prefills.iter().map(backlog).collect())
             }
             false => {
                 let changed = counts
                     .iter()
-                    .filter(|(replica, count)| self.told.get(replica) != Some(count));
-                let ended = self.told.keys().filter(|hash| !counts.contains_key(hash));
+                    .filter(|(replica, count)| self.sent_counts.get(replica) != Some(count));
+                let ended = self
+                    .sent_counts
+                    .keys()
+                    .filter(|hash| !counts.contains_key(hash));
                 let ended = ended.map(|hash| Claim::none(*hash));
-                let begun = read
+                let changed_prefills = prefills
                     .iter()
-                    .filter(|(replica, tokens)| self.read.get(replica) != Some(tokens));
-                let over = self.read.keys().filter(|hash| !read.contains_key(hash));
-                let over = over.map(|hash| reading((hash, &0)));
+                    .filter(|(replica, tokens)| self.sent_prefills.get(replica) != Some(tokens));
+                let finished = self
+                    .sent_prefills
+                    .keys()
+                    .filter(|hash| !prefills.contains_key(hash));
+                let finished = finished.map(|hash| backlog((hash, &0)));
                 ClaimUpdate::changed(changed.filter_map(claim).chain(ended).collect())
-                    .with_readings(begun.map(reading).chain(over).collect())
+                    .with_readings(changed_prefills.map(backlog).chain(finished).collect())
             }
         };
-        let told = told.with_silent(silent.clone());
-        self.silent = silent;
+        let update = update.with_silent(silent.clone());
+        self.sent_silent = silent;
         self.last = now;
         if all {
             self.last_full = now;
         }
-        self.told = counts;
-        self.read = read;
-        Some(told)
+        self.sent_counts = counts;
+        self.sent_prefills = prefills;
+        Some(update)
     }
 }
 
@@ -117,11 +124,11 @@
         let count = counts.entry(server.hash).or_insert(RunCount {
             key,
             runs: 0,
-            reads: 0,
+            prefills: 0,
             generating: 0,
         });
         count.runs += 1;
-        count.reads += u16::from(run.is_prefilling());
+        count.prefills += u16::from(run.is_prefilling());
         count.generating += u16::from(run.started().is_some());
     }
     counts
--- a/crates/relay/src/claims.rs
+++ b/crates/relay/src/claims.rs
@@ -164,23 +164,23 @@
     }
 
     /// Takes what `peer` tells.
-    pub fn apply(&mut self, now: Time, peer: Instance, told: ClaimUpdate) {
+    pub fn apply(&mut self, now: Time, peer: Instance, update: ClaimUpdate) {
         let claims = self.claims.entry(peer).or_default();
-        let readings = self.backlogs.entry(peer).or_default();
-        if told.all {
+        let backlogs = self.backlogs.entry(peer).or_default();
+        if update.all {
             claims.clear();
-            readings.clear();
+            backlogs.clear();
         }
-        for claim in told.claims {
+        for claim in update.claims {
             match claim.runs {
                 0 => claims.remove(&claim.replica),
                 _ => claims.insert(claim.replica, Received::new(now, claim)),
             };
         }
-        for reading in told.readings {
-            match reading.tokens {
-                0 => readings.remove(&reading.replica),
-                _ => readings.insert(reading.replica, Received::new(now, reading)),
+        for backlog in update.readings {
+            match backlog.tokens {
+                0 => backlogs.remove(&backlog.replica),
+                _ => backlogs.insert(backlog.replica, Received::new(now, backlog)),
             };
         }
     }
@@ -194,10 +194,10 @@
     /// Tokens that replicas are to read for other daemons, by the replicas' hashes; `None` if no other
     /// daemon is heard of.
     pub fn pending_prefills(&self, now: Time) -> Option<HashMap<u64, u64>> {
-        let readings = self.backlogs.values().flat_map(BTreeMap::values);
+        let backlogs = self.backlogs.values().flat_map(BTreeMap::values);
         let mut all: HashMap<u64, u64> = HashMap::new();
-        for fresh in readings.filter(|fresh| fresh.is_current(now)) {
-            *all.entry(fresh.value.replica).or_default() += u64::from(fresh.value.tokens);
+        for received in backlogs.filter(|received| received.is_current(now)) {
+            *all.entry(received.value.replica).or_default() += u64::from(received.value.tokens);
         }
         (!self.claims.is_empty() || !all.is_empty()).then_some(all)
     }
@@ -210,34 +210,34 @@
 
     /// What the others hold at the replica with the hash `replica`.
     pub fn peer_usage(&self, now: Time, replica: u64) -> PeerUsage {
-        let mut others = PeerUsage::default();
-        let told = self
+        let mut usage = PeerUsage::default();
+        let claims = self
             .claims
             .values()
             .filter_map(|claims| claims.get(&replica));
-        for fresh in told.filter(|fresh| fresh.is_current(now)) {
-            others.add(&fresh.value, now.since(fresh.at));
+        for received in claims.filter(|received| received.is_current(now)) {
+            usage.add(&received.value, now.since(received.at));
         }
-        others
+        usage
     }
 
     /// The same for all replicas at once, by their hashes.
     pub fn all_peer_usage(&self, now: Time) -> HashMap<u64, PeerUsage> {
         let mut all: HashMap<u64, PeerUsage> = HashMap::new();
-        let told = self.claims.values().flat_map(BTreeMap::values);
-        for fresh in told.filter(|fresh| fresh.is_current(now)) {
-            let others = all.entry(fresh.value.replica).or_default();
-            others.add(&fresh.value, now.since(fresh.at));
+        let claims = self.claims.values().flat_map(BTreeMap::values);
+        for received in claims.filter(|received| received.is_current(now)) {
+            let usage = all.entry(received.value.replica).or_default();
+            usage.add(&received.value, now.since(received.at));
         }
         all
     }
 }
 
-fn remove_all_expired<T>(told: &mut BTreeMap<Instance, BTreeMap<u64, Received<T>>>, now: Time) {
-    for of_peer in told.values_mut() {
-        of_peer.retain(|_, fresh| fresh.is_current(now));
+fn remove_all_expired<T>(by_peer: &mut BTreeMap<Instance, BTreeMap<u64, Received<T>>>, now: Time) {
+    for of_peer in by_peer.values_mut() {
+        of_peer.retain(|_, received| received.is_current(now));
     }
-    told.retain(|_, of_peer| !of_peer.is_empty());
+    by_peer.retain(|_, of_peer| !of_peer.is_empty());
 }
 
 impl<T> Received<T> {
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -39,20 +39,16 @@
 
 /// The addresses for a caller in `near`: those instances of its data centre that `breadth` says if
 /// there are enough, else all.
-pub fn select_addresses(
-    entries: &[Endpoint],
-    near: Option<Zone>,
-    breadth: Scope,
-) -> Vec<SocketAddr> {
+pub fn select_addresses(entries: &[Endpoint], near: Option<Zone>, scope: Scope) -> Vec<SocketAddr> {
     let own = entries
         .iter()
         .filter(|entry| near == Some(entry.data_centre));
     let own: Vec<Endpoint> = own.copied().collect();
-    let large = match breadth {
+    let large = match scope {
         Scope::Large => large(&own, &own),
         Scope::All => Vec::new(),
     };
-    let told = match (large.len(), own.len()) {
+    let selected = match (large.len(), own.len()) {
         (count, all) if count >= MIN_LOCAL && count < all.min(MIN_LARGE) => {
             self::large(entries, &own)
         }
@@ -60,8 +56,8 @@
         (_, count) if count >= MIN_LOCAL => own,
         _ => entries.to_vec(),
     };
-    let told = told.iter().take(MAX_ADDRESSES);
-    told.map(|entry| entry.address).collect()
+    let selected = selected.iter().take(MAX_ADDRESSES);
+    selected.map(|entry| entry.address).collect()
 }
 
 /// Those of `entries` that have at least [`LARGE`] of the capacity of the largest one in `own`.
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -110,9 +110,9 @@
     ///
     /// # Errors
     /// [`Error::Unnumbered`] if something was given out that another replica would repeat.
-    pub const fn resumes_after(&self, asked: Option<u64>) -> Result<Option<u64>, Error> {
+    pub const fn resumes_after(&self, requested: Option<u64>) -> Result<Option<u64>, Error> {
         match self.position {
-            Position::Start => Ok(asked),
+            Position::Start => Ok(requested),
             Position::After(id) => Ok(Some(id)),
             Position::Unnumbered | Position::InsideEvent => Err(Error::Unnumbered),
         }
@@ -123,8 +123,8 @@
     ///
     /// # Errors
     /// Those of [`Splitter::resumes_after`].
-    pub fn resume(&mut self, asked: Option<u64>) -> Result<Option<u64>, Error> {
-        let last = self.resumes_after(asked)?;
+    pub fn resume(&mut self, requested: Option<u64>) -> Result<Option<u64>, Error> {
+        let last = self.resumes_after(requested)?;
         self.pending.clear();
         self.resumed_after = last;
         Ok(last)
--- a/crates/relay/src/forecast.rs
+++ b/crates/relay/src/forecast.rs
@@ -55,18 +55,18 @@
         let now = length.share_longer_than(self.generated, self.estimate);
         let mut curve = Curve::default();
         for (index, ahead) in HORIZONS.into_iter().enumerate() {
-            let made = self.generated + self.tokens_per_s * ahead;
-            let goes_on = match made {
+            let generated = self.generated + self.tokens_per_s * ahead;
+            let survival = match generated {
                 _ if ahead == 0.0 => 1.0,
-                made if made >= self.max_tokens => 0.0,
+                generated if generated >= self.max_tokens => 0.0,
                 _ if now < MIN_SURVIVAL => (-ahead / OVERLONG_MEAN_S).exp(),
-                made => length.share_longer_than(made, self.estimate) / now,
+                generated => length.share_longer_than(generated, self.estimate) / now,
             };
-            let size = self.prompt + made;
-            curve.mean[index] = (goes_on * size) as f32;
-            curve.variance[index] = (goes_on * (1.0 - goes_on) * size * size) as f32;
+            let size = self.prompt + generated;
+            curve.mean[index] = (survival * size) as f32;
+            curve.variance[index] = (survival * (1.0 - survival) * size * size) as f32;
             curve.most[index] =
-                (self.prompt + made.min(self.max_tokens.max(self.generated))) as f32;
+                (self.prompt + generated.min(self.max_tokens.max(self.generated))) as f32;
         }
         curve
     }
@@ -142,11 +142,11 @@
 
     /// The same for the moments up to `seconds` ahead.
     pub fn peak_within(&self, seconds: f64, spreads: f64) -> f64 {
-        let near = (0..HORIZONS.len()).filter(|index| HORIZONS[*index] <= seconds);
-        let values = near.map(|index| {
+        let indices = (0..HORIZONS.len()).filter(|index| HORIZONS[*index] <= seconds);
+        let values = indices.map(|index| {
             let spread = f64::from(self.variance[index].max(0.0)).sqrt();
-            let surely = f64::from(self.mean[index]) + spreads * spread;
-            surely.min(f64::from(self.most[index]))
+            let upper = f64::from(self.mean[index]) + spreads * spread;
+            upper.min(f64::from(self.most[index]))
         });
         values.fold(0.0, f64::max)
     }
--- a/crates/relay/src/length.rs
+++ b/crates/relay/src/length.rs
@@ -44,31 +44,31 @@
     }
 
     /// Notes that an answer had `made` tokens where `estimate` were expected.
-    pub fn record(&mut self, made: f64, estimate: f64) {
+    pub fn record(&mut self, generated: f64, estimate: f64) {
         let kept = 1.0 - 1.0 / DECAY_ANSWERS;
         for weight in &mut self.weights {
             *weight *= kept;
         }
-        let bin = bin_position(made, estimate).clamp(0.0, BINS as f64 - 1.0) as usize;
+        let bin = bin_position(generated, estimate).clamp(0.0, BINS as f64 - 1.0) as usize;
         self.weights[bin] += 1.0;
         self.total = self.total * kept + 1.0;
     }
 
     /// Share of answers that have more than `made` tokens where `estimate` are expected.
-    pub fn share_longer_than(&self, made: f64, estimate: f64) -> f64 {
-        if made <= 0.0 {
+    pub fn share_longer_than(&self, generated: f64, estimate: f64) -> f64 {
+        if generated <= 0.0 {
             return 1.0;
         }
-        let bin_position = bin_position(made, estimate);
-        if bin_position < 0.0 {
+        let position = bin_position(generated, estimate);
+        if position < 0.0 {
             return 1.0;
         }
-        let bin = bin_position as usize;
+        let bin = position as usize;
         if bin >= BINS {
             return 0.0;
         }
         let above: f64 = self.weights[bin + 1..].iter().sum();
-        let part = 1.0 - bin_position.fract();
+        let part = 1.0 - position.fract();
         (above + part * self.weights[bin]) / self.total
     }
 }
@@ -80,7 +80,7 @@
 }
 
 /// Where a ratio lies, in bins from the beginning of the first one.
-fn bin_position(made: f64, estimate: f64) -> f64 {
-    let ratio = made.max(1.0) / estimate.max(1.0);
+fn bin_position(generated: f64, estimate: f64) -> f64 {
+    let ratio = generated.max(1.0) / estimate.max(1.0);
     (ratio.ln() - MIN_LOG_RATIO) / BIN_WIDTH
 }
--- a/crates/relay/src/migration.rs
+++ b/crates/relay/src/migration.rs
@@ -54,12 +54,12 @@
         let Some(run) = newest_movable(now, pool, runs, claims, key) else {
             continue;
         };
-        let ask = MemoryDemand {
+        let demand = MemoryDemand {
             curve: runs.curve(now, run),
             spreads: SPREADS,
             spare: SPARE,
         };
-        moves.extend(choose(run, key, ask).map(|to| Move { run, to }));
+        moves.extend(choose(run, key, demand).map(|to| Move { run, to }));
     }
     moves
 }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -28,7 +28,7 @@
 
 /// Replicas that are weighed for one request, drawn anew each time where there are more; the best of
 /// so many is among the best fiftieth of all, and weighing 930 took 77 us in place of 16.
-const MAX_WEIGHED: usize = 64;
+const MAX_SCORED: usize = 64;
 
 /// Minimum time for which the list must be out of date before a missing entry is treated as lapsed.
 /// Replicas renew their entries several times in this period, so a shorter outage expires none.
@@ -125,12 +125,12 @@
     pub fn stage_counts(&self, now: Time, service: &str) -> StageCounts {
         let count = |stage| {
             let servers = self.servers.values();
-            let fitting = servers.filter(|server| {
+            let eligible = servers.filter(|server| {
                 server.is_available(now)
                     && server.replica.service == service
                     && server.replica.stage == Some(stage)
             });
-            fitting.count()
+            eligible.count()
         };
         StageCounts {
             prefill: count(Stage::Prefill),
@@ -176,9 +176,9 @@
     /// The same for all replicas that make tokens.
     pub fn update_all_forecasts(&mut self, now: Time, runs: &Runs, claims: &Claims) {
         self.update_pending_prefills(now, claims);
-        let told = claims.all_peer_usage(now);
+        let usage = claims.all_peer_usage(now);
         for server in self.servers.values_mut() {
-            let others = told.get(&server.hash);
+            let others = usage.get(&server.hash);
             server.reset_forecast(others.copied().unwrap_or_default());
         }
         for (id, entry) in runs.iter() {
@@ -279,31 +279,36 @@
     /// The replica for `want` with the lowest score, `None` if there is none.
     ///
     /// `draw` gives evenly distributed numbers in `0.0..1.0`.
-    pub fn choose(&self, now: Time, want: &Criteria<'_>, draw: impl Fn() -> f64) -> Option<Key> {
-        let memory = self.memory(want.service);
-        let fitting = self.servers.iter();
-        let mut fitting: Vec<(Key, &Server)> = fitting
-            .filter(|(key, server)| want.matches(now, *key, server))
+    pub fn choose(
+        &self,
+        now: Time,
+        criteria: &Criteria<'_>,
+        draw: impl Fn() -> f64,
+    ) -> Option<Key> {
+        let memory = self.memory(criteria.service);
+        let eligible = self.servers.iter();
+        let mut eligible: Vec<(Key, &Server)> = eligible
+            .filter(|(key, server)| criteria.matches(now, *key, server))
             .collect();
-        let drawn = sample(&mut fitting, &draw);
+        let sampled = sample(&mut eligible, &draw);
         let best = |candidates: &[(Key, &Server)]| {
-            let roomy = candidates.iter().copied();
-            let roomy = roomy.filter(|(_, server)| want.has_room(now, server, memory));
-            score::best(now, want, &roomy.collect::<Vec<_>>(), memory, &draw)
+            let with_room = candidates.iter().copied();
+            let with_room = with_room.filter(|(_, server)| criteria.has_room(now, server, memory));
+            score::best(now, criteria, &with_room.collect::<Vec<_>>(), memory, &draw)
         };
-        best(&fitting[..drawn]).or_else(|| best(&fitting[drawn..]))
+        best(&eligible[..sampled]).or_else(|| best(&eligible[sampled..]))
     }
 }
 
 /// Puts [`MAX_WEIGHED`] of the candidates, drawn by chance, to the front; gives how many there are.
 fn sample(candidates: &mut [(Key, &Server)], draw: impl Fn() -> f64) -> usize {
     let count = candidates.len();
-    if count <= MAX_WEIGHED {
+    if count <= MAX_SCORED {
         return count;
     }
-    for index in 0..MAX_WEIGHED {
+    for index in 0..MAX_SCORED {
         let other = index + (draw() * (count - index) as f64) as usize;
         candidates.swap(index, other.min(count - 1));
     }
-    MAX_WEIGHED
+    MAX_SCORED
 }
--- a/crates/relay/src/pool/list.rs
+++ b/crates/relay/src/pool/list.rs
@@ -50,16 +50,16 @@
             .filter(|(version, _)| *version > since);
         let gone = gone.map(|(_, id)| id.clone());
         // Their time ran out since the last reading, and the peer may still list them.
-        let over = self
+        let lapsed = self
             .servers
             .values()
             .filter(|server| server.has_lapsed(now));
-        let over = over.map(|server| server.replica.id.clone());
+        let lapsed = lapsed.map(|server| server.replica.id.clone());
         Update::Changed(Delta {
             since,
             version: self.version,
             replicas: changed.map(|server| server.replica.clone()).collect(),
-            gone: gone.chain(over).collect(),
+            gone: gone.chain(lapsed).collect(),
             lapsing: self.lapsing(now),
         })
     }
--- a/crates/relay/src/pool/prefill.rs
+++ b/crates/relay/src/pool/prefill.rs
@@ -43,8 +43,8 @@
     /// no prompt was read yet.
     pub fn estimate_prefill_time(&self, now: Time, key: Key, tokens: u64) -> Option<Duration> {
         let server = self.servers.get(key)?;
-        let usual = self.prefill_paces.get(&server.replica.service).copied();
-        let pace = server.prefill_pace(now).or(usual)?;
+        let service_pace = self.prefill_paces.get(&server.replica.service).copied();
+        let pace = server.prefill_pace(now).or(service_pace)?;
         Some(Duration::from_secs_f64(
             pace * (server.queued_tokens() + tokens) as f64,
         ))
@@ -52,15 +52,15 @@
 
     /// Takes what other daemons have sent to be read.
     pub fn update_pending_prefills(&mut self, now: Time, claims: &Claims) {
-        let unread = claims.pending_prefills(now);
-        let told = |hash| {
-            unread
+        let pending = claims.pending_prefills(now);
+        let tokens_of = |hash| {
+            pending
                 .as_ref()
                 .map(|all| all.get(&hash).copied().unwrap_or(0))
         };
         for server in self.servers.values_mut() {
             if server.replica.stage == Some(Stage::Prefill) {
-                server.peer_prefill_tokens = told(server.hash);
+                server.peer_prefill_tokens = tokens_of(server.hash);
             }
         }
     }
@@ -68,9 +68,9 @@
     /// What this daemon has sent to be read, by replica.
     pub fn prefill_backlogs(&self) -> impl Iterator<Item = PrefillBacklog> + '_ {
         let servers = self.servers.values();
-        let reading = servers
+        let busy = servers
             .filter(|server| server.replica.stage == Some(Stage::Prefill) && server.tokens > 0);
-        reading.map(|server| PrefillBacklog {
+        busy.map(|server| PrefillBacklog {
             replica: server.hash,
             tokens: server.tokens.min(u64::from(u32::MAX)) as u32,
         })
@@ -95,12 +95,13 @@
         let Some(server) = self.servers.get(key) else {
             return 0.0;
         };
-        let read = self
+        let prefill = self
             .estimate_prefill_time(now, key, tokens)
             .unwrap_or_default();
-        let part = read.as_secs_f64() / objective.as_secs_f64().max(f64::EPSILON);
-        let slow = (part - SLOW_FROM) / (SLOW_TO - SLOW_FROM);
-        slow.max(server.failure_share(now))
+        let fraction = prefill.as_secs_f64() / objective.as_secs_f64().max(f64::EPSILON);
+        let share = (fraction - SLOW_FROM) / (SLOW_TO - SLOW_FROM);
+        share
+            .max(server.failure_share(now))
             .clamp(0.0, MAX_DECODE_PREFILL_SHARE)
     }
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -180,8 +180,8 @@
     /// Whether `fingerprint` was served lately, so that no end is put down to it.
     pub fn was_served_lately(&self, now: UnixMs, fingerprint: Fingerprint) -> bool {
         let own = self.served.get(&fingerprint).copied();
-        let told = self.records.get(&fingerprint).map(|record| record.served);
-        let served = own.max(told).unwrap_or_default();
+        let reported = self.records.get(&fingerprint).map(|record| record.served);
+        let served = own.max(reported).unwrap_or_default();
         served > UnixMs(0) && now <= served.plus(SERVED_GRACE)
     }
 
@@ -229,22 +229,22 @@
     }
 
     /// Takes what another daemon, or the store, told.
-    pub fn merge(&mut self, now: UnixMs, told: &Record) -> Change {
-        if told.expires() <= now {
+    pub fn merge(&mut self, now: UnixMs, other: &Record) -> Change {
+        if other.expires() <= now {
             return Change::None;
         }
-        let fingerprint = told.fingerprint;
+        let fingerprint = other.fingerprint;
         let known = self.records.get(&fingerprint).cloned();
         let before = known.unwrap_or_else(|| Record::new(fingerprint));
         let mut record = before.clone();
-        record.merge(told);
+        record.merge(other);
         if let Some(served) = self.served.get(&fingerprint) {
             record.merge(&Record::served(fingerprint, *served));
         }
         let is_dropped = |end: &End| !record.is_quarantined() && !record.has(end);
         let change = match &record {
             record if record.is_quarantined() && !before.is_quarantined() => Change::Quarantined,
-            _ if told.ends.iter().any(is_dropped) => Change::Served,
+            _ if other.ends.iter().any(is_dropped) => Change::Served,
             record if *record == before => Change::None,
             _ => Change::Other,
         };
@@ -255,8 +255,8 @@
     /// Forgets the records whose time is over.
     pub fn remove_expired(&mut self, now: UnixMs) {
         let records = self.records.values();
-        let over: Vec<Record> = records.filter(|r| r.expires() <= now).cloned().collect();
-        for record in over {
+        let expired: Vec<Record> = records.filter(|r| r.expires() <= now).cloned().collect();
+        for record in expired {
             self.remove(&record);
         }
     }
--- a/crates/relay/src/replica.rs
+++ b/crates/relay/src/replica.rs
@@ -121,7 +121,7 @@
     /// for the same one.
     pub fn compare_incarnation(&self, known: Option<Birth>) -> Ordering {
         match (self.birth, known) {
-            (Some(told), Some(known)) => told.cmp(&known),
+            (Some(own), Some(known)) => own.cmp(&known),
             _ => Ordering::Equal,
         }
     }
--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -246,8 +246,8 @@
         let newest_ms = newest.map_or(u16::MAX, |at| {
             now.since(at).as_millis().min(u128::from(u16::MAX - 1)) as u16
         });
-        let reads = here().filter(|(_, run)| run.is_prefilling()).count() as u16;
-        Some(Claim::new(hash, count, reads, newest_ms, &curve))
+        let prefills = here().filter(|(_, run)| run.is_prefilling()).count() as u16;
+        Some(Claim::new(hash, count, prefills, newest_ms, &curve))
     }
 }
 
--- a/crates/relay/src/score.rs
+++ b/crates/relay/src/score.rs
@@ -61,7 +61,7 @@
     /// Whether `server`, whose engine holds `memory` tokens if that is known, has room.
     pub(crate) fn has_room(&self, now: Time, server: &Server, memory: Option<u64>) -> bool {
         match (self.demand, memory) {
-            (Some(ask), Some(memory)) => ask.fits(now, server, memory),
+            (Some(demand), Some(memory)) => demand.fits(now, server, memory),
             _ => true,
         }
     }
@@ -71,17 +71,17 @@
 /// and `draw` gives evenly distributed numbers in `0.0..1.0`.
 pub(crate) fn best(
     now: Time,
-    want: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     candidates: &[(Key, &Server)],
     memory: Option<u64>,
     draw: impl Fn() -> f64,
 ) -> Option<Key> {
-    let usual = median_pace(now, candidates);
+    let median = median_pace(now, candidates);
     let scored = candidates.iter().map(|(key, server)| {
-        let load = utilization(now, want, server, memory) + penalty(now, want, server);
+        let load = relative_load(now, criteria, server, memory) + penalty(now, criteria, server);
         (
             *key,
-            load + slowness_penalty(now, server, usual) + draw() * JITTER,
+            load + slowness_penalty(now, server, median) + draw() * JITTER,
         )
     });
     let best = scored.min_by(|(_, left), (_, right)| left.total_cmp(right));
@@ -89,40 +89,40 @@
 }
 
 /// What speaks against a replica besides its load and its pace.
-fn penalty(now: Time, want: &Criteria<'_>, server: &Server) -> f64 {
-    let near = server.replica.data_centre == want.data_centre;
-    let distance = if near { 0.0 } else { REMOTE_PENALTY };
+fn penalty(now: Time, criteria: &Criteria<'_>, server: &Server) -> f64 {
+    let is_local = server.replica.data_centre == criteria.data_centre;
+    let distance = if is_local { 0.0 } else { REMOTE_PENALTY };
     let cold = if server.replica.cold {
         COLD_PENALTY
     } else {
         0.0
     };
-    let full = match server.refusals(now) {
+    let refused = match server.refusals(now) {
         0 => 0.0,
         1 => REFUSED_PENALTY,
         _ => REPEATED_REFUSAL_PENALTY,
     };
-    let reads = if server.prefills > 0 {
+    let prefilling = if server.prefills > 0 {
         PREFILL_PENALTY
     } else {
         0.0
     };
-    full + reads + FAILURE_WEIGHT * server.failure_share(now) + distance + cold
+    refused + prefilling + FAILURE_WEIGHT * server.failure_share(now) + distance + cold
 }
 
 /// Median time a unit of work among the candidates that told one lately.
 fn median_pace(now: Time, candidates: &[(Key, &Server)]) -> Option<f64> {
-    let known = candidates.iter().filter_map(|(_, server)| server.pace(now));
-    let mut known: Vec<f64> = known.collect();
-    let middle = known.len().checked_sub(1)? / 2;
-    let (_, median, _) = known.select_nth_unstable_by(middle, f64::total_cmp);
+    let paces = candidates.iter().filter_map(|(_, server)| server.pace(now));
+    let mut paces: Vec<f64> = paces.collect();
+    let middle = paces.len().checked_sub(1)? / 2;
+    let (_, median, _) = paces.select_nth_unstable_by(middle, f64::total_cmp);
     Some(*median)
 }
 
-fn slowness_penalty(now: Time, server: &Server, usual: Option<f64>) -> f64 {
-    match (server.pace(now), usual) {
-        (Some(pace), Some(usual)) if usual > 0.0 => {
-            let doublings = (pace / usual).log2() - 1.0;
+fn slowness_penalty(now: Time, server: &Server, median: Option<f64>) -> f64 {
+    match (server.pace(now), median) {
+        (Some(pace), Some(median)) if median > 0.0 => {
+            let doublings = (pace / median).log2() - 1.0;
             SLOW_WEIGHT * doublings.clamp(0.0, MAX_SLOW_DOUBLINGS)
         }
         _ => 0.0,
@@ -130,18 +130,20 @@
 }
 
 /// Part of the replica that is in use: of its memory for a decode replica, else of its places.
-fn utilization(now: Time, want: &Criteria<'_>, server: &Server, memory: Option<u64>) -> f64 {
+fn relative_load(now: Time, criteria: &Criteria<'_>, server: &Server, memory: Option<u64>) -> f64 {
     let slots = f64::from(server.replica.slots.max(1));
     let load = server.load(now);
     let queued = server
         .peer_prefill_tokens
         .map(|_| server.queued_tokens() as f64 / TYPICAL_RUN_TOKENS);
-    match (server.replica.stage, memory, want.demand) {
+    match (server.replica.stage, memory, criteria.demand) {
         (Some(Stage::Prefill), ..) => queued.unwrap_or(load),
-        (Some(Stage::Decode), Some(memory), Some(ask)) => ask.peak_utilization(now, server, memory),
+        (Some(Stage::Decode), Some(memory), Some(demand)) => {
+            demand.peak_utilization(now, server, memory)
+        }
         (Some(Stage::Decode), Some(memory), None) => {
-            let others = server.peer_requests(now) * TYPICAL_RUN_TOKENS;
-            (server.tokens as f64 + others) / (memory as f64)
+            let peer_tokens = server.peer_requests(now) * TYPICAL_RUN_TOKENS;
+            (server.tokens as f64 + peer_tokens) / (memory as f64)
         }
         (None, ..) | (Some(Stage::Decode), None, _) => load / slots,
     }
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -19,7 +19,7 @@
 /// How long a told load counts; it fades out linearly. Replicas answer several times as often.
 const LOAD_AGE: Duration = Duration::from_secs(2);
 /// Time in which the share of failures falls to a third without further sends.
-const FAILURE_FADE: Duration = Duration::from_secs(4);
+const FAILURE_DECAY: Duration = Duration::from_secs(4);
 /// Weight of the newest send in the share of failures.
 const FAILURE_WEIGHT: f64 = 0.35;
 /// Weight of the newest read in the mean time that a token of a prompt takes.
@@ -154,10 +154,10 @@
     }
 
     /// Adds a run of this daemon; `is_read` if the replica reads its prompt.
-    pub(crate) fn add_run(&mut self, curve: &Curve, is_read: bool) {
+    pub(crate) fn add_run(&mut self, curve: &Curve, is_prefilling: bool) {
         self.forecast = self.forecast.plus(curve);
         self.known_runs += 1;
-        self.prefills += u32::from(is_read);
+        self.prefills += u32::from(is_prefilling);
     }
 
     /// Whether the list lacks it and the time is over for which it was used on.
@@ -279,8 +279,8 @@
 
     /// Requests of other daemons at work here, as far as the replica told; fades with time.
     pub(crate) fn peer_requests(&self, now: Time) -> f64 {
-        self.peer_requests.map_or(0.0, |(count, told)| {
-            let age = now.since(told).as_secs_f64() / LOAD_AGE.as_secs_f64();
+        self.peer_requests.map_or(0.0, |(count, reported_at)| {
+            let age = now.since(reported_at).as_secs_f64() / LOAD_AGE.as_secs_f64();
             f64::from(count) * (1.0 - age).max(0.0)
         })
     }
@@ -288,6 +288,6 @@
     /// Share of failures among the last sends; fades while nothing is sent.
     pub fn failure_share(&self, now: Time) -> f64 {
         let (share, at) = self.failures;
-        share * (-now.since(at).as_secs_f64() / FAILURE_FADE.as_secs_f64()).exp()
+        share * (-now.since(at).as_secs_f64() / FAILURE_DECAY.as_secs_f64()).exp()
     }
 }
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -66,13 +66,13 @@
     /// The part of a replica's memory that has to be free, beside that of its terms, if the prompt will be
     /// read after `read` by a prefill replica: none if that is soon enough. `age` is the time since the
     /// request came.
-    pub fn required_idle_share(self, objective: Duration, age: Duration, read: Duration) -> f64 {
-        let timely = match self {
-            Self::New => age + read <= objective.mul_f64(PREFILL_DEADLINE),
-            Self::Returned => read <= objective.mul_f64(MAX_LATE_PREFILL),
+    pub fn required_idle_share(self, objective: Duration, age: Duration, prefill: Duration) -> f64 {
+        let in_time = match self {
+            Self::New => age + prefill <= objective.mul_f64(PREFILL_DEADLINE),
+            Self::Returned => prefill <= objective.mul_f64(MAX_LATE_PREFILL),
             Self::Due => true,
         };
-        if timely { 0.0 } else { IDLE_SHARE }
+        if in_time { 0.0 } else { IDLE_SHARE }
     }
 }
 
@@ -99,7 +99,7 @@
         }
         let mut sorted: Vec<Duration> = self.limits.iter().copied().collect();
         let rank = ((sorted.len() - 1) as f64 * FIRST_ATTEMPT_QUANTILE) as usize;
-        let (_, usual, _) = sorted.select_nth_unstable(rank);
-        usual.saturating_sub(limit)
+        let (_, first_attempt, _) = sorted.select_nth_unstable(rank);
+        first_attempt.saturating_sub(limit)
     }
 }
