--- a/crates/relay/examples/decide.rs
+++ b/crates/relay/examples/decide.rs
@@ -1,7 +1,7 @@
-//! Measures what placing a generation costs a daemon, by the size of the fleet.
+//! Measures the cost of placing a generation, by fleet size.
 //!
-//! `cargo run --release -p relay --example decide` prints, for fleets of 9 to 930 replicas, the median
-//! time to choose a decode replica, and the time of a look at all of them.
+//! `cargo run --release -p relay --example decide` prints, for fleets of 9 to 930 replicas, the
+//! median time to choose a decode replica, and the time to update the forecasts of all replicas.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -25,11 +25,11 @@
 
 /// Fleets: decode replicas, and runs at all of them.
 const FLEETS: [(usize, usize); 4] = [(9, 120), (44, 590), (140, 1_870), (930, 12_400)];
-/// Runs of one daemon.
+/// Runs of this daemon.
 const OWN_RUNS: usize = 31;
-/// Daemons whose claims are told to one daemon at most.
+/// Maximum number of daemons that send their claims to one daemon.
 const PEERS: usize = 16;
-/// Decisions that are measured.
+/// Number of measured decisions.
 const DECISIONS: usize = 2_000;
 const SIZE: Size = Size {
     prompt: 5_200,
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -1,45 +1,44 @@
-//! Whether a decode replica has room for a run, now and until the run ends.
+//! Checks whether a decode replica has memory for a run, now and until the run ends.
 //!
-//! Answers the load in which many generations come at once: their prompts fit, and two seconds later
-//! their answers do not. A run that its replica sets aside for want of memory has its prompt read
-//! again and is late; one that is refused may come back; so the room has to last with some certainty,
-//! the more the less is lost by refusing.
+//! In a burst, the prompts of many generations fit, and two seconds later their answers do not. A
+//! run that its replica preempts for lack of memory is prefilled again and is late, whereas a
+//! refused one may retry. So the memory has to suffice with a margin, which is larger the less a
+//! refusal costs.
 
 use ident::Time;
 
 use crate::forecast::Curve;
 use crate::server::Server;
 
-/// Tokens that a run of another daemon is taken for that did not tell of it: a prompt of usual length
-/// and half of its answer.
+/// Tokens assumed for a run that no daemon has reported: a typical prompt and half of its answer.
 const TYPICAL_RUN_TOKENS: f64 = 5_000.0;
 
-/// What a run asks of the memory of a replica.
+/// Memory that a run needs at a replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MemoryDemand {
-    /// What it will hold.
+    /// Forecast of the run's memory.
     pub curve: Curve,
-    /// Standard deviations of the forecast that the room has to last for.
+    /// Margin above the mean forecast, in standard deviations.
     pub spreads: f64,
-    /// Part of the memory that it leaves to others.
+    /// Fraction of the replica's memory to leave free.
     pub spare: f64,
 }
 
 impl MemoryDemand {
-    /// Whether `server`, which holds `memory` tokens, has room.
+    /// Whether `server`, whose memory holds `memory` tokens, has room for the run.
     pub fn fits(&self, now: Time, server: &Server, memory: u64) -> bool {
         self.peak_utilization(now, server, memory) <= 1.0 - self.spare
     }
 
-    /// Most of the memory of `server` that is in use over the next seconds with this run there, as a
-    /// part of `memory` tokens.
+    /// Peak memory use of `server` over the next seconds including this run, as a fraction of
+    /// `memory` tokens.
     pub fn peak_utilization(&self, now: Time, server: &Server, memory: u64) -> f64 {
         let known = server.forecast.plus(&self.curve).peak(self.spreads);
         (known + unreported_tokens(now, server)) / memory as f64
     }
 }
 
-/// Tokens of runs of which the replica told, and no daemon.
+/// Tokens of runs that the replica has reported but no daemon has.
 pub(crate) fn unreported_tokens(now: Time, server: &Server) -> f64 {
     (server.peer_requests(now) - f64::from(server.peer_runs)).max(0.0) * TYPICAL_RUN_TOKENS
 }
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,42 +1,42 @@
-//! What follows when a send to a replica did not end in an answer that can be given.
+//! Decides the next step after a send to a replica that gave no usable answer.
 
 use crate::plan::Mode;
 
-/// Replicas that one request is sent to at most, those that did not run it among them. Limits how
-/// long a request goes round when many replicas are full or unreachable.
+/// Maximum sends of one request, including sends to replicas that did not run it. Bounds the time
+/// spent on a request when many replicas are full or unreachable.
 const MAX_SENDS: u32 = 5;
 
-/// How a send ended without an answer that can be given to the caller.
+/// Why a send gave no answer that can be returned to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// No byte of the request left this daemon.
+    /// No byte of the request was sent.
     NotSent,
-    /// The replica says that it did not run the request.
+    /// The replica reported that it did not run the request.
     NotRun,
-    /// The replica ran the request and says that it failed; its answer can be given.
+    /// The replica ran the request and reported a failure, which can be returned.
     Failed,
-    /// The request left and no usable answer came; it may have run.
+    /// The request was sent and no usable answer came; it may have run.
     Lost,
-    /// Nothing was sent, since replicas ended while at work on the request; see [`crate::quarantine`].
+    /// Not sent because the request is quarantined; see [`crate::quarantine`].
     Quarantined,
-    /// Nothing was sent, since the API key that the request came with is no longer held by its customer.
+    /// Not sent because the customer no longer holds the API key of the request.
     Denied,
 }
 
-/// What to do next.
+/// Next step for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
     /// Send it to another replica.
     Retry,
-    /// Give the replica's failure to the caller.
+    /// Return the replica's failure to the caller.
     Relay,
-    /// Answer that it has not run and when to come back.
+    /// Answer that it has not run, and when to retry.
     Refuse,
     /// Answer that its outcome is unknown.
     Unknown,
 }
 
-/// The sends of one request.
+/// The sends of one request so far.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
     mode: Mode,
@@ -46,7 +46,7 @@
 }
 
 impl Attempt {
-    /// A request that may run on `max_runs` replicas.
+    /// Creates the record of a request that may run on up to `max_runs` replicas.
     pub const fn new(mode: Mode, max_runs: u32) -> Self {
         Self {
             mode,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Sends so far.
+    /// Number of sends so far.
     pub const fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub const fn may_have_run(&self) -> bool {
         self.runs > 0
     }
@@ -72,24 +72,24 @@
             && (self.runs == 0 || (self.mode.repeatable() && self.runs < self.max_runs))
     }
 
-    /// Whether it may be sent elsewhere while it may still be at work at the present replica.
+    /// Whether it may be sent to another replica while the present one may still be running it.
     pub fn may_fail_over(&self) -> bool {
         self.mode.repeatable() && self.sends < MAX_SENDS && self.runs + 1 < self.max_runs
     }
 
-    /// Notes that the request is sent.
+    /// Records that the request is sent.
     pub const fn record_send(&mut self) {
         self.sends += 1;
     }
 
-    /// What follows `outcome`; `in_budget` takes a retry from the budget and tells whether there
-    /// was one.
+    /// Returns the step that follows `outcome`. `in_budget` takes a retry from the budget and
+    /// returns whether one was left.
     pub fn next_step(&mut self, outcome: Outcome, in_budget: impl FnOnce() -> bool) -> Next {
         match outcome {
             Outcome::Failed | Outcome::Lost => self.runs += 1,
             Outcome::NotSent | Outcome::NotRun | Outcome::Quarantined | Outcome::Denied => {}
         }
-        // A send that never arrived is no load on the service and needs no budget.
+        // A send of which no byte left puts no load on the service and needs no budget.
         let withheld = matches!(outcome, Outcome::Quarantined | Outcome::Denied);
         let may_retry =
             !withheld && self.may_run_again() && (outcome == Outcome::NotSent || in_budget());
--- a/crates/relay/src/balance.rs
+++ b/crates/relay/src/balance.rs
@@ -1,8 +1,8 @@
-//! How the replicas of a model divide into those that read prompts and those that make tokens.
+//! Decides how the replicas of a model are divided into prefill and decode.
 //!
-//! The part that reads prompts is a share of all replicas and a reserve that grows with the square
-//! root of their number, as for any pool of servers with random arrivals: a few replicas need
-//! relatively more spare ones than many do.
+//! The number of prefill replicas is a share of all replicas plus a reserve that grows with the
+//! square root of their number: as in any server pool with random arrivals, a small pool needs
+//! relatively more spare replicas than a large one.
 
 use std::time::Duration;
 
@@ -10,67 +10,67 @@
 
 use crate::replica::Stage;
 
-/// How long the division has to be off before a replica changes: longer than the list lags behind
-/// a change that was ordered.
+/// How long there must be too many prefill replicas before one changes to decode. Longer than the
+/// lag of the list behind an ordered change.
 const SURPLUS_DELAY: Duration = Duration::from_millis(1_500);
-/// How long too few prefill replicas are borne: decode replicas can read prompts themselves, and
-/// one that crashed is often back within some seconds.
+/// How long there must be too few prefill replicas before a decode replica changes. Decode replicas
+/// can prefill meanwhile, and a crashed replica is often back within seconds.
 const SHORTAGE_DELAY: Duration = Duration::from_secs(5);
-/// Time between two changes of one service, besides the time that a change takes: the list tells of
-/// it with a lag of a heartbeat and a reading.
+/// Pause between two changes of one service, in addition to the duration of a change: the list
+/// shows a change only after a heartbeat and a read.
 const CHANGE_PAUSE: Duration = Duration::from_secs(3);
 
-/// Replicas that read prompts beyond their share, times the square root of the number of replicas.
+/// Factor of the square root in the reserve of prefill replicas.
 const RESERVE_FACTOR: f64 = 0.65;
-/// Part of a service's replicas that changes to decode at once at most; they serve nothing while
-/// they change.
+/// Maximum fraction of a service's replicas that changes to decode at once; a replica serves
+/// nothing while it changes.
 const MAX_TO_DECODE: f64 = 0.25;
-/// The same for changes to prefill; fewer, since prefill replicas that crashed are often back soon.
+/// The same for changes to prefill. Smaller, since crashed prefill replicas are often back soon.
 const MAX_TO_PREFILL: f64 = 0.125;
-/// Growth of the number of replicas from which on the division is looked at anew: at a common start
-/// they register one after the other, and a division of half of them is not that of all.
+/// Growth of the number of replicas that restarts the delay. When all replicas start together they
+/// register one by one, and the right division of the first half is not that of all.
 const GROWTH_RESET: f64 = 1.1;
 
-/// A change that is due.
+/// A change of replicas from one stage to the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rebalance {
-    /// The stage that lacks replicas.
+    /// The stage that has too few replicas.
     pub stage: Stage,
-    /// Replicas of the other stage that are to change to it; one at least.
+    /// Replicas of the other stage to change to it; at least one.
     pub count: usize,
 }
 
-/// Replicas of one service that take requests, by stage.
+/// Available replicas of one service, by stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StageCounts {
-    /// Those that read prompts.
+    /// Prefill replicas.
     pub prefill: usize,
-    /// Those that make tokens.
+    /// Decode replicas.
     pub decode: usize,
 }
 
-/// The division of one service, watched over time.
+/// Tracks the division of one service over time.
 #[derive(Debug)]
 pub struct StageBalancer {
-    /// Time that a replica takes to change.
+    /// Time that a replica takes to change its stage.
     change_time: Duration,
-    /// What is off, if anything is.
+    /// The present imbalance, if any.
     imbalance: Option<Imbalance>,
     last_order: Option<Time>,
 }
 
-/// A division that is off.
+/// A division with too few replicas in one stage.
 #[derive(Debug, Clone, Copy)]
 struct Imbalance {
     since: Time,
-    /// The stage that lacks replicas.
+    /// The stage that has too few replicas.
     stage: Stage,
-    /// Replicas of both stages at that time.
+    /// Replicas of both stages when the imbalance began.
     total: usize,
 }
 
 impl StageBalancer {
-    /// Nothing seen yet; a replica takes `change` to change its stage.
+    /// Creates a balancer for a service whose replicas take `change_time` to change their stage.
     pub const fn new(change_time: Duration) -> Self {
         Self {
             change_time,
@@ -79,8 +79,8 @@
         }
     }
 
-    /// The change that is to be ordered now, if any; `share` is the part of the replicas that are to
-    /// read prompts, the reserve not counted.
+    /// Returns the change to order now, if any. `share` is the target fraction of prefill replicas
+    /// without the reserve.
     pub fn due(&mut self, now: Time, counts: StageCounts, share: f64) -> Option<Rebalance> {
         let Some(due) = required_rebalance(counts, share) else {
             self.imbalance = None;
@@ -110,12 +110,12 @@
         (now.since(imbalance.since) >= delay && !paused).then_some(due)
     }
 
-    /// Notes that no order could be given; the division has to be off for a while again.
+    /// Records that no order could be sent; the delay starts again.
     pub const fn order_failed(&mut self) {
         self.imbalance = None;
     }
 
-    /// Notes that a change was ordered.
+    /// Records that a change was ordered.
     pub const fn order_sent(&mut self, now: Time) {
         self.last_order = Some(now);
         self.imbalance = None;
@@ -126,15 +126,15 @@
     now as f64 > before as f64 * GROWTH_RESET
 }
 
-/// Prefill replicas that `total` replicas are to have.
+/// Target number of prefill replicas among `total` replicas.
 pub fn target_prefill(total: usize, share: f64) -> usize {
     let total_f = total as f64;
     let wanted = (total_f * share + RESERVE_FACTOR * total_f.sqrt()).round() as usize;
     wanted.clamp(1, total.saturating_sub(1).max(1))
 }
 
-/// The change that brings the division right, if one stage has one replica too many. A single
-/// missing prefill replica is no lack.
+/// Returns the change that corrects the division, if one is needed. A single missing prefill
+/// replica is tolerated.
 fn required_rebalance(counts: StageCounts, share: f64) -> Option<Rebalance> {
     let StageCounts { prefill, decode } = counts;
     let total = prefill + decode;
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -1,4 +1,4 @@
-//! Budget of retries: the share of this daemon in the retries that all daemons together may send.
+//! Limits retries to the share of this daemon in what all daemons together may send.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,24 +7,25 @@
 
 use crate::permit::Permit;
 
-/// What all daemons together may retry.
+/// Limit on the retries of all daemons together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryPolicy {
-    /// Retries for each request of callers.
+    /// Retries for each request of a caller.
     pub ratio: f64,
-    /// Retries besides, over all daemons.
+    /// Retries in addition, over all daemons.
     pub slack: f64,
-    /// Span over which both are counted; any span of this length.
+    /// Length of the sliding window over which requests and retries are counted.
     pub window: Duration,
 }
 
-/// Part of the ratio that is used; the rest covers retries that are counted in a window whose
-/// requests lie just before it.
+/// Fraction of the ratio that is used. The rest covers retries counted in a window whose requests
+/// lie just before it.
 const RATIO_PART: f64 = 0.8;
-/// Part of the slack that is used.
+/// Fraction of the slack that is used.
 const SLACK_PART: f64 = 0.7;
-/// The same in the first window after the start of the process: all daemons may have been killed with their parts
-/// used up, and know nothing of it. Both parts together are the slack.
+/// Fraction of the slack that is used in the first window after the start of the process. All
+/// daemons may have been killed after using up their slack and do not know it, so this and
+/// `SLACK_PART` add up to 1.
 const STARTING_SLACK_PART: f64 = 0.3;
 
 /// Requests and retries of one service at this daemon.
@@ -35,7 +36,7 @@
 }
 
 impl RetryBudget {
-    /// An unused budget.
+    /// Creates an unused budget.
     pub fn new() -> Self {
         Self::default()
     }
@@ -46,7 +47,7 @@
         self.requests.push_back(now);
     }
 
-    /// Takes one retry out of the budget, if one is left; `daemons` share the slack.
+    /// Takes one retry out of the budget, if one is left. `daemons` share the slack.
     pub fn take(&mut self, now: Time, policy: &RetryPolicy, daemons: usize) -> Option<Permit> {
         if self.remaining(now, policy, daemons) < 1.0 {
             return None;
@@ -55,7 +56,7 @@
         Some(Permit::new())
     }
 
-    /// Retries that are left at `now`, a time since the start of the process.
+    /// Retries that are left at `now`, the time since the start of the process.
     pub fn remaining(&mut self, now: Time, policy: &RetryPolicy, daemons: usize) -> f64 {
         remove_expired(&mut self.requests, now, policy.window);
         remove_expired(&mut self.retries, now, policy.window);
--- a/crates/relay/src/claim_publisher.rs
+++ b/crates/relay/src/claim_publisher.rs
@@ -1,8 +1,8 @@
-//! What a daemon tells the others of its runs, and when.
+//! Decides when this daemon sends its claims to the others, and which.
 //!
-//! All claims are told from time to time, and what began or ended meanwhile at once. In a burst a run
-//! begins or ends each 20 ms at a daemon that has runs at 70 replicas: telling all 70 claims each time
-//! was most of what daemons sent each other.
+//! All claims are sent periodically, and those of changed replicas at once. In a burst, a daemon
+//! with runs at 70 replicas starts or ends one every 20 ms; sending all 70 claims each time made up
+//! most of the traffic between daemons.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use crate::runs::Runs;
 use crate::server::Key;
 
-/// Time between two messages with all claims: what was told is expected to go on, and a message that
-/// was lost is made good by the next one.
+/// Interval between messages with all claims. Claims are forecasts and stay valid meanwhile; a lost
+/// message is made up for by the next one.
 const FULL_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two messages at least, where something changed: in a burst, daemons that do not know
-/// of each other's newest runs place them on top of each other.
+/// Minimum interval between messages with changes. Kept short because in a burst, daemons that do
+/// not know each other's newest runs place them on the same replicas.
 const MIN_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Runs at one replica.
@@ -28,32 +28,32 @@
 struct RunCount {
     key: Key,
     runs: u16,
-    /// Those of them whose prompts the replica reads itself.
+    /// Runs whose prompts the replica prefills itself.
     prefills: u16,
-    /// Those that make tokens: the newest of them is the one that leaves when the memory ends.
+    /// Generating runs; the newest of them is the one to move when the memory is full.
     generating: u16,
 }
 
-/// What was told, and when.
+/// The claims that were sent last, and when.
 #[derive(Debug, Default)]
 pub struct ClaimPublisher {
     last: Time,
     last_full: Time,
-    /// By the hash of the replica.
+    /// Runs by replica hash.
     sent_counts: BTreeMap<u64, RunCount>,
-    /// Tokens that are being read, by the hash of the replica.
+    /// Tokens of pending prefills by replica hash.
     sent_prefills: BTreeMap<u64, u32>,
-    /// Replicas that do not answer, by their hashes.
+    /// Hashes of replicas that do not answer.
     sent_silent: Vec<u64>,
 }
 
 impl ClaimPublisher {
-    /// Nothing told yet.
+    /// Creates a publisher that has sent nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What is to be told at `now`, if anything.
+    /// Returns the update to send at `now`, if any.
     pub fn due(&mut self, now: Time, runs: &Runs, pool: &Pool) -> Option<ClaimUpdate> {
         let all = now.since(self.last_full) >= FULL_INTERVAL;
         if !all && now.since(self.last) < MIN_INTERVAL {
--- a/crates/relay/src/claims.rs
+++ b/crates/relay/src/claims.rs
@@ -1,8 +1,8 @@
-//! What other daemons told of their runs at decode replicas.
+//! Memory at decode replicas that other daemons have reported for their runs.
 //!
-//! A replica's own report is most of a second old, and in a burst its memory fills in less. So each
-//! daemon tells the others what its runs will hold. What is told is summed up by replica, so that it
-//! is as long as the sender has replicas in use, however many runs there are.
+//! A replica's own load report is most of a second old, and in a burst its memory fills in less. So
+//! each daemon sends the others a forecast for its runs. Claims are summed per replica: their
+//! number depends on the replicas that the sender uses, not on its runs.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,37 +18,39 @@
 use crate::forecast::HORIZONS;
 use crate::replica::Birth;
 
-/// Tokens that the figures of a claim are rounded to; engines give memory in such blocks.
+/// Tokens to which the figures of a claim are rounded; engines allocate memory in blocks of this
+/// size.
 const BLOCK_TOKENS: f32 = 16.0;
-/// Odd number that spreads the milliseconds of a birth over all bits of a hash (2^64 divided by the
-/// golden ratio).
+/// Odd number that spreads the milliseconds of a start time over all bits of a hash (2^64 divided
+/// by the golden ratio).
 const BIRTH_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-/// How long a claim counts: some three times as long as daemons are silent at most, since datagrams
-/// are lost at times. The runs of a daemon that died are over by then.
+/// How long a claim is valid: about three times the longest interval between messages, since
+/// datagrams are lost at times. The runs of a daemon that died are over by then.
 const CLAIM_TTL: Duration = Duration::from_millis(1_200);
 
-/// What the runs of one daemon at one replica will hold.
+/// Forecast for the runs of one daemon at one replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Hash of the replica's id and birth, by [`hash`].
+    /// Hash of the replica's id and start time, by [`incarnation_hash`].
     pub replica: u64,
-    /// How many runs there are.
+    /// Number of runs.
     pub runs: u16,
-    /// How many of them have their prompt read by the replica itself.
+    /// Number of runs whose prompt the replica prefills itself.
     pub reads: u16,
-    /// Milliseconds since the newest of those that make tokens began to; `u16::MAX` if none does.
+    /// Milliseconds since the newest of the generating runs began to generate; `u16::MAX` if none
+    /// does.
     pub newest_ms: u16,
-    /// Tokens expected at each moment, in units of 16.
+    /// Expected tokens at each horizon, in units of 16.
     mean: [u16; HORIZONS.len()],
     /// Standard deviation, in the same units.
     spread: [u16; HORIZONS.len()],
-    /// Tokens at each moment if no run ends, in the same units.
+    /// Tokens at each horizon if no run ends, in the same units.
     most: [u16; HORIZONS.len()],
 }
 
 impl Claim {
-    /// `runs` runs at the replica with the hash `replica`, `reads` of which it reads itself, that will hold
-    /// `curve`.
+    /// Creates a claim for `runs` runs at the replica with the hash `replica`, which prefills
+    /// `reads` of them itself.
     pub fn new(replica: u64, runs: u16, reads: u16, newest_ms: u16, curve: &Curve) -> Self {
         let units = |tokens: f32| (tokens / BLOCK_TOKENS).round() as u16;
         Self {
@@ -62,7 +64,8 @@
         }
     }
 
-    /// No run at that replica any more.
+    /// Creates a claim that withdraws an earlier one: the replica has no runs of this daemon any
+    /// more.
     pub fn none(replica: u64) -> Self {
         Self::new(replica, 0, 0, u16::MAX, &Curve::default())
     }
@@ -77,43 +80,44 @@
     }
 }
 
-/// What all other daemons together hold at one replica.
+/// Usage of one replica by all other daemons together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PeerUsage {
-    /// What they will hold.
+    /// Memory forecast of their runs.
     pub curve: Curve,
-    /// Their runs.
+    /// Number of their runs.
     pub runs: u32,
-    /// Prompts that the replica reads itself for them.
+    /// Prompts that the replica prefills itself for them.
     pub prefills: u32,
-    /// Time since the newest of their runs began to make tokens.
+    /// Time since the newest of their runs began to generate.
     pub newest: Option<Duration>,
 }
 
-/// Prompts that one daemon has sent to one replica to be read, and that are not read yet.
+/// Prompts of one daemon that wait or run at one prefill replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillBacklog {
-    /// Hash of the replica's id and birth, by [`hash`].
+    /// Hash of the replica's id and start time, by [`incarnation_hash`].
     pub replica: u64,
     /// Their tokens; 0 if none is left.
     pub tokens: u32,
 }
 
-/// What a daemon tells of its runs and of the prompts that it has read.
+/// What a daemon reports of its runs and prefills.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ClaimUpdate {
-    /// Whether it is all of them; else those at replicas where something changed since it told last.
+    /// Whether it is complete; otherwise it has only the replicas where something changed since the
+    /// last message.
     pub all: bool,
-    /// Its runs, by replica.
+    /// Runs, by replica.
     pub claims: Vec<Claim>,
-    /// Its prompts that are being read, by replica.
+    /// Pending prefills, by replica.
     pub readings: Vec<PrefillBacklog>,
-    /// Hashes of replicas that have not answered it lately.
+    /// Hashes of replicas that have not answered the sender lately.
     pub silent: Vec<u64>,
 }
 
 impl ClaimUpdate {
-    /// All runs.
+    /// Creates a complete update.
     pub fn all(claims: Vec<Claim>) -> Self {
         Self {
             all: true,
@@ -121,7 +125,7 @@
         }
     }
 
-    /// The runs at some replicas.
+    /// Creates an update with the replicas that changed.
     pub fn changed(claims: Vec<Claim>) -> Self {
         Self {
             claims,
@@ -129,28 +133,28 @@
         }
     }
 
-    /// The same with replicas that do not answer.
+    /// Returns the update with the replicas that do not answer.
     #[must_use]
     pub fn with_silent(self, silent: Vec<u64>) -> Self {
         Self { silent, ..self }
     }
 
-    /// The same with prompts that are being read.
+    /// Returns the update with the pending prefills.
     #[must_use]
     pub fn with_readings(self, readings: Vec<PrefillBacklog>) -> Self {
         Self { readings, ..self }
     }
 }
 
-/// What each of the other daemons told last.
+/// The latest claims of the other daemons.
 #[derive(Debug, Default)]
 pub struct Claims {
-    /// In a fixed order, so that sums of the same claims are the same to the last bit.
+    /// Ordered, so that sums of the same claims are equal to the last bit.
     claims: BTreeMap<Instance, BTreeMap<u64, Received<Claim>>>,
     backlogs: BTreeMap<Instance, BTreeMap<u64, Received<PrefillBacklog>>>,
 }
 
-/// Something and when it was told.
+/// A value and when it was received.
 #[derive(Debug)]
 struct Received<T> {
     at: Time,
@@ -158,12 +162,12 @@
 }
 
 impl Claims {
-    /// Nothing told yet.
+    /// Creates a store without claims.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes what `peer` tells.
+    /// Applies an update from `peer`.
     pub fn apply(&mut self, now: Time, peer: Instance, update: ClaimUpdate) {
         let claims = self.claims.entry(peer).or_default();
         let backlogs = self.backlogs.entry(peer).or_default();
@@ -185,14 +189,14 @@
         }
     }
 
-    /// Forgets what is too old.
+    /// Removes expired claims.
     pub fn remove_expired(&mut self, now: Time) {
         remove_all_expired(&mut self.claims, now);
         remove_all_expired(&mut self.backlogs, now);
     }
 
-    /// Tokens that replicas are to read for other daemons, by the replicas' hashes; `None` if no other
-    /// daemon is heard of.
+    /// Tokens that replicas have yet to prefill for other daemons, by replica hash; `None` if no
+    /// other daemon has reported.
     pub fn pending_prefills(&self, now: Time) -> Option<HashMap<u64, u64>> {
         let backlogs = self.backlogs.values().flat_map(BTreeMap::values);
         let mut all: HashMap<u64, u64> = HashMap::new();
@@ -202,13 +206,13 @@
         (!self.claims.is_empty() || !all.is_empty()).then_some(all)
     }
 
-    /// Daemons whose claims count, that have runs.
+    /// Daemons with unexpired claims.
     pub fn active_peers(&self) -> impl Iterator<Item = Instance> + '_ {
         let active = self.claims.iter().filter(|(_, claims)| !claims.is_empty());
         active.map(|(peer, _)| *peer)
     }
 
-    /// What the others hold at the replica with the hash `replica`.
+    /// Usage by other daemons of the replica with the hash `replica`.
     pub fn peer_usage(&self, now: Time, replica: u64) -> PeerUsage {
         let mut usage = PeerUsage::default();
         let claims = self
@@ -221,7 +225,7 @@
         usage
     }
 
-    /// The same for all replicas at once, by their hashes.
+    /// Usage by other daemons of all replicas, by replica hash.
     pub fn all_peer_usage(&self, now: Time) -> HashMap<u64, PeerUsage> {
         let mut all: HashMap<u64, PeerUsage> = HashMap::new();
         let claims = self.claims.values().flat_map(BTreeMap::values);
@@ -268,7 +272,7 @@
     Some(so_far.map_or(newest, |so_far| so_far.min(newest)))
 }
 
-/// The hash by which an incarnation of a replica is named in claims.
+/// Hash that identifies an incarnation of a replica in claims.
 pub fn incarnation_hash(id: &str, birth: Option<Birth>) -> u64 {
     let seed = birth.map_or(0, |birth| birth.0);
     rapidhash_v3(id.as_bytes()) ^ seed.wrapping_mul(BIRTH_FACTOR)
--- a/crates/relay/src/directory.rs
+++ b/crates/relay/src/directory.rs
@@ -1,34 +1,34 @@
-//! Which instances callers are told to connect to.
+//! Selects the instances that callers may connect to.
 
 use std::net::SocketAddr;
 
 use ident::Zone;
 
-/// Addresses in one answer at most; the callers' limit.
+/// Maximum number of addresses in one answer; callers accept no more.
 const MAX_ADDRESSES: usize = 64;
-/// Instances of the caller's own data centre from which on no others are told. One alone would
-/// leave callers without another address when it fails.
+/// Minimum number of instances of the caller's own data centre for an answer without others. A
+/// single instance would leave callers without an alternative when it fails.
 const MIN_LOCAL: usize = 2;
 
-/// Large instances of the caller's data centre from which on no large ones of others are told. All of
-/// two may fail together, and the small ones that were left out would have served meanwhile.
+/// Minimum number of large instances of the caller's data centre for an answer without large ones
+/// of others. Two may fail together, while the small ones that are left out could have served.
 const MIN_LARGE: usize = 4;
-/// Part of the largest instance's capacity from which on an instance is large. The fewer instances
+/// Fraction of the largest instance's capacity that makes an instance large. The fewer instances
 /// take requests, the more each of them knows of the replicas' load from its own requests.
 const LARGE_SHARE: f64 = 0.5;
 
-/// An instance that takes callers.
+/// An instance that accepts callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: Zone,
-    /// Where callers connect.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// What its processor can do, in thousandths of a core.
+    /// CPU capacity, in thousandths of a core.
     pub capacity: u32,
 }
 
-/// Which instances of a data centre callers are told of.
+/// Which instances of a data centre are returned to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// The large ones, if there are enough.
@@ -37,8 +37,8 @@
     All,
 }
 
-/// The addresses for a caller in `near`: those instances of its data centre that `breadth` says if
-/// there are enough, else all.
+/// Returns the addresses for a caller in `near`: the instances of its data centre within `scope` if
+/// there are enough, otherwise all instances.
 pub fn select_addresses(entries: &[Endpoint], near: Option<Zone>, scope: Scope) -> Vec<SocketAddr> {
     let own = entries
         .iter()
@@ -60,7 +60,7 @@
     selected.map(|entry| entry.address).collect()
 }
 
-/// Those of `entries` that have at least [`LARGE`] of the capacity of the largest one in `own`.
+/// Returns those of `entries` that have at least [`LARGE_SHARE`] of the largest capacity in `own`.
 fn large(entries: &[Endpoint], own: &[Endpoint]) -> Vec<Endpoint> {
     let largest = own.iter().map(|entry| entry.capacity).max();
     let least = f64::from(largest.unwrap_or_default()) * LARGE_SHARE;
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -1,18 +1,20 @@
-//! Cutting a stream of events (`text/event-stream`) into whole events.
+//! Splits a stream of events (`text/event-stream`) into whole events.
+//!
+//! A stream that breaks off can be resumed at another replica only after a whole event.
 
 use std::fmt;
 
-/// Bytes of one event at most; longer ones are passed on in parts.
+/// Maximum size of a buffered event in bytes; larger ones are forwarded in parts.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Why a stream cannot go on from another replica.
+/// Why a stream cannot be resumed at another replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Error {
-    /// No id tells what was given out last.
+    /// The last forwarded event has no numeric id.
     Unnumbered,
-    /// The first event of the other replica is not the next one.
+    /// The first event of the other replica does not follow the last forwarded one.
     Misplaced {
-        /// Id of the last event that was given out.
+        /// Id of the last forwarded event.
         last: u64,
     },
 }
@@ -20,55 +22,56 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unnumbered => write!(f, "no id tells the last event"),
-            Self::Misplaced { last } => write!(f, "its first event is not the one after {last}"),
+            Self::Unnumbered => write!(f, "the last forwarded event has no id"),
+            Self::Misplaced { last } => write!(f, "its first event does not follow event {last}"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// What was given out last.
+/// Position in the stream after the last forwarded bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Position {
-    /// Nothing.
+    /// Nothing was forwarded.
     #[default]
     Start,
-    /// The whole event with this id.
+    /// After the whole event with this id.
     After(u64),
-    /// A whole event without a number.
+    /// After a whole event without a numeric id.
     Unnumbered,
-    /// A part of an event that is too long to be held.
+    /// Inside an event that is too large to be buffered.
     InsideEvent,
 }
 
-/// Collects bytes and gives out whole events.
+/// Buffers bytes and releases whole events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     pending: Vec<u8>,
     position: Position,
-    /// Whether an event came whose id is not the one after that of the event before. Without two events it is not known,
-    /// and ids count as going up by one.
+    /// Whether the ids of two successive events differed by more than one. Until this is seen, ids
+    /// are assumed to increase by one.
     ids_have_gaps: bool,
-    /// Id of the last event before another replica went on, until that one's first event is known to be the next.
+    /// Id of the last event before a resume, until the first event of the other replica is checked
+    /// against it.
     resumed_after: Option<u64>,
 }
 
 impl Splitter {
-    /// An empty one.
+    /// Creates an empty splitter.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether the bytes so far end in an unfinished event.
+    /// Whether the bytes so far end inside an event.
     pub fn is_partial(&self) -> bool {
         !self.pending.is_empty() || self.position == Position::InsideEvent
     }
 
-    /// Takes bytes in and gives out all events that they complete.
+    /// Adds bytes and returns all events that they complete.
     ///
     /// # Errors
-    /// [`Error::Misplaced`]; nothing more is to be given out of the present replica's stream.
+    /// [`Error::Misplaced`]; the rest of the replica's stream must not be forwarded.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<u8>, Error> {
         let searched = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(bytes);
@@ -76,7 +79,7 @@
             Some(end) => {
                 let whole = self.take_checked(end)?;
                 let events = match self.position {
-                    // The rest of an event that was cut anywhere has no fields.
+                    // The rest of an event that was split at an arbitrary byte has no fields.
                     Position::InsideEvent => after_first_boundary(&whole),
                     _ => &whole[..],
                 };
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Gives out what is left when the stream ended as complete.
+    /// Returns the remaining bytes at the regular end of the stream.
     ///
     /// # Errors
     /// [`Error::Misplaced`].
@@ -105,11 +108,11 @@
         self.take_checked(self.pending.len())
     }
 
-    /// Id of the event after which another replica can go on: that of the last one that was given out, or `asked`, where
-    /// the stream itself was to go on, if there was none.
+    /// Id of the event after which another replica can resume the stream: the last forwarded one,
+    /// or `requested`, the caller's own starting point, if none was forwarded.
     ///
     /// # Errors
-    /// [`Error::Unnumbered`] if something was given out that another replica would repeat.
+    /// [`Error::Unnumbered`] if another replica would repeat forwarded bytes.
     pub const fn resumes_after(&self, requested: Option<u64>) -> Result<Option<u64>, Error> {
         match self.position {
             Position::Start => Ok(requested),
@@ -118,8 +121,8 @@
         }
     }
 
-    /// Drops an unfinished event, since the stream goes on from another replica, and gives what
-    /// [`Splitter::resumes_after`] tells. The first event of that replica that has an id has to be the next one.
+    /// Drops an unfinished event, because another replica resumes the stream, and returns the
+    /// result of [`Splitter::resumes_after`]. The next event with an id has to follow that one.
     ///
     /// # Errors
     /// Those of [`Splitter::resumes_after`].
@@ -130,8 +133,9 @@
         Ok(last)
     }
 
-    /// Takes the first `length` bytes out. The first id after a resume must follow the last one; otherwise the events are
-    /// another run's, and must not be joined to what the caller has.
+    /// Removes and returns the first `length` bytes. The first id after a resume must follow the
+    /// last one; otherwise the events belong to another run and must not be appended to what the
+    /// caller has.
     fn take_checked(&mut self, length: usize) -> Result<Vec<u8>, Error> {
         let rest = self.pending.split_off(length);
         let taken = std::mem::replace(&mut self.pending, rest);
@@ -150,25 +154,25 @@
     }
 }
 
-/// Events in `bytes`, which begin and end with whole ones.
+/// Counts the events in `bytes`, which starts and ends with whole events.
 pub fn count_events(bytes: &[u8]) -> u64 {
     let lines = bytes.split(|byte| *byte == b'\n');
     lines.filter(|line| line.starts_with(b"id:")).count() as u64
 }
 
-/// The end of the last empty line at or after `from`.
+/// End of the last empty line that ends at or after `from`.
 fn last_boundary(bytes: &[u8], from: usize) -> Option<usize> {
     let mut ends = (from..bytes.len()).rev();
     ends.find_map(|index| boundary_at(bytes, index))
 }
 
-/// What follows the first empty line.
+/// Bytes after the first empty line.
 fn after_first_boundary(bytes: &[u8]) -> &[u8] {
     let end = (0..bytes.len()).find_map(|index| boundary_at(bytes, index));
     &bytes[end.unwrap_or(bytes.len())..]
 }
 
-/// The end of an empty line that ends with the byte at `index`.
+/// End of an empty line that ends with the byte at `index`.
 fn boundary_at(bytes: &[u8], index: usize) -> Option<usize> {
     match &bytes[..=index] {
         [.., b'\n', b'\n'] | [.., b'\n', b'\r', b'\n'] => Some(index + 1),
@@ -176,7 +180,7 @@
     }
 }
 
-/// Whether ids among these whole events, which come after `position`, go up by more than one.
+/// Whether ids in these whole events, which follow `position`, increase by more than one.
 fn has_gap(position: Position, whole: &[u8]) -> bool {
     let mut last = position;
     for next in whole.split(|byte| *byte == b'\n').filter_map(id_field) {
@@ -190,12 +194,12 @@
     false
 }
 
-/// The position after the first event that has an `id` field.
+/// Position after the first event with an `id` field.
 fn first_id(bytes: &[u8]) -> Option<Position> {
     bytes.split(|byte| *byte == b'\n').find_map(id_field)
 }
 
-/// The position after these whole events; `None` if there are only comments.
+/// Position after these whole events; `None` if they are only comments.
 fn position_after(whole: &[u8]) -> Option<Position> {
     let mut has_fields = false;
     for line in whole.rsplit(|byte| *byte == b'\n') {
@@ -211,7 +215,7 @@
     has_fields.then_some(Position::Unnumbered)
 }
 
-/// The position after an event whose `id` field is `line`; `None` if it is another field.
+/// Position after an event whose `id` field is `line`; `None` if it is another field.
 fn id_field(line: &[u8]) -> Option<Position> {
     let value = line.strip_prefix(b"id:")?;
     let text = std::str::from_utf8(value).ok();
--- a/crates/relay/src/fingerprint.rs
+++ b/crates/relay/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What tells that two attempts of callers carry the same request.
+//! Recognizes attempts of callers that carry the same request.
 
 use std::fmt;
 
@@ -6,13 +6,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Hash of what a replica is asked to do: method, host, path with query, and body. Each attempt of a
-/// caller has an id of its own; the fingerprint is the same for all attempts, at all daemons.
+/// Hash of the method, host, path with query, and body of a request. Each attempt of a caller has
+/// its own request id; the fingerprint is equal for all attempts at all daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn new(method: &str, host: &str, path: &str, body: &[u8]) -> Self {
         let parts = [method.as_bytes(), host.as_bytes(), path.as_bytes(), body];
         let hashes = parts.map(|part| rapidhash_v3(part).to_le_bytes());
--- a/crates/relay/src/forecast.rs
+++ b/crates/relay/src/forecast.rs
@@ -1,27 +1,27 @@
-//! What runs will hold of a replica's memory over the next seconds.
+//! Forecasts the memory that runs will hold at a replica over the next seconds.
 //!
-//! A run holds its prompt and the tokens that it has made, so it grows at a known pace until it ends,
-//! and then gives everything back. Runs of a burst are of one age: they fit when they are taken and no
-//! longer do two seconds later. A sum of what each may need at most would leave half of the memory
-//! unused, since some end while others grow. So the sum is taken at several moments ahead, each run
-//! with the chance that it is still there.
+//! A run holds its prompt and its generated tokens: it grows at a known rate until it ends, and
+//! then frees everything. The runs of a burst have the same age, so they fit when they are admitted
+//! and no longer fit two seconds later. Summing the maximum of each run would leave half of the
+//! memory unused, since some runs end while others grow. So the forecast is summed at several
+//! horizons, each run weighted with the probability that it is still running.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::length::LengthDistribution;
 
-/// Moments ahead that are looked at, in seconds; closer together where decisions are near. An answer
-/// takes some seconds; what comes after the last moment is decided when it is nearer.
+/// Forecast horizons in seconds, denser where decisions are near. An answer takes some seconds;
+/// what follows the last horizon is decided when it is nearer.
 pub const HORIZONS: [f64; 6] = [0.0, 0.3, 0.7, 1.4, 2.4, 4.0];
-/// Chance of going on below which a run is taken for one that ends at any moment: more tokens were
-/// made than any answer had lately.
+/// Probability of continuing below which a run may end at any moment: it has generated more tokens
+/// than any recent answer.
 const MIN_SURVIVAL: f64 = 0.01;
-/// Seconds that such a run goes on for in the mean.
+/// Mean remaining seconds of such a run.
 const OVERLONG_MEAN_S: f64 = 1.0;
 
-/// Memory over the moments [`HORIZONS`], in tokens: what is expected, how far that may be off, and what is
-/// held if no run ends. Where answers add little to what a run holds, the last is the closest bound.
+/// Memory in tokens at the [`HORIZONS`]: mean, variance, and the amount if no run ends. Where
+/// answers add little to the prompts, the last is the tightest bound.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Curve {
     mean: [f32; HORIZONS.len()],
@@ -32,25 +32,25 @@
 /// One run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Run {
-    /// Tokens of its prompt.
+    /// Tokens of the prompt.
     pub prompt: f64,
-    /// Tokens that it has made.
+    /// Tokens generated so far.
     pub generated: f64,
-    /// Tokens that the caller expects in all.
+    /// Tokens of the answer that the caller expects.
     pub estimate: f64,
-    /// Tokens that it makes at most.
+    /// Maximum tokens of the answer.
     pub max_tokens: f64,
-    /// Tokens that it makes in a second.
+    /// Tokens generated per second.
     pub tokens_per_s: f64,
 }
 
 impl Run {
-    /// Tokens that it holds now.
+    /// Tokens held now.
     pub fn held(&self) -> f64 {
         self.prompt + self.generated
     }
 
-    /// What it will hold, where answers are as long as `length` says.
+    /// Forecast of the run's memory, given the distribution of answer lengths.
     pub fn curve(&self, length: &LengthDistribution) -> Curve {
         let now = length.share_longer_than(self.generated, self.estimate);
         let mut curve = Curve::default();
@@ -73,7 +73,7 @@
 }
 
 impl Curve {
-    /// Memory that stays as it is.
+    /// A constant amount of memory.
     pub const fn flat(tokens: f64) -> Self {
         Self {
             mean: [tokens as f32; HORIZONS.len()],
@@ -82,8 +82,7 @@
         }
     }
 
-    /// What is expected at each moment, how far that may be off as standard deviations, and what is held
-    /// if no run ends.
+    /// Creates a curve from the mean, the standard deviation, and the amount if no run ends.
     pub(crate) fn with_spread(
         mean: [f32; HORIZONS.len()],
         spread: [f32; HORIZONS.len()],
@@ -96,22 +95,22 @@
         }
     }
 
-    /// Tokens expected at each moment.
+    /// Expected tokens at each horizon.
     pub const fn mean(&self) -> [f32; HORIZONS.len()] {
         self.mean
     }
 
-    /// Tokens held at each moment if no run ends.
+    /// Tokens at each horizon if no run ends.
     pub const fn most(&self) -> [f32; HORIZONS.len()] {
         self.most
     }
 
-    /// Standard deviation at each moment.
+    /// Standard deviation at each horizon.
     pub fn spread(&self) -> [f32; HORIZONS.len()] {
         self.variance.map(|variance| variance.max(0.0).sqrt())
     }
 
-    /// Both together.
+    /// Sum of two independent curves.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         let mut sum = *self;
@@ -123,7 +122,7 @@
         sum
     }
 
-    /// The curve as it is seen `seconds` later.
+    /// The curve as seen from `seconds` later.
     #[must_use]
     pub fn shifted(&self, seconds: f64) -> Self {
         let moments = HORIZONS.map(|ahead| ahead + seconds);
@@ -134,13 +133,13 @@
         }
     }
 
-    /// Most that is held at any of the moments: what is expected and `spreads` times the standard
-    /// deviation on top, and no more than if no run ends.
+    /// Maximum over the horizons of the mean plus `spreads` standard deviations, bounded by the
+    /// amount if no run ends.
     pub fn peak(&self, spreads: f64) -> f64 {
         self.peak_within(f64::INFINITY, spreads)
     }
 
-    /// The same for the moments up to `seconds` ahead.
+    /// The same for the horizons up to `seconds` ahead.
     pub fn peak_within(&self, seconds: f64, spreads: f64) -> f64 {
         let indices = (0..HORIZONS.len()).filter(|index| HORIZONS[*index] <= seconds);
         let values = indices.map(|index| {
@@ -152,7 +151,7 @@
     }
 }
 
-/// The value at `at` seconds, on straight lines between the moments; the last one holds on.
+/// Interpolates linearly at `at` seconds; the last value is constant beyond the last horizon.
 fn interpolate(values: &[f32; HORIZONS.len()], at: f64) -> f32 {
     let Some(upper) = HORIZONS.iter().position(|ahead| *ahead >= at) else {
         return values[HORIZONS.len() - 1];
--- a/crates/relay/src/length.rs
+++ b/crates/relay/src/length.rs
@@ -1,24 +1,25 @@
-//! How long answers become, learnt from those that ended.
+//! Learns the distribution of answer lengths from completed answers.
 //!
-//! Callers estimate the tokens of an answer; the estimate is about right at the median and often far
-//! off. What counts for the memory of a replica is how likely a run that has made so many tokens
-//! makes so many more.
+//! Callers estimate the tokens of an answer; the estimate is about right at the median and often
+//! far off. The memory of a replica depends on how likely a run that has generated some tokens
+//! generates a given number more.
 
-/// Bins of the ratio of tokens made to tokens estimated, on a logarithmic scale.
+/// Bins of the ratio of generated to estimated tokens, on a logarithmic scale.
 const BINS: usize = 32;
-/// Natural logarithm of the ratio at which the first bin begins; the bins lie evenly round 0.
+/// Natural logarithm of the ratio at the start of the first bin; the bins are symmetric around 0.
 const MIN_LOG_RATIO: f64 = -2.0;
-/// Width of a bin in the logarithm; the last one ends at 2, a ratio of 7.4.
+/// Width of a bin in the logarithm; the last bin ends at 2, a ratio of 7.4.
 const BIN_WIDTH: f64 = 0.125;
-/// Spread of the logarithm before any answer ended: two thirds of the answers within a factor of
-/// 1.65, which is how far such estimates are usually off.
+/// Standard deviation of the logarithm before any answer: two thirds of the answers are within a
+/// factor of 1.65, the usual error of such estimates.
 const PRIOR_SPREAD: f64 = 0.5;
-/// Answers that the assumption before any answer ended counts for.
+/// Weight of the prior, in answers.
 const PRIOR_WEIGHT: f64 = 10.0;
-/// Answers after which an older one counts for a third: a shift of lengths shows after as many.
+/// Number of answers after which the weight of an older one falls to 1/e, about a third. A shift of
+/// lengths shows after as many.
 const DECAY_ANSWERS: f64 = 100.0;
 
-/// Distribution of the ratio of tokens made to tokens estimated.
+/// Distribution of the ratio of generated to estimated tokens.
 #[derive(Debug, Clone)]
 pub struct LengthDistribution {
     weights: [f64; BINS],
@@ -26,7 +27,7 @@
 }
 
 impl LengthDistribution {
-    /// The assumption before any answer ended.
+    /// Creates the prior.
     pub fn new() -> Self {
         let density = |bin: usize| {
             let z = (MIN_LOG_RATIO + BIN_WIDTH * (bin as f64 + 0.5)) / PRIOR_SPREAD;
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Notes that an answer had `made` tokens where `estimate` were expected.
+    /// Records an answer of `generated` tokens of which `estimate` were expected.
     pub fn record(&mut self, generated: f64, estimate: f64) {
         let kept = 1.0 - 1.0 / DECAY_ANSWERS;
         for weight in &mut self.weights {
@@ -54,7 +55,7 @@
         self.total = self.total * kept + 1.0;
     }
 
-    /// Share of answers that have more than `made` tokens where `estimate` are expected.
+    /// Share of answers with more than `generated` tokens when `estimate` are expected.
     pub fn share_longer_than(&self, generated: f64, estimate: f64) -> f64 {
         if generated <= 0.0 {
             return 1.0;
@@ -79,7 +80,7 @@
     }
 }
 
-/// Where a ratio lies, in bins from the beginning of the first one.
+/// Position of a ratio in bins, counted from the start of the first one.
 fn bin_position(generated: f64, estimate: f64) -> f64 {
     let ratio = generated.max(1.0) / estimate.max(1.0);
     (ratio.ln() - MIN_LOG_RATIO) / BIN_WIDTH
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,27 +1,28 @@
-//! Decisions about requests that are relayed to replicas.
+//! Decides where requests are sent: routes, replicas, retries, admission and quarantine.
 //!
-//! The crate is pure: time and random numbers are passed in, and what it decides is carried out by
-//! the `gateway` crate.
+//! The crate does no I/O: time and random numbers are passed in, and the `gateway` crate carries
+//! out the decisions.
 //!
-//! - [`plan`]: the configuration in force; which route a request takes.
-//! - [`pool`]: the replicas as they are listed, and what is known of each ([`server`]).
-//! - [`score`]: which replica is to serve a request.
-//! - [`balance`]: how replicas divide into those that read prompts and those that make tokens.
-//! - [`budget`]: how many retries may still be sent to a service; [`permit`]: leave for one send.
-//! - [`attempt`]: what follows when a send failed.
-//! - [`fingerprint`]: which attempts of callers carry the same request.
-//! - [`quarantine`]: requests under which replicas ended, and which are sent to none any more.
-//! - [`event`]: cutting a stream into whole events, so that it can be resumed.
-//! - [`length`]: how long answers become, learnt from those that ended.
-//! - [`forecast`]: what runs will hold of a replica's memory over the next seconds.
-//! - [`runs`], [`claims`]: the runs of this daemon, and what the others told of theirs; [`claim_publisher`]: what
-//!   they are told, and when.
-//! - [`wait_queue`]: who goes first among the generations that wait at one daemon.
-//! - [`timing`]: whether a generation can still be in time, and what one that cannot leaves to others.
-//! - [`admission`]: whether a replica has room for a run, now and until it ends.
-//! - [`migration`]: which run goes on elsewhere before the memory of its replica ends.
-//! - [`overload`]: whether instances have more work than they can do.
-//! - [`directory`]: which instances callers are told to connect to.
+//! - [`plan`]: the configuration in force, and the route of a request.
+//! - [`pool`]: the listed replicas, and the state of each ([`server`]).
+//! - [`replica`]: entries of the list of replicas; [`replica_state`]: changes of a replica's state.
+//! - [`score`]: selection of the replica for a request.
+//! - [`balance`]: division of the replicas of a model into prefill and decode.
+//! - [`budget`]: retries that a service may still get; [`permit`]: permission for one send.
+//! - [`attempt`]: the next step after a failed send.
+//! - [`fingerprint`]: recognition of repeated attempts of one request.
+//! - [`quarantine`]: requests that crash replicas and are no longer sent.
+//! - [`event`]: splitting of a stream into whole events, so that it can be resumed.
+//! - [`length`]: distribution of answer lengths, learnt from completed answers.
+//! - [`forecast`]: memory that runs will hold over the next seconds.
+//! - [`runs`], [`claims`]: the runs of this daemon, and the reported runs of the others;
+//!   [`claim_publisher`]: what this daemon reports, and when.
+//! - [`wait_queue`]: order of the generations that wait at one daemon.
+//! - [`timing`]: whether a generation can meet its objective, and what a late one leaves to others.
+//! - [`admission`]: whether a replica has memory for a run until it ends.
+//! - [`migration`]: runs to move before the memory of their replica is full.
+//! - [`overload`]: detection of overloaded instances.
+//! - [`directory`]: addresses of the instances that callers may connect to.
 
 pub mod admission;
 pub mod attempt;
--- a/crates/relay/src/migration.rs
+++ b/crates/relay/src/migration.rs
@@ -1,9 +1,9 @@
-//! Which run goes on elsewhere before the memory of its replica ends.
+//! Selects runs to move before the memory of their replica is full.
 //!
-//! A replica whose memory ends sets its newest run aside and reads it again later: thousands of tokens
-//! are read twice, and the caller waits in the middle of the answer. A copy of the run's memory to
-//! another replica takes some milliseconds. So the daemon whose run would be set aside moves it, if
-//! another replica has room; daemons know from each other's claims whose run is the newest.
+//! A replica that runs out of memory preempts its newest run and prefills it again later: thousands
+//! of tokens are computed twice, and the caller waits in the middle of the answer. Copying the
+//! run's KV cache to another replica takes some milliseconds. So the daemon of that run moves it,
+//! if another replica has room; claims show each daemon whose run is the newest.
 
 use std::collections::BTreeSet;
 
@@ -18,26 +18,27 @@
 use crate::server::Key;
 
 /// How far ahead the memory has to suffice, in seconds: a move takes some milliseconds, and daemons
-/// look every 50 ms with claims that are up to 200 ms old.
+/// check every 50 ms with claims that are up to 200 ms old.
 const LOOKAHEAD_S: f64 = 0.3;
-/// Part of the memory from which on runs are moved: blocks are partly filled, and claims rounded.
+/// Fraction of the memory from which runs are moved. Below 1 because blocks are partly filled and
+/// claims are rounded.
 const FULL_SHARE: f64 = 0.97;
-/// Standard deviations for which the other replica has to have room.
+/// Margin for which the target must have room, in standard deviations.
 const SPREADS: f64 = 0.5;
-/// Part of the memory of the other replica that stays free; a run that is moved twice gains nothing.
+/// Fraction of the target's memory to leave free; moving a run twice gains nothing.
 const SPARE: f64 = 0.05;
 
-/// A run that is to go on at another replica.
+/// A run to be moved to another replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Move {
     /// The run.
     pub run: RunId,
-    /// Where it is to go.
+    /// The target replica.
     pub to: Key,
 }
 
-/// The moves that are due, one for each replica whose memory ends; `choose` finds a replica with room
-/// other than the one named.
+/// Returns the moves that are due, at most one per replica that is nearly full. `choose` returns a
+/// replica with room other than the given one.
 pub fn due_moves(
     now: Time,
     pool: &Pool,
@@ -64,7 +65,7 @@
     moves
 }
 
-/// Whether the memory of `key` ends in a moment.
+/// Whether the memory of `key` will be full within [`LOOKAHEAD_S`].
 fn is_nearly_full(now: Time, pool: &Pool, key: Key) -> bool {
     let Some(server) = pool.get(key) else {
         return false;
@@ -77,7 +78,7 @@
     used > memory as f64 * FULL_SHARE
 }
 
-/// The newest run at `key`, if it is one of this daemon's and can be moved.
+/// The newest run at `key`, if it belongs to this daemon and can be moved.
 fn newest_movable(now: Time, pool: &Pool, runs: &Runs, claims: &Claims, key: Key) -> Option<RunId> {
     let here = runs.iter().filter(|(_, entry)| entry.server == key);
     let movable = here.filter(|(_, entry)| entry.is_movable(now));
--- a/crates/relay/src/overload.rs
+++ b/crates/relay/src/overload.rs
@@ -1,26 +1,26 @@
-//! Whether instances have more work than they can do, as their lateness tells.
+//! Detects overloaded instances by the delay of their timers.
 //!
-//! Callers are told of the large instances of a data centre only; once one of the data centre is
-//! overloaded, they are told of all for a while.
+//! Callers normally get only the large instances of a data centre; when one of the data centre is
+//! overloaded, they get all of them for a while.
 
 use std::time::Duration;
 
 use ident::Time;
 
-/// Weight of the newest look in the mean lateness.
+/// Weight of the newest sample in the mean delay.
 const NEWEST_WEIGHT: f64 = 0.2;
-/// Lateness of one look that counts at most: a process that stood still once is not overloaded.
+/// Maximum delay of one sample: a process that was suspended once is not overloaded.
 const MAX_DELAY: Duration = Duration::from_millis(100);
-/// Mean lateness of a timer from which on an instance is overloaded. An instance that uses a fifth of its
+/// Mean timer delay from which an instance is overloaded. An instance that uses a fifth of its
 /// processor is late by a millisecond or two.
 const OVERLOAD_DELAY: Duration = Duration::from_millis(30);
-/// How long callers are told of all instances; several times as long as they take to follow, so that
-/// the load does not swing to and fro.
+/// How long callers get all instances. Several times as long as callers take to react, so that the
+/// load does not oscillate.
 const HOLD: Duration = Duration::from_secs(30);
-/// How long an instance passes on what it heard from an overloaded one itself.
+/// How long an instance forwards a report that it received from the overloaded instance itself.
 const REPORT_AGE: Duration = Duration::from_secs(1);
 
-/// What an instance knows of the overload in its data centre.
+/// Overload in the data centre of this instance.
 #[derive(Debug, Default)]
 pub struct Overload {
     late: Duration,
@@ -29,7 +29,7 @@
 }
 
 impl Overload {
-    /// Nothing known.
+    /// Creates a record without overload.
     pub const fn new() -> Self {
         Self {
             late: Duration::ZERO,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Notes that a timer of this instance came `late`.
+    /// Records that a timer of this instance fired `late`.
     pub fn record_delay(&mut self, now: Time, late: Duration) {
         self.late =
             self.late.mul_f64(1.0 - NEWEST_WEIGHT) + late.min(MAX_DELAY).mul_f64(NEWEST_WEIGHT);
@@ -52,24 +52,24 @@
         self.late >= OVERLOAD_DELAY
     }
 
-    /// Notes that an instance of the data centre told that it is overloaded.
+    /// Records that an instance of the data centre reported its own overload.
     pub fn record_report(&mut self, now: Time) {
         self.last_report = Some(now);
         self.record_relayed_report(now);
     }
 
-    /// Notes that an instance heard of one that is overloaded.
+    /// Records that an instance reported the overload of another one.
     pub fn record_relayed_report(&mut self, now: Time) {
         self.overloaded_until = Some(now + HOLD);
     }
 
-    /// Whether others are to be told that an instance of the data centre is overloaded.
+    /// Whether to report to others that an instance of the data centre is overloaded.
     pub fn is_reported(&self, now: Time) -> bool {
         self.last_report
             .is_some_and(|at| now.since(at) < REPORT_AGE)
     }
 
-    /// Whether callers are to be told of all instances.
+    /// Whether callers get the addresses of all instances.
     pub fn lists_all_instances(&self, now: Time) -> bool {
         self.overloaded_until
             .is_some_and(|overloaded_until| now < overloaded_until)
--- a/crates/relay/src/permit.rs
+++ b/crates/relay/src/permit.rs
@@ -1,26 +1,26 @@
-//! Leave to send a request to a replica.
+//! Permits to send a request to a replica.
 //!
-//! All daemons together may send only so many requests a second time. A send takes a [`Permit`], and
-//! there are two sources of them: each request has one for its first run and one for the first read of its
-//! prompt, and all others come out of the [`crate::budget::RetryBudget`].
+//! The number of sends of all daemons together is limited. Each send uses up a [`Permit`]. A
+//! request has one permit for its first run and one for the first prefill of its prompt; all others
+//! come out of the [`crate::budget::RetryBudget`].
 
-/// Leave for one send; spent by it.
+/// Permission for one send, which uses it up.
 #[derive(Debug)]
 #[must_use]
 pub struct Permit {
     _private: (),
 }
 
-/// What is sent to a replica.
+/// Kind of work that is sent to a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
     /// The request is run.
     Run,
-    /// Its prompt is read and nothing else.
+    /// Only its prompt is prefilled.
     Read,
 }
 
-/// The permits that one request holds.
+/// Permits that one request holds.
 #[derive(Debug)]
 pub struct RequestPermits {
     run: Option<Permit>,
@@ -34,7 +34,7 @@
 }
 
 impl RequestPermits {
-    /// The permits of a request that was not sent yet.
+    /// Permits of a request that has not been sent.
     pub const fn new() -> Self {
         Self {
             run: Some(Permit::new()),
@@ -55,7 +55,7 @@
         self.slot(work).take()
     }
 
-    /// Puts in a permit: one out of the budget, or that of a send of which no byte left.
+    /// Stores a permit: one out of the budget, or that of a send of which no byte left.
     pub fn put(&mut self, work: Work, permit: Permit) {
         *self.slot(work) = Some(permit);
     }
--- a/crates/relay/src/plan.rs
+++ b/crates/relay/src/plan.rs
@@ -9,81 +9,82 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One version of the configuration, complete.
+/// A complete version of the configuration.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Plan {
-    /// Rises with each version.
+    /// Increases with each version.
     pub version: u64,
-    /// All routes; looked up by [`Plan::route`].
+    /// Routes, looked up by [`Plan::route`].
     pub routes: Vec<Route>,
-    /// All services, by name.
+    /// Services by name.
     pub services: HashMap<String, Service>,
-    /// Bounds on what a caller may send.
+    /// Limits on requests of callers.
     pub limits: Limits,
-    /// The customers; `None` where callers need no API key.
+    /// Customers; `None` if callers need no API key.
     pub customers: Option<List>,
     /// Indices of the routes of each host, longest prefix first.
     by_host: HashMap<String, Vec<usize>>,
 }
 
-/// Where requests of one host and path prefix go.
+/// Maps the requests of one host and path prefix to services.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Route {
     /// Unique name.
     pub name: String,
-    /// Host that callers name, in lower case.
+    /// Host name in lower case.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Which requests may be repeated.
     pub mode: Mode,
-    /// Longest time that a caller is kept waiting for a complete answer.
+    /// Maximum time until a caller has a complete answer.
     pub timeout: Duration,
-    /// Time within which an answer is on time; for streams, its first event.
+    /// Time within which an answer is in time; for streams, the first event.
     pub objective: Duration,
-    /// Longest pause between two events with which a stream is on time; `None` if any is.
+    /// Longest pause between two events of a stream that is in time; `None` if pauses are not
+    /// limited.
     pub pause: Option<Duration>,
-    /// Rank among routes of one service; 0 is the most urgent.
+    /// Priority among the routes of one service; 0 is the most urgent.
     pub priority: u8,
     /// Services that share the route, by weight.
     pub targets: Vec<Target>,
-    /// Replicas that may run one request.
+    /// Maximum number of replicas that may run one request.
     pub max_attempts: u32,
-    /// Whether callers need no API key, though there are customers.
+    /// Whether callers need no API key although there are customers.
     pub public: bool,
 }
 
-/// Whose a request is.
+/// The customer of a request, or why it has none.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Caller<'a> {
-    /// Nobody's in particular: there are no customers.
+    /// There are no customers.
     Anyone,
-    /// Nobody's in particular: its route is public.
+    /// The route is public.
     Public,
-    /// A customer's.
+    /// The customer that holds the API key of the request.
     Customer(&'a Customer),
 }
 
-/// Why a request is nobody's.
+/// Why a request is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// It has no API key, or not just one.
+    /// It has no API key, or more than one.
     NoKey,
     /// No customer holds its API key.
     UnknownKey,
 }
 
-/// What may be repeated.
+/// Whether and how a request may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Mode {
-    /// Runs any number of times with the same effect.
+    /// May run any number of times with the same effect.
     Idempotent,
     /// Runs at most once.
     Once,
-    /// Answers with events; goes on at another replica after an event if `resumable`, else runs
-    /// at most once.
+    /// Answers with events. If `resumable`, another replica can resume the stream after an event;
+    /// otherwise the request runs at most once.
     Stream {
-        /// Whether another replica may go on after the last event.
+        /// Whether another replica can resume the stream after the last event.
         resumable: bool,
     },
 }
@@ -94,58 +95,58 @@
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the answer is a stream of events.
     pub const fn streams(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// One of the services of a route.
+/// A service of a route.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Target {
     /// Name of the service.
     pub service: String,
-    /// Its share of the requests, against the sum of the weights.
+    /// Share of the requests, relative to the sum of the weights.
     pub weight: u32,
 }
 
-/// A set of replicas with one job.
+/// A group of interchangeable replicas.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Service {
-    /// Figures of its model engines; `None` for a plain application.
+    /// Properties of its model engines; `None` for a plain application.
     pub engine: Option<Engine>,
 }
 
-/// Figures of the model engines of a service.
+/// Properties of the model engines of a service.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Engine {
     /// Tokens that the memory of one replica holds.
     pub memory_tokens: u64,
     /// Time that a replica takes to change its stage.
     pub stage_change: Duration,
-    /// Longest time for which memory can be reserved; zero where it cannot.
+    /// Longest time for which memory can be reserved; zero if reservations are not supported.
     pub max_reservation: Duration,
-    /// Whether the memory of a run can be moved to another engine.
+    /// Whether a run's KV cache can be moved to another engine.
     pub moves: bool,
-    /// Tokens in one event of a stream; the last one may have fewer.
+    /// Tokens per event of a stream; the last event may have fewer.
     pub event_tokens: u64,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on requests of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum bytes of a request's head.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum bytes of a request's body.
     pub body_bytes: usize,
-    /// Time for a request's head, from its first byte.
+    /// Maximum time for a request's head, from its first byte.
     pub header_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Bounds for the time before a plan is known.
+    /// Limits that apply until a plan is known.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -157,7 +158,7 @@
 }
 
 impl Plan {
-    /// A plan of `routes` and `services`.
+    /// Creates a plan without customers.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The same with `customers`, whose API keys callers need.
+    /// Returns the plan with `customers`, whose API keys callers need.
     #[must_use]
     pub fn with_customers(self, customers: List) -> Self {
         Self {
@@ -190,10 +191,10 @@
         }
     }
 
-    /// Whose request on `route` with `key` is.
+    /// Returns the caller of a request on `route` with the API key `key`.
     ///
     /// # Errors
-    /// [`Denied`] if no customer holds the key that the route needs.
+    /// [`Denied`] if the route needs a key and no customer holds `key`.
     pub fn caller(&self, route: &Route, key: Option<Digest>) -> Result<Caller<'_>, Denied> {
         match (&self.customers, key) {
             (None, _) => Ok(Caller::Anyone),
@@ -206,9 +207,9 @@
         }
     }
 
-    /// The route of `path` at `host`: the longest prefix that begins the path.
+    /// Returns the route of `path` at `host`: the one with the longest matching prefix.
     ///
-    /// `host` may carry a port and capitals; neither counts.
+    /// The port and the case of `host` are ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         let indices = self.by_host.get(&name)?;
@@ -218,7 +219,7 @@
 }
 
 impl Route {
-    /// The service for a request that drew `draw`, evenly distributed in `0.0..1.0`.
+    /// Returns the service for a request, given `draw`, a random number uniform in `0.0..1.0`.
     pub fn target(&self, draw: f64) -> Option<&str> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
         let mut left = draw * f64::from(total);
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows of the replicas, and which one is to serve a request.
+//! The replicas that this daemon knows, and the choice of one for a request.
 
 mod incarnation;
 mod list;
@@ -26,22 +26,22 @@
 use crate::server::Server;
 use crate::tombstones::Tombstones;
 
-/// Replicas that are weighed for one request, drawn anew each time where there are more; the best of
-/// so many is among the best fiftieth of all, and weighing 930 took 77 us in place of 16.
+/// Maximum number of replicas that are scored for one request, sampled anew each time. The best of
+/// so many is among the best 2 % of all, and scoring 930 took 77 us instead of 16.
 const MAX_SCORED: usize = 64;
 
 /// Minimum time for which the list must be out of date before a missing entry is treated as lapsed.
 /// Replicas renew their entries several times in this period, so a shorter outage expires none.
 const MIN_OUTAGE: Duration = Duration::from_secs(2);
 
-/// All replicas that this daemon knows.
+/// All replicas known to this daemon.
 #[derive(Debug, Default)]
 pub struct Pool {
     servers: SlotMap<Key, Server>,
     by_id: HashMap<String, Key>,
-    /// Mean seconds that a token of a prompt takes, by service.
+    /// Mean seconds to prefill a token, by service.
     prefill_paces: HashMap<String, f64>,
-    /// Hashes of incarnations that ended while their replica started again; at most one a slot of `servers`.
+    /// Hashes of ended incarnations whose replica has restarted; at most one per slot of `servers`.
     restarted: SecondaryMap<Key, u64>,
     version: u64,
     /// When the list was last known to be up to date.
@@ -52,23 +52,23 @@
     /// When the list last could not be read from the store while it was out of date for that long.
     last_outage: Option<Time>,
     memory: HashMap<String, u64>,
-    /// Hash of the list, until the list changes.
+    /// Cached hash of the list, cleared when the list changes.
     digest: Cell<Option<u64>>,
     tombstones: Tombstones,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Version of the store that the pool stands at.
+    /// Version of the store that the list corresponds to.
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Hash of the replicas as they are listed; equal lists give equal hashes in every daemon.
+    /// Hash of the listed replicas; equal lists have equal hashes at every daemon.
     pub fn digest(&self) -> u64 {
         let digest = self.digest.get().unwrap_or_else(|| self.hash());
         self.digest.set(Some(digest));
@@ -105,7 +105,7 @@
             .is_none_or(|at| now.since(at) >= MIN_OUTAGE)
     }
 
-    /// The replica behind `key`, unless it is forgotten.
+    /// Returns the replica with `key`, unless it has been removed.
     pub fn get(&self, key: Key) -> Option<&Server> {
         self.servers.get(key)
     }
@@ -115,13 +115,13 @@
         self.servers.values()
     }
 
-    /// All replicas that are listed.
+    /// All listed replicas.
     pub fn replicas(&self) -> impl Iterator<Item = &Replica> + '_ {
         let listed = self.servers.values().filter(|s| s.lapses_at.is_none());
         listed.map(|server| &server.replica)
     }
 
-    /// Replicas of `service` that take requests, by stage.
+    /// Counts the available replicas of `service`, by stage.
     pub fn stage_counts(&self, now: Time, service: &str) -> StageCounts {
         let count = |stage| {
             let servers = self.servers.values();
@@ -138,12 +138,12 @@
         }
     }
 
-    /// Whether any replica is known.
+    /// Whether no replica is known.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Notes that the list could not be read at `now`.
+    /// Records that the list could not be read at `now`.
     pub fn note_outage(&mut self, now: Time) {
         if self.is_outdated(now) {
             self.outdated_at = Some(now);
@@ -151,18 +151,17 @@
         }
     }
 
-    /// Sets the tokens that one engine of `service` holds.
+    /// Sets the memory of one engine of `service`, in tokens.
     pub fn set_memory(&mut self, service: &str, tokens: u64) {
         self.memory.insert(service.to_owned(), tokens);
     }
 
-    /// Tokens that one engine of `service` holds; `None` if that is not known.
+    /// Memory of one engine of `service`, in tokens; `None` if unknown.
     pub fn memory(&self, service: &str) -> Option<u64> {
         self.memory.get(service).copied()
     }
 
-    /// Brings what the runs at `key` will hold up to date, from this daemon's own `runs` and the
-    /// `claims` of others.
+    /// Updates the memory forecast of `key` from this daemon's `runs` and the `claims` of others.
     pub fn update_forecast(&mut self, now: Time, key: Key, runs: &Runs, claims: &Claims) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
@@ -173,7 +172,7 @@
         }
     }
 
-    /// The same for all replicas that make tokens.
+    /// Updates the memory forecasts and the pending prefills of all replicas.
     pub fn update_all_forecasts(&mut self, now: Time, runs: &Runs, claims: &Claims) {
         self.update_pending_prefills(now, claims);
         let usage = claims.all_peer_usage(now);
@@ -188,28 +187,29 @@
         }
     }
 
-    /// Notes that another replica answered at the address of `key`.
+    /// Records that another replica answered at the address of `key`.
     pub fn mark_replaced(&mut self, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.replaced = true;
         }
     }
 
-    /// Notes that a request of `tokens` is sent to `key`.
+    /// Records that a request of `tokens` is sent to `key`.
     pub fn start_request(&mut self, key: Key, tokens: u64) {
         if let Some(server) = self.servers.get_mut(key) {
             server.start_request(tokens);
         }
     }
 
-    /// Notes that a request of `tokens` sent to `key` is over there.
+    /// Records that a request of `tokens` at `key` is over.
     pub fn end_request(&mut self, key: Key, tokens: u64) {
         if let Some(server) = self.servers.get_mut(key) {
             server.end_request(tokens);
         }
     }
 
-    /// Sets the request limit of `key`, or clears it and ends throttling if `limit` is `None`. Returns whether the limit changed.
+    /// Sets the request limit of `key`, or clears it and ends throttling if `limit` is `None`.
+    /// Returns whether the limit changed.
     pub fn set_limit(&mut self, key: Key, limit: Option<f64>) -> bool {
         let Some(server) = self.servers.get_mut(key) else {
             return false;
@@ -227,7 +227,8 @@
         }
     }
 
-    /// Time until the first throttled replica of `service` may be chosen again; `None` if none is throttled.
+    /// Time until the first throttled replica of `service` may be chosen again; `None` if none is
+    /// throttled.
     pub fn throttle_remaining(&self, now: Time, service: &str) -> Option<Duration> {
         let servers = self.servers.values();
         let throttled = servers.filter(|server| {
@@ -240,45 +241,45 @@
             .min()
     }
 
-    /// Notes whether a send to `key` failed.
+    /// Records whether a send to `key` failed.
     pub fn record_result(&mut self, now: Time, key: Key, failed: bool) {
         if let Some(server) = self.servers.get_mut(key) {
             server.record_result(now, failed);
         }
     }
 
-    /// Notes that `key` took `took` for `units` of work; units are alike for all replicas of one
-    /// stage of a service.
+    /// Records that `key` took `took` for `units` of work. Units must be comparable among the
+    /// replicas of one stage of a service.
     pub fn record_work(&mut self, now: Time, key: Key, took: Duration, units: f64) {
         if let Some(server) = self.servers.get_mut(key) {
             server.record_work(now, took.as_secs_f64() / units.max(1.0));
         }
     }
 
-    /// Notes that `key` had no room.
+    /// Records that `key` refused a reservation.
     pub fn record_full(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.record_full(now);
         }
     }
 
-    /// Notes that `key` had room.
+    /// Records that `key` accepted a reservation.
     pub fn record_room(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.record_room(now);
         }
     }
 
-    /// Takes the load that `key` told.
+    /// Records the load that `key` reported.
     pub fn record_load(&mut self, now: Time, key: Key, load: Load) {
         if let Some(server) = self.servers.get_mut(key) {
             server.record_load(now, load);
         }
     }
 
-    /// The replica for `want` with the lowest score, `None` if there is none.
+    /// Returns the replica with the lowest score that meets `criteria`, if any.
     ///
-    /// `draw` gives evenly distributed numbers in `0.0..1.0`.
+    /// `draw` returns random numbers uniform in `0.0..1.0`.
     pub fn choose(
         &self,
         now: Time,
@@ -300,7 +301,7 @@
     }
 }
 
-/// Puts [`MAX_WEIGHED`] of the candidates, drawn by chance, to the front; gives how many there are.
+/// Moves a random sample of [`MAX_SCORED`] candidates to the front and returns its size.
 fn sample(candidates: &mut [(Key, &Server)], draw: impl Fn() -> f64) -> usize {
     let count = candidates.len();
     if count <= MAX_SCORED {
--- a/crates/relay/src/pool/incarnation.rs
+++ b/crates/relay/src/pool/incarnation.rs
@@ -1,4 +1,4 @@
-//! Replicas that start again under the id that they had.
+//! Handles replicas that restart under the same id.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 use crate::server::Key;
 
 impl Pool {
-    /// Puts a new incarnation in the place of the one behind `key`. It gets a key of its own, so that
-    /// nothing that was learnt of the earlier one, and no run there, is counted for it.
+    /// Replaces the incarnation with `key` by a new one. The new one has its own key, so that
+    /// neither the state nor the runs of the earlier one are attributed to it.
     pub(super) fn restart(
         &mut self,
         now: Time,
@@ -32,8 +32,8 @@
         });
     }
 
-    /// Notes that the replica behind `key` told `birth` in an answer; the changes if that is a later
-    /// incarnation than the one that is listed.
+    /// Records that the replica with `key` reported the start time `birth` in an answer. Returns
+    /// the changes if it is a later incarnation than the listed one.
     pub fn update_birth(&mut self, now: Time, key: Key, birth: Option<Birth>) -> Vec<StateChange> {
         let mut changes = Vec::new();
         let Some(server) = self.servers.get(key) else {
@@ -50,14 +50,14 @@
         changes
     }
 
-    /// Where the replica `id` is.
+    /// Address of the replica `id`.
     pub fn address(&self, id: &str) -> Option<SocketAddr> {
         let key = self.by_id.get(id)?;
         Some(self.servers[*key].replica.address)
     }
 
-    /// Hash of the incarnation behind `key` if it would be missed: `None` if it is leaving, or left the list, by
-    /// plan.
+    /// Hash of the incarnation with `key` if its end would be unplanned; `None` if it is draining
+    /// or has left the list as planned.
     pub fn unplanned_loss(&self, key: Key) -> Option<u64> {
         match self.servers.get(key) {
             Some(server) => (!server.replica.draining).then_some(server.hash),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether the incarnation behind `key` ended, and its replica has started again.
+    /// Whether the incarnation with `key` ended and its replica has restarted.
     pub fn has_restarted(&self, key: Key) -> bool {
         self.restarted.contains_key(key)
     }
--- a/crates/relay/src/pool/list.rs
+++ b/crates/relay/src/pool/list.rs
@@ -1,4 +1,4 @@
-//! The list of replicas: taking it, or what changed of it, and telling peers.
+//! Applies updates of the list of replicas and creates updates for peers.
 
 use std::cmp::Ordering;
 use std::collections::HashSet;
@@ -18,14 +18,15 @@
 use crate::server::Key;
 use crate::server::Server;
 
-/// How long after an outage of the list a replica that vanished from it is still used: entries that
-/// lapsed meanwhile are back within two seconds, and one that left may get nothing after that.
+/// How long after an outage a replica that is missing from the list is still used. Entries that
+/// lapsed during the outage return within two seconds, and a replica that left must not receive
+/// requests after that.
 const LAPSE_GRACE: Duration = Duration::from_millis(1_900);
 
 impl Pool {
-    /// What a peer is told whose list is of the version `since` and has the hash `digest`; `None` if
-    /// there is nothing to tell. Where lists of one version differ, a peer that is told nothing would
-    /// go on with its own until the next change.
+    /// Update for a peer whose list has the version `since` and the hash `digest`; `None` if it is
+    /// up to date. If lists of the same version differ, the peer gets a complete one; otherwise it
+    /// would keep its own until the next change.
     pub fn update_for_peer(&self, now: Time, since: u64, digest: u64) -> Option<Update> {
         match self.version {
             version if version > since => Some(self.update_since(now, since)),
@@ -36,7 +37,8 @@
         }
     }
 
-    /// What a peer is told whose list is of the version `since`: what changed, if that is known.
+    /// Update for a peer whose list has the version `since`: the changes, if they are known
+    /// completely, otherwise the complete list.
     pub fn update_since(&self, now: Time, since: u64) -> Update {
         if since < self.tombstones.since {
             return Update::All(self.snapshot(now));
@@ -49,7 +51,8 @@
             .iter()
             .filter(|(version, _)| *version > since);
         let gone = gone.map(|(_, id)| id.clone());
-        // Their time ran out since the last reading, and the peer may still list them.
+        // Their grace period ended after the last read of the list, and the peer may still list
+        // them.
         let lapsed = self
             .servers
             .values()
@@ -64,7 +67,7 @@
         })
     }
 
-    /// All replicas, for a peer that has none.
+    /// The complete list, for a peer that has none.
     pub fn snapshot(&self, now: Time) -> Snapshot {
         Snapshot {
             version: self.version,
@@ -85,8 +88,8 @@
         lapsing.collect()
     }
 
-    /// Takes news; `None` if they are older than what was taken before, or change a version that is
-    /// not reached yet.
+    /// Applies an update. Returns `None` if it is older than the current version, or if its base
+    /// version has not been reached.
     pub fn apply_update(
         &mut self,
         now: Time,
@@ -106,7 +109,7 @@
     }
 
     /// Applies a delta read from the store. Returns `None` if it is older than the current version,
-    /// or if its base version has not been reached yet.
+    /// or if its base version has not been reached.
     pub fn apply_delta(&mut self, now: Time, delta: &Delta) -> Option<Vec<StateChange>> {
         self.apply_delta_from(now, Source::Store, delta)
     }
@@ -199,7 +202,7 @@
             )
         });
         match known {
-            // An entry of an earlier incarnation that came late.
+            // A late entry of an earlier incarnation.
             Some((_, Ordering::Less)) => return,
             Some((key, Ordering::Greater)) => self.restart(now, key, replica, changes),
             Some((key, Ordering::Equal)) if !self.update_entry(now, key, replica) => return,
@@ -214,7 +217,7 @@
         });
     }
 
-    /// Takes a changed entry of a replica that is known; whether its state is another one.
+    /// Updates the entry of a known replica. Returns whether its state changed.
     fn update_entry(&mut self, now: Time, key: Key, replica: &Replica) -> bool {
         let version = self.version;
         let server = &mut self.servers[key];
@@ -227,7 +230,8 @@
         };
         if server.replica != replica || !is_listed {
             server.changed = version;
-            // A replica whose entry changes is there: it refused since its stage was another one.
+            // A replica whose entry changes is alive: it refused requests because its stage had
+            // changed.
             server.replaced = false;
         }
         server.draining_since = match server.draining_since {
--- a/crates/relay/src/pool/prefill.rs
+++ b/crates/relay/src/pool/prefill.rs
@@ -1,4 +1,5 @@
-//! Prompts that replicas read: how many wait, how long a read takes, and which replicas read them.
+//! Prefill queues: pending prompts, expected durations, and which prompts decode replicas prefill
+//! themselves.
 
 use std::time::Duration;
 
@@ -11,23 +12,24 @@
 use crate::server::Key;
 use crate::server::Server;
 
-/// Part of the objective up to which reads may last without any being left to decode replicas. An
-/// unloaded replica takes a quarter of it.
+/// Fraction of the objective up to which a prefill may last without prompts being left to decode
+/// replicas. An idle replica takes a quarter of the objective.
 const SLOW_FROM: f64 = 0.7;
-/// Part of the objective from which on as few as possible are sent.
+/// Fraction of the objective from which as few prompts as possible go to the prefill replica.
 const SLOW_TO: f64 = 1.0;
-/// Weight of the newest read in the mean pace of a service's replicas.
+/// Weight of the newest prefill in the mean of a service's replicas.
 const PACE_WEIGHT: f64 = 0.05;
-/// Most that is left to decode replicas; the rest tells when it is better again.
+/// Maximum share of prompts left to decode replicas; the rest shows when the prefill replica is
+/// faster again.
 const MAX_DECODE_PREFILL_SHARE: f64 = 0.85;
 
 impl Pool {
-    /// Tokens that `key` is to read, as far as is known.
+    /// Tokens that `key` has yet to prefill, as far as known.
     pub fn queued_tokens(&self, key: Key) -> u64 {
         self.servers.get(key).map_or(0, Server::queued_tokens)
     }
 
-    /// Notes that `key` took `took` to read `tokens`, those that waited before them included.
+    /// Records that `key` took `took` to prefill `tokens`, including the prompts queued before.
     pub fn record_prefill(&mut self, now: Time, key: Key, took: Duration, tokens: u64) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
@@ -39,8 +41,8 @@
         *mean += PACE_WEIGHT * (seconds - *mean);
     }
 
-    /// Time that `key` will take to read a prompt of `tokens`, by what it is to read before; `None` if
-    /// no prompt was read yet.
+    /// Expected time for `key` to prefill a prompt of `tokens` after its queue; `None` before the
+    /// first measurement.
     pub fn estimate_prefill_time(&self, now: Time, key: Key, tokens: u64) -> Option<Duration> {
         let server = self.servers.get(key)?;
         let service_pace = self.prefill_paces.get(&server.replica.service).copied();
@@ -50,7 +52,7 @@
         ))
     }
 
-    /// Takes what other daemons have sent to be read.
+    /// Updates the pending prefills of other daemons.
     pub fn update_pending_prefills(&mut self, now: Time, claims: &Claims) {
         let pending = claims.pending_prefills(now);
         let tokens_of = |hash| {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// What this daemon has sent to be read, by replica.
+    /// Pending prefills of this daemon, by replica.
     pub fn prefill_backlogs(&self) -> impl Iterator<Item = PrefillBacklog> + '_ {
         let servers = self.servers.values();
         let busy = servers
@@ -76,15 +78,15 @@
         })
     }
 
-    /// Whether `decode` may read a prompt itself. A decode replica makes next to no tokens while it reads,
-    /// so each read is a pause in all of its streams; two in a row are a long one.
+    /// Whether `decode` may prefill a prompt itself. A decode replica generates almost no tokens
+    /// during a prefill, so each one pauses all of its streams; two in a row are a long pause.
     pub fn may_prefill(&self, decode: Key) -> bool {
         let server = self.servers.get(decode);
         server.is_none_or(|server| server.prefills == 0 || server.known_runs <= 1)
     }
 
-    /// Part of the prompts of `tokens` that a decode replica is to read itself, since the prefill replica
-    /// `key` takes long against `objective`.
+    /// Share of the prompts of `tokens` that a decode replica should prefill itself, because the
+    /// prefill replica `key` takes long compared with `objective`.
     pub fn decode_prefill_share(
         &self,
         now: Time,
--- a/crates/relay/src/pool/silence.rs
+++ b/crates/relay/src/pool/silence.rs
@@ -1,16 +1,16 @@
-//! Replicas that do not answer.
+//! Tracks replicas that do not answer.
 
 use ident::Time;
 
 use crate::pool::Pool;
 use crate::server::Key;
 
-/// Part of the replicas that may be silent at once if it is they, and not this daemon, that are cut off.
+/// Maximum fraction of silent replicas. If more are silent, this daemon is cut off, not they.
 const MAX_SILENT: f64 = 0.5;
 
 impl Pool {
-    /// Hashes of the replicas that have not answered this daemon lately. None if they are many: then it is
-    /// this daemon that is cut off.
+    /// Hashes of the replicas that have not answered this daemon lately; empty if there are so many
+    /// that this daemon must be cut off.
     pub fn silent_replicas(&self, now: Time) -> Vec<u64> {
         let silent = self.servers.values().filter(|server| server.is_silent(now));
         let silent: Vec<u64> = silent.map(|server| server.hash).collect();
@@ -20,7 +20,7 @@
         silent
     }
 
-    /// Takes from another daemon which replicas do not answer it.
+    /// Applies the report of another daemon on replicas that do not answer it.
     pub fn apply_silent_report(&mut self, now: Time, silent: &[u64]) {
         for server in self.servers.values_mut() {
             if silent.contains(&server.hash) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Notes that `key` did not answer a question.
+    /// Records that `key` did not answer.
     pub fn record_no_answer(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.record_no_answer(now);
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -1,11 +1,12 @@
-//! Requests under which replicas ended, and which are sent to none any more.
+//! Quarantines requests that make replicas crash.
 //!
-//! A request that ends each replica which runs it comes again, since its caller sees a failure and may come
-//! to any daemon. So each daemon records under which requests replicas ended, the daemons tell each other,
-//! and from [`LIMIT`] ended replicas on the request is quarantined.
+//! A request that crashes each replica it runs on comes again, since its caller sees a failure and
+//! may retry at any daemon. So each daemon records which replicas ended while running a request,
+//! the daemons exchange these records, and after [`LIMIT`] ended replicas the request is
+//! quarantined.
 //!
-//! Records are merged: ends are collected, and the latest time at which the request was served counts. The
-//! order in which daemons hear of them makes no difference.
+//! Merging records is commutative: the ends are united, and the latest time at which the request
+//! was served counts.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -16,24 +17,27 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// Replicas that may end while they are at work on one request before it is quarantined. One or two may end for
-/// a reason of their own while the request is there by chance, and it is sent again.
+/// Number of replicas that may end while running a request before it is quarantined. One or two may
+/// end for unrelated reasons, and the request is sent again.
 pub const LIMIT: usize = 3;
-/// Ends from which on a record is kept in the store and compared between daemons: one more quarantines the request.
+/// Number of ends from which a record is kept in the store and compared between daemons: one more
+/// quarantines the request.
 const SUSPECT: usize = LIMIT - 1;
-/// Time after the last end for which a record counts. The request would end replicas again until the engines
+/// How long a record is kept after the last end. The request would crash replicas until the engines
 /// are replaced, which takes operators a day.
 const RECORD_TTL: Duration = Duration::from_hours(24);
-/// Time after a request was served for which no end is put down to it. One that ends each replica is served
-/// nowhere; one that many callers send at once is at work at several replicas that end together, as those of
-/// one rack do. Also covers the difference between the daemons' clocks.
+/// Time after a request was served during which no end is attributed to it. A request that crashes
+/// replicas is served nowhere, whereas one that many callers send at once runs on several replicas
+/// that may end together, such as those of one rack. Also covers the clock difference between
+/// daemons.
 const SERVED_GRACE: Duration = Duration::from_mins(1);
-/// Records at most: those of the runs at 128 replicas of 64 slots that end together.
+/// Maximum number of records: those of the runs at 128 replicas of 64 slots that end together.
 const MAX_RECORDS: usize = 8_192;
-/// Served requests that are remembered at most.
+/// Maximum number of served requests that are remembered.
 const MAX_SERVED: usize = 1_024;
 
-/// Time of day, in milliseconds since the Unix epoch: daemons compare theirs, and a machine's suspension counts.
+/// Wall-clock time in milliseconds since the Unix epoch. Comparable between daemons, and advances
+/// while a machine is suspended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct UnixMs(pub u64);
 
@@ -43,28 +47,28 @@
     }
 }
 
-/// One replica that ended while it was at work on a request.
+/// The end of a replica while it was running a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// Hash of the replica's id and birth, as in [`crate::server::Server::hash`].
+    /// Hash of the replica's id and start time, as in [`crate::server::Server::hash`].
     pub replica: u64,
-    /// When a daemon noted it.
+    /// When a daemon recorded it.
     pub at: UnixMs,
 }
 
-/// What is known of one request.
+/// Ends attributed to one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Replicas that ended, each once, [`LIMIT`] at most.
+    /// Distinct replicas that ended, at most [`LIMIT`].
     pub ends: Vec<End>,
-    /// When it was served last, as far as that was asked; zero if it never was.
+    /// When the request was last served, as far as known; zero if never.
     pub served: UnixMs,
 }
 
 impl Record {
-    /// A record without ends.
+    /// Creates a record without ends.
     pub const fn new(fingerprint: Fingerprint) -> Self {
         Self {
             fingerprint,
@@ -73,7 +77,7 @@
         }
     }
 
-    /// A record that tells when the request was served.
+    /// Creates a record of the time at which the request was served.
     pub const fn served(fingerprint: Fingerprint, at: UnixMs) -> Self {
         Self {
             fingerprint,
@@ -82,17 +86,17 @@
         }
     }
 
-    /// Whether the request is sent to no replica any more.
+    /// Whether the request is quarantined.
     pub const fn is_quarantined(&self) -> bool {
         self.ends.len() >= LIMIT
     }
 
-    /// Whether one more end would quarantine the request, or it is quarantined.
+    /// Whether the request is quarantined, or one more end would quarantine it.
     pub const fn is_suspect(&self) -> bool {
         self.ends.len() >= SUSPECT
     }
 
-    /// When it is forgotten.
+    /// When the record expires.
     pub fn expires(&self) -> UnixMs {
         let last = self.ends.iter().map(|end| end.at).max();
         last.unwrap_or(self.served).plus(RECORD_TTL)
@@ -102,8 +106,8 @@
         self.ends.iter().any(|known| known.replica == end.replica)
     }
 
-    /// Its part of the hash that daemons compare. Which replicas ended counts only while one more would
-    /// quarantine the request.
+    /// Contribution to the hash that daemons compare. The identity of the ended replicas matters
+    /// only while one more end would quarantine the request.
     fn digest_part(&self) -> u64 {
         let replicas = self.ends.iter().map(|end| end.replica);
         match self {
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Takes what `other` knows more.
+    /// Adds what `other` has in addition.
     fn merge(&mut self, other: &Self) {
         self.served = self.served.max(other.served);
         for end in &other.ends {
@@ -130,16 +134,16 @@
     }
 }
 
-/// What a record that was told has changed.
+/// Effect of merging a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// Nothing changed.
     None,
     /// The request is quarantined from now on.
     Quarantined,
-    /// An end that was told does not count, since the request was served; the teller is to be told.
+    /// A received end does not count because the request was served; the sender should be informed.
     Served,
-    /// Something else.
+    /// Another change.
     Other,
 }
 
@@ -147,28 +151,28 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: HashMap<Fingerprint, Record>,
-    /// Requests that were served lately, by this daemon.
+    /// Requests that this daemon has served lately.
     served: HashMap<Fingerprint, UnixMs>,
-    /// The same, in the order in which they were first served.
+    /// The same requests, in the order in which they were first served.
     served_order: VecDeque<Fingerprint>,
-    /// Hash of the suspect records; equal sets give equal hashes.
+    /// Hash of the suspect records; equal sets have equal hashes.
     digest: u64,
-    /// Quarantined requests.
+    /// Number of quarantined requests.
     quarantined: usize,
 }
 
 impl Quarantine {
-    /// No records.
+    /// Creates an empty set of records.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What is known of `fingerprint`.
+    /// Returns the record of `fingerprint`.
     pub fn get(&self, fingerprint: Fingerprint) -> Option<&Record> {
         self.records.get(&fingerprint)
     }
 
-    /// Time for which `fingerprint` stays quarantined; `None` if it is not.
+    /// Time for which `fingerprint` remains quarantined; `None` if it is not.
     pub fn quarantined_for(&self, now: UnixMs, fingerprint: Fingerprint) -> Option<Duration> {
         let record = self.records.get(&fingerprint)?;
         let left = record.expires().0.checked_sub(now.0)?;
@@ -177,7 +181,7 @@
             .then_some(Duration::from_millis(left))
     }
 
-    /// Whether `fingerprint` was served lately, so that no end is put down to it.
+    /// Whether `fingerprint` was served lately, so that no end is attributed to it.
     pub fn was_served_lately(&self, now: UnixMs, fingerprint: Fingerprint) -> bool {
         let own = self.served.get(&fingerprint).copied();
         let reported = self.records.get(&fingerprint).map(|record| record.served);
@@ -185,17 +189,17 @@
         served > UnixMs(0) && now <= served.plus(SERVED_GRACE)
     }
 
-    /// How many requests are quarantined.
+    /// Number of quarantined requests.
     pub const fn quarantined(&self) -> usize {
         self.quarantined
     }
 
-    /// Hash of what daemons compare: the records of requests that are quarantined or nearly so.
+    /// Hash of the suspect records, which daemons compare.
     pub const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The records that daemons compare.
+    /// Records of requests that are quarantined or one end short of it.
     pub fn suspects(&self) -> Vec<Record> {
         let suspects = self.records.values().filter(|record| record.is_suspect());
         suspects.cloned().collect()
@@ -206,14 +210,15 @@
         self.records.values().cloned().collect()
     }
 
-    /// Notes that `replica` ended while at work on `fingerprint`.
+    /// Records that `replica` ended while running `fingerprint`.
     pub fn note_end(&mut self, now: UnixMs, fingerprint: Fingerprint, replica: u64) -> Change {
         let mut record = Record::new(fingerprint);
         record.ends.push(End { replica, at: now });
         self.merge(now, &record)
     }
 
-    /// Notes that `fingerprint` was served; gives its record as it was, if ends were put down to it.
+    /// Records that `fingerprint` was served. Returns its previous record if ends were attributed
+    /// to it.
     pub fn note_served(&mut self, now: UnixMs, fingerprint: Fingerprint) -> Option<Record> {
         if self.served.insert(fingerprint, now).is_none() {
             self.served_order.push_back(fingerprint);
@@ -228,7 +233,7 @@
         Some(known)
     }
 
-    /// Takes what another daemon, or the store, told.
+    /// Merges a record from another daemon or the store.
     pub fn merge(&mut self, now: UnixMs, other: &Record) -> Change {
         if other.expires() <= now {
             return Change::None;
@@ -252,7 +257,7 @@
         change
     }
 
-    /// Forgets the records whose time is over.
+    /// Removes expired records.
     pub fn remove_expired(&mut self, now: UnixMs) {
         let records = self.records.values();
         let expired: Vec<Record> = records.filter(|r| r.expires() <= now).cloned().collect();
@@ -271,7 +276,7 @@
         }
     }
 
-    /// Forgets half of the records: those with the fewest ends, the oldest of them before the others.
+    /// Removes half of the records: those with the fewest ends, and of these the oldest first.
     fn evict(&mut self) {
         let mut records: Vec<Record> = self.records.values().cloned().collect();
         records.sort_by_key(|record| (record.ends.len(), record.expires()));
--- a/crates/relay/src/replica.rs
+++ b/crates/relay/src/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas as the platform lists them.
+//! Entries of the platform's list of replicas.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -8,29 +8,29 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// All replicas that the platform lists at one moment.
+/// The complete list at one version of the store.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Version of the store at that moment.
+    /// Version of the store.
     pub version: u64,
-    /// The replicas.
+    /// Listed replicas.
     pub replicas: Vec<Replica>,
-    /// Replicas that vanished from the list after an outage and may come back.
+    /// Replicas that disappeared from the list after an outage and may return.
     pub lapsing: Vec<Lapsing>,
 }
 
-/// What changed between two versions of the store.
+/// Changes of the list between two versions of the store.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version that it changes.
+    /// The base version.
     pub since: u64,
-    /// The version that it leads to.
+    /// The resulting version.
     pub version: u64,
     /// Replicas that are new or changed.
     pub replicas: Vec<Replica>,
     /// Ids of replicas that are no longer listed.
     pub gone: Vec<String>,
-    /// All replicas that vanished from the list after an outage and may come back.
+    /// All replicas that disappeared from the list after an outage and may return.
     pub lapsing: Vec<Lapsing>,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// News of the replicas.
+/// An update of the list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Update {
-    /// All of them.
+    /// The complete list.
     All(Snapshot),
-    /// What changed.
+    /// Changes only.
     Changed(Delta),
 }
 
@@ -70,7 +70,7 @@
 }
 
 impl Update {
-    /// The version of the store that it leads to.
+    /// The resulting version of the store.
     pub const fn version(&self) -> u64 {
         match self {
             Self::All(snapshot) => snapshot.version,
@@ -79,46 +79,46 @@
     }
 }
 
-/// A replica that is used though the list lacks it.
+/// A replica that is still used although it is missing from the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lapsing {
-    /// The replica as it was listed last.
+    /// The last listed entry.
     pub replica: Replica,
-    /// For how long it is used still.
+    /// Remaining time for which it is used.
     pub left: Duration,
 }
 
-/// When a replica started, in Unix milliseconds by its own clock. Tells the incarnations of one replica
-/// apart: one that starts again under the id that it had knows nothing of what it held before.
+/// Start time of a replica in Unix milliseconds, by its own clock. Distinguishes the incarnations
+/// of a replica: one that restarts under the same id has lost its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Birth(pub u64);
 
-/// One incarnation of one replica.
+/// One incarnation of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Names the replica; some keep it when they start again.
+    /// Id of the replica; some replicas keep it when they restart.
     pub id: String,
-    /// When it started; `None` where replicas do not tell, and each start has a new id.
+    /// Start time; `None` if replicas do not report it and use a new id for each start.
     pub birth: Option<Birth>,
-    /// Name of its service.
+    /// Name of the service.
     pub service: String,
-    /// Where it serves requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the replica.
     pub data_centre: Zone,
-    /// Its part in serving a model; `None` for a plain application.
+    /// Stage of serving a model; `None` for a plain application.
     pub stage: Option<Stage>,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes nothing new.
+    /// Whether it accepts no new requests.
     pub draining: bool,
     /// Whether it is still slow after its start.
     pub cold: bool,
 }
 
 impl Replica {
-    /// How this incarnation stands to `known`, one of the same id. What does not tell its birth is taken
-    /// for the same one.
+    /// Compares this incarnation with `known`, the start time of one with the same id. Without both
+    /// start times they count as equal.
     pub fn compare_incarnation(&self, known: Option<Birth>) -> Ordering {
         match (self.birth, known) {
             (Some(own), Some(known)) => own.cmp(&known),
@@ -127,20 +127,20 @@
     }
 }
 
-/// Part of a replica in serving a model.
+/// Stage of serving a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// Reads prompts.
+    /// Prefills prompts.
     Prefill,
-    /// Makes tokens.
+    /// Generates tokens.
     Decode,
 }
 
-/// Load that a replica told with an answer.
+/// Load reported by a replica with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that it runs.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait in its queue.
+    /// Requests in its queue.
     pub waiting: u32,
 }
--- a/crates/relay/src/replica_state.rs
+++ b/crates/relay/src/replica_state.rs
@@ -1,25 +1,25 @@
-//! What this daemon believes of replicas.
+//! State of a replica as seen by this daemon.
 
-/// A change of what this daemon believes of a replica.
+/// A change of the state of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateChange {
     /// Id of the replica.
     pub id: String,
-    /// What it is now.
+    /// The new state.
     pub now: ReplicaState,
 }
 
-/// What this daemon believes of a replica.
+/// State of a replica as seen by this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// It may be sent requests.
+    /// Requests may be sent to it.
     Ready,
-    /// It takes nothing new.
+    /// It accepts no new requests.
     Draining,
-    /// The list lacks it after an outage; it is used until that is settled.
+    /// Missing from the list after an outage; still used for a grace period.
     Lapsed,
-    /// It started again under its id; what it held is lost.
+    /// It restarted under the same id and lost its state.
     Restarted,
-    /// It is gone.
+    /// No longer listed and no longer used.
     Gone,
 }
--- a/crates/relay/src/score.rs
+++ b/crates/relay/src/score.rs
@@ -1,4 +1,4 @@
-//! Which replica is to serve a request: the one with the lowest score.
+//! Selects the replica with the lowest score for a request.
 
 use ident::Time;
 use ident::Zone;
@@ -8,48 +8,48 @@
 use crate::server::Key;
 use crate::server::Server;
 
-/// Places' worth of load that a share of failures of 1 counts for.
+/// Penalty for a failure share of 1. Penalties are in units of load: 1 is a full replica, or one
+/// queued prompt at a prefill replica.
 const FAILURE_WEIGHT: f64 = 3.0;
-/// Places' worth of load that a replica of another data centre counts for more: bytes between
-/// data centres are paid for.
+/// Penalty of a replica in another data centre: traffic between data centres costs money.
 const REMOTE_PENALTY: f64 = 0.3;
-/// Places' worth of load that a replica which is still slow after its start counts for more.
+/// Penalty of a replica that is still slow after its start.
 const COLD_PENALTY: f64 = 0.5;
-/// Spread of the random part of a score; keeps daemons from choosing alike.
+/// Range of the random part of a score, which keeps daemons from making the same choice.
 const JITTER: f64 = 0.05;
-/// Tokens that a request of another daemon is taken for.
+/// Tokens assumed for a request of another daemon.
 const TYPICAL_RUN_TOKENS: f64 = 5_000.0;
-/// Places' worth of load that a replica counts for whose last reservation failed.
+/// Penalty of a replica whose last reservation failed.
 const REFUSED_PENALTY: f64 = 1.0;
-/// The same where several in a row failed: more than all else that speaks against another one.
+/// Penalty of a replica where several successive reservations failed; exceeds any other penalty.
 const REPEATED_REFUSAL_PENALTY: f64 = 4.0;
-/// Places' worth of load for each doubling of the usual time a unit of work, from the second one on:
-/// work of one kind differs by a factor of two on sound replicas.
+/// Penalty for each doubling of the median time per unit of work, beyond the first: on healthy
+/// replicas, work of one kind differs by a factor of two.
 const SLOW_WEIGHT: f64 = 1.0;
-/// Doublings that count at most; a slower replica is not worse than one that fails.
+/// Maximum number of doublings that count; a slower replica is not worse than one that fails.
 const MAX_SLOW_DOUBLINGS: f64 = 2.0;
 
-/// Places' worth of load that a decode replica counts for more which reads a prompt itself: it makes
-/// next to no tokens meanwhile.
+/// Penalty of a decode replica that is prefilling a prompt: it generates almost no tokens
+/// meanwhile.
 const PREFILL_PENALTY: f64 = 0.3;
 
-/// What a request asks of a replica.
+/// Requirements of a request for its replica.
 #[derive(Debug, Clone, Copy)]
 pub struct Criteria<'a> {
     /// Name of the service.
     pub service: &'a str,
-    /// Part in serving a model; `None` for a plain application.
+    /// Stage of serving a model; `None` for a plain application.
     pub stage: Option<Stage>,
-    /// Replicas that it was sent to before.
+    /// Replicas that the request has already been sent to.
     pub tried: &'a [Key],
-    /// Data centre of this daemon.
+    /// Preferred data centre.
     pub data_centre: Zone,
-    /// What it asks of the memory of a decode replica, if that is to be looked at.
+    /// Memory needed at a decode replica, if it is to be checked.
     pub demand: Option<MemoryDemand>,
 }
 
 impl Criteria<'_> {
-    /// Whether `server` may be chosen.
+    /// Whether `server` is eligible.
     pub(crate) fn matches(&self, now: Time, key: Key, server: &Server) -> bool {
         server.is_available(now)
             && server.throttled_until <= now
@@ -58,7 +58,7 @@
             && !self.tried.contains(&key)
     }
 
-    /// Whether `server`, whose engine holds `memory` tokens if that is known, has room.
+    /// Whether `server` has room. `memory` is the size of its engine's memory in tokens, if known.
     pub(crate) fn has_room(&self, now: Time, server: &Server, memory: Option<u64>) -> bool {
         match (self.demand, memory) {
             (Some(demand), Some(memory)) => demand.fits(now, server, memory),
@@ -67,8 +67,8 @@
     }
 }
 
-/// The candidate with the lowest score; `memory` is what one engine of the service holds, in tokens,
-/// and `draw` gives evenly distributed numbers in `0.0..1.0`.
+/// Returns the candidate with the lowest score. `memory` is the size of an engine's memory in
+/// tokens, and `draw` returns random numbers uniform in `0.0..1.0`.
 pub(crate) fn best(
     now: Time,
     criteria: &Criteria<'_>,
@@ -88,7 +88,7 @@
     best.map(|(key, _)| key)
 }
 
-/// What speaks against a replica besides its load and its pace.
+/// Penalties other than for load and slowness.
 fn penalty(now: Time, criteria: &Criteria<'_>, server: &Server) -> f64 {
     let is_local = server.replica.data_centre == criteria.data_centre;
     let distance = if is_local { 0.0 } else { REMOTE_PENALTY };
@@ -110,7 +110,7 @@
     refused + prefilling + FAILURE_WEIGHT * server.failure_share(now) + distance + cold
 }
 
-/// Median time a unit of work among the candidates that told one lately.
+/// Median time per unit of work among the candidates with a recent measurement.
 fn median_pace(now: Time, candidates: &[(Key, &Server)]) -> Option<f64> {
     let paces = candidates.iter().filter_map(|(_, server)| server.pace(now));
     let mut paces: Vec<f64> = paces.collect();
@@ -129,7 +129,8 @@
     }
 }
 
-/// Part of the replica that is in use: of its memory for a decode replica, else of its places.
+/// Load of a replica: the used fraction of the memory for a decode replica and of the slots for a
+/// plain one, and the number of queued prompts for a prefill replica.
 fn relative_load(now: Time, criteria: &Criteria<'_>, server: &Server, memory: Option<u64>) -> f64 {
     let slots = f64::from(server.replica.slots.max(1));
     let load = server.load(now);
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -1,4 +1,4 @@
-//! What this daemon has learnt of one replica.
+//! State of one replica as known to this daemon.
 
 use std::time::Duration;
 
@@ -12,76 +12,79 @@
 use crate::replica::Replica;
 
 new_key_type! {
-    /// A replica in the pool.
+    /// Identifies an incarnation of a replica in the pool.
     pub struct Key;
 }
 
-/// How long a told load counts; it fades out linearly. Replicas answer several times as often.
+/// How long a reported load is used; its weight decreases linearly. Replicas answer several times
+/// as often.
 const LOAD_AGE: Duration = Duration::from_secs(2);
-/// Time in which the share of failures falls to a third without further sends.
+/// Time in which the failure share decays to 1/e, about a third, without further sends.
 const FAILURE_DECAY: Duration = Duration::from_secs(4);
-/// Weight of the newest send in the share of failures.
+/// Weight of the newest send in the failure share.
 const FAILURE_WEIGHT: f64 = 0.35;
-/// Weight of the newest read in the mean time that a token of a prompt takes.
+/// Weight of the newest prefill in the mean time per prompt token.
 const PREFILL_WEIGHT: f64 = 0.4;
-/// How long that mean counts without a further read; where it is not known, that of all replicas does.
+/// How long that mean is used without a further prefill; after that, the mean of all replicas is.
 const PREFILL_AGE: Duration = Duration::from_secs(5);
-/// Weight of the newest piece of work in the mean time a unit.
+/// Weight of the newest piece of work in the mean time per unit.
 const PACE_WEIGHT: f64 = 0.3;
-/// How long the mean time a unit counts without further work; a replica that was left because it was
-/// slow is tried again after it.
+/// How long the mean time per unit is used without further work; a replica avoided for its slowness
+/// is tried again after it.
 const PACE_AGE: Duration = Duration::from_secs(3);
-/// How long a replica that had no room is asked after the others, the first time.
+/// How long a replica is ranked last after its first refusal.
 const REFUSED_AGE: Duration = Duration::from_millis(200);
-/// The same for one that did not answer; asking it costs a caller most of the time that it waits.
+/// The same for a replica that did not answer. Longer, since trying it uses up most of the time
+/// that a caller waits.
 const NO_ANSWER_AGE: Duration = Duration::from_millis(800);
-/// How long an answer to this daemon counts for more than what others say of the replica.
+/// How long an answer to this daemon outweighs what others report of the replica.
 const ANSWER_AGE: Duration = Duration::from_millis(300);
-/// Doublings of these times at most, one for each time in a row: a replica that is leaving refuses each
-/// reservation and looks the emptier the longer it does. With a third of 320 replicas leaving unnoticed,
-/// nearly all reservations were asked of those.
+/// Maximum doublings of these times, one per successive refusal. A leaving replica refuses each
+/// reservation and looks emptier the longer it does: with a third of 320 replicas leaving
+/// unnoticed, nearly all reservations were tried at those.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// How long requests already assigned to a replica are still sent to it after this daemon learnt that it is draining. Covers
-/// requests whose prompt is read within this time, and ends before the replica must no longer receive any.
+/// How long requests already assigned to a replica are still sent after this daemon learnt that it
+/// is draining. Covers requests whose prompt is prefilled within this time, and ends before the
+/// replica must no longer receive any.
 const DRAINING_GRACE: Duration = Duration::from_millis(250);
 
-/// Reservations that failed at a replica.
+/// Failed reservations at a replica.
 #[derive(Debug, Clone, Copy, Default)]
 struct Refusals {
-    /// How many in a row.
+    /// Number in a row.
     count: u32,
-    /// Until when it is asked after the others.
+    /// When the replica stops being ranked last.
     until: Time,
 }
 
-/// One replica and what this daemon has learnt of it.
+/// One replica and what this daemon knows of it.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// As the platform lists it.
+    /// Entry in the platform's list.
     pub replica: Replica,
-    /// The hash of its id and birth, by which other daemons name it in claims.
+    /// Hash of its id and start time, which identifies it in claims.
     pub hash: u64,
-    /// Version of the store at which its entry changed last, as far as this daemon knows.
+    /// Version of the store at which its entry last changed, as far as this daemon knows.
     pub(crate) changed: u64,
-    /// Requests of this daemon that it is at work on.
+    /// Requests of this daemon in progress there.
     pub in_flight: u32,
     /// Tokens of these requests.
     pub tokens: u64,
-    /// Requests of others that it told of last, and when.
+    /// Latest reported number of requests of others, and when.
     peer_requests: Option<(u32, Time)>,
-    /// Share of failures among the last sends, and when it was brought up to date.
+    /// Failure share of the recent sends, and when it was updated.
     failures: (f64, Time),
-    /// Mean seconds that it took to read a token, and when the last prompt was read.
+    /// Mean seconds to prefill a token, and when the last prefill ended.
     prefill_pace: Option<(f64, Time)>,
-    /// Tokens that it is to read for other daemons; `None` if none is heard of.
+    /// Tokens that it has yet to prefill for other daemons; `None` if no other daemon has reported.
     pub(crate) peer_prefill_tokens: Option<u64>,
-    /// Mean seconds a unit of work, and when the last work ended.
+    /// Mean seconds per unit of work, and when the last work ended.
     pace: Option<(f64, Time)>,
     refusals: Refusals,
     /// When it last answered this daemon.
     last_answer: Option<Time>,
-    /// When it last did not answer this daemon.
+    /// When it last failed to answer this daemon.
     last_no_answer: Option<Time>,
     /// Limit in requests per second, across all daemons; `None` if it has none.
     pub limit: Option<f64>,
@@ -89,17 +92,18 @@
     pub(crate) throttled_until: Time,
     /// Whether a replica with another id answered at its address.
     pub(crate) replaced: bool,
-    /// What the runs that this daemon knows of will hold, its own and those of others.
+    /// Memory forecast for the known runs of all daemons.
     pub(crate) forecast: Curve,
-    /// Runs of other daemons among them.
+    /// Known runs of other daemons.
     pub(crate) peer_runs: u32,
-    /// All runs that this daemon knows of.
+    /// Known runs of all daemons.
     pub(crate) known_runs: u32,
-    /// Prompts of such runs that it reads itself, though it makes tokens.
+    /// Prompts of these runs that it prefills itself although it is a decode replica.
     pub(crate) prefills: u32,
-    /// Until when it is used though the list lacks it.
+    /// When its use ends, if it is missing from the list.
     pub(crate) lapses_at: Option<Time>,
-    /// When this daemon learnt that it is draining; `None` if it is not, or was draining when first listed.
+    /// When this daemon learnt that it is draining; `None` if it is not, or was draining when first
+    /// listed.
     pub(crate) draining_since: Option<Time>,
 }
 
@@ -136,8 +140,8 @@
         listed && !self.replica.draining && !self.replaced
     }
 
-    /// Whether a request that is assigned to it may still be sent: not after `DRAINING_GRACE`, nor once it is no longer used
-    /// after it left the list.
+    /// Whether a request assigned to it may still be sent: not after `DRAINING_GRACE`, nor once its
+    /// use after leaving the list has ended.
     pub fn may_receive(&self, now: Time) -> bool {
         let grace_ended = self
             .draining_since
@@ -145,7 +149,7 @@
         !grace_ended && !self.has_lapsed(now)
     }
 
-    /// Takes what the runs of `others` will hold, in place of all that was known.
+    /// Replaces the forecast by that of the runs of `others`.
     pub(crate) const fn reset_forecast(&mut self, others: PeerUsage) {
         self.forecast = others.curve;
         self.peer_runs = others.runs;
@@ -153,14 +157,14 @@
         self.prefills = others.prefills;
     }
 
-    /// Adds a run of this daemon; `is_read` if the replica reads its prompt.
+    /// Adds a run of this daemon; `is_prefilling` if the replica prefills its prompt itself.
     pub(crate) fn add_run(&mut self, curve: &Curve, is_prefilling: bool) {
         self.forecast = self.forecast.plus(curve);
         self.known_runs += 1;
         self.prefills += u32::from(is_prefilling);
     }
 
-    /// Whether the list lacks it and the time is over for which it was used on.
+    /// Whether it is missing from the list and its grace period is over.
     pub(crate) fn has_lapsed(&self, now: Time) -> bool {
         self.lapses_at.is_some_and(|until| until <= now)
     }
@@ -184,13 +188,13 @@
         self.failures = (share + FAILURE_WEIGHT * (sample - share), now);
     }
 
-    /// Notes that a token of a prompt took so many seconds.
+    /// Records that a prompt took `seconds` per token.
     pub(crate) fn record_prefill(&mut self, now: Time, seconds: f64) {
         let mean = self.prefill_pace(now).unwrap_or(seconds);
         self.prefill_pace = Some((mean + PREFILL_WEIGHT * (seconds - mean), now));
     }
 
-    /// Tokens that it is to read, as far as is known.
+    /// Tokens that it has yet to prefill, as far as known.
     pub(crate) fn queued_tokens(&self) -> u64 {
         self.tokens + self.peer_prefill_tokens.unwrap_or_default()
     }
@@ -200,25 +204,26 @@
         self.pace = Some((mean + PACE_WEIGHT * (seconds - mean), now));
     }
 
-    /// Notes that it had no room.
+    /// Records that it refused a reservation.
     pub(crate) fn record_full(&mut self, now: Time) {
         self.last_answer = Some(now);
         self.record_refusal(now, REFUSED_AGE);
     }
 
-    /// Notes that it did not answer.
+    /// Records that it did not answer.
     pub(crate) fn record_no_answer(&mut self, now: Time) {
         self.last_no_answer = Some(now);
         self.record_refusal(now, NO_ANSWER_AGE);
     }
 
-    /// Notes that it had room, or did its work.
+    /// Records that it accepted a reservation, or completed work.
     pub(crate) fn record_room(&mut self, now: Time) {
         self.last_answer = Some(now);
         self.refusals = Refusals::default();
     }
 
-    /// Takes from another daemon that it does not answer, unless it answered this one a moment ago.
+    /// Applies a report of another daemon that it does not answer, unless it has just answered this
+    /// daemon.
     pub(crate) fn apply_silent_report(&mut self, now: Time) {
         let answered = self
             .last_answer
@@ -228,7 +233,7 @@
         }
     }
 
-    /// Whether it did not answer this daemon a moment ago, and has not answered since.
+    /// Whether it lately failed to answer this daemon and has not answered since.
     pub(crate) fn is_silent(&self, now: Time) -> bool {
         self.last_no_answer.is_some_and(|at| {
             now.since(at) < NO_ANSWER_AGE && self.last_answer.is_none_or(|answered| answered < at)
@@ -237,7 +242,7 @@
 
     fn record_refusal(&mut self, now: Time, age: Duration) {
         let Refusals { count, until } = self.refusals;
-        // Answers to questions that were asked before the last refusal count as one with it.
+        // Reservations that were in flight at the last refusal count as one with it.
         let count = if now < until { count } else { count + 1 };
         let doublings = (count - 1).min(MAX_DOUBLINGS);
         self.refusals = Refusals {
@@ -251,19 +256,19 @@
         self.peer_requests = Some((others, now));
     }
 
-    /// Mean seconds that it takes to read a token, if a prompt was read a short time ago.
+    /// Mean seconds to prefill a token, if measured recently.
     pub(crate) fn prefill_pace(&self, now: Time) -> Option<f64> {
         let (mean, at) = self.prefill_pace?;
         (now.since(at) < PREFILL_AGE).then_some(mean)
     }
 
-    /// Mean seconds a unit of work, if some ended a short time ago.
+    /// Mean seconds per unit of work, if measured recently.
     pub(crate) fn pace(&self, now: Time) -> Option<f64> {
         let (mean, at) = self.pace?;
         (now.since(at) < PACE_AGE).then_some(mean)
     }
 
-    /// Reservations in a row that failed, while it is asked after the others for that; else 0.
+    /// Number of successive failed reservations while it is ranked last for them; otherwise 0.
     pub(crate) fn refusals(&self, now: Time) -> u32 {
         if now < self.refusals.until {
             self.refusals.count
@@ -272,12 +277,13 @@
         }
     }
 
-    /// Requests at work here, those of other daemons among them as far as they are known.
+    /// Requests in progress there, including those of other daemons as far as known.
     pub(crate) fn load(&self, now: Time) -> f64 {
         f64::from(self.in_flight) + self.peer_requests(now)
     }
 
-    /// Requests of other daemons at work here, as far as the replica told; fades with time.
+    /// Requests of other daemons in progress there by its last report, whose weight decreases with
+    /// age.
     pub(crate) fn peer_requests(&self, now: Time) -> f64 {
         self.peer_requests.map_or(0.0, |(count, reported_at)| {
             let age = now.since(reported_at).as_secs_f64() / LOAD_AGE.as_secs_f64();
@@ -285,7 +291,7 @@
         })
     }
 
-    /// Share of failures among the last sends; fades while nothing is sent.
+    /// Failure share of the recent sends; decays while nothing is sent.
     pub fn failure_share(&self, now: Time) -> f64 {
         let (share, at) = self.failures;
         share * (-now.since(at).as_secs_f64() / FAILURE_DECAY.as_secs_f64()).exp()
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -1,58 +1,60 @@
-//! Whether a generation can still be in time, and what one that cannot leaves to the others.
+//! Decides whether a generation can meet its objective, and how much room a late one leaves to the
+//! others.
 //!
-//! Answers the load in which more come for a few seconds than can be served. A prompt that waits longer
-//! to be read than its objective allows holds a place at a decode replica meanwhile, so that the next
-//! one is late as well; then nearly all are late, where two thirds could be in time. So a new generation
-//! gets a place only if its prompt will be read in time, and one that was refused and has come back,
-//! which is late in any case, waits longer and leaves room for those that are not.
+//! When more generations arrive for a few seconds than can be served, a prompt whose prefill takes
+//! longer than its objective occupies a slot at a decode replica meanwhile, and delays the next
+//! one. Then nearly all are late, where two thirds could be in time. So a new generation gets a
+//! slot only if its prefill ends in time. One that was refused and is retried is late in any case:
+//! it waits longer and leaves room for the others.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Part of the objective by which the prompt of a new generation is to be read; the first event
+/// Fraction of the objective within which the prefill of a new generation must end; the first event
 /// follows some tens of milliseconds later.
 const PREFILL_DEADLINE: f64 = 0.8;
-/// Part of the objective that reading may take for a generation which is late: longer reads say that
-/// new ones wait as well.
+/// Maximum duration of the prefill of a late generation, as a fraction of the objective: a longer
+/// one means that new generations are waiting as well.
 const MAX_LATE_PREFILL: f64 = 0.5;
-/// Part of its memory that a decode replica has to have free for a prompt that it reads itself since
-/// all others would be late: it makes next to no tokens meanwhile.
+/// Fraction of its memory that a decode replica must have free to prefill a prompt itself because
+/// all prefill replicas would be late: it generates almost no tokens meanwhile.
 const IDLE_SHARE: f64 = 0.2;
-/// Part of a replica's memory that late generations leave free: most of a run, where a replica has room for
-/// seven.
+/// Fraction of a replica's memory that late generations leave free: most of a run, if a replica has
+/// room for seven.
 const LATE_SPARE: f64 = 0.1;
-/// Times the objective for which late generations wait for a place, after all others. Callers leave after four
-/// times it without an event, and what is left is enough to read the prompt. With a turn of their own after
-/// 1.6 of it, 26 % in place of 15 % of the generations of a lasting overload were late.
+/// How long late generations wait for a slot, behind all others, as a multiple of the objective.
+/// Callers give up after four times the objective without an event, and the rest is enough for the
+/// prefill. When late generations got their turn after 1.6 times the objective, 26 % instead of 15
+/// % of the generations of a lasting overload were late.
 const LATE_WAIT: f64 = 2.4;
-/// Callers' limits that are remembered of a route.
+/// Maximum number of callers' timeouts that are kept for a route.
 const MAX_LIMITS: usize = 128;
-/// Part of them that is taken for those of callers which come for the first time: they have the longest
-/// limits, unless some caller has a limit of its own.
+/// Quantile of these timeouts that is taken for that of first attempts, which have the longest
+/// ones. Below 1, since some caller may have a longer timeout than the others.
 const FIRST_ATTEMPT_QUANTILE: f64 = 0.9;
 
-/// What kind of generation looks for a place.
+/// Kind of a generation that needs a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// It can be in time.
+    /// A first attempt, which can be in time.
     New,
-    /// It was refused, and its caller has come back.
+    /// A retry of a refused generation.
     Returned,
-    /// It is late and has no other chance, since its replica was lost.
+    /// A late generation without another chance, because its replica was lost.
     Due,
 }
 
-/// How it looks for a place.
+/// Conditions for a slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Terms {
-    /// Times the objective for which it waits.
+    /// Maximum wait, as a multiple of the objective.
     pub wait: f64,
-    /// Part of the memory of a replica that it leaves free.
+    /// Fraction of the replica's memory to leave free.
     pub spare: f64,
 }
 
 impl Kind {
-    /// The terms of this kind, where `usual` are those of a new generation.
+    /// Conditions for this kind, where `usual` are those of a new generation.
     pub fn terms(self, usual: Terms) -> Terms {
         match self {
             Self::New | Self::Due => usual,
@@ -63,9 +65,9 @@
         }
     }
 
-    /// The part of a replica's memory that has to be free, beside that of its terms, if the prompt will be
-    /// read after `read` by a prefill replica: none if that is soon enough. `age` is the time since the
-    /// request came.
+    /// Fraction of a replica's memory that must be free in addition to [`Terms::spare`], if a
+    /// prefill replica would take `prefill` for the prompt: 0 if that is soon enough. `age` is the
+    /// time since the request arrived.
     pub fn required_idle_share(self, objective: Duration, age: Duration, prefill: Duration) -> f64 {
         let in_time = match self {
             Self::New => age + prefill <= objective.mul_f64(PREFILL_DEADLINE),
@@ -76,22 +78,23 @@
     }
 }
 
-/// How long the callers of one route wait for their answers, as they say.
+/// Recent timeouts of the callers of one route.
 ///
-/// A caller that comes back says how long it will still wait, so that its limit is shorter than that of a
-/// new one by the time since it came first.
+/// A caller sends its remaining timeout with each attempt, so that of a retry is shorter by the
+/// time since the first attempt.
 #[derive(Debug, Default)]
 pub struct CallerTimeouts {
     limits: VecDeque<Duration>,
 }
 
 impl CallerTimeouts {
-    /// Nothing known yet.
+    /// Creates an empty history.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a caller's limit; the time that it seems to have waited before.
+    /// Records a caller's timeout and returns how long the caller seems to have waited before this
+    /// attempt.
     pub fn estimate_waited(&mut self, limit: Duration) -> Duration {
         self.limits.push_back(limit);
         if self.limits.len() > MAX_LIMITS {
--- a/crates/relay/src/wait_queue.rs
+++ b/crates/relay/src/wait_queue.rs
@@ -1,13 +1,13 @@
-//! Who goes first among the generations of one daemon that wait for a place.
+//! Orders the generations of one daemon that wait for a slot at a decode replica.
 //!
-//! Without an order, small requests take whatever room comes free, and a large one is passed over
-//! until its time is up, though it came first and is worth the most to its caller. The more urgent go before the less urgent,
-//! and of the same rank those that are late in any case after those that are not.
+//! Without an order, small requests take any room that becomes free, and a large one, which is
+//! worth the most to its caller, starves until it times out. More urgent generations go first; of
+//! equal priority, those that can still be in time go before late ones.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-/// A place in the line.
+/// A place in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
     /// 0 is the most urgent.
@@ -16,7 +16,7 @@
     sequence: u64,
 }
 
-/// Those who wait, by service, the first come first.
+/// Waiting generations by service, in order.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
     waiting: HashMap<String, BTreeSet<Ticket>>,
@@ -24,12 +24,12 @@
 }
 
 impl WaitQueue {
-    /// Nobody waits.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Joins the line of `service` after all of the same `priority` that are as `late`.
+    /// Joins the queue of `service`, behind all others with the same `priority` and `late`.
     pub fn join(&mut self, service: &str, priority: u8, late: bool) -> Ticket {
         let ticket = Ticket {
             priority,
@@ -42,13 +42,13 @@
         ticket
     }
 
-    /// Whether nobody is before `ticket` in the line of `service`.
+    /// Whether `ticket` is the first in the queue of `service`.
     pub fn is_first(&self, service: &str, ticket: Ticket) -> bool {
         let waiting = self.waiting.get(service);
         waiting.and_then(BTreeSet::first) == Some(&ticket)
     }
 
-    /// Leaves the line.
+    /// Leaves the queue.
     pub fn leave(&mut self, service: &str, ticket: Ticket) {
         if let Some(waiting) = self.waiting.get_mut(service) {
             waiting.remove(&ticket);
