--- a/crates/relay/examples/decide.rs
+++ b/crates/relay/examples/decide.rs
@@ -39,14 +39,14 @@
 };
 
 fn main() {
-    println!("| replicas | runs | choosing, median us | a look at all, us |");
+    println!("| replicas | runs | choosing, median us | update of all, us |");
     println!("| --- | --- | --- | --- |");
     for (replicas, runs) in FLEETS {
-        let (choosing, look) = measure(replicas, runs);
+        let (choosing, update) = measure(replicas, runs);
         println!(
             "| {replicas} | {runs} | {:.1} | {:.0} |",
             choosing.as_secs_f64() * 1e6,
-            look.as_secs_f64() * 1e6
+            update.as_secs_f64() * 1e6
         );
     }
 }
@@ -63,9 +63,9 @@
         own.begin("llm", keys[run % keys.len()], SIZE);
     }
     for peer in 0..PEERS {
-        let told = (peer..runs.min(count)).step_by(PEERS);
+        let claims_of_peer = (peer..runs.min(count)).step_by(PEERS);
         let curve = own.forecast("llm", SIZE);
-        let told = told.map(|replica| {
+        let claims_of_peer = claims_of_peer.map(|replica| {
             Claim::new(
                 claims::incarnation_hash(&replica.to_string(), None),
                 1,
@@ -74,12 +74,16 @@
                 &curve,
             )
         });
-        claims.apply(now, Instance(peer as u64), ClaimUpdate::all(told.collect()));
+        claims.apply(
+            now,
+            Instance(peer as u64),
+            ClaimUpdate::all(claims_of_peer.collect()),
+        );
     }
     let begun = Instant::now();
     pool.update_all_forecasts(now, &own, &claims);
-    let look = begun.elapsed();
-    let ask = MemoryDemand {
+    let update = begun.elapsed();
+    let demand = MemoryDemand {
         curve: own.forecast("llm", SIZE),
         spreads: 3.0,
         spare: 0.0,
@@ -87,18 +91,18 @@
     let mut times: Vec<Duration> = (0..DECISIONS)
         .map(|_| {
             let begun = Instant::now();
-            let chosen = pool.choose(now, &want(&[], Some(ask)), || 0.5);
+            let chosen = pool.choose(now, &criteria(&[], Some(demand)), || 0.5);
             assert!(chosen.is_some(), "a fleet with room has a replica");
             begun.elapsed()
         })
         .collect();
     times.sort_unstable();
-    (times[DECISIONS / 2], look)
+    (times[DECISIONS / 2], update)
 }
 
 fn keys(pool: &Pool, now: Time) -> Vec<Key> {
     let mut keys = Vec::new();
-    while let Some(key) = pool.choose(now, &want(&keys, None), || 0.0) {
+    while let Some(key) = pool.choose(now, &criteria(&keys, None), || 0.0) {
         keys.push(key);
         if keys.len() >= OWN_RUNS {
             break;
@@ -107,7 +111,7 @@
     keys
 }
 
-fn want(tried: &[Key], demand: Option<MemoryDemand>) -> Criteria<'_> {
+fn criteria(tried: &[Key], demand: Option<MemoryDemand>) -> Criteria<'_> {
     Criteria {
         service: "llm",
         stage: Some(Stage::Decode),
--- a/crates/relay/tests/admission.rs
+++ b/crates/relay/tests/admission.rs
@@ -27,23 +27,23 @@
     pool
 }
 
-fn choose(pool: &Pool, ask: Option<MemoryDemand>) -> Option<Key> {
-    let want = common::want("llm", Some(Stage::Decode), &[], ask);
-    pool.choose(NOW, &want, || 0.0)
+fn choose(pool: &Pool, demand: Option<MemoryDemand>) -> Option<Key> {
+    let criteria = common::criteria("llm", Some(Stage::Decode), &[], demand);
+    pool.choose(NOW, &criteria, || 0.0)
 }
 
 /// Runs that are taken at once by a replica of `memory` tokens.
-fn taken(memory: u64, spreads: f64, spare: f64) -> usize {
+fn admitted(memory: u64, spreads: f64, spare: f64) -> usize {
     let mut pool = pool(memory);
     let mut runs = Runs::new();
     let mut count = 0;
     loop {
-        let ask = MemoryDemand {
+        let demand = MemoryDemand {
             curve: runs.forecast("llm", SIZE),
             spreads,
             spare,
         };
-        let Some(key) = choose(&pool, Some(ask)) else {
+        let Some(key) = choose(&pool, Some(demand)) else {
             return count;
         };
         runs.begin("llm", key, SIZE);
@@ -53,38 +53,38 @@
 }
 
 #[test]
-fn runs_that_come_together_are_taken_for_what_they_will_hold() {
+fn concurrent_runs_are_admitted_by_their_forecast() {
     // Prompts alone would be 20, and with the most that each may make 7.
-    let count = taken(100_000, 0.0, 0.0);
+    let count = admitted(100_000, 0.0, 0.0);
     assert!((11..17).contains(&count), "{count}");
 }
 
 #[test]
-fn certainty_costs_places() {
-    assert!(taken(100_000, 2.5, 0.0) < taken(100_000, 0.0, 0.0));
-    assert!(taken(100_000, 0.0, 0.2) < taken(100_000, 0.0, 0.0));
+fn a_larger_margin_admits_fewer_runs() {
+    assert!(admitted(100_000, 2.5, 0.0) < admitted(100_000, 0.0, 0.0));
+    assert!(admitted(100_000, 0.0, 0.2) < admitted(100_000, 0.0, 0.0));
 }
 
 #[test]
-fn a_large_replica_takes_more_for_each_token_of_its_memory() {
-    let (small, large) = (taken(30_000, 2.5, 0.0), taken(300_000, 2.5, 0.0));
+fn a_large_replica_admits_more_runs_per_token_of_memory() {
+    let (small, large) = (admitted(30_000, 2.5, 0.0), admitted(300_000, 2.5, 0.0));
     assert!(large > 10 * small, "{small} and {large}");
 }
 
 #[test]
-fn runs_that_only_the_replica_tells_of_count() {
+fn runs_reported_only_by_the_replica_count() {
     let mut pool = pool(30_000);
     let key = choose(&pool, None).unwrap();
-    let ask = MemoryDemand {
+    let demand = MemoryDemand {
         curve: Runs::new().forecast("llm", SIZE),
         spreads: 0.0,
         spare: 0.0,
     };
-    assert!(choose(&pool, Some(ask)).is_some());
+    assert!(choose(&pool, Some(demand)).is_some());
     let load = Load {
         running: 6,
         waiting: 0,
     };
     pool.record_load(NOW, key, load);
-    assert!(choose(&pool, Some(ask)).is_none());
+    assert!(choose(&pool, Some(demand)).is_none());
 }
--- a/crates/relay/tests/attempt.rs
+++ b/crates/relay/tests/attempt.rs
@@ -28,7 +28,7 @@
 #[case(Mode::Idempotent, 1, Outcome::Lost, true, Next::Unknown)]
 #[case(Mode::Idempotent, 1, Outcome::Failed, true, Next::Relay)]
 #[case(RESUMABLE, 2, Outcome::Lost, true, Next::Retry)]
-fn the_first_send(
+fn next_step_after_the_first_send(
     #[case] mode: Mode,
     #[case] max_runs: u32,
     #[case] outcome: Outcome,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_stays_so_when_the_next_replica_refuses() {
+fn a_request_that_may_have_run_is_unknown_when_the_next_replica_refuses() {
     let mut attempt = Attempt::new(Mode::Idempotent, 2);
     attempt.record_send();
     assert_eq!(attempt.next_step(Outcome::Lost, || true), Next::Retry);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_request_that_has_run_and_is_held_is_not_refused() {
+fn a_quarantined_request_that_may_have_run_is_unknown() {
     let mut attempt = Attempt::new(Mode::Idempotent, 3);
     attempt.record_send();
     assert_eq!(attempt.next_step(Outcome::Lost, || true), Next::Retry);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn no_more_replicas_run_it_than_the_route_allows() {
+fn a_request_runs_on_at_most_the_allowed_number_of_replicas() {
     let mut attempt = Attempt::new(Mode::Idempotent, 2);
     attempt.record_send();
     attempt.next_step(Outcome::Lost, || true);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn sends_that_do_not_arrive_end_as_well() {
+fn the_number_of_unsent_attempts_is_limited() {
     let mut attempt = Attempt::new(Mode::Once, 1);
     let mut sends = 0;
     loop {
@@ -90,7 +90,7 @@
 #[case(RESUMABLE, 2, true)]
 #[case(Mode::Once, 3, false)]
 #[case(ONE_WAY, 3, false)]
-fn a_request_moves_on_only_if_one_more_replica_may_run_it(
+fn a_request_fails_over_only_if_one_more_replica_may_run_it(
     #[case] mode: Mode,
     #[case] max_runs: u32,
     #[case] expected: bool,
--- a/crates/relay/tests/budget.rs
+++ b/crates/relay/tests/budget.rs
@@ -6,7 +6,7 @@
 use relay::budget::RetryBudget;
 use relay::budget::RetryPolicy;
 
-const RULE: RetryPolicy = RetryPolicy {
+const POLICY: RetryPolicy = RetryPolicy {
     ratio: 0.2,
     slack: 30.0,
     window: Duration::from_secs(10),
@@ -14,39 +14,39 @@
 
 fn taken(budget: &mut RetryBudget, now: Time, daemons: usize) -> usize {
     (0..1_000)
-        .take_while(|_| budget.take(now, &RULE, daemons).is_some())
+        .take_while(|_| budget.take(now, &POLICY, daemons).is_some())
         .count()
 }
 
 #[test]
-fn all_daemons_together_stay_below_the_rule() {
+fn all_daemons_together_stay_below_the_limit() {
     for daemons in [1, 3, 9] {
         let mut sum = 0.0;
         let mut requests = 0.0;
         for _ in 0..daemons {
             let mut budget = RetryBudget::new();
             for _ in 0..20 {
-                budget.record_request(Time::ZERO, &RULE);
+                budget.record_request(Time::ZERO, &POLICY);
                 requests += 1.0;
             }
             sum += taken(&mut budget, Time::ZERO, daemons) as f64;
         }
-        assert!(sum <= requests * RULE.ratio + RULE.slack);
+        assert!(sum <= requests * POLICY.ratio + POLICY.slack);
         assert!(sum > 0.0);
     }
 }
 
 #[test]
-fn retries_come_back_after_the_window() {
+fn retries_are_available_again_after_the_window() {
     let mut budget = RetryBudget::new();
     let first = taken(&mut budget, Time::from_millis(60_000), 3);
-    assert!(budget.take(Time::from_millis(69_900), &RULE, 3).is_none());
+    assert!(budget.take(Time::from_millis(69_900), &POLICY, 3).is_none());
     assert_eq!(taken(&mut budget, Time::from_millis(70_100), 3), first);
 }
 
 /// All daemons may be killed at once, when their budgets are used up, and start again knowing nothing of it.
 #[test]
-fn daemons_that_are_all_killed_and_start_again_stay_below_the_rule() {
+fn daemons_that_are_all_killed_and_restarted_stay_below_the_limit() {
     for daemons in [1, 3, 9] {
         let mut sum = 0;
         for _ in 0..daemons {
@@ -57,6 +57,6 @@
                 sum += taken(&mut after, Time::from_millis(ms), daemons);
             }
         }
-        assert!(sum as f64 <= RULE.slack, "{sum} by {daemons}");
+        assert!(sum as f64 <= POLICY.slack, "{sum} by {daemons}");
     }
 }
--- a/crates/relay/tests/claim_publisher.rs
+++ b/crates/relay/tests/claim_publisher.rs
@@ -26,14 +26,14 @@
 /// Replicas, with a run each at the start.
 const REPLICAS: usize = 70;
 
-struct World {
+struct Daemon {
     pool: Pool,
     keys: Vec<Key>,
     runs: Runs,
-    teller: ClaimPublisher,
+    publisher: ClaimPublisher,
 }
 
-impl World {
+impl Daemon {
     fn new() -> Self {
         let pool = common::pool(START, common::engines(REPLICAS, Stage::Decode, 32));
         let mut keys = Vec::new();
@@ -44,7 +44,7 @@
             pool,
             keys,
             runs: Runs::new(),
-            teller: ClaimPublisher::new(),
+            publisher: ClaimPublisher::new(),
         }
     }
 
@@ -54,7 +54,7 @@
 
     fn due(&mut self, ms: u64) -> Option<ClaimUpdate> {
         let now = START + Duration::from_millis(ms);
-        self.teller.due(now, &self.runs, &self.pool)
+        self.publisher.due(now, &self.runs, &self.pool)
     }
 
     fn hash(&self, replica: usize) -> u64 {
@@ -63,77 +63,77 @@
 }
 
 fn choose(pool: &Pool, tried: &[Key]) -> Option<Key> {
-    let want = common::want("llm", Some(Stage::Decode), tried, None);
-    pool.choose(START, &want, || 0.0)
+    let criteria = common::criteria("llm", Some(Stage::Decode), tried, None);
+    pool.choose(START, &criteria, || 0.0)
 }
 
-fn changed(told: Option<ClaimUpdate>) -> usize {
-    let told = told.unwrap();
-    assert!(!told.all);
-    told.claims.len()
+fn changed(update: Option<ClaimUpdate>) -> usize {
+    let update = update.unwrap();
+    assert!(!update.all);
+    update.claims.len()
 }
 
 /// In a burst a run begins or ends each 20 ms at a daemon that has runs at 70 replicas.
 #[test]
-fn a_run_that_begins_costs_one_claim_whatever_else_runs() {
-    let mut world = World::new();
+fn a_new_run_costs_one_claim_regardless_of_other_runs() {
+    let mut daemon = Daemon::new();
     for replica in 0..REPLICAS {
-        world.begin(replica);
+        daemon.begin(replica);
     }
-    let told = world.due(0).unwrap();
-    assert_eq!((told.all, told.claims.len()), (true, REPLICAS));
-    world.begin(3);
-    assert_eq!(changed(world.due(20)), 1);
-    world.begin(4);
-    world.begin(5);
-    assert_eq!(changed(world.due(40)), 2);
+    let update = daemon.due(0).unwrap();
+    assert_eq!((update.all, update.claims.len()), (true, REPLICAS));
+    daemon.begin(3);
+    assert_eq!(changed(daemon.due(20)), 1);
+    daemon.begin(4);
+    daemon.begin(5);
+    assert_eq!(changed(daemon.due(40)), 2);
 }
 
 #[test]
-fn all_are_told_again_from_time_to_time() {
-    let mut world = World::new();
-    world.begin(0);
-    assert!(world.due(0).is_some());
-    assert!(world.due(390).is_none());
-    assert!(world.due(400).unwrap().all);
+fn all_claims_are_sent_periodically() {
+    let mut daemon = Daemon::new();
+    daemon.begin(0);
+    assert!(daemon.due(0).is_some());
+    assert!(daemon.due(390).is_none());
+    assert!(daemon.due(400).unwrap().all);
 }
 
 #[test]
-fn changes_in_quick_succession_are_told_together() {
-    let mut world = World::new();
-    world.begin(0);
-    assert!(world.due(0).is_some());
-    world.begin(1);
-    assert!(world.due(2).is_none());
-    world.begin(2);
-    assert_eq!(changed(world.due(6)), 2);
+fn changes_in_quick_succession_are_sent_together() {
+    let mut daemon = Daemon::new();
+    daemon.begin(0);
+    assert!(daemon.due(0).is_some());
+    daemon.begin(1);
+    assert!(daemon.due(2).is_none());
+    daemon.begin(2);
+    assert_eq!(changed(daemon.due(6)), 2);
 }
 
 #[test]
-fn nothing_is_told_where_nothing_runs() {
-    let mut world = World::new();
-    assert!(world.due(0).is_none());
-    let run = world.begin(0);
-    assert!(world.due(500).is_some());
-    world.runs.end(START, run, true);
-    assert_eq!(changed(world.due(510)), 1);
-    assert!(world.due(910).is_none());
+fn nothing_is_sent_without_runs() {
+    let mut daemon = Daemon::new();
+    assert!(daemon.due(0).is_none());
+    let run = daemon.begin(0);
+    assert!(daemon.due(500).is_some());
+    daemon.runs.end(START, run, true);
+    assert_eq!(changed(daemon.due(510)), 1);
+    assert!(daemon.due(910).is_none());
 }
 
 #[test]
-fn who_hears_every_message_knows_what_who_hears_only_whole_ones_does() {
-    let mut world = World::new();
+fn partial_updates_lead_to_the_current_claims() {
+    let mut daemon = Daemon::new();
     let mut claims = Claims::new();
-    let first = world.begin(0);
-    world.begin(1);
+    let first = daemon.begin(0);
+    daemon.begin(1);
     for (ms, ends) in [(0, false), (20, true)] {
         if ends {
-            world.runs.end(START, first, true);
-            world.begin(2);
+            daemon.runs.end(START, first, true);
+            daemon.begin(2);
         }
-        let told = world.due(ms).unwrap();
-        claims.apply(START, Instance(1), told);
+        let update = daemon.due(ms).unwrap();
+        claims.apply(START, Instance(1), update);
     }
-    let runs = |replica| claims.peer_usage(START, world.hash(replica)).runs;
+    let runs = |replica| claims.peer_usage(START, daemon.hash(replica)).runs;
     assert_eq!([runs(0), runs(1), runs(2)], [0, 1, 1]);
 }
--- a/crates/relay/tests/claims.rs
+++ b/crates/relay/tests/claims.rs
@@ -52,10 +52,10 @@
             claim("i-2", 1, 1, 8_000.0),
         ]),
     );
-    let others = claims.peer_usage(START, here());
-    assert_eq!(others.runs, 3);
-    assert!((others.curve.peak(0.0) - 24_000.0).abs() < 32.0);
-    assert_eq!(others.newest, Some(Duration::from_millis(300)));
+    let usage = claims.peer_usage(START, here());
+    assert_eq!(usage.runs, 3);
+    assert!((usage.curve.peak(0.0) - 24_000.0).abs() < 32.0);
+    assert_eq!(usage.newest, Some(Duration::from_millis(300)));
 }
 
 #[test]
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn claims_of_a_silent_peer_end() {
+fn claims_of_a_silent_peer_expire() {
     let mut claims = Claims::new();
     claims.apply(
         START,
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn runs_grow_older_while_nothing_is_told() {
+fn runs_age_without_further_updates() {
     let mut claims = Claims::new();
     claims.apply(
         START,
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_run_that_makes_no_tokens_yet_is_not_the_newest() {
+fn a_run_that_does_not_generate_yet_is_not_the_newest() {
     let mut claims = Claims::new();
     claims.apply(
         START,
@@ -112,14 +112,14 @@
 #[case(0.0)]
 #[case(5_000.0)]
 #[case(1e9)]
-fn figures_of_any_size_can_be_told(#[case] tokens: f64) {
+fn claims_of_any_size_can_be_encoded(#[case] tokens: f64) {
     let mut claims = Claims::new();
     claims.apply(
         START,
         peer(1),
         ClaimUpdate::all(vec![claim(HERE, 1, 0, tokens)]),
     );
-    let told = claims.peer_usage(START, here()).curve.peak(0.0);
-    assert!(told <= tokens + 16.0);
-    assert!(told >= tokens.min(1_000_000.0) - 16.0);
+    let claimed = claims.peer_usage(START, here()).curve.peak(0.0);
+    assert!(claimed <= tokens + 16.0);
+    assert!(claimed >= tokens.min(1_000_000.0) - 16.0);
 }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -51,7 +51,7 @@
 }
 
 /// What a request of `service` asks that comes from the data centre of all replicas.
-pub fn want<'a>(
+pub fn criteria<'a>(
     service: &'a str,
     stage: Option<Stage>,
     tried: &'a [Key],
--- a/crates/relay/tests/decode_prefill.rs
+++ b/crates/relay/tests/decode_prefill.rs
@@ -25,14 +25,14 @@
 };
 
 /// A decode replica.
-struct World {
+struct Daemon {
     pool: Pool,
     runs: Runs,
     claims: Claims,
     decode: Key,
 }
 
-impl World {
+impl Daemon {
     fn new() -> Self {
         let replica = common::replica("d", "llm", Some(Stage::Decode), 64);
         let pool = common::pool(NOW, vec![replica]);
@@ -49,7 +49,7 @@
         self.runs.begin("llm", self.decode, SIZE)
     }
 
-    fn may_read(&mut self) -> bool {
+    fn may_prefill(&mut self) -> bool {
         self.pool
             .update_all_forecasts(NOW, &self.runs, &self.claims);
         self.pool.may_prefill(self.decode)
@@ -57,41 +57,41 @@
 }
 
 fn key(pool: &Pool, stage: Stage) -> Key {
-    let want = common::want("llm", Some(stage), &[], None);
-    pool.choose(NOW, &want, || 0.0).unwrap()
+    let criteria = common::criteria("llm", Some(stage), &[], None);
+    pool.choose(NOW, &criteria, || 0.0).unwrap()
 }
 
 #[test]
-fn a_replica_reads_one_prompt_beside_its_streams() {
-    let mut world = World::new();
-    world.run();
-    world.run();
-    assert!(world.may_read());
+fn a_replica_prefills_one_prompt_beside_its_streams() {
+    let mut daemon = Daemon::new();
+    daemon.run();
+    daemon.run();
+    assert!(daemon.may_prefill());
 }
 
 #[test]
-fn a_replica_without_streams_reads_on() {
-    let mut world = World::new();
-    let reading = world.run();
-    world.runs.mark_prefilling(reading);
-    assert!(world.may_read());
+fn a_replica_without_streams_may_prefill_again() {
+    let mut daemon = Daemon::new();
+    let prefilling = daemon.run();
+    daemon.runs.mark_prefilling(prefilling);
+    assert!(daemon.may_prefill());
 }
 
 #[test]
-fn two_prompts_are_not_read_at_once() {
-    let mut world = World::new();
-    world.run();
-    let reading = world.run();
-    world.runs.mark_prefilling(reading);
-    assert!(!world.may_read());
-    world.runs.record_tokens(NOW, reading, 64);
-    assert!(world.may_read());
+fn two_prompts_are_not_prefilled_at_once() {
+    let mut daemon = Daemon::new();
+    daemon.run();
+    let prefilling = daemon.run();
+    daemon.runs.mark_prefilling(prefilling);
+    assert!(!daemon.may_prefill());
+    daemon.runs.record_tokens(NOW, prefilling, 64);
+    assert!(daemon.may_prefill());
 }
 
 #[test]
-fn reads_of_other_daemons_count() {
-    let mut world = World::new();
-    world.run();
+fn prefills_of_other_daemons_count() {
+    let mut daemon = Daemon::new();
+    daemon.run();
     let claim = Claim::new(
         claims::incarnation_hash("d", None),
         1,
@@ -99,8 +99,8 @@
         u16::MAX,
         &Curve::flat(5_000.0),
     );
-    world
+    daemon
         .claims
         .apply(NOW, Instance(1), ClaimUpdate::all(vec![claim]));
-    assert!(!world.may_read());
+    assert!(!daemon.may_prefill());
 }
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -20,32 +20,32 @@
 }
 
 fn ports(entries: &[Endpoint], near: Option<&str>) -> Vec<u16> {
-    let told = select_addresses(entries, near.map(Zone::new), Scope::Large);
-    told.iter().map(SocketAddr::port).collect()
+    let addresses = select_addresses(entries, near.map(Zone::new), Scope::Large);
+    addresses.iter().map(SocketAddr::port).collect()
 }
 
 #[test]
-fn the_own_data_centre_is_told_if_it_has_enough() {
+fn the_own_data_centre_is_returned_if_it_has_enough_instances() {
     let entries = [entry("a", 1), entry("b", 2), entry("a", 3)];
     assert_eq!(ports(&entries, Some("a")), [1, 3]);
 }
 
 #[test]
-fn all_are_told_where_one_failure_would_leave_none() {
+fn all_are_returned_if_one_failure_would_leave_none() {
     let entries = [entry("a", 1), entry("b", 2), entry("a", 3)];
     assert_eq!(ports(&entries, Some("b")), [1, 2, 3]);
     assert_eq!(ports(&entries, None), [1, 2, 3]);
 }
 
 #[test]
-fn no_more_are_told_than_callers_take() {
+fn no_more_addresses_are_returned_than_callers_accept() {
     let entries: Vec<Endpoint> = (1..=100).map(|port| entry("a", port)).collect();
     assert_eq!(ports(&entries, Some("a")).len(), 64);
 }
 
 /// Two large ones may fail together.
 #[test]
-fn large_instances_of_other_data_centres_are_told_where_there_are_few() {
+fn large_instances_of_other_data_centres_are_returned_if_there_are_few() {
     let entries = [
         sized("a", 1, 120),
         sized("a", 2, 500),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn large_instances_are_told_where_there_are_enough() {
+fn only_large_instances_are_returned_if_there_are_enough() {
     let large = [2, 3, 4, 5].map(|port| sized("a", port, 500));
     let others = [sized("a", 1, 120), sized("a", 6, 250), sized("b", 7, 500)];
     let entries = [&large[..], &others].concat();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn one_large_instance_alone_is_not_told() {
+fn a_single_large_instance_is_not_returned_alone() {
     let entries = [
         sized("b", 4, 500),
         sized("b", 5, 120),
--- a/crates/relay/tests/event.rs
+++ b/crates/relay/tests/event.rs
@@ -12,16 +12,16 @@
 #[case(7)]
 #[case(16)]
 #[case(1_000)]
-fn nothing_is_lost_wherever_the_bytes_are_cut(#[case] size: usize) {
+fn nothing_is_lost_wherever_the_bytes_are_split(#[case] size: usize) {
     let mut splitter = Splitter::new();
-    let mut passed = Vec::new();
+    let mut forwarded = Vec::new();
     for part in STREAM.chunks(size) {
         let whole = splitter.push(part).unwrap();
         assert!(whole.is_empty() || whole.ends_with(b"\n\n"));
-        passed.extend(whole);
+        forwarded.extend(whole);
     }
-    passed.extend(splitter.finish().unwrap());
-    assert_eq!(passed, STREAM);
+    forwarded.extend(splitter.finish().unwrap());
+    assert_eq!(forwarded, STREAM);
     assert_eq!(splitter.resumes_after(None), Ok(Some(3)));
 }
 
@@ -34,24 +34,24 @@
 }
 
 #[test]
-fn an_unfinished_event_is_dropped_before_another_replica_goes_on() {
+fn an_unfinished_event_is_dropped_by_a_resume() {
     let mut splitter = Splitter::new();
     splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").unwrap();
     assert_eq!(splitter.resume(None), Ok(Some(1)));
-    let passed = splitter.push(b"id: 2\ndata: b\n\n").unwrap();
-    assert_eq!(passed, b"id: 2\ndata: b\n\n");
+    let forwarded = splitter.push(b"id: 2\ndata: b\n\n").unwrap();
+    assert_eq!(forwarded, b"id: 2\ndata: b\n\n");
 }
 
 #[test]
 fn carriage_returns_end_lines_too() {
     let mut splitter = Splitter::new();
-    let passed = splitter.push(b"id: 4\r\ndata: a\r\n\r\nid").unwrap();
-    assert_eq!(passed, b"id: 4\r\ndata: a\r\n\r\n");
+    let forwarded = splitter.push(b"id: 4\r\ndata: a\r\n\r\nid").unwrap();
+    assert_eq!(forwarded, b"id: 4\r\ndata: a\r\n\r\n");
     assert_eq!(splitter.resumes_after(None), Ok(Some(4)));
 }
 
 #[test]
-fn an_event_that_is_too_long_to_be_held_is_unfinished_until_its_empty_line_comes() {
+fn an_event_too_large_to_buffer_is_unfinished_until_its_empty_line() {
     let mut splitter = Splitter::new();
     let long = format!("id: 1\ndata: {}", "x".repeat(300_000));
     assert_eq!(splitter.push(long.as_bytes()).unwrap(), long.as_bytes());
@@ -70,7 +70,7 @@
 #[case(b"id: 2\ndata: b\n\nid: 3\ndata: c\n\n")]
 #[case(b"id: 4\ndata: d\n\n")]
 #[case(b"id: x\ndata: d\n\n")]
-fn only_the_next_event_is_joined(#[case] first: &[u8]) {
+fn a_resumed_stream_must_continue_with_the_next_event(#[case] first: &[u8]) {
     let mut splitter = Splitter::new();
     splitter.push(b"id: 2\ndata: b\n\n").unwrap();
     splitter.resume(None).unwrap();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_first_event_of_a_resumed_stream_follows_the_one_that_its_caller_has() {
+fn a_resumed_stream_must_follow_the_last_event_of_the_caller() {
     let mut splitter = Splitter::new();
     assert_eq!(splitter.resume(Some(7)), Ok(Some(7)));
     assert_eq!(
@@ -89,7 +89,7 @@
 
 /// The rest of an event that was cut since it is too long is no line of fields, whatever it begins with.
 #[test]
-fn the_rest_of_a_cut_event_tells_no_id() {
+fn the_rest_of_a_split_event_has_no_id() {
     let mut splitter = Splitter::new();
     let mut long = b"data: ".to_vec();
     long.resize(300_000, b'x');
@@ -105,13 +105,13 @@
 #[case(b"id: 9\ndata: c\n\n", true)]
 #[case(b"id: 6\ndata: c\n\n", false)]
 #[case(b"id: 2\ndata: a\n\n", false)]
-fn a_stream_whose_ids_skip_numbers_goes_on_with_any_later_one(
+fn a_stream_whose_ids_skip_numbers_resumes_with_any_later_id(
     #[case] first: &[u8],
-    #[case] joined: bool,
+    #[case] resumed: bool,
 ) {
     let mut splitter = Splitter::new();
     splitter.push(b"id: 2\ndata: a\n\n").unwrap();
     splitter.push(b"id: 6\ndata: b\n\n").unwrap();
     splitter.resume(None).unwrap();
-    assert_eq!(splitter.push(first).is_ok(), joined);
+    assert_eq!(splitter.push(first).is_ok(), resumed);
 }
--- a/crates/relay/tests/fingerprint.rs
+++ b/crates/relay/tests/fingerprint.rs
@@ -16,7 +16,7 @@
 #[case("POST", "shop.example", "/draft/2", b"prompt")]
 #[case("POST", "shop.example", "/draft/1", b"Prompt")]
 #[case("POST", "shop.example/draft/1", "", b"prompt")]
-fn each_part_counts(
+fn each_part_of_a_request_counts(
     #[case] method: &str,
     #[case] host: &str,
     #[case] path: &str,
--- a/crates/relay/tests/forecast.rs
+++ b/crates/relay/tests/forecast.rs
@@ -15,45 +15,45 @@
 }
 
 /// `count` runs that have made `made` tokens.
-fn runs(count: usize, made: f64) -> Curve {
-    let one = run(made).curve(&LengthDistribution::new());
+fn runs(count: usize, generated: f64) -> Curve {
+    let one = run(generated).curve(&LengthDistribution::new());
     (0..count).fold(Curve::default(), |sum, _| sum.plus(&one))
 }
 
 #[test]
-fn a_run_holds_its_prompt_and_what_it_made() {
+fn a_run_holds_its_prompt_and_its_generated_tokens() {
     let curve = run(640.0).curve(&LengthDistribution::new());
     assert!((curve.mean()[0] - 5_640.0).abs() < 1.0);
     assert!(curve.spread()[0] < 1.0);
 }
 
 #[test]
-fn runs_of_one_age_hold_more_in_a_moment_than_now() {
+fn runs_of_the_same_age_grow() {
     let burst = runs(10, 0.0);
     assert!(burst.peak(0.0) > 1.2 * f64::from(burst.mean()[0]));
 }
 
 #[test]
-fn runs_near_their_end_hold_most_now() {
+fn runs_near_their_end_hold_the_most_now() {
     let ending = runs(10, 6_000.0);
     let now = f64::from(ending.mean()[0]);
     assert!((ending.peak(0.0) - now).abs() < 1.0);
 }
 
 #[test]
-fn what_is_uncertain_asks_for_more_room() {
+fn uncertainty_raises_the_peak() {
     let burst = runs(10, 0.0);
     assert!(burst.peak(2.0) > burst.peak(0.0));
 }
 
 #[test]
-fn a_run_that_made_the_most_is_over_at_once() {
+fn a_run_with_the_maximum_number_of_tokens_ends_at_once() {
     let curve = run(8_000.0).curve(&LengthDistribution::new());
     assert!(curve.mean()[1..].iter().all(|mean| *mean < 1.0));
 }
 
 #[test]
-fn a_run_longer_than_any_before_goes_on_for_a_while() {
+fn a_run_longer_than_all_others_continues_for_a_while() {
     let mut length = LengthDistribution::new();
     for _ in 0..2_000 {
         length.record(2_000.0, 4_000.0);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_curve_seen_later_starts_further_on() {
+fn a_shifted_curve_starts_later() {
     let burst = runs(10, 0.0);
     let later = burst.shifted(0.3);
     assert!((later.mean()[0] - burst.mean()[1]).abs() < 1.0);
@@ -74,7 +74,7 @@
 
 /// Where answers add little to what a run holds, whether some end soon makes no difference.
 #[test]
-fn no_more_is_asked_for_than_if_no_run_ends() {
+fn the_peak_is_bounded_by_the_memory_if_no_run_ends() {
     let small = Run {
         estimate: 400.0,
         max_tokens: 1_000.0,
--- a/crates/relay/tests/length.rs
+++ b/crates/relay/tests/length.rs
@@ -5,13 +5,13 @@
 const ESTIMATE: f64 = 1_000.0;
 
 #[test]
-fn before_any_answer_half_of_them_are_longer_than_estimated() {
+fn the_prior_median_equals_the_estimate() {
     let share = LengthDistribution::new().share_longer_than(ESTIMATE, ESTIMATE);
     assert!((share - 0.5).abs() < 0.01, "{share}");
 }
 
 #[test]
-fn fewer_and_fewer_are_longer() {
+fn the_share_of_longer_answers_decreases() {
     let length = LengthDistribution::new();
     let shares: Vec<f64> = (0..40)
         .map(|step| length.share_longer_than(f64::from(step) * 100.0, ESTIMATE))
@@ -35,22 +35,22 @@
 }
 
 #[test]
-fn estimates_that_turn_bad_widen_what_is_expected() {
+fn worse_estimates_widen_the_distribution() {
     let mut length = LengthDistribution::new();
     for _ in 0..200 {
         length.record(ESTIMATE, ESTIMATE);
     }
     let before = length.share_longer_than(2.0 * ESTIMATE, ESTIMATE);
     for answer in 0..200 {
-        let made = if answer % 2 == 0 { 300.0 } else { 3_000.0 };
-        length.record(made, ESTIMATE);
+        let generated = if answer % 2 == 0 { 300.0 } else { 3_000.0 };
+        length.record(generated, ESTIMATE);
     }
     assert!(before < 0.05);
     assert!(length.share_longer_than(2.0 * ESTIMATE, ESTIMATE) > 0.4);
 }
 
 #[test]
-fn a_ratio_beyond_all_bounds_does_no_harm() {
+fn extreme_ratios_are_clamped() {
     let mut length = LengthDistribution::new();
     length.record(1.0, 1e9);
     length.record(1e9, 1.0);
--- a/crates/relay/tests/migration.rs
+++ b/crates/relay/tests/migration.rs
@@ -31,14 +31,14 @@
     generated: 0,
 };
 
-struct World {
+struct Daemon {
     pool: Pool,
     runs: Runs,
     claims: Claims,
     now: Time,
 }
 
-impl World {
+impl Daemon {
     /// `count` replicas of one service.
     fn new(count: usize) -> Self {
         let mut pool = common::pool(START, common::engines(count, Stage::Decode, 64));
@@ -51,14 +51,16 @@
         }
     }
 
-    fn want(tried: &[Key], ask: Option<MemoryDemand>) -> Criteria<'_> {
-        common::want("llm", Some(Stage::Decode), tried, ask)
+    fn criteria(tried: &[Key], demand: Option<MemoryDemand>) -> Criteria<'_> {
+        common::criteria("llm", Some(Stage::Decode), tried, demand)
     }
 
     fn key(&self, id: &str) -> Key {
         let mut tried = Vec::new();
         loop {
-            let key = self.pool.choose(START, &Self::want(&tried, None), || 0.0);
+            let key = self
+                .pool
+                .choose(START, &Self::criteria(&tried, None), || 0.0);
             let key = key.unwrap();
             if self.pool.get(key).unwrap().replica.id == id {
                 return key;
@@ -68,11 +70,11 @@
     }
 
     /// A run at the replica `id` that has made `made` tokens, begun 50 ms after the one before.
-    fn run(&mut self, id: &str, made: u64) -> RunId {
+    fn run(&mut self, id: &str, generated: u64) -> RunId {
         let key = self.key(id);
         let run = self.runs.begin("llm", key, SIZE);
         self.now = self.now + Duration::from_millis(50);
-        self.runs.record_tokens(self.now, run, made);
+        self.runs.record_tokens(self.now, run, generated);
         run
     }
 
@@ -80,9 +82,13 @@
         self.pool
             .update_all_forecasts(self.now, &self.runs, &self.claims);
         let pool = &self.pool;
-        migration::due_moves(self.now, pool, &self.runs, &self.claims, |_, from, ask| {
-            pool.choose(self.now, &Self::want(&[from], Some(ask)), || 0.0)
-        })
+        migration::due_moves(
+            self.now,
+            pool,
+            &self.runs,
+            &self.claims,
+            |_, from, demand| pool.choose(self.now, &Self::criteria(&[from], Some(demand)), || 0.0),
+        )
     }
 
     fn peer_claims(&mut self, id: &str, newest_ms: u16, tokens: f64) {
@@ -99,86 +105,86 @@
 }
 
 #[test]
-fn the_newest_run_leaves_a_replica_whose_memory_ends() {
-    let mut world = World::new(2);
+fn the_newest_run_leaves_a_replica_that_is_nearly_full() {
+    let mut daemon = Daemon::new(2);
     for _ in 0..4 {
-        world.run("0", 2_000);
+        daemon.run("0", 2_000);
     }
-    let newest = world.run("0", 500);
-    let to = world.key("1");
-    assert_eq!(world.due(), [Move { run: newest, to }]);
+    let newest = daemon.run("0", 500);
+    let to = daemon.key("1");
+    assert_eq!(daemon.due(), [Move { run: newest, to }]);
 }
 
 #[test]
-fn none_leaves_a_replica_with_room() {
-    let mut world = World::new(2);
+fn no_run_leaves_a_replica_with_room() {
+    let mut daemon = Daemon::new(2);
     for _ in 0..3 {
-        world.run("0", 500);
+        daemon.run("0", 500);
     }
-    assert_eq!(world.due(), []);
+    assert_eq!(daemon.due(), []);
 }
 
 #[test]
-fn none_moves_where_nobody_has_room() {
-    let mut world = World::new(2);
+fn no_run_moves_if_no_replica_has_room() {
+    let mut daemon = Daemon::new(2);
     for id in ["0", "1"] {
         for _ in 0..5 {
-            world.run(id, 1_500);
+            daemon.run(id, 1_500);
         }
     }
-    assert_eq!(world.due(), []);
+    assert_eq!(daemon.due(), []);
 }
 
 #[test]
-fn a_run_that_makes_no_tokens_yet_is_not_moved() {
-    let mut world = World::new(2);
+fn a_run_that_does_not_generate_yet_is_not_moved() {
+    let mut daemon = Daemon::new(2);
     let mut runs = Vec::new();
     for _ in 0..5 {
-        runs.push(world.run("0", 1_500));
+        runs.push(daemon.run("0", 1_500));
     }
-    let key = world.key("0");
-    world.runs.begin("llm", key, SIZE);
-    let moved: Vec<RunId> = world.due().iter().map(|due| due.run).collect();
+    let key = daemon.key("0");
+    daemon.runs.begin("llm", key, SIZE);
+    let moved: Vec<RunId> = daemon.due().iter().map(|due| due.run).collect();
     assert_eq!(moved, [runs[4]]);
 }
 
 #[test]
-fn a_run_that_was_moved_stays_for_a_while() {
-    let mut world = World::new(2);
+fn a_blocked_run_is_not_moved_again_at_once() {
+    let mut daemon = Daemon::new(2);
     for _ in 0..5 {
-        world.run("0", 1_500);
+        daemon.run("0", 1_500);
     }
-    let first = world.due()[0].run;
-    let until = world.now + Duration::from_millis(300);
-    world.runs.block_moves(first, until);
-    assert_ne!(world.due()[0].run, first);
-    world.now = until;
-    assert_eq!(world.due()[0].run, first);
+    let first = daemon.due()[0].run;
+    let until = daemon.now + Duration::from_millis(300);
+    daemon.runs.block_moves(first, until);
+    assert_ne!(daemon.due()[0].run, first);
+    daemon.now = until;
+    assert_eq!(daemon.due()[0].run, first);
 }
 
 #[test]
-fn none_leaves_a_replica_that_did_not_move_one() {
-    let mut world = World::new(2);
+fn no_run_leaves_a_replica_that_failed_to_move_one() {
+    let mut daemon = Daemon::new(2);
     for _ in 0..5 {
-        world.run("0", 1_500);
+        daemon.run("0", 1_500);
     }
-    let first = world.due()[0].run;
-    let until = world.now + Duration::from_millis(300);
-    world.runs.block_moves_from_replica(first, until);
-    assert_eq!(world.due(), []);
-    world.now = until;
-    assert_eq!(world.due()[0].run, first);
+    let first = daemon.due()[0].run;
+    let until = daemon.now + Duration::from_millis(300);
+    daemon.runs.block_moves_from_replica(first, until);
+    assert_eq!(daemon.due(), []);
+    daemon.now = until;
+    assert_eq!(daemon.due()[0].run, first);
 }
 
 #[test]
 fn the_daemon_with_the_newest_run_moves_it() {
-    let mut world = World::new(2);
+    let mut daemon = Daemon::new(2);
     for _ in 0..4 {
-        world.run("0", 1_500);
+        daemon.run("0", 1_500);
     }
-    world.now = world.now + Duration::from_millis(100);
-    world.peer_claims("0", 10, 8_000.0);
-    assert_eq!(world.due(), []);
-    world.peer_claims("0", 2_000, 8_000.0);
-    assert_eq!(world.due().len(), 1);
+    daemon.now = daemon.now + Duration::from_millis(100);
+    daemon.peer_claims("0", 10, 8_000.0);
+    assert_eq!(daemon.due(), []);
+    daemon.peer_claims("0", 2_000, 8_000.0);
+    assert_eq!(daemon.due().len(), 1);
 }
--- a/crates/relay/tests/overload.rs
+++ b/crates/relay/tests/overload.rs
@@ -12,39 +12,39 @@
 }
 
 /// Looks every 100 ms that are each `late` by so many milliseconds.
-fn looked(late: u64, looks: u64) -> Overload {
+fn delayed(delay_ms: u64, samples: u64) -> Overload {
     let mut overload = Overload::new();
-    for look in 0..looks {
-        overload.record_delay(after(look * 100), Duration::from_millis(late));
+    for sample in 0..samples {
+        overload.record_delay(after(sample * 100), Duration::from_millis(delay_ms));
     }
     overload
 }
 
 #[test]
-fn an_instance_that_is_late_again_and_again_is_overloaded() {
-    let overload = looked(60, 20);
+fn an_instance_with_repeated_delays_is_overloaded() {
+    let overload = delayed(60, 20);
     assert!(overload.is_local());
     assert!(overload.is_reported(after(2_000)));
     assert!(overload.lists_all_instances(after(2_000)));
 }
 
 #[test]
-fn an_instance_that_is_hardly_late_is_not() {
-    let overload = looked(10, 50);
+fn an_instance_with_short_delays_is_not_overloaded() {
+    let overload = delayed(10, 50);
     assert!(!overload.is_local());
     assert!(!overload.lists_all_instances(after(5_000)));
 }
 
 #[test]
-fn a_process_that_stood_still_once_is_not() {
-    let mut overload = looked(2, 10);
+fn a_process_that_was_suspended_once_is_not_overloaded() {
+    let mut overload = delayed(2, 10);
     overload.record_delay(after(8_000), Duration::from_secs(7));
     assert!(!overload.is_local());
     assert!(!overload.lists_all_instances(after(8_000)));
 }
 
 #[test]
-fn callers_are_told_of_all_for_a_while() {
+fn callers_get_all_instances_for_a_while() {
     let mut overload = Overload::new();
     overload.record_report(START);
     assert!(overload.lists_all_instances(after(29_000)));
@@ -53,7 +53,7 @@
 
 /// What was heard second-hand would otherwise go round for ever.
 #[test]
-fn only_what_was_heard_first_hand_is_passed_on() {
+fn only_first_hand_reports_are_forwarded() {
     let mut overload = Overload::new();
     overload.record_relayed_report(START);
     assert!(overload.lists_all_instances(after(100)));
--- a/crates/relay/tests/plan.rs
+++ b/crates/relay/tests/plan.rs
@@ -50,7 +50,7 @@
 #[case("b.example", "/x/y/1", Some("other"))]
 #[case("a.example", "/z/1", None)]
 #[case("c.example", "/x/1", None)]
-fn the_longest_prefix_of_the_host_is_taken(
+fn the_longest_matching_prefix_of_the_host_wins(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Option<&str>,
--- a/crates/relay/tests/pool.rs
+++ b/crates/relay/tests/pool.rs
@@ -29,12 +29,12 @@
     common::snapshot(version, ids.iter().map(|id| replica(id)).collect())
 }
 
-fn want(tried: &[Key]) -> Criteria<'_> {
-    common::want("app", None, tried, None)
+fn criteria(tried: &[Key]) -> Criteria<'_> {
+    common::criteria("app", None, tried, None)
 }
 
 fn chosen(pool: &Pool, now: Time, tried: &[Key]) -> Option<String> {
-    let key = pool.choose(now, &want(tried), || 0.0)?;
+    let key = pool.choose(now, &criteria(tried), || 0.0)?;
     pool.get(key).map(|server| server.replica.id.clone())
 }
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_replica_that_drains_gets_nothing() {
+fn a_draining_replica_is_not_chosen() {
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one"]));
     let mut leaving = snapshot(2, &["one"]);
@@ -66,7 +66,7 @@
 fn a_draining_replica_receives_assigned_requests_only_during_the_grace_period() {
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one"]));
-    let key = pool.choose(START, &want(&[]), || 0.0).unwrap();
+    let key = pool.choose(START, &criteria(&[]), || 0.0).unwrap();
     let mut leaving = snapshot(2, &["one"]);
     leaving.replicas[0].draining = true;
     pool.apply(after(1_000), &leaving).unwrap();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_replica_that_vanishes_in_calm_is_gone_at_once() {
+fn a_replica_that_disappears_without_an_outage_is_gone_at_once() {
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one"]));
     let changes = pool.apply(after(600), &snapshot(2, &[])).unwrap();
@@ -90,7 +90,7 @@
 /// An entry that lapsed during an outage of the list is back within two seconds of its end; one
 /// that is missing after that belongs to a replica that left, which may get nothing.
 #[test]
-fn a_replica_that_vanishes_after_an_outage_is_used_until_two_seconds_after_it() {
+fn a_replica_that_disappears_after_an_outage_is_used_for_two_seconds() {
     let mut pool = Pool::new();
     pool.apply(BEFORE_OUTAGE, &snapshot(1, &["one"]));
     pool.note_outage(after(0));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_replica_that_is_back_after_an_outage_is_used_on() {
+fn a_replica_that_returns_after_an_outage_stays_in_use() {
     let mut pool = Pool::new();
     pool.apply(BEFORE_OUTAGE, &snapshot(1, &["one"]));
     pool.note_outage(START);
@@ -115,17 +115,17 @@
 
 /// A daemon that learns of an outage from a peer alone uses a lapsed replica for as long as the peer.
 #[test]
-fn a_lapsing_replica_is_passed_on_with_the_time_that_is_left() {
+fn a_peer_gets_a_lapsing_replica_with_its_remaining_time() {
     let mut reader = Pool::new();
     reader.apply(BEFORE_OUTAGE, &snapshot(1, &["one"]));
-    let mut asker = reader_of(&reader, BEFORE_OUTAGE);
+    let mut peer = reader_of(&reader, BEFORE_OUTAGE);
     reader.note_outage(START);
     reader.apply(after(1_000), &snapshot(2, &[]));
-    assert_ne!(reader.digest(), asker.digest());
-    asker.apply(after(1_000), &reader.snapshot(after(1_000)));
-    assert_eq!(reader.digest(), asker.digest());
-    assert_eq!(chosen(&asker, after(1_800), &[]).as_deref(), Some("one"));
-    assert_eq!(chosen(&asker, after(2_000), &[]), None);
+    assert_ne!(reader.digest(), peer.digest());
+    peer.apply(after(1_000), &reader.snapshot(after(1_000)));
+    assert_eq!(reader.digest(), peer.digest());
+    assert_eq!(chosen(&peer, after(1_800), &[]).as_deref(), Some("one"));
+    assert_eq!(chosen(&peer, after(2_000), &[]), None);
 }
 
 fn reader_of(pool: &Pool, now: Time) -> Pool {
@@ -135,10 +135,10 @@
 }
 
 #[test]
-fn a_replica_whose_address_another_has_gets_nothing() {
+fn a_replica_whose_address_another_one_uses_is_not_chosen() {
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one"]));
-    let key = pool.choose(START, &want(&[]), || 0.0).unwrap();
+    let key = pool.choose(START, &criteria(&[]), || 0.0).unwrap();
     pool.mark_replaced(key);
     assert_eq!(chosen(&pool, START, &[]), None);
 }
@@ -147,9 +147,9 @@
 fn the_less_loaded_replica_is_chosen() {
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one", "two"]));
-    let first = pool.choose(START, &want(&[]), || 0.0).unwrap();
+    let first = pool.choose(START, &criteria(&[]), || 0.0).unwrap();
     pool.start_request(first, 0);
-    let second = pool.choose(START, &want(&[]), || 0.0).unwrap();
+    let second = pool.choose(START, &criteria(&[]), || 0.0).unwrap();
     assert_ne!(first, second);
 }
 
@@ -157,7 +157,7 @@
 fn a_replica_that_fails_is_avoided_for_some_seconds() {
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one", "two"]));
-    let failing = pool.choose(START, &want(&[]), || 0.0).unwrap();
+    let failing = pool.choose(START, &criteria(&[]), || 0.0).unwrap();
     let id = pool.get(failing).unwrap().replica.id.clone();
     for _ in 0..3 {
         pool.record_result(START, failing, true);
@@ -167,47 +167,46 @@
 }
 
 #[test]
-fn stages_are_told_apart() {
+fn a_replica_of_another_stage_is_not_chosen() {
     let mut pool = Pool::new();
     let mut list = snapshot(1, &["one"]);
     list.replicas[0].stage = Some(Stage::Prefill);
     pool.apply(START, &list);
     let decode = Criteria {
         stage: Some(Stage::Decode),
-        ..want(&[])
+        ..criteria(&[])
     };
     assert!(pool.choose(START, &decode, || 0.0).is_none());
 }
 
-fn told(reader: &Pool, since: u64) -> Delta {
+fn delta_since(reader: &Pool, since: u64) -> Delta {
     match reader.update_since(after(5_000), since) {
         Update::Changed(delta) => delta,
-        Update::All(_) => panic!("all are told"),
+        Update::All(_) => panic!("expected a delta"),
     }
 }
 
 #[test]
-fn a_peer_is_told_what_changed() {
+fn a_peer_gets_only_the_changes() {
     let mut reader = Pool::new();
     reader.apply(START, &snapshot(3, &["one", "two"]));
     reader.apply(after(500), &snapshot(5, &["two", "three"]));
-    let delta = told(&reader, 3);
+    let delta = delta_since(&reader, 3);
     let ids: Vec<&str> = delta.replicas.iter().map(|r| r.id.as_str()).collect();
     assert_eq!((delta.since, delta.version), (3, 5));
     assert_eq!(ids, ["three"]);
     assert_eq!(delta.gone, ["one"]);
-    let mut asker = Pool::new();
-    asker.apply(START, &snapshot(3, &["one", "two"]));
-    asker
-        .apply_update(after(600), Source::Peer, &Update::Changed(delta))
+    let mut peer = Pool::new();
+    peer.apply(START, &snapshot(3, &["one", "two"]));
+    peer.apply_update(after(600), Source::Peer, &Update::Changed(delta))
         .unwrap();
-    assert_eq!(asker.digest(), reader.digest());
-    assert_eq!(asker.version(), 5);
-    assert!(told(&reader, 5).replicas.is_empty());
+    assert_eq!(peer.digest(), reader.digest());
+    assert_eq!(peer.version(), 5);
+    assert!(delta_since(&reader, 5).replicas.is_empty());
 }
 
 #[test]
-fn a_peer_from_before_the_first_list_is_told_all() {
+fn a_peer_older_than_the_first_list_gets_a_snapshot() {
     let mut reader = Pool::new();
     reader.apply(START, &snapshot(3, &["one"]));
     assert!(matches!(reader.update_since(START, 2), Update::All(_)));
@@ -215,7 +214,7 @@
 }
 
 #[test]
-fn changes_of_a_version_that_is_not_reached_are_not_taken() {
+fn a_delta_with_another_base_version_is_rejected() {
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(3, &["one"]));
     let late = Delta {
@@ -237,7 +236,7 @@
 /// Entries that lapsed with an outage come back within two seconds; with changes alone nobody lists
 /// the ones that did not.
 #[test]
-fn a_replica_that_lapsed_by_a_change_is_dropped_when_its_time_is_over() {
+fn a_replica_that_lapsed_by_a_delta_is_dropped_after_the_grace_period() {
     let mut pool = Pool::new();
     pool.apply(BEFORE_OUTAGE, &snapshot(3, &["one", "two"]));
     pool.note_outage(after(1_000));
@@ -264,41 +263,41 @@
     };
     let changes = pool.apply_delta(after(3_500), &nothing).unwrap();
     assert_eq!(changes[0].now, ReplicaState::Gone);
-    assert_eq!(told(&pool, 5).gone, ["one"]);
+    assert_eq!(delta_since(&pool, 5).gone, ["one"]);
 }
 
 /// A reader whose lapsed replica ran out of time between two readings of the store.
 fn reader_past_a_lapse() -> (Pool, Pool) {
     let mut reader = Pool::new();
     reader.apply(BEFORE_OUTAGE, &snapshot(1, &["one", "two"]));
-    let asker = reader_of(&reader, BEFORE_OUTAGE);
+    let peer = reader_of(&reader, BEFORE_OUTAGE);
     reader.note_outage(START);
     reader.apply(after(1_000), &snapshot(2, &["two"]));
-    (reader, asker)
+    (reader, peer)
 }
 
 #[test]
-fn a_peer_that_asks_between_the_end_of_a_lapse_and_the_next_reading_drops_the_replica() {
-    let (reader, mut asker) = reader_past_a_lapse();
+fn a_peer_drops_a_lapsed_replica_before_the_next_read() {
+    let (reader, mut peer) = reader_past_a_lapse();
     let now = after(2_000);
     let update = reader
-        .update_for_peer(now, asker.version(), asker.digest())
+        .update_for_peer(now, peer.version(), peer.digest())
         .unwrap();
-    asker.apply_update(now, Source::Peer, &update);
-    assert_eq!(asker.replicas().count(), 1);
-    assert_eq!(asker.digest(), reader.digest());
+    peer.apply_update(now, Source::Peer, &update);
+    assert_eq!(peer.replicas().count(), 1);
+    assert_eq!(peer.digest(), reader.digest());
 }
 
 #[test]
-fn a_peer_whose_list_differs_at_the_same_version_is_told_all() {
+fn a_peer_whose_list_differs_at_the_same_version_gets_a_snapshot() {
     let (reader, _) = reader_past_a_lapse();
-    let mut asker = Pool::new();
-    asker.apply(START, &snapshot(2, &["one", "two"]));
+    let mut peer = Pool::new();
+    peer.apply(START, &snapshot(2, &["one", "two"]));
     let now = after(2_000);
-    let update = reader.update_for_peer(now, 2, asker.digest()).unwrap();
-    asker.apply_update(now, Source::Peer, &update);
-    assert_eq!(asker.digest(), reader.digest());
-    assert!(reader.update_for_peer(now, 2, asker.digest()).is_none());
+    let update = reader.update_for_peer(now, 2, peer.digest()).unwrap();
+    peer.apply_update(now, Source::Peer, &update);
+    assert_eq!(peer.digest(), reader.digest());
+    assert!(reader.update_for_peer(now, 2, peer.digest()).is_none());
 }
 
 /// Guards against reusing a departed replica that a peer with an outage reports as lapsing.
@@ -306,8 +305,8 @@
 fn a_replica_that_is_gone_is_not_used_again_because_a_peer_reports_it_as_lapsing() {
     let mut reader = Pool::new();
     reader.apply(BEFORE_OUTAGE, &snapshot(1, &["one", "two"]));
-    let mut asker = reader_of(&reader, BEFORE_OUTAGE);
-    asker.apply(after(500), &snapshot(2, &["two"]));
+    let mut peer = reader_of(&reader, BEFORE_OUTAGE);
+    peer.apply(after(500), &snapshot(2, &["two"]));
     reader.note_outage(after(1_000));
     reader.apply(after(1_100), &snapshot(3, &["two"]));
     let updates = [
@@ -315,13 +314,12 @@
         Update::All(reader.snapshot(after(1_200))),
     ];
     for update in updates {
-        asker
-            .apply_update(after(1_200), Source::Peer, &update)
+        peer.apply_update(after(1_200), Source::Peer, &update)
             .unwrap();
-        assert_eq!(chosen(&asker, after(1_200), &[]).unwrap(), "two");
-        assert_eq!(asker.replicas().count(), 1);
-        let key = asker.choose(after(1_200), &want(&[]), || 0.0).unwrap();
-        assert_eq!(chosen(&asker, after(1_200), &[key]), None);
+        assert_eq!(chosen(&peer, after(1_200), &[]).unwrap(), "two");
+        assert_eq!(peer.replicas().count(), 1);
+        let key = peer.choose(after(1_200), &criteria(&[]), || 0.0).unwrap();
+        assert_eq!(chosen(&peer, after(1_200), &[key]), None);
     }
 }
 
@@ -337,11 +335,11 @@
 ) {
     let mut reader = Pool::new();
     reader.apply(BEFORE_OUTAGE, &snapshot(1, &["one"]));
-    let mut asker = reader_of(&reader, BEFORE_OUTAGE);
+    let mut peer = reader_of(&reader, BEFORE_OUTAGE);
     reader.apply(after(1_000), &snapshot(2, &[]));
-    asker.note_outage(after(1_100));
+    peer.note_outage(after(1_100));
     if is_lapsing {
-        let changes = asker.apply(after(1_150), &snapshot(1, &[])).unwrap();
+        let changes = peer.apply(after(1_150), &snapshot(1, &[])).unwrap();
         assert_eq!(changes[0].now, ReplicaState::Lapsed);
     }
     let update = if is_snapshot {
@@ -349,11 +347,11 @@
     } else {
         reader.update_since(after(1_200), 1)
     };
-    let changes = asker
+    let changes = peer
         .apply_update(after(1_200), Source::Peer, &update)
         .unwrap();
     assert_eq!(changes[0].now, ReplicaState::Gone);
-    assert_eq!(chosen(&asker, after(1_200), &[]), None);
+    assert_eq!(chosen(&peer, after(1_200), &[]), None);
 }
 
 /// Guards against reporting a replica that was listed again and lapses as gone.
@@ -361,23 +359,23 @@
 fn a_lapsing_replica_that_had_left_before_is_used_by_a_peer() {
     let mut reader = Pool::new();
     reader.apply(BEFORE_OUTAGE, &snapshot(1, &["one"]));
-    let mut asker = reader_of(&reader, BEFORE_OUTAGE);
+    let mut peer = reader_of(&reader, BEFORE_OUTAGE);
     reader.apply(BEFORE_OUTAGE, &snapshot(2, &[]));
     reader.apply(BEFORE_OUTAGE, &snapshot(3, &["one"]));
     reader.note_outage(after(1_000));
     reader.apply(after(1_100), &snapshot(4, &[]));
     let update = reader.update_since(after(1_200), 1);
-    let changes = asker
+    let changes = peer
         .apply_update(after(1_200), Source::Peer, &update)
         .unwrap();
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].now, ReplicaState::Lapsed);
-    assert_eq!(chosen(&asker, after(1_200), &[]).as_deref(), Some("one"));
+    assert_eq!(chosen(&peer, after(1_200), &[]).as_deref(), Some("one"));
 }
 
 /// Guards against treating a departure after an outage too short for entries to lapse as a lapse.
 #[test]
-fn a_replica_that_vanishes_after_a_short_outage_is_gone_at_once() {
+fn a_replica_that_disappears_after_a_short_outage_is_gone_at_once() {
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one"]));
     pool.note_outage(after(1_200));
@@ -393,9 +391,9 @@
 fn a_lapsing_replica_is_gone_for_a_daemon_whose_list_was_up_to_date(#[case] is_snapshot: bool) {
     let mut reader = Pool::new();
     reader.apply(BEFORE_OUTAGE, &snapshot(1, &["one"]));
-    let mut asker = reader_of(&reader, BEFORE_OUTAGE);
+    let mut peer = reader_of(&reader, BEFORE_OUTAGE);
     for ms in (0..5_500).step_by(500) {
-        asker.confirm(BEFORE_OUTAGE + Duration::from_millis(ms), 1);
+        peer.confirm(BEFORE_OUTAGE + Duration::from_millis(ms), 1);
     }
     reader.note_outage(after(800));
     let changes = reader.apply(after(1_000), &snapshot(2, &[])).unwrap();
@@ -405,11 +403,11 @@
     } else {
         reader.update_since(after(1_000), 1)
     };
-    let changes = asker
+    let changes = peer
         .apply_update(after(1_000), Source::Peer, &update)
         .unwrap();
     assert_eq!(changes[0].now, ReplicaState::Gone);
-    assert_eq!(chosen(&asker, after(1_000), &[]), None);
+    assert_eq!(chosen(&peer, after(1_000), &[]), None);
 }
 
 /// Guards against a throttled replica that is chosen too early, or stays throttled after its limit is lifted.
@@ -417,7 +415,7 @@
 fn a_throttled_replica_is_chosen_again_after_the_pause_or_without_a_limit() {
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one"]));
-    let key = pool.choose(START, &want(&[]), || 0.0).unwrap();
+    let key = pool.choose(START, &criteria(&[]), || 0.0).unwrap();
     assert!(pool.set_limit(key, Some(2.0)));
     assert!(!pool.set_limit(key, Some(2.0)));
     assert!(chosen(&pool, START, &[]).is_some());
@@ -435,13 +433,13 @@
 
 /// Of many replicas some are weighed; where none of them has room, the others are.
 #[test]
-fn the_only_replica_that_is_left_of_many_is_found() {
+fn the_last_untried_replica_of_many_is_found() {
     let ids: Vec<String> = (0..300).map(|number| number.to_string()).collect();
     let names: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &names));
     let mut tried = Vec::new();
-    while let Some(key) = pool.choose(START, &want(&tried), || 0.7) {
+    while let Some(key) = pool.choose(START, &criteria(&tried), || 0.7) {
         assert!(!tried.contains(&key));
         tried.push(key);
     }
--- a/crates/relay/tests/quarantine.rs
+++ b/crates/relay/tests/quarantine.rs
@@ -47,23 +47,23 @@
 }
 
 #[test]
-fn what_daemons_saw_adds_up_in_any_order() {
-    let tellers = [after(&[1]), after(&[2, 1]), after(&[3])];
-    let records = tellers.iter().filter_map(|teller| teller.get(REQUEST));
+fn records_of_several_daemons_merge_in_any_order() {
+    let daemons = [after(&[1]), after(&[2, 1]), after(&[3])];
+    let records = daemons.iter().filter_map(|daemon| daemon.get(REQUEST));
     let records: Vec<&Record> = records.collect();
-    let heard = |order: [usize; LIMIT]| {
+    let merged = |order: [usize; LIMIT]| {
         let mut quarantine = Quarantine::new();
         for index in order {
             quarantine.merge(NOW, records[index]);
         }
         (is_quarantined(&quarantine), quarantine.digest())
     };
-    assert!(heard([0, 1, 2]).0);
-    assert_eq!(heard([0, 1, 2]), heard([2, 1, 0]));
+    assert!(merged([0, 1, 2]).0);
+    assert_eq!(merged([0, 1, 2]), merged([2, 1, 0]));
 }
 
 #[test]
-fn daemons_that_know_of_different_ends_compare_as_different() {
+fn different_ends_give_different_digests() {
     assert_ne!(after(&[1, 2]).digest(), after(&[1, 3]).digest());
     assert_ne!(after(&[1, 2]).digest(), after(&[1, 2, 3]).digest());
     // Once it is quarantined, it does not matter under which ends.
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_request_that_was_served_lately_counts_no_end() {
+fn no_end_is_attributed_to_a_request_served_lately() {
     let mut quarantine = Quarantine::new();
     assert!(!quarantine.was_served_lately(NOW, REQUEST));
     assert!(quarantine.note_served(NOW, REQUEST).is_none());
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_request_that_was_served_long_ago_counts_ends() {
+fn ends_are_attributed_to_a_request_served_long_ago() {
     let mut quarantine = Quarantine::new();
     quarantine.note_served(NOW, REQUEST);
     for replica in 1..=3 {
@@ -97,17 +97,17 @@
 }
 
 #[test]
-fn a_teller_hears_that_the_request_was_served_elsewhere() {
-    let mut teller = after(&[1, 2]);
+fn a_daemon_learns_that_the_request_was_served_elsewhere() {
+    let mut daemon = after(&[1, 2]);
     let mut other = Quarantine::new();
     other.note_served(NOW, REQUEST);
     for _ in 0..2 {
-        let told = teller.get(REQUEST).unwrap().clone();
-        assert_eq!(other.merge(NOW, &told), Change::Served);
+        let record = daemon.get(REQUEST).unwrap().clone();
+        assert_eq!(other.merge(NOW, &record), Change::Served);
     }
-    teller.merge(NOW, other.get(REQUEST).unwrap());
-    assert_eq!(teller.digest(), Quarantine::new().digest());
-    assert!(teller.get(REQUEST).unwrap().ends.is_empty());
+    daemon.merge(NOW, other.get(REQUEST).unwrap());
+    assert_eq!(daemon.digest(), Quarantine::new().digest());
+    assert!(daemon.get(REQUEST).unwrap().ends.is_empty());
 }
 
 #[test]
@@ -123,21 +123,21 @@
 }
 
 #[test]
-fn a_record_is_forgotten_a_day_after_the_last_end() {
+fn a_record_expires_a_day_after_the_last_end() {
     let mut quarantine = after(&[1, 2, 3]);
     quarantine.remove_expired(later(Duration::from_hours(23)));
     assert!(is_quarantined(&quarantine));
-    let told = quarantine.get(REQUEST).unwrap().clone();
+    let record = quarantine.get(REQUEST).unwrap().clone();
     let next_day = later(Duration::from_hours(25));
     assert_eq!(quarantine.quarantined_for(next_day, REQUEST), None);
     quarantine.remove_expired(next_day);
     assert_eq!((quarantine.quarantined(), quarantine.digest()), (0, 0));
     // Nobody brings it back.
-    assert_eq!(quarantine.merge(next_day, &told), Change::None);
+    assert_eq!(quarantine.merge(next_day, &record), Change::None);
 }
 
 #[test]
-fn many_single_ends_do_not_push_out_a_quarantined_request() {
+fn many_single_ends_do_not_evict_a_quarantined_request() {
     let mut quarantine = after(&[1, 2, 3]);
     for other in 100..20_000 {
         quarantine.note_end(NOW, Fingerprint(other), 1);
--- a/crates/relay/tests/refusals.rs
+++ b/crates/relay/tests/refusals.rs
@@ -29,19 +29,19 @@
 const RUN_MS: u64 = 3_400;
 const EVERY_MS: u64 = 15;
 /// Reservations that one generation asks for at most while it waits.
-const ASKS: usize = 3;
+const MAX_TRIES: usize = 3;
 
-struct World {
+struct Daemon {
     pool: Pool,
     runs: Runs,
     claims: Claims,
     ends: Vec<(u64, RunId)>,
-    asks: usize,
+    tries: usize,
     refused: usize,
-    begun: usize,
+    placed: usize,
 }
 
-impl World {
+impl Daemon {
     fn new() -> Self {
         let mut pool = common::pool(START, common::engines(REPLICAS, Stage::Decode, 32));
         pool.set_memory("llm", MEMORY);
@@ -50,20 +50,20 @@
             runs: Runs::new(),
             claims: Claims::new(),
             ends: Vec::new(),
-            asks: 0,
+            tries: 0,
             refused: 0,
-            begun: 0,
+            placed: 0,
         }
     }
 
     fn choose(&self, now: Time, tried: &[Key]) -> Option<Key> {
-        let ask = MemoryDemand {
+        let demand = MemoryDemand {
             curve: self.runs.forecast("llm", SIZE),
             spreads: 3.0,
             spare: 0.0,
         };
-        let want = common::want("llm", Some(Stage::Decode), tried, Some(ask));
-        self.pool.choose(now, &want, || 0.5)
+        let criteria = common::criteria("llm", Some(Stage::Decode), tried, Some(demand));
+        self.pool.choose(now, &criteria, || 0.5)
     }
 
     /// One generation at `ms`; with `leaving`, a third of the replicas refuses.
@@ -73,11 +73,11 @@
         self.pool
             .update_all_forecasts(now, &self.runs, &self.claims);
         let mut tried = Vec::new();
-        for _ in 0..ASKS {
+        for _ in 0..MAX_TRIES {
             let Some(key) = self.choose(now, &tried) else {
                 return;
             };
-            self.asks += 1;
+            self.tries += 1;
             let number: usize = self.pool.get(key).unwrap().replica.id.parse().unwrap();
             if leaving && number < LEAVING {
                 self.refused += 1;
@@ -88,7 +88,7 @@
             self.pool.record_room(now, key);
             let run = self.runs.begin("llm", key, SIZE);
             self.ends.push((ms + RUN_MS, run));
-            self.begun += 1;
+            self.placed += 1;
             return;
         }
     }
@@ -100,81 +100,81 @@
         }
     }
 
-    fn forget_figures(&mut self) {
-        (self.asks, self.refused, self.begun) = (0, 0, 0);
+    fn reset_counters(&mut self) {
+        (self.tries, self.refused, self.placed) = (0, 0, 0);
     }
 }
 
 /// The leaving ones are the emptiest ones soon, and would be asked first by everyone.
 #[test]
-fn replicas_that_refuse_again_and_again_are_asked_last() {
-    let mut world = World::new();
+fn replicas_that_refuse_repeatedly_are_tried_last() {
+    let mut daemon = Daemon::new();
     let mut ms = 0;
     while ms < 4_000 {
-        world.place(ms, false);
+        daemon.place(ms, false);
         ms += EVERY_MS;
     }
-    world.forget_figures();
+    daemon.reset_counters();
     let from = ms;
     while ms < from + 8_000 {
-        world.place(ms, true);
+        daemon.place(ms, true);
         ms += EVERY_MS;
     }
     let generations = 8_000 / EVERY_MS as usize;
     assert!(
-        world.begun * 100 > generations * 97,
-        "{} of {generations} begun",
-        world.begun
+        daemon.placed * 100 > generations * 97,
+        "{} of {generations} placed",
+        daemon.placed
     );
     assert!(
-        world.refused * 5 < world.asks,
+        daemon.refused * 5 < daemon.tries,
         "{} of {} refused",
-        world.refused,
-        world.asks
+        daemon.refused,
+        daemon.tries
     );
 }
 
 /// A replica that refused once may have room a moment later.
 #[test]
-fn a_replica_that_refused_once_is_asked_again_soon() {
-    let mut world = World::new();
+fn a_replica_that_refused_once_is_soon_tried_again() {
+    let mut daemon = Daemon::new();
     let at = |ms| START + Duration::from_millis(ms);
-    let first = world.choose(START, &[]).unwrap();
-    world.pool.record_full(START, first);
-    assert_ne!(world.choose(at(100), &[]), Some(first));
+    let first = daemon.choose(START, &[]).unwrap();
+    daemon.pool.record_full(START, first);
+    assert_ne!(daemon.choose(at(100), &[]), Some(first));
     // The others are in use now.
     let mut tried = vec![first];
-    while let Some(key) = world.choose(START, &tried) {
-        world.runs.begin("llm", key, SIZE);
+    while let Some(key) = daemon.choose(START, &tried) {
+        daemon.runs.begin("llm", key, SIZE);
         tried.push(key);
     }
-    world
+    daemon
         .pool
-        .update_all_forecasts(START, &world.runs, &world.claims);
-    assert_eq!(world.choose(at(300), &[]), Some(first));
+        .update_all_forecasts(START, &daemon.runs, &daemon.claims);
+    assert_eq!(daemon.choose(at(300), &[]), Some(first));
 }
 
 #[test]
-fn room_makes_up_for_refusals() {
-    let mut world = World::new();
+fn an_accepted_reservation_clears_earlier_refusals() {
+    let mut daemon = Daemon::new();
     let at = |ms| START + Duration::from_millis(ms);
-    let first = world.choose(START, &[]).unwrap();
+    let first = daemon.choose(START, &[]).unwrap();
     for ms in [0, 500, 1_500, 3_000] {
-        world.pool.record_full(at(ms), first);
+        daemon.pool.record_full(at(ms), first);
     }
-    assert_ne!(world.choose(at(4_000), &[]), Some(first));
-    world.pool.record_room(at(4_000), first);
-    assert_eq!(world.choose(at(4_000), &[]), Some(first));
+    assert_ne!(daemon.choose(at(4_000), &[]), Some(first));
+    daemon.pool.record_room(at(4_000), first);
+    assert_eq!(daemon.choose(at(4_000), &[]), Some(first));
 }
 
 /// A question to a dark replica costs a caller most of its time: one daemon's is enough for all.
 #[test]
-fn a_replica_that_does_not_answer_one_daemon_is_asked_last_by_all() {
-    let (mut one, mut other) = (World::new(), World::new());
-    let dark = one.choose(START, &[]).unwrap();
-    let hash = one.pool.get(dark).unwrap().hash;
+fn a_replica_that_does_not_answer_one_daemon_is_tried_last_by_all() {
+    let (mut one, mut other) = (Daemon::new(), Daemon::new());
+    let silent = one.choose(START, &[]).unwrap();
+    let hash = one.pool.get(silent).unwrap().hash;
     assert!(one.pool.silent_replicas(START).is_empty());
-    one.pool.record_no_answer(START, dark);
+    one.pool.record_no_answer(START, silent);
     assert_eq!(one.pool.silent_replicas(START), [hash]);
     let here = other.choose(START, &[]).unwrap();
     assert_eq!(other.pool.get(here).unwrap().hash, hash);
@@ -183,33 +183,33 @@
 }
 
 #[test]
-fn a_replica_that_has_just_answered_is_not_given_up_on_hearsay() {
-    let mut world = World::new();
-    let key = world.choose(START, &[]).unwrap();
-    let hash = world.pool.get(key).unwrap().hash;
-    world.pool.record_room(START, key);
-    world.pool.apply_silent_report(START, &[hash]);
-    assert_eq!(world.choose(START, &[]), Some(key));
+fn a_silence_report_is_ignored_for_a_replica_that_has_just_answered() {
+    let mut daemon = Daemon::new();
+    let key = daemon.choose(START, &[]).unwrap();
+    let hash = daemon.pool.get(key).unwrap().hash;
+    daemon.pool.record_room(START, key);
+    daemon.pool.apply_silent_report(START, &[hash]);
+    assert_eq!(daemon.choose(START, &[]), Some(key));
 }
 
 #[test]
 fn an_answer_ends_the_silence() {
-    let mut world = World::new();
-    let key = world.choose(START, &[]).unwrap();
-    world.pool.record_no_answer(START, key);
+    let mut daemon = Daemon::new();
+    let key = daemon.choose(START, &[]).unwrap();
+    daemon.pool.record_no_answer(START, key);
     let later = START + Duration::from_millis(100);
-    world.pool.record_room(later, key);
-    assert!(world.pool.silent_replicas(later).is_empty());
+    daemon.pool.record_room(later, key);
+    assert!(daemon.pool.silent_replicas(later).is_empty());
 }
 
 #[test]
-fn a_daemon_that_is_cut_off_gives_no_replica_a_bad_name() {
-    let mut world = World::new();
+fn a_daemon_that_is_cut_off_reports_no_replica_as_silent() {
+    let mut daemon = Daemon::new();
     let mut tried = Vec::new();
-    while let Some(key) = world.choose(START, &tried) {
-        world.pool.record_no_answer(START, key);
+    while let Some(key) = daemon.choose(START, &tried) {
+        daemon.pool.record_no_answer(START, key);
         tried.push(key);
     }
     assert_eq!(tried.len(), REPLICAS);
-    assert!(world.pool.silent_replicas(START).is_empty());
+    assert!(daemon.pool.silent_replicas(START).is_empty());
 }
--- a/crates/relay/tests/restarts.rs
+++ b/crates/relay/tests/restarts.rs
@@ -63,8 +63,8 @@
 }
 
 fn key_of(pool: &Pool, stage: Stage) -> Option<Key> {
-    let want = common::want("llm", Some(stage), &[], None);
-    pool.choose(NOW, &want, || 0.0)
+    let criteria = common::criteria("llm", Some(stage), &[], None);
+    pool.choose(NOW, &criteria, || 0.0)
 }
 
 fn birth(pool: &Pool) -> Option<u64> {
@@ -73,11 +73,11 @@
 }
 
 #[test]
-fn a_later_birth_is_another_incarnation() {
+fn a_later_start_time_means_a_new_incarnation() {
     let mut pool = pool(Some(FIRST));
     let first = key(&pool).unwrap();
-    let beliefs = list(&mut pool, 2, Some(SECOND));
-    assert_eq!(beliefs, [ReplicaState::Restarted, ReplicaState::Ready]);
+    let states = list(&mut pool, 2, Some(SECOND));
+    assert_eq!(states, [ReplicaState::Restarted, ReplicaState::Ready]);
     assert!(pool.get(first).is_none());
     assert!(pool.has_restarted(first));
     assert!(!pool.has_restarted(key(&pool).unwrap()));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn two_births_in_one_second_are_told_apart() {
+fn two_starts_in_one_second_are_distinguished() {
     let mut pool = pool(Some(FIRST));
     let first = key(&pool).unwrap();
     list(&mut pool, 2, Some(SECOND));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_entry_of_an_earlier_incarnation_that_comes_late_changes_nothing() {
+fn a_late_entry_of_an_earlier_incarnation_is_ignored() {
     let mut pool = pool(Some(SECOND));
     let second = key(&pool).unwrap();
     assert!(list(&mut pool, 2, Some(FIRST)).is_empty());
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_lapse_of_an_earlier_incarnation_changes_nothing() {
+fn a_lapse_of_an_earlier_incarnation_is_ignored() {
     let mut pool = pool(Some(SECOND));
     let delta = Delta {
         since: 1,
@@ -123,35 +123,35 @@
 }
 
 #[test]
-fn a_peer_is_told_of_the_new_incarnation() {
-    let mut told = pool(Some(FIRST));
-    let mut teller = pool(Some(FIRST));
-    list(&mut teller, 2, Some(SECOND));
-    let update = teller.update_for_peer(NOW, 1, told.digest()).unwrap();
+fn a_peer_gets_the_new_incarnation() {
+    let mut peer = pool(Some(FIRST));
+    let mut sender = pool(Some(FIRST));
+    list(&mut sender, 2, Some(SECOND));
+    let update = sender.update_for_peer(NOW, 1, peer.digest()).unwrap();
     assert!(matches!(update, Update::Changed(_)));
-    told.apply_update(NOW, Source::Peer, &update).unwrap();
-    assert_eq!(birth(&told), Some(SECOND));
-    assert_eq!(told.digest(), teller.digest());
+    peer.apply_update(NOW, Source::Peer, &update).unwrap();
+    assert_eq!(birth(&peer), Some(SECOND));
+    assert_eq!(peer.digest(), sender.digest());
 }
 
 #[rstest]
-#[case::not_told_any_more(Some(FIRST), None, Some(FIRST))]
-#[case::told_for_the_first_time(None, Some(FIRST), Some(FIRST))]
-#[case::never_told(None, None, None)]
-fn an_entry_without_a_birth_is_of_the_same_incarnation(
+#[case::no_longer_reported(Some(FIRST), None, Some(FIRST))]
+#[case::first_reported(None, Some(FIRST), Some(FIRST))]
+#[case::never_reported(None, None, None)]
+fn an_entry_without_a_start_time_means_the_same_incarnation(
     #[case] known: Option<u64>,
-    #[case] told: Option<u64>,
+    #[case] reported: Option<u64>,
     #[case] after: Option<u64>,
 ) {
     let mut pool = pool(known);
     let before = key(&pool);
-    list(&mut pool, 2, told);
+    list(&mut pool, 2, reported);
     assert_eq!(key(&pool), before);
     assert_eq!(birth(&pool), after);
 }
 
 #[test]
-fn an_answer_tells_of_a_new_incarnation_before_the_list_does() {
+fn an_answer_reveals_a_new_incarnation_before_the_list() {
     let mut pool = pool(Some(FIRST));
     let first = key(&pool).unwrap();
     assert!(pool.update_birth(NOW, first, Some(Birth(FIRST))).is_empty());
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn nothing_that_ran_at_an_earlier_incarnation_counts_at_the_new_one() {
+fn runs_of_an_earlier_incarnation_do_not_count_at_the_new_one() {
     let mut pool = pool(Some(FIRST));
     let mut runs = Runs::new();
     let mut claims = Claims::new();
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn what_an_earlier_incarnation_spoilt_is_forgotten() {
+fn failures_of_an_earlier_incarnation_do_not_count() {
     let mut pool = pool(Some(FIRST));
     let first = key(&pool).unwrap();
     for _ in 0..9 {
--- a/crates/relay/tests/score.rs
+++ b/crates/relay/tests/score.rs
@@ -22,8 +22,8 @@
     START + Duration::from_millis(ms)
 }
 
-fn want(stage: Option<Stage>, tried: &[Key]) -> Criteria<'_> {
-    common::want("app", stage, tried, None)
+fn criteria(stage: Option<Stage>, tried: &[Key]) -> Criteria<'_> {
+    common::criteria("app", stage, tried, None)
 }
 
 /// Ids in the order in which they are chosen.
@@ -31,7 +31,7 @@
     let mut tried: Vec<Key> = Vec::new();
     let mut ids = Vec::new();
     loop {
-        let Some(key) = pool.choose(now, &want(stage, &tried), || 0.0) else {
+        let Some(key) = pool.choose(now, &criteria(stage, &tried), || 0.0) else {
             return ids;
         };
         tried.push(key);
@@ -42,7 +42,9 @@
 fn key(pool: &Pool, stage: Option<Stage>, id: &str) -> Key {
     let mut tried = Vec::new();
     loop {
-        let key = pool.choose(START, &want(stage, &tried), || 0.0).unwrap();
+        let key = pool
+            .choose(START, &criteria(stage, &tried), || 0.0)
+            .unwrap();
         if pool.get(key).unwrap().replica.id == id {
             return key;
         }
@@ -50,7 +52,7 @@
     }
 }
 
-fn note(pool: &mut Pool, stage: Option<Stage>, id: &str, ms: u64) {
+fn record(pool: &mut Pool, stage: Option<Stage>, id: &str, ms: u64) {
     let key = key(pool, stage, id);
     pool.record_work(START, key, Duration::from_millis(ms), 1.0);
 }
@@ -61,27 +63,27 @@
 #[case(Some(Stage::Decode))]
 fn a_slow_replica_is_chosen_last(#[case] stage: Option<Stage>) {
     let mut pool = pool(stage, &["slow", "one", "two"]);
-    note(&mut pool, stage, "slow", 240);
-    note(&mut pool, stage, "one", 30);
-    note(&mut pool, stage, "two", 40);
+    record(&mut pool, stage, "slow", 240);
+    record(&mut pool, stage, "one", 30);
+    record(&mut pool, stage, "two", 40);
     assert_eq!(order(&pool, stage, after(500)).last().unwrap(), "slow");
 }
 
 #[test]
-fn it_is_tried_again_after_a_while() {
+fn a_slow_replica_is_tried_again_after_a_while() {
     let mut pool = pool(None, &["slow", "one", "two"]);
-    note(&mut pool, None, "slow", 240);
-    note(&mut pool, None, "one", 30);
-    note(&mut pool, None, "two", 30);
+    record(&mut pool, None, "slow", 240);
+    record(&mut pool, None, "one", 30);
+    record(&mut pool, None, "two", 30);
     assert_eq!(order(&pool, None, after(3_100))[0], "slow");
 }
 
 #[test]
-fn one_that_takes_up_to_twice_as_long_is_not_slow() {
+fn a_replica_up_to_twice_as_slow_is_not_penalized() {
     let mut pool = pool(None, &["long", "one", "two"]);
-    note(&mut pool, None, "long", 59);
-    note(&mut pool, None, "one", 30);
-    note(&mut pool, None, "two", 30);
+    record(&mut pool, None, "long", 59);
+    record(&mut pool, None, "one", 30);
+    record(&mut pool, None, "two", 30);
     assert_eq!(order(&pool, None, after(500))[0], "long");
 }
 
