--- a/crates/relay/tests/admission.rs
+++ b/crates/relay/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Room for a run, now and until it ends.
+//! Admission of runs by their memory forecast.
 
 mod common;
 
@@ -32,7 +32,7 @@
     pool.choose(NOW, &criteria, || 0.0)
 }
 
-/// Runs that are taken at once by a replica of `memory` tokens.
+/// Number of runs that a replica of `memory` tokens admits at once.
 fn admitted(memory: u64, spreads: f64, spare: f64) -> usize {
     let mut pool = pool(memory);
     let mut runs = Runs::new();
@@ -54,7 +54,7 @@
 
 #[test]
 fn concurrent_runs_are_admitted_by_their_forecast() {
-    // Prompts alone would be 20, and with the most that each may make 7.
+    // Prompts alone would allow 20 runs, the maximum of each answer 7.
     let count = admitted(100_000, 0.0, 0.0);
     assert!((11..17).contains(&count), "{count}");
 }
--- a/crates/relay/tests/attempt.rs
+++ b/crates/relay/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! What follows a send that did not end in an answer.
+//! Next steps after a send without a usable answer.
 
 use relay::attempt::Attempt;
 use relay::attempt::Next;
@@ -10,19 +10,19 @@
 const ONE_WAY: Mode = Mode::Stream { resumable: false };
 
 #[rstest]
-// A request that has run is never refused as if it had not.
+// A request that may have run is never reported as not run.
 #[case(Mode::Once, 3, Outcome::Lost, true, Next::Unknown)]
 #[case(ONE_WAY, 3, Outcome::Lost, true, Next::Unknown)]
 #[case(Mode::Once, 3, Outcome::Failed, true, Next::Relay)]
-// One that has not run goes on, whatever its kind, while there is budget.
+// One that has not run is retried in any mode while there is budget.
 #[case(Mode::Once, 1, Outcome::NotRun, true, Next::Retry)]
 #[case(Mode::Once, 1, Outcome::NotRun, false, Next::Refuse)]
-// What never left costs no budget.
+// A send of which no byte left needs no budget.
 #[case(Mode::Once, 1, Outcome::NotSent, false, Next::Retry)]
-// One that ended replicas is sent to no other one, and has not run where this is its first send.
+// A quarantined request is not sent to another replica, and has not run if this is its first send.
 #[case(Mode::Idempotent, 2, Outcome::Quarantined, true, Next::Refuse)]
 #[case(Mode::Once, 1, Outcome::Quarantined, true, Next::Refuse)]
-// What may be repeated is, while attempts and budget last.
+// A repeatable request is retried while attempts and budget last.
 #[case(Mode::Idempotent, 2, Outcome::Lost, true, Next::Retry)]
 #[case(Mode::Idempotent, 2, Outcome::Lost, false, Next::Unknown)]
 #[case(Mode::Idempotent, 1, Outcome::Lost, true, Next::Unknown)]
--- a/crates/relay/tests/balance.rs
+++ b/crates/relay/tests/balance.rs
@@ -1,4 +1,4 @@
-//! How a model's replicas divide into stages.
+//! Division of a model's replicas into prefill and decode.
 
 use std::time::Duration;
 
@@ -22,14 +22,14 @@
     StageCounts { prefill, decode }
 }
 
-/// What is due at `ms` if the division was `counts` all the time.
+/// The change due at `ms` if the division was `counts` all the time.
 fn due(counts: StageCounts, ms: u64) -> Option<Rebalance> {
     let mut balancer = StageBalancer::new(CHANGE_TIME);
     balancer.due(START, counts, SHARE);
     balancer.due(after(ms), counts, SHARE)
 }
 
-/// Few replicas keep relatively more that read prompts than many do.
+/// A small pool needs relatively more prefill replicas than a large one.
 #[rstest]
 #[case(2, 1)]
 #[case(3, 1)]
@@ -86,7 +86,7 @@
     assert!(balancer.due(after(3_600), counts(4, 5), SHARE).is_some());
 }
 
-/// At a common start replicas register one after the other.
+/// When all replicas start together, they register one after the other.
 #[test]
 fn a_growing_number_of_replicas_restarts_the_delay() {
     let mut balancer = StageBalancer::new(CHANGE_TIME);
--- a/crates/relay/tests/budget.rs
+++ b/crates/relay/tests/budget.rs
@@ -1,4 +1,4 @@
-//! How many retries are left.
+//! Retry budget of one daemon and of all together.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
     assert_eq!(taken(&mut budget, Time::from_millis(70_100), 3), first);
 }
 
-/// All daemons may be killed at once, when their budgets are used up, and start again knowing nothing of it.
+/// All daemons may be killed when their budgets are used up; the restarted ones do not know it.
 #[test]
 fn daemons_that_are_all_killed_and_restarted_stay_below_the_limit() {
     for daemons in [1, 3, 9] {
--- a/crates/relay/tests/claim_publisher.rs
+++ b/crates/relay/tests/claim_publisher.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells the others of its runs.
+//! Contents and timing of claim updates.
 
 mod common;
 
@@ -23,7 +23,7 @@
     max_tokens: 1_000,
     generated: 0,
 };
-/// Replicas, with a run each at the start.
+/// Number of replicas, each with a run at the start.
 const REPLICAS: usize = 70;
 
 struct Daemon {
@@ -73,7 +73,8 @@
     update.claims.len()
 }
 
-/// In a burst a run begins or ends each 20 ms at a daemon that has runs at 70 replicas.
+/// Guards against sending all claims for each change: in a burst, a daemon with runs at 70 replicas
+/// starts or ends one every 20 ms.
 #[test]
 fn a_new_run_costs_one_claim_regardless_of_other_runs() {
     let mut daemon = Daemon::new();
--- a/crates/relay/tests/claims.rs
+++ b/crates/relay/tests/claims.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of their runs.
+//! Claims of other daemons.
 
 use std::time::Duration;
 
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas, lists of them, and what a request asks of one.
+//! Replicas, lists and selection criteria for the tests.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -12,7 +12,7 @@
 use relay::score::Criteria;
 use relay::server::Key;
 
-/// A replica of `service` that takes requests.
+/// An available replica of `service`.
 pub fn replica(id: &str, service: &str, stage: Option<Stage>, slots: u32) -> Replica {
     Replica {
         id: id.to_owned(),
@@ -34,7 +34,7 @@
     engines.collect()
 }
 
-/// A list of `replicas`.
+/// A snapshot with `replicas`.
 pub fn snapshot(version: u64, replicas: Vec<Replica>) -> Snapshot {
     Snapshot {
         version,
@@ -43,14 +43,14 @@
     }
 }
 
-/// A pool that has taken `replicas` at `now`, as version 1.
+/// A pool that has applied `replicas` at `now`, as version 1.
 pub fn pool(now: Time, replicas: Vec<Replica>) -> Pool {
     let mut pool = Pool::new();
     pool.apply(now, &snapshot(1, replicas)).unwrap();
     pool
 }
 
-/// What a request of `service` asks that comes from the data centre of all replicas.
+/// Criteria of a request of `service` from the data centre of all replicas.
 pub fn criteria<'a>(
     service: &'a str,
     stage: Option<Stage>,
--- a/crates/relay/tests/decode_prefill.rs
+++ b/crates/relay/tests/decode_prefill.rs
@@ -1,4 +1,4 @@
-//! Prompts that a decode replica reads itself.
+//! Prompts that a decode replica prefills itself.
 
 mod common;
 
@@ -24,7 +24,7 @@
     generated: 0,
 };
 
-/// A decode replica.
+/// A daemon that knows one decode replica.
 struct Daemon {
     pool: Pool,
     runs: Runs,
--- a/crates/relay/tests/directory.rs
+++ b/crates/relay/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers are told.
+//! Selection of the addresses for callers.
 
 use std::net::SocketAddr;
 
@@ -43,7 +43,7 @@
     assert_eq!(ports(&entries, Some("a")).len(), 64);
 }
 
-/// Two large ones may fail together.
+/// Two large instances may fail together.
 #[test]
 fn large_instances_of_other_data_centres_are_returned_if_there_are_few() {
     let entries = [
--- a/crates/relay/tests/event.rs
+++ b/crates/relay/tests/event.rs
@@ -1,4 +1,4 @@
-//! Whole events out of bytes cut anywhere.
+//! Splitting of a byte stream into whole events.
 
 use relay::event::Error;
 use relay::event::Splitter;
@@ -58,13 +58,13 @@
     assert!(splitter.is_partial());
     assert_eq!(splitter.push(b"\n\n").unwrap(), b"\n\n");
     assert!(!splitter.is_partial());
-    // Its id is no longer known.
+    // The id of the split event is unknown.
     assert_eq!(splitter.resumes_after(None), Err(Error::Unnumbered));
     splitter.push(b"id: 2\ndata: b\n\n").unwrap();
     assert_eq!(splitter.resumes_after(None), Ok(Some(2)));
 }
 
-/// Another replica that repeats or skips events, or tells no number, goes on with another run.
+/// A replica that repeats or skips events, or has no numeric id, is running the request anew.
 #[rstest]
 #[case(b"id: 1\ndata: a\n\n")]
 #[case(b"id: 2\ndata: b\n\nid: 3\ndata: c\n\n")]
@@ -87,7 +87,7 @@
     );
 }
 
-/// The rest of an event that was cut since it is too long is no line of fields, whatever it begins with.
+/// The rest of an event that was split for its size has no fields, whatever it starts with.
 #[test]
 fn the_rest_of_a_split_event_has_no_id() {
     let mut splitter = Splitter::new();
@@ -100,7 +100,7 @@
     assert_eq!(splitter.resumes_after(None), Ok(Some(8)));
 }
 
-/// Ids need not go up by one; where they did not, a gap at the joint tells nothing.
+/// Ids need not increase by one. If they did not, a gap at the resume is accepted.
 #[rstest]
 #[case(b"id: 9\ndata: c\n\n", true)]
 #[case(b"id: 6\ndata: c\n\n", false)]
--- a/crates/relay/tests/fingerprint.rs
+++ b/crates/relay/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which attempts count as the same request.
+//! Recognition of equal requests.
 
 use relay::fingerprint::Fingerprint;
 use rstest::rstest;
--- a/crates/relay/tests/forecast.rs
+++ b/crates/relay/tests/forecast.rs
@@ -1,4 +1,4 @@
-//! What runs will hold of a replica's memory.
+//! Memory forecasts of runs.
 
 use relay::forecast::Curve;
 use relay::forecast::Run;
@@ -14,7 +14,7 @@
     }
 }
 
-/// `count` runs that have made `made` tokens.
+/// `count` runs that have generated `generated` tokens.
 fn runs(count: usize, generated: f64) -> Curve {
     let one = run(generated).curve(&LengthDistribution::new());
     (0..count).fold(Curve::default(), |sum, _| sum.plus(&one))
@@ -72,7 +72,7 @@
     assert!((much_later.mean()[0] - burst.mean()[5]).abs() < 1.0);
 }
 
-/// Where answers add little to what a run holds, whether some end soon makes no difference.
+/// If answers add little to what the runs hold, the peak must not exceed it by much.
 #[test]
 fn the_peak_is_bounded_by_the_memory_if_no_run_ends() {
     let small = Run {
--- a/crates/relay/tests/length.rs
+++ b/crates/relay/tests/length.rs
@@ -1,4 +1,4 @@
-//! How long answers become is learnt from those that ended.
+//! Distribution of answer lengths.
 
 use relay::length::LengthDistribution;
 
--- a/crates/relay/tests/migration.rs
+++ b/crates/relay/tests/migration.rs
@@ -1,4 +1,4 @@
-//! Runs go on elsewhere before the memory of their replica ends.
+//! Moves of runs before the memory of their replica is full.
 
 mod common;
 
@@ -39,7 +39,7 @@
 }
 
 impl Daemon {
-    /// `count` replicas of one service.
+    /// A daemon that knows `count` replicas of one service.
     fn new(count: usize) -> Self {
         let mut pool = common::pool(START, common::engines(count, Stage::Decode, 64));
         pool.set_memory("llm", MEMORY);
@@ -69,7 +69,8 @@
         }
     }
 
-    /// A run at the replica `id` that has made `made` tokens, begun 50 ms after the one before.
+    /// Starts a run at the replica `id` that has generated `generated` tokens, 50 ms after the one
+    /// before.
     fn run(&mut self, id: &str, generated: u64) -> RunId {
         let key = self.key(id);
         let run = self.runs.begin("llm", key, SIZE);
--- a/crates/relay/tests/overload.rs
+++ b/crates/relay/tests/overload.rs
@@ -1,4 +1,4 @@
-//! When callers are told of all instances.
+//! Detection and reports of overload.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     START + Duration::from_millis(ms)
 }
 
-/// Looks every 100 ms that are each `late` by so many milliseconds.
+/// Records `samples` timer delays of `delay_ms`, one every 100 ms.
 fn delayed(delay_ms: u64, samples: u64) -> Overload {
     let mut overload = Overload::new();
     for sample in 0..samples {
@@ -51,7 +51,7 @@
     assert!(!overload.lists_all_instances(after(31_000)));
 }
 
-/// What was heard second-hand would otherwise go round for ever.
+/// Guards against daemons that forward each other's second-hand reports forever.
 #[test]
 fn only_first_hand_reports_are_forwarded() {
     let mut overload = Overload::new();
--- a/crates/relay/tests/permit.rs
+++ b/crates/relay/tests/permit.rs
@@ -1,4 +1,4 @@
-//! Leave for sends, and where it comes from.
+//! Permits for sends, from the request and from the budget.
 
 use std::time::Duration;
 
@@ -38,7 +38,8 @@
 }
 
 proptest! {
-    /// Several daemons, random failures: sends beyond the first of each request stay below the rule.
+    /// With several daemons and random failures, sends beyond the first of each request stay below
+    /// the limit.
     #[test]
     fn sends_beyond_the_first_stay_below_the_limit(
         failures in vec(vec(any::<(bool, bool)>(), 0..6), 1..300),
@@ -67,7 +68,7 @@
                 }
             }
         }
-        // The first run and the first read of each request are free.
+        // The first run and the first prefill of each request need no budget.
         let extra = sends - 2 * requests;
         assert!(f64::from(extra) <= f64::from(requests) * POLICY.ratio + POLICY.slack);
     }
--- a/crates/relay/tests/plan.rs
+++ b/crates/relay/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Routes and their targets.
 
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/relay/tests/pool.rs
+++ b/crates/relay/tests/pool.rs
@@ -1,4 +1,4 @@
-//! What is believed of replicas, and which one is chosen.
+//! States of replicas in the pool, and the choice among them.
 
 mod common;
 
@@ -87,8 +87,8 @@
     assert_eq!(chosen(&pool, after(600), &[]), None);
 }
 
-/// An entry that lapsed during an outage of the list is back within two seconds of its end; one
-/// that is missing after that belongs to a replica that left, which may get nothing.
+/// An entry that lapsed during an outage returns within two seconds of its end; one still missing
+/// after that belongs to a replica that left, which must not receive requests.
 #[test]
 fn a_replica_that_disappears_after_an_outage_is_used_for_two_seconds() {
     let mut pool = Pool::new();
@@ -97,7 +97,7 @@
     let changes = pool.apply(after(1_500), &snapshot(2, &[])).unwrap();
     assert_eq!(changes[0].now, ReplicaState::Lapsed);
     assert_eq!(chosen(&pool, after(1_600), &[]).as_deref(), Some("one"));
-    // The bound holds between two readings of the list as well.
+    // The bound also holds between two reads of the list.
     assert_eq!(chosen(&pool, after(2_000), &[]), None);
     let changes = pool.apply(after(2_100), &snapshot(3, &[])).unwrap();
     assert_eq!(changes[0].now, ReplicaState::Gone);
@@ -113,7 +113,8 @@
     assert_eq!(chosen(&pool, after(9_000), &[]).as_deref(), Some("one"));
 }
 
-/// A daemon that learns of an outage from a peer alone uses a lapsed replica for as long as the peer.
+/// A daemon that learns of an outage only from a peer uses a lapsed replica as long as the peer
+/// does.
 #[test]
 fn a_peer_gets_a_lapsing_replica_with_its_remaining_time() {
     let mut reader = Pool::new();
@@ -233,8 +234,8 @@
     assert_eq!(chosen(&pool, after(200), &[]).unwrap(), "one");
 }
 
-/// Entries that lapsed with an outage come back within two seconds; with changes alone nobody lists
-/// the ones that did not.
+/// Entries that lapsed during an outage return within two seconds. A delta does not mention those
+/// that do not.
 #[test]
 fn a_replica_that_lapsed_by_a_delta_is_dropped_after_the_grace_period() {
     let mut pool = Pool::new();
@@ -266,7 +267,7 @@
     assert_eq!(delta_since(&pool, 5).gone, ["one"]);
 }
 
-/// A reader whose lapsed replica ran out of time between two readings of the store.
+/// A reader whose lapsed replica ran out of time between two reads of the store.
 fn reader_past_a_lapse() -> (Pool, Pool) {
     let mut reader = Pool::new();
     reader.apply(BEFORE_OUTAGE, &snapshot(1, &["one", "two"]));
@@ -431,7 +432,7 @@
     assert!(chosen(&pool, after(500), &[]).is_some());
 }
 
-/// Of many replicas some are weighed; where none of them has room, the others are.
+/// Only a sample of many replicas is scored; if none of the sample has room, the others are.
 #[test]
 fn the_last_untried_replica_of_many_is_found() {
     let ids: Vec<String> = (0..300).map(|number| number.to_string()).collect();
--- a/crates/relay/tests/prefill_backlog.rs
+++ b/crates/relay/tests/prefill_backlog.rs
@@ -1,4 +1,4 @@
-//! Prompts that are being read: what daemons know of each other's, and what follows.
+//! Pending prefills: exchange between daemons, and effect on the choice of replicas.
 
 mod common;
 
@@ -18,7 +18,7 @@
 
 const NOW: Time = Time::from_millis(100_000);
 const PROMPT: u64 = 5_200;
-/// Tokens that a replica reads in a millisecond.
+/// Tokens that a replica prefills per millisecond.
 const TOKENS_PER_MS: u64 = 55;
 const OBJECTIVE: Duration = Duration::from_millis(900);
 
@@ -76,7 +76,7 @@
     assert!(claims.pending_prefills(late).is_none());
 }
 
-/// The time follows from what waits at this moment; a mean of past reads told of a queue a second late.
+/// Guards against an estimate from the mean of past prefills, which shows a queue a second late.
 #[test]
 fn the_prefill_time_depends_on_the_current_queue() {
     let mut pool = pool(1);
--- a/crates/relay/tests/quarantine.rs
+++ b/crates/relay/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which replicas ended.
+//! Quarantine of requests that make replicas crash.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     UnixMs(NOW.0 + time.as_millis() as u64)
 }
 
-/// A daemon that saw the replicas `ended` end.
+/// A daemon that recorded the end of the replicas `ended`.
 fn after(ended: &[u64]) -> Quarantine {
     let mut quarantine = Quarantine::new();
     for replica in ended {
@@ -66,9 +66,9 @@
 fn different_ends_give_different_digests() {
     assert_ne!(after(&[1, 2]).digest(), after(&[1, 3]).digest());
     assert_ne!(after(&[1, 2]).digest(), after(&[1, 2, 3]).digest());
-    // Once it is quarantined, it does not matter under which ends.
+    // Once the request is quarantined, the ended replicas do not matter.
     assert_eq!(after(&[1, 2, 3]).digest(), after(&[4, 5, 6]).digest());
-    // One end is common and not compared.
+    // A single end is common and not compared.
     assert_eq!(after(&[1]).digest(), Quarantine::new().digest());
 }
 
@@ -132,7 +132,7 @@
     assert_eq!(quarantine.quarantined_for(next_day, REQUEST), None);
     quarantine.remove_expired(next_day);
     assert_eq!((quarantine.quarantined(), quarantine.digest()), (0, 0));
-    // Nobody brings it back.
+    // An expired record is not accepted again.
     assert_eq!(quarantine.merge(next_day, &record), Change::None);
 }
 
--- a/crates/relay/tests/refusals.rs
+++ b/crates/relay/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Replicas that refuse reservations though nothing that is known says why.
+//! Replicas that refuse reservations or do not answer for no known reason.
 
 mod common;
 
@@ -22,13 +22,13 @@
     max_tokens: 1_020,
     generated: 0,
 };
-/// Replicas, of which the first third is leaving, and the list does not tell.
+/// Number of replicas. The first third is leaving, which the list does not show.
 const REPLICAS: usize = 60;
 const LEAVING: usize = REPLICAS / 3;
-/// Time that a run lasts, and between two that begin.
+/// Duration of a run, and interval between the starts of two runs.
 const RUN_MS: u64 = 3_400;
 const EVERY_MS: u64 = 15;
-/// Reservations that one generation asks for at most while it waits.
+/// Maximum number of reservations that one generation tries.
 const MAX_TRIES: usize = 3;
 
 struct Daemon {
@@ -66,7 +66,7 @@
         self.pool.choose(now, &criteria, || 0.5)
     }
 
-    /// One generation at `ms`; with `leaving`, a third of the replicas refuses.
+    /// Places one generation at `ms`. If `leaving`, a third of the replicas refuses.
     fn place(&mut self, ms: u64, leaving: bool) {
         let now = START + Duration::from_millis(ms);
         self.end_due(ms);
@@ -105,7 +105,7 @@
     }
 }
 
-/// The leaving ones are the emptiest ones soon, and would be asked first by everyone.
+/// Leaving replicas soon become the emptiest and would be tried first by all daemons.
 #[test]
 fn replicas_that_refuse_repeatedly_are_tried_last() {
     let mut daemon = Daemon::new();
@@ -142,7 +142,7 @@
     let first = daemon.choose(START, &[]).unwrap();
     daemon.pool.record_full(START, first);
     assert_ne!(daemon.choose(at(100), &[]), Some(first));
-    // The others are in use now.
+    // Fill the other replicas.
     let mut tried = vec![first];
     while let Some(key) = daemon.choose(START, &tried) {
         daemon.runs.begin("llm", key, SIZE);
@@ -167,7 +167,8 @@
     assert_eq!(daemon.choose(at(4_000), &[]), Some(first));
 }
 
-/// A question to a dark replica costs a caller most of its time: one daemon's is enough for all.
+/// Trying a silent replica costs a caller most of its time, so the attempt of one daemon must do
+/// for all.
 #[test]
 fn a_replica_that_does_not_answer_one_daemon_is_tried_last_by_all() {
     let (mut one, mut other) = (Daemon::new(), Daemon::new());
--- a/crates/relay/tests/restarts.rs
+++ b/crates/relay/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Replicas that start again under the id that they had.
+//! Replicas that restart under the same id.
 
 mod common;
 
@@ -43,14 +43,14 @@
     }
 }
 
-/// A pool that lists the replica from version 1 on.
+/// A pool whose list at version 1 has the replica.
 fn pool(birth: Option<u64>) -> Pool {
     let mut pool = Pool::new();
     list(&mut pool, 1, birth);
     pool
 }
 
-/// Takes a list with this incarnation alone; the beliefs that changed.
+/// Applies a list with only this incarnation and returns the new states.
 fn list(pool: &mut Pool, version: u64, birth: Option<u64>) -> Vec<ReplicaState> {
     let snapshot = common::snapshot(version, vec![replica(birth, Stage::Decode)]);
     let changes = pool.apply(NOW, &snapshot).unwrap_or_default();
@@ -158,10 +158,10 @@
     assert!(pool.update_birth(NOW, first, None).is_empty());
     let changes = pool.update_birth(NOW, first, Some(Birth(SECOND)));
     assert_eq!(changes[0].now, ReplicaState::Restarted);
-    // The list still names the earlier one.
+    // The list still has the earlier incarnation.
     assert!(list(&mut pool, 2, Some(FIRST)).is_empty());
     assert_eq!(birth(&pool), Some(SECOND));
-    // An answer of the earlier one that comes late.
+    // A late answer of the earlier incarnation.
     let second = key(&pool).unwrap();
     assert!(
         pool.update_birth(NOW, second, Some(Birth(FIRST)))
--- a/crates/relay/tests/score.rs
+++ b/crates/relay/tests/score.rs
@@ -1,4 +1,4 @@
-//! Slow replicas are left to themselves for a while.
+//! Avoidance of slow replicas.
 
 mod common;
 
@@ -26,7 +26,7 @@
     common::criteria("app", stage, tried, None)
 }
 
-/// Ids in the order in which they are chosen.
+/// Ids in the order in which the replicas are chosen.
 fn order(pool: &Pool, stage: Option<Stage>, now: Time) -> Vec<String> {
     let mut tried: Vec<Key> = Vec::new();
     let mut ids = Vec::new();
--- a/crates/relay/tests/timing.rs
+++ b/crates/relay/tests/timing.rs
@@ -1,4 +1,4 @@
-//! Generations that can be in time, and those that cannot.
+//! Conditions for new, retried and resumed generations.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
 fn retries_are_recognized_by_their_shorter_timeouts() {
     let mut timeouts = CallerTimeouts::new();
     for number in 0..200 {
-        // New callers wait for 11.9 to 14 s; three in ten have come back after 3 s.
+        // First attempts have timeouts of 11.9 to 14 s; three in ten are retried after 3 s.
         let new = 11_900 + number * 97 % 2_100;
         let limit = match number % 10 {
             0..3 => Duration::from_millis(new - 3_000),
--- a/crates/relay/tests/wait_queue.rs
+++ b/crates/relay/tests/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Who goes first among those that wait.
+//! Order of waiting generations.
 
 use relay::wait_queue::WaitQueue;
 
