--- a/crates/relay/src/overload.rs
+++ b/crates/relay/src/overload.rs
@@ -23,7 +23,7 @@
 /// Overload in the data centre of this instance.
 #[derive(Debug, Default)]
 pub struct Overload {
-    late: Duration,
+    mean_delay: Duration,
     last_report: Option<Time>,
     overloaded_until: Option<Time>,
 }
@@ -32,7 +32,7 @@
     /// Creates a record without overload.
     pub const fn new() -> Self {
         Self {
-            late: Duration::ZERO,
+            mean_delay: Duration::ZERO,
             last_report: None,
             overloaded_until: None,
         }
@@ -40,8 +40,8 @@
 
     /// Records that a timer of this instance fired `late`.
     pub fn record_delay(&mut self, now: Time, late: Duration) {
-        self.late =
-            self.late.mul_f64(1.0 - NEWEST_WEIGHT) + late.min(MAX_DELAY).mul_f64(NEWEST_WEIGHT);
+        self.mean_delay = self.mean_delay.mul_f64(1.0 - NEWEST_WEIGHT)
+            + late.min(MAX_DELAY).mul_f64(NEWEST_WEIGHT);
         if self.is_local() {
             self.record_report(now);
         }
@@ -49,7 +49,7 @@
 
     /// Whether this instance is overloaded.
     pub fn is_local(&self) -> bool {
-        self.late >= OVERLOAD_DELAY
+        self.mean_delay >= OVERLOAD_DELAY
     }
 
     /// Records that an instance of the data centre reported its own overload.
--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -21,9 +21,9 @@
 /// Assumed duration in seconds of an answer as long as estimated, until some are measured.
 const DEFAULT_ANSWER_S: f64 = 3.0;
 /// Weight of the newest answer in the mean generation rate of a service.
-const PACE_WEIGHT: f64 = 0.1;
+const RATE_WEIGHT: f64 = 0.1;
 /// Seconds for which a run must generate before its own rate is used: about ten steps.
-const MIN_PACE_S: f64 = 0.25;
+const MIN_RATE_S: f64 = 0.25;
 
 /// Size of a generation at a decode replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,7 +61,7 @@
 struct ServiceStats {
     length: LengthDistribution,
     /// Mean tokens generated per second by a run.
-    pace: Option<f64>,
+    tokens_per_s: Option<f64>,
 }
 
 /// All runs of this daemon.
@@ -92,7 +92,7 @@
     fn tokens_per_s(&self, now: Time) -> Option<f64> {
         let (at, before) = self.started?;
         let seconds = now.since(at).as_secs_f64();
-        (seconds > MIN_PACE_S && self.generated > before)
+        (seconds > MIN_RATE_S && self.generated > before)
             .then(|| (self.generated - before) / seconds)
     }
 }
@@ -182,9 +182,9 @@
         stats
             .length
             .record(entry.generated, entry.size.estimate as f64);
-        if let Some(pace) = entry.tokens_per_s(now) {
-            let mean = stats.pace.unwrap_or(pace);
-            stats.pace = Some(mean + PACE_WEIGHT * (pace - mean));
+        if let Some(tokens_per_s) = entry.tokens_per_s(now) {
+            let mean = stats.tokens_per_s.unwrap_or(tokens_per_s);
+            stats.tokens_per_s = Some(mean + RATE_WEIGHT * (tokens_per_s - mean));
         }
     }
 
@@ -214,8 +214,8 @@
     /// Memory forecast for a run of `size` of `service` that begins now.
     pub fn forecast(&self, service: &str, size: Size) -> Curve {
         let stats = self.stats.get(service);
-        let pace = stats.and_then(|stats| stats.pace);
-        let run = run(size, size.generated as f64, pace);
+        let tokens_per_s = stats.and_then(|stats| stats.tokens_per_s);
+        let run = run(size, size.generated as f64, tokens_per_s);
         match stats {
             Some(stats) => run.curve(&stats.length),
             None => run.curve(&LengthDistribution::new()),
@@ -228,8 +228,8 @@
             return Curve::default();
         };
         let stats = &self.stats[&entry.service];
-        let pace = entry.tokens_per_s(now).or(stats.pace);
-        run(entry.size, entry.generated, pace).curve(&stats.length)
+        let tokens_per_s = entry.tokens_per_s(now).or(stats.tokens_per_s);
+        run(entry.size, entry.generated, tokens_per_s).curve(&stats.length)
     }
 
     /// Claim for the runs at `server`, the replica with this `hash`; `None` if there are none.
@@ -251,13 +251,13 @@
     }
 }
 
-fn run(size: Size, generated: f64, pace: Option<f64>) -> Run {
+fn run(size: Size, generated: f64, tokens_per_s: Option<f64>) -> Run {
     let estimate = size.estimate.max(1) as f64;
     Run {
         prompt: size.prompt as f64,
         generated,
         estimate,
         max_tokens: size.max_tokens as f64,
-        tokens_per_s: pace.unwrap_or(estimate / DEFAULT_ANSWER_S).max(1.0),
+        tokens_per_s: tokens_per_s.unwrap_or(estimate / DEFAULT_ANSWER_S).max(1.0),
     }
 }
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -28,7 +28,7 @@
 /// % of the generations of a lasting overload were late.
 const LATE_WAIT: f64 = 2.4;
 /// Maximum number of callers' timeouts that are kept for a route.
-const MAX_LIMITS: usize = 128;
+const MAX_TIMEOUTS: usize = 128;
 /// Quantile of these timeouts that is taken for that of first attempts, which have the longest
 /// ones. Below 1, since some caller may have a longer timeout than the others.
 const FIRST_ATTEMPT_QUANTILE: f64 = 0.9;
@@ -84,7 +84,7 @@
 /// time since the first attempt.
 #[derive(Debug, Default)]
 pub struct CallerTimeouts {
-    limits: VecDeque<Duration>,
+    timeouts: VecDeque<Duration>,
 }
 
 impl CallerTimeouts {
@@ -95,14 +95,14 @@
 
     /// Records a caller's timeout and returns how long the caller seems to have waited before this
     /// attempt.
-    pub fn estimate_waited(&mut self, limit: Duration) -> Duration {
-        self.limits.push_back(limit);
-        if self.limits.len() > MAX_LIMITS {
-            self.limits.pop_front();
+    pub fn estimate_waited(&mut self, timeout: Duration) -> Duration {
+        self.timeouts.push_back(timeout);
+        if self.timeouts.len() > MAX_TIMEOUTS {
+            self.timeouts.pop_front();
         }
-        let mut sorted: Vec<Duration> = self.limits.iter().copied().collect();
+        let mut sorted: Vec<Duration> = self.timeouts.iter().copied().collect();
         let rank = ((sorted.len() - 1) as f64 * FIRST_ATTEMPT_QUANTILE) as usize;
         let (_, first_attempt, _) = sorted.select_nth_unstable(rank);
-        first_attempt.saturating_sub(limit)
+        first_attempt.saturating_sub(timeout)
     }
 }
