--- a/crates/relay/src/overload.rs
+++ b/crates/relay/src/overload.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether this instance is overloaded.
+    /// Whether this instance itself is overloaded.
     pub fn is_local(&self) -> bool {
         self.mean_delay >= OVERLOAD_DELAY
     }
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -32,7 +32,7 @@
 /// How long the mean time per unit is used without further work; a replica avoided for its slowness
 /// is tried again after it.
 const PACE_AGE: Duration = Duration::from_secs(3);
-/// How long a replica is ranked last after its first refusal.
+/// How long a replica is ranked behind the others after its first refusal.
 const REFUSED_AGE: Duration = Duration::from_millis(200);
 /// The same for a replica that did not answer. Longer, since trying it uses up most of the time
 /// that a caller waits.
@@ -54,7 +54,7 @@
 struct Refusals {
     /// Number in a row.
     count: u32,
-    /// When the replica stops being ranked last.
+    /// When the replica stops being ranked behind the others.
     until: Time,
 }
 
@@ -268,7 +268,8 @@
         (now.since(at) < PACE_AGE).then_some(mean)
     }
 
-    /// Number of successive failed reservations while it is ranked last for them; otherwise 0.
+    /// Number of successive failed reservations while it is ranked behind the others for them;
+    /// otherwise 0.
     pub(crate) fn refusals(&self, now: Time) -> u32 {
         if now < self.refusals.until {
             self.refusals.count
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -24,8 +24,8 @@
 const LATE_SPARE: f64 = 0.1;
 /// How long late generations wait for a slot, behind all others, as a multiple of the objective.
 /// Callers give up after four times the objective without an event, and the rest is enough for the
-/// prefill. When late generations got their turn after 1.6 times the objective, 26 % instead of 15
-/// % of the generations of a lasting overload were late.
+/// prefill. When late generations got their turn after 1.6 times the objective, the late share in a
+/// lasting overload was 26 % instead of 15 %.
 const LATE_WAIT: f64 = 2.4;
 /// Maximum number of callers' timeouts that are kept for a route.
 const MAX_TIMEOUTS: usize = 128;
--- a/crates/relay/src/wait_queue.rs
+++ b/crates/relay/src/wait_queue.rs
@@ -1,8 +1,8 @@
 //! Orders the generations of one daemon that wait for a slot at a decode replica.
 //!
-//! Without an order, small requests take any room that becomes free, and a large one, which is
-//! worth the most to its caller, starves until it times out. More urgent generations go first; of
-//! equal priority, those that can still be in time go before late ones.
+//! Without an order, small requests take any room that becomes free, and a large one starves until
+//! it times out, although it came first and is worth the most to its caller. More urgent generations
+//! go first; of equal priority, those that can still be in time go before late ones.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
