--- a/crates/route/src/memo.rs
+++ b/crates/route/src/ended_requests.rs
@@ -12,12 +12,12 @@
 
 /// A bounded memory of ended requests, the oldest forgotten first.
 #[derive(Debug, Default)]
-pub struct Memo {
+pub struct EndedRequests {
     order: VecDeque<Handle>,
     ended: Map<Handle, Option<Verdict>>,
 }
 
-impl Memo {
+impl EndedRequests {
     /// Remembers that `handle` ended with `verdict`, or before it got one.
     pub fn insert(&mut self, handle: Handle, verdict: Option<Verdict>) {
         if self.ended.insert(handle, verdict).is_none() {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -5,17 +5,17 @@
 //! [`verdict::Verdict`]s. It does no input or output, reads no clock and draws from a seeded
 //! generator, so equal inputs give equal decisions.
 
-mod cache;
-mod flow;
+mod ended_requests;
 mod hash;
 mod link;
-mod memo;
 mod pool;
+mod prefix_index;
 mod queue;
 mod rate;
+mod request;
 mod row;
 mod server;
-mod token;
+mod token_time;
 mod turnover;
 
 pub mod phase;
--- a/crates/route/src/link.rs
+++ b/crates/route/src/link.rs
@@ -11,14 +11,14 @@
 use crate::rate::Ewma;
 
 /// Weight of one sample.
-const WEIGHT: f64 = 0.2;
+const SAMPLE_WEIGHT: f64 = 0.2;
 /// Time after which half of a bad experience with a link is forgotten, in seconds.
-const MEMORY: f64 = 30.0;
+const HALF_LIFE_S: f64 = 30.0;
 
 /// Time after a bad experience with a link before it is tried again for want of another.
 const PROBE_AFTER: Duration = Duration::from_secs(1);
 /// The most by which one sample counts against the typical time, so that a stall does not.
-const MAX_STEP: f64 = 2.0;
+const MAX_SAMPLE_RATIO: f64 = 2.0;
 
 /// Source and target data centre.
 pub type Path = (Zone, Zone);
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 struct Link {
     per_token: Ewma,
-    learned: Time,
+    updated: Time,
     pending: BTreeSet<(Time, Handle, u32)>,
 }
 
@@ -42,7 +42,7 @@
     pub fn new(initial: f64) -> Self {
         Self {
             links: Map::default(),
-            typical: Ewma::new(initial, WEIGHT / 4.0),
+            typical: Ewma::new(initial, SAMPLE_WEIGHT / 4.0),
         }
     }
 
@@ -66,7 +66,7 @@
                 .pending
                 .last()
                 .map_or(Time::ZERO, |(begun, _, _)| *begun);
-            now.since(link.learned.max(begun)) >= PROBE_AFTER
+            now.since(link.updated.max(begun)) >= PROBE_AFTER
         })
     }
 
@@ -79,8 +79,8 @@
     pub fn begin(&mut self, now: Time, path: Path, handle: Handle, tokens: u32) {
         let initial = self.typical.value();
         let link = self.links.entry(path).or_insert_with(|| Link {
-            per_token: Ewma::new(initial, WEIGHT),
-            learned: now,
+            per_token: Ewma::new(initial, SAMPLE_WEIGHT),
+            updated: now,
             pending: BTreeSet::new(),
         });
         link.pending.insert((now, handle, tokens));
@@ -98,20 +98,20 @@
         let sample = now.since(begun.0).as_secs_f64() / f64::from(begun.2.max(1));
         let estimate = link.estimate(now, typical);
         if completed || sample > estimate {
-            link.per_token = Ewma::new(estimate, WEIGHT);
+            link.per_token = Ewma::new(estimate, SAMPLE_WEIGHT);
             link.per_token.add(sample);
-            link.learned = now;
+            link.updated = now;
         }
         if completed {
-            self.typical.add(sample.min(typical * MAX_STEP));
+            self.typical.add(sample.min(typical * MAX_SAMPLE_RATIO));
         }
     }
 }
 
 impl Link {
     fn estimate(&self, now: Time, typical: f64) -> f64 {
-        let faded = 1.0 / (1.0 + now.since(self.learned).as_secs_f64() / MEMORY);
-        let learned = typical + (self.per_token.value() - typical) * faded;
+        let weight = 1.0 / (1.0 + now.since(self.updated).as_secs_f64() / HALF_LIFE_S);
+        let learned = typical + (self.per_token.value() - typical) * weight;
         let oldest = self.pending.first().map_or(0.0, |(begun, _, tokens)| {
             now.since(*begun).as_secs_f64() / f64::from((*tokens).max(1))
         });
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -15,17 +15,17 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::cache::Cache;
 use crate::link::Links;
 use crate::pool::Pool;
-use crate::server::Key;
+use crate::prefix_index::PrefixIndex;
+use crate::server::ReplicaKey;
 use crate::settings::Settings;
 use crate::ticket::Ticket;
 use crate::turnover::Turnover;
 
 /// One request to be placed.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Criteria<'a> {
     /// The request.
     pub ticket: &'a Ticket,
     /// When its target for the first token ends.
@@ -33,13 +33,13 @@
     /// When its longest wait ends.
     pub expiry: Time,
     /// The shortest time to its first token on an idle cell.
-    pub fastest: Duration,
+    pub min_ttft: Duration,
     /// Where the KV cache is; the owner's data centre before the prefill.
     pub source: Zone,
     /// The largest batch in which it meets its target for the time between tokens.
-    pub limit: u32,
+    pub max_batch: u32,
     /// How strongly wasted prefill weighs against goodput, from 0 to 1.
-    pub thrift: f64,
+    pub waste_weight: f64,
 }
 
 /// What a policy sees of the cell.
@@ -48,23 +48,23 @@
     /// The present.
     pub now: Time,
     pub(crate) pool: &'a Pool,
-    pub(crate) cache: &'a Cache,
+    pub(crate) prefix_index: &'a PrefixIndex,
     pub(crate) links: &'a Links,
     pub(crate) turnover: &'a Turnover,
     pub(crate) settings: &'a Settings,
     /// Placed requests whose decode replica was lost or full and is still to be found anew.
-    pub(crate) stranded: u32,
+    pub(crate) displaced: u32,
     /// Prefills that requests passed over in this pass will bring to a replica.
-    pub(crate) promised: &'a mut BTreeMap<Key, Duration>,
+    pub(crate) deferred_prefills: &'a mut BTreeMap<ReplicaKey, Duration>,
     /// A decode replica kept for a request that was passed over in this pass.
-    pub(crate) kept: Option<Key>,
-    pub(crate) turn: u64,
+    pub(crate) reserved_decode: Option<ReplicaKey>,
+    pub(crate) sequence: u64,
     pub(crate) random: &'a mut Pcg64Mcg,
 }
 
 impl View<'_> {
     /// A random number below `bound`; zero if `bound` is zero.
-    pub(crate) fn below(&mut self, bound: usize) -> usize {
+    pub(crate) fn random_below(&mut self, bound: usize) -> usize {
         match bound {
             0 => 0,
             _ => (self.random.next_u64() % bound as u64) as usize,
@@ -72,12 +72,12 @@
     }
 
     /// Prefix blocks that `key` is expected to hold.
-    pub(crate) fn cached(&self, key: Key, ticket: &Ticket) -> f64 {
-        self.cache.expected(key, ticket.blocks())
+    pub(crate) fn cached_blocks(&self, key: ReplicaKey, ticket: &Ticket) -> f64 {
+        self.prefix_index.expected(key, ticket.blocks())
     }
 
     /// Expected time of the prefill on `key`, of which `cached` blocks are cached there.
-    pub(crate) fn span(&self, key: Key, ticket: &Ticket, cached: f64) -> Duration {
+    pub(crate) fn prefill_time(&self, key: ReplicaKey, ticket: &Ticket, cached: f64) -> Duration {
         let blocks = ticket.blocks().len().max(1) as f64;
         let share = 1.0 - (cached / blocks).min(1.0);
         let tokens = (f64::from(ticket.prompt_tokens()) * share).max(1.0);
@@ -85,9 +85,13 @@
     }
 
     /// When `key` can start another prefill.
-    pub(crate) fn ready(&self, key: Key) -> Time {
-        let promised = self.promised.get(&key).copied().unwrap_or_default();
-        self.pool.get(key).ready().max(self.now) + promised
+    pub(crate) fn ready_at(&self, key: ReplicaKey) -> Time {
+        let deferred_prefills = self
+            .deferred_prefills
+            .get(&key)
+            .copied()
+            .unwrap_or_default();
+        self.pool.get(key).ready().max(self.now) + deferred_prefills
     }
 
     /// The latest time at which a replica may be ready that is given work now.
@@ -100,13 +104,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Pair {
     /// Runs the prefill.
-    pub prefill: Key,
+    pub prefill: ReplicaKey,
     /// Decodes.
-    pub decode: Key,
+    pub decode: ReplicaKey,
     /// Expected time of the prefill alone.
-    pub span: Duration,
+    pub prefill_time: Duration,
     /// When the first token is expected.
-    pub first: Time,
+    pub first_token: Time,
     /// Prefix blocks expected in the prefill replica's cache.
     pub cached: f64,
     /// Pairs compared.
@@ -115,18 +119,18 @@
 
 /// Why a request has to wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wait {
+pub enum WaitReason {
     /// No prefill replica is ready, or a better one will be soon: others may go first.
     Replica,
     /// No decode slot is or will be free: nobody may go first.
     Slot,
     /// No decode replica with a small enough batch; the named one is kept for this request.
-    Batch(Key),
+    Batch(ReplicaKey),
 }
 
 /// How the shares of rows are kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fair {
+pub enum Fairness {
     /// The row that has had least for its share goes first.
     Stride,
     /// Rows go by slack; one that is far ahead of its share goes last.
@@ -135,7 +139,7 @@
 
 /// Which decode slots count as secured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Secured {
+pub enum SecuredSlots {
     /// None are needed: all is placed at once.
     Nothing,
     /// Those that are free now.
@@ -152,19 +156,19 @@
     /// Name in tables of measurements.
     pub name: &'static str,
     /// Order key of a waiting request; the least goes first.
-    pub order: fn(&Ask<'_>) -> Time,
+    pub order: fn(&Criteria<'_>) -> Time,
     /// Chooses a pair, or says why the request has to wait.
-    pub pair: fn(&mut View<'_>, &Ask<'_>) -> Result<Pair, Wait>,
+    pub pair: fn(&mut View<'_>, &Criteria<'_>) -> Result<Pair, WaitReason>,
     /// Chooses another decode replica for a finished prefill.
-    pub decode: fn(&mut View<'_>, &Ask<'_>) -> Option<Key>,
+    pub decode: fn(&mut View<'_>, &Criteria<'_>) -> Option<ReplicaKey>,
     /// Chooses a replica for a plain call.
-    pub single: fn(&mut View<'_>, &Ask<'_>) -> Option<Key>,
+    pub single: fn(&mut View<'_>, &Criteria<'_>) -> Option<ReplicaKey>,
     /// Which decode slots count as secured.
-    pub secured: Secured,
+    pub secured: SecuredSlots,
     /// How the shares of rows are kept.
-    pub fair: Fair,
+    pub fair: Fairness,
     /// Waiting requests that are considered when the first cannot go.
-    pub scan: usize,
+    pub scan_limit: usize,
     /// Whether late requests are refused as soon as the late ones before them take too long.
-    pub foresight: bool,
+    pub refuse_early: bool,
 }
--- a/crates/route/src/policy/affine.rs
+++ b/crates/route/src/policy/affine.rs
@@ -1,53 +1,62 @@
 //! Third policy: a request waits for a prefill replica that holds its prefix if it gets its first
 //! token there sooner, while others go first.
 
-use crate::policy::Ask;
+use crate::policy::Criteria;
 use crate::policy::Pair;
 use crate::policy::Policy;
-use crate::policy::Secured;
+use crate::policy::SecuredSlots;
 use crate::policy::View;
-use crate::policy::Wait;
+use crate::policy::WaitReason;
 use crate::policy::predicted;
-use crate::policy::predicted::Sites;
+use crate::policy::predicted::DecodeSites;
 
 /// Waiting requests that are considered when the first waits for a better replica.
-const SCAN: usize = 12;
+const SCAN_LIMIT: usize = 12;
 /// Weight of the prefill's own time against the time to the first token: time that a cached prefix
 /// saves is there for the next request.
-const SPAN_WEIGHT: f64 = 1.0;
+const PREFILL_TIME_WEIGHT: f64 = 1.0;
 
 /// The policy.
 pub const fn policy() -> Policy {
     Policy {
         name: "affine",
         pair,
-        scan: SCAN,
+        scan_limit: SCAN_LIMIT,
         ..predicted::policy()
     }
 }
 
-fn pair(view: &mut View<'_>, ask: &Ask<'_>) -> Result<Pair, Wait> {
-    choose(view, ask, Secured::Learned)
+fn pair(view: &mut View<'_>, criteria: &Criteria<'_>) -> Result<Pair, WaitReason> {
+    choose(view, criteria, SecuredSlots::Learned)
 }
 
-pub(crate) fn choose(view: &mut View<'_>, ask: &Ask<'_>, secured: Secured) -> Result<Pair, Wait> {
-    if predicted::is_full(view, ask, secured) {
-        return Err(Wait::Slot);
+pub(crate) fn choose(
+    view: &mut View<'_>,
+    criteria: &Criteria<'_>,
+    secured: SecuredSlots,
+) -> Result<Pair, WaitReason> {
+    if predicted::is_full(view, criteria, secured) {
+        return Err(WaitReason::Slot);
     }
-    let mut sites = Sites::new(view, ask);
-    let keys = predicted::ready(view, ask);
-    let priced = keys
+    let mut sites = DecodeSites::new(view, criteria);
+    let keys = predicted::prefill_candidates(view, criteria);
+    let estimates = keys
         .iter()
-        .filter_map(|key| predicted::price(view, ask, *key, &mut sites));
-    let mut pairs: Vec<Pair> = priced.collect();
-    predicted::keep_lasting(view, ask, &mut pairs);
-    let cost = |pair: &&Pair| (pair.first + pair.span.mul_f64(SPAN_WEIGHT), pair.span);
-    let best = pairs.iter().min_by_key(cost).ok_or(Wait::Replica)?;
-    if view.ready(best.prefill) > view.horizon() {
-        *view.promised.entry(best.prefill).or_default() += best.span;
-        return Err(Wait::Replica);
+        .filter_map(|key| predicted::estimate_pair(view, criteria, *key, &mut sites));
+    let mut pairs: Vec<Pair> = estimates.collect();
+    predicted::retain_viable(view, criteria, &mut pairs);
+    let cost = |pair: &&Pair| {
+        (
+            pair.first_token + pair.prefill_time.mul_f64(PREFILL_TIME_WEIGHT),
+            pair.prefill_time,
+        )
+    };
+    let best = pairs.iter().min_by_key(cost).ok_or(WaitReason::Replica)?;
+    if view.ready_at(best.prefill) > view.horizon() {
+        *view.deferred_prefills.entry(best.prefill).or_default() += best.prefill_time;
+        return Err(WaitReason::Replica);
     }
-    predicted::secure(view, ask, best, secured)?;
+    predicted::check_slot(view, criteria, best, secured)?;
     Ok(Pair {
         candidates: pairs.len() as u32,
         ..*best
--- a/crates/route/src/policy/deadline.rs
+++ b/crates/route/src/policy/deadline.rs
@@ -2,7 +2,7 @@
 
 use ident::Time;
 
-use crate::policy::Ask;
+use crate::policy::Criteria;
 use crate::policy::Policy;
 use crate::policy::affine;
 
@@ -16,6 +16,6 @@
 }
 
 /// The due date, put off by the request's own shortest time to the first token.
-pub(crate) fn order(ask: &Ask<'_>) -> Time {
-    ask.due + ask.fastest
+pub(crate) fn order(criteria: &Criteria<'_>) -> Time {
+    criteria.due + criteria.min_ttft
 }
--- a/crates/route/src/policy/oracle.rs
+++ b/crates/route/src/policy/oracle.rs
@@ -1,11 +1,11 @@
 //! Upper bound: the policy in force with known lengths, for a cell that sees all without delay.
 
-use crate::policy::Ask;
+use crate::policy::Criteria;
 use crate::policy::Pair;
 use crate::policy::Policy;
-use crate::policy::Secured;
+use crate::policy::SecuredSlots;
 use crate::policy::View;
-use crate::policy::Wait;
+use crate::policy::WaitReason;
 use crate::policy::affine;
 use crate::policy::deadline;
 
@@ -14,11 +14,11 @@
     Policy {
         name: "oracle",
         pair,
-        secured: Secured::Known,
+        secured: SecuredSlots::Known,
         ..deadline::policy()
     }
 }
 
-fn pair(view: &mut View<'_>, ask: &Ask<'_>) -> Result<Pair, Wait> {
-    affine::choose(view, ask, Secured::Known)
+fn pair(view: &mut View<'_>, criteria: &Criteria<'_>) -> Result<Pair, WaitReason> {
+    affine::choose(view, criteria, SecuredSlots::Known)
 }
--- a/crates/route/src/policy/predicted.rs
+++ b/crates/route/src/policy/predicted.rs
@@ -6,28 +6,28 @@
 use ident::Time;
 use ident::Zone;
 
-use crate::policy::Ask;
-use crate::policy::Fair;
+use crate::policy::Criteria;
+use crate::policy::Fairness;
 use crate::policy::Pair;
 use crate::policy::Policy;
-use crate::policy::Secured;
+use crate::policy::SecuredSlots;
 use crate::policy::View;
-use crate::policy::Wait;
+use crate::policy::WaitReason;
 use crate::policy::reserved;
 use crate::policy::reserved::MAX_COMPARED;
-use crate::policy::reserved::avoided;
-use crate::server::Key;
+use crate::policy::reserved::is_avoided;
+use crate::server::ReplicaKey;
 
 /// Part of the life of a prefill result that a transfer may be expected to take.
-const KEEP_PART: f64 = 0.85;
+const MAX_RETENTION_SHARE: f64 = 0.85;
 /// How much less of it, for a row that weighs only wasted prefill.
-const THRIFT_PART: f64 = 0.2;
+const WASTE_SHARE: f64 = 0.2;
 /// Chance that a slot does not come free in time, for a row that weighs only goodput.
 const MAX_RISK: f64 = 0.02;
 /// Requests beyond its slots that may be on their way to a replica, and for each to the cell.
-const MAX_OVER: u32 = 1;
+const MAX_OVERCOMMIT: u32 = 1;
 /// Free slots that a replica with the other kind of target must be ahead to be chosen.
-const MIXING: i64 = 3;
+const MIXING_PENALTY: i64 = 3;
 
 /// The policy.
 pub const fn policy() -> Policy {
@@ -37,31 +37,31 @@
         pair,
         decode,
         single: reserved::single,
-        secured: Secured::Learned,
-        fair: Fair::Window,
-        scan: 1,
-        foresight: true,
+        secured: SecuredSlots::Learned,
+        fair: Fairness::Window,
+        scan_limit: 1,
+        refuse_early: true,
     }
 }
 
-fn pair(view: &mut View<'_>, ask: &Ask<'_>) -> Result<Pair, Wait> {
-    if is_full(view, ask, Secured::Learned) {
-        return Err(Wait::Slot);
+fn pair(view: &mut View<'_>, criteria: &Criteria<'_>) -> Result<Pair, WaitReason> {
+    if is_full(view, criteria, SecuredSlots::Learned) {
+        return Err(WaitReason::Slot);
     }
-    let mut sites = Sites::new(view, ask);
+    let mut sites = DecodeSites::new(view, criteria);
     let horizon = view.horizon();
-    let mut keys = ready(view, ask);
-    keys.retain(|key| view.ready(*key) <= horizon);
-    let priced = keys
+    let mut keys = prefill_candidates(view, criteria);
+    keys.retain(|key| view.ready_at(*key) <= horizon);
+    let estimates = keys
         .iter()
-        .filter_map(|key| price(view, ask, *key, &mut sites));
-    let mut pairs: Vec<Pair> = priced.collect();
-    keep_lasting(view, ask, &mut pairs);
+        .filter_map(|key| estimate_pair(view, criteria, *key, &mut sites));
+    let mut pairs: Vec<Pair> = estimates.collect();
+    retain_viable(view, criteria, &mut pairs);
     let best = pairs
         .iter()
-        .min_by_key(|pair| pair.first)
-        .ok_or(Wait::Replica)?;
-    secure(view, ask, best, Secured::Learned)?;
+        .min_by_key(|pair| pair.first_token)
+        .ok_or(WaitReason::Replica)?;
+    check_slot(view, criteria, best, SecuredSlots::Learned)?;
     Ok(Pair {
         candidates: pairs.len() as u32,
         ..*best
@@ -69,37 +69,40 @@
 }
 
 /// Prefill replicas worth comparing: the first ones ready and those that hold the prefix.
-pub(crate) fn ready(view: &View<'_>, ask: &Ask<'_>) -> Vec<Key> {
+pub(crate) fn prefill_candidates(view: &View<'_>, criteria: &Criteria<'_>) -> Vec<ReplicaKey> {
     let ready = view.pool.prefills().map(|(_, key)| key).take(MAX_COMPARED);
-    let mut keys: Vec<Key> = view.cache.holders(ask.ticket.blocks()).collect();
+    let mut keys: Vec<ReplicaKey> = view
+        .prefix_index
+        .holders(criteria.ticket.blocks())
+        .collect();
     keys.retain(|key| view.pool.get(*key).is_open());
     for key in ready {
         if !keys.contains(&key) {
             keys.push(key);
         }
     }
-    keys.retain(|key| !avoided(view, ask, *key));
+    keys.retain(|key| !is_avoided(view, criteria, *key));
     keys
 }
 
 /// The best decode replica of each data centre, and which of them is reached first.
 #[derive(Debug, Default)]
-pub(crate) struct Sites {
-    best: Vec<(Zone, Key)>,
-    reached: Vec<(Zone, Option<(Key, Duration)>)>,
+pub(crate) struct DecodeSites {
+    best: Vec<(Zone, ReplicaKey)>,
+    reached: Vec<(Zone, Option<(ReplicaKey, Duration)>)>,
 }
 
-impl Sites {
+impl DecodeSites {
     /// The sites for `ask`.
-    pub(crate) fn new(view: &View<'_>, ask: &Ask<'_>) -> Self {
+    pub(crate) fn new(view: &View<'_>, criteria: &Criteria<'_>) -> Self {
         let mut best = Vec::new();
         for (zone, keys) in view.pool.decodes() {
             let keys = keys
                 .take(MAX_COMPARED)
-                .filter(|key| view.kept != Some(*key));
-            let keys = keys.filter(|key| !avoided(view, ask, *key));
+                .filter(|key| view.reserved_decode != Some(*key));
+            let keys = keys.filter(|key| !is_avoided(view, criteria, *key));
             best.extend(
-                keys.max_by_key(|key| room(view, ask, *key))
+                keys.max_by_key(|key| preferred_slots(view, criteria, *key))
                     .map(|key| (zone, key)),
             );
         }
@@ -110,15 +113,24 @@
     }
 
     /// The site with a free slot that is reached first from `from`, or any if none has one.
-    fn reach(&mut self, view: &View<'_>, ask: &Ask<'_>, from: Zone) -> Option<(Key, Duration)> {
+    fn nearest(
+        &mut self,
+        view: &View<'_>,
+        criteria: &Criteria<'_>,
+        from: Zone,
+    ) -> Option<(ReplicaKey, Duration)> {
         let known = self.reached.iter().find(|(zone, _)| *zone == from);
         if let Some((_, reached)) = known {
             return *reached;
         }
-        let tokens = ask.ticket.prompt_tokens();
+        let tokens = criteria.ticket.prompt_tokens();
         let times = self.best.iter().map(|(zone, key)| {
             let time = view.links.expected(view.now, (from, *zone), tokens);
-            (view.pool.get(*key).room(ask.limit) <= 0, time, *key)
+            (
+                view.pool.get(*key).free_slots_within(criteria.max_batch) <= 0,
+                time,
+                *key,
+            )
         });
         let reached = times.min().map(|(_, time, key)| (key, time));
         self.reached.push((from, reached));
@@ -127,35 +139,35 @@
 }
 
 /// Free slots on `key`, with a preference for replicas of requests with the same kind of target.
-fn room(view: &View<'_>, ask: &Ask<'_>, key: Key) -> i64 {
+fn preferred_slots(view: &View<'_>, criteria: &Criteria<'_>, key: ReplicaKey) -> i64 {
     let server = view.pool.get(key);
-    let strict = ask.limit < server.member.slots;
-    let room = server.room(ask.limit);
-    if strict == server.is_strict() || room <= 0 {
-        room
+    let strict = criteria.max_batch < server.member.slots;
+    let slots = server.free_slots_within(criteria.max_batch);
+    if strict == server.is_batch_limited() || slots <= 0 {
+        slots
     } else {
-        room - MIXING
+        slots - MIXING_PENALTY
     }
 }
 
 /// The pair with `prefill` and the decode replica that its KV cache reaches first.
-pub(crate) fn price(
+pub(crate) fn estimate_pair(
     view: &View<'_>,
-    ask: &Ask<'_>,
-    prefill: Key,
-    sites: &mut Sites,
+    criteria: &Criteria<'_>,
+    prefill: ReplicaKey,
+    sites: &mut DecodeSites,
 ) -> Option<Pair> {
     let server = view.pool.get(prefill);
-    let (decode, transfer) = sites.reach(view, ask, server.member.zone)?;
-    let cached = view.cached(prefill, ask.ticket);
-    let span = view.span(prefill, ask.ticket, cached);
-    let done = view.ready(prefill) + span;
-    let first = done.max(server.sent_until) + transfer;
+    let (decode, transfer) = sites.nearest(view, criteria, server.member.zone)?;
+    let cached = view.cached_blocks(prefill, criteria.ticket);
+    let prefill_time = view.prefill_time(prefill, criteria.ticket, cached);
+    let done = view.ready_at(prefill) + prefill_time;
+    let first_token = done.max(server.transfers_end) + transfer;
     Some(Pair {
         prefill,
         decode,
-        span,
-        first,
+        prefill_time,
+        first_token,
         cached,
         candidates: 1,
     })
@@ -164,109 +176,111 @@
 /// Drops the pairs whose prefill result would be lost before its transfer ends.
 ///
 /// If that leaves none because links were bad, one transfer at a time may try them again.
-pub(crate) fn keep_lasting(view: &View<'_>, ask: &Ask<'_>, pairs: &mut Vec<Pair>) {
-    let part = KEEP_PART - THRIFT_PART * ask.thrift;
-    let longest = view.settings.prefill_retention.mul_f64(part);
-    let lasts = |pair: &Pair| {
-        let done = view.ready(pair.prefill) + pair.span;
-        pair.first.since(done) <= longest
+pub(crate) fn retain_viable(view: &View<'_>, criteria: &Criteria<'_>, pairs: &mut Vec<Pair>) {
+    let share = MAX_RETENTION_SHARE - WASTE_SHARE * criteria.waste_weight;
+    let longest = view.settings.prefill_retention.mul_f64(share);
+    let is_viable = |pair: &Pair| {
+        let done = view.ready_at(pair.prefill) + pair.prefill_time;
+        pair.first_token.since(done) <= longest
     };
-    if pairs.iter().any(lasts) {
-        pairs.retain(lasts);
+    if pairs.iter().any(is_viable) {
+        pairs.retain(is_viable);
         return;
     }
     pairs.retain(|pair| {
         let from = view.pool.get(pair.prefill);
         let path = (from.member.zone, view.pool.get(pair.decode).member.zone);
-        from.sent_until <= view.now && view.links.may_probe(view.now, path)
+        from.transfers_end <= view.now && view.links.may_probe(view.now, path)
     });
 }
 
 /// Whether no decode slot can be free by the time any prefill ends, which spares the comparison.
-pub(crate) fn is_full(view: &View<'_>, ask: &Ask<'_>, secured: Secured) -> bool {
-    let net = view.pool.net_free() - i64::from(view.stranded);
+pub(crate) fn is_full(view: &View<'_>, criteria: &Criteria<'_>, secured: SecuredSlots) -> bool {
+    let net = view.pool.net_free_slots() - i64::from(view.displaced);
     if net > 0 {
         return false;
     }
     let wanted = (1 - net) as u32;
     let rate = view.settings.min_prefill_rate;
-    let longest = Duration::from_secs_f64(f64::from(ask.ticket.prompt_tokens()) / rate);
+    let longest = Duration::from_secs_f64(f64::from(criteria.ticket.prompt_tokens()) / rate);
     let arrival = view.horizon() + longest;
     match secured {
-        Secured::Nothing => false,
-        Secured::Free => true,
-        Secured::Known => view.turnover.known(arrival) < wanted,
-        Secured::Learned if ask.thrift >= 1.0 => true,
-        Secured::Learned => view.turnover.likely(arrival.since(view.now), 0.5) < wanted,
+        SecuredSlots::Nothing => false,
+        SecuredSlots::Free => true,
+        SecuredSlots::Known => view.turnover.known_ends(arrival) < wanted,
+        SecuredSlots::Learned if criteria.waste_weight >= 1.0 => true,
+        SecuredSlots::Learned => view.turnover.likely_ends(arrival.since(view.now), 0.5) < wanted,
     }
 }
 
 /// Whether the slot of `pair` is free or will be in time.
-pub(crate) fn secure(
+pub(crate) fn check_slot(
     view: &View<'_>,
-    ask: &Ask<'_>,
+    criteria: &Criteria<'_>,
     pair: &Pair,
-    secured: Secured,
-) -> Result<(), Wait> {
+    secured: SecuredSlots,
+) -> Result<(), WaitReason> {
     let server = view.pool.get(pair.decode);
-    let net = view.pool.net_free() - i64::from(view.stranded);
+    let net = view.pool.net_free_slots() - i64::from(view.displaced);
     if net > 0 {
-        let fits = server.room(ask.limit) > 0;
+        let fits = server.free_slots_within(criteria.max_batch) > 0;
         return if fits {
             Ok(())
         } else {
-            Err(Wait::Batch(pair.decode))
+            Err(WaitReason::Batch(pair.decode))
         };
     }
-    if ask.limit < server.member.slots {
-        return if server.room(ask.limit) > 0 {
+    if criteria.max_batch < server.member.slots {
+        return if server.free_slots_within(criteria.max_batch) > 0 {
             Ok(())
         } else {
-            Err(Wait::Slot)
+            Err(WaitReason::Slot)
         };
     }
     let wanted = (1 - net) as u32;
-    let most = MAX_OVER * view.pool.open_decodes();
-    if server.room(ask.limit) <= -i64::from(MAX_OVER) || wanted > most {
-        return Err(Wait::Slot);
+    let most = MAX_OVERCOMMIT * view.pool.open_decodes();
+    if server.free_slots_within(criteria.max_batch) <= -i64::from(MAX_OVERCOMMIT) || wanted > most {
+        return Err(WaitReason::Slot);
     }
-    let arrival = view.ready(pair.prefill) + pair.span;
-    let likely = match secured {
-        Secured::Nothing => wanted,
-        Secured::Free => 0,
-        Secured::Known => view.turnover.known(arrival),
-        Secured::Learned => learned(view, ask, pair, arrival),
+    let arrival = view.ready_at(pair.prefill) + pair.prefill_time;
+    let expected = match secured {
+        SecuredSlots::Nothing => wanted,
+        SecuredSlots::Free => 0,
+        SecuredSlots::Known => view.turnover.known_ends(arrival),
+        SecuredSlots::Learned => learned_ends(view, criteria, pair, arrival),
     };
-    if likely >= wanted {
+    if expected >= wanted {
         Ok(())
     } else {
-        Err(Wait::Slot)
+        Err(WaitReason::Slot)
     }
 }
 
-fn learned(view: &View<'_>, ask: &Ask<'_>, pair: &Pair, arrival: Time) -> u32 {
-    let risk = MAX_RISK * (1.0 - ask.thrift);
+fn learned_ends(view: &View<'_>, criteria: &Criteria<'_>, pair: &Pair, arrival: Time) -> u32 {
+    let risk = MAX_RISK * (1.0 - criteria.waste_weight);
     if risk <= 0.0 {
         return 0;
     }
-    let span = arrival.since(view.now);
-    let transfer = pair.first.since(arrival);
-    let patience = (view.settings.prefill_retention.mul_f64(KEEP_PART)).saturating_sub(transfer);
-    let in_time = view.turnover.likely(span, 0.5);
-    in_time.min(view.turnover.likely(span + patience, risk))
+    let time_left = arrival.since(view.now);
+    let transfer = pair.first_token.since(arrival);
+    let slack =
+        (view.settings.prefill_retention.mul_f64(MAX_RETENTION_SHARE)).saturating_sub(transfer);
+    let in_time = view.turnover.likely_ends(time_left, 0.5);
+    in_time.min(view.turnover.likely_ends(time_left + slack, risk))
 }
 
 /// Another decode replica for a finished prefill: one that has a slot free of requests that are
 /// already decoding.
-pub(crate) fn decode(view: &mut View<'_>, ask: &Ask<'_>) -> Option<Key> {
+pub(crate) fn decode(view: &mut View<'_>, criteria: &Criteria<'_>) -> Option<ReplicaKey> {
     let keys = view.pool.decodes().filter_map(|(zone, keys)| {
         let mut keys = keys
             .take(MAX_COMPARED)
-            .filter(|key| view.pool.get(*key).vacant(ask.limit) > 0);
-        let key = keys.find(|key| !avoided(view, ask, *key))?;
-        let tokens = ask.ticket.prompt_tokens();
+            .filter(|key| view.pool.get(*key).unoccupied_slots(criteria.max_batch) > 0);
+        let key = keys.find(|key| !is_avoided(view, criteria, *key))?;
+        let tokens = criteria.ticket.prompt_tokens();
         Some((
-            view.links.expected(view.now, (ask.source, zone), tokens),
+            view.links
+                .expected(view.now, (criteria.source, zone), tokens),
             key,
         ))
     });
--- a/crates/route/src/policy/reserved.rs
+++ b/crates/route/src/policy/reserved.rs
@@ -5,14 +5,14 @@
 use ident::Time;
 use ident::Zone;
 
-use crate::policy::Ask;
-use crate::policy::Fair;
+use crate::policy::Criteria;
+use crate::policy::Fairness;
 use crate::policy::Pair;
 use crate::policy::Policy;
-use crate::policy::Secured;
+use crate::policy::SecuredSlots;
 use crate::policy::View;
-use crate::policy::Wait;
-use crate::server::Key;
+use crate::policy::WaitReason;
+use crate::server::ReplicaKey;
 
 /// Replicas that are compared in each index.
 pub(crate) const MAX_COMPARED: usize = 8;
@@ -25,21 +25,21 @@
         pair,
         decode,
         single,
-        secured: Secured::Free,
-        fair: Fair::Stride,
-        scan: 1,
-        foresight: false,
+        secured: SecuredSlots::Free,
+        fair: Fairness::Stride,
+        scan_limit: 1,
+        refuse_early: false,
     }
 }
 
 /// Least slack first: the latest time to start that still meets the target.
-pub(crate) fn order(ask: &Ask<'_>) -> Time {
-    ask.due - ask.fastest
+pub(crate) fn order(criteria: &Criteria<'_>) -> Time {
+    criteria.due - criteria.min_ttft
 }
 
-fn pair(view: &mut View<'_>, ask: &Ask<'_>) -> Result<Pair, Wait> {
-    if view.pool.net_free() <= 0 {
-        return Err(Wait::Slot);
+fn pair(view: &mut View<'_>, criteria: &Criteria<'_>) -> Result<Pair, WaitReason> {
+    if view.pool.net_free_slots() <= 0 {
+        return Err(WaitReason::Slot);
     }
     let horizon = view.horizon();
     let ready = view
@@ -48,32 +48,35 @@
         .take_while(|(ready, _)| *ready <= horizon);
     let ready = ready.map(|(_, key)| key).take(MAX_COMPARED);
     let holders = view
-        .cache
-        .holders(ask.ticket.blocks())
-        .filter(|key| usable(view, *key, horizon));
+        .prefix_index
+        .holders(criteria.ticket.blocks())
+        .filter(|key| is_ready(view, *key, horizon));
     let mut best: Option<Pair> = None;
     let mut candidates = 0;
-    for prefill in ready.chain(holders).filter(|key| !avoided(view, ask, *key)) {
+    for prefill in ready
+        .chain(holders)
+        .filter(|key| !is_avoided(view, criteria, *key))
+    {
         candidates += 1;
-        let pair = price(view, ask, prefill);
+        let pair = estimate_pair(view, criteria, prefill);
         best = match (best, pair) {
-            (Some(best), Some(pair)) if pair.first < best.first => Some(pair),
+            (Some(best), Some(pair)) if pair.first_token < best.first_token => Some(pair),
             (None, pair) => pair,
             (best, _) => best,
         };
     }
     best.map(|pair| Pair { candidates, ..pair })
-        .ok_or(Wait::Replica)
+        .ok_or(WaitReason::Replica)
 }
 
-fn usable(view: &View<'_>, key: Key, horizon: Time) -> bool {
+fn is_ready(view: &View<'_>, key: ReplicaKey, horizon: Time) -> bool {
     let server = view.pool.get(key);
     server.is_open() && server.ready() <= horizon
 }
 
 /// Whether `key` failed an earlier attempt and another replica could take its part.
-pub(crate) fn avoided(view: &View<'_>, ask: &Ask<'_>, key: Key) -> bool {
-    let avoid = &ask.ticket.avoid;
+pub(crate) fn is_avoided(view: &View<'_>, criteria: &Criteria<'_>, key: ReplicaKey) -> bool {
+    let avoid = &criteria.ticket.avoid;
     let server = view.pool.get(key);
     if !avoid.contains(&server.member.replica) {
         return false;
@@ -84,33 +87,34 @@
     })
 }
 
-fn price(view: &View<'_>, ask: &Ask<'_>, prefill: Key) -> Option<Pair> {
+fn estimate_pair(view: &View<'_>, criteria: &Criteria<'_>, prefill: ReplicaKey) -> Option<Pair> {
     let server = view.pool.get(prefill);
-    let cached = view.cached(prefill, ask.ticket);
-    let span = view.span(prefill, ask.ticket, cached);
-    let done = server.ready().max(view.now) + span;
-    let (decode, transfer) = nearest(view, ask, server.member.zone)?;
+    let cached = view.cached_blocks(prefill, criteria.ticket);
+    let prefill_time = view.prefill_time(prefill, criteria.ticket, cached);
+    let done = server.ready().max(view.now) + prefill_time;
+    let (decode, transfer) = nearest(view, criteria, server.member.zone)?;
     Some(Pair {
         prefill,
         decode,
-        span,
-        first: done + transfer,
+        prefill_time,
+        first_token: done + transfer,
         cached,
         candidates: 1,
     })
 }
 
 /// The decode replica with a free slot that the KV cache reaches first from `from`.
-fn nearest(view: &View<'_>, ask: &Ask<'_>, from: Zone) -> Option<(Key, Duration)> {
-    let mut best: Option<(Key, Duration)> = None;
+fn nearest(view: &View<'_>, criteria: &Criteria<'_>, from: Zone) -> Option<(ReplicaKey, Duration)> {
+    let mut best: Option<(ReplicaKey, Duration)> = None;
     for (zone, mut keys) in view.pool.decodes() {
-        let free = keys.find(|key| view.pool.get(*key).free() > 0 && !avoided(view, ask, *key));
+        let free = keys
+            .find(|key| view.pool.get(*key).free_slots() > 0 && !is_avoided(view, criteria, *key));
         let Some(key) = free else {
             continue;
         };
         let time = view
             .links
-            .expected(view.now, (from, zone), ask.ticket.prompt_tokens());
+            .expected(view.now, (from, zone), criteria.ticket.prompt_tokens());
         if best.is_none_or(|(_, least)| time < least) {
             best = Some((key, time));
         }
@@ -118,17 +122,18 @@
     best
 }
 
-fn decode(view: &mut View<'_>, ask: &Ask<'_>) -> Option<Key> {
-    nearest(view, ask, ask.source).map(|(key, _)| key)
+fn decode(view: &mut View<'_>, criteria: &Criteria<'_>) -> Option<ReplicaKey> {
+    nearest(view, criteria, criteria.source).map(|(key, _)| key)
 }
 
-pub(crate) fn single(view: &mut View<'_>, ask: &Ask<'_>) -> Option<Key> {
+pub(crate) fn single(view: &mut View<'_>, criteria: &Criteria<'_>) -> Option<ReplicaKey> {
     let open = view.pool.plains().map(|(_, key)| key).take(MAX_COMPARED);
-    let free = open.filter(|key| view.pool.get(*key).free() > 0 && !avoided(view, ask, *key));
-    free.min_by(|a, b| wait(view, *a).total_cmp(&wait(view, *b)))
+    let free = open
+        .filter(|key| view.pool.get(*key).free_slots() > 0 && !is_avoided(view, criteria, *key));
+    free.min_by(|a, b| expected_wait(view, *a).total_cmp(&expected_wait(view, *b)))
 }
 
-fn wait(view: &View<'_>, key: Key) -> f64 {
+fn expected_wait(view: &View<'_>, key: ReplicaKey) -> f64 {
     let server = view.pool.get(key);
-    server.service.value() * f64::from(server.load() + 1)
+    server.call_time.value() * f64::from(server.load() + 1)
 }
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -13,18 +13,18 @@
 use crate::hash::Map;
 use crate::replica::Member;
 use crate::replica::Role;
-use crate::server::Key;
+use crate::server::ReplicaKey;
 use crate::server::Server;
 
 /// The replicas of a cell.
 #[derive(Debug, Default)]
 pub struct Pool {
     servers: Vec<Server>,
-    keys: Map<Replica, Key>,
-    prefills: BTreeSet<(Time, Key)>,
-    decodes: BTreeMap<Zone, BTreeSet<(Reverse<i64>, Key)>>,
-    plains: BTreeSet<(u32, Key)>,
-    net_free: i64,
+    keys: Map<Replica, ReplicaKey>,
+    prefills: BTreeSet<(Time, ReplicaKey)>,
+    decodes: BTreeMap<Zone, BTreeSet<(Reverse<i64>, ReplicaKey)>>,
+    plains: BTreeSet<(u32, ReplicaKey)>,
+    net_free_slots: i64,
     open_prefills: u32,
     open_slots: u32,
     open_decodes: u32,
@@ -32,43 +32,45 @@
 
 impl Pool {
     /// The key of `replica`.
-    pub fn key(&self, replica: Replica) -> Option<Key> {
+    pub fn key(&self, replica: Replica) -> Option<ReplicaKey> {
         self.keys.get(&replica).copied()
     }
 
     /// The replica behind `key`.
-    pub fn get(&self, key: Key) -> &Server {
+    pub fn get(&self, key: ReplicaKey) -> &Server {
         &self.servers[key.0 as usize]
     }
 
     /// All replicas, closed ones too.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, &Server)> {
+    pub fn iter(&self) -> impl Iterator<Item = (ReplicaKey, &Server)> {
         self.servers
             .iter()
             .enumerate()
-            .map(|(i, server)| (Key(i as u32), server))
+            .map(|(i, server)| (ReplicaKey(i as u32), server))
     }
 
     /// Open prefill replicas, the one that is ready first foremost.
-    pub fn prefills(&self) -> impl Iterator<Item = (Time, Key)> + '_ {
+    pub fn prefills(&self) -> impl Iterator<Item = (Time, ReplicaKey)> + '_ {
         self.prefills.iter().copied()
     }
 
     /// Open decode replicas of each zone, the one with most free slots foremost.
-    pub fn decodes(&self) -> impl Iterator<Item = (Zone, impl Iterator<Item = Key> + '_)> + '_ {
+    pub fn decodes(
+        &self,
+    ) -> impl Iterator<Item = (Zone, impl Iterator<Item = ReplicaKey> + '_)> + '_ {
         self.decodes
             .iter()
             .map(|(zone, set)| (*zone, set.iter().map(|(_, key)| *key)))
     }
 
     /// Open plain replicas, the least loaded foremost.
-    pub fn plains(&self) -> impl Iterator<Item = (u32, Key)> + '_ {
+    pub fn plains(&self) -> impl Iterator<Item = (u32, ReplicaKey)> + '_ {
         self.plains.iter().copied()
     }
 
     /// Free slots on all open decode replicas, less those claimed beyond the slots of a replica.
-    pub const fn net_free(&self) -> i64 {
-        self.net_free
+    pub const fn net_free_slots(&self) -> i64 {
+        self.net_free_slots
     }
 
     /// Open prefill replicas.
@@ -87,7 +89,7 @@
     }
 
     /// Adds `member`, or updates it.
-    pub fn insert(&mut self, member: Member, rate: f64) -> Key {
+    pub fn insert(&mut self, member: Member, rate: f64) -> ReplicaKey {
         if let Some(key) = self.key(member.replica) {
             self.update(key, |server| {
                 server.member = member;
@@ -95,35 +97,46 @@
             });
             return key;
         }
-        let key = Key(self.servers.len() as u32);
+        let key = ReplicaKey(self.servers.len() as u32);
         self.servers.push(Server::new(member, rate));
         self.keys.insert(member.replica, key);
-        self.link(key);
+        self.index(key);
         key
     }
 
     /// Changes a replica through `change` and keeps the indexes in step.
-    pub fn update(&mut self, key: Key, change: impl FnOnce(&mut Server)) {
-        self.unlink(key);
+    pub fn update(&mut self, key: ReplicaKey, change: impl FnOnce(&mut Server)) {
+        self.unindex(key);
         let server = &mut self.servers[key.0 as usize];
         change(server);
         server.refresh();
-        self.link(key);
+        self.index(key);
     }
 
     /// Gives a prefill to a replica.
-    pub fn push_job(&mut self, now: Time, key: Key, handle: Handle, span: Duration) {
-        self.update(key, |server| server.push_job(now, handle, span));
+    pub fn push_prefill(
+        &mut self,
+        now: Time,
+        key: ReplicaKey,
+        handle: Handle,
+        prefill_time: Duration,
+    ) {
+        self.update(key, |server| server.push_prefill(now, handle, prefill_time));
     }
 
     /// Takes a prefill back, ended or not; answers how long it ran, if it was the running one.
-    pub fn pull_job(&mut self, now: Time, key: Key, handle: Handle) -> Option<Duration> {
+    pub fn remove_prefill(
+        &mut self,
+        now: Time,
+        key: ReplicaKey,
+        handle: Handle,
+    ) -> Option<Duration> {
         let mut ran = None;
-        self.update(key, |server| ran = server.pull_job(now, handle));
+        self.update(key, |server| ran = server.remove_prefill(now, handle));
         ran
     }
 
-    fn link(&mut self, key: Key) {
+    fn index(&mut self, key: ReplicaKey) {
         let server = &self.servers[key.0 as usize];
         if !server.is_open() {
             return;
@@ -136,8 +149,8 @@
             Role::Decode => {
                 self.open_slots += server.member.slots;
                 self.open_decodes += 1;
-                self.net_free += server.free();
-                let entry = (Reverse(server.free()), key);
+                self.net_free_slots += server.free_slots();
+                let entry = (Reverse(server.free_slots()), key);
                 self.decodes
                     .entry(server.member.zone)
                     .or_default()
@@ -149,7 +162,7 @@
         }
     }
 
-    fn unlink(&mut self, key: Key) {
+    fn unindex(&mut self, key: ReplicaKey) {
         let server = &self.servers[key.0 as usize];
         if !server.is_open() {
             return;
@@ -162,9 +175,9 @@
             Role::Decode => {
                 self.open_slots -= server.member.slots;
                 self.open_decodes -= 1;
-                self.net_free -= server.free();
+                self.net_free_slots -= server.free_slots();
                 if let Some(set) = self.decodes.get_mut(&server.member.zone) {
-                    set.remove(&(Reverse(server.free()), key));
+                    set.remove(&(Reverse(server.free_slots()), key));
                 }
             }
             Role::Plain => {
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -8,30 +8,30 @@
 /// Waiting requests in two tiers: those that can still meet their target, and those that cannot.
 #[derive(Debug, Default)]
 pub struct Queue {
-    punctual: BTreeSet<(Time, Handle)>,
+    on_time: BTreeSet<(Time, Handle)>,
     late: BTreeSet<(Time, Handle)>,
 }
 
 impl Queue {
     /// Adds a request whose order key is `order`.
     pub fn insert(&mut self, order: Time, handle: Handle) {
-        self.punctual.insert((order, handle));
+        self.on_time.insert((order, handle));
     }
 
     /// Removes a request; false if it was not waiting.
     pub fn remove(&mut self, order: Time, expiry: Time, handle: Handle) -> bool {
-        self.punctual.remove(&(order, handle)) || self.late.remove(&(expiry, handle))
+        self.on_time.remove(&(order, handle)) || self.late.remove(&(expiry, handle))
     }
 
     /// Moves a request to the late tier, ordered by `expiry`.
     pub fn demote(&mut self, order: Time, expiry: Time, handle: Handle) {
-        self.punctual.remove(&(order, handle));
+        self.on_time.remove(&(order, handle));
         self.late.insert((expiry, handle));
     }
 
     /// Requests that can still meet their target, in order.
-    pub fn punctual(&self) -> impl Iterator<Item = Handle> + '_ {
-        self.punctual.iter().map(|(_, handle)| *handle)
+    pub fn on_time(&self) -> impl Iterator<Item = Handle> + '_ {
+        self.on_time.iter().map(|(_, handle)| *handle)
     }
 
     /// Requests that cannot, in order.
@@ -41,11 +41,11 @@
 
     /// The first waiting request, marked if it is late.
     pub fn head(&self) -> Option<(bool, Time, Handle)> {
-        let punctual = self
-            .punctual
+        let on_time = self
+            .on_time
             .first()
             .map(|(order, handle)| (false, *order, *handle));
-        punctual.or_else(|| {
+        on_time.or_else(|| {
             self.late
                 .first()
                 .map(|(expiry, handle)| (true, *expiry, *handle))
@@ -54,15 +54,15 @@
 
     /// Waiting requests in order, those that are late marked so and last.
     pub fn iter(&self) -> impl Iterator<Item = (bool, Time, Handle)> + '_ {
-        let punctual = self
-            .punctual
+        let on_time = self
+            .on_time
             .iter()
             .map(|(order, handle)| (false, *order, *handle));
         let late = self
             .late
             .iter()
             .map(|(expiry, handle)| (true, *expiry, *handle));
-        punctual.chain(late)
+        on_time.chain(late)
     }
 
     /// Waiting requests that cannot meet their target.
@@ -72,6 +72,6 @@
 
     /// Waiting requests.
     pub fn len(&self) -> usize {
-        self.punctual.len() + self.late.len()
+        self.on_time.len() + self.late.len()
     }
 }
--- a/crates/route/src/flow.rs
+++ b/crates/route/src/request.rs
@@ -4,8 +4,8 @@
 
 use ident::Time;
 
-use crate::policy::Ask;
-use crate::server::Key;
+use crate::policy::Criteria;
+use crate::server::ReplicaKey;
 use crate::ticket::Ticket;
 use crate::verdict::Verdict;
 
@@ -28,7 +28,7 @@
 
 /// One request.
 #[derive(Debug)]
-pub struct Flow {
+pub struct Request {
     /// As submitted.
     pub ticket: Ticket,
     /// Arrival at the owner.
@@ -42,21 +42,21 @@
     /// When its longest wait ends.
     pub expiry: Time,
     /// Shortest time to its first token on an idle cell.
-    pub fastest: Duration,
+    pub min_ttft: Duration,
     /// How strongly wasted prefill weighs against goodput, from 0 to 1.
-    pub thrift: f64,
+    pub waste_weight: f64,
     /// How far it has come.
     pub state: State,
     /// When it came there.
     pub since: Time,
     /// The replica that runs the prefill (plain: the call).
-    pub prefill: Option<Key>,
+    pub prefill: Option<ReplicaKey>,
     /// The decode replica on which a slot is claimed.
-    pub decode: Option<Key>,
+    pub decode: Option<ReplicaKey>,
     /// The largest batch in which it meets its target for the time between tokens.
-    pub limit: u32,
+    pub max_batch: u32,
     /// The decode replica's batch over time when it joined, in request seconds.
-    pub area: f64,
+    pub batch_integral: f64,
     /// When it is known to end; absent where lengths are not known.
     pub end: Option<Time>,
     /// Tokens that it generated, once it has ended.
@@ -65,17 +65,17 @@
     pub verdict: Option<Verdict>,
 }
 
-impl Flow {
+impl Request {
     /// What a policy sees of the request.
-    pub fn ask(&self) -> Ask<'_> {
-        Ask {
+    pub fn criteria(&self) -> Criteria<'_> {
+        Criteria {
             ticket: &self.ticket,
             due: self.due,
             expiry: self.expiry,
-            fastest: self.fastest,
+            min_ttft: self.min_ttft,
             source: self.ticket.home,
-            limit: self.limit,
-            thrift: self.thrift,
+            max_batch: self.max_batch,
+            waste_weight: self.waste_weight,
         }
     }
 }
--- a/crates/route/src/row.rs
+++ b/crates/route/src/row.rs
@@ -13,7 +13,7 @@
 
 /// Rule, queue and counters of one row.
 #[derive(Debug)]
-pub struct Lane {
+pub struct RowState {
     /// The row's rule.
     pub rule: Rule,
     /// Its waiting requests.
@@ -25,16 +25,16 @@
     /// Its requests that hold a decode slot (plain: in progress).
     pub decodes: u32,
     /// Work done for the row, divided by its share.
-    pub used: f64,
+    pub virtual_time: f64,
     /// Requests granted.
     pub grants: Meter,
     /// Late requests granted.
     pub late_grants: Meter,
-    first: Meter,
+    first_attempts: Meter,
     retries: Meter,
 }
 
-impl Lane {
+impl RowState {
     /// A row without requests.
     pub fn new(now: Time, rule: Rule) -> Self {
         Self {
@@ -43,10 +43,10 @@
             plain: false,
             prefills: 0,
             decodes: 0,
-            used: 0.0,
+            virtual_time: 0.0,
             grants: Meter::new(now, WINDOW),
             late_grants: Meter::new(now, WINDOW),
-            first: Meter::new(now, WINDOW),
+            first_attempts: Meter::new(now, WINDOW),
             retries: Meter::new(now, WINDOW),
         }
     }
@@ -58,19 +58,19 @@
     }
 
     /// Whether the ceilings admit no request of this kind at any time.
-    pub const fn is_shut(&self, plain: bool) -> bool {
+    pub const fn is_closed(&self, plain: bool) -> bool {
         self.rule.decode_ceiling == 0 || (self.rule.prefill_ceiling == 0 && !plain)
     }
 
     /// Counts a first attempt.
-    pub fn count_first(&mut self, now: Time) {
-        self.first.add(now, 1.0);
+    pub fn count_first_attempt(&mut self, now: Time) {
+        self.first_attempts.add(now, 1.0);
     }
 
     /// Counts a retry if the budget admits it, which is `least` in a window at the least.
-    pub fn take_retry(&mut self, now: Time, least: f64) -> bool {
-        let budget = self.first.decayed(now) * f64::from(self.rule.retry_percent) / 100.0;
-        let granted = self.retries.decayed(now) + 1.0 <= budget.max(least);
+    pub fn take_retry(&mut self, now: Time, min_retries: f64) -> bool {
+        let budget = self.first_attempts.decayed(now) * f64::from(self.rule.retry_percent) / 100.0;
+        let granted = self.retries.decayed(now) + 1.0 <= budget.max(min_retries);
         if granted {
             self.retries.add(now, 1.0);
         }
--- a/crates/route/src/scheduler.rs
+++ b/crates/route/src/scheduler.rs
@@ -22,21 +22,21 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::cache::Cache;
-use crate::flow::Flow;
+use crate::ended_requests::EndedRequests;
 use crate::hash::Map;
 use crate::link::Links;
-use crate::memo::Memo;
 use crate::policy::Policy;
 use crate::policy::View;
 use crate::pool::Pool;
+use crate::prefix_index::PrefixIndex;
 use crate::replica::Member;
 use crate::replica::Report;
-use crate::row::Lane;
+use crate::request::Request;
+use crate::row::RowState;
 use crate::rule::Rule;
-use crate::server::Key;
+use crate::server::ReplicaKey;
 use crate::settings::Settings;
-use crate::token::Fit;
+use crate::token_time::TokenTimeModel;
 use crate::turnover::Turnover;
 use crate::verdict::Verdict;
 
@@ -47,19 +47,19 @@
     policy: Policy,
     random: Pcg64Mcg,
     pool: Pool,
-    cache: Cache,
+    prefix_index: PrefixIndex,
     links: Links,
     turnover: Turnover,
-    fit: Fit,
-    lanes: BTreeMap<Row, Lane>,
-    flows: Map<Handle, Flow>,
-    memo: Memo,
+    token_time: TokenTimeModel,
+    row_states: BTreeMap<Row, RowState>,
+    requests: Map<Handle, Request>,
+    ended: EndedRequests,
     rejected: VecDeque<Handle>,
     outbox: Vec<Verdict>,
     grace_end: Time,
     waiting: usize,
-    stranded: u32,
-    turn: u64,
+    displaced: u32,
+    sequence: u64,
 }
 
 impl Scheduler {
@@ -75,39 +75,39 @@
             policy,
             random: Pcg64Mcg::seed_from_u64(seed),
             pool: Pool::default(),
-            cache: Cache::default(),
+            prefix_index: PrefixIndex::default(),
             links: Links::new(settings.transfer_per_token.as_secs_f64()),
             turnover: Turnover::new(),
-            fit: Fit::default(),
-            lanes: BTreeMap::new(),
-            flows: Map::default(),
-            memo: Memo::default(),
+            token_time: TokenTimeModel::default(),
+            row_states: BTreeMap::new(),
+            requests: Map::default(),
+            ended: EndedRequests::default(),
             rejected: VecDeque::new(),
             outbox: Vec::new(),
             grace_end: Time::ZERO,
             waiting: 0,
-            stranded: 0,
-            turn: 0,
+            displaced: 0,
+            sequence: 0,
         }
     }
 
     /// Puts the rules of all rows in force; waiting requests of a row that is gone are refused.
     pub fn set_rules(&mut self, now: Time, rules: &[Rule]) {
         for rule in rules {
-            match self.lanes.get_mut(&rule.row) {
-                Some(lane) => lane.rule = *rule,
-                None => drop(self.lanes.insert(rule.row, Lane::new(now, *rule))),
+            match self.row_states.get_mut(&rule.row) {
+                Some(row_state) => row_state.rule = *rule,
+                None => drop(self.row_states.insert(rule.row, RowState::new(now, *rule))),
             }
         }
-        let kept: HashSet<Row> = rules.iter().map(|rule| rule.row).collect();
+        let current: HashSet<Row> = rules.iter().map(|rule| rule.row).collect();
         let dropped: Vec<Row> = self
-            .lanes
+            .row_states
             .keys()
             .copied()
-            .filter(|row| !kept.contains(row))
+            .filter(|row| !current.contains(row))
             .collect();
         for row in dropped {
-            self.drop_lane(now, row);
+            self.remove_row(now, row);
         }
     }
 
@@ -123,7 +123,7 @@
             .collect();
         for replica in missing {
             self.mark_lost(now, replica);
-            self.close(replica);
+            self.unlist(replica);
         }
         for member in members {
             self.pool.insert(*member, self.settings.prefill_rate);
@@ -142,7 +142,8 @@
         self.pool.update(key, |server| server.boot = report.boot);
         self.pool.update(key, |server| server.report(report));
         for event in &report.events {
-            self.cache.apply(key, event.seq, event.block, event.stored);
+            self.prefix_index
+                .apply(key, event.seq, event.block, event.stored);
         }
     }
 
@@ -153,7 +154,7 @@
 
     /// Requests that have been placed and have not ended.
     pub fn in_progress(&self) -> usize {
-        self.flows.len() - self.waiting
+        self.requests.len() - self.waiting
     }
 
     /// Slots that requests of this cell claim on `replica`.
@@ -165,15 +166,15 @@
 
     /// Requests of `row` in prefill and holding a decode slot.
     pub fn row_usage(&self, row: Row) -> (u32, u32) {
-        self.lanes
+        self.row_states
             .get(&row)
-            .map_or((0, 0), |lane| (lane.prefills, lane.decodes))
+            .map_or((0, 0), |row_state| (row_state.prefills, row_state.decodes))
     }
 
     /// Handles that `owner` submitted and that have not ended.
     pub fn handles_of(&self, owner: ident::Incarnation) -> Vec<Handle> {
         let mut handles: Vec<Handle> = self
-            .flows
+            .requests
             .keys()
             .copied()
             .filter(|handle| handle.owner == owner)
@@ -182,7 +183,7 @@
         handles
     }
 
-    fn close(&mut self, replica: Replica) {
+    fn unlist(&mut self, replica: Replica) {
         if let Some(key) = self.pool.key(replica) {
             self.pool.update(key, |server| server.listed = false);
         }
@@ -191,21 +192,21 @@
     fn view<'a>(
         &'a mut self,
         now: Time,
-        promised: &'a mut BTreeMap<Key, Duration>,
-        kept: Option<Key>,
+        deferred_prefills: &'a mut BTreeMap<ReplicaKey, Duration>,
+        reserved_decode: Option<ReplicaKey>,
     ) -> View<'a> {
-        self.turn += 1;
+        self.sequence += 1;
         View {
             now,
             pool: &self.pool,
-            cache: &self.cache,
+            prefix_index: &self.prefix_index,
             links: &self.links,
             turnover: &self.turnover,
             settings: &self.settings,
-            stranded: self.stranded,
-            promised,
-            kept,
-            turn: self.turn,
+            displaced: self.displaced,
+            deferred_prefills,
+            reserved_decode,
+            sequence: self.sequence,
             random: &mut self.random,
         }
     }
@@ -213,11 +214,11 @@
     /// Time until a new request of `row` may expect to be taken; above zero.
     fn retry_after(&self, now: Time, row: Row) -> Duration {
         let settings = &self.settings;
-        let Some(lane) = self.lanes.get(&row) else {
+        let Some(row_state) = self.row_states.get(&row) else {
             return settings.max_retry_after;
         };
-        let rate = lane.grants.rate(now);
-        let queued = lane.queue.len() as f64 + 1.0;
+        let rate = row_state.grants.rate(now);
+        let queued = row_state.queue.len() as f64 + 1.0;
         let seconds = if rate > 0.0 { queued / rate } else { f64::MAX };
         let most = settings.max_retry_after.as_secs_f64();
         Duration::from_secs_f64(seconds.min(most)).max(settings.min_retry_after)
--- a/crates/route/src/scheduler/adopt.rs
+++ b/crates/route/src/scheduler/adopt.rs
@@ -5,10 +5,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::flow::Flow;
-use crate::flow::State;
 use crate::phase::Phase;
 use crate::replica::Role;
+use crate::request::Request;
+use crate::request::State;
 use crate::scheduler::Scheduler;
 use crate::ticket::Ticket;
 use crate::verdict::Choice;
@@ -48,22 +48,22 @@
         if self.grace_end == Time::ZERO {
             self.begin_takeover(now);
         }
-        if self.flows.contains_key(&handle) || self.memo.contains(handle) {
+        if self.requests.contains_key(&handle) || self.ended.contains(handle) {
             return;
         }
         let Some(decode) = self.pool.key(hold.decode) else {
             return;
         };
         let prefill = hold.prefill.and_then(|replica| self.pool.key(replica));
-        let flow = self.adopted(now, hold);
-        let span = flow.fastest;
-        self.flows.insert(handle, flow);
-        if let Some(lane) = self.lanes.get_mut(&hold.ticket.row) {
-            lane.count_first(now);
+        let request = self.adopted_request(now, hold);
+        let prefill_time = request.min_ttft;
+        self.requests.insert(handle, request);
+        if let Some(row_state) = self.row_states.get_mut(&hold.ticket.row) {
+            row_state.count_first_attempt(now);
         }
         match (self.pool.get(decode).member.role, prefill) {
             (Role::Plain, _) => self.claim_single(now, handle, decode, State::Plain),
-            (_, Some(prefill)) => self.claim_pair(now, handle, prefill, decode, span),
+            (_, Some(prefill)) => self.claim_pair(now, handle, prefill, decode, prefill_time),
             (_, None) => self.claim_single(now, handle, decode, State::Decode),
         }
         if let Some(phase) = hold.phase {
@@ -71,7 +71,7 @@
         }
     }
 
-    fn adopted(&self, now: Time, hold: &Hold) -> Flow {
+    fn adopted_request(&self, now: Time, hold: &Hold) -> Request {
         let choice = match hold.prefill {
             Some(prefill) => Choice::Paired {
                 prefill,
@@ -86,9 +86,9 @@
             choice,
             why: DecisionDetails::default(),
         };
-        Flow {
+        Request {
             verdict: Some(verdict),
-            ..self.flow(now, hold.ticket.clone())
+            ..self.new_request(now, hold.ticket.clone())
         }
     }
 }
--- a/crates/route/src/scheduler/claim.rs
+++ b/crates/route/src/scheduler/claim.rs
@@ -5,12 +5,12 @@
 use ident::Handle;
 use ident::Time;
 
-use crate::flow::Flow;
-use crate::flow::State;
 use crate::link::Path;
-use crate::policy::Secured;
+use crate::policy::SecuredSlots;
+use crate::request::Request;
+use crate::request::State;
 use crate::scheduler::Scheduler;
-use crate::server::Key;
+use crate::server::ReplicaKey;
 use crate::ticket::Work;
 
 impl Scheduler {
@@ -19,155 +19,168 @@
         &mut self,
         now: Time,
         handle: Handle,
-        prefill: Key,
-        decode: Key,
-        span: Duration,
+        prefill: ReplicaKey,
+        decode: ReplicaKey,
+        prefill_time: Duration,
     ) {
-        self.pool.push_job(now, prefill, handle, span);
+        self.pool.push_prefill(now, prefill, handle, prefill_time);
         self.claim_slot(handle, decode);
-        let Some(flow) = self.flows.get_mut(&handle) else {
+        let Some(request) = self.requests.get_mut(&handle) else {
             return;
         };
-        flow.prefill = Some(prefill);
-        flow.state = State::Prefill;
-        flow.since = now;
-        if let Some(lane) = self.lanes.get_mut(&flow.ticket.row) {
-            lane.prefills += 1;
-            lane.decodes += 1;
+        request.prefill = Some(prefill);
+        request.state = State::Prefill;
+        request.since = now;
+        if let Some(row_state) = self.row_states.get_mut(&request.ticket.row) {
+            row_state.prefills += 1;
+            row_state.decodes += 1;
         }
     }
 
     /// Notes that `handle` runs on `key` alone: a plain call, or a decode whose prefill is over.
-    pub(super) fn claim_single(&mut self, now: Time, handle: Handle, key: Key, state: State) {
+    pub(super) fn claim_single(
+        &mut self,
+        now: Time,
+        handle: Handle,
+        key: ReplicaKey,
+        state: State,
+    ) {
         self.claim_slot(handle, key);
-        self.enter(now, handle, state);
-        let row = self.flows.get(&handle).map(|flow| flow.ticket.row);
-        if let Some(lane) = row.and_then(|row| self.lanes.get_mut(&row)) {
-            lane.decodes += 1;
+        self.enter_state(now, handle, state);
+        let row = self.requests.get(&handle).map(|request| request.ticket.row);
+        if let Some(row_state) = row.and_then(|row| self.row_states.get_mut(&row)) {
+            row_state.decodes += 1;
         }
     }
 
     /// Claims a slot on `key`.
-    pub(super) fn claim_slot(&mut self, handle: Handle, key: Key) {
-        let Some(flow) = self.flows.get_mut(&handle) else {
+    pub(super) fn claim_slot(&mut self, handle: Handle, key: ReplicaKey) {
+        let Some(request) = self.requests.get_mut(&handle) else {
             return;
         };
-        flow.decode = Some(key);
-        let limit = flow.limit;
-        self.pool.update(key, |server| server.claim(limit));
+        request.decode = Some(key);
+        let max_batch = request.max_batch;
+        self.pool.update(key, |server| server.claim(max_batch));
     }
 
     /// Gives back the slot that `handle` claims; its decode replica is then still to be found.
     pub(super) fn free_slot(&mut self, handle: Handle) {
-        let Some(flow) = self.flows.get_mut(&handle) else {
+        let Some(request) = self.requests.get_mut(&handle) else {
             return;
         };
-        let limit = flow.limit;
-        if let Some(key) = flow.decode.take() {
-            self.pool.update(key, |server| server.unclaim(limit));
-            self.stranded += 1;
+        let max_batch = request.max_batch;
+        if let Some(key) = request.decode.take() {
+            self.pool
+                .update(key, |server| server.release_claim(max_batch));
+            self.displaced += 1;
         }
     }
 
     /// Moves `handle` to `state`, with the counters that depend on it.
-    pub(super) fn enter(&mut self, now: Time, handle: Handle, state: State) {
-        let Some(flow) = self.flows.get_mut(&handle) else {
+    pub(super) fn enter_state(&mut self, now: Time, handle: Handle, state: State) {
+        let Some(request) = self.requests.get_mut(&handle) else {
             return;
         };
-        flow.state = state;
-        flow.since = now;
-        let tokens = flow.ticket.prompt_tokens();
-        match (state, flow.prefill, flow.decode) {
+        request.state = state;
+        request.since = now;
+        let tokens = request.ticket.prompt_tokens();
+        match (state, request.prefill, request.decode) {
             (State::Import, Some(prefill), Some(decode)) => {
-                let path = self.path(prefill, decode);
+                let path = self.transfer_path(prefill, decode);
                 self.links.begin(now, path, handle, tokens);
-                self.pool.update(decode, |server| server.arrivals += 1);
+                self.pool.update(decode, |server| server.incoming += 1);
             }
-            (State::Decode, _, Some(decode)) => self.join(now, handle, decode),
+            (State::Decode, _, Some(decode)) => self.join_batch(now, handle, decode),
             _ => (),
         }
     }
 
     /// Undoes what [`Scheduler::enter`] did; `completed` if the state ended as it should.
-    pub(super) fn leave(&mut self, now: Time, handle: Handle, completed: bool) {
-        let Some(flow) = self.flows.get(&handle) else {
+    pub(super) fn leave_state(&mut self, now: Time, handle: Handle, completed: bool) {
+        let Some(request) = self.requests.get(&handle) else {
             return;
         };
-        let (tokens, since, row) = (flow.ticket.prompt_tokens(), flow.since, flow.ticket.row);
-        match (flow.state, flow.prefill, flow.decode) {
+        let (tokens, since, row) = (
+            request.ticket.prompt_tokens(),
+            request.since,
+            request.ticket.row,
+        );
+        match (request.state, request.prefill, request.decode) {
             (State::Prefill, Some(prefill), _) => {
-                self.pool.pull_job(now, prefill, handle);
-                if let Some(lane) = self.lanes.get_mut(&row) {
-                    lane.prefills = lane.prefills.saturating_sub(1);
+                self.pool.remove_prefill(now, prefill, handle);
+                if let Some(row_state) = self.row_states.get_mut(&row) {
+                    row_state.prefills = row_state.prefills.saturating_sub(1);
                 }
             }
             (State::Import, Some(prefill), Some(decode)) => {
-                let path = self.path(prefill, decode);
+                let path = self.transfer_path(prefill, decode);
                 self.links
                     .end(now, path, (since, handle, tokens), completed);
                 self.pool.update(decode, |server| {
-                    server.arrivals = server.arrivals.saturating_sub(1);
+                    server.incoming = server.incoming.saturating_sub(1);
                 });
             }
-            (State::Decode, _, Some(decode)) => self.part(now, handle, decode, completed),
+            (State::Decode, _, Some(decode)) => self.leave_batch(now, handle, decode, completed),
             _ => (),
         }
     }
 
     /// A request joins the batch of `key`.
-    fn join(&mut self, now: Time, handle: Handle, key: Key) {
-        let known = self.policy.secured == Secured::Known;
-        let step = self.step_time(key);
-        self.pool.update(key, |server| server.batch(now, 1));
-        let area = self.pool.get(key).area(now);
-        let Some(flow) = self.flows.get_mut(&handle) else {
+    fn join_batch(&mut self, now: Time, handle: Handle, key: ReplicaKey) {
+        let known = self.policy.secured == SecuredSlots::Known;
+        let step = self.expected_token_time(key);
+        self.pool.update(key, |server| server.change_batch(now, 1));
+        let batch_integral = self.pool.get(key).batch_integral(now);
+        let Some(request) = self.requests.get_mut(&handle) else {
             return;
         };
-        flow.area = area;
-        flow.end = match flow.ticket.work {
+        request.batch_integral = batch_integral;
+        request.end = match request.ticket.work {
             Work::Model { max_tokens, .. } if known => Some(now + step * max_tokens),
             _ => None,
         };
-        self.turnover.begin(handle, flow.end);
+        self.turnover.begin(handle, request.end);
     }
 
     /// Time of one token on `key`.
-    fn step_time(&self, key: Key) -> Duration {
+    fn expected_token_time(&self, key: ReplicaKey) -> Duration {
         let server = self.pool.get(key);
-        Duration::from_secs_f64(self.fit.time(f64::from(server.load())))
+        Duration::from_secs_f64(self.token_time.time(f64::from(server.load())))
     }
 
     /// A request leaves the batch of `key`.
-    fn part(&mut self, now: Time, handle: Handle, key: Key, completed: bool) {
-        self.pool.update(key, |server| server.batch(now, -1));
-        let area = self.pool.get(key).area(now);
-        let Some(flow) = self.flows.get(&handle) else {
+    fn leave_batch(&mut self, now: Time, handle: Handle, key: ReplicaKey, completed: bool) {
+        self.pool.update(key, |server| server.change_batch(now, -1));
+        let batch_integral = self.pool.get(key).batch_integral(now);
+        let Some(request) = self.requests.get(&handle) else {
             return;
         };
-        let stay = now.since(flow.since);
+        let hold_time = now.since(request.since);
         self.turnover
-            .end(handle, flow.end, completed.then_some(stay));
-        self.learn_tokens(area, handle, stay);
+            .end(handle, request.end, completed.then_some(hold_time));
+        self.learn_token_time(batch_integral, handle, hold_time);
     }
 
     /// Learns the time between tokens from a request that generated `flow.tokens` in `stay`.
-    fn learn_tokens(&mut self, area: f64, handle: Handle, stay: Duration) {
-        let Some(Flow {
+    fn learn_token_time(&mut self, batch_integral: f64, handle: Handle, hold_time: Duration) {
+        let Some(Request {
             tokens,
-            area: joined,
+            batch_integral: joined,
             ..
-        }) = self.flows.get(&handle)
+        }) = self.requests.get(&handle)
         else {
             return;
         };
-        let seconds = stay.as_secs_f64();
+        let seconds = hold_time.as_secs_f64();
         if *tokens > 0 && seconds > 0.0 {
-            self.fit
-                .add((area - joined) / seconds, seconds / f64::from(*tokens));
+            self.token_time.add(
+                (batch_integral - joined) / seconds,
+                seconds / f64::from(*tokens),
+            );
         }
     }
 
-    fn path(&self, prefill: Key, decode: Key) -> Path {
+    fn transfer_path(&self, prefill: ReplicaKey, decode: ReplicaKey) -> Path {
         (
             self.pool.get(prefill).member.zone,
             self.pool.get(decode).member.zone,
--- a/crates/route/src/scheduler/expire.rs
+++ b/crates/route/src/scheduler/expire.rs
@@ -3,36 +3,36 @@
 use ident::Handle;
 use ident::Time;
 
-use crate::row::Lane;
+use crate::row::RowState;
 use crate::scheduler::Scheduler;
 use crate::verdict::Reason;
 
 /// Grants in the window without which the drain rate is unknown.
 const MIN_GRANTS: f64 = 3.0;
 /// The least drain rate that is reckoned with, in requests a second.
-const LEAST_RATE: f64 = 1e-6;
+const MIN_RATE: f64 = 1e-6;
 
 impl Scheduler {
     /// Moves requests that miss their target to the late tier, and refuses doomed ones.
     pub(super) fn expire(&mut self, now: Time) {
         let mut missing = Vec::new();
         let mut doomed = Vec::new();
-        for lane in self.lanes.values() {
+        for row_state in self.row_states.values() {
             let late = |handle: &Handle| {
-                self.flows
+                self.requests
                     .get(handle)
-                    .is_some_and(|flow| now + flow.fastest > flow.due)
+                    .is_some_and(|request| now + request.min_ttft > request.due)
             };
-            let over = |handle: &Handle| {
-                self.flows
+            let expired = |handle: &Handle| {
+                self.requests
                     .get(handle)
-                    .is_some_and(|flow| now + flow.fastest > flow.expiry)
+                    .is_some_and(|request| now + request.min_ttft > request.expiry)
             };
-            missing.extend(lane.queue.punctual().take_while(late));
-            doomed.extend(lane.queue.late().take_while(over));
+            missing.extend(row_state.queue.on_time().take_while(late));
+            doomed.extend(row_state.queue.late().take_while(expired));
         }
         for handle in doomed {
-            self.expel(now, handle, Reason::Doomed);
+            self.refuse_waiting(now, handle, Reason::Doomed);
         }
         for handle in missing {
             self.demote(now, handle);
@@ -41,32 +41,34 @@
 
     /// Moves a request to the late tier, or refuses it if it would wait there for nothing.
     pub(super) fn demote(&mut self, now: Time, handle: Handle) -> bool {
-        let Some(flow) = self.flows.get_mut(&handle) else {
+        let Some(request) = self.requests.get_mut(&handle) else {
             return false;
         };
-        let Some(lane) = self.lanes.get_mut(&flow.ticket.row) else {
+        let Some(row_state) = self.row_states.get_mut(&request.ticket.row) else {
             return false;
         };
-        let latest = flow.expiry - flow.fastest;
-        if now > latest || (self.policy.foresight && is_hopeless(now, lane, latest)) {
-            self.expel(now, handle, Reason::Doomed);
+        let latest = request.expiry - request.min_ttft;
+        if now > latest || (self.policy.refuse_early && would_expire(now, row_state, latest)) {
+            self.refuse_waiting(now, handle, Reason::Doomed);
             return true;
         }
-        flow.late = true;
-        lane.queue.demote(flow.order, flow.expiry, handle);
+        request.late = true;
+        row_state
+            .queue
+            .demote(request.order, request.expiry, handle);
         true
     }
 
     /// Refuses a request that waited, wherever it waited.
-    pub(super) fn expel(&mut self, now: Time, handle: Handle, reason: Reason) {
-        self.unqueue(now, handle);
-        if let Some(flow) = self.flows.remove(&handle) {
+    pub(super) fn refuse_waiting(&mut self, now: Time, handle: Handle, reason: Reason) {
+        self.dequeue(now, handle);
+        if let Some(request) = self.requests.remove(&handle) {
             self.refuse(
                 now,
                 handle,
-                flow.ticket.row,
+                request.ticket.row,
                 reason,
-                now.since(flow.arrived),
+                now.since(request.arrived),
             );
         }
     }
@@ -76,17 +78,17 @@
 ///
 /// They are served at the rate of late requests while others wait, and at the whole rate else. With
 /// hardly a grant in the window nothing is known, and the request may wait.
-fn is_hopeless(now: Time, lane: &Lane, latest: Time) -> bool {
-    let queued = lane.queue.late_len();
-    if queued == 0 || lane.grants.decayed(now) < MIN_GRANTS {
+fn would_expire(now: Time, row_state: &RowState, latest: Time) -> bool {
+    let queued = row_state.queue.late_len();
+    if queued == 0 || row_state.grants.decayed(now) < MIN_GRANTS {
         return false;
     }
-    let contended = lane.queue.len() > queued + 1;
+    let contended = row_state.queue.len() > queued + 1;
     let meter = if contended {
-        &lane.late_grants
+        &row_state.late_grants
     } else {
-        &lane.grants
+        &row_state.grants
     };
-    let wait = queued as f64 / meter.rate(now).max(LEAST_RATE);
+    let wait = queued as f64 / meter.rate(now).max(MIN_RATE);
     wait > latest.since(now).as_secs_f64()
 }
--- a/crates/route/src/scheduler/grant.rs
+++ b/crates/route/src/scheduler/grant.rs
@@ -7,14 +7,14 @@
 use ident::Row;
 use ident::Time;
 
-use crate::flow::Flow;
-use crate::flow::State;
-use crate::policy::Ask;
+use crate::policy::Criteria;
 use crate::policy::Pair;
-use crate::policy::Secured;
-use crate::policy::Wait;
+use crate::policy::SecuredSlots;
+use crate::policy::WaitReason;
+use crate::request::Request;
+use crate::request::State;
 use crate::scheduler::Scheduler;
-use crate::server::Key;
+use crate::server::ReplicaKey;
 use crate::ticket::Work;
 use crate::verdict::Choice;
 use crate::verdict::DecisionDetails;
@@ -25,16 +25,16 @@
 const MAX_POLL: Duration = Duration::from_millis(20);
 
 /// Where a request goes.
-enum Place {
+enum Placement {
     Pair(Pair),
-    Single(Key),
+    Single(ReplicaKey),
 }
 
 /// What one pass over the waiting requests has passed over so far.
 #[derive(Debug, Default)]
 struct Pass {
-    promised: BTreeMap<Key, Duration>,
-    kept: Option<Key>,
+    deferred_prefills: BTreeMap<ReplicaKey, Duration>,
+    reserved_decode: Option<ReplicaKey>,
 }
 
 impl Scheduler {
@@ -42,14 +42,14 @@
     pub fn step(&mut self, now: Time, out: &mut Vec<Verdict>) -> Time {
         self.expire(now);
         if now >= self.grace_end {
-            self.rescue(now);
+            self.replace_decodes(now);
             while self.grant(now) {}
         }
         out.append(&mut self.outbox);
-        self.wake(now)
+        self.next_step(now)
     }
 
-    fn wake(&self, now: Time) -> Time {
+    fn next_step(&self, now: Time) -> Time {
         if self.waiting + self.rejected.len() == 0 {
             return Time::NEVER;
         }
@@ -63,23 +63,23 @@
     }
 
     /// Finds another decode replica for prefill results that lost theirs.
-    fn rescue(&mut self, now: Time) {
+    fn replace_decodes(&mut self, now: Time) {
         for _ in 0..self.rejected.len() {
             let Some(handle) = self.rejected.pop_front() else {
                 return;
             };
-            let Some(flow) = self.flows.remove(&handle) else {
+            let Some(request) = self.requests.remove(&handle) else {
                 continue;
             };
-            let source = flow.prefill.map(|key| self.pool.get(key).member.zone);
-            let ask = Ask {
-                source: source.unwrap_or(flow.ticket.home),
-                ..flow.ask()
+            let source = request.prefill.map(|key| self.pool.get(key).member.zone);
+            let criteria = Criteria {
+                source: source.unwrap_or(request.ticket.home),
+                ..request.criteria()
             };
             let decode = self.policy.decode;
-            let found = decode(&mut self.view(now, &mut BTreeMap::new(), None), &ask);
-            let prefill = flow.prefill;
-            self.flows.insert(handle, flow);
+            let found = decode(&mut self.view(now, &mut BTreeMap::new(), None), &criteria);
+            let prefill = request.prefill;
+            self.requests.insert(handle, request);
             match (found, prefill) {
                 (Some(decode), Some(prefill)) => self.redirect(now, handle, prefill, decode),
                 _ => self.rejected.push_back(handle),
@@ -87,10 +87,10 @@
         }
     }
 
-    fn redirect(&mut self, now: Time, handle: Handle, prefill: Key, decode: Key) {
+    fn redirect(&mut self, now: Time, handle: Handle, prefill: ReplicaKey, decode: ReplicaKey) {
         self.claim_slot(handle, decode);
-        self.stranded = self.stranded.saturating_sub(1);
-        self.enter(now, handle, State::Import);
+        self.displaced = self.displaced.saturating_sub(1);
+        self.enter_state(now, handle, State::Import);
         let choice = Choice::Paired {
             prefill: self.pool.get(prefill).member.replica,
             decode: self.pool.get(decode).member.replica,
@@ -104,8 +104,8 @@
             choice,
             why,
         };
-        if let Some(flow) = self.flows.get_mut(&handle) {
-            flow.verdict = Some(verdict);
+        if let Some(request) = self.requests.get_mut(&handle) {
+            request.verdict = Some(verdict);
         }
         self.outbox.push(verdict);
     }
@@ -116,17 +116,21 @@
             return false;
         }
         let mut pass = Pass::default();
-        let Some(first) = self.first() else {
+        let Some(first) = self.first_waiting() else {
             return false;
         };
-        if let Some(granted) = self.consider(now, first, &mut pass) {
+        if let Some(granted) = self.try_grant(now, first, &mut pass) {
             return granted;
         }
-        if self.policy.scan == 1 {
+        if self.policy.scan_limit == 1 {
             return false;
         }
-        for handle in self.ranked(self.policy.scan).into_iter().skip(1) {
-            if let Some(granted) = self.consider(now, handle, &mut pass) {
+        for handle in self
+            .waiting_in_order(self.policy.scan_limit)
+            .into_iter()
+            .skip(1)
+        {
+            if let Some(granted) = self.try_grant(now, handle, &mut pass) {
                 return granted;
             }
         }
@@ -134,34 +138,35 @@
     }
 
     /// Grants `handle` a place, or says that nobody gets one; none if others may go first.
-    fn consider(&mut self, now: Time, handle: Handle, pass: &mut Pass) -> Option<bool> {
-        let flow = self.flows.remove(&handle)?;
-        let place = self.place(now, &flow, pass);
-        self.flows.insert(handle, flow);
+    fn try_grant(&mut self, now: Time, handle: Handle, pass: &mut Pass) -> Option<bool> {
+        let request = self.requests.remove(&handle)?;
+        let place = self.place(now, &request, pass);
+        self.requests.insert(handle, request);
         match place {
-            Ok(Place::Pair(pair)) if self.misses_target(handle, &pair) => {
+            Ok(Placement::Pair(pair)) if self.misses_target(handle, &pair) => {
                 Some(self.demote(now, handle))
             }
-            Ok(Place::Pair(pair)) => Some(self.start_pair(now, handle, &pair)),
-            Ok(Place::Single(key)) => Some(self.start_single(now, handle, key)),
-            Err(Wait::Slot) => Some(false),
-            Err(Wait::Batch(key)) => {
-                pass.kept = Some(key);
+            Ok(Placement::Pair(pair)) => Some(self.start_pair(now, handle, &pair)),
+            Ok(Placement::Single(key)) => Some(self.start_single(now, handle, key)),
+            Err(WaitReason::Slot) => Some(false),
+            Err(WaitReason::Batch(key)) => {
+                pass.reserved_decode = Some(key);
                 None
             }
-            Err(Wait::Replica) => None,
+            Err(WaitReason::Replica) => None,
         }
     }
 
     /// Whether a request that still counts as punctual would get its first token too late.
     fn misses_target(&self, handle: Handle, pair: &Pair) -> bool {
-        let flow = self.flows.get(&handle);
-        self.policy.foresight && flow.is_some_and(|flow| !flow.late && pair.first > flow.due)
+        let request = self.requests.get(&handle);
+        self.policy.refuse_early
+            && request.is_some_and(|request| !request.late && pair.first_token > request.due)
     }
 
     /// Whether no replica is near enough to taking work to look at the queue at all.
     fn is_blocked(&self, now: Time) -> bool {
-        if self.policy.secured == Secured::Nothing {
+        if self.policy.secured == SecuredSlots::Nothing {
             return false;
         }
         let horizon = now + self.settings.prefill_lead;
@@ -174,29 +179,35 @@
         !prefill && !plain
     }
 
-    fn place(&mut self, now: Time, flow: &Flow, pass: &mut Pass) -> Result<Place, Wait> {
+    fn place(
+        &mut self,
+        now: Time,
+        request: &Request,
+        pass: &mut Pass,
+    ) -> Result<Placement, WaitReason> {
         let (pair, single) = (self.policy.pair, self.policy.single);
-        let kept = pass.kept;
-        let mut view = self.view(now, &mut pass.promised, kept);
-        match flow.ticket.work {
-            Work::Model { .. } => pair(&mut view, &flow.ask()).map(Place::Pair),
-            Work::Plain => single(&mut view, &flow.ask())
-                .map(Place::Single)
-                .ok_or(Wait::Replica),
+        let reserved_decode = pass.reserved_decode;
+        let mut view = self.view(now, &mut pass.deferred_prefills, reserved_decode);
+        match request.ticket.work {
+            Work::Model { .. } => pair(&mut view, &request.criteria()).map(Placement::Pair),
+            Work::Plain => single(&mut view, &request.criteria())
+                .map(Placement::Single)
+                .ok_or(WaitReason::Replica),
         }
     }
 
     fn start_pair(&mut self, now: Time, handle: Handle, pair: &Pair) -> bool {
-        let Some((row, waited, ttft)) = self.waits(now, handle, pair.first) else {
+        let Some((row, waited, ttft)) = self.timing(now, handle, pair.first_token) else {
             return false;
         };
-        self.unqueue(now, handle);
-        self.claim_pair(now, handle, pair.prefill, pair.decode, pair.span);
-        self.pool
-            .update(pair.prefill, |server| server.sent_until = pair.first);
-        let prefill = pair.span.as_secs_f64() / f64::from(self.pool.open_prefills().max(1));
+        self.dequeue(now, handle);
+        self.claim_pair(now, handle, pair.prefill, pair.decode, pair.prefill_time);
+        self.pool.update(pair.prefill, |server| {
+            server.transfers_end = pair.first_token;
+        });
+        let prefill = pair.prefill_time.as_secs_f64() / f64::from(self.pool.open_prefills().max(1));
         let slots = f64::from(self.pool.open_slots().max(1));
-        let decode = self.turnover.stay().as_secs_f64() / slots;
+        let decode = self.turnover.hold_time().as_secs_f64() / slots;
         self.charge(now, row, prefill.max(decode));
         let why = DecisionDetails {
             candidates: pair.candidates,
@@ -213,11 +224,11 @@
         true
     }
 
-    fn start_single(&mut self, now: Time, handle: Handle, key: Key) -> bool {
-        let Some((row, waited, _)) = self.waits(now, handle, now) else {
+    fn start_single(&mut self, now: Time, handle: Handle, key: ReplicaKey) -> bool {
+        let Some((row, waited, _)) = self.timing(now, handle, now) else {
             return false;
         };
-        self.unqueue(now, handle);
+        self.dequeue(now, handle);
         self.claim_single(now, handle, key, State::Plain);
         self.charge(
             now,
@@ -236,25 +247,38 @@
         true
     }
 
-    fn waits(&self, now: Time, handle: Handle, first: Time) -> Option<(Row, Duration, Duration)> {
-        let flow = self.flows.get(&handle)?;
+    fn timing(
+        &self,
+        now: Time,
+        handle: Handle,
+        first_token: Time,
+    ) -> Option<(Row, Duration, Duration)> {
+        let request = self.requests.get(&handle)?;
         Some((
-            flow.ticket.row,
-            now.since(flow.arrived),
-            first.since(flow.arrived),
+            request.ticket.row,
+            now.since(request.arrived),
+            first_token.since(request.arrived),
         ))
     }
 
     /// Books the cost of one request on its row, in seconds of the whole cell for its share; a row
     /// that was idle starts level with the others.
     fn charge(&mut self, now: Time, row: Row, cost: f64) {
-        let level = self.level();
-        let shares: u32 = self.lanes.values().map(|lane| lane.rule.share.max(1)).sum();
-        if let Some(lane) = self.lanes.get_mut(&row) {
-            let floor = if level < f64::MAX { level } else { lane.used };
-            let part = f64::from(lane.rule.share.max(1)) / f64::from(shares.max(1));
-            lane.used = lane.used.max(floor) + cost / part;
-            lane.grants.add(now, 1.0);
+        let min_virtual_time = self.min_virtual_time();
+        let shares: u32 = self
+            .row_states
+            .values()
+            .map(|row_state| row_state.rule.share.max(1))
+            .sum();
+        if let Some(row_state) = self.row_states.get_mut(&row) {
+            let floor = if min_virtual_time < f64::MAX {
+                min_virtual_time
+            } else {
+                row_state.virtual_time
+            };
+            let share = f64::from(row_state.rule.share.max(1)) / f64::from(shares.max(1));
+            row_state.virtual_time = row_state.virtual_time.max(floor) + cost / share;
+            row_state.grants.add(now, 1.0);
         }
     }
 }
--- a/crates/route/src/scheduler/progress.rs
+++ b/crates/route/src/scheduler/progress.rs
@@ -4,93 +4,93 @@
 use ident::Replica;
 use ident::Time;
 
-use crate::flow::State;
 use crate::phase::Phase;
+use crate::request::State;
 use crate::scheduler::Scheduler;
-use crate::server::Key;
+use crate::server::ReplicaKey;
 use crate::server::Server;
 
 impl Scheduler {
     /// Takes in what an owner reports about a request.
     pub fn advance(&mut self, now: Time, handle: Handle, phase: Phase) {
-        let Some(flow) = self.flows.get(&handle) else {
+        let Some(request) = self.requests.get(&handle) else {
             return;
         };
-        match (phase, flow.state) {
+        match (phase, request.state) {
             (Phase::Prefilled { computed, .. }, State::Prefill) => {
-                self.prefilled(now, handle, computed);
+                self.on_prefilled(now, handle, computed);
             }
             (Phase::Rejected, State::Prefill | State::Import | State::Kept) => {
-                self.rejected(now, handle);
+                self.on_rejected(now, handle);
             }
             (Phase::Decoding, State::Prefill | State::Import) => {
-                self.leave(now, handle, true);
-                self.enter(now, handle, State::Decode);
+                self.leave_state(now, handle, true);
+                self.enter_state(now, handle, State::Decode);
             }
             (Phase::Finished { tokens }, state) if state != State::Waiting => {
-                self.finished(now, handle, tokens);
+                self.on_finished(now, handle, tokens);
             }
-            (Phase::Gone, _) => self.end(now, handle, false),
+            (Phase::Gone, _) => self.end_request(now, handle, false),
             _ => (),
         }
     }
 
-    fn prefilled(&mut self, now: Time, handle: Handle, computed: u32) {
-        let Some(flow) = self.flows.get(&handle) else {
+    fn on_prefilled(&mut self, now: Time, handle: Handle, computed: u32) {
+        let Some(request) = self.requests.get(&handle) else {
             return;
         };
-        let row = flow.ticket.row;
-        let Some(key) = flow.prefill else {
+        let row = request.ticket.row;
+        let Some(key) = request.prefill else {
             return;
         };
-        for block in flow.ticket.blocks() {
-            self.cache.store(key, *block);
+        for block in request.ticket.blocks() {
+            self.prefix_index.store(key, *block);
         }
-        let ran = self.pool.pull_job(now, key, handle);
+        let ran = self.pool.remove_prefill(now, key, handle);
         if let Some(seconds) = ran.map(|ran| ran.as_secs_f64()).filter(|ran| *ran > 0.0) {
             let rate = f64::from(computed) / seconds;
             self.pool.update(key, |server| server.rate.add(rate));
         }
-        if let Some(lane) = self.lanes.get_mut(&row) {
-            lane.prefills = lane.prefills.saturating_sub(1);
+        if let Some(row_state) = self.row_states.get_mut(&row) {
+            row_state.prefills = row_state.prefills.saturating_sub(1);
         }
-        self.enter(now, handle, State::Import);
+        self.enter_state(now, handle, State::Import);
     }
 
-    fn rejected(&mut self, now: Time, handle: Handle) {
-        self.leave(now, handle, false);
+    fn on_rejected(&mut self, now: Time, handle: Handle) {
+        self.leave_state(now, handle, false);
         self.free_slot(handle);
-        self.enter(now, handle, State::Kept);
+        self.enter_state(now, handle, State::Kept);
         if !self.rejected.contains(&handle) {
             self.rejected.push_back(handle);
         }
     }
 
-    fn finished(&mut self, now: Time, handle: Handle, tokens: u32) {
-        if let Some(flow) = self.flows.get_mut(&handle) {
-            flow.tokens = tokens;
+    fn on_finished(&mut self, now: Time, handle: Handle, tokens: u32) {
+        if let Some(request) = self.requests.get_mut(&handle) {
+            request.tokens = tokens;
         }
-        self.end(now, handle, true);
+        self.end_request(now, handle, true);
     }
 
     /// Forgets a request and all that it holds.
-    pub(super) fn end(&mut self, now: Time, handle: Handle, completed: bool) {
-        self.unqueue(now, handle);
-        self.leave(now, handle, completed);
+    pub(super) fn end_request(&mut self, now: Time, handle: Handle, completed: bool) {
+        self.dequeue(now, handle);
+        self.leave_state(now, handle, completed);
         self.free_slot(handle);
-        let Some(flow) = self.flows.remove(&handle) else {
+        let Some(request) = self.requests.remove(&handle) else {
             return;
         };
-        match self.lanes.get_mut(&flow.ticket.row) {
-            Some(lane) if flow.state != State::Waiting => {
-                lane.decodes = lane.decodes.saturating_sub(1);
+        match self.row_states.get_mut(&request.ticket.row) {
+            Some(row_state) if request.state != State::Waiting => {
+                row_state.decodes = row_state.decodes.saturating_sub(1);
             }
             _ => (),
         }
-        if flow.state != State::Waiting {
-            self.stranded = self.stranded.saturating_sub(1);
+        if request.state != State::Waiting {
+            self.displaced = self.displaced.saturating_sub(1);
         }
-        self.memo.insert(handle, flow.verdict);
+        self.ended.insert(handle, request.verdict);
     }
 
     /// Forgets what ran on a replica that is unreachable or has rebooted.
@@ -101,15 +101,15 @@
         let Some(key) = self.pool.key(replica) else {
             return;
         };
-        self.cache.forget(key);
-        let mut hit: Vec<Handle> = self
-            .flows
+        self.prefix_index.remove_replica(key);
+        let mut affected: Vec<Handle> = self
+            .requests
             .iter()
-            .filter(|(_, flow)| flow.decode == Some(key) || flow.prefill == Some(key))
+            .filter(|(_, request)| request.decode == Some(key) || request.prefill == Some(key))
             .map(|(handle, _)| *handle)
             .collect();
-        hit.sort_unstable();
-        for handle in hit {
+        affected.sort_unstable();
+        for handle in affected {
             self.detach(now, handle, key);
         }
         self.pool.update(key, Server::clear);
@@ -117,20 +117,20 @@
     }
 
     /// Takes a request off a lost replica.
-    fn detach(&mut self, now: Time, handle: Handle, key: Key) {
-        let Some(flow) = self.flows.get(&handle) else {
+    fn detach(&mut self, now: Time, handle: Handle, key: ReplicaKey) {
+        let Some(request) = self.requests.get(&handle) else {
             return;
         };
-        let state = flow.state;
-        if state == State::Prefill && flow.prefill == Some(key) {
-            self.pool.pull_job(now, key, handle);
+        let state = request.state;
+        if state == State::Prefill && request.prefill == Some(key) {
+            self.pool.remove_prefill(now, key, handle);
         }
-        if flow.decode != Some(key) {
+        if request.decode != Some(key) {
             return;
         }
         if state != State::Prefill {
-            self.leave(now, handle, false);
-            self.enter(now, handle, State::Kept);
+            self.leave_state(now, handle, false);
+            self.enter_state(now, handle, State::Kept);
         }
         self.free_slot(handle);
     }
--- a/crates/route/src/scheduler/rank.rs
+++ b/crates/route/src/scheduler/rank.rs
@@ -6,23 +6,23 @@
 use ident::Handle;
 use ident::Time;
 
-use crate::policy::Fair;
-use crate::policy::Secured;
-use crate::row::Lane;
+use crate::policy::Fairness;
+use crate::policy::SecuredSlots;
+use crate::row::RowState;
 use crate::scheduler::Scheduler;
 
 /// How far a row may run ahead of its share, in seconds of the whole cell.
-const AHEAD: f64 = 3.0;
+const MAX_AHEAD: f64 = 3.0;
 
 /// Place of a waiting request among those of all rows; the greatest is considered first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Rank {
     priority: u8,
     late: bool,
-    ahead: f64,
+    overuse: f64,
     order: Time,
     handle: Handle,
-    lane: usize,
+    row_index: usize,
 }
 
 impl Eq for Rank {}
@@ -31,7 +31,7 @@
     fn cmp(&self, other: &Self) -> Ordering {
         let by_priority = other.priority.cmp(&self.priority);
         let by_lateness = other.late.cmp(&self.late);
-        let by_share = other.ahead.total_cmp(&self.ahead);
+        let by_share = other.overuse.total_cmp(&self.overuse);
         let by_order = (other.order, other.handle).cmp(&(self.order, self.handle));
         by_priority.then(by_lateness).then(by_share).then(by_order)
     }
@@ -46,68 +46,90 @@
 impl Scheduler {
     /// The waiting request that is considered first: by priority, those on time before those that
     /// are late, then by the rows' shares, then by their own order.
-    pub(super) fn first(&self) -> Option<Handle> {
-        let level = self.level();
-        let open = self.lanes.values().filter(|lane| self.has_room(lane));
-        let heads = open.filter_map(|lane| Some(self.rank(lane, 0, level, lane.queue.head()?)));
+    pub(super) fn first_waiting(&self) -> Option<Handle> {
+        let min_virtual_time = self.min_virtual_time();
+        let open = self
+            .row_states
+            .values()
+            .filter(|row_state| self.has_room(row_state));
+        let heads = open.filter_map(|row_state| {
+            Some(self.rank(row_state, 0, min_virtual_time, row_state.queue.head()?))
+        });
         heads.max().map(|rank| rank.handle)
     }
 
     /// The first `count` waiting requests in the order of [`Scheduler::first`].
-    pub(super) fn ranked(&self, count: usize) -> Vec<Handle> {
-        let level = self.level();
-        let open = self.lanes.values().filter(|lane| lane.queue.len() > 0);
-        let open: Vec<&Lane> = open.filter(|lane| self.has_room(lane)).collect();
-        let mut queues: Vec<_> = open.iter().map(|lane| lane.queue.iter()).collect();
+    pub(super) fn waiting_in_order(&self, count: usize) -> Vec<Handle> {
+        let min_virtual_time = self.min_virtual_time();
+        let open = self
+            .row_states
+            .values()
+            .filter(|row_state| row_state.queue.len() > 0);
+        let open: Vec<&RowState> = open.filter(|row_state| self.has_room(row_state)).collect();
+        let mut queues: Vec<_> = open
+            .iter()
+            .map(|row_state| row_state.queue.iter())
+            .collect();
         let mut heap = BinaryHeap::new();
         for (at, queue) in queues.iter_mut().enumerate() {
             heap.extend(
                 queue
                     .next()
-                    .map(|entry| self.rank(open[at], at, level, entry)),
+                    .map(|entry| self.rank(open[at], at, min_virtual_time, entry)),
             );
         }
         let mut handles = Vec::new();
         while let Some(first) = heap.pop().filter(|_| handles.len() < count) {
             handles.push(first.handle);
-            let at = first.lane;
+            let at = first.row_index;
             heap.extend(
                 queues[at]
                     .next()
-                    .map(|entry| self.rank(open[at], at, level, entry)),
+                    .map(|entry| self.rank(open[at], at, min_virtual_time, entry)),
             );
         }
         handles
     }
 
-    fn rank(&self, lane: &Lane, at: usize, level: f64, entry: (bool, Time, Handle)) -> Rank {
+    fn rank(
+        &self,
+        row_state: &RowState,
+        at: usize,
+        min_virtual_time: f64,
+        entry: (bool, Time, Handle),
+    ) -> Rank {
         let (is_late, order, handle) = entry;
-        let ahead = self.ahead(lane, level);
+        let overuse = self.overuse(row_state, min_virtual_time);
         Rank {
-            priority: lane.rule.priority,
+            priority: row_state.rule.priority,
             late: is_late,
-            ahead,
+            overuse,
             order,
             handle,
-            lane: at,
+            row_index: at,
         }
     }
 
-    fn has_room(&self, lane: &Lane) -> bool {
-        self.policy.secured == Secured::Nothing || lane.has_room()
+    fn has_room(&self, row_state: &RowState) -> bool {
+        self.policy.secured == SecuredSlots::Nothing || row_state.has_room()
     }
 
-    fn ahead(&self, lane: &Lane, level: f64) -> f64 {
+    fn overuse(&self, row_state: &RowState, min_virtual_time: f64) -> f64 {
         match self.policy.fair {
-            Fair::Stride => lane.used,
-            Fair::Window if lane.used > level + AHEAD => 1.0,
-            Fair::Window => 0.0,
+            Fairness::Stride => row_state.virtual_time,
+            Fairness::Window if row_state.virtual_time > min_virtual_time + MAX_AHEAD => 1.0,
+            Fairness::Window => 0.0,
         }
     }
 
     /// The least that a row with waiting requests has had for its share.
-    pub(super) fn level(&self) -> f64 {
-        let waiting = self.lanes.values().filter(|lane| lane.queue.len() > 0);
-        waiting.map(|lane| lane.used).fold(f64::MAX, f64::min)
+    pub(super) fn min_virtual_time(&self) -> f64 {
+        let waiting = self
+            .row_states
+            .values()
+            .filter(|row_state| row_state.queue.len() > 0);
+        waiting
+            .map(|row_state| row_state.virtual_time)
+            .fold(f64::MAX, f64::min)
     }
 }
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -16,13 +16,13 @@
 
 /// Names a replica inside its cell.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key(pub u32);
+pub struct ReplicaKey(pub u32);
 
 /// One prefill given to a replica.
 #[derive(Debug, Clone, Copy)]
-struct Job {
+struct PrefillJob {
     handle: Handle,
-    span: Duration,
+    prefill_time: Duration,
 }
 
 /// One replica and all that the cell knows about it.
@@ -39,28 +39,28 @@
     /// Requests of others, or leaked ones, that the last report shows.
     pub foreign: u32,
     /// Load by the last report.
-    pub reported: u32,
+    pub reported_load: u32,
     /// Prompt tokens waiting by the last report.
     pub reported_tokens: u64,
     /// Requests sent since the last report.
-    pub sent: u32,
+    pub sent_since_report: u32,
     /// Requests of this cell whose KV cache is on its way to it.
-    pub arrivals: u32,
+    pub incoming: u32,
     /// Start of the replica's present run.
     pub boot: u64,
     /// Learned prefill tokens a second.
     pub rate: Ewma,
     /// Learned seconds that a plain call takes.
-    pub service: Ewma,
+    pub call_time: Ewma,
     /// When the transfers of its prefills are expected to have ended.
-    pub sent_until: Time,
+    pub transfers_end: Time,
     peak: u32,
-    former_peak: u32,
-    limits: BTreeMap<u32, u32>,
+    previous_peak: u32,
+    batch_limits: BTreeMap<u32, u32>,
     batch: u32,
-    area: f64,
-    area_at: Time,
-    jobs: VecDeque<Job>,
+    batch_integral: f64,
+    batch_changed: Time,
+    jobs: VecDeque<PrefillJob>,
     started: Time,
     ready: Time,
 }
@@ -74,20 +74,20 @@
             listed: true,
             claims: 0,
             foreign: 0,
-            reported: 0,
+            reported_load: 0,
             reported_tokens: 0,
-            sent: 0,
-            arrivals: 0,
+            sent_since_report: 0,
+            incoming: 0,
             boot: 0,
             rate: Ewma::new(rate, RATE_WEIGHT),
-            service: Ewma::new(0.02, RATE_WEIGHT),
-            sent_until: Time::ZERO,
+            call_time: Ewma::new(0.02, RATE_WEIGHT),
+            transfers_end: Time::ZERO,
             peak: 0,
-            former_peak: 0,
-            limits: BTreeMap::new(),
+            previous_peak: 0,
+            batch_limits: BTreeMap::new(),
             batch: 0,
-            area: 0.0,
-            area_at: Time::ZERO,
+            batch_integral: 0.0,
+            batch_changed: Time::ZERO,
             jobs: VecDeque::new(),
             started: Time::ZERO,
             ready: Time::ZERO,
@@ -100,59 +100,62 @@
     }
 
     /// Slots that may be used: the batch may grow no further without missing a target.
-    pub fn cap(&self) -> u32 {
-        let strictest = self.limits.keys().next().copied();
-        strictest.map_or(self.member.slots, |limit| limit.min(self.member.slots))
+    pub fn usable_slots(&self) -> u32 {
+        let strictest = self.batch_limits.keys().next().copied();
+        strictest.map_or(self.member.slots, |max_batch| {
+            max_batch.min(self.member.slots)
+        })
     }
 
     /// Whether a request on it has a target that forbids the full batch.
-    pub fn is_strict(&self) -> bool {
-        self.cap() < self.member.slots
+    pub fn is_batch_limited(&self) -> bool {
+        self.usable_slots() < self.member.slots
     }
 
     /// Usable slots that are neither claimed nor taken by others; negative if more are claimed.
-    pub fn free(&self) -> i64 {
-        i64::from(self.cap()) - i64::from(self.load())
+    pub fn free_slots(&self) -> i64 {
+        i64::from(self.usable_slots()) - i64::from(self.load())
     }
 
     /// The same for a request that allows a batch of at most `limit`.
-    pub fn room(&self, limit: u32) -> i64 {
-        i64::from(self.cap().min(limit)) - i64::from(self.load())
+    pub fn free_slots_within(&self, max_batch: u32) -> i64 {
+        i64::from(self.usable_slots().min(max_batch)) - i64::from(self.load())
     }
 
     /// Slots that no request decodes or imports in, whoever has claimed them, in a batch of at most
     /// `limit`.
-    pub fn vacant(&self, limit: u32) -> i64 {
-        i64::from(self.cap().min(limit)) - i64::from(self.batch + self.arrivals + self.foreign)
+    pub fn unoccupied_slots(&self, max_batch: u32) -> i64 {
+        i64::from(self.usable_slots().min(max_batch))
+            - i64::from(self.batch + self.incoming + self.foreign)
     }
 
     /// Claims a slot for a request that allows a batch of at most `limit`.
-    pub fn claim(&mut self, limit: u32) {
+    pub fn claim(&mut self, max_batch: u32) {
         self.claims += 1;
         self.peak = self.peak.max(self.claims);
-        self.sent += 1;
-        *self.limits.entry(limit).or_default() += 1;
+        self.sent_since_report += 1;
+        *self.batch_limits.entry(max_batch).or_default() += 1;
     }
 
     /// Gives a slot back.
-    pub fn unclaim(&mut self, limit: u32) {
+    pub fn release_claim(&mut self, max_batch: u32) {
         self.claims = self.claims.saturating_sub(1);
-        match self.limits.get_mut(&limit) {
+        match self.batch_limits.get_mut(&max_batch) {
             Some(count) if *count > 1 => *count -= 1,
-            _ => drop(self.limits.remove(&limit)),
+            _ => drop(self.batch_limits.remove(&max_batch)),
         }
     }
 
     /// Notes that the batch grows or shrinks at `now`.
-    pub fn batch(&mut self, now: Time, change: i64) {
-        self.area += f64::from(self.batch) * now.since(self.area_at).as_secs_f64();
-        self.area_at = now;
+    pub fn change_batch(&mut self, now: Time, change: i64) {
+        self.batch_integral += f64::from(self.batch) * now.since(self.batch_changed).as_secs_f64();
+        self.batch_changed = now;
         self.batch = (i64::from(self.batch) + change).max(0) as u32;
     }
 
     /// Sum of the batch over time, in request seconds, up to `now`.
-    pub fn area(&self, now: Time) -> f64 {
-        self.area + f64::from(self.batch) * now.since(self.area_at).as_secs_f64()
+    pub fn batch_integral(&self, now: Time) -> f64 {
+        self.batch_integral + f64::from(self.batch) * now.since(self.batch_changed).as_secs_f64()
     }
 
     /// Requests on the replica, of this cell and of others.
@@ -166,16 +169,19 @@
     }
 
     /// Takes a prefill into its queue.
-    pub fn push_job(&mut self, now: Time, handle: Handle, span: Duration) {
+    pub fn push_prefill(&mut self, now: Time, handle: Handle, prefill_time: Duration) {
         if self.jobs.is_empty() {
             self.started = now;
         }
-        self.jobs.push_back(Job { handle, span });
-        self.sent += 1;
+        self.jobs.push_back(PrefillJob {
+            handle,
+            prefill_time,
+        });
+        self.sent_since_report += 1;
     }
 
     /// Drops a prefill, ended or not; answers how long it ran, if it was the running one.
-    pub fn pull_job(&mut self, now: Time, handle: Handle) -> Option<Duration> {
+    pub fn remove_prefill(&mut self, now: Time, handle: Handle) -> Option<Duration> {
         let at = self.jobs.iter().position(|job| job.handle == handle)?;
         self.jobs.remove(at);
         if at > 0 {
@@ -190,33 +196,36 @@
     ///
     /// What exceeds the most that this cell has claimed while the report was on its way is foreign.
     pub fn report(&mut self, report: &Report) {
-        let own = self.peak.max(self.former_peak).max(self.jobs.len() as u32);
-        self.former_peak = self.peak;
+        let own = self
+            .peak
+            .max(self.previous_peak)
+            .max(self.jobs.len() as u32);
+        self.previous_peak = self.peak;
         self.peak = self.claims;
         self.reachable = true;
         self.foreign = report.works.saturating_sub(own);
-        self.reported = report.running + report.waiting;
+        self.reported_load = report.running + report.waiting;
         self.reported_tokens = report.queued_tokens;
-        self.sent = 0;
+        self.sent_since_report = 0;
     }
 
     /// Clears all load: its memory is gone.
     pub fn clear(&mut self) {
         self.jobs.clear();
-        self.limits.clear();
+        self.batch_limits.clear();
         self.claims = 0;
         self.peak = 0;
-        self.former_peak = 0;
+        self.previous_peak = 0;
         self.batch = 0;
-        self.arrivals = 0;
+        self.incoming = 0;
         self.foreign = 0;
-        self.reported = 0;
-        self.sent = 0;
+        self.reported_load = 0;
+        self.sent_since_report = 0;
     }
 
     /// Brings derived figures up to date.
     pub fn refresh(&mut self) {
-        let total: Duration = self.jobs.iter().map(|job| job.span).sum();
+        let total: Duration = self.jobs.iter().map(|job| job.prefill_time).sum();
         self.ready = self.started + total;
     }
 }
--- a/crates/route/src/token.rs
+++ b/crates/route/src/token_time.rs
@@ -1,45 +1,45 @@
 //! Time between tokens as a function of the batch.
 
 /// Part that earlier samples keep when one is taken in.
-const KEEP: f64 = 0.999;
+const DECAY: f64 = 0.999;
 /// Samples before the fit is used.
 const MIN_SAMPLES: f64 = 30.0;
 /// Variance of the batch size that a fit needs.
 const MIN_VARIANCE: f64 = 0.5;
 /// Time between tokens until learned, in seconds.
-const INITIAL_TIME: f64 = 0.025;
+const INITIAL_TIME_S: f64 = 0.025;
 /// Part of a target that is used.
-const MARGIN: f64 = 0.998;
+const TARGET_FRACTION: f64 = 0.998;
 
 /// A straight line through (batch, time between tokens), fitted with fading memory.
 #[derive(Debug, Default)]
-pub struct Fit {
+pub struct TokenTimeModel {
     count: f64,
     batch: f64,
     time: f64,
-    square: f64,
-    product: f64,
+    batch_squared: f64,
+    batch_times_time: f64,
     slope: Option<f64>,
 }
 
-impl Fit {
+impl TokenTimeModel {
     /// Takes in that a request in a mean batch of `batch` got a token every `seconds`.
     pub fn add(&mut self, batch: f64, seconds: f64) {
-        self.count = self.count * KEEP + 1.0;
-        self.batch = self.batch * KEEP + batch;
-        self.time = self.time * KEEP + seconds;
-        self.square = self.square * KEEP + batch * batch;
-        self.product = self.product * KEEP + batch * seconds;
+        self.count = self.count * DECAY + 1.0;
+        self.batch = self.batch * DECAY + batch;
+        self.time = self.time * DECAY + seconds;
+        self.batch_squared = self.batch_squared * DECAY + batch * batch;
+        self.batch_times_time = self.batch_times_time * DECAY + batch * seconds;
         self.refresh_slope();
     }
 
     /// Expected time between tokens in a batch of `batch`, in seconds.
     pub fn time(&self, batch: f64) -> f64 {
-        let Some((mean, time, slope)) = self.line() else {
+        let Some((mean, time, slope)) = self.regression() else {
             return if self.count > 0.0 {
                 self.time / self.count
             } else {
-                INITIAL_TIME
+                INITIAL_TIME_S
             };
         };
         (time + slope * (batch - mean)).max(0.0)
@@ -48,19 +48,19 @@
     /// The largest batch that keeps `target` seconds between tokens, at most `slots`. A target that a
     /// request misses alone as well limits nothing: small batches would leave slots free and serve
     /// nobody better.
-    pub fn limit(&self, target: f64, slots: u32) -> u32 {
-        let Some((mean, time, slope)) = self.line() else {
+    pub fn max_batch(&self, target: f64, slots: u32) -> u32 {
+        let Some((mean, time, slope)) = self.regression() else {
             return slots;
         };
         if self.time(1.0) > target {
             return slots;
         }
-        let most = mean + (target * MARGIN - time) / slope;
+        let most = mean + (target * TARGET_FRACTION - time) / slope;
         (most.max(1.0) as u32).min(slots)
     }
 
     /// Mean batch, mean time and slope, once they are known.
-    fn line(&self) -> Option<(f64, f64, f64)> {
+    fn regression(&self) -> Option<(f64, f64, f64)> {
         let slope = self.slope?;
         Some((self.batch / self.count, self.time / self.count, slope))
     }
@@ -68,11 +68,11 @@
     /// Fits the slope anew; where batches hardly differ, as in a full cell, the last one stays.
     fn refresh_slope(&mut self) {
         let (mean, time) = (self.batch / self.count, self.time / self.count);
-        let variance = self.square / self.count - mean * mean;
+        let variance = self.batch_squared / self.count - mean * mean;
         if self.count < MIN_SAMPLES || variance < MIN_VARIANCE {
             return;
         }
-        let slope = (self.product / self.count - mean * time) / variance;
+        let slope = (self.batch_times_time / self.count - mean * time) / variance;
         if slope > 0.0 {
             self.slope = Some(slope);
         }
--- a/crates/route/src/turnover.rs
+++ b/crates/route/src/turnover.rs
@@ -9,16 +9,16 @@
 use crate::rate::Ewma;
 
 /// Weight of one sample.
-const WEIGHT: f64 = 0.03;
+const SAMPLE_WEIGHT: f64 = 0.03;
 /// Time for which a request holds a decode slot, in seconds, until learned.
-const INITIAL_STAY: f64 = 5.0;
+const INITIAL_HOLD_S: f64 = 5.0;
 /// The most slots that are predicted.
 const MAX_COUNT: u32 = 64;
 
 /// Learned turnover of decode slots, and known ends where lengths are known.
 #[derive(Debug)]
 pub struct Turnover {
-    stay: Ewma,
+    hold_time: Ewma,
     ends: BTreeSet<(Time, Handle)>,
     held: u32,
 }
@@ -27,15 +27,15 @@
     /// Nothing learned.
     pub const fn new() -> Self {
         Self {
-            stay: Ewma::new(INITIAL_STAY, WEIGHT),
+            hold_time: Ewma::new(INITIAL_HOLD_S, SAMPLE_WEIGHT),
             ends: BTreeSet::new(),
             held: 0,
         }
     }
 
     /// Mean time for which a request holds a slot.
-    pub fn stay(&self) -> Duration {
-        Duration::from_secs_f64(self.stay.value())
+    pub fn hold_time(&self) -> Duration {
+        Duration::from_secs_f64(self.hold_time.value())
     }
 
     /// Notes that a request took a slot and will end at `end`, if that is known.
@@ -45,18 +45,18 @@
     }
 
     /// Notes that a request gave up its slot, after `stay` if it ran to its end.
-    pub fn end(&mut self, handle: Handle, end: Option<Time>, stay: Option<Duration>) {
+    pub fn end(&mut self, handle: Handle, end: Option<Time>, hold_time: Option<Duration>) {
         self.held = self.held.saturating_sub(1);
         if let Some(end) = end {
             self.ends.remove(&(end, handle));
         }
-        if let Some(stay) = stay {
-            self.stay.add(stay.as_secs_f64());
+        if let Some(hold_time) = hold_time {
+            self.hold_time.add(hold_time.as_secs_f64());
         }
     }
 
     /// Slots that come free until `time`, by known ends.
-    pub fn known(&self, time: Time) -> u32 {
+    pub fn known_ends(&self, time: Time) -> u32 {
         let due = self
             .ends
             .iter()
@@ -68,8 +68,8 @@
     /// The number of slots that come free within `span` with a chance of at least `1 - risk`.
     ///
     /// Ends are taken as independent at a constant rate, so their number is Poisson distributed.
-    pub fn likely(&self, span: Duration, risk: f64) -> u32 {
-        let mean = f64::from(self.held) * span.as_secs_f64() / self.stay.value().max(0.001);
+    pub fn likely_ends(&self, within: Duration, risk: f64) -> u32 {
+        let mean = f64::from(self.held) * within.as_secs_f64() / self.hold_time.value().max(0.001);
         let mut term = (-mean).exp();
         let mut below = term;
         let mut count = 0;
