--- a/crates/ledger/src/backoff.rs
+++ b/crates/ledger/src/backoff.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-const FIRST: Duration = Duration::from_millis(100);
-const LAST: Duration = Duration::from_secs(2);
+const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 const MAX_DOUBLINGS: u32 = 5;
 
 /// The pause before try number `tries` (0 is the first repeat).
 pub fn pause(tries: u32) -> Duration {
     let factor = 1 << tries.min(MAX_DOUBLINGS);
-    (FIRST * factor).min(LAST)
+    (FIRST_PAUSE * factor).min(MAX_PAUSE)
 }
--- a/crates/ledger/src/keys.rs
+++ b/crates/ledger/src/keys.rs
@@ -51,7 +51,7 @@
 pub struct KeyRegistry<T> {
     window_s: u64,
     capacity: usize,
-    marks: HashMap<Key, KeyState<T>>,
+    states: HashMap<Key, KeyState<T>>,
     expiry: VecDeque<(u64, Key)>,
 }
 
@@ -65,40 +65,40 @@
         Self {
             window_s,
             capacity,
-            marks: HashMap::new(),
+            states: HashMap::new(),
             expiry: VecDeque::new(),
         }
     }
 
     /// Number of keys remembered.
     pub fn len(&self) -> usize {
-        self.marks.len()
+        self.states.len()
     }
 
     /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
-        self.marks.is_empty()
+        self.states.is_empty()
     }
 
     /// What is known of `key`.
     pub fn get(&self, key: &Key) -> Option<&KeyState<T>> {
-        self.marks.get(key)
+        self.states.get(key)
     }
 
     /// Whether a request with a key issued at `issued` may start at `now` (seconds).
     pub fn admit(&self, now: u64, issued: u64) -> Admission {
-        let too_old = now > issued.saturating_add(self.window_s);
-        let too_new = issued > now.saturating_add(MAX_CLOCK_SKEW_S);
+        let expired = now > issued.saturating_add(self.window_s);
+        let in_future = issued > now.saturating_add(MAX_CLOCK_SKEW_S);
         match () {
-            () if too_old || too_new => Admission::Expired,
-            () if self.marks.len() >= self.capacity => Admission::Full,
+            () if expired || in_future => Admission::Expired,
+            () if self.states.len() >= self.capacity => Admission::Full,
             () => Admission::New,
         }
     }
 
     /// Enters or replaces the mark of `key`; it is kept until it can no longer start anything.
-    pub fn set(&mut self, now: u64, key: &Key, mark: KeyState<T>) {
-        if self.marks.insert(key.clone(), mark).is_none() {
+    pub fn set(&mut self, now: u64, key: &Key, state: KeyState<T>) {
+        if self.states.insert(key.clone(), state).is_none() {
             let until = now + self.window_s + MAX_CLOCK_SKEW_S + 1;
             self.expiry.push_back((until, key.clone()));
         }
@@ -107,7 +107,7 @@
     /// Forgets `key`, of whose request no byte reached a back end: it may start again.
     pub fn forget(&mut self, key: &Key) {
         // The key's place in `expiry` stays: what is marked under it later has the same window.
-        self.marks.remove(key);
+        self.states.remove(key);
     }
 
     /// Drops keys whose window has passed; open requests stay until they end.
@@ -116,10 +116,10 @@
             let Some((_, key)) = self.expiry.pop_front() else {
                 return;
             };
-            if matches!(self.marks.get(&key), Some(KeyState::Open(_))) {
+            if matches!(self.states.get(&key), Some(KeyState::Open(_))) {
                 self.expiry.push_back((now + self.window_s, key));
             } else {
-                self.marks.remove(&key);
+                self.states.remove(&key);
             }
         }
     }
--- a/crates/ledger/src/reassembly.rs
+++ b/crates/ledger/src/reassembly.rs
@@ -62,11 +62,11 @@
             return Arrival::Broken;
         }
         if run.offset > self.delivered {
-            return self.keep(run);
+            return self.store_early(run);
         }
         self.delivered = end;
         out.push(run);
-        self.follow(out);
+        self.deliver_early(out);
         Arrival::Ready
     }
 
@@ -75,7 +75,7 @@
         self.early.clear();
     }
 
-    fn keep(&mut self, run: TokenRun) -> Arrival {
+    fn store_early(&mut self, run: TokenRun) -> Arrival {
         if self.early.len() >= MAX_EARLY {
             return Arrival::Broken;
         }
@@ -83,7 +83,7 @@
         Arrival::Early
     }
 
-    fn follow(&mut self, out: &mut Vec<TokenRun>) {
+    fn deliver_early(&mut self, out: &mut Vec<TokenRun>) {
         while let Some(run) = self.early.remove(&self.delivered) {
             self.delivered = self.delivered.saturating_add(run.count);
             out.push(run);
--- a/crates/ledger/tests/holds.rs
+++ b/crates/ledger/tests/holds.rs
@@ -25,15 +25,15 @@
     Handle::new(ME, sequence)
 }
 
-fn one() -> (Holds, HoldKey) {
+fn one_hold() -> (Holds, HoldKey) {
     let mut holds = Holds::new();
     let key = holds.insert(ENGINE, handle(1), ME, 5, START);
     (holds, key)
 }
 
 #[test]
-fn a_cancel_waits_until_the_order_that_started_the_work_is_over() {
-    let (mut holds, key) = one();
+fn a_cancel_waits_until_the_starting_order_has_ended() {
+    let (mut holds, key) = one_hold();
     assert_eq!(holds.release(NOW, key), Some(START));
     assert!(holds.due(NOW).is_none());
     assert_eq!(holds.next_due(), Time::NEVER);
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn a_lost_confirmation_is_asked_for_again_and_later_each_time() {
-    let (mut holds, key) = one();
+fn a_failed_release_is_repeated_after_growing_pauses() {
+    let (mut holds, key) = one_hold();
     holds.start_ended(START);
     assert_eq!(holds.release(NOW, key), None);
     let mut now = NOW;
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn answers_to_former_cancels_change_nothing() {
-    let (mut holds, key) = one();
+fn answers_to_earlier_cancels_are_ignored() {
+    let (mut holds, key) = one_hold();
     holds.start_ended(START);
     holds.release(NOW, key);
     holds.sent(key, CANCEL);
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_stream_read_by_a_later_order_is_released_under_that_owner_and_fence() {
-    let (mut holds, key) = one();
+    let (mut holds, key) = one_hold();
     let (attach, fresh) = (OrderId(7), Incarnation(0xa5));
     holds.restart(key, attach, fresh, 6);
     // The former order is not what the release waits for any more.
@@ -100,7 +100,7 @@
 
 #[test]
 fn memory_of_a_replica_that_is_gone_needs_no_release() {
-    let (mut holds, key) = one();
+    let (mut holds, key) = one_hold();
     holds.start_ended(START);
     holds.release(NOW, key);
     holds.sent(key, CANCEL);
@@ -112,8 +112,8 @@
 }
 
 #[test]
-fn memory_that_another_owner_took_is_not_ours_to_release() {
-    let (mut holds, key) = one();
+fn memory_taken_over_by_another_owner_is_not_released() {
+    let (mut holds, key) = one_hold();
     holds.start_ended(START);
     holds.release(NOW, key);
     holds.sent(key, CANCEL);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn found_memory_is_released_in_the_name_of_its_owner() {
+fn orphaned_memory_is_released_for_its_owner() {
     let mut holds = Holds::new();
     let gone = Incarnation(0xdead);
     holds.insert_orphan(NOW, ENGINE, handle(9), gone, 40);
@@ -139,7 +139,7 @@
     Send,
     Fail,
     Confirm,
-    Reopen,
+    Restart,
 }
 
 const STEPS: [Step; 6] = [
@@ -148,7 +148,7 @@
     Step::Send,
     Step::Fail,
     Step::Confirm,
-    Step::Reopen,
+    Step::Restart,
 ];
 
 /// A hold as the test sees it.
@@ -163,7 +163,7 @@
     /// Whatever happens in between, every hold that is asked to go is gone once its start is over
     /// and a cancel is confirmed, and never before.
     #[test]
-    fn every_hold_goes_by_a_confirmed_cancel(steps in vec((0..STEPS.len(), 0..4_usize), 0..120)) {
+    fn every_hold_ends_with_a_confirmed_cancel(steps in vec((0..STEPS.len(), 0..4_usize), 0..120)) {
         let mut holds = Holds::new();
         let mut next = 0;
         let mut order = move || {
@@ -207,11 +207,11 @@
                         confirmed += 1;
                     }
                 }
-                Step::Reopen if alive && model.cancel.is_none() => {
+                Step::Restart if alive && model.cancel.is_none() => {
                     model.start = order();
                     holds.restart(model.key, model.start, ME, 2);
                 }
-                Step::Reopen => (),
+                Step::Restart => (),
             }
             prop_assert_eq!(holds.len(), models.len() - confirmed);
         }
--- a/crates/ledger/tests/keys.rs
+++ b/crates/ledger/tests/keys.rs
@@ -26,33 +26,33 @@
 #[case::at_the_origin(0, Admission::Expired)]
 #[case::at_the_end_of_time(u64::MAX, Admission::Expired)]
 fn a_key_starts_only_inside_its_window(#[case] issued: u64, #[case] expected: Admission) {
-    let memory: KeyRegistry<u32> = KeyRegistry::new(WINDOW_S, 4);
-    assert_eq!(memory.admit(NOW, issued), expected);
+    let registry: KeyRegistry<u32> = KeyRegistry::new(WINDOW_S, 4);
+    assert_eq!(registry.admit(NOW, issued), expected);
 }
 
 #[test]
-fn a_full_memory_takes_no_new_key_and_forgets_none() {
-    let mut memory: KeyRegistry<u32> = KeyRegistry::new(WINDOW_S, 2);
-    memory.set(NOW, &key(1), KeyState::Unknown);
-    memory.set(NOW, &key(2), KeyState::Failed);
-    assert_eq!(memory.admit(NOW, NOW), Admission::Full);
-    memory.set(NOW, &key(1), KeyState::Failed);
-    assert_eq!(memory.len(), 2);
-    memory.forget(&key(2));
-    assert_eq!(memory.get(&key(2)), None);
-    assert_eq!(memory.admit(NOW, NOW), Admission::New);
+fn a_full_registry_admits_no_new_key_and_forgets_none() {
+    let mut registry: KeyRegistry<u32> = KeyRegistry::new(WINDOW_S, 2);
+    registry.set(NOW, &key(1), KeyState::Unknown);
+    registry.set(NOW, &key(2), KeyState::Failed);
+    assert_eq!(registry.admit(NOW, NOW), Admission::Full);
+    registry.set(NOW, &key(1), KeyState::Failed);
+    assert_eq!(registry.len(), 2);
+    registry.forget(&key(2));
+    assert_eq!(registry.get(&key(2)), None);
+    assert_eq!(registry.admit(NOW, NOW), Admission::New);
 }
 
 #[test]
 fn an_open_request_is_never_forgotten() {
-    let mut memory = KeyRegistry::new(WINDOW_S, 4);
-    memory.set(NOW, &key(1), KeyState::Open(7));
+    let mut registry = KeyRegistry::new(WINDOW_S, 4);
+    registry.set(NOW, &key(1), KeyState::Open(7));
     let late = NOW + 3 * (WINDOW_S + MAX_CLOCK_SKEW_S);
-    memory.expire(late);
-    assert_eq!(memory.get(&key(1)), Some(&KeyState::Open(7)));
-    memory.set(late, &key(1), KeyState::Unknown);
-    memory.expire(late + 2 * (WINDOW_S + MAX_CLOCK_SKEW_S));
-    assert!(memory.is_empty());
+    registry.expire(late);
+    assert_eq!(registry.get(&key(1)), Some(&KeyState::Open(7)));
+    registry.set(late, &key(1), KeyState::Unknown);
+    registry.expire(late + 2 * (WINDOW_S + MAX_CLOCK_SKEW_S));
+    assert!(registry.is_empty());
 }
 
 proptest! {
@@ -63,26 +63,26 @@
         window in 1..50_u64,
         steps in vec((0..40_u64, 0..6_u64, 0..100_u64), 1..200),
     ) {
-        let mut memory: KeyRegistry<u32> = KeyRegistry::new(window, 1_000);
+        let mut registry: KeyRegistry<u32> = KeyRegistry::new(window, 1_000);
         let mut now = NOW;
         // The time at which each key was issued, by a clock that may be ahead.
         let issued: Vec<u64> = (0..6).map(|index| NOW + 13 * index).collect();
         let mut started = [false; 6];
         for (pause, number, end) in steps {
             now += pause;
-            memory.expire(now);
+            registry.expire(now);
             let index = number as usize;
-            let known = memory.get(&key(number)).is_some();
-            if !known && memory.admit(now, issued[index]) == Admission::New {
+            let known = registry.get(&key(number)).is_some();
+            if !known && registry.admit(now, issued[index]) == Admission::New {
                 prop_assert!(!started[index], "key {number} starts twice");
                 started[index] = true;
-                let mark = if end % 2 == 0 { KeyState::Unknown } else { KeyState::Open(1) };
-                memory.set(now, &key(number), mark);
+                let state = if end % 2 == 0 { KeyState::Unknown } else { KeyState::Open(1) };
+                registry.set(now, &key(number), state);
             } else if known && end % 3 == 0 {
-                memory.set(now, &key(number), KeyState::Failed);
+                registry.set(now, &key(number), KeyState::Failed);
             } else if known && end % 7 == 0 {
                 // No byte of it reached a back end: it may start again.
-                memory.forget(&key(number));
+                registry.forget(&key(number));
                 started[index] = false;
             }
         }
--- a/crates/ledger/tests/stage.rs
+++ b/crates/ledger/tests/stage.rs
@@ -28,7 +28,7 @@
 ];
 
 #[test]
-fn only_the_listed_steps_are_allowed_and_others_name_step_and_attempt() {
+fn only_listed_transitions_are_allowed_and_errors_name_stages_and_attempt() {
     let handle = Handle::new(Incarnation(0x91c5), 26);
     for from in STAGES {
         for to in STAGES {
--- a/crates/route/tests/bounds.rs
+++ b/crates/route/tests/bounds.rs
@@ -38,11 +38,11 @@
 const SLOTS: u32 = 3;
 const CEILING: u32 = 4;
 /// Requests beyond all slots that may be granted for each replica, as others are about to end.
-const OVER: u32 = 1;
+const OVERCOMMIT: u32 = 1;
 
 /// One event.
 #[derive(Debug, Clone)]
-enum Op {
+enum Event {
     Submit { row: usize },
     Repeat(prop::sample::Index),
     Prefilled(prop::sample::Index),
@@ -56,26 +56,26 @@
     Pass(u64),
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn event() -> impl Strategy<Value = Event> {
     let index = any::<prop::sample::Index>;
     prop_oneof![
-        6 => (0..2_usize).prop_map(|row| Op::Submit { row }),
-        1 => index().prop_map(Op::Repeat),
-        4 => index().prop_map(Op::Prefilled),
-        4 => index().prop_map(Op::Decoding),
-        1 => index().prop_map(Op::Rejected),
-        3 => index().prop_map(Op::Finished),
-        1 => index().prop_map(Op::Gone),
-        1 => (0..PREFILLS + DECODES, any::<bool>()).prop_map(|(at, on)| Op::Leave(at, on)),
-        1 => (0..PREFILLS + DECODES).prop_map(Op::Lost),
-        2 => (0..PREFILLS + DECODES).prop_map(Op::Report),
-        6 => (1..500_u64).prop_map(Op::Pass),
+        6 => (0..2_usize).prop_map(|row| Event::Submit { row }),
+        1 => index().prop_map(Event::Repeat),
+        4 => index().prop_map(Event::Prefilled),
+        4 => index().prop_map(Event::Decoding),
+        1 => index().prop_map(Event::Rejected),
+        3 => index().prop_map(Event::Finished),
+        1 => index().prop_map(Event::Gone),
+        1 => (0..PREFILLS + DECODES, any::<bool>()).prop_map(|(at, on)| Event::Leave(at, on)),
+        1 => (0..PREFILLS + DECODES).prop_map(Event::Lost),
+        2 => (0..PREFILLS + DECODES).prop_map(Event::Report),
+        6 => (1..500_u64).prop_map(Event::Pass),
     ]
 }
 
 /// A cell with what the test knows about it.
 struct Model {
-    cell: Scheduler,
+    scheduler: Scheduler,
     now: Time,
     members: Vec<Member>,
     rows: Vec<Row>,
@@ -87,22 +87,22 @@
 }
 
 impl Model {
-    fn new(thrift: u32) -> Self {
+    fn new(waste: u32) -> Self {
         let members = members(PREFILLS, DECODES, SLOTS);
         let rows = vec![Row::new("a"), Row::new("b")];
         let rules: Vec<Rule> = rows
             .iter()
             .map(|row| Rule {
                 decode_ceiling: CEILING,
-                waste_percent: thrift,
+                waste_percent: waste,
                 ..rule(*row)
             })
             .collect();
-        let mut cell = Scheduler::new(Settings::new(), 1);
-        cell.set_rules(Time::ZERO, &rules);
-        cell.set_members(Time::ZERO, &members);
+        let mut scheduler = Scheduler::new(Settings::new(), 1);
+        scheduler.set_rules(Time::ZERO, &rules);
+        scheduler.set_members(Time::ZERO, &members);
         Self {
-            cell,
+            scheduler,
             now: Time::ZERO,
             members,
             rows,
@@ -122,7 +122,7 @@
         let Some(handle) = self.pick(index) else {
             return;
         };
-        self.cell.advance(self.now, handle, phase);
+        self.scheduler.advance(self.now, handle, phase);
         let ended = match phase {
             Phase::Gone => true,
             Phase::Finished { .. } => self.placed.contains_key(&handle),
@@ -134,21 +134,22 @@
         }
     }
 
-    fn apply(&mut self, op: &Op) {
-        match op {
-            Op::Submit { row } => {
+    fn apply(&mut self, event: &Event) {
+        match event {
+            Event::Submit { row } => {
                 let ticket = ticket(self.submitted, self.rows[*row]);
                 self.rows_of.insert(ticket.handle, *row);
                 self.submitted += 1;
-                self.cell.submit(self.now, ticket);
+                self.scheduler.submit(self.now, ticket);
             }
-            Op::Repeat(index) => {
+            Event::Repeat(index) => {
                 if let Some(handle) = self.pick(*index) {
                     let row = self.rows[self.rows_of[&handle]];
-                    self.cell.submit(self.now, ticket(handle.sequence, row));
+                    self.scheduler
+                        .submit(self.now, ticket(handle.sequence, row));
                 }
             }
-            Op::Prefilled(index) => {
+            Event::Prefilled(index) => {
                 self.advance(
                     *index,
                     Phase::Prefilled {
@@ -157,30 +158,31 @@
                     },
                 );
             }
-            Op::Decoding(index) => self.advance(*index, Phase::Decoding),
-            Op::Rejected(index) => self.advance(*index, Phase::Rejected),
-            Op::Finished(index) => self.advance(*index, Phase::Finished { tokens: 10 }),
-            Op::Gone(index) => self.advance(*index, Phase::Gone),
-            Op::Leave(at, leaving) => {
+            Event::Decoding(index) => self.advance(*index, Phase::Decoding),
+            Event::Rejected(index) => self.advance(*index, Phase::Rejected),
+            Event::Finished(index) => self.advance(*index, Phase::Finished { tokens: 10 }),
+            Event::Gone(index) => self.advance(*index, Phase::Gone),
+            Event::Leave(at, leaving) => {
                 self.members[*at].leaving = *leaving;
-                self.cell.set_members(self.now, &self.members);
+                self.scheduler.set_members(self.now, &self.members);
             }
-            Op::Lost(at) => {
+            Event::Lost(at) => {
                 self.lost.insert(self.members[*at].replica);
-                self.cell.mark_lost(self.now, self.members[*at].replica);
+                self.scheduler
+                    .mark_lost(self.now, self.members[*at].replica);
             }
-            Op::Report(at) => {
+            Event::Report(at) => {
                 self.lost.remove(&self.members[*at].replica);
-                self.cell
+                self.scheduler
                     .apply_report(self.now, self.members[*at].replica, &report());
             }
-            Op::Pass(ms) => self.now = self.now + Duration::from_millis(*ms),
+            Event::Pass(ms) => self.now = self.now + Duration::from_millis(*ms),
         }
     }
 
     fn step(&mut self, repeat: bool) -> Result<(), TestCaseError> {
         let mut out = Vec::new();
-        let next = self.cell.step(self.now, &mut out);
+        let next = self.scheduler.step(self.now, &mut out);
         prop_assert!(next > self.now);
         for verdict in out {
             self.check_verdict(&verdict, repeat)?;
@@ -196,16 +198,13 @@
             }
             Choice::Paired { prefill, decode } => {
                 let former = self.placed.get(&verdict.handle).copied();
-                let is_repeat = repeat && (former == Some(*verdict) || self.is_over(verdict));
+                let is_repeat = repeat && (former == Some(*verdict) || self.has_ended(verdict));
                 if !is_repeat {
                     prop_assert!(self.is_open(decode), "{decode} gets no new work");
                     let stays = former.is_some_and(|former| prefill_of(&former) == Some(prefill));
                     prop_assert!(stays || self.is_open(prefill), "{prefill} gets no new work");
                     prop_assert!(former.is_none() || stays, "a prefill moved");
-                    prop_assert!(
-                        former.is_some() || self.has_secured(),
-                        "no slot was secured"
-                    );
+                    prop_assert!(former.is_some() || self.claims_fit(), "no slot was secured");
                     self.placed.insert(verdict.handle, *verdict);
                 }
             }
@@ -215,18 +214,18 @@
     }
 
     /// Whether all claims fit the slots of open replicas, with those that may be ahead of an end.
-    fn has_secured(&self) -> bool {
+    fn claims_fit(&self) -> bool {
         let open = self.members[PREFILLS..]
             .iter()
             .filter(|m| self.is_open(m.replica));
         let (claims, slots) = open.fold((0, 0), |(claims, slots), member| {
-            let claimed = self.cell.claimed_slots(member.replica);
-            (claims + claimed, slots + member.slots + OVER)
+            let claimed = self.scheduler.claimed_slots(member.replica);
+            (claims + claimed, slots + member.slots + OVERCOMMIT)
         });
         claims <= slots
     }
 
-    fn is_over(&self, verdict: &Verdict) -> bool {
+    fn has_ended(&self, verdict: &Verdict) -> bool {
         self.ended.contains(&verdict.handle)
     }
 
@@ -240,11 +239,11 @@
 
     fn check_counts(&self) -> Result<(), TestCaseError> {
         for row in &self.rows {
-            let (prefills, decodes) = self.cell.row_usage(*row);
+            let (prefills, decodes) = self.scheduler.row_usage(*row);
             prop_assert!(decodes <= CEILING);
             prop_assert!(prefills <= decodes);
         }
-        prop_assert_eq!(self.cell.in_progress(), self.placed.len());
+        prop_assert_eq!(self.scheduler.in_progress(), self.placed.len());
         Ok(())
     }
 }
@@ -270,42 +269,42 @@
 
 proptest! {
     #[test]
-    fn bounds_hold_under_any_events(ops in vec(op(), 1..200), thrift in 0..=100_u32) {
-        let mut model = Model::new(thrift);
-        for op in &ops {
-            model.apply(op);
-            model.step(matches!(op, Op::Repeat(_)))?;
+    fn bounds_hold_under_any_events(events in vec(event(), 1..200), waste in 0..=100_u32) {
+        let mut model = Model::new(waste);
+        for event in &events {
+            model.apply(event);
+            model.step(matches!(event, Event::Repeat(_)))?;
         }
     }
 
     #[test]
-    fn nothing_is_held_once_all_are_gone(ops in vec(op(), 1..200)) {
+    fn nothing_is_held_after_all_requests_end(events in vec(event(), 1..200)) {
         let mut model = Model::new(50);
-        for op in &ops {
-            model.apply(op);
-            model.step(matches!(op, Op::Repeat(_)))?;
+        for event in &events {
+            model.apply(event);
+            model.step(matches!(event, Event::Repeat(_)))?;
         }
         for n in 0..model.submitted {
-            model.cell.advance(model.now, handle(n), Phase::Gone);
+            model.scheduler.advance(model.now, handle(n), Phase::Gone);
         }
-        prop_assert_eq!(model.cell.in_progress(), 0);
-        prop_assert_eq!(model.cell.waiting(), 0);
+        prop_assert_eq!(model.scheduler.in_progress(), 0);
+        prop_assert_eq!(model.scheduler.waiting(), 0);
         for member in &model.members {
-            prop_assert_eq!(model.cell.claimed_slots(member.replica), 0);
+            prop_assert_eq!(model.scheduler.claimed_slots(member.replica), 0);
         }
         for row in &model.rows {
-            prop_assert_eq!(model.cell.row_usage(*row), (0, 0));
+            prop_assert_eq!(model.scheduler.row_usage(*row), (0, 0));
         }
     }
 
     #[test]
-    fn equal_events_give_equal_verdicts(ops in vec(op(), 1..100)) {
+    fn equal_events_give_equal_verdicts(events in vec(event(), 1..100)) {
         let run = || {
             let mut model = Model::new(50);
             let mut all = Vec::new();
-            for op in &ops {
-                model.apply(op);
-                model.cell.step(model.now, &mut all);
+            for event in &events {
+                model.apply(event);
+                model.scheduler.step(model.now, &mut all);
             }
             all
         };
--- a/crates/route/tests/common/mod.rs
+++ b/crates/route/tests/common/mod.rs
@@ -62,11 +62,11 @@
 }
 
 /// A cell with [`row`] and the given replicas.
-pub fn cell(members: &[Member]) -> Scheduler {
-    let mut cell = Scheduler::new(Settings::new(), 1);
-    cell.set_rules(Time::ZERO, &[rule(row())]);
-    cell.set_members(Time::ZERO, members);
-    cell
+pub fn scheduler(members: &[Member]) -> Scheduler {
+    let mut scheduler = Scheduler::new(Settings::new(), 1);
+    scheduler.set_rules(Time::ZERO, &[rule(row())]);
+    scheduler.set_members(Time::ZERO, members);
+    scheduler
 }
 
 /// Attempt `n` of one owner.
@@ -101,9 +101,9 @@
 }
 
 /// Verdicts of one step.
-pub fn step(cell: &mut Scheduler, now: Time) -> Vec<Verdict> {
+pub fn step(scheduler: &mut Scheduler, now: Time) -> Vec<Verdict> {
     let mut out = Vec::new();
-    cell.step(now, &mut out);
+    scheduler.step(now, &mut out);
     out
 }
 
@@ -116,8 +116,8 @@
 }
 
 /// Leads request `n` from prefill to decode.
-pub fn decode(cell: &mut Scheduler, now: Time, n: u64) {
-    cell.advance(
+pub fn decode(scheduler: &mut Scheduler, now: Time, n: u64) {
+    scheduler.advance(
         now,
         handle(n),
         Phase::Prefilled {
@@ -125,5 +125,5 @@
             cached: 0,
         },
     );
-    cell.advance(now, handle(n), Phase::Decoding);
+    scheduler.advance(now, handle(n), Phase::Decoding);
 }
--- a/crates/route/tests/keeper.rs
+++ b/crates/route/tests/keeper.rs
@@ -16,13 +16,13 @@
 use rstest::rstest;
 
 use common::call;
-use common::cell;
 use common::decode;
 use common::handle;
 use common::member;
 use common::members;
 use common::pair;
 use common::row;
+use common::scheduler;
 use common::step;
 use common::ticket;
 
@@ -41,22 +41,22 @@
 }
 
 #[rstest]
-fn a_new_keeper_grants_nothing_until_the_grace_ends() {
-    let mut cell = cell(&members(2, 1, 2));
-    cell.begin_takeover(Time::ZERO);
-    cell.submit(Time::ZERO, ticket(1, row()));
-    assert!(step(&mut cell, Time::from_millis(100)).is_empty());
-    assert_eq!(step(&mut cell, after_grace()).len(), 1);
+fn a_new_keeper_grants_nothing_in_its_grace_period() {
+    let mut scheduler = scheduler(&members(2, 1, 2));
+    scheduler.begin_takeover(Time::ZERO);
+    scheduler.submit(Time::ZERO, ticket(1, row()));
+    assert!(step(&mut scheduler, Time::from_millis(100)).is_empty());
+    assert_eq!(step(&mut scheduler, after_grace()).len(), 1);
 }
 
 #[rstest]
-fn the_grace_ends_early_once_all_owners_have_reported() {
-    let mut cell = cell(&members(2, 1, 2));
-    cell.begin_takeover(Time::ZERO);
-    cell.submit(Time::ZERO, ticket(1, row()));
+fn the_grace_period_ends_early_once_all_owners_have_reported() {
+    let mut scheduler = scheduler(&members(2, 1, 2));
+    scheduler.begin_takeover(Time::ZERO);
+    scheduler.submit(Time::ZERO, ticket(1, row()));
     let now = Time::from_millis(50);
-    cell.end_grace(now);
-    assert_eq!(step(&mut cell, now).len(), 1);
+    scheduler.end_grace(now);
+    assert_eq!(step(&mut scheduler, now).len(), 1);
 }
 
 #[rstest]
@@ -64,22 +64,22 @@
 #[case(Some(Phase::Prefilled { computed: 1_000, cached: 0 }))]
 #[case(Some(Phase::Decoding))]
 fn adopted_holds_count_against_slots(#[case] phase: Option<Phase>) {
-    let mut cell = cell(&members(2, 1, 2));
-    cell.adopt(Time::ZERO, &hold(1, phase));
-    cell.adopt(Time::ZERO, &hold(1, phase));
-    assert_eq!(cell.claimed_slots(Replica::new("d0")), 1);
-    assert_eq!(cell.row_usage(row()).1, 1);
-    cell.submit(Time::ZERO, ticket(2, row()));
-    cell.submit(Time::ZERO, ticket(3, row()));
-    assert!(step(&mut cell, Time::from_millis(100)).is_empty());
-    assert_eq!(step(&mut cell, after_grace()).len(), 1);
-    cell.advance(after_grace(), handle(1), Phase::Finished { tokens: 3 });
-    assert_eq!(step(&mut cell, after_grace()).len(), 1);
+    let mut scheduler = scheduler(&members(2, 1, 2));
+    scheduler.adopt(Time::ZERO, &hold(1, phase));
+    scheduler.adopt(Time::ZERO, &hold(1, phase));
+    assert_eq!(scheduler.claimed_slots(Replica::new("d0")), 1);
+    assert_eq!(scheduler.row_usage(row()).1, 1);
+    scheduler.submit(Time::ZERO, ticket(2, row()));
+    scheduler.submit(Time::ZERO, ticket(3, row()));
+    assert!(step(&mut scheduler, Time::from_millis(100)).is_empty());
+    assert_eq!(step(&mut scheduler, after_grace()).len(), 1);
+    scheduler.advance(after_grace(), handle(1), Phase::Finished { tokens: 3 });
+    assert_eq!(step(&mut scheduler, after_grace()).len(), 1);
 }
 
 #[rstest]
 fn an_adopted_plain_call_counts() {
-    let mut cell = cell(&[member("x", Role::Plain, 1)]);
+    let mut scheduler = scheduler(&[member("x", Role::Plain, 1)]);
     let decode = Replica::new("x");
     let hold = Hold {
         ticket: call(1, row()),
@@ -87,20 +87,20 @@
         decode,
         phase: None,
     };
-    cell.adopt(Time::ZERO, &hold);
-    cell.submit(Time::ZERO, call(2, row()));
-    assert!(step(&mut cell, after_grace()).is_empty());
-    cell.advance(after_grace(), handle(1), Phase::Finished { tokens: 0 });
-    let verdicts = step(&mut cell, after_grace());
+    scheduler.adopt(Time::ZERO, &hold);
+    scheduler.submit(Time::ZERO, call(2, row()));
+    assert!(step(&mut scheduler, after_grace()).is_empty());
+    scheduler.advance(after_grace(), handle(1), Phase::Finished { tokens: 0 });
+    let verdicts = step(&mut scheduler, after_grace());
     assert_eq!(verdicts[0].choice, Choice::Single { replica: decode });
 }
 
 #[rstest]
-fn a_repeated_ticket_of_an_adopted_request_gets_its_place() {
-    let mut cell = cell(&members(1, 1, 1));
-    cell.adopt(Time::ZERO, &hold(1, None));
-    cell.submit(Time::ZERO, ticket(1, row()));
-    let verdicts = step(&mut cell, Time::ZERO);
+fn a_repeated_ticket_of_an_adopted_request_gets_its_placement() {
+    let mut scheduler = scheduler(&members(1, 1, 1));
+    scheduler.adopt(Time::ZERO, &hold(1, None));
+    scheduler.submit(Time::ZERO, ticket(1, row()));
+    let verdicts = step(&mut scheduler, Time::ZERO);
     assert_eq!(
         pair(&verdicts[0]),
         Some((Replica::new("p0"), Replica::new("d0")))
@@ -120,50 +120,50 @@
 }
 
 #[rstest]
-fn a_lost_replica_gets_nothing_until_it_reports() {
-    let mut cell = cell(&members(1, 1, 2));
-    cell.mark_lost(Time::ZERO, Replica::new("d0"));
-    cell.submit(Time::ZERO, ticket(1, row()));
-    assert!(step(&mut cell, Time::ZERO).is_empty());
-    cell.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 0));
-    assert_eq!(step(&mut cell, Time::ZERO).len(), 1);
+fn a_lost_replica_gets_no_work_until_it_reports() {
+    let mut scheduler = scheduler(&members(1, 1, 2));
+    scheduler.mark_lost(Time::ZERO, Replica::new("d0"));
+    scheduler.submit(Time::ZERO, ticket(1, row()));
+    assert!(step(&mut scheduler, Time::ZERO).is_empty());
+    scheduler.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 0));
+    assert_eq!(step(&mut scheduler, Time::ZERO).len(), 1);
 }
 
 #[rstest]
 fn a_reboot_frees_the_slots() {
-    let mut cell = cell(&members(1, 1, 1));
-    cell.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 0));
-    cell.submit(Time::ZERO, ticket(1, row()));
-    step(&mut cell, Time::ZERO);
-    decode(&mut cell, Time::ZERO, 1);
-    assert_eq!(cell.claimed_slots(Replica::new("d0")), 1);
-    cell.apply_report(Time::ZERO, Replica::new("d0"), &report(2, 0));
-    assert_eq!(cell.claimed_slots(Replica::new("d0")), 0);
-    assert_eq!(cell.in_progress(), 1);
-    cell.advance(Time::ZERO, handle(1), Phase::Gone);
-    assert_eq!(cell.in_progress(), 0);
+    let mut scheduler = scheduler(&members(1, 1, 1));
+    scheduler.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 0));
+    scheduler.submit(Time::ZERO, ticket(1, row()));
+    step(&mut scheduler, Time::ZERO);
+    decode(&mut scheduler, Time::ZERO, 1);
+    assert_eq!(scheduler.claimed_slots(Replica::new("d0")), 1);
+    scheduler.apply_report(Time::ZERO, Replica::new("d0"), &report(2, 0));
+    assert_eq!(scheduler.claimed_slots(Replica::new("d0")), 0);
+    assert_eq!(scheduler.in_progress(), 1);
+    scheduler.advance(Time::ZERO, handle(1), Phase::Gone);
+    assert_eq!(scheduler.in_progress(), 0);
 }
 
 #[rstest]
-fn work_of_others_takes_slots() {
-    let mut cell = cell(&members(1, 1, 2));
-    cell.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 2));
-    cell.submit(Time::ZERO, ticket(1, row()));
-    assert!(step(&mut cell, Time::ZERO).is_empty());
-    cell.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 1));
-    assert_eq!(step(&mut cell, Time::ZERO).len(), 1);
+fn foreign_load_takes_slots() {
+    let mut scheduler = scheduler(&members(1, 1, 2));
+    scheduler.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 2));
+    scheduler.submit(Time::ZERO, ticket(1, row()));
+    assert!(step(&mut scheduler, Time::ZERO).is_empty());
+    scheduler.apply_report(Time::ZERO, Replica::new("d0"), &report(1, 1));
+    assert_eq!(step(&mut scheduler, Time::ZERO).len(), 1);
 }
 
 #[rstest]
 fn a_member_that_is_no_longer_listed_is_lost() {
-    let mut cell = cell(&members(1, 2, 1));
+    let mut scheduler = scheduler(&members(1, 2, 1));
     let left: Vec<Member> = members(1, 2, 1)
         .into_iter()
         .filter(|m| m.replica != Replica::new("d0"))
         .collect();
-    cell.set_members(Time::ZERO, &left);
-    cell.submit(Time::ZERO, ticket(1, row()));
-    let verdicts = step(&mut cell, Time::ZERO);
+    scheduler.set_members(Time::ZERO, &left);
+    scheduler.submit(Time::ZERO, ticket(1, row()));
+    let verdicts = step(&mut scheduler, Time::ZERO);
     assert_eq!(
         pair(&verdicts[0]).map(|pair| pair.1),
         Some(Replica::new("d1"))
@@ -172,11 +172,11 @@
 
 #[rstest]
 fn a_replica_that_failed_an_attempt_is_avoided() {
-    let mut cell = cell(&members(2, 2, 1));
+    let mut scheduler = scheduler(&members(2, 2, 1));
     let mut ticket = ticket(1, row());
     ticket.avoid = vec![Replica::new("p0"), Replica::new("d0")];
-    cell.submit(Time::ZERO, ticket);
-    let verdicts = step(&mut cell, Time::ZERO);
+    scheduler.submit(Time::ZERO, ticket);
+    let verdicts = step(&mut scheduler, Time::ZERO);
     assert_eq!(
         pair(&verdicts[0]),
         Some((Replica::new("p1"), Replica::new("d1")))
--- a/crates/route/tests/targets.rs
+++ b/crates/route/tests/targets.rs
@@ -24,10 +24,10 @@
 
 /// A cell whose engines take 100 ms for a token in any batch, as it has learned, and the number of
 /// requests that taught it; the target is `tbt`.
-fn taught(tbt: Duration) -> (Scheduler, Time, u64) {
-    let mut cell = Scheduler::new(Settings::new(), 1);
-    cell.set_rules(Time::ZERO, &[Rule { tbt, ..rule(row()) }]);
-    cell.set_members(Time::ZERO, &members(PREFILLS, 1, SLOTS));
+fn trained_scheduler(tbt: Duration) -> (Scheduler, Time, u64) {
+    let mut scheduler = Scheduler::new(Settings::new(), 1);
+    scheduler.set_rules(Time::ZERO, &[Rule { tbt, ..rule(row()) }]);
+    scheduler.set_members(Time::ZERO, &members(PREFILLS, 1, SLOTS));
     let mut now = Time::ZERO + Duration::from_secs(10);
     let mut next = 0;
     for round in 0..60 {
@@ -35,42 +35,42 @@
         let asked: Vec<u64> = (next..next + batch).collect();
         next += batch;
         for n in &asked {
-            cell.submit(now, ticket(*n, row()));
+            scheduler.submit(now, ticket(*n, row()));
         }
-        let placed = step(&mut cell, now).iter().filter_map(pair).count();
+        let placed = step(&mut scheduler, now).iter().filter_map(pair).count();
         now = now + Duration::from_millis(100);
         for n in &asked {
-            decode(&mut cell, now, *n);
+            decode(&mut scheduler, now, *n);
         }
         // A little longer in a larger batch, as measured times are.
         now = now + Duration::from_millis(1_000 + placed as u64);
         for n in &asked {
             let phase = Phase::Finished { tokens: 10 };
-            cell.advance(now, handle(*n), phase);
-            cell.advance(now, handle(*n), Phase::Gone);
+            scheduler.advance(now, handle(*n), phase);
+            scheduler.advance(now, handle(*n), Phase::Gone);
         }
-        step(&mut cell, now);
+        step(&mut scheduler, now);
         now = now + Duration::from_millis(100);
     }
-    (cell, now, next)
+    (scheduler, now, next)
 }
 
 /// Requests placed within half a second, of twenty.
-fn placed(tbt: Duration) -> usize {
-    let (mut cell, mut now, first) = taught(tbt);
+fn placed_requests(tbt: Duration) -> usize {
+    let (mut scheduler, mut now, first) = trained_scheduler(tbt);
     for n in first..first + 20 {
-        cell.submit(now, ticket(n, row()));
+        scheduler.submit(now, ticket(n, row()));
     }
     let mut placed = 0;
     for _ in 0..10 {
-        let verdicts = step(&mut cell, now);
+        let verdicts = step(&mut scheduler, now);
         let paired = verdicts.iter().filter(|verdict| pair(verdict).is_some());
         let paired: Vec<_> = paired.map(|verdict| verdict.handle).collect();
         placed += paired.len();
         now = now + Duration::from_millis(50);
         for n in first..first + 20 {
             if paired.contains(&handle(n)) {
-                decode(&mut cell, now, n);
+                decode(&mut scheduler, now, n);
             }
         }
     }
@@ -78,12 +78,12 @@
 }
 
 #[test]
-fn a_target_that_can_be_met_keeps_batches_small_enough() {
-    assert_eq!(placed(Duration::from_millis(200)), 20);
+fn an_attainable_target_limits_batches() {
+    assert_eq!(placed_requests(Duration::from_millis(200)), 20);
 }
 
 /// Alone in a batch a request would miss it as well, and a thousand slots would stay free.
 #[test]
-fn a_target_that_no_batch_meets_keeps_nobody_waiting() {
-    assert_eq!(placed(Duration::from_millis(50)), 20);
+fn an_unattainable_target_does_not_limit_batches() {
+    assert_eq!(placed_requests(Duration::from_millis(50)), 20);
 }
--- a/crates/route/tests/transfer.rs
+++ b/crates/route/tests/transfer.rs
@@ -17,13 +17,13 @@
 use route::ticket::Work;
 use rstest::rstest;
 
-use common::cell;
 use common::decode;
 use common::handle;
 use common::member;
 use common::members;
 use common::pair;
 use common::row;
+use common::scheduler;
 use common::step;
 use common::ticket;
 
@@ -35,10 +35,10 @@
 }
 
 /// Request 1 goes to `d0` in zone `b`, and its transfer never ends.
-fn stall(cell: &mut Scheduler) {
-    cell.submit(Time::ZERO, ticket(1, row()));
-    step(cell, Time::ZERO);
-    cell.advance(
+fn stall_transfer(scheduler: &mut Scheduler) {
+    scheduler.submit(Time::ZERO, ticket(1, row()));
+    step(scheduler, Time::ZERO);
+    scheduler.advance(
         Time::from_millis(100),
         handle(1),
         Phase::Prefilled {
@@ -49,12 +49,12 @@
 }
 
 /// The first time at which request 2, submitted at `now`, is granted.
-fn granted_at(cell: &mut Scheduler, now: Time) -> Option<(Time, Replica)> {
+fn granted_at(scheduler: &mut Scheduler, now: Time) -> Option<(Time, Replica)> {
     let late = now + Duration::from_secs(9);
-    cell.submit(now, ticket(2, row()));
+    scheduler.submit(now, ticket(2, row()));
     let mut at = now;
     while at < late {
-        if let Some((_, decode)) = step(cell, at).first().and_then(pair) {
+        if let Some((_, decode)) = step(scheduler, at).first().and_then(pair) {
             return Some((at, decode));
         }
         at = at + Duration::from_millis(20);
@@ -63,16 +63,16 @@
 }
 
 #[rstest]
-fn a_stalled_link_is_left_alone_while_there_is_another() {
-    let mut cell = cell(&[member("p0", Role::Prefill, 1), in_zone("b", "d0")]);
-    stall(&mut cell);
+fn a_stalled_link_is_avoided_while_there_is_another() {
+    let mut scheduler = scheduler(&[member("p0", Role::Prefill, 1), in_zone("b", "d0")]);
+    stall_transfer(&mut scheduler);
     let all = [
         member("p0", Role::Prefill, 1),
         in_zone("b", "d0"),
         in_zone("c", "d1"),
     ];
-    cell.set_members(Time::from_millis(900), &all);
-    let granted = granted_at(&mut cell, Time::from_millis(1_000));
+    scheduler.set_members(Time::from_millis(900), &all);
+    let granted = granted_at(&mut scheduler, Time::from_millis(1_000));
     assert_eq!(
         granted,
         Some((Time::from_millis(1_000), Replica::new("d1")))
@@ -80,16 +80,16 @@
 }
 
 #[rstest]
-fn the_only_link_is_tried_again_soon_after_a_stall() {
-    let mut cell = cell(&[member("p0", Role::Prefill, 1), in_zone("b", "d0")]);
-    stall(&mut cell);
-    cell.advance(Time::from_millis(30_000), handle(1), Phase::Gone);
-    let (at, _) = granted_at(&mut cell, Time::from_millis(30_100)).expect("a grant");
+fn the_only_link_is_retried_soon_after_a_stall() {
+    let mut scheduler = scheduler(&[member("p0", Role::Prefill, 1), in_zone("b", "d0")]);
+    stall_transfer(&mut scheduler);
+    scheduler.advance(Time::from_millis(30_000), handle(1), Phase::Gone);
+    let (at, _) = granted_at(&mut scheduler, Time::from_millis(30_100)).expect("a grant");
     assert!(at <= Time::from_millis(32_000), "{at:?}");
 }
 
 /// A request of 40 blocks, the first 32 of them those of every other such request.
-fn long(n: u64) -> Ticket {
+fn shared_prefix_ticket(n: u64) -> Ticket {
     let shared = 0..32;
     let own = (32..40).map(|i| n * 1_000 + i);
     let work = Work::Model {
@@ -117,33 +117,33 @@
 }
 
 #[rstest]
-fn a_prefix_is_computed_where_it_is_cached() {
-    let mut cell = cell(&members(3, 1, 20));
+fn a_request_goes_to_the_replica_that_caches_its_prefix() {
+    let mut scheduler = scheduler(&members(3, 1, 20));
     for n in 1..6 {
         let now = Time::from_millis(n * 2_000);
-        cell.submit(now, long(n));
-        let verdicts = step(&mut cell, now);
+        scheduler.submit(now, shared_prefix_ticket(n));
+        let verdicts = step(&mut scheduler, now);
         let first = pair(&verdicts[0]).map(|pair| pair.0);
         assert_eq!(first, Some(Replica::new("p0")));
         assert_eq!(verdicts[0].why.cached_blocks > 20, n > 1);
-        decode(&mut cell, now + Duration::from_millis(800), n);
+        decode(&mut scheduler, now + Duration::from_millis(800), n);
     }
 }
 
 #[rstest]
-fn evicted_blocks_do_not_attract() {
-    let mut cell = cell(&members(3, 1, 20));
+fn evicted_blocks_do_not_attract_requests() {
+    let mut scheduler = scheduler(&members(3, 1, 20));
     let event = |seq, stored| CacheEvent {
         seq,
         block: seq % 100,
         stored,
     };
     let stored = (0..32).map(|i| event(100 + i, true)).collect();
-    cell.apply_report(Time::ZERO, Replica::new("p2"), &report(stored));
+    scheduler.apply_report(Time::ZERO, Replica::new("p2"), &report(stored));
     let evicted = (0..32).map(|i| event(200 + i, false)).collect();
-    cell.apply_report(Time::ZERO, Replica::new("p2"), &report(evicted));
-    cell.submit(Time::ZERO, long(1));
-    let verdicts = step(&mut cell, Time::ZERO);
+    scheduler.apply_report(Time::ZERO, Replica::new("p2"), &report(evicted));
+    scheduler.submit(Time::ZERO, shared_prefix_ticket(1));
+    let verdicts = step(&mut scheduler, Time::ZERO);
     assert_eq!(verdicts[0].why.cached_blocks, 0);
     assert_eq!(
         pair(&verdicts[0]).map(|pair| pair.0),
@@ -152,20 +152,20 @@
 }
 
 #[rstest]
-fn announced_blocks_attract() {
-    let mut cell = cell(&members(3, 1, 20));
+fn reported_blocks_attract_requests() {
+    let mut scheduler = scheduler(&members(3, 1, 20));
     let event = |i| CacheEvent {
         seq: 100 + i,
         block: i,
         stored: true,
     };
-    cell.apply_report(
+    scheduler.apply_report(
         Time::ZERO,
         Replica::new("p2"),
         &report((0..32).map(event).collect()),
     );
-    cell.submit(Time::ZERO, long(1));
-    let verdicts = step(&mut cell, Time::ZERO);
+    scheduler.submit(Time::ZERO, shared_prefix_ticket(1));
+    let verdicts = step(&mut scheduler, Time::ZERO);
     assert_eq!(
         pair(&verdicts[0]).map(|pair| pair.0),
         Some(Replica::new("p2"))
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -15,7 +15,7 @@
 use wire::VERSION;
 
 const LENGTH_LEN: usize = 4;
-const HEAD_LEN: usize = 6;
+const HEADER_LEN: usize = 6;
 
 /// All that `bytes` decode to, and the error that ended it.
 fn decode(bytes: &[u8]) -> (Vec<Frame>, Option<Error>) {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn each_body_comes_back_as_it_was() {
+fn each_body_survives_a_round_trip() {
     for frame in sample::frames() {
         let bytes = wire::encode(&frame).expect("samples are small");
         let (frames, error) = decode(&bytes);
@@ -56,9 +56,9 @@
 }
 
 #[test]
-fn another_version_is_refused_by_its_number() {
+fn another_version_is_rejected_with_its_number() {
     let mut bytes = encoded(0);
-    bytes[LENGTH_LEN..HEAD_LEN].copy_from_slice(&(VERSION + 1).to_be_bytes());
+    bytes[LENGTH_LEN..HEADER_LEN].copy_from_slice(&(VERSION + 1).to_be_bytes());
     let theirs = VERSION + 1;
     assert_eq!(decode(&bytes).1, Some(Error::Version { theirs }));
 }
@@ -68,7 +68,7 @@
 #[case::less_than_a_version(1)]
 #[case::one_too_many(MAX_BODY + 1)]
 #[case::most(u32::MAX as usize)]
-fn a_length_out_of_bounds_is_refused_at_once(#[case] length: usize) {
+fn a_length_out_of_bounds_is_rejected_at_once(#[case] length: usize) {
     let bytes = raw(length, VERSION, &[]);
     assert_eq!(
         decode(&bytes[..LENGTH_LEN]).1,
@@ -77,13 +77,13 @@
 }
 
 #[test]
-fn a_frame_that_no_peer_would_take_is_not_encoded() {
+fn an_oversized_frame_is_not_encoded() {
     let frame = sample::large(MAX_BODY + 1);
     assert!(matches!(wire::encode(&frame), Err(Error::TooLong { .. })));
 }
 
 #[test]
-fn the_largest_frame_that_is_encoded_is_taken() {
+fn the_largest_frame_is_decoded() {
     let overhead = wire::encode(&sample::large(MAX_BODY / 2))
         .expect("half is small")
         .len()
@@ -97,12 +97,12 @@
 
 proptest! {
     #[test]
-    fn pieces_of_any_size_give_the_same_frames(order in vec(any::<usize>(), 1..12), size in 1..64_usize) {
+    fn chunks_of_any_size_give_the_same_frames(order in vec(any::<usize>(), 1..12), size in 1..64_usize) {
         let bytes: Vec<u8> = order.iter().flat_map(|index| encoded(*index)).collect();
         let mut decoder = Decoder::new();
         let mut frames = Vec::new();
-        for piece in bytes.chunks(size) {
-            decoder.extend(piece);
+        for chunk in bytes.chunks(size) {
+            decoder.extend(chunk);
             while let Some(frame) = decoder.next_frame().expect("whole frames") {
                 frames.push(frame);
             }
@@ -115,15 +115,15 @@
     }
 
     #[test]
-    fn a_cut_frame_is_waited_for_or_refused(index: usize, at: usize) {
-        let whole = encoded(index);
-        let cut = at % whole.len();
-        let (frames, error) = decode(&whole[..cut]);
+    fn a_truncated_frame_is_awaited_or_rejected(index: usize, at: usize) {
+        let complete = encoded(index);
+        let cut = at % complete.len();
+        let (frames, error) = decode(&complete[..cut]);
         prop_assert!(frames.is_empty());
         prop_assert_eq!(error, None);
         // The same bytes under a length that makes them look whole.
-        if cut > HEAD_LEN {
-            let bytes = raw(cut - LENGTH_LEN, VERSION, &whole[HEAD_LEN..cut]);
+        if cut > HEADER_LEN {
+            let bytes = raw(cut - LENGTH_LEN, VERSION, &complete[HEADER_LEN..cut]);
             let (frames, error) = decode(&bytes);
             prop_assert!(frames.is_empty());
             let is_body = matches!(error, Some(Error::Body { .. }));
@@ -132,9 +132,9 @@
     }
 
     #[test]
-    fn bytes_left_over_are_refused(index: usize, rest in vec(any::<u8>(), 1..32)) {
-        let whole = encoded(index);
-        let mut body = whole[HEAD_LEN..].to_vec();
+    fn trailing_bytes_are_rejected(index: usize, rest in vec(any::<u8>(), 1..32)) {
+        let complete = encoded(index);
+        let mut body = complete[HEADER_LEN..].to_vec();
         body.extend(rest);
         let (frames, error) = decode(&raw(body.len() + 2, VERSION, &body));
         prop_assert!(frames.is_empty());
@@ -149,9 +149,9 @@
     }
 
     #[test]
-    fn a_damaged_frame_never_panics(index: usize, at: usize, with: u8) {
+    fn a_corrupted_frame_never_panics(index: usize, at: usize, with: u8) {
         let mut bytes = encoded(index);
-        let at = HEAD_LEN + at % (bytes.len() - HEAD_LEN);
+        let at = HEADER_LEN + at % (bytes.len() - HEADER_LEN);
         bytes[at] = with;
         let (frames, error) = decode(&bytes);
         prop_assert!(frames.len() == 1 || error.is_some());
--- a/crates/wire/tests/sample/mod.rs
+++ b/crates/wire/tests/sample/mod.rs
@@ -30,13 +30,13 @@
 
 /// One frame of each kind, with each variant inside it.
 pub fn frames() -> Vec<Frame> {
-    let bodies = [gossip(), table(), placing(), keys()];
+    let bodies = [gossip(), table(), placement(), keys()];
     bodies.into_iter().flatten().map(frame).collect()
 }
 
 /// A frame with `length` bytes inside.
 pub fn large(length: usize) -> Frame {
-    frame(told(KeyStatus::Answered {
+    frame(key_status(KeyStatus::Answered {
         status: 200,
         body: Some(Bytes::from(vec![b'x'; length])),
     }))
@@ -108,7 +108,7 @@
     ]
 }
 
-fn placing() -> Vec<Body> {
+fn placement() -> Vec<Body> {
     let replica = Replica::new("ration-decode");
     let work = Work::Model {
         prompt_tokens: 4_000,
@@ -172,7 +172,7 @@
 fn keys() -> Vec<Body> {
     let replica = Replica::new("ration-decode");
     let key = Key::new("farm-17", "91c5b8f0aa31e2d4.6930b2f1.lorry-12");
-    let tolds = [
+    let statuses = [
         KeyStatus::NotSeen,
         KeyStatus::InProgress,
         KeyStatus::Streaming {
@@ -199,10 +199,10 @@
         },
         Body::Disowned { replica, handles },
     ];
-    bodies.extend(tolds.map(told));
+    bodies.extend(statuses.map(key_status));
     bodies
 }
 
-const fn told(told: KeyStatus) -> Body {
+const fn key_status(told: KeyStatus) -> Body {
     Body::Told { nonce: 5, told }
 }
