--- a/crates/ledger/src/holds.rs
+++ b/crates/ledger/src/holds.rs
@@ -1,9 +1,9 @@
-//! Memory on replicas that requests hold, until its release is confirmed.
+//! Tracks the memory that requests hold on replicas until its release is confirmed.
 //!
-//! A hold is entered before the order that makes the replica allocate anything. It is erased when
-//! the replica confirmed the release, when the work ended normally, or when the replica is gone.
-//! A release waits until the order that started the work is over, so that a cancel cannot overtake
-//! its start; it is repeated with backoff until it is confirmed.
+//! A hold is recorded before the order that makes the replica allocate anything. It is erased when
+//! the replica confirms the release, when the work ends normally, or when the replica is gone. A
+//! release waits until the order that started the work has ended, so that a cancel cannot overtake
+//! it, and is repeated with backoff until it is confirmed.
 
 use std::collections::HashMap;
 
@@ -18,7 +18,7 @@
 use crate::ids::OrderId;
 
 new_key_type! {
-    /// A hold in its arena.
+    /// Key of a hold in its arena.
     pub struct HoldKey;
 }
 
@@ -29,28 +29,28 @@
     Cancelling(OrderId),
 }
 
-/// One hold.
+/// Memory that one attempt holds on a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct Hold {
-    /// Where the memory is.
+    /// The replica with the memory.
     pub replica: Replica,
     /// The attempt that holds it.
     pub handle: Handle,
-    /// The owner the replica was told.
+    /// The owner as known to the replica.
     pub owner: Incarnation,
-    /// The fencing number the replica was told.
+    /// The fencing number as known to the replica.
     pub fence: u64,
     start: Option<OrderId>,
     state: State,
     tries: u32,
 }
 
-/// A cancel to be sent.
+/// A cancel request to send.
 #[derive(Debug, Clone, Copy)]
 pub struct Cancel {
     /// The hold.
     pub hold: HoldKey,
-    /// Where to send it.
+    /// The replica to send it to.
     pub replica: Replica,
     /// The attempt.
     pub handle: Handle,
@@ -75,7 +75,7 @@
         Self::default()
     }
 
-    /// Number of holds not confirmed released.
+    /// Number of holds whose release is not confirmed.
     pub fn len(&self) -> usize {
         self.arena.len()
     }
@@ -85,7 +85,7 @@
         self.arena.is_empty()
     }
 
-    /// The hold `key`, unless it was erased.
+    /// The hold `key`, unless it has been erased.
     pub fn get(&self, key: HoldKey) -> Option<&Hold> {
         self.arena.get(key)
     }
@@ -97,7 +97,7 @@
             .any(|hold| hold.replica == replica && hold.handle == handle)
     }
 
-    /// Enters a hold for work that `start` is about to begin.
+    /// Records a hold for work that `start` is about to begin.
     pub fn insert(
         &mut self,
         replica: Replica,
@@ -121,7 +121,8 @@
         key
     }
 
-    /// Enters memory found on a replica that is to be released, with the owner it names.
+    /// Records orphaned memory found on a replica for release, with the owner that the replica
+    /// names.
     pub fn insert_orphan(
         &mut self,
         now: Time,
@@ -145,7 +146,7 @@
         key
     }
 
-    /// Notes that `start` reads the work of `key` from now on, under another owner and fence.
+    /// Records that `start` reads the work of `key` from now on, under another owner and fence.
     pub fn restart(&mut self, key: HoldKey, start: OrderId, owner: Incarnation, fence: u64) {
         if let Some(hold) = self.arena.get_mut(key) {
             if let Some(former) = hold.start.replace(start) {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Notes that a starting order is over, however it ended.
+    /// Records that a starting order has ended, in whatever way.
     pub fn start_ended(&mut self, start: OrderId) {
         let hold = self
             .starts
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Begins the release of `key`; returns the starting order to abort, if it is still open.
+    /// Begins the release of `key`; returns the starting order to abort if it is still open.
     pub fn release(&mut self, now: Time, key: HoldKey) -> Option<OrderId> {
         let hold = self.arena.get_mut(key)?;
         if hold.state == State::Wanted {
@@ -178,7 +179,7 @@
         hold.start
     }
 
-    /// Erases `key`: its work is known to hold nothing any more.
+    /// Erases `key`, whose work is known to hold nothing any more.
     pub fn erase(&mut self, key: HoldKey) {
         if let Some(hold) = self.arena.remove(key) {
             if let Some(start) = hold.start {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// The next release that can be sent now, if any.
+    /// A release that can be sent now, if any.
     pub fn due(&self, now: Time) -> Option<Cancel> {
         self.releasing.iter().find_map(|key| {
             let hold = self.arena.get(*key)?;
@@ -221,7 +222,7 @@
         })
     }
 
-    /// When the next release can be sent.
+    /// When the next release can be sent, or `Time::NEVER`.
     pub fn next_due(&self) -> Time {
         self.releasing
             .iter()
@@ -237,7 +238,7 @@
             .unwrap_or(Time::NEVER)
     }
 
-    /// Notes that the release of `key` was sent as `order`.
+    /// Records that the release of `key` was sent as `order`.
     pub fn sent(&mut self, key: HoldKey, order: OrderId) {
         if let Some(hold) = self.arena.get_mut(key) {
             hold.state = State::Cancelling(order);
@@ -245,7 +246,7 @@
         }
     }
 
-    /// Notes that the replica confirmed the release `order`; returns the hold, now erased.
+    /// Records that the replica confirmed the release `order`; returns the erased hold.
     pub fn confirmed(&mut self, order: OrderId) -> Option<Hold> {
         let key = self.cancels.remove(&order)?;
         let hold = self.arena.get(key).copied();
@@ -253,7 +254,7 @@
         hold
     }
 
-    /// Notes that the release `order` failed; it is sent again after a pause.
+    /// Records that the release `order` failed; it is sent again after a pause.
     pub fn failed(&mut self, now: Time, order: OrderId) {
         let hold = self
             .cancels
@@ -265,8 +266,8 @@
         }
     }
 
-    /// Notes that the replica refused the release `order` because another owner took the work
-    /// over: the memory is that owner's now.
+    /// Records that the replica refused the release `order` because another owner took the work
+    /// over and now owns the memory.
     pub fn superseded(&mut self, order: OrderId) {
         if let Some(key) = self.cancels.remove(&order) {
             self.erase(key);
--- a/crates/ledger/src/keys.rs
+++ b/crates/ledger/src/keys.rs
@@ -1,7 +1,7 @@
-//! Idempotency keys seen in the window.
+//! Remembers the idempotency keys of the window.
 //!
 //! A key may start a request only until `issued + window` on this daemon's clock, and is remembered
-//! past that point. A forgotten key is therefore always one that is refused, never one that runs.
+//! for longer. A forgotten key is therefore always refused and never runs again.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -9,44 +9,44 @@
 use bytes::Bytes;
 use ident::Key;
 
-/// Longest body kept for a repeated key, in bytes.
+/// Longest response body stored for a repeated key, in bytes.
 pub const MAX_BODY: usize = 4096;
 
-/// What is known of a key. `T` names an open request in the arena of whoever keeps it.
+/// State of a key. `T` identifies an open request in the registry user's arena.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyState<T> {
     /// The request is in progress.
     Open(T),
-    /// It was answered by a plain application.
+    /// A plain application answered the request.
     Answered {
         /// HTTP status.
         status: u16,
-        /// Body, if it was at most `MAX_BODY` long.
+        /// Body, if its length was at most `MAX_BODY`.
         body: Option<Bytes>,
     },
-    /// Its answer was streamed; the sealed token reads it again while the engine keeps it.
+    /// The answer was streamed; the sealed token reads it again while the engine keeps it.
     Streamed {
         /// Sealed resume token.
         token: String,
     },
-    /// It was sent and its effect is not known.
+    /// The request was sent and its effect is unknown.
     Unknown,
-    /// It was sent and it failed.
+    /// The request was sent and failed.
     Failed,
 }
 
 /// Whether a key may start a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// It may start one.
     New,
-    /// Its window has passed, or it claims to be issued in the future.
+    /// Its window has passed, or its issue time is in the future.
     Expired,
-    /// Too many keys are remembered.
+    /// The registry is full.
     Full,
 }
 
-/// The keys of the window, with their marks.
+/// The keys of the window and their states.
 #[derive(Debug)]
 pub struct KeyRegistry<T> {
     window_s: u64,
@@ -55,12 +55,12 @@
     expiry: VecDeque<(u64, Key)>,
 }
 
-/// How far ahead of this daemon's clock a key may be issued, in seconds: other instances issue
-/// prefixes for this daemon by their own clocks.
+/// Furthest that the issue time of a key may be ahead of this daemon's clock, in seconds: other
+/// instances issue prefixes for this daemon by their own clocks.
 pub const MAX_CLOCK_SKEW_S: u64 = 120;
 
 impl<T: Copy> KeyRegistry<T> {
-    /// An empty memory for keys of `window_s` seconds, at most `capacity` of them.
+    /// An empty registry for keys of `window_s` seconds, at most `capacity` of them.
     pub fn new(window_s: u64, capacity: usize) -> Self {
         Self {
             window_s,
@@ -80,12 +80,12 @@
         self.states.is_empty()
     }
 
-    /// What is known of `key`.
+    /// The state of `key`, if it is remembered.
     pub fn get(&self, key: &Key) -> Option<&KeyState<T>> {
         self.states.get(key)
     }
 
-    /// Whether a request with a key issued at `issued` may start at `now` (seconds).
+    /// Whether a request with a key issued at `issued` may start at `now`, in seconds.
     pub fn admit(&self, now: u64, issued: u64) -> Admission {
         let expired = now > issued.saturating_add(self.window_s);
         let in_future = issued > now.saturating_add(MAX_CLOCK_SKEW_S);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Enters or replaces the mark of `key`; it is kept until it can no longer start anything.
+    /// Sets the state of `key`, which is kept until the key can no longer start a request.
     pub fn set(&mut self, now: u64, key: &Key, state: KeyState<T>) {
         if self.states.insert(key.clone(), state).is_none() {
             let until = now + self.window_s + MAX_CLOCK_SKEW_S + 1;
@@ -104,13 +104,13 @@
         }
     }
 
-    /// Forgets `key`, of whose request no byte reached a back end: it may start again.
+    /// Forgets `key`, no byte of whose request reached a back end: it may start again.
     pub fn forget(&mut self, key: &Key) {
-        // The key's place in `expiry` stays: what is marked under it later has the same window.
+        // Its `expiry` entry stays: a later state of the same key has the same window.
         self.states.remove(key);
     }
 
-    /// Drops keys whose window has passed; open requests stay until they end.
+    /// Removes keys whose window has passed; open requests stay until they end.
     pub fn expire(&mut self, now: u64) {
         while self.expiry.front().is_some_and(|(until, _)| *until < now) {
             let Some((_, key)) = self.expiry.pop_front() else {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,6 +1,7 @@
-//! A request's life, the memory it holds on replicas, and the keys already seen.
+//! Stages of a request, the memory it holds on replicas, the idempotency keys already seen, and the
+//! order of its tokens.
 //!
-//! Everything here is pure: time is passed in, and what has to be sent is returned.
+//! Nothing here does I/O: time is passed in, and what has to be sent is returned.
 
 pub mod backoff;
 pub mod holds;
--- a/crates/ledger/src/reassembly.rs
+++ b/crates/ledger/src/reassembly.rs
@@ -1,13 +1,13 @@
-//! Putting the pieces of a stream in order.
+//! Reassembles a token stream from runs that arrive out of order.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
 
-/// Most pieces kept while an earlier one is missing.
+/// Most runs stored while an earlier one is missing.
 pub const MAX_EARLY: usize = 64;
 
-/// A run of tokens.
+/// Consecutive tokens of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TokenRun {
     /// Index of the first token.
@@ -18,20 +18,20 @@
     pub text: Bytes,
 }
 
-/// What became of an arriving piece.
+/// How an arriving run was handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
-    /// It, and perhaps earlier arrivals after it, can be delivered.
+    /// It can be delivered, perhaps together with stored runs that follow it.
     Ready,
-    /// It is kept until what is before it arrives.
+    /// It is stored until the runs before it arrive.
     Early,
-    /// All of it was delivered before.
+    /// It had been delivered completely.
     Repeated,
-    /// It overlaps what was delivered, or too much waits: the stream must be read anew.
+    /// It overlaps delivered tokens, or too many runs are stored: the stream must be read again.
     Broken,
 }
 
-/// Delivers each token once and in order.
+/// Delivers each token exactly once and in order.
 #[derive(Debug, Clone, Default)]
 pub struct Reassembler {
     delivered: u32,
@@ -39,7 +39,7 @@
 }
 
 impl Reassembler {
-    /// A sequence whose first `delivered` tokens the caller already has.
+    /// A reassembler for a stream whose first `delivered` tokens the caller already has.
     pub fn new(delivered: u32) -> Self {
         Self {
             delivered,
@@ -52,7 +52,7 @@
         self.delivered
     }
 
-    /// Takes a piece; what can be delivered now is appended to `out`.
+    /// Accepts a run; runs that can be delivered now are appended to `out`.
     pub fn push(&mut self, run: TokenRun, out: &mut Vec<TokenRun>) -> Arrival {
         let end = run.offset.saturating_add(run.count);
         if end <= self.delivered {
@@ -70,7 +70,7 @@
         Arrival::Ready
     }
 
-    /// Forgets pieces that wait; the stream is read anew from `delivered`.
+    /// Drops stored runs, before the stream is read again from `delivered`.
     pub fn reset(&mut self) {
         self.early.clear();
     }
--- a/crates/ledger/src/stage.rs
+++ b/crates/ledger/src/stage.rs
@@ -4,18 +4,18 @@
 
 use ident::Handle;
 
-/// Where a request is.
+/// The stage that a request has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// Waits for a placement; nothing of this attempt was sent to a replica.
+    /// It waits for a placement; nothing of this attempt was sent to a replica.
     Waiting,
     /// Its prefill was ordered.
     Prefill,
-    /// Its decode was ordered, or its stream was taken over.
+    /// Its decode was ordered, or its stream was taken over from another instance.
     Decode,
     /// Its plain call was sent.
     Call,
-    /// It has its final answer.
+    /// It has received its final answer.
     Ended,
 }
 
@@ -23,7 +23,7 @@
     /// Moves to `next`.
     ///
     /// # Errors
-    /// `Error` if no request may go that way.
+    /// `Error` if the transition is not allowed.
     pub fn advance(self, next: Self, handle: Handle) -> Result<Self, Error> {
         if self.leads_to(next) {
             Ok(next)
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether a request may go from here to `next`.
+    /// Whether the transition from here to `next` is allowed.
     pub const fn leads_to(self, next: Self) -> bool {
         matches!(
             (self, next),
@@ -47,7 +47,7 @@
         )
     }
 
-    /// The word used in log lines.
+    /// The name used in log lines.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
@@ -59,14 +59,14 @@
     }
 }
 
-/// A transition that no request may make.
+/// A transition that is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    /// The step it was at.
+    /// The stage before.
     pub from: Stage,
-    /// The step it was to reach.
+    /// The stage it should have reached.
     pub to: Stage,
-    /// The attempt, which names the owner.
+    /// The attempt, which contains the owner.
     pub handle: Handle,
 }
 
--- a/crates/ledger/tests/holds.rs
+++ b/crates/ledger/tests/holds.rs
@@ -1,4 +1,4 @@
-//! Memory on replicas, until its release is confirmed.
+//! Holds on replicas are kept until their release is confirmed.
 
 use std::time::Duration;
 
@@ -89,7 +89,7 @@
     let (mut holds, key) = one_hold();
     let (attach, fresh) = (OrderId(7), Incarnation(0xa5));
     holds.restart(key, attach, fresh, 6);
-    // The former order is not what the release waits for any more.
+    // The release no longer waits for the earlier order.
     holds.start_ended(START);
     assert_eq!(holds.release(NOW, key), Some(attach));
     assert!(holds.due(NOW).is_none());
@@ -131,7 +131,7 @@
     assert_eq!((cancel.owner, cancel.fence), (gone, 40));
 }
 
-/// What happens to one of several holds.
+/// An event of one of several holds.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Close,
@@ -151,7 +151,7 @@
     Step::Restart,
 ];
 
-/// A hold as the test sees it.
+/// Expected state of a hold.
 #[derive(Debug)]
 struct Model {
     key: HoldKey,
@@ -160,8 +160,8 @@
 }
 
 proptest! {
-    /// Whatever happens in between, every hold that is asked to go is gone once its start is over
-    /// and a cancel is confirmed, and never before.
+    /// After any sequence of events, every released hold is erased once its start has ended and a
+    /// cancel is confirmed, and never before.
     #[test]
     fn every_hold_ends_with_a_confirmed_cancel(steps in vec((0..STEPS.len(), 0..4_usize), 0..120)) {
         let mut holds = Holds::new();
--- a/crates/ledger/tests/keys.rs
+++ b/crates/ledger/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys: a forgotten key is one that is refused, never one that runs again.
+//! A forgotten key is refused and never runs again.
 
 use ident::Key;
 use ledger::keys::Admission;
@@ -56,8 +56,8 @@
 }
 
 proptest! {
-    /// However keys arrive, none is started twice: a key that started is remembered for as long
-    /// as it would be admitted, unless it is known not to have run.
+    /// No key starts twice: one that started is remembered for as long as it would be admitted,
+    /// unless it is known not to have run.
     #[test]
     fn no_key_starts_twice(
         window in 1..50_u64,
@@ -65,7 +65,7 @@
     ) {
         let mut registry: KeyRegistry<u32> = KeyRegistry::new(window, 1_000);
         let mut now = NOW;
-        // The time at which each key was issued, by a clock that may be ahead.
+        // Issue time of each key, by a clock that may be ahead.
         let issued: Vec<u64> = (0..6).map(|index| NOW + 13 * index).collect();
         let mut started = [false; 6];
         for (pause, number, end) in steps {
@@ -81,7 +81,7 @@
             } else if known && end % 3 == 0 {
                 registry.set(now, &key(number), KeyState::Failed);
             } else if known && end % 7 == 0 {
-                // No byte of it reached a back end: it may start again.
+                // No byte of it reached a back end, so it may start again.
                 registry.forget(&key(number));
                 started[index] = false;
             }
--- a/crates/ledger/tests/order.rs
+++ b/crates/ledger/tests/order.rs
@@ -1,4 +1,4 @@
-//! Pieces of a stream, in whatever order they arrive.
+//! Runs of a stream are delivered in order, in whatever order they arrive.
 
 use bytes::Bytes;
 use ledger::reassembly::Arrival;
@@ -24,7 +24,7 @@
     }
 }
 
-/// A stream cut into runs, from token `first` on.
+/// A stream from token `first` on, split into runs.
 fn split(first: u32, counts: &[u32]) -> Vec<TokenRun> {
     let mut offset = first;
     let mut runs = Vec::new();
--- a/crates/ledger/tests/stage.rs
+++ b/crates/ledger/tests/stage.rs
@@ -1,4 +1,4 @@
-//! Which steps a request may take.
+//! Allowed stage transitions of a request.
 
 use ident::Handle;
 use ident::Incarnation;
@@ -12,7 +12,7 @@
     Stage::Ended,
 ];
 
-/// Every step that is allowed; all others are not.
+/// All allowed transitions.
 const ALLOWED: [(Stage, Stage); 11] = [
     (Stage::Waiting, Stage::Prefill),
     (Stage::Waiting, Stage::Call),
--- a/crates/route/src/ended_requests.rs
+++ b/crates/route/src/ended_requests.rs
@@ -1,4 +1,4 @@
-//! Verdicts of requests that have ended, so that a late repeat of a ticket is recognised.
+//! Verdicts of ended requests, kept to recognise a late repeat of a ticket.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,10 @@
 use crate::hash::Map;
 use crate::verdict::Verdict;
 
-/// Ended requests that are remembered.
+/// Most ended requests that are remembered.
 const CAPACITY: usize = 8_192;
 
-/// A bounded memory of ended requests, the oldest forgotten first.
+/// The ended requests; the oldest are forgotten first.
 #[derive(Debug, Default)]
 pub struct EndedRequests {
     order: VecDeque<Handle>,
@@ -18,7 +18,7 @@
 }
 
 impl EndedRequests {
-    /// Remembers that `handle` ended with `verdict`, or before it got one.
+    /// Records that `handle` ended with `verdict`, or without one.
     pub fn insert(&mut self, handle: Handle, verdict: Option<Verdict>) {
         if self.ended.insert(handle, verdict).is_none() {
             self.order.push_back(handle);
@@ -36,7 +36,7 @@
         self.ended.contains_key(&handle)
     }
 
-    /// The verdict of an ended request, if it got one.
+    /// The verdict of an ended request, if it had one.
     pub fn verdict(&self, handle: Handle) -> Option<Verdict> {
         self.ended.get(&handle).copied().flatten()
     }
--- a/crates/route/src/hash.rs
+++ b/crates/route/src/hash.rs
@@ -1,20 +1,20 @@
-//! A fast hash for keys that are hashes or counters already.
+//! A fast hash for keys that are already hashes or counters.
 
 use std::collections::HashMap;
 use std::hash::BuildHasherDefault;
 use std::hash::Hasher;
 
-/// An odd number with well spread bits (2^64 divided by the golden ratio).
+/// An odd number with evenly distributed bits (2^64 divided by the golden ratio).
 const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A map with [`Mix`].
+/// A hash map that uses [`Mix`].
 pub type Map<K, V> = HashMap<K, V, BuildHasherDefault<Mix>>;
 
-/// Multiplies and folds each word.
+/// A hasher that multiplies and folds each word.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Mix(u64);
 
-/// Spreads the bits of `word`.
+/// Distributes the bits of `word` over the whole result.
 pub const fn mix(word: u64) -> u64 {
     let product = (word as u128) * (MULTIPLIER as u128);
     (product as u64) ^ ((product >> 64) as u64)
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,9 +1,9 @@
-//! Admission, waiting and the pairing of prefill and decode.
+//! Admission, queueing, and pairing of prefill and decode replicas.
 //!
-//! A [`scheduler::Scheduler`] holds the one queue of a group of replicas. It takes small
-//! [`ticket::Ticket`]s, decides when and where each request runs, and answers with
-//! [`verdict::Verdict`]s. It does no input or output, reads no clock and draws from a seeded
-//! generator, so equal inputs give equal decisions.
+//! A [`scheduler::Scheduler`] holds the single queue of a pool of replicas. It accepts small
+//! [`ticket::Ticket`]s, decides when and where each request runs, and returns
+//! [`verdict::Verdict`]s. It does no I/O, reads no clock and uses a seeded generator, so equal
+//! inputs give equal decisions.
 
 mod ended_requests;
 mod hash;
--- a/crates/route/src/link.rs
+++ b/crates/route/src/link.rs
@@ -1,4 +1,4 @@
-//! Expected transfer times of KV caches between data centres.
+//! Estimates transfer times of KV caches between data centres.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,15 +12,15 @@
 
 /// Weight of one sample.
 const SAMPLE_WEIGHT: f64 = 0.2;
-/// Time after which half of a bad experience with a link is forgotten, in seconds.
+/// Time after which a link's deviation from the typical time counts half, in seconds.
 const HALF_LIFE_S: f64 = 30.0;
 
-/// Time after a bad experience with a link before it is tried again for want of another.
+/// Pause after the last slow transfer over a link before it is probed if there is no other link.
 const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// The most by which one sample counts against the typical time, so that a stall does not.
+/// Limits one sample to this multiple of the typical time, so that a stall does not distort it.
 const MAX_SAMPLE_RATIO: f64 = 2.0;
 
-/// Source and target data centre.
+/// Source and destination data centre.
 pub type Path = (Zone, Zone);
 
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     pending: BTreeSet<(Time, Handle, u32)>,
 }
 
-/// Transfer times, learned for each path.
+/// Learned transfer times for each path.
 #[derive(Debug)]
 pub struct Links {
     links: Map<Path, Link>,
@@ -38,7 +38,7 @@
 }
 
 impl Links {
-    /// No link known; each starts at `initial` seconds a token.
+    /// Starts without links; each link starts at `initial` seconds per token.
     pub fn new(initial: f64) -> Self {
         Self {
             links: Map::default(),
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Expected time to move the KV cache of `tokens` over `path`.
+    /// Expected time to transfer the KV cache of `tokens` tokens over `path`.
     ///
-    /// A transfer that is under way for longer than expected raises the figure at once.
+    /// A pending transfer that takes longer than expected raises the estimate at once.
     pub fn expected(&self, now: Time, path: Path, tokens: u32) -> Duration {
         let typical = self.typical.value();
         let per_token = self
@@ -58,7 +58,7 @@
         Duration::from_secs_f64(per_token * f64::from(tokens))
     }
 
-    /// Whether `path`, bad as it was, may be tried again: not more than once in [`PROBE_AFTER`].
+    /// Whether a slow `path` may be probed: at most once in [`PROBE_AFTER`].
     pub fn may_probe(&self, now: Time, path: Path) -> bool {
         let link = self.links.get(&path);
         link.is_none_or(|link| {
@@ -70,12 +70,12 @@
         })
     }
 
-    /// Expected time to move the KV cache of `tokens` over any path.
+    /// Expected time to transfer the KV cache of `tokens` tokens over any path.
     pub fn typical(&self, tokens: u32) -> Duration {
         Duration::from_secs_f64(self.typical.value() * f64::from(tokens))
     }
 
-    /// Notes that a transfer began.
+    /// Records the start of a transfer.
     pub fn begin(&mut self, now: Time, path: Path, handle: Handle, tokens: u32) {
         let initial = self.typical.value();
         let link = self.links.entry(path).or_insert_with(|| Link {
@@ -86,7 +86,7 @@
         link.pending.insert((now, handle, tokens));
     }
 
-    /// Notes that the transfer that began at `begun` ended; a failed one counts if it took long.
+    /// Records the end of the transfer that began at `begun`; a failed one counts if it was slow.
     pub fn end(&mut self, now: Time, path: Path, begun: (Time, Handle, u32), completed: bool) {
         let typical = self.typical.value();
         let Some(link) = self.links.get_mut(&path) else {
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -1,4 +1,4 @@
-//! What varies between policies: the order of waiting requests and the choice of replicas.
+//! Policies: the order of waiting requests and the choice of replicas.
 
 pub mod affine;
 pub mod baseline;
@@ -23,47 +23,47 @@
 use crate::ticket::Ticket;
 use crate::turnover::Turnover;
 
-/// One request to be placed.
+/// The properties of a request that a policy decides on.
 #[derive(Debug, Clone, Copy)]
 pub struct Criteria<'a> {
-    /// The request.
+    /// The request's ticket.
     pub ticket: &'a Ticket,
     /// When its target for the first token ends.
     pub due: Time,
-    /// When its longest wait ends.
+    /// When its maximum wait ends.
     pub expiry: Time,
-    /// The shortest time to its first token on an idle cell.
+    /// Shortest time to its first token in an idle pool.
     pub min_ttft: Duration,
-    /// Where the KV cache is; the owner's data centre before the prefill.
+    /// Where the KV cache is; before the prefill, the owner's data centre.
     pub source: Zone,
-    /// The largest batch in which it meets its target for the time between tokens.
+    /// The largest batch in which its target for the time between tokens is met.
     pub max_batch: u32,
-    /// How strongly wasted prefill weighs against goodput, from 0 to 1.
+    /// Weight of wasted prefill against goodput, from 0 to 1.
     pub waste_weight: f64,
 }
 
-/// What a policy sees of the cell.
+/// The state of the pool that a policy reads.
 #[derive(Debug)]
 pub struct View<'a> {
-    /// The present.
+    /// The current time.
     pub now: Time,
     pub(crate) pool: &'a Pool,
     pub(crate) prefix_index: &'a PrefixIndex,
     pub(crate) links: &'a Links,
     pub(crate) turnover: &'a Turnover,
     pub(crate) settings: &'a Settings,
-    /// Placed requests whose decode replica was lost or full and is still to be found anew.
+    /// Placed requests that need another decode replica, as theirs was lost or full.
     pub(crate) displaced: u32,
-    /// Prefills that requests passed over in this pass will bring to a replica.
+    /// Prefill time that requests skipped in this pass will add to a replica.
     pub(crate) deferred_prefills: &'a mut BTreeMap<ReplicaKey, Duration>,
-    /// A decode replica kept for a request that was passed over in this pass.
+    /// A decode replica reserved for a request that was skipped in this pass.
     pub(crate) reserved_decode: Option<ReplicaKey>,
     pub(crate) sequence: u64,
     pub(crate) random: &'a mut Pcg64Mcg,
 }
 
 impl View<'_> {
-    /// A random number below `bound`; zero if `bound` is zero.
+    /// A random number below `bound`, or zero if `bound` is zero.
     pub(crate) fn random_below(&mut self, bound: usize) -> usize {
         match bound {
             0 => 0,
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Prefix blocks that `key` is expected to hold.
+    /// Prefix blocks that `key` is expected to cache.
     pub(crate) fn cached_blocks(&self, key: ReplicaKey, ticket: &Ticket) -> f64 {
         self.prefix_index.expected(key, ticket.blocks())
     }
 
-    /// Expected time of the prefill on `key`, of which `cached` blocks are cached there.
+    /// Expected prefill time on `key`, which caches `cached` blocks.
     pub(crate) fn prefill_time(&self, key: ReplicaKey, ticket: &Ticket, cached: f64) -> Duration {
         let blocks = ticket.blocks().len().max(1) as f64;
         let share = 1.0 - (cached / blocks).min(1.0);
@@ -94,18 +94,18 @@
         self.pool.get(key).ready().max(self.now) + deferred_prefills
     }
 
-    /// The latest time at which a replica may be ready that is given work now.
+    /// The latest time at which a replica that gets work now may become ready.
     pub(crate) fn horizon(&self) -> Time {
         self.now + self.settings.prefill_lead
     }
 }
 
-/// A pair that a policy chose, with the figures behind it.
+/// A pair of replicas with the estimates behind the choice.
 #[derive(Debug, Clone, Copy)]
 pub struct Pair {
-    /// Runs the prefill.
+    /// The prefill replica.
     pub prefill: ReplicaKey,
-    /// Decodes.
+    /// The decode replica.
     pub decode: ReplicaKey,
     /// Expected time of the prefill alone.
     pub prefill_time: Duration,
@@ -113,51 +113,51 @@
     pub first_token: Time,
     /// Prefix blocks expected in the prefill replica's cache.
     pub cached: f64,
-    /// Pairs compared.
+    /// Number of pairs compared.
     pub candidates: u32,
 }
 
 /// Why a request has to wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitReason {
-    /// No prefill replica is ready, or a better one will be soon: others may go first.
+    /// No prefill replica is ready, or a better one will be soon; other requests may go first.
     Replica,
-    /// No decode slot is or will be free: nobody may go first.
+    /// No decode slot is or will be free; no request may go first.
     Slot,
-    /// No decode replica with a small enough batch; the named one is kept for this request.
+    /// No decode replica has a small enough batch; the named one is reserved for this request.
     Batch(ReplicaKey),
 }
 
-/// How the shares of rows are kept.
+/// How the shares of rows are enforced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fairness {
-    /// The row that has had least for its share goes first.
+    /// The row that received least relative to its share goes first.
     Stride,
-    /// Rows go by slack; one that is far ahead of its share goes last.
+    /// Requests are ordered by slack; a row far ahead of its share goes last.
     Window,
 }
 
 /// Which decode slots count as secured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SecuredSlots {
-    /// None are needed: all is placed at once.
+    /// None are needed: every request is placed at once.
     Nothing,
-    /// Those that are free now.
+    /// Slots that are free now.
     Free,
-    /// Also those that learned turnover makes free in time.
+    /// Also slots that the learned turnover frees in time.
     Learned,
-    /// Also those that known lengths make free in time.
+    /// Also slots that known lengths free in time.
     Known,
 }
 
-/// A policy.
+/// Rules for the order and placement of requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Policy {
-    /// Name in tables of measurements.
+    /// Name in result tables.
     pub name: &'static str,
-    /// Order key of a waiting request; the least goes first.
+    /// Sort key of a waiting request; the smallest goes first.
     pub order: fn(&Criteria<'_>) -> Time,
-    /// Chooses a pair, or says why the request has to wait.
+    /// Chooses a pair, or returns why the request has to wait.
     pub pair: fn(&mut View<'_>, &Criteria<'_>) -> Result<Pair, WaitReason>,
     /// Chooses another decode replica for a finished prefill.
     pub decode: fn(&mut View<'_>, &Criteria<'_>) -> Option<ReplicaKey>,
@@ -165,10 +165,10 @@
     pub single: fn(&mut View<'_>, &Criteria<'_>) -> Option<ReplicaKey>,
     /// Which decode slots count as secured.
     pub secured: SecuredSlots,
-    /// How the shares of rows are kept.
+    /// How the shares of rows are enforced.
     pub fair: Fairness,
-    /// Waiting requests that are considered when the first cannot go.
+    /// Waiting requests to try when the first cannot be placed.
     pub scan_limit: usize,
-    /// Whether late requests are refused as soon as the late ones before them take too long.
+    /// Whether a late request is refused as soon as the late ones before it take too long.
     pub refuse_early: bool,
 }
--- a/crates/route/src/policy/affine.rs
+++ b/crates/route/src/policy/affine.rs
@@ -1,5 +1,5 @@
-//! Third policy: a request waits for a prefill replica that holds its prefix if it gets its first
-//! token there sooner, while others go first.
+//! Prefix-affine policy: a request waits for a prefill replica that holds its prefix if its first
+//! token comes sooner there, while others go first.
 
 use crate::policy::Criteria;
 use crate::policy::Pair;
@@ -10,13 +10,13 @@
 use crate::policy::predicted;
 use crate::policy::predicted::DecodeSites;
 
-/// Waiting requests that are considered when the first waits for a better replica.
+/// Waiting requests to try when the first waits for a better replica.
 const SCAN_LIMIT: usize = 12;
-/// Weight of the prefill's own time against the time to the first token: time that a cached prefix
-/// saves is there for the next request.
+/// Weight of the prefill time against the time to the first token: time saved by a cached prefix is
+/// available to the next request.
 const PREFILL_TIME_WEIGHT: f64 = 1.0;
 
-/// The policy.
+/// Extends the predicted policy by waiting for a cached prefix.
 pub const fn policy() -> Policy {
     Policy {
         name: "affine",
--- a/crates/route/src/policy/baseline.rs
+++ b/crates/route/src/policy/baseline.rs
@@ -1,5 +1,5 @@
-//! Baselines: each daemon chooses for itself, without a reservation. They differ in how they pick
-//! one of the open replicas of a role.
+//! Baseline policies: each daemon chooses a replica by itself, without a reservation. They differ
+//! in how they select one of the open replicas of a role.
 
 use std::time::Duration;
 
@@ -15,23 +15,23 @@
 use crate::replica::Role;
 use crate::server::ReplicaKey;
 
-/// The replicas in turn.
+/// Selects the replicas in turn.
 pub const fn round_robin() -> Policy {
     baseline::<RoundRobin>("round_robin")
 }
 
-/// The least loaded replica by the last report; ties are broken at random.
+/// Selects the least loaded replica by the last report; ties are broken at random.
 pub const fn least_loaded() -> Policy {
     baseline::<LeastLoaded>("least_loaded")
 }
 
-/// The less loaded of two replicas drawn at random, by the last report and what this daemon has
-/// sent since.
+/// Selects the less loaded of two random replicas, by the last report and the requests that this
+/// daemon has sent since.
 pub const fn two_choices() -> Policy {
     baseline::<TwoChoices>("two_choices")
 }
 
-/// How one of the `open` replicas is picked; `open` may be empty.
+/// Selects one of the `open` replicas, which may be empty.
 trait Pick {
     fn pick(view: &mut View<'_>, open: &[ReplicaKey]) -> Option<ReplicaKey>;
 }
@@ -97,7 +97,7 @@
     P::pick(view, &open)
 }
 
-/// A pair without predictions.
+/// A pair without estimates.
 fn pair<P: Pick>(view: &mut View<'_>, _criteria: &Criteria<'_>) -> Result<Pair, WaitReason> {
     let prefill = choose::<P>(view, Role::Prefill).ok_or(WaitReason::Replica)?;
     let decode = choose::<P>(view, Role::Decode).ok_or(WaitReason::Replica)?;
--- a/crates/route/src/policy/deadline.rs
+++ b/crates/route/src/policy/deadline.rs
@@ -1,4 +1,4 @@
-//! Fourth policy, in force: requests go by their due date, with a bias to short prefills.
+//! Deadline policy, the default: requests are ordered by due time, with a bias to short prefills.
 
 use ident::Time;
 
@@ -6,7 +6,7 @@
 use crate::policy::Policy;
 use crate::policy::affine;
 
-/// The policy.
+/// Extends the prefix-affine policy by the order of due times.
 pub const fn policy() -> Policy {
     Policy {
         name: "deadline",
@@ -15,7 +15,7 @@
     }
 }
 
-/// The due date, put off by the request's own shortest time to the first token.
+/// The due time, delayed by the request's shortest time to the first token.
 pub(crate) fn order(criteria: &Criteria<'_>) -> Time {
     criteria.due + criteria.min_ttft
 }
--- a/crates/route/src/policy/oracle.rs
+++ b/crates/route/src/policy/oracle.rs
@@ -1,4 +1,5 @@
-//! Upper bound: the policy in force with known lengths, for a cell that sees all without delay.
+//! Upper bound: the default policy with known lengths, for a pool that sees everything without
+//! delay.
 
 use crate::policy::Criteria;
 use crate::policy::Pair;
@@ -9,7 +10,7 @@
 use crate::policy::affine;
 use crate::policy::deadline;
 
-/// The policy.
+/// The deadline policy with known lengths.
 pub const fn policy() -> Policy {
     Policy {
         name: "oracle",
--- a/crates/route/src/policy/predicted.rs
+++ b/crates/route/src/policy/predicted.rs
@@ -1,5 +1,5 @@
-//! Second policy: slots that turnover makes free in time count as secured, targets for the time
-//! between tokens limit batches, and shares yield to slack while rows stay near them.
+//! Predictive policy: slots that turnover frees in time count as secured, targets for the time
+//! between tokens limit batches, and slack overrides shares while rows are near them.
 
 use std::time::Duration;
 
@@ -18,18 +18,18 @@
 use crate::policy::reserved::is_avoided;
 use crate::server::ReplicaKey;
 
-/// Part of the life of a prefill result that a transfer may be expected to take.
+/// Fraction of the retention time of a prefill result that its expected transfer may take.
 const MAX_RETENTION_SHARE: f64 = 0.85;
-/// How much less of it, for a row that weighs only wasted prefill.
+/// Reduction of that fraction for a row that weighs only wasted prefill.
 const WASTE_SHARE: f64 = 0.2;
-/// Chance that a slot does not come free in time, for a row that weighs only goodput.
+/// Risk that a slot is not free in time, for a row that weighs only goodput.
 const MAX_RISK: f64 = 0.02;
-/// Requests beyond its slots that may be on their way to a replica, and for each to the cell.
+/// Most requests beyond its slots on one replica, and per decode replica in the whole pool.
 const MAX_OVERCOMMIT: u32 = 1;
-/// Free slots that a replica with the other kind of target must be ahead to be chosen.
+/// Free slots by which a replica with the other kind of target must be ahead to be chosen.
 const MIXING_PENALTY: i64 = 3;
 
-/// The policy.
+/// The predictive policy.
 pub const fn policy() -> Policy {
     Policy {
         name: "predicted",
@@ -68,7 +68,7 @@
     })
 }
 
-/// Prefill replicas worth comparing: the first ones ready and those that hold the prefix.
+/// Prefill replicas to compare: the first ones ready and those that hold the prefix.
 pub(crate) fn prefill_candidates(view: &View<'_>, criteria: &Criteria<'_>) -> Vec<ReplicaKey> {
     let ready = view.pool.prefills().map(|(_, key)| key).take(MAX_COMPARED);
     let mut keys: Vec<ReplicaKey> = view
@@ -85,7 +85,7 @@
     keys
 }
 
-/// The best decode replica of each data centre, and which of them is reached first.
+/// The best decode replica of each data centre, and the nearest of them by source.
 #[derive(Debug, Default)]
 pub(crate) struct DecodeSites {
     best: Vec<(Zone, ReplicaKey)>,
@@ -93,7 +93,7 @@
 }
 
 impl DecodeSites {
-    /// The sites for `ask`.
+    /// The decode replicas for `criteria`.
     pub(crate) fn new(view: &View<'_>, criteria: &Criteria<'_>) -> Self {
         let mut best = Vec::new();
         for (zone, keys) in view.pool.decodes() {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The site with a free slot that is reached first from `from`, or any if none has one.
+    /// The replica with a free slot that is reached first from `from`, or any if none has one.
     fn nearest(
         &mut self,
         view: &View<'_>,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Free slots on `key`, with a preference for replicas of requests with the same kind of target.
+/// Free slots on `key`, with a preference for replicas whose requests have the same kind of target.
 fn preferred_slots(view: &View<'_>, criteria: &Criteria<'_>, key: ReplicaKey) -> i64 {
     let server = view.pool.get(key);
     let strict = criteria.max_batch < server.member.slots;
@@ -150,7 +150,7 @@
     }
 }
 
-/// The pair with `prefill` and the decode replica that its KV cache reaches first.
+/// The pair of `prefill` and the decode replica that its KV cache reaches first.
 pub(crate) fn estimate_pair(
     view: &View<'_>,
     criteria: &Criteria<'_>,
@@ -173,9 +173,9 @@
     })
 }
 
-/// Drops the pairs whose prefill result would be lost before its transfer ends.
+/// Drops pairs whose prefill result would expire before its transfer ends.
 ///
-/// If that leaves none because links were bad, one transfer at a time may try them again.
+/// If links are so slow that none remains, one transfer at a time may probe them.
 pub(crate) fn retain_viable(view: &View<'_>, criteria: &Criteria<'_>, pairs: &mut Vec<Pair>) {
     let share = MAX_RETENTION_SHARE - WASTE_SHARE * criteria.waste_weight;
     let longest = view.settings.prefill_retention.mul_f64(share);
@@ -194,7 +194,7 @@
     });
 }
 
-/// Whether no decode slot can be free by the time any prefill ends, which spares the comparison.
+/// Whether no decode slot can be free before any prefill ends, which saves the comparison.
 pub(crate) fn is_full(view: &View<'_>, criteria: &Criteria<'_>, secured: SecuredSlots) -> bool {
     let net = view.pool.net_free_slots() - i64::from(view.displaced);
     if net > 0 {
@@ -213,7 +213,7 @@
     }
 }
 
-/// Whether the slot of `pair` is free or will be in time.
+/// Checks that the slot of `pair` is free or will be in time.
 pub(crate) fn check_slot(
     view: &View<'_>,
     criteria: &Criteria<'_>,
@@ -269,8 +269,8 @@
     in_time.min(view.turnover.likely_ends(time_left + slack, risk))
 }
 
-/// Another decode replica for a finished prefill: one that has a slot free of requests that are
-/// already decoding.
+/// Another decode replica for a finished prefill, with a slot in which no request decodes or is
+/// being imported.
 pub(crate) fn decode(view: &mut View<'_>, criteria: &Criteria<'_>) -> Option<ReplicaKey> {
     let keys = view.pool.decodes().filter_map(|(zone, keys)| {
         let mut keys = keys
--- a/crates/route/src/policy/reserved.rs
+++ b/crates/route/src/policy/reserved.rs
@@ -1,4 +1,4 @@
-//! The first policy of the project: a free decode slot is claimed before the prefill starts.
+//! Reservation policy: a free decode slot is claimed before the prefill starts.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 use crate::policy::WaitReason;
 use crate::server::ReplicaKey;
 
-/// Replicas that are compared in each index.
+/// Most replicas compared in each index.
 pub(crate) const MAX_COMPARED: usize = 8;
 
-/// The policy.
+/// The reservation policy.
 pub const fn policy() -> Policy {
     Policy {
         name: "reserved",
@@ -32,7 +32,7 @@
     }
 }
 
-/// Least slack first: the latest time to start that still meets the target.
+/// Least slack first: the latest start time that still meets the target.
 pub(crate) fn order(criteria: &Criteria<'_>) -> Time {
     criteria.due - criteria.min_ttft
 }
@@ -74,7 +74,7 @@
     server.is_open() && server.ready() <= horizon
 }
 
-/// Whether `key` failed an earlier attempt and another replica could take its part.
+/// Whether `key` failed an earlier attempt and another replica can replace it.
 pub(crate) fn is_avoided(view: &View<'_>, criteria: &Criteria<'_>, key: ReplicaKey) -> bool {
     let avoid = &criteria.ticket.avoid;
     let server = view.pool.get(key);
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -1,4 +1,4 @@
-//! The replicas of a cell in an arena, with ordered indexes of free capacity.
+//! The replicas of a pool in an arena, with ordered indexes of free capacity.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 use crate::server::ReplicaKey;
 use crate::server::Server;
 
-/// The replicas of a cell.
+/// The replicas of a pool and their indexes.
 #[derive(Debug, Default)]
 pub struct Pool {
     servers: Vec<Server>,
@@ -36,12 +36,12 @@
         self.keys.get(&replica).copied()
     }
 
-    /// The replica behind `key`.
+    /// The state of the replica `key`.
     pub fn get(&self, key: ReplicaKey) -> &Server {
         &self.servers[key.0 as usize]
     }
 
-    /// All replicas, closed ones too.
+    /// All replicas, including closed ones.
     pub fn iter(&self) -> impl Iterator<Item = (ReplicaKey, &Server)> {
         self.servers
             .iter()
@@ -49,12 +49,12 @@
             .map(|(i, server)| (ReplicaKey(i as u32), server))
     }
 
-    /// Open prefill replicas, the one that is ready first foremost.
+    /// Open prefill replicas, the first to be ready first.
     pub fn prefills(&self) -> impl Iterator<Item = (Time, ReplicaKey)> + '_ {
         self.prefills.iter().copied()
     }
 
-    /// Open decode replicas of each zone, the one with most free slots foremost.
+    /// Open decode replicas of each data centre, the one with the most free slots first.
     pub fn decodes(
         &self,
     ) -> impl Iterator<Item = (Zone, impl Iterator<Item = ReplicaKey> + '_)> + '_ {
@@ -63,32 +63,32 @@
             .map(|(zone, set)| (*zone, set.iter().map(|(_, key)| *key)))
     }
 
-    /// Open plain replicas, the least loaded foremost.
+    /// Open plain replicas, the least loaded first.
     pub fn plains(&self) -> impl Iterator<Item = (u32, ReplicaKey)> + '_ {
         self.plains.iter().copied()
     }
 
-    /// Free slots on all open decode replicas, less those claimed beyond the slots of a replica.
+    /// Free slots of all open decode replicas, less those claimed beyond a replica's slots.
     pub const fn net_free_slots(&self) -> i64 {
         self.net_free_slots
     }
 
-    /// Open prefill replicas.
+    /// Number of open prefill replicas.
     pub const fn open_prefills(&self) -> u32 {
         self.open_prefills
     }
 
-    /// Open decode replicas.
+    /// Number of open decode replicas.
     pub const fn open_decodes(&self) -> u32 {
         self.open_decodes
     }
 
-    /// Slots of open decode replicas.
+    /// Total slots of open decode replicas.
     pub const fn open_slots(&self) -> u32 {
         self.open_slots
     }
 
-    /// Adds `member`, or updates it.
+    /// Adds or updates `member`.
     pub fn insert(&mut self, member: Member, rate: f64) -> ReplicaKey {
         if let Some(key) = self.key(member.replica) {
             self.update(key, |server| {
@@ -104,7 +104,7 @@
         key
     }
 
-    /// Changes a replica through `change` and keeps the indexes in step.
+    /// Applies `change` to a replica and updates the indexes.
     pub fn update(&mut self, key: ReplicaKey, change: impl FnOnce(&mut Server)) {
         self.unindex(key);
         let server = &mut self.servers[key.0 as usize];
@@ -113,7 +113,7 @@
         self.index(key);
     }
 
-    /// Gives a prefill to a replica.
+    /// Queues a prefill on a replica.
     pub fn push_prefill(
         &mut self,
         now: Time,
@@ -124,7 +124,7 @@
         self.update(key, |server| server.push_prefill(now, handle, prefill_time));
     }
 
-    /// Takes a prefill back, ended or not; answers how long it ran, if it was the running one.
+    /// Removes a prefill, ended or not; returns how long it ran if it was the running one.
     pub fn remove_prefill(
         &mut self,
         now: Time,
--- a/crates/route/src/prefix_index.rs
+++ b/crates/route/src/prefix_index.rs
@@ -1,7 +1,7 @@
-//! Where prefix blocks are probably cached, from late and gappy events.
+//! Estimates which replicas cache which prefix blocks, from events that arrive late and with gaps.
 //!
-//! Only a sample of all blocks is kept, chosen by the block's hash: events and prompts then agree on
-//! it without knowing a block's place in a prompt.
+//! Only a sample of the blocks is indexed, chosen by the block's hash, so that events and prompts
+//! agree on it without knowing a block's position in a prompt.
 
 use std::collections::VecDeque;
 
@@ -9,14 +9,14 @@
 use crate::hash::mix;
 use crate::server::ReplicaKey;
 
-/// One block in so many is kept.
+/// One block in this many is indexed.
 const SAMPLE_INTERVAL: u64 = 4;
-/// Sampled blocks remembered for one replica, and for all.
+/// Most sampled blocks indexed for one replica, and for all.
 const MAX_REPLICA_BLOCKS: usize = 4_096;
 const MAX_TOTAL_BLOCKS: usize = 65_536;
-/// Holders remembered for each block, the latest ones.
+/// Most holders remembered for one block, the latest ones.
 const MAX_HOLDERS: usize = 3;
-/// Part of all events that are evictions, once a cache is full.
+/// Fraction of events that are evictions once a cache is full.
 const EVICTION_FRACTION: f64 = 0.5;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -26,7 +26,7 @@
     eviction_risk: f32,
 }
 
-/// The replicas that hold one block, the latest last.
+/// Replicas that hold one block, the latest last.
 #[derive(Debug, Clone, Copy, Default)]
 struct Holders {
     all: [Holder; MAX_HOLDERS],
@@ -45,7 +45,7 @@
             .copied()
     }
 
-    /// Removes `key`; false if it was not there.
+    /// Removes `key`; returns false if it was absent.
     fn remove(&mut self, key: ReplicaKey) -> bool {
         let Some(at) = self.as_slice().iter().position(|holder| holder.key == key) else {
             return false;
@@ -55,7 +55,7 @@
         true
     }
 
-    /// Adds a holder; answers the one that had to go for it.
+    /// Adds a holder; returns the oldest one if it had to be displaced.
     fn push(&mut self, holder: Holder) -> Option<ReplicaKey> {
         let full = usize::from(self.count) == MAX_HOLDERS;
         let displaced = full.then_some(self.all[0].key);
@@ -68,7 +68,7 @@
     }
 }
 
-/// What is known about the cache of one replica.
+/// The known state of one replica's cache.
 #[derive(Debug, Default)]
 struct ReplicaState {
     order: VecDeque<(u64, u32)>,
@@ -77,7 +77,7 @@
     eviction_risk: f32,
 }
 
-/// An index from block to the replicas that probably cache it.
+/// Index from blocks to the replicas that probably cache them.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     holders: Map<u64, Holders>,
@@ -85,13 +85,13 @@
     stamp: u32,
 }
 
-/// Whether `block` belongs to the sample.
+/// Whether `block` is in the sample.
 const fn is_sampled(block: u64) -> bool {
     mix(block).is_multiple_of(SAMPLE_INTERVAL)
 }
 
 impl PrefixIndex {
-    /// Takes in one event of `key`; each event lost may have evicted any earlier block.
+    /// Applies one cache event of `key`. Each lost event may have evicted any earlier block.
     pub fn apply(&mut self, key: ReplicaKey, seq: u64, block: u64, stored: bool) {
         let state = self.replicas.entry(key).or_default();
         if state.last_seq != 0 && seq > state.last_seq + 1 {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Notes that `key` has computed or used `block`.
+    /// Records that `key` has computed or used `block`.
     pub fn store(&mut self, key: ReplicaKey, block: u64) {
         if !is_sampled(block) {
             return;
@@ -134,7 +134,7 @@
         self.trim(key);
     }
 
-    /// Forgets the blocks of `key` that were used longest ago, down to the bound.
+    /// Evicts the least recently used blocks of `key`, down to the bound.
     fn trim(&mut self, key: ReplicaKey) {
         let bound = (MAX_TOTAL_BLOCKS / self.replicas.len().max(1)).min(MAX_REPLICA_BLOCKS);
         while let Some(state) = self
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Forgets everything about `key`, whose memory is gone.
+    /// Removes `key`, whose memory is gone.
     pub fn remove_replica(&mut self, key: ReplicaKey) {
         let Some(state) = self.replicas.remove(&key) else {
             return;
@@ -193,8 +193,8 @@
 
     /// Expected number of leading `blocks` that `key` holds.
     ///
-    /// A prefix is taken to end half way between the last sampled block that is held and the first
-    /// that is not.
+    /// The prefix is assumed to end half way between the last sampled block that is held and the
+    /// first that is not.
     pub fn expected(&self, key: ReplicaKey, blocks: &[u64]) -> f64 {
         let eviction_risk = self
             .replicas
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -5,7 +5,7 @@
 use ident::Handle;
 use ident::Time;
 
-/// Waiting requests in two tiers: those that can still meet their target, and those that cannot.
+/// Waiting requests in two tiers: those that can still meet their target, and late ones.
 #[derive(Debug, Default)]
 pub struct Queue {
     on_time: BTreeSet<(Time, Handle)>,
@@ -13,12 +13,12 @@
 }
 
 impl Queue {
-    /// Adds a request whose order key is `order`.
+    /// Adds a request with the sort key `order`.
     pub fn insert(&mut self, order: Time, handle: Handle) {
         self.on_time.insert((order, handle));
     }
 
-    /// Removes a request; false if it was not waiting.
+    /// Removes a request; returns false if it was not waiting.
     pub fn remove(&mut self, order: Time, expiry: Time, handle: Handle) -> bool {
         self.on_time.remove(&(order, handle)) || self.late.remove(&(expiry, handle))
     }
@@ -29,17 +29,17 @@
         self.late.insert((expiry, handle));
     }
 
-    /// Requests that can still meet their target, in order.
+    /// On-time requests, in order.
     pub fn on_time(&self) -> impl Iterator<Item = Handle> + '_ {
         self.on_time.iter().map(|(_, handle)| *handle)
     }
 
-    /// Requests that cannot, in order.
+    /// Late requests, in order.
     pub fn late(&self) -> impl Iterator<Item = Handle> + '_ {
         self.late.iter().map(|(_, handle)| *handle)
     }
 
-    /// The first waiting request, marked if it is late.
+    /// The first waiting request, and whether it is late.
     pub fn head(&self) -> Option<(bool, Time, Handle)> {
         let on_time = self
             .on_time
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Waiting requests in order, those that are late marked so and last.
+    /// Waiting requests in order with whether they are late; late ones come last.
     pub fn iter(&self) -> impl Iterator<Item = (bool, Time, Handle)> + '_ {
         let on_time = self
             .on_time
@@ -65,12 +65,12 @@
         on_time.chain(late)
     }
 
-    /// Waiting requests that cannot meet their target.
+    /// Number of late requests.
     pub fn late_len(&self) -> usize {
         self.late.len()
     }
 
-    /// Waiting requests.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.on_time.len() + self.late.len()
     }
--- a/crates/route/src/rate.rs
+++ b/crates/route/src/rate.rs
@@ -1,4 +1,4 @@
-//! Running estimates of rates and durations.
+//! Running averages of rates and durations.
 
 use std::time::Duration;
 
@@ -12,23 +12,23 @@
 }
 
 impl Ewma {
-    /// An average that starts at `value` and takes in each sample with `weight`.
+    /// An average that starts at `value`; each sample has the weight `weight`.
     pub const fn new(value: f64, weight: f64) -> Self {
         Self { value, weight }
     }
 
-    /// Takes in one sample.
+    /// Adds one sample.
     pub fn add(&mut self, sample: f64) {
         self.value += self.weight * (sample - self.value);
     }
 
-    /// The current estimate.
+    /// The current average.
     pub const fn value(&self) -> f64 {
         self.value
     }
 }
 
-/// Events a second, averaged over a time constant.
+/// Event rate, averaged over a time constant.
 #[derive(Debug, Clone, Copy)]
 pub struct Meter {
     level: f64,
@@ -37,7 +37,7 @@
 }
 
 impl Meter {
-    /// A meter with the given time constant, at rest since `now`.
+    /// A meter with this time constant and no events before `now`.
     pub const fn new(now: Time, constant: Duration) -> Self {
         Self {
             level: 0.0,
@@ -52,7 +52,7 @@
         self.at = now;
     }
 
-    /// Events a second at `now`.
+    /// Events per second at `now`.
     pub fn rate(&self, now: Time) -> f64 {
         self.decayed(now) / self.constant
     }
--- a/crates/route/src/replica.rs
+++ b/crates/route/src/replica.rs
@@ -1,4 +1,4 @@
-//! What a cell knows about its replicas from outside.
+//! Replicas as described by the platform's list and by their own reports.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a replica does.
+/// The work that a replica does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Role {
     /// Computes KV caches of prompts.
@@ -18,47 +18,47 @@
     Plain,
 }
 
-/// One replica of a cell.
+/// One replica of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Member {
     /// The replica.
     pub replica: Replica,
     /// Its data centre.
     pub zone: Zone,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Requests that it runs at once.
+    /// Requests that it can run at once.
     pub slots: u32,
-    /// Whether it is leaving: it gets no new work.
+    /// Whether it is leaving and gets no new work.
     pub leaving: bool,
 }
 
 /// One event of a replica's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts the events of one boot; a jump shows that events were lost.
+    /// Sequence number within one boot; a gap shows lost events.
     pub seq: u64,
     /// Hash of the block.
     pub block: u64,
-    /// Stored if true, evicted if false.
+    /// True if the block was stored, false if it was evicted.
     pub stored: bool,
 }
 
-/// The load that a replica reported; it lags.
+/// The load that a replica reported; it lags behind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// How old the load figures are at least.
+    /// Minimum age of the load figures.
     pub age: Duration,
-    /// Changes at each start of the replica.
+    /// Boot number, changed at each start of the replica.
     pub boot: u64,
-    /// Requests running.
+    /// Requests that are running.
     pub running: u32,
     /// Requests waiting inside the replica.
     pub waiting: u32,
     /// Prompt tokens waiting inside the replica.
     pub queued_tokens: u64,
-    /// Requests that hold memory now; current, unlike the other figures.
+    /// Requests that hold memory now; unlike the other figures it does not lag.
     pub works: u32,
-    /// Events of the prefix cache since the last report, late and with gaps.
+    /// Prefix cache events since the last report, late and with gaps.
     pub events: Vec<CacheEvent>,
 }
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -1,4 +1,4 @@
-//! One request inside a cell, from ticket to end.
+//! One request in the scheduler, from ticket to end.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use crate::ticket::Ticket;
 use crate::verdict::Verdict;
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     /// In the queue.
     Waiting,
-    /// Given to a prefill replica.
+    /// Assigned to a prefill replica.
     Prefill,
     /// Its prefill result waits for a decode replica.
     Kept,
-    /// Its KV cache is on its way to the decode replica.
+    /// Its KV cache is being transferred to the decode replica.
     Import,
     /// Generating tokens.
     Decode,
@@ -26,47 +26,47 @@
     Plain,
 }
 
-/// One request.
+/// A request with its deadlines and what it occupies.
 #[derive(Debug)]
 pub struct Request {
-    /// As submitted.
+    /// The ticket as submitted.
     pub ticket: Ticket,
-    /// Arrival at the owner.
+    /// When it arrived at its owner.
     pub arrived: Time,
-    /// Its place in the order of its row.
+    /// Its sort key within its row.
     pub order: Time,
-    /// When its target for the first token ends.
+    /// When its target for the time to the first token ends.
     pub due: Time,
-    /// Whether it waits among those that cannot meet their target.
+    /// Whether it waits in the late tier, which cannot meet the target.
     pub late: bool,
-    /// When its longest wait ends.
+    /// When its maximum wait ends.
     pub expiry: Time,
-    /// Shortest time to its first token on an idle cell.
+    /// Shortest time to its first token in an idle pool.
     pub min_ttft: Duration,
-    /// How strongly wasted prefill weighs against goodput, from 0 to 1.
+    /// Weight of wasted prefill against goodput, from 0 to 1.
     pub waste_weight: f64,
-    /// How far it has come.
+    /// Its state.
     pub state: State,
-    /// When it came there.
+    /// When it entered that state.
     pub since: Time,
     /// The replica that runs the prefill (plain: the call).
     pub prefill: Option<ReplicaKey>,
     /// The decode replica on which a slot is claimed.
     pub decode: Option<ReplicaKey>,
-    /// The largest batch in which it meets its target for the time between tokens.
+    /// The largest batch in which its target for the time between tokens is met.
     pub max_batch: u32,
-    /// The decode replica's batch over time when it joined, in request seconds.
+    /// Integral of the decode replica's batch size over time when it joined, in request seconds.
     pub batch_integral: f64,
-    /// When it is known to end; absent where lengths are not known.
+    /// When it will end; absent where lengths are not known.
     pub end: Option<Time>,
-    /// Tokens that it generated, once it has ended.
+    /// Tokens generated, set when it ends.
     pub tokens: u32,
-    /// The last verdict.
+    /// The latest verdict.
     pub verdict: Option<Verdict>,
 }
 
 impl Request {
-    /// What a policy sees of the request.
+    /// The properties that a policy decides on.
     pub fn criteria(&self) -> Criteria<'_> {
         Criteria {
             ticket: &self.ticket,
--- a/crates/route/src/row.rs
+++ b/crates/route/src/row.rs
@@ -1,4 +1,4 @@
-//! The state of one table row inside a cell.
+//! The state of one table row in the scheduler.
 
 use std::time::Duration;
 
@@ -8,34 +8,34 @@
 use crate::rate::Meter;
 use crate::rule::Rule;
 
-/// Time constant of the retry budget and of the drain rate.
+/// Time constant of the retry budget and of the grant rates.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Rule, queue and counters of one row.
+/// The rule, queue and counters of one row.
 #[derive(Debug)]
 pub struct RowState {
     /// The row's rule.
     pub rule: Rule,
-    /// Its waiting requests.
+    /// The row's waiting requests.
     pub queue: Queue,
     /// Whether its requests are plain calls.
     pub plain: bool,
-    /// Its requests in prefill.
+    /// Number of its requests in prefill.
     pub prefills: u32,
-    /// Its requests that hold a decode slot (plain: in progress).
+    /// Number of its requests that hold a decode slot (plain: in progress).
     pub decodes: u32,
-    /// Work done for the row, divided by its share.
+    /// Work done for the row divided by its share, as in fair queueing.
     pub virtual_time: f64,
-    /// Requests granted.
+    /// Rate of granted requests.
     pub grants: Meter,
-    /// Late requests granted.
+    /// Rate of granted late requests.
     pub late_grants: Meter,
     first_attempts: Meter,
     retries: Meter,
 }
 
 impl RowState {
-    /// A row without requests.
+    /// The state of a row without requests.
     pub fn new(now: Time, rule: Rule) -> Self {
         Self {
             rule,
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Whether the ceilings admit one more request; plain calls do not count as prefills.
+    /// Whether the ceilings allow one more request; plain calls do not count as prefills.
     pub const fn has_room(&self) -> bool {
         let prefill = self.plain || self.prefills < self.rule.prefill_ceiling;
         prefill && self.decodes < self.rule.decode_ceiling
     }
 
-    /// Whether the ceilings admit no request of this kind at any time.
+    /// Whether a ceiling of zero excludes all requests of this kind.
     pub const fn is_closed(&self, plain: bool) -> bool {
         self.rule.decode_ceiling == 0 || (self.rule.prefill_ceiling == 0 && !plain)
     }
@@ -67,7 +67,7 @@
         self.first_attempts.add(now, 1.0);
     }
 
-    /// Counts a retry if the budget admits it, which is `least` in a window at the least.
+    /// Counts a retry if the budget allows it; the budget is at least `min_retries` in a window.
     pub fn take_retry(&mut self, now: Time, min_retries: f64) -> bool {
         let budget = self.first_attempts.decayed(now) * f64::from(self.rule.retry_percent) / 100.0;
         let granted = self.retries.decayed(now) + 1.0 <= budget.max(min_retries);
--- a/crates/route/src/scheduler.rs
+++ b/crates/route/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The queue of a group of replicas and the decisions about it.
+//! The queue of a pool of replicas and the decisions about it.
 
 mod admit;
 mod adopt;
@@ -40,7 +40,7 @@
 use crate::turnover::Turnover;
 use crate::verdict::Verdict;
 
-/// A group of replicas with one queue; only its keeper drives it.
+/// Schedules the requests of one pool of replicas; only the pool's keeper runs it.
 #[derive(Debug)]
 pub struct Scheduler {
     settings: Settings,
@@ -63,12 +63,12 @@
 }
 
 impl Scheduler {
-    /// An empty cell with the project's own policy.
+    /// A scheduler without replicas, with the default policy.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self::with_policy(settings, seed, crate::policy::deadline::policy())
     }
 
-    /// An empty cell with `policy`.
+    /// A scheduler without replicas, with `policy`.
     pub fn with_policy(settings: Settings, seed: u64, policy: Policy) -> Self {
         Self {
             settings,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Puts the rules of all rows in force; waiting requests of a row that is gone are refused.
+    /// Replaces the rules of all rows; waiting requests of a removed row are refused.
     pub fn set_rules(&mut self, now: Time, rules: &[Rule]) {
         for rule in rules {
             match self.row_states.get_mut(&rule.row) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Takes over the list of replicas: a leaving one gets no new work, a missing one is lost.
+    /// Replaces the list of replicas: a leaving one gets no new work, a missing one is lost.
     pub fn set_members(&mut self, now: Time, members: &[Member]) {
         let listed: HashSet<Replica> = members.iter().map(|member| member.replica).collect();
         let missing: Vec<Replica> = self
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes in a load report.
+    /// Applies a load report; a changed boot number means that the replica lost its memory.
     pub fn apply_report(&mut self, now: Time, replica: Replica, report: &Report) {
         let Some(key) = self.pool.key(replica) else {
             return;
@@ -147,31 +147,31 @@
         }
     }
 
-    /// Requests in the queue.
+    /// Number of requests in the queue.
     pub const fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Requests that have been placed and have not ended.
+    /// Number of requests that have been placed and have not ended.
     pub fn in_progress(&self) -> usize {
         self.requests.len() - self.waiting
     }
 
-    /// Slots that requests of this cell claim on `replica`.
+    /// Slots that requests of this pool claim on `replica`.
     pub fn claimed_slots(&self, replica: Replica) -> u32 {
         self.pool
             .key(replica)
             .map_or(0, |key| self.pool.get(key).claims)
     }
 
-    /// Requests of `row` in prefill and holding a decode slot.
+    /// Requests of `row` that are in prefill, and those that hold a decode slot.
     pub fn row_usage(&self, row: Row) -> (u32, u32) {
         self.row_states
             .get(&row)
             .map_or((0, 0), |row_state| (row_state.prefills, row_state.decodes))
     }
 
-    /// Handles that `owner` submitted and that have not ended.
+    /// Handles that `owner` submitted and that have not ended, sorted.
     pub fn handles_of(&self, owner: ident::Incarnation) -> Vec<Handle> {
         let mut handles: Vec<Handle> = self
             .requests
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Time until a new request of `row` may expect to be taken; above zero.
+    /// Expected time until a new request of `row` can be accepted; above zero.
     fn retry_after(&self, now: Time, row: Row) -> Duration {
         let settings = &self.settings;
         let Some(row_state) = self.row_states.get(&row) else {
--- a/crates/route/src/scheduler/admit.rs
+++ b/crates/route/src/scheduler/admit.rs
@@ -1,4 +1,4 @@
-//! Tickets come in and are queued or refused.
+//! Admits tickets to the queue or refuses them.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use crate::verdict::Verdict;
 
 impl Scheduler {
-    /// Queues a request; a repeat of a known handle gets its former verdict again.
+    /// Queues a request; a repeat of a known handle gets its earlier verdict again.
     pub fn submit(&mut self, now: Time, ticket: Ticket) {
         let handle = ticket.handle;
         match self.requests.get(&handle) {
@@ -66,7 +66,7 @@
         self.requests.insert(handle, request);
     }
 
-    /// A request that has just come in.
+    /// The state of a newly submitted request.
     pub(super) fn new_request(&self, now: Time, ticket: Ticket) -> Request {
         let arrived = now - ticket.waited;
         let rule = self
@@ -97,7 +97,7 @@
         request
     }
 
-    /// The largest batch that keeps `tbt` between tokens; no limit until that is learned.
+    /// The largest batch that keeps `tbt` between tokens; unlimited until that is learned.
     fn batch_limit(&self, tbt: Duration) -> u32 {
         match self.policy.secured {
             SecuredSlots::Nothing | SecuredSlots::Free => u32::MAX,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Shortest time to the first token on an idle cell.
+    /// Shortest time to the first token in an idle pool.
     fn min_ttft(&self, ticket: &Ticket) -> Duration {
         let best = self.prefix_index.holders(ticket.blocks()).map(|key| {
             let blocks = ticket.blocks().len().max(1) as f64;
@@ -152,7 +152,7 @@
         self.ended.insert(handle, Some(verdict));
     }
 
-    /// Takes a request out of its row's queue, if it waits there.
+    /// Removes a request from its row's queue, if it waits there.
     pub(super) fn dequeue(&mut self, now: Time, handle: Handle) {
         let Some(request) = self.requests.get(&handle) else {
             return;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Refuses all waiting requests of `row` and forgets it.
+    /// Removes `row` and refuses all its waiting requests.
     pub(super) fn remove_row(&mut self, now: Time, row: Row) {
         let mut waiting: Vec<Handle> = self
             .requests
--- a/crates/route/src/scheduler/adopt.rs
+++ b/crates/route/src/scheduler/adopt.rs
@@ -1,4 +1,4 @@
-//! A new keeper rebuilds its state from the owners' holds.
+//! Rebuilds the state of a new keeper from the owners' holds.
 
 use ident::Replica;
 use ident::Time;
@@ -15,7 +15,7 @@
 use crate::verdict::DecisionDetails;
 use crate::verdict::Verdict;
 
-/// A placed request as its owner knows it, told to a new keeper.
+/// A placed request as its owner reports it to a new keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
     /// The request.
@@ -24,25 +24,25 @@
     pub prefill: Option<Replica>,
     /// The decode replica (plain: the replica of the call).
     pub decode: Replica,
-    /// The last phase that the owner reported; none while in prefill (plain: in progress).
+    /// The last phase that the owner reported; `None` during prefill (plain: in progress).
     pub phase: Option<Phase>,
 }
 
 impl Scheduler {
-    /// Starts the work of a new keeper: nothing is granted until the grace period ends, so that all
+    /// Starts the grace period of a new keeper: nothing is granted until it ends, so that all
     /// owners can report their holds before free slots are counted.
     pub fn begin_takeover(&mut self, now: Time) {
         self.grace_end = now + self.settings.grace;
     }
 
-    /// Ends the grace period early: every live owner has reported its holds.
+    /// Ends the grace period early, when every live owner has reported its holds.
     pub fn end_grace(&mut self, now: Time) {
         self.grace_end = self.grace_end.min(now);
     }
 
-    /// Takes over a placed request from its owner after the keeper moved.
+    /// Adopts a placed request from its owner after a change of keeper.
     ///
-    /// The first one starts the grace period of [`Scheduler::begin_takeover`] if that was not called.
+    /// The first one starts the grace period if [`Scheduler::begin_takeover`] was not called.
     pub fn adopt(&mut self, now: Time, hold: &Hold) {
         let handle = hold.ticket.handle;
         if self.grace_end == Time::ZERO {
--- a/crates/route/src/scheduler/claim.rs
+++ b/crates/route/src/scheduler/claim.rs
@@ -1,4 +1,4 @@
-//! What a placed request holds on replicas and counts against its row.
+//! Claims of placed requests on replicas and against their rows.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::ticket::Work;
 
 impl Scheduler {
-    /// Notes that `handle` was given to `prefill` and claims a slot on `decode`.
+    /// Queues the prefill of `handle` on `prefill` and claims a slot on `decode`.
     pub(super) fn claim_pair(
         &mut self,
         now: Time,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Notes that `handle` runs on `key` alone: a plain call, or a decode whose prefill is over.
+    /// Claims a slot on `key` alone, for a plain call or a decode whose prefill has ended.
     pub(super) fn claim_single(
         &mut self,
         now: Time,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Claims a slot on `key`.
+    /// Claims a slot on `key` for `handle`.
     pub(super) fn claim_slot(&mut self, handle: Handle, key: ReplicaKey) {
         let Some(request) = self.requests.get_mut(&handle) else {
             return;
@@ -63,7 +63,7 @@
         self.pool.update(key, |server| server.claim(max_batch));
     }
 
-    /// Gives back the slot that `handle` claims; its decode replica is then still to be found.
+    /// Releases the slot that `handle` claims; the request then needs another decode replica.
     pub(super) fn free_slot(&mut self, handle: Handle) {
         let Some(request) = self.requests.get_mut(&handle) else {
             return;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Moves `handle` to `state`, with the counters that depend on it.
+    /// Moves `handle` to `state` and updates the counters that depend on it.
     pub(super) fn enter_state(&mut self, now: Time, handle: Handle, state: State) {
         let Some(request) = self.requests.get_mut(&handle) else {
             return;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Undoes what [`Scheduler::enter`] did; `completed` if the state ended as it should.
+    /// Reverses [`Scheduler::enter_state`]; `completed` if the state ended normally.
     pub(super) fn leave_state(&mut self, now: Time, handle: Handle, completed: bool) {
         let Some(request) = self.requests.get(&handle) else {
             return;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A request joins the batch of `key`.
+    /// Adds a request to the batch of `key`.
     fn join_batch(&mut self, now: Time, handle: Handle, key: ReplicaKey) {
         let known = self.policy.secured == SecuredSlots::Known;
         let step = self.expected_token_time(key);
@@ -142,13 +142,13 @@
         self.turnover.begin(handle, request.end);
     }
 
-    /// Time of one token on `key`.
+    /// Expected time for one token on `key`.
     fn expected_token_time(&self, key: ReplicaKey) -> Duration {
         let server = self.pool.get(key);
         Duration::from_secs_f64(self.token_time.time(f64::from(server.load())))
     }
 
-    /// A request leaves the batch of `key`.
+    /// Removes a request from the batch of `key`.
     fn leave_batch(&mut self, now: Time, handle: Handle, key: ReplicaKey, completed: bool) {
         self.pool.update(key, |server| server.change_batch(now, -1));
         let batch_integral = self.pool.get(key).batch_integral(now);
@@ -161,7 +161,7 @@
         self.learn_token_time(batch_integral, handle, hold_time);
     }
 
-    /// Learns the time between tokens from a request that generated `flow.tokens` in `stay`.
+    /// Learns the time between tokens from a request that generated `tokens` in `hold_time`.
     fn learn_token_time(&mut self, batch_integral: f64, handle: Handle, hold_time: Duration) {
         let Some(Request {
             tokens,
--- a/crates/route/src/scheduler/expire.rs
+++ b/crates/route/src/scheduler/expire.rs
@@ -1,4 +1,4 @@
-//! Waiting requests become late, and late ones are given up.
+//! Moves waiting requests to the late tier and refuses those that cannot start in time.
 
 use ident::Handle;
 use ident::Time;
@@ -7,13 +7,13 @@
 use crate::scheduler::Scheduler;
 use crate::verdict::Reason;
 
-/// Grants in the window without which the drain rate is unknown.
+/// Grants in the window below which the grant rate counts as unknown.
 const MIN_GRANTS: f64 = 3.0;
-/// The least drain rate that is reckoned with, in requests a second.
+/// Lower bound of the grant rate, in requests per second.
 const MIN_RATE: f64 = 1e-6;
 
 impl Scheduler {
-    /// Moves requests that miss their target to the late tier, and refuses doomed ones.
+    /// Moves requests that miss their target to the late tier and refuses doomed ones.
     pub(super) fn expire(&mut self, now: Time) {
         let mut missing = Vec::new();
         let mut doomed = Vec::new();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Moves a request to the late tier, or refuses it if it would wait there for nothing.
+    /// Moves a request to the late tier, or refuses it if it could not start from there in time.
     pub(super) fn demote(&mut self, now: Time, handle: Handle) -> bool {
         let Some(request) = self.requests.get_mut(&handle) else {
             return false;
@@ -59,7 +59,7 @@
         true
     }
 
-    /// Refuses a request that waited, wherever it waited.
+    /// Refuses a waiting request of either tier.
     pub(super) fn refuse_waiting(&mut self, now: Time, handle: Handle, reason: Reason) {
         self.dequeue(now, handle);
         if let Some(request) = self.requests.remove(&handle) {
@@ -74,10 +74,10 @@
     }
 }
 
-/// Whether the late requests of `lane` take so long that one more will not start by `latest`.
+/// Whether one more late request of the row would not start by `latest`.
 ///
-/// They are served at the rate of late requests while others wait, and at the whole rate else. With
-/// hardly a grant in the window nothing is known, and the request may wait.
+/// Late requests are granted at the late rate while others wait, and otherwise at the row's full
+/// rate. With too few grants in the window the rate is unknown, and the request may wait.
 fn would_expire(now: Time, row_state: &RowState, latest: Time) -> bool {
     let queued = row_state.queue.late_len();
     if queued == 0 || row_state.grants.decayed(now) < MIN_GRANTS {
--- a/crates/route/src/scheduler/grant.rs
+++ b/crates/route/src/scheduler/grant.rs
@@ -1,4 +1,4 @@
-//! Waiting requests are granted a place.
+//! Grants waiting requests their replicas.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,17 +20,17 @@
 use crate::verdict::DecisionDetails;
 use crate::verdict::Verdict;
 
-/// The soonest and the latest time at which the cell looks again while requests wait.
+/// Shortest and longest time until the next step while requests wait.
 const MIN_POLL: Duration = Duration::from_millis(1);
 const MAX_POLL: Duration = Duration::from_millis(20);
 
-/// Where a request goes.
+/// Where a request is placed.
 enum Placement {
     Pair(Pair),
     Single(ReplicaKey),
 }
 
-/// What one pass over the waiting requests has passed over so far.
+/// Reservations of requests skipped so far in one pass over the queue.
 #[derive(Debug, Default)]
 struct Pass {
     deferred_prefills: BTreeMap<ReplicaKey, Duration>,
@@ -38,7 +38,7 @@
 }
 
 impl Scheduler {
-    /// Decides all that can be decided at `now`; answers when it wants to be called next.
+    /// Makes all decisions possible at `now`; returns when the next step is due.
     pub fn step(&mut self, now: Time, out: &mut Vec<Verdict>) -> Time {
         self.expire(now);
         if now >= self.grace_end {
@@ -110,7 +110,7 @@
         self.outbox.push(verdict);
     }
 
-    /// Grants one request; false if none can be granted now.
+    /// Grants one request; returns false if none can be granted now.
     fn grant(&mut self, now: Time) -> bool {
         if self.waiting == 0 || self.is_blocked(now) {
             return false;
@@ -137,7 +137,7 @@
         false
     }
 
-    /// Grants `handle` a place, or says that nobody gets one; none if others may go first.
+    /// Grants `handle` a placement; `Some(false)` blocks the queue, `None` lets others go first.
     fn try_grant(&mut self, now: Time, handle: Handle, pass: &mut Pass) -> Option<bool> {
         let request = self.requests.remove(&handle)?;
         let place = self.place(now, &request, pass);
@@ -157,14 +157,14 @@
         }
     }
 
-    /// Whether a request that still counts as punctual would get its first token too late.
+    /// Whether the first token of an on-time request would miss its target.
     fn misses_target(&self, handle: Handle, pair: &Pair) -> bool {
         let request = self.requests.get(&handle);
         self.policy.refuse_early
             && request.is_some_and(|request| !request.late && pair.first_token > request.due)
     }
 
-    /// Whether no replica is near enough to taking work to look at the queue at all.
+    /// Whether no replica will be ready within the lead time, so the queue need not be read.
     fn is_blocked(&self, now: Time) -> bool {
         if self.policy.secured == SecuredSlots::Nothing {
             return false;
@@ -261,7 +261,7 @@
         ))
     }
 
-    /// Books the cost of one request on its row, in seconds of the whole cell for its share; a row
+    /// Adds the cost of one request, in seconds of the whole pool, to the row's virtual time. A row
     /// that was idle starts level with the others.
     fn charge(&mut self, now: Time, row: Row, cost: f64) {
         let min_virtual_time = self.min_virtual_time();
--- a/crates/route/src/scheduler/progress.rs
+++ b/crates/route/src/scheduler/progress.rs
@@ -1,4 +1,4 @@
-//! Placed requests go on and end.
+//! Applies the progress and the end of placed requests.
 
 use ident::Handle;
 use ident::Replica;
@@ -11,7 +11,7 @@
 use crate::server::Server;
 
 impl Scheduler {
-    /// Takes in what an owner reports about a request.
+    /// Applies a phase that an owner reports.
     pub fn advance(&mut self, now: Time, handle: Handle, phase: Phase) {
         let Some(request) = self.requests.get(&handle) else {
             return;
@@ -73,7 +73,7 @@
         self.end_request(now, handle, true);
     }
 
-    /// Forgets a request and all that it holds.
+    /// Removes a request and releases all that it holds.
     pub(super) fn end_request(&mut self, now: Time, handle: Handle, completed: bool) {
         self.dequeue(now, handle);
         self.leave_state(now, handle, completed);
@@ -93,10 +93,10 @@
         self.ended.insert(handle, request.verdict);
     }
 
-    /// Forgets what ran on a replica that is unreachable or has rebooted.
+    /// Releases everything on a replica that is unreachable or has restarted.
     ///
-    /// It gets no new work until its next report. Its requests stay known until their owners
-    /// report how they go on.
+    /// It gets no new work until its next report. Its requests stay known until their owners report
+    /// how they continue.
     pub fn mark_lost(&mut self, now: Time, replica: Replica) {
         let Some(key) = self.pool.key(replica) else {
             return;
@@ -116,7 +116,7 @@
         self.pool.update(key, |server| server.reachable = false);
     }
 
-    /// Takes a request off a lost replica.
+    /// Releases what a request holds on a lost replica.
     fn detach(&mut self, now: Time, handle: Handle, key: ReplicaKey) {
         let Some(request) = self.requests.get(&handle) else {
             return;
--- a/crates/route/src/scheduler/rank.rs
+++ b/crates/route/src/scheduler/rank.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting requests are considered.
+//! Orders the waiting requests of all rows.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -11,10 +11,10 @@
 use crate::row::RowState;
 use crate::scheduler::Scheduler;
 
-/// How far a row may run ahead of its share, in seconds of the whole cell.
+/// How far a row may be ahead of its share, in seconds of the whole pool.
 const MAX_AHEAD: f64 = 3.0;
 
-/// Place of a waiting request among those of all rows; the greatest is considered first.
+/// Rank of a waiting request among all rows; the greatest goes first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Rank {
     priority: u8,
@@ -44,8 +44,8 @@
 }
 
 impl Scheduler {
-    /// The waiting request that is considered first: by priority, those on time before those that
-    /// are late, then by the rows' shares, then by their own order.
+    /// The first waiting request: by priority, then on time before late, then by the rows' shares,
+    /// then by order within the row.
     pub(super) fn first_waiting(&self) -> Option<Handle> {
         let min_virtual_time = self.min_virtual_time();
         let open = self
@@ -58,7 +58,7 @@
         heads.max().map(|rank| rank.handle)
     }
 
-    /// The first `count` waiting requests in the order of [`Scheduler::first`].
+    /// The first `count` waiting requests, in the order of [`Scheduler::first_waiting`].
     pub(super) fn waiting_in_order(&self, count: usize) -> Vec<Handle> {
         let min_virtual_time = self.min_virtual_time();
         let open = self
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The least that a row with waiting requests has had for its share.
+    /// The least virtual time of a row with waiting requests.
     pub(super) fn min_virtual_time(&self) -> f64 {
         let waiting = self
             .row_states
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -1,4 +1,4 @@
-//! One replica and what a cell knows about it.
+//! The scheduler's state of one replica.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -14,45 +14,45 @@
 /// Weight of one sample in a replica's learned rates.
 const RATE_WEIGHT: f64 = 0.1;
 
-/// Names a replica inside its cell.
+/// Index of a replica in its pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaKey(pub u32);
 
-/// One prefill given to a replica.
+/// One prefill queued on a replica.
 #[derive(Debug, Clone, Copy)]
 struct PrefillJob {
     handle: Handle,
     prefill_time: Duration,
 }
 
-/// One replica and all that the cell knows about it.
+/// A replica with its slots, load and queued prefills.
 #[derive(Debug)]
 pub struct Server {
-    /// What the list of members says.
+    /// Its entry in the list of members.
     pub member: Member,
-    /// Whether it answered last time.
+    /// Whether its last answer succeeded.
     pub reachable: bool,
     /// Whether it is still listed.
     pub listed: bool,
-    /// Requests of this cell that hold a slot or wait for one.
+    /// Requests of this pool that hold a slot or wait for one.
     pub claims: u32,
-    /// Requests of others, or leaked ones, that the last report shows.
+    /// Requests of others, or leaked ones, in the last report.
     pub foreign: u32,
-    /// Load by the last report.
+    /// Running and waiting requests in the last report.
     pub reported_load: u32,
-    /// Prompt tokens waiting by the last report.
+    /// Prompt tokens waiting in the last report.
     pub reported_tokens: u64,
     /// Requests sent since the last report.
     pub sent_since_report: u32,
-    /// Requests of this cell whose KV cache is on its way to it.
+    /// Requests of this pool whose KV cache is being transferred to it.
     pub incoming: u32,
-    /// Start of the replica's present run.
+    /// Boot number of the replica's present run.
     pub boot: u64,
-    /// Learned prefill tokens a second.
+    /// Learned prefill rate, in tokens per second.
     pub rate: Ewma,
-    /// Learned seconds that a plain call takes.
+    /// Learned duration of a plain call, in seconds.
     pub call_time: Ewma,
-    /// When the transfers of its prefills are expected to have ended.
+    /// Expected end of the transfers of its prefills.
     pub transfers_end: Time,
     peak: u32,
     previous_peak: u32,
@@ -66,7 +66,7 @@
 }
 
 impl Server {
-    /// A replica that has just been listed.
+    /// The state of a newly listed replica.
     pub fn new(member: Member, rate: f64) -> Self {
         Self {
             member,
@@ -99,7 +99,7 @@
         self.reachable && self.listed && !self.member.leaving
     }
 
-    /// Slots that may be used: the batch may grow no further without missing a target.
+    /// Slots that can be used without a larger batch missing a target.
     pub fn usable_slots(&self) -> u32 {
         let strictest = self.batch_limits.keys().next().copied();
         strictest.map_or(self.member.slots, |max_batch| {
@@ -107,29 +107,29 @@
         })
     }
 
-    /// Whether a request on it has a target that forbids the full batch.
+    /// Whether the target of a request on it forbids the full batch.
     pub fn is_batch_limited(&self) -> bool {
         self.usable_slots() < self.member.slots
     }
 
-    /// Usable slots that are neither claimed nor taken by others; negative if more are claimed.
+    /// Usable slots that are neither claimed nor taken by others; negative if claims exceed them.
     pub fn free_slots(&self) -> i64 {
         i64::from(self.usable_slots()) - i64::from(self.load())
     }
 
-    /// The same for a request that allows a batch of at most `limit`.
+    /// Free slots for a request that allows a batch of at most `max_batch`.
     pub fn free_slots_within(&self, max_batch: u32) -> i64 {
         i64::from(self.usable_slots().min(max_batch)) - i64::from(self.load())
     }
 
-    /// Slots that no request decodes or imports in, whoever has claimed them, in a batch of at most
-    /// `limit`.
+    /// Slots in a batch of at most `max_batch` in which no request decodes or is being imported,
+    /// whether or not they are claimed.
     pub fn unoccupied_slots(&self, max_batch: u32) -> i64 {
         i64::from(self.usable_slots().min(max_batch))
             - i64::from(self.batch + self.incoming + self.foreign)
     }
 
-    /// Claims a slot for a request that allows a batch of at most `limit`.
+    /// Claims a slot for a request that allows a batch of at most `max_batch`.
     pub fn claim(&mut self, max_batch: u32) {
         self.claims += 1;
         self.peak = self.peak.max(self.claims);
@@ -137,7 +137,7 @@
         *self.batch_limits.entry(max_batch).or_default() += 1;
     }
 
-    /// Gives a slot back.
+    /// Releases a claimed slot.
     pub fn release_claim(&mut self, max_batch: u32) {
         self.claims = self.claims.saturating_sub(1);
         match self.batch_limits.get_mut(&max_batch) {
@@ -146,29 +146,29 @@
         }
     }
 
-    /// Notes that the batch grows or shrinks at `now`.
+    /// Records that the batch changes by `change` at `now`.
     pub fn change_batch(&mut self, now: Time, change: i64) {
         self.batch_integral += f64::from(self.batch) * now.since(self.batch_changed).as_secs_f64();
         self.batch_changed = now;
         self.batch = (i64::from(self.batch) + change).max(0) as u32;
     }
 
-    /// Sum of the batch over time, in request seconds, up to `now`.
+    /// Integral of the batch size over time up to `now`, in request seconds.
     pub fn batch_integral(&self, now: Time) -> f64 {
         self.batch_integral + f64::from(self.batch) * now.since(self.batch_changed).as_secs_f64()
     }
 
-    /// Requests on the replica, of this cell and of others.
+    /// Requests on the replica, of this pool and of others.
     pub const fn load(&self) -> u32 {
         self.claims + self.foreign
     }
 
-    /// When the prefills given to it are expected to have ended.
+    /// Expected end of its queued prefills.
     pub const fn ready(&self) -> Time {
         self.ready
     }
 
-    /// Takes a prefill into its queue.
+    /// Queues a prefill.
     pub fn push_prefill(&mut self, now: Time, handle: Handle, prefill_time: Duration) {
         if self.jobs.is_empty() {
             self.started = now;
@@ -180,7 +180,7 @@
         self.sent_since_report += 1;
     }
 
-    /// Drops a prefill, ended or not; answers how long it ran, if it was the running one.
+    /// Removes a prefill, ended or not; returns how long it ran if it was the running one.
     pub fn remove_prefill(&mut self, now: Time, handle: Handle) -> Option<Duration> {
         let at = self.jobs.iter().position(|job| job.handle == handle)?;
         self.jobs.remove(at);
@@ -192,9 +192,10 @@
         Some(ran)
     }
 
-    /// Takes in a load report.
+    /// Applies a load report.
     ///
-    /// What exceeds the most that this cell has claimed while the report was on its way is foreign.
+    /// Reported load beyond the most that this pool claimed while the report was under way is
+    /// foreign.
     pub fn report(&mut self, report: &Report) {
         let own = self
             .peak
@@ -209,7 +210,7 @@
         self.sent_since_report = 0;
     }
 
-    /// Clears all load: its memory is gone.
+    /// Clears all load, as the replica's memory is gone.
     pub fn clear(&mut self) {
         self.jobs.clear();
         self.batch_limits.clear();
@@ -223,7 +224,7 @@
         self.sent_since_report = 0;
     }
 
-    /// Brings derived figures up to date.
+    /// Updates derived values.
     pub fn refresh(&mut self) {
         let total: Duration = self.jobs.iter().map(|job| job.prefill_time).sum();
         self.ready = self.started + total;
--- a/crates/route/src/settings.rs
+++ b/crates/route/src/settings.rs
@@ -1,33 +1,34 @@
-//! Settings of a cell.
+//! Settings of a scheduler.
 
 use std::time::Duration;
 
-/// Starting points of learned figures, and limits.
+/// Initial estimates and limits.
 #[derive(Debug, Clone, Copy)]
 pub struct Settings {
-    /// How long before a prefill replica falls idle it is given its next prefill: it covers the
-    /// way of a verdict through the owner to the replica.
+    /// How long before a prefill replica becomes idle it gets its next prefill. This covers the
+    /// path of a verdict through the owner to the replica.
     pub prefill_lead: Duration,
-    /// Time after a change of keeper in which nothing is granted while owners report their holds.
+    /// Time after a change of keeper in which nothing is granted, while owners report their holds.
     pub grace: Duration,
     /// Time for which an engine keeps a finished prefill.
     pub prefill_retention: Duration,
-    /// Prefill tokens a second, until learned.
+    /// Initial prefill rate, in tokens per second.
     pub prefill_rate: f64,
-    /// Prefill tokens a second that every replica exceeds.
+    /// Prefill rate that every replica exceeds, in tokens per second.
     pub min_prefill_rate: f64,
-    /// Transfer time for one token, until learned.
+    /// Initial transfer time per token.
     pub transfer_per_token: Duration,
-    /// Retries that a row is granted in any ten seconds, so that a quiet row can retry at all.
+    /// Retries that a row may use in any ten seconds, so that a row with few requests can retry at
+    /// all.
     pub min_retries: f64,
-    /// The least time to come back that a refusal names.
+    /// Shortest `retry_after` of a refusal.
     pub min_retry_after: Duration,
-    /// The longest time to come back that a refusal names.
+    /// Longest `retry_after` of a refusal.
     pub max_retry_after: Duration,
 }
 
 impl Settings {
-    /// The defaults.
+    /// The default settings.
     pub const fn new() -> Self {
         Self {
             prefill_lead: Duration::from_millis(20),
--- a/crates/route/src/ticket.rs
+++ b/crates/route/src/ticket.rs
@@ -1,4 +1,4 @@
-//! What an owner tells the keeper of a cell about a request: everything but the prompt.
+//! The description of a request that its owner sends to the keeper: everything but the prompt.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The number of replicas that [`Ticket::avoid`] may name.
+/// Most replicas that [`Ticket::avoid`] may name.
 pub const MAX_AVOID: usize = 4;
 
-/// What a request asks of a replica.
+/// The work that a request needs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Work {
-    /// A request to a model: one prefill, then one decode.
+    /// A model request: one prefill, then one decode.
     Model {
-        /// Tokens of the prompt, with those generated before a decode engine was lost.
+        /// Prompt tokens, including those generated before a decode engine was lost.
         prompt_tokens: u32,
-        /// The most tokens that may be generated.
+        /// Most tokens that may be generated.
         max_tokens: u32,
-        /// Hashes of the prompt's prefix blocks, the first block first.
+        /// Hashes of the prompt's prefix blocks, in order.
         blocks: Vec<u64>,
         /// Tokens that the caller already has; zero unless a lost decode is continued.
         done_tokens: u32,
@@ -30,20 +30,20 @@
     Plain,
 }
 
-/// One attempt at a request that asks for a place to run.
+/// One attempt at a request, submitted for placement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
     /// The attempt.
     pub handle: Handle,
     /// The row of the table that governs the request.
     pub row: Row,
-    /// What is to be run.
+    /// The work to run.
     pub work: Work,
-    /// Time between the arrival of the request at its owner and the sending of the ticket.
+    /// Time from the request's arrival at its owner until the ticket was sent.
     pub waited: Duration,
     /// The data centre of the owner.
     pub home: Zone,
-    /// Earlier attempts at the same request.
+    /// Number of earlier attempts at the same request.
     pub attempt: u8,
     /// Replicas that failed earlier attempts, at most [`MAX_AVOID`].
     pub avoid: Vec<Replica>,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether the ticket asks for a place again after a failed attempt.
+    /// Whether the ticket follows a failed attempt.
     pub const fn is_retry(&self) -> bool {
         self.attempt > 0
     }
--- a/crates/route/src/token_time.rs
+++ b/crates/route/src/token_time.rs
@@ -1,17 +1,17 @@
-//! Time between tokens as a function of the batch.
+//! Models the time between tokens as a function of the batch size.
 
-/// Part that earlier samples keep when one is taken in.
+/// Weight that earlier samples keep when one is added.
 const DECAY: f64 = 0.999;
-/// Samples before the fit is used.
+/// Samples needed before the fit is used.
 const MIN_SAMPLES: f64 = 30.0;
-/// Variance of the batch size that a fit needs.
+/// Variance of the batch size needed for a fit.
 const MIN_VARIANCE: f64 = 0.5;
-/// Time between tokens until learned, in seconds.
+/// Initial time between tokens, in seconds.
 const INITIAL_TIME_S: f64 = 0.025;
-/// Part of a target that is used.
+/// Fraction of a target that is used.
 const TARGET_FRACTION: f64 = 0.998;
 
-/// A straight line through (batch, time between tokens), fitted with fading memory.
+/// A linear regression of the time between tokens on the batch size, with decaying weights.
 #[derive(Debug, Default)]
 pub struct TokenTimeModel {
     count: f64,
@@ -23,7 +23,7 @@
 }
 
 impl TokenTimeModel {
-    /// Takes in that a request in a mean batch of `batch` got a token every `seconds`.
+    /// Adds a sample: in a mean batch of `batch`, a request received a token every `seconds`.
     pub fn add(&mut self, batch: f64, seconds: f64) {
         self.count = self.count * DECAY + 1.0;
         self.batch = self.batch * DECAY + batch;
@@ -45,9 +45,9 @@
         (time + slope * (batch - mean)).max(0.0)
     }
 
-    /// The largest batch that keeps `target` seconds between tokens, at most `slots`. A target that a
-    /// request misses alone as well limits nothing: small batches would leave slots free and serve
-    /// nobody better.
+    /// The largest batch that keeps `target` seconds between tokens, at most `slots`. A target that
+    /// a request misses even alone sets no limit: smaller batches would leave slots free and help
+    /// no request.
     pub fn max_batch(&self, target: f64, slots: u32) -> u32 {
         let Some((mean, time, slope)) = self.regression() else {
             return slots;
@@ -59,13 +59,13 @@
         (most.max(1.0) as u32).min(slots)
     }
 
-    /// Mean batch, mean time and slope, once they are known.
+    /// Mean batch, mean time and slope, once there is a fit.
     fn regression(&self) -> Option<(f64, f64, f64)> {
         let slope = self.slope?;
         Some((self.batch / self.count, self.time / self.count, slope))
     }
 
-    /// Fits the slope anew; where batches hardly differ, as in a full cell, the last one stays.
+    /// Updates the slope. The last one stays where batches hardly vary, as in a full pool.
     fn refresh_slope(&mut self) {
         let (mean, time) = (self.batch / self.count, self.time / self.count);
         let variance = self.batch_squared / self.count - mean * mean;
--- a/crates/route/src/turnover.rs
+++ b/crates/route/src/turnover.rs
@@ -1,4 +1,4 @@
-//! How many decode slots will come free within a span.
+//! Predicts how many decode slots become free within a time span.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 
 /// Weight of one sample.
 const SAMPLE_WEIGHT: f64 = 0.03;
-/// Time for which a request holds a decode slot, in seconds, until learned.
+/// Initial mean time for which a request holds a decode slot, in seconds.
 const INITIAL_HOLD_S: f64 = 5.0;
-/// The most slots that are predicted.
+/// Most slots that are predicted.
 const MAX_COUNT: u32 = 64;
 
-/// Learned turnover of decode slots, and known ends where lengths are known.
+/// Turnover of decode slots, learned or from known ends.
 #[derive(Debug)]
 pub struct Turnover {
     hold_time: Ewma,
@@ -24,7 +24,7 @@
 }
 
 impl Turnover {
-    /// Nothing learned.
+    /// Starts from the initial hold time.
     pub const fn new() -> Self {
         Self {
             hold_time: Ewma::new(INITIAL_HOLD_S, SAMPLE_WEIGHT),
@@ -38,13 +38,13 @@
         Duration::from_secs_f64(self.hold_time.value())
     }
 
-    /// Notes that a request took a slot and will end at `end`, if that is known.
+    /// Records that a request took a slot and will end at `end`, if known.
     pub fn begin(&mut self, handle: Handle, end: Option<Time>) {
         self.held += 1;
         self.ends.extend(end.map(|end| (end, handle)));
     }
 
-    /// Notes that a request gave up its slot, after `stay` if it ran to its end.
+    /// Records that a request released its slot, after `hold_time` if it ran to its end.
     pub fn end(&mut self, handle: Handle, end: Option<Time>, hold_time: Option<Duration>) {
         self.held = self.held.saturating_sub(1);
         if let Some(end) = end {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Slots that come free until `time`, by known ends.
+    /// Slots that become free by `time` according to known ends.
     pub fn known_ends(&self, time: Time) -> u32 {
         let due = self
             .ends
@@ -65,9 +65,10 @@
         due.count() as u32
     }
 
-    /// The number of slots that come free within `span` with a chance of at least `1 - risk`.
+    /// Number of slots that become free within `within` with a probability of at least `1 - risk`.
     ///
-    /// Ends are taken as independent at a constant rate, so their number is Poisson distributed.
+    /// Ends are modelled as independent at a constant rate, so their number has a Poisson
+    /// distribution.
     pub fn likely_ends(&self, within: Duration, risk: f64) -> u32 {
         let mean = f64::from(self.held) * within.as_secs_f64() / self.hold_time.value().max(0.001);
         let mut term = (-mean).exp();
--- a/crates/route/src/verdict.rs
+++ b/crates/route/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What the keeper of a cell answers.
+//! Decisions that the keeper of a pool sends to owners.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why a request was refused. No byte of it has reached a replica because of the refused ticket.
+/// Why a request was refused. No byte of it reached a replica because of the refused ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reason {
-    /// The first token cannot come before the row's longest wait ends.
+    /// The first token cannot arrive before the row's maximum wait ends.
     Doomed,
-    /// The row's ceiling admits no request at all.
+    /// The row's ceiling excludes all requests.
     Ceiling,
     /// No replica can take the request.
     NoReplica,
-    /// The row's budget for retries is spent.
+    /// The row's retry budget is used up.
     RetryBudget,
     /// The table has no such row.
     UnknownRow,
@@ -40,7 +40,7 @@
 pub enum Choice {
     /// A model request: the prefill may start, a decode slot is secured.
     ///
-    /// After [`crate::phase::Phase::Rejected`] it comes again, with the same `prefill` and another
+    /// After [`crate::phase::Phase::Rejected`] it is sent again with the same `prefill` and another
     /// `decode`.
     Paired {
         /// Runs the prefill.
@@ -53,25 +53,25 @@
         /// Runs the call.
         replica: Replica,
     },
-    /// The request does not run.
+    /// The request is refused and does not run.
     Refused {
-        /// Why.
+        /// The reason.
         reason: Reason,
-        /// When a new request of this row is expected to be taken; above zero.
+        /// Expected time until a new request of this row can be accepted; above zero.
         retry_after: Duration,
     },
 }
 
-/// The figures behind a verdict, for the decision log.
+/// Figures behind a verdict, for the decision log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionDetails {
-    /// Replicas (or pairs) that were compared.
+    /// Number of replicas or pairs compared.
     pub candidates: u32,
     /// Time since the request arrived at its owner.
     pub waited: Duration,
     /// Predicted time from arrival to the first token.
     pub ttft: Duration,
-    /// Requests left waiting in the cell.
+    /// Requests that still wait in the pool.
     pub queued: u32,
     /// Prefix blocks expected in the cache of the chosen prefill replica.
     pub cached_blocks: u32,
@@ -80,9 +80,9 @@
 /// The answer to one ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// The attempt that is answered.
+    /// The attempt that this verdict answers.
     pub handle: Handle,
-    /// What becomes of it.
+    /// The decision.
     pub choice: Choice,
     /// The figures behind the choice.
     pub why: DecisionDetails,
--- a/crates/route/tests/admit.rs
+++ b/crates/route/tests/admit.rs
@@ -146,7 +146,7 @@
     assert_eq!(verdicts[0].handle, handle(2));
 }
 
-/// Serves 600 requests one after the other and counts those of each row.
+/// Serves 600 requests one after the other and counts them by row.
 fn serve(rows: &[Row], shares: &[u32]) -> Vec<usize> {
     let long = Duration::from_secs(100_000);
     let rules: Vec<Rule> = rows
--- a/crates/route/tests/bounds.rs
+++ b/crates/route/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds that hold whatever happens: random interleavings of all events.
+//! Limits on slots and ceilings hold under random interleavings of all events.
 
 mod common;
 
@@ -37,10 +37,10 @@
 const DECODES: usize = 2;
 const SLOTS: u32 = 3;
 const CEILING: u32 = 4;
-/// Requests beyond all slots that may be granted for each replica, as others are about to end.
+/// Requests beyond its slots that may be granted for each replica, as others are about to end.
 const OVERCOMMIT: u32 = 1;
 
-/// One event.
+/// An event that a scheduler handles.
 #[derive(Debug, Clone)]
 enum Event {
     Submit { row: usize },
@@ -73,7 +73,7 @@
     ]
 }
 
-/// A cell with what the test knows about it.
+/// A scheduler with the state that the test expects.
 struct Model {
     scheduler: Scheduler,
     now: Time,
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    /// Whether all claims fit the slots of open replicas, with those that may be ahead of an end.
+    /// Whether all claims fit the slots of open replicas, plus the allowed overcommitment.
     fn claims_fit(&self) -> bool {
         let open = self.members[PREFILLS..]
             .iter()
--- a/crates/route/tests/common/mod.rs
+++ b/crates/route/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small cell with one row, and short ways to drive it.
+//! A scheduler with one row and few replicas, and helpers that drive it.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -21,12 +21,12 @@
 use route::verdict::Choice;
 use route::verdict::Verdict;
 
-/// The row of most tests.
+/// The row used by most tests.
 pub fn row() -> Row {
     Row::from_parts("draft", "farmer", "feed")
 }
 
-/// A generous rule for `row`.
+/// A rule for `row` with wide limits.
 pub fn rule(row: Row) -> Rule {
     Rule {
         row,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Replica `name` in zone `a`.
+/// Replica `name` in data centre `a`.
 pub fn member(name: &str, role: Role, slots: u32) -> Member {
     let replica = Replica::new(name);
     Member {
@@ -61,7 +61,7 @@
     prefills.chain(decodes).collect()
 }
 
-/// A cell with [`row`] and the given replicas.
+/// A scheduler with [`row`] and the given replicas.
 pub fn scheduler(members: &[Member]) -> Scheduler {
     let mut scheduler = Scheduler::new(Settings::new(), 1);
     scheduler.set_rules(Time::ZERO, &[rule(row())]);
@@ -69,7 +69,7 @@
     scheduler
 }
 
-/// Attempt `n` of one owner.
+/// Attempt `n` of a fixed owner.
 pub fn handle(n: u64) -> Handle {
     Handle::new(Incarnation(7), n)
 }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Verdicts of one step.
+/// The verdicts of one step.
 pub fn step(scheduler: &mut Scheduler, now: Time) -> Vec<Verdict> {
     let mut out = Vec::new();
     scheduler.step(now, &mut out);
@@ -115,7 +115,7 @@
     }
 }
 
-/// Leads request `n` from prefill to decode.
+/// Moves request `n` from prefill to decode.
 pub fn decode(scheduler: &mut Scheduler, now: Time, n: u64) {
     scheduler.advance(
         now,
--- a/crates/route/tests/keeper.rs
+++ b/crates/route/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! A new keeper and lost replicas.
+//! Changes of keeper, and lost replicas.
 
 mod common;
 
--- a/crates/route/tests/place.rs
+++ b/crates/route/tests/place.rs
@@ -1,4 +1,4 @@
-//! Placing requests: slots, leaving replicas, repeats.
+//! Placement of requests: slots, leaving replicas and repeated tickets.
 
 mod common;
 
--- a/crates/route/tests/targets.rs
+++ b/crates/route/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Targets that no batch can meet.
+//! Targets for the time between tokens, also ones that no batch can meet.
 
 mod common;
 
@@ -22,8 +22,8 @@
 const PREFILLS: usize = 8;
 const SLOTS: u32 = 64;
 
-/// A cell whose engines take 100 ms for a token in any batch, as it has learned, and the number of
-/// requests that taught it; the target is `tbt`.
+/// A scheduler with the target `tbt` that has learned that its engines take 100 ms per token in any
+/// batch, and the number of requests that trained it.
 fn trained_scheduler(tbt: Duration) -> (Scheduler, Time, u64) {
     let mut scheduler = Scheduler::new(Settings::new(), 1);
     scheduler.set_rules(Time::ZERO, &[Rule { tbt, ..rule(row()) }]);
@@ -42,7 +42,7 @@
         for n in &asked {
             decode(&mut scheduler, now, *n);
         }
-        // A little longer in a larger batch, as measured times are.
+        // Slightly longer in a larger batch, as real times are.
         now = now + Duration::from_millis(1_000 + placed as u64);
         for n in &asked {
             let phase = Phase::Finished { tokens: 10 };
@@ -55,7 +55,7 @@
     (scheduler, now, next)
 }
 
-/// Requests placed within half a second, of twenty.
+/// Requests of twenty that are placed within half a second.
 fn placed_requests(tbt: Duration) -> usize {
     let (mut scheduler, mut now, first) = trained_scheduler(tbt);
     for n in first..first + 20 {
@@ -82,7 +82,8 @@
     assert_eq!(placed_requests(Duration::from_millis(200)), 20);
 }
 
-/// Alone in a batch a request would miss it as well, and a thousand slots would stay free.
+/// A request misses such a target even alone, so limiting the batch would leave slots free for no
+/// gain.
 #[test]
 fn an_unattainable_target_does_not_limit_batches() {
     assert_eq!(placed_requests(Duration::from_millis(50)), 20);
--- a/crates/route/tests/transfer.rs
+++ b/crates/route/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfers over links that stall, and prefixes that replicas hold.
+//! Transfers over stalled links, and prefixes cached on replicas.
 
 mod common;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Request 1 goes to `d0` in zone `b`, and its transfer never ends.
+/// Places request 1 on `d0` in data centre `b`; its transfer never ends.
 fn stall_transfer(scheduler: &mut Scheduler) {
     scheduler.submit(Time::ZERO, ticket(1, row()));
     step(scheduler, Time::ZERO);
@@ -48,7 +48,7 @@
     );
 }
 
-/// The first time at which request 2, submitted at `now`, is granted.
+/// Submits request 2 at `now` and returns when and where it is granted.
 fn granted_at(scheduler: &mut Scheduler, now: Time) -> Option<(Time, Replica)> {
     let late = now + Duration::from_secs(9);
     scheduler.submit(now, ticket(2, row()));
@@ -88,7 +88,7 @@
     assert!(at <= Time::from_millis(32_000), "{at:?}");
 }
 
-/// A request of 40 blocks, the first 32 of them those of every other such request.
+/// A request of 40 blocks that shares the first 32 with all others of its kind.
 fn shared_prefix_ticket(n: u64) -> Ticket {
     let shared = 0..32;
     let own = (32..40).map(|i| n * 1_000 + i);
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Bytes to frames and back.
+//! Encodes frames to bytes and decodes them.
 
 use bincode::config;
 use bytes::Buf;
@@ -13,13 +13,13 @@
 
 const LENGTH_LEN: usize = 4;
 const VERSION_LEN: usize = 2;
-/// The codec counts a few bytes more than it reads; the frame's length is checked before.
+/// The codec counts a few bytes more than it reads; the frame's length has been checked before.
 const DECODE_LIMIT: usize = MAX_BODY + 64;
 
-/// The bytes of `frame`.
+/// Encodes `frame`.
 ///
 /// # Errors
-/// `Encode` or `TooLong` if the frame does not fit.
+/// `Encode` or `TooLong` if the frame cannot be encoded or is too long.
 pub fn encode(frame: &Frame) -> Result<Bytes, Error> {
     let body = bincode::serde::encode_to_vec(frame, config::standard()).map_err(|error| {
         Error::Encode {
@@ -37,27 +37,27 @@
     Ok(bytes.freeze())
 }
 
-/// Collects bytes of one connection and cuts them into frames.
+/// Collects the bytes of one connection and splits them into frames.
 #[derive(Debug, Default)]
 pub struct Decoder {
     pending: BytesMut,
 }
 
 impl Decoder {
-    /// A decoder with nothing collected.
+    /// A decoder without pending bytes.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Appends bytes as they arrived.
+    /// Appends received bytes.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, or `None` until more bytes arrive.
+    /// The next complete frame, or `None` until more bytes arrive.
     ///
     /// # Errors
-    /// Any `Error` but `Encode`; the connection cannot be read on after one.
+    /// Any `Error` but `Encode`; the connection cannot be used after one.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, Error> {
         let Some(head) = self.pending.first_chunk::<LENGTH_LEN>() else {
             return Ok(None);
@@ -89,7 +89,7 @@
         Ok(frame)
     } else {
         Err(Error::Body {
-            cause: format!("{} bytes left over", body.len() - used),
+            cause: format!("{} trailing bytes", body.len() - used),
         })
     }
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,28 +1,28 @@
-//! What can be wrong with bytes from a peer.
+//! Errors of encoding and decoding frames.
 
 use std::fmt;
 
-/// Why bytes did not become a frame, by step.
+/// Why a frame could not be encoded or decoded, by step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// Reading the length: the frame is longer than is taken.
+    /// Reading the length: it is too small or above the limit.
     TooLong {
-        /// Announced length in bytes.
+        /// Length in bytes.
         length: usize,
     },
-    /// Reading the version: the peer speaks another one.
+    /// Reading the version: the peer uses another one.
     Version {
         /// The peer's version.
         theirs: u16,
     },
     /// Decoding the body.
     Body {
-        /// What the codec said.
+        /// The error of the codec.
         cause: String,
     },
     /// Encoding the body.
     Encode {
-        /// What the codec said.
+        /// The error of the codec.
         cause: String,
     },
 }
@@ -30,11 +30,11 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLong { length } => write!(f, "frame length: {length} bytes are too many"),
+            Self::TooLong { length } => write!(f, "frame length: {length} bytes is out of range"),
             Self::Version { theirs } => {
                 write!(
                     f,
-                    "frame version: peer speaks {theirs}, this daemon {}",
+                    "frame version: peer uses {theirs}, this daemon uses {}",
                     crate::VERSION
                 )
             }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other.
+//! Frames that daemons send to each other.
 
 use bytes::Bytes;
 use fleet::Message;
@@ -20,14 +20,14 @@
 pub struct Frame {
     /// The sending instance.
     pub from: Instance,
-    /// The sending run of that instance.
+    /// The sending incarnation of that instance.
     pub incarnation: Incarnation,
-    /// What is said.
+    /// The content.
     pub body: Body,
 }
 
 impl Frame {
-    /// A frame from the run `incarnation` of `from`.
+    /// A frame from the incarnation `incarnation` of `from`.
     pub const fn new(from: Instance, incarnation: Incarnation, body: Body) -> Self {
         Self {
             from,
@@ -37,34 +37,33 @@
     }
 }
 
-/// What a daemon knows of the table. Daemons ask a few peers several times a second, and count an
+/// The state of a daemon's table. Daemons ask a few peers several times a second and count an
 /// answer from the time of the question, so that a delayed frame proves nothing.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct TableStatus {
     /// Generation in force at the sender.
     pub generation: u64,
-    /// Milliseconds since the store was read, by the sender or by whoever told it; `None` if it
-    /// never was.
+    /// Milliseconds since the store was read, by the sender or by its source; `None` if it never
+    /// was.
     pub store_age_ms: Option<u32>,
-    /// Whether the sender knows of no higher generation than its own.
+    /// Whether the sender knows no higher generation than its own.
     pub settled: bool,
-    /// The time of the question in microseconds, counted from a point that the asking run alone
-    /// knows.
+    /// Time of the question in microseconds, from an origin that only the asking incarnation knows.
     pub asked: u64,
-    /// Whether this answers a question; a question is answered with the same `asked`.
+    /// Whether this answers a question; the answer repeats the question's `asked`.
     pub answer: bool,
 }
 
-/// What a runner tells another instance about a key.
+/// The state of a key as its runner reports it to another instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum KeyStatus {
     /// The runner never saw the key, and no byte of the request reached a back end.
     NotSeen,
-    /// The key names an earlier run of the asked instance, which cannot know what became of it.
+    /// The key names an earlier incarnation of the asked instance, which cannot know its outcome.
     OtherRun,
-    /// The request is waiting or running without a stream; another answer follows.
+    /// The request waits or runs without a stream; another answer follows.
     InProgress,
-    /// The request streams; the sealed token lets any instance take the stream over.
+    /// The answer is being streamed; the sealed token lets any instance take the stream over.
     Streaming {
         /// Sealed resume token.
         token: String,
@@ -73,12 +72,12 @@
     Answered {
         /// HTTP status of the back end.
         status: u16,
-        /// The body, if it is still kept.
+        /// The body, if it was kept.
         body: Option<Bytes>,
     },
-    /// The request was sent and its effect is not known.
+    /// The request was sent and its effect is unknown.
     Unknown,
-    /// The request was sent and it failed; nothing of it is running.
+    /// The request was sent and failed; nothing of it is running.
     Failed,
     /// The key is older than the window in which keys are remembered.
     Expired,
@@ -87,9 +86,9 @@
 /// The body of a frame.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Body {
-    /// Membership.
+    /// A membership message.
     Gossip(Message),
-    /// Table generation and freshness.
+    /// Generation and freshness of the table.
     News(TableStatus),
     /// Asks for the whole table.
     Pull,
@@ -99,14 +98,14 @@
     ListPull,
     /// A copy of the platform's list, in the platform's own form.
     ListPush(Bytes),
-    /// An edit was committed. It is accepted once a majority has noted its generation.
+    /// An edit was committed. It is accepted once a majority has recorded its generation.
     Announce {
-        /// Number of the edit, chosen by the committing daemon.
+        /// Number of the edit, assigned by the committing daemon.
         edit: u64,
-        /// Generation it made.
+        /// Generation that it created.
         generation: u64,
     },
-    /// An announced generation was noted.
+    /// An announced generation was recorded.
     Noted {
         /// Number of the edit.
         edit: u64,
@@ -115,37 +114,38 @@
     Submit(Box<Ticket>),
     /// The keeper's decision.
     Verdict(Verdict),
-    /// Progress of a placed request, told to the keeper.
+    /// Progress of a placed request, reported to the keeper.
     Advance {
         /// The attempt.
         handle: Handle,
-        /// What it reached.
+        /// The phase that it reached.
         phase: Phase,
     },
-    /// A placed request, told to a new keeper.
+    /// A placed request, reported to a new keeper.
     Adopt(Box<Hold>),
-    /// What became of `key`?
+    /// Asks for the state of `key`.
     Ask {
-        /// Matches the answer to the question; other than those of other runs of the asker.
+        /// Matches the answer to the question; distinct from those of other incarnations of the
+        /// asker.
         nonce: u64,
         /// The key.
         key: Key,
     },
     /// Answer to `Ask`.
     Told {
-        /// Nonce of the question.
+        /// The nonce of the question.
         nonce: u64,
         /// The answer.
         told: KeyStatus,
     },
-    /// The keeper found these attempts on a replica: are they still wanted?
+    /// Asks whether these attempts, which the keeper found on a replica, are still wanted.
     Claimed {
         /// Where they were found.
         replica: Replica,
         /// The attempts.
         handles: Vec<Handle>,
     },
-    /// These attempts are not wanted by their owner.
+    /// These attempts are no longer wanted by their owner.
     Disowned {
         /// Where they were found.
         replica: Replica,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A frame is a four-byte big-endian length, a two-byte big-endian version and a `bincode` body.
 //! Frames of another version, oversized frames and bytes that do not decode are errors that name
-//! the step; the connection that carried them is closed and nothing else is affected.
+//! the failed step. The connection that carried them is closed; nothing else is affected.
 
 mod codec;
 mod error;
@@ -16,7 +16,7 @@
 pub use frame::KeyStatus;
 pub use frame::TableStatus;
 
-/// Version of the frame layout; raised with every incompatible change.
+/// Version of the frame layout, raised with every incompatible change.
 pub const VERSION: u16 = 1;
-/// Longest body that is taken, in bytes.
+/// Longest frame accepted, version and body, in bytes.
 pub const MAX_BODY: usize = 4 << 20;
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames survive the wire, and nothing else passes for one.
+//! Frames survive a round trip; truncated, corrupted and oversized bytes are rejected.
 
 mod sample;
 
@@ -17,7 +17,7 @@
 const LENGTH_LEN: usize = 4;
 const HEADER_LEN: usize = 6;
 
-/// All that `bytes` decode to, and the error that ended it.
+/// All frames that `bytes` decode to, and the error that ended it.
 fn decode(bytes: &[u8]) -> (Vec<Frame>, Option<Error>) {
     let mut decoder = Decoder::new();
     decoder.extend(bytes);
@@ -31,7 +31,7 @@
     }
 }
 
-/// A frame of `length`, of `version`, with `body`, whether or not these agree.
+/// A frame with this length, version and body, which need not agree.
 fn raw(length: usize, version: u16, body: &[u8]) -> Vec<u8> {
     let mut bytes = (length as u32).to_be_bytes().to_vec();
     bytes.extend(version.to_be_bytes());
@@ -121,7 +121,7 @@
         let (frames, error) = decode(&complete[..cut]);
         prop_assert!(frames.is_empty());
         prop_assert_eq!(error, None);
-        // The same bytes under a length that makes them look whole.
+        // The same bytes with a length that makes them look complete.
         if cut > HEADER_LEN {
             let bytes = raw(cut - LENGTH_LEN, VERSION, &complete[HEADER_LEN..cut]);
             let (frames, error) = decode(&bytes);
--- a/crates/wire/tests/sample/mod.rs
+++ b/crates/wire/tests/sample/mod.rs
@@ -1,4 +1,4 @@
-//! One frame of each kind.
+//! Sample frames of each kind.
 
 use std::time::Duration;
 
@@ -28,13 +28,13 @@
 
 const INCARNATION: Incarnation = Incarnation(u64::MAX);
 
-/// One frame of each kind, with each variant inside it.
+/// One frame of each kind, with each variant of its content.
 pub fn frames() -> Vec<Frame> {
     let bodies = [gossip(), table(), placement(), keys()];
     bodies.into_iter().flatten().map(frame).collect()
 }
 
-/// A frame with `length` bytes inside.
+/// A frame with a body of `length` bytes in its content.
 pub fn large(length: usize) -> Frame {
     frame(key_status(KeyStatus::Answered {
         status: 200,
