--- a/crates/ctl/tests/waxwing/env.rs
+++ b/crates/ctl/tests/waxwing/env.rs
@@ -1,4 +1,4 @@
-//! Runs the real command against a scripted admin interface.
+//! Runs the command's binary against a scripted admin interface.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -20,62 +20,63 @@
 pub const OPERATOR: &str = "ana";
 pub const TOKEN: &str = "token-of-the-tests";
 
-/// What an ended command left.
+/// Exit code and output of a command.
 #[derive(Debug)]
-pub struct Ran {
+pub struct CommandOutput {
     pub code: i32,
-    pub out: String,
-    pub err: String,
+    pub stdout: String,
+    pub stderr: String,
 }
 
-impl Ran {
+impl CommandOutput {
     /// Asserts the exit code, with all output on failure.
     #[track_caller]
-    pub fn code(self, code: i32) -> Self {
+    pub fn assert_code(self, code: i32) -> Self {
         assert_eq!(self.code, code, "{self:#?}");
         self
     }
 
     /// Asserts that standard output contains `text`.
     #[track_caller]
-    pub fn out(self, text: &str) -> Self {
-        assert!(self.out.contains(text), "no `{text}` in {self:#?}");
+    pub fn assert_stdout(self, text: &str) -> Self {
+        assert!(self.stdout.contains(text), "no `{text}` in {self:#?}");
         self
     }
 
     /// Asserts that standard error contains `text`.
     #[track_caller]
-    pub fn err(self, text: &str) -> Self {
-        assert!(self.err.contains(text), "no `{text}` in {self:#?}");
+    pub fn assert_stderr(self, text: &str) -> Self {
+        assert!(self.stderr.contains(text), "no `{text}` in {self:#?}");
         self
     }
 }
 
-type Answers = HashMap<String, VecDeque<(u16, Value)>>;
+type QueuedAnswers = HashMap<String, VecDeque<(u16, Value)>>;
 
-/// Scripted answers: those of a path in their order, the last one again and again.
+/// Admin interface with scripted answers: each path gives its answers in order, then repeats the
+/// last one.
 #[derive(Debug, Clone, Default)]
-pub struct Admin {
-    answers: Arc<Mutex<Answers>>,
-    calls: Arc<Mutex<Vec<Seen>>>,
+pub struct FakeAdmin {
+    answers: Arc<Mutex<QueuedAnswers>>,
+    calls: Arc<Mutex<Vec<ReceivedCall>>>,
 }
 
-/// A call that arrived.
+/// A call received by [`FakeAdmin`].
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ReceivedCall {
     pub path: String,
     pub authorization: String,
     pub operator: String,
     pub body: Value,
 }
 
-impl Admin {
+impl FakeAdmin {
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The same with one more answer for `path`.
-    pub fn with(self, path: &str, status: u16, body: Value) -> Self {
+    /// Adds an answer for `path`.
+    pub fn with_answer(self, path: &str, status: u16, body: Value) -> Self {
         let mut answers = self.answers.lock().unwrap();
         answers
             .entry(path.to_owned())
@@ -85,17 +86,17 @@
         self
     }
 
-    /// The calls to `path`.
-    pub fn seen(&self, path: &str) -> Vec<Seen> {
+    /// Calls received for `path`.
+    pub fn calls_to(&self, path: &str) -> Vec<ReceivedCall> {
         let calls = self.calls.lock().unwrap();
         calls
             .iter()
-            .filter(|seen| seen.path == path)
+            .filter(|call| call.path == path)
             .cloned()
             .collect()
     }
 
-    /// Serves on a thread that lasts as long as the test process; gives the address.
+    /// Serves on a thread that runs until the test process ends; returns the address.
     pub fn start(&self) -> SocketAddr {
         let (sender, receiver) = mpsc::channel();
         let admin = self.clone();
@@ -124,7 +125,7 @@
                 .get(name)
                 .map_or("", |value| value.to_str().unwrap())
         };
-        self.calls.lock().unwrap().push(Seen {
+        self.calls.lock().unwrap().push(ReceivedCall {
             path: call.path.clone(),
             authorization: header("Authorization").to_owned(),
             operator: header("Waxwing-Operator").to_owned(),
@@ -142,7 +143,7 @@
     }
 }
 
-/// A folder for files, and the addresses given to the command.
+/// A temporary folder for files, and the addresses given to the command.
 #[derive(Debug)]
 pub struct Env {
     folder: TempDir,
@@ -158,21 +159,21 @@
         }
     }
 
-    /// The same with one more admin address.
+    /// Adds an admin address.
     pub fn with_admin(mut self, address: SocketAddr) -> Self {
         self.admins.push(address.to_string());
         self
     }
 
-    /// Writes a file; gives its path.
-    pub fn file(&self, name: &str, text: &str) -> String {
+    /// Writes a file and returns its path.
+    pub fn write_file(&self, name: &str, text: &str) -> String {
         let path: PathBuf = self.folder.path().join(name);
         fs::write(&path, text).unwrap();
         path.display().to_string()
     }
 
-    /// Runs the command with these arguments, and addresses and token in the environment.
-    pub fn run(&self, args: &[&str]) -> Ran {
+    /// Runs the command with `args`, and with addresses, operator and token in the environment.
+    pub fn run(&self, args: &[&str]) -> CommandOutput {
         let output = Command::new(env!("CARGO_BIN_EXE_waxwing"))
             .args(args)
             .env("WAXWING_ADMIN", self.admins.join(","))
@@ -180,10 +181,10 @@
             .env("WAXWING_TOKEN", TOKEN)
             .output()
             .unwrap();
-        Ran {
+        CommandOutput {
             code: output.status.code().unwrap_or(-1),
-            out: String::from_utf8(output.stdout).unwrap(),
-            err: String::from_utf8(output.stderr).unwrap(),
+            stdout: String::from_utf8(output.stdout).unwrap(),
+            stderr: String::from_utf8(output.stderr).unwrap(),
         }
     }
 }
