--- a/crates/ledger/src/holds.rs
+++ b/crates/ledger/src/holds.rs
@@ -205,7 +205,7 @@
         }
     }
 
-    /// A release that can be sent now, if any.
+    /// The next release that can be sent now, if any.
     pub fn due(&self, now: Time) -> Option<Cancel> {
         self.releasing.iter().find_map(|key| {
             let hold = self.arena.get(*key)?;
--- a/crates/route/src/scheduler/grant.rs
+++ b/crates/route/src/scheduler/grant.rs
@@ -164,7 +164,8 @@
             && request.is_some_and(|request| !request.late && pair.first_token > request.due)
     }
 
-    /// Whether no replica will be ready within the lead time, so the queue need not be read.
+    /// Whether no prefill replica is ready within the lead time and no plain replica is open, so that
+    /// the queue need not be read.
     fn is_blocked(&self, now: Time) -> bool {
         if self.policy.secured == SecuredSlots::Nothing {
             return false;
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -30,7 +30,7 @@
 pub struct Server {
     /// Its entry in the list of members.
     pub member: Member,
-    /// Whether its last answer succeeded.
+    /// Whether it responded last time.
     pub reachable: bool,
     /// Whether it is still listed.
     pub listed: bool,
--- a/crates/route/src/token_time.rs
+++ b/crates/route/src/token_time.rs
@@ -1,6 +1,6 @@
 //! Models the time between tokens as a function of the batch size.
 
-/// Weight that earlier samples keep when one is added.
+/// Factor on the weight of earlier samples for each new one.
 const DECAY: f64 = 0.999;
 /// Samples needed before the fit is used.
 const MIN_SAMPLES: f64 = 30.0;
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -5,7 +5,7 @@
 /// Why a frame could not be encoded or decoded, by step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// Reading the length: it is too small or above the limit.
+    /// Reading or writing the length: it is out of range.
     TooLong {
         /// Length in bytes.
         length: usize,
