--- a/crates/route/src/link.rs
+++ b/crates/route/src/link.rs
@@ -1,4 +1,4 @@
-//! Expected transfer times of KV caches between data centres.
+//! Estimates transfer times of KV caches between data centres.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,26 +11,26 @@
 use crate::rate::Ewma;
 
 /// Weight of one sample.
-const WEIGHT: f64 = 0.2;
-/// Time after which half of a bad experience with a link is forgotten, in seconds.
-const MEMORY: f64 = 30.0;
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// Time after which a link's deviation from the typical time counts half, in seconds.
+const HALF_LIFE_S: f64 = 30.0;
 
-/// Time after a bad experience with a link before it is tried again for want of another.
+/// Pause after the last slow transfer over a link before it is probed if there is no other link.
 const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// The most by which one sample counts against the typical time, so that a stall does not.
-const MAX_STEP: f64 = 2.0;
+/// Limits one sample to this multiple of the typical time, so that a stall does not distort it.
+const MAX_SAMPLE_RATIO: f64 = 2.0;
 
-/// Source and target data centre.
+/// Source and destination data centre.
 pub type Path = (Zone, Zone);
 
 #[derive(Debug)]
 struct Link {
     per_token: Ewma,
-    learned: Time,
+    updated: Time,
     pending: BTreeSet<(Time, Handle, u32)>,
 }
 
-/// Transfer times, learned for each path.
+/// Learned transfer times for each path.
 #[derive(Debug)]
 pub struct Links {
     links: Map<Path, Link>,
@@ -38,17 +38,17 @@
 }
 
 impl Links {
-    /// No link known; each starts at `initial` seconds a token.
+    /// Starts without links; each link starts at `initial` seconds per token.
     pub fn new(initial: f64) -> Self {
         Self {
             links: Map::default(),
-            typical: Ewma::new(initial, WEIGHT / 4.0),
+            typical: Ewma::new(initial, SAMPLE_WEIGHT / 4.0),
         }
     }
 
-    /// Expected time to move the KV cache of `tokens` over `path`.
+    /// Expected time to transfer the KV cache of `tokens` tokens over `path`.
     ///
-    /// A transfer that is under way for longer than expected raises the figure at once.
+    /// A pending transfer that takes longer than expected raises the estimate at once.
     pub fn expected(&self, now: Time, path: Path, tokens: u32) -> Duration {
         let typical = self.typical.value();
         let per_token = self
@@ -58,7 +58,7 @@
         Duration::from_secs_f64(per_token * f64::from(tokens))
     }
 
-    /// Whether `path`, bad as it was, may be tried again: not more than once in [`PROBE_AFTER`].
+    /// Whether a slow `path` may be probed: at most once in [`PROBE_AFTER`].
     pub fn may_probe(&self, now: Time, path: Path) -> bool {
         let link = self.links.get(&path);
         link.is_none_or(|link| {
@@ -66,27 +66,27 @@
                 .pending
                 .last()
                 .map_or(Time::ZERO, |(begun, _, _)| *begun);
-            now.since(link.learned.max(begun)) >= PROBE_AFTER
+            now.since(link.updated.max(begun)) >= PROBE_AFTER
         })
     }
 
-    /// Expected time to move the KV cache of `tokens` over any path.
+    /// Expected time to transfer the KV cache of `tokens` tokens over any path.
     pub fn typical(&self, tokens: u32) -> Duration {
         Duration::from_secs_f64(self.typical.value() * f64::from(tokens))
     }
 
-    /// Notes that a transfer began.
+    /// Records the start of a transfer.
     pub fn begin(&mut self, now: Time, path: Path, handle: Handle, tokens: u32) {
         let initial = self.typical.value();
         let link = self.links.entry(path).or_insert_with(|| Link {
-            per_token: Ewma::new(initial, WEIGHT),
-            learned: now,
+            per_token: Ewma::new(initial, SAMPLE_WEIGHT),
+            updated: now,
             pending: BTreeSet::new(),
         });
         link.pending.insert((now, handle, tokens));
     }
 
-    /// Notes that the transfer that began at `begun` ended; a failed one counts if it took long.
+    /// Records the end of the transfer that began at `begun`; a failed one counts if it was slow.
     pub fn end(&mut self, now: Time, path: Path, begun: (Time, Handle, u32), completed: bool) {
         let typical = self.typical.value();
         let Some(link) = self.links.get_mut(&path) else {
@@ -98,20 +98,20 @@
         let sample = now.since(begun.0).as_secs_f64() / f64::from(begun.2.max(1));
         let estimate = link.estimate(now, typical);
         if completed || sample > estimate {
-            link.per_token = Ewma::new(estimate, WEIGHT);
+            link.per_token = Ewma::new(estimate, SAMPLE_WEIGHT);
             link.per_token.add(sample);
-            link.learned = now;
+            link.updated = now;
         }
         if completed {
-            self.typical.add(sample.min(typical * MAX_STEP));
+            self.typical.add(sample.min(typical * MAX_SAMPLE_RATIO));
         }
     }
 }
 
 impl Link {
     fn estimate(&self, now: Time, typical: f64) -> f64 {
-        let faded = 1.0 / (1.0 + now.since(self.learned).as_secs_f64() / MEMORY);
-        let learned = typical + (self.per_token.value() - typical) * faded;
+        let weight = 1.0 / (1.0 + now.since(self.updated).as_secs_f64() / HALF_LIFE_S);
+        let learned = typical + (self.per_token.value() - typical) * weight;
         let oldest = self.pending.first().map_or(0.0, |(begun, _, tokens)| {
             now.since(*begun).as_secs_f64() / f64::from((*tokens).max(1))
         });
