--- a/crates/gateway/src/asides.rs
+++ b/crates/gateway/src/auxiliary.rs
@@ -12,7 +12,7 @@
 use platform::directory;
 
 use crate::body::Body;
-use crate::own;
+use crate::responses;
 use crate::shared::Shared;
 
 /// Seconds that callers keep an address answer; short, so that they leave a stopping or failed
@@ -22,13 +22,13 @@
 /// Answers a caller that asks for addresses.
 pub fn addresses(shared: &Rc<Shared>, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() != directory::ADDRESSES_PATH {
-        return own::answer(StatusCode::NOT_FOUND, "", "not found\n");
+        return responses::answer(StatusCode::NOT_FOUND, "", "not found\n");
     }
     let near = request.uri().query().and_then(directory::data_centre);
     let open = shared.members.borrow().open();
     let told = relay::directory::answer(&open, near, shared.breadth());
     if told.is_empty() {
-        return own::answer(
+        return responses::answer(
             StatusCode::SERVICE_UNAVAILABLE,
             "",
             "no instance is known to be ready\n",
@@ -41,9 +41,9 @@
 /// Answers the platform's question whether this daemon is ready.
 pub fn readiness(shared: &Rc<Shared>, request: &Request<Incoming>) -> Response<Body> {
     match request.uri().path() == directory::READY_PATH {
-        true if shared.is_ready() => own::answer(StatusCode::OK, "", "ready\n"),
-        true => own::answer(StatusCode::SERVICE_UNAVAILABLE, "", "not ready\n"),
-        false => own::answer(StatusCode::NOT_FOUND, "", "not found\n"),
+        true if shared.is_ready() => responses::answer(StatusCode::OK, "", "ready\n"),
+        true => responses::answer(StatusCode::SERVICE_UNAVAILABLE, "", "not ready\n"),
+        false => responses::answer(StatusCode::NOT_FOUND, "", "not found\n"),
     }
 }
 
@@ -54,7 +54,7 @@
         Ok(text) => whole(text, "text/plain; version=0.0.4"),
         Err(error) => {
             log::warn!(kind = "metrics", cause = error.to_string(); "metrics could not be written");
-            own::answer(
+            responses::answer(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "",
                 "metrics could not be written\n",
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -12,7 +12,7 @@
 use hyper::body::SizeHint;
 use tokio::sync::mpsc::Receiver;
 
-use crate::guard::Open;
+use crate::guard::OpenRequest;
 use crate::phase::Busy;
 
 /// Why a body ends without being complete; the connection is broken off.
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Body {
     content: Content,
-    open: Option<Open>,
+    open: Option<OpenRequest>,
     busy: Option<Busy>,
 }
 
@@ -78,7 +78,7 @@
 
     /// The same body, which keeps the request in progress.
     #[must_use]
-    pub fn with_open(mut self, open: Open) -> Self {
+    pub fn with_open_request(mut self, open: OpenRequest) -> Self {
         self.open = Some(open);
         self
     }
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -25,12 +25,12 @@
 use relay::plan::Limits;
 
 use crate::body::Body;
-use crate::guard::Open;
+use crate::guard::OpenRequest;
 use crate::job;
 use crate::job::Job;
-use crate::own;
 use crate::plain;
 use crate::quota;
+use crate::responses;
 use crate::shared::Shared;
 use crate::stream;
 use crate::target;
@@ -44,7 +44,7 @@
 /// Serves one request.
 pub async fn serve(shared: Rc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let arrived = Instant::now();
-    let open = Open::new(&shared);
+    let open = OpenRequest::new(&shared);
     let (parts, body) = request.into_parts();
     let mut response = match admit(&shared, parts, body, arrived).await {
         Ok(job) => dispatch(&shared, job).await,
@@ -54,7 +54,7 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    response.map(|body| body.with_open(open))
+    response.map(|body| body.with_open_request(open))
 }
 
 /// Serves `job`, unless replicas ended under the same request: then it has not run and will not.
@@ -204,7 +204,7 @@
     if let Some(omitted) = shared.may_log() {
         log::info!(kind = "end", request = id, outcome = "rejected", omitted = omitted, status = status.as_u16(), cause = cause; "request rejected");
     }
-    own::answer(status, id, text)
+    responses::answer(status, id, text)
 }
 
 /// Answers that this daemon does not take the request now.
@@ -213,5 +213,5 @@
     if let Some(omitted) = shared.may_log() {
         log::info!(kind = "end", request = id, outcome = "refused", status = 503, omitted = omitted, cause = cause; "request refused");
     }
-    own::refuse(id, come_back, "not now; the request has not run\n")
+    responses::refuse(id, come_back, "not now; the request has not run\n")
 }
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/connections.rs
@@ -67,9 +67,9 @@
 
 /// An open connection; dropping it closes it.
 #[derive(Debug)]
-pub struct Link {
+pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    task: Task,
+    task: DriverTask,
     address: SocketAddr,
     /// Exchanges on it so far.
     exchanges: u32,
@@ -79,9 +79,9 @@
 
 /// Ends the task that drives a connection, and with it the connection.
 #[derive(Debug)]
-struct Task(AbortHandle);
+struct DriverTask(AbortHandle);
 
-impl Drop for Task {
+impl Drop for DriverTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -89,13 +89,13 @@
 
 /// Idle connections by address.
 #[derive(Debug, Default)]
-pub struct Links {
-    idle: RefCell<HashMap<SocketAddr, Vec<Link>>>,
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     /// Addresses at which a request was answered twice, and when.
-    answered_twice_at: RefCell<HashMap<SocketAddr, Instant>>,
+    duplicate_answer_at: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
-impl Links {
+impl ConnectionPool {
     /// None.
     pub fn new() -> Self {
         Self::default()
@@ -111,10 +111,10 @@
         to: SocketAddr,
         request: Request<Full<Bytes>>,
         fresh: bool,
-    ) -> Result<(Response<Incoming>, Link), Failure> {
+    ) -> Result<(Response<Incoming>, Connection), Failure> {
         let mut request = request;
-        while let Some(link) = (!fresh).then(|| self.take(to)).flatten() {
-            match try_exchange(link, request).await {
+        while let Some(connection) = (!fresh).then(|| self.take_idle(to)).flatten() {
+            match try_exchange(connection, request).await {
                 Err(Attempt::Unsent {
                     request: unsent, ..
                 }) => request = *unsent,
@@ -125,70 +125,70 @@
         exchange(connect(to).await?, request).await
     }
 
-    /// Keeps `link` for another request, unless the replica answered twice lately; `keep_alive_s` is what it told.
-    pub fn keep(&self, mut link: Link, keep_alive_s: Option<u64>) {
-        link.keep = keep_alive_s.map_or(IDLE_TIMEOUT, |seconds| {
+    /// Keeps `connection` for another request, unless the replica answered twice lately; `keep_alive_s` is what it told.
+    pub fn keep(&self, mut connection: Connection, keep_alive_s: Option<u64>) {
+        connection.keep = keep_alive_s.map_or(IDLE_TIMEOUT, |seconds| {
             Duration::from_secs(seconds).mul_f64(IDLE_PART)
         });
-        link.idle_since = Instant::now();
-        if self.is_single_use(link.address) {
+        connection.idle_since = Instant::now();
+        if self.is_single_use(connection.address) {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        let links = idle.entry(link.address).or_default();
-        links.push(link);
-        if links.len() > MAX_IDLE {
-            links.remove(0);
+        let connections = idle.entry(connection.address).or_default();
+        connections.push(connection);
+        if connections.len() > MAX_IDLE {
+            connections.remove(0);
         }
     }
 
-    /// Keeps `link` after the whole answer with this head, unless the replica closes it or named no request: without
+    /// Keeps `connection` after the whole answer with this head, unless the replica closes it or named no request: without
     /// a name a late second answer could not be told from the next one.
-    pub fn keep_after(&self, head: &Head, link: Link) {
+    pub fn keep_after(&self, head: &Head, connection: Connection) {
         if head.subject == Subject::Own && !head.closes {
-            self.keep(link, head.keep_alive_s);
+            self.keep(connection, head.keep_alive_s);
         }
     }
 
     /// Closes the idle connections to `address`: where one fell silent, the others may have as well,
     /// and each of them would cost a call its time limit.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
     /// Notes that a request was answered twice at `address`, and closes the idle connections to it.
-    pub fn note_second_answer(&self, address: SocketAddr) {
+    pub fn record_duplicate_answer(&self, address: SocketAddr) {
         let now = Instant::now();
-        self.answered_twice_at.borrow_mut().insert(address, now);
-        self.forget(address);
+        self.duplicate_answer_at.borrow_mut().insert(address, now);
+        self.close_idle(address);
     }
 
     fn is_single_use(&self, address: SocketAddr) -> bool {
-        let noted = self.answered_twice_at.borrow();
+        let noted = self.duplicate_answer_at.borrow();
         let noted = noted.get(&address);
         noted.is_some_and(|noted| noted.elapsed() < SINGLE_USE_TIME)
     }
 
     /// Closes connections that were idle for too long.
-    pub fn sweep(&self) {
-        let mut noted = self.answered_twice_at.borrow_mut();
+    pub fn close_expired(&self) {
+        let mut noted = self.duplicate_answer_at.borrow_mut();
         noted.retain(|_, at| at.elapsed() < SINGLE_USE_TIME);
         let mut idle = self.idle.borrow_mut();
-        for links in idle.values_mut() {
-            links.retain(Link::is_usable);
+        for connections in idle.values_mut() {
+            connections.retain(Connection::is_usable);
         }
-        idle.retain(|_, links| !links.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    fn take(&self, to: SocketAddr) -> Option<Link> {
+    fn take_idle(&self, to: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&to)?;
-        links.retain(Link::is_usable);
-        links.pop()
+        let connections = idle.get_mut(&to)?;
+        connections.retain(Connection::is_usable);
+        connections.pop()
     }
 }
 
-impl Link {
+impl Connection {
     /// Where it leads.
     pub const fn address(&self) -> SocketAddr {
         self.address
@@ -220,22 +220,22 @@
 ///
 /// # Errors
 /// `Refused` or `Unreachable`.
-pub async fn connect_twice(to: SocketAddr) -> Result<Link, Failure> {
+pub async fn connect_twice(to: SocketAddr) -> Result<Connection, Failure> {
     match timeout(FIRST_CONNECT, connect(to)).await {
         Ok(connected) => connected,
         Err(_) => connect(to).await,
     }
 }
 
-/// Sends `request` on `link`, a new connection, and gives the head of the answer.
+/// Sends `request` on `connection`, a new connection, and gives the head of the answer.
 ///
 /// # Errors
 /// `NotSent` or `Lost`.
 pub async fn exchange(
-    link: Link,
+    connection: Connection,
     request: Request<Full<Bytes>>,
-) -> Result<(Response<Incoming>, Link), Failure> {
-    try_exchange(link, request)
+) -> Result<(Response<Incoming>, Connection), Failure> {
+    try_exchange(connection, request)
         .await
         .map_err(|attempt| match attempt {
             Attempt::Unsent { cause, .. } => Failure::NotSent { cause },
@@ -256,13 +256,13 @@
 }
 
 async fn try_exchange(
-    mut link: Link,
+    mut connection: Connection,
     request: Request<Full<Bytes>>,
-) -> Result<(Response<Incoming>, Link), Attempt> {
-    match link.sender.try_send_request(request).await {
+) -> Result<(Response<Incoming>, Connection), Attempt> {
+    match connection.sender.try_send_request(request).await {
         Ok(answer) => {
-            link.exchanges = link.exchanges.saturating_add(1);
-            Ok((answer, link))
+            connection.exchanges = connection.exchanges.saturating_add(1);
+            Ok((answer, connection))
         }
         Err(mut error) => {
             let request = error.take_message();
@@ -282,7 +282,7 @@
 ///
 /// # Errors
 /// `Refused` or `Unreachable`.
-pub async fn connect(to: SocketAddr) -> Result<Link, Failure> {
+pub async fn connect(to: SocketAddr) -> Result<Connection, Failure> {
     let socket = match timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await {
         Ok(Ok(socket)) => socket,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
@@ -302,9 +302,9 @@
             log::debug!(peer = to.to_string(), cause = error.to_string(); "connection ended");
         }
     });
-    Ok(Link {
+    Ok(Connection {
         sender,
-        task: Task(task.abort_handle()),
+        task: DriverTask(task.abort_handle()),
         address: to,
         exchanges: 0,
         idle_since: Instant::now(),
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/control.rs
@@ -18,8 +18,8 @@
 use platform::engine::Report;
 use relay::server::Key;
 
-use crate::links;
-use crate::links::Failure;
+use crate::connections;
+use crate::connections::Failure;
 use crate::shared::Shared;
 
 /// Time for the answer; replicas answer such calls without waiting for a slot.
@@ -109,7 +109,7 @@
     match timeout(TIMEOUT, exchange(call.to, request)).await {
         Ok(answer) => answer,
         Err(_) => {
-            shared.links.forget(call.to);
+            shared.connections.close_idle(call.to);
             Err(unanswered(&"no answer in time"))
         }
     }
@@ -118,8 +118,8 @@
 /// Sends `request` on a connection of its own, which closes with the answer: on one that was used before, the second
 /// answer to another exchange would be taken for it, and a second answer to this one would cost the next request.
 async fn exchange(to: SocketAddr, request: Request<Full<Bytes>>) -> Result<Answer, Error> {
-    let sent = match links::connect_twice(to).await {
-        Ok(link) => links::exchange(link, request).await,
+    let sent = match connections::connect_twice(to).await {
+        Ok(connection) => connections::exchange(connection, request).await,
         Err(failure) => Err(failure),
     };
     // Held until the body is read: dropping it closes the connection.
@@ -154,14 +154,14 @@
 }
 
 /// Whether the replica `key` is at work as far as a question tells: it answers, or takes no more connections.
-pub async fn answers(shared: &Shared, key: Key) -> bool {
-    let presence = presence(shared, key).await;
+pub async fn is_responsive(shared: &Shared, key: Key) -> bool {
+    let presence = probe(shared, key).await;
     matches!(presence, Presence::Here | Presence::Closing)
 }
 
 /// Asks whether the replica `key` is there. Another one at its address, and one that has started again under
 /// its id, tell that it ended.
-pub async fn presence(shared: &Shared, key: Key) -> Presence {
+pub async fn probe(shared: &Shared, key: Key) -> Presence {
     let replica = shared.pool.borrow().get(key).map(|s| s.replica.clone());
     let Some(replica) = replica else {
         return Presence::Ended;
--- a/crates/gateway/src/flow.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,7 +1,7 @@
 //! Passing the events of a stream on, from one replica after another if it can be resumed.
 
 mod copy;
-mod next;
+mod resume;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use crate::body::Body;
 use crate::body::Part;
 use crate::job::Job;
-use crate::mover::Stopped;
-use crate::place::Place;
+use crate::migration::Stopped;
+use crate::placement::Placement;
+use crate::run_tracking::TrackedRun;
 use crate::search::Opened;
 use crate::send;
 use crate::send::Reply;
 use crate::shared::Shared;
-use crate::track::Track;
 
 /// Parts of an answer that wait for a slow caller before its replica is no longer read.
 const MAX_WAITING: usize = 32;
@@ -47,11 +47,11 @@
     tried: Vec<Key>,
     opened: Opened,
 ) -> Response<Body> {
-    job.answering.set(true);
+    job.response_started.set(true);
     let (parts, body) = mpsc::channel(MAX_WAITING);
     let mut response = Response::new(Body::parts(body));
     *response.headers_mut() = reply::headers(opened.reply.response.headers());
-    let flow = Flow {
+    let forwarder = Forwarder {
         shared: Rc::clone(shared),
         job,
         attempt,
@@ -63,12 +63,12 @@
         events: 0,
         may_be_stopped: false,
     };
-    tokio::task::spawn_local(flow.run(opened.reply));
+    tokio::task::spawn_local(forwarder.run(opened.reply));
     response
 }
 
 /// A stream that is being passed on.
-struct Flow {
+struct Forwarder {
     shared: Rc<Shared>,
     job: Job,
     attempt: Attempt,
@@ -77,7 +77,7 @@
     parts: Sender<Part>,
     started: bool,
     /// The run at the present replica, if it is followed.
-    track: Option<Track>,
+    track: Option<TrackedRun>,
     /// Events passed on.
     events: u64,
     /// Whether the run at the present replica may have been stopped without an answer that tells it.
@@ -95,16 +95,16 @@
     /// The replica broke off.
     Broken(String),
     /// The replica fell silent, and there is a place at another one.
-    Silent(Place),
+    Silent(Placement),
     /// The run stopped so that it can go on elsewhere.
     Stopped(Stopped),
 }
 
-impl Flow {
+impl Forwarder {
     async fn run(mut self, reply: Reply) {
         let mut reply = reply;
         loop {
-            let key = reply.claim.key;
+            let key = reply.guard.key;
             match self.copy(reply).await {
                 End::Complete => {
                     send::note_success(&self.shared, key);
--- a/crates/gateway/src/flow/copy.rs
+++ b/crates/gateway/src/forward/copy.rs
@@ -18,15 +18,15 @@
 use relay::plan::Mode;
 use relay::server::Key;
 
-use crate::flow::End;
-use crate::flow::Flow;
-use crate::flow::STALL;
-use crate::guard::Claim;
-use crate::links::Link;
-use crate::mover;
-use crate::mover::Stopped;
+use crate::connections::Connection;
+use crate::forward::End;
+use crate::forward::Forwarder;
+use crate::forward::STALL;
+use crate::guard::InFlight;
+use crate::migration;
+use crate::migration::Stopped;
+use crate::run_tracking::TrackedRun;
 use crate::send::Reply;
-use crate::track::Track;
 
 /// Time for the end of a stream whose run was stopped; its events are on their way by then.
 const LAST_EVENTS: Duration = Duration::from_millis(100);
@@ -39,8 +39,8 @@
 struct Source {
     head: Head,
     body: Incoming,
-    link: Link,
-    claim: Claim,
+    connection: Connection,
+    guard: InFlight,
     /// Whether the answer tells where its body ends; else the body ends with its connection.
     tells_end: bool,
     /// When its answer began.
@@ -69,16 +69,16 @@
         let Reply {
             head,
             response,
-            link,
-            claim,
+            connection,
+            guard,
         } = reply;
         let begun = Instant::now();
         Self {
             head,
             tells_end: tells_end(&response),
             body: response.into_body(),
-            link,
-            claim,
+            connection,
+            guard,
             begun,
             last_event_at: begun,
             silences: 0,
@@ -87,7 +87,7 @@
     }
 }
 
-impl Flow {
+impl Forwarder {
     /// Passes on what one replica sends.
     pub(super) async fn copy(&mut self, reply: Reply) -> End {
         let mut source = Source::new(reply);
@@ -96,7 +96,7 @@
             let end = match self.next_step(&mut source).await {
                 Step::Read(read) => self.handle_read(&mut source, read).await,
                 Step::Move(to) => {
-                    source.stopped = self.stop(source.claim.key, to).await;
+                    source.stopped = self.stop(source.guard.key, to).await;
                     None
                 }
                 Step::Restarted => Some(End::Broken("the replica has started again".to_owned())),
@@ -105,10 +105,10 @@
             let Some(end) = end else { continue };
             // No replica will continue from the memory that was kept for the move.
             if let Some(stopped) = &source.stopped {
-                mover::free(&self.shared, stopped);
+                migration::free(&self.shared, stopped);
             }
             if matches!(end, End::Complete) {
-                self.keep_link(source);
+                self.keep_connection(source);
             }
             return end;
         }
@@ -129,7 +129,7 @@
         tokio::select! {
             read = timeout_at(silent_at, source.body.frame()) => Step::Read(read),
             to = ordered(&mut self.track), if movable => Step::Move(to),
-            () = self.shared.restarted(source.claim.key), if runs => Step::Restarted,
+            () = self.shared.restarted(source.guard.key), if runs => Step::Restarted,
             () = self.parts.closed() => Step::Left,
         }
     }
@@ -164,7 +164,7 @@
 
     /// What follows a silence: the replica is waited for, or left for another one.
     async fn wait_on(&self, source: &mut Source) -> Option<End> {
-        let key = source.claim.key;
+        let key = source.guard.key;
         // A replica that still answers may have set the request aside; it gets more time.
         // One whose stream cannot be resumed is waited for in any case.
         let waits = source.silences == 0 && (self.still_answers(key).await || !self.is_resumable());
@@ -186,7 +186,7 @@
             Err(error) => return Some(End::Broken(error.to_string())),
         };
         if !whole.is_empty() {
-            self.note_gap(source.claim.key, source.last_event_at);
+            self.note_gap(source.guard.key, source.last_event_at);
             source.last_event_at = Instant::now();
         }
         let taken = self.pass(whole).await;
@@ -214,8 +214,10 @@
     }
 
     /// Notes how long a complete stream took, and keeps its connection.
-    fn keep_link(&self, source: Source) {
-        self.shared.links.keep_after(&source.head, source.link);
+    fn keep_connection(&self, source: Source) {
+        self.shared
+            .connections
+            .keep_after(&source.head, source.connection);
         let service = &self.job.service;
         self.shared.note_answer(service, source.begun.elapsed());
     }
@@ -228,7 +230,7 @@
 }
 
 /// Waits until the run is to go on elsewhere; forever if it is not followed.
-async fn ordered(track: &mut Option<Track>) -> Key {
+async fn ordered(track: &mut Option<TrackedRun>) -> Key {
     match track {
         Some(track) => track.ordered().await,
         None => std::future::pending().await,
--- a/crates/gateway/src/flow/next.rs
+++ b/crates/gateway/src/forward/resume.rs
@@ -10,14 +10,14 @@
 use relay::permit::Work;
 use relay::server::Key;
 
-use crate::ask;
-use crate::flow::Flow;
-use crate::flow::STALL;
-use crate::mover;
-use crate::mover::Outcome;
-use crate::mover::Stopped;
-use crate::place;
-use crate::place::Place;
+use crate::control;
+use crate::forward::Forwarder;
+use crate::forward::STALL;
+use crate::migration;
+use crate::migration::Outcome;
+use crate::migration::Stopped;
+use crate::placement;
+use crate::placement::Placement;
 use crate::search;
 use crate::search::Search;
 use crate::send;
@@ -28,13 +28,13 @@
 /// Time for which a run that was moved stays where it is.
 const MOVED: Duration = Duration::from_millis(500);
 
-impl Flow {
+impl Forwarder {
     /// Stops the run at `from` so that it can go on at `to`; `None` if it goes on where it is.
     pub(super) async fn stop(&mut self, from: Key, to: Key) -> Option<Stopped> {
         let request = &self.job.call.id;
         let granted = self.shared.allow(&self.job, Work::Run);
         let outcome = if granted {
-            mover::stop(&self.shared, request, from, to).await
+            migration::stop(&self.shared, request, from, to).await
         } else {
             Outcome::Unchanged("no retry is left")
         };
@@ -63,7 +63,7 @@
     /// Has a run that stopped go on, at the other replica if it has a copy of the memory.
     pub(super) async fn go_on(&mut self, stopped: Stopped) -> Option<Reply> {
         let Ok(Some(last_event)) = self.splitter.resume(self.job.call.last_event) else {
-            mover::free(&self.shared, &stopped);
+            migration::free(&self.shared, &stopped);
             return None;
         };
         for key in &stopped.places {
@@ -81,7 +81,7 @@
                 () = self.parts.closed() => None,
             };
             let Some(sent) = sent else {
-                mover::free(&self.shared, &stopped);
+                migration::free(&self.shared, &stopped);
                 return None;
             };
             match sent {
@@ -96,13 +96,13 @@
                 Err(Sent::NotRun | Sent::NotSent) => {}
             }
         }
-        mover::free(&self.shared, &stopped);
+        migration::free(&self.shared, &stopped);
         self.resume(None).await
     }
 
     /// Whether the replica, which has been silent for [`STALL`], answers a question.
     pub(super) async fn still_answers(&self, key: Key) -> bool {
-        let answers = ask::answers(&self.shared, key).await;
+        let answers = control::is_responsive(&self.shared, key).await;
         let pool = self.shared.pool.borrow();
         let replica = pool.get(key).map_or("", |server| &server.replica.id);
         let ms = STALL.as_millis() as u64;
@@ -112,11 +112,11 @@
 
     /// A place at another replica, while the present one is silent; none if no retry is left to go
     /// there.
-    pub(super) async fn other_place(&self) -> Option<Place> {
+    pub(super) async fn other_place(&self) -> Option<Placement> {
         if !self.shared.may_allow(&self.job) {
             return None;
         }
-        let find = place::find_now(&self.shared, &self.job, &self.tried, self.made());
+        let find = placement::find_now(&self.shared, &self.job, &self.tried, self.made());
         tokio::select! {
             place = find => place,
             () = self.parts.closed() => None,
@@ -124,7 +124,7 @@
     }
 
     /// Has another replica go on after the last event, at `place` if there is one.
-    pub(super) async fn resume(&mut self, place: Option<Place>) -> Option<Reply> {
+    pub(super) async fn resume(&mut self, place: Option<Placement>) -> Option<Reply> {
         let last_event = self.splitter.resume(self.job.call.last_event).ok()?;
         let (shared, job) = (&self.shared, &self.job);
         let in_budget = || shared.allow(job, Work::Run);
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -23,7 +23,7 @@
 use crate::exchange;
 use crate::members::Send;
 use crate::news::News;
-use crate::quota::keeping;
+use crate::quota::keeper;
 use crate::quotas;
 use crate::shared::Shared;
 
@@ -220,12 +220,12 @@
             tell_records(shared, sender.peers, &served).await;
         }
         Content::Quota(quotas::Message::Ask { number, ask, limit }) => {
-            if let Some(answer) = keeping::answer(shared, number, ask, limit) {
+            if let Some(answer) = keeper::answer(shared, number, ask, limit) {
                 transmit(shared, sender.peers, Content::Quota(answer)).await;
             }
         }
         Content::Quota(quotas::Message::Told { number, told }) => {
-            if let Some((to, message)) = keeping::take_answer(shared, number, told) {
+            if let Some((to, message)) = keeper::handle_answer(shared, number, told) {
                 transmit(shared, to, Content::Quota(message)).await;
             }
         }
--- a/crates/gateway/src/guard.rs
+++ b/crates/gateway/src/guard.rs
@@ -8,11 +8,11 @@
 
 /// A request in progress; it is over when this is dropped.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenRequest {
     shared: Rc<Shared>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Counts one more request in progress.
     pub fn new(shared: &Rc<Shared>) -> Self {
         shared.set_open(shared.open() + 1);
@@ -22,7 +22,7 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.shared.set_open(self.shared.open() - 1);
     }
@@ -30,7 +30,7 @@
 
 /// A request at work at a replica; it is over there when this is dropped.
 #[derive(Debug)]
-pub struct Claim {
+pub struct InFlight {
     shared: Rc<Shared>,
     /// The replica.
     pub key: Key,
@@ -39,7 +39,7 @@
     reads: bool,
 }
 
-impl Claim {
+impl InFlight {
     /// Counts one more request of `tokens` at the replica `key`, which `reads` its prompt and no more.
     pub fn new(shared: &Rc<Shared>, key: Key, tokens: u64, reads: bool) -> Self {
         shared.pool.borrow_mut().begin(key, tokens);
@@ -55,7 +55,7 @@
     }
 }
 
-impl Drop for Claim {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.shared.pool.borrow_mut().end(self.key, self.tokens);
         if self.reads {
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -63,7 +63,7 @@
     /// Whether its caller was refused before and has come back, too late for the objective.
     pub returned: bool,
     /// Whether the caller has got the head of a replica's answer.
-    pub answering: Cell<bool>,
+    pub response_started: Cell<bool>,
     /// What it takes from its customer's quota.
     pub charge: Option<Charge>,
     /// Leave for sends to replicas.
@@ -107,7 +107,7 @@
             arrived,
             deadline: arrived + patience,
             returned,
-            answering: Cell::new(false),
+            response_started: Cell::new(false),
             charge: None,
             allowance: RefCell::new(Allowance::new()),
             sent_to: RefCell::default(),
@@ -127,7 +127,7 @@
     }
 
     /// Takes the permit for a send, if one is held; see [`Shared::allow`].
-    pub fn permit(&self, work: Work) -> Option<Permit> {
+    pub fn take_permit(&self, work: Work) -> Option<Permit> {
         self.allowance.borrow_mut().take(work)
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,35 +4,36 @@
 //! `platform` crate; here are sockets, timers, settings, logs and metrics. One thread does all work
 //! but the writing of log lines.
 
-pub mod asides;
-pub mod ask;
+pub mod auxiliary;
 pub mod body;
 pub mod callers;
 pub mod card;
 pub mod clock;
+pub mod connections;
+pub mod control;
 pub mod exchange;
-pub mod flow;
+pub mod forward;
 pub mod gossip;
 pub mod guard;
 pub mod inquiries;
 pub mod job;
 pub mod limit;
-pub mod links;
 pub mod listen;
 pub mod members;
 pub mod metrics;
-pub mod mover;
+pub mod migration;
 pub mod news;
 pub mod outbox;
-pub mod own;
 pub mod phase;
-pub mod place;
+pub mod placement;
 pub mod plain;
 pub mod prefill;
 pub mod quarantine;
 pub mod quota;
 pub mod quotas;
 pub mod reload;
+pub mod responses;
+pub mod run_tracking;
 pub mod search;
 pub mod send;
 pub mod settings;
@@ -42,8 +43,7 @@
 pub mod store;
 pub mod stream;
 pub mod target;
-pub mod track;
-pub mod turn;
+pub mod wait_queue;
 pub mod watch;
 
 use std::io;
@@ -134,19 +134,19 @@
     spawn_local(listen::serve(
         addresses,
         || ASIDE,
-        move |request| std::future::ready(asides::addresses(&own, &request)),
+        move |request| std::future::ready(auxiliary::addresses(&own, &request)),
     ));
     let own = Rc::clone(&shared);
     spawn_local(listen::serve(
         readiness,
         || ASIDE,
-        move |request| std::future::ready(asides::readiness(&own, &request)),
+        move |request| std::future::ready(auxiliary::readiness(&own, &request)),
     ));
     let own = Rc::clone(&shared);
     spawn_local(listen::serve(
         metrics,
         || ASIDE,
-        move |_| std::future::ready(asides::metrics(&own)),
+        move |_| std::future::ready(auxiliary::metrics(&own)),
     ));
     spawn_local(exchange::serve(Rc::clone(&shared), peers));
     spawn_local(exchange::follow(Rc::clone(&shared)));
@@ -154,7 +154,7 @@
     spawn_local(watch::replicas(Rc::clone(&shared)));
     spawn_local(watch::instances::follow(Rc::clone(&shared)));
     spawn_local(stages::run(Rc::clone(&shared)));
-    spawn_local(track::run(Rc::clone(&shared)));
+    spawn_local(run_tracking::run(Rc::clone(&shared)));
     spawn_local(quarantine::inquiry::run(Rc::clone(&shared)));
     spawn_local(quarantine::tell::run(Rc::clone(&shared)));
     spawn_local(quarantine::kept::run(Rc::clone(&shared)));
@@ -185,7 +185,7 @@
             shared.members.borrow_mut().join(now, clock::unix().0);
             log::info!(kind = "ready", plan = shared.plan_version(); "taking callers");
         }
-        shared.links.sweep();
+        shared.connections.close_expired();
         let begun = shared.clock.now();
         sleep(HOUSEKEEPING).await;
         if let Some(time) = suspensions.look() {
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -11,7 +11,7 @@
 use relay::server::Key;
 use relay::server::Server;
 
-use crate::quota::asking;
+use crate::quota::client;
 use crate::quotas::Demand;
 use crate::shared::Shared;
 
@@ -43,7 +43,7 @@
         return true;
     };
     let purpose = Purpose::Run { patience_ms: 0 };
-    let heard = asking::ask(shared, demand, purpose).await;
+    let heard = client::ask(shared, demand, purpose).await;
     let decision = heard.map(|heard| heard.told.decision);
     let pause = match decision {
         Some(Decision::Granted { .. }) => return true,
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 
 use crate::body::Body;
-use crate::links;
+use crate::connections;
 use crate::phase::Phase;
 use crate::phase::Watched;
 
@@ -63,7 +63,7 @@
     A: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    if let Err(error) = links::tune(&socket) {
+    if let Err(error) = connections::tune(&socket) {
         log::debug!(kind = "listen", peer = peer.to_string(), cause = error.to_string(); "a socket could not be set up");
     }
     let phase = Phase::new();
--- a/crates/gateway/src/mover.rs
+++ b/crates/gateway/src/migration.rs
@@ -10,9 +10,9 @@
 use relay::replica::Replica;
 use relay::server::Key;
 
-use crate::ask;
-use crate::ask::Answer;
-use crate::ask::Call;
+use crate::control;
+use crate::control::Answer;
+use crate::control::Call;
 use crate::shared::Shared;
 
 /// Times that a move is asked for; one whose answer was lost may have been carried out, and then
@@ -57,7 +57,7 @@
             path: engine::MOVE_PATH.to_owned(),
             body: engine::move_body(request, target.address),
         };
-        let outcome = match ask::call(shared, call).await {
+        let outcome = match control::call(shared, call).await {
             Ok(answer) => read_answer(&answer, from, source.address, to),
             Err(error) => {
                 // Another question does not undo what this one may have done.
@@ -124,7 +124,7 @@
     };
     let shared = Rc::clone(shared);
     tokio::task::spawn_local(async move {
-        if let Err(cause) = ask::call(&shared, call).await {
+        if let Err(cause) = control::call(&shared, call).await {
             log::info!(kind = "move", cause = cause.to_string(); "the memory of a run could not be freed; it lapses");
         }
     });
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/placement.rs
@@ -18,14 +18,14 @@
 use relay::timing::Kind;
 use relay::timing::Terms;
 
-use crate::ask;
-use crate::ask::Call;
+use crate::control;
+use crate::control::Call;
 use crate::job::Job;
 use crate::limit;
 use crate::plain;
+use crate::run_tracking::TrackedRun;
 use crate::shared::Shared;
-use crate::track::Track;
-use crate::turn::Turn;
+use crate::wait_queue::QueueEntry;
 
 /// Pause between two rounds over replicas that had no room; in overload a place comes free about
 /// every 60 ms.
@@ -35,10 +35,10 @@
 
 /// A decode replica that is to serve a request.
 #[derive(Debug)]
-pub struct Place {
+pub struct Placement {
     key: Key,
     reserved: Option<Reserved>,
-    track: Option<Track>,
+    track: Option<TrackedRun>,
 }
 
 /// A reservation; given back if it is dropped unused.
@@ -59,7 +59,7 @@
     Failed(String),
 }
 
-impl Place {
+impl Placement {
     /// The replica.
     pub const fn key(&self) -> Key {
         self.key
@@ -78,7 +78,7 @@
     }
 
     /// Notes that the request has taken the reservation up; gives the run that has begun.
-    pub fn used(self) -> Option<Track> {
+    pub fn used(self) -> Option<TrackedRun> {
         if let Some(mut reserved) = self.reserved {
             reserved.used = true;
         }
@@ -88,10 +88,10 @@
 
 /// Finds a place for `job`, of which `made` tokens were made, at a replica that is not among `tried`;
 /// `None` if there is no room.
-pub async fn find(shared: &Rc<Shared>, job: &Job, tried: &[Key], made: u64) -> Option<Place> {
+pub async fn find(shared: &Rc<Shared>, job: &Job, tried: &[Key], made: u64) -> Option<Placement> {
     let Some(engine) = engine(shared, job) else {
         let key = plain::replica(shared, job, Some(Stage::Decode), tried).await?;
-        return Some(Place {
+        return Some(Placement {
             key,
             reserved: None,
             track: None,
@@ -107,7 +107,7 @@
         begun
     };
     let until = from + objective.mul_f64(kind.terms(usual(shared)).wait);
-    let turn = Turn::new(shared, &job.service, job.priority(), kind == Kind::Returned);
+    let turn = QueueEntry::new(shared, &job.service, job.priority(), kind == Kind::Returned);
     let mut rounds = 0;
     loop {
         // A stream that is resumed waits for nobody: without a place it breaks off.
@@ -133,11 +133,16 @@
 }
 
 /// Finds a place like [`find`], but does not wait for one.
-pub async fn find_now(shared: &Rc<Shared>, job: &Job, tried: &[Key], made: u64) -> Option<Place> {
+pub async fn find_now(
+    shared: &Rc<Shared>,
+    job: &Job,
+    tried: &[Key],
+    made: u64,
+) -> Option<Placement> {
     let Some(engine) = engine(shared, job) else {
         let choose = || shared.choose(&job.service, Some(Stage::Decode), tried);
         let key = limit::choose_admitted(shared, choose).await?;
-        return Some(Place {
+        return Some(Placement {
             key,
             reserved: None,
             track: None,
@@ -154,7 +159,7 @@
     engine: Engine,
     kind: Kind,
     made: u64,
-) -> Option<Place> {
+) -> Option<Placement> {
     let placing = shared.settings().placing;
     let size = job.size(made);
     let read = shared.read_time(&job.service, size.prompt);
@@ -171,12 +176,12 @@
         let choose = || shared.choose_room(&job.service, &asked, ask);
         let key = limit::choose_admitted(shared, choose).await?;
         asked.push(key);
-        let track = Track::new(shared, &job.service, key, size, engine.event_tokens);
+        let track = TrackedRun::new(shared, &job.service, key, size, engine.event_tokens);
         match reserve(shared, tokens, key, engine.max_reservation).await {
             Asked::Room(reserved) => {
                 let now = shared.clock.now();
                 shared.pool.borrow_mut().roomy(now, key);
-                return Some(Place {
+                return Some(Placement {
                     key,
                     reserved: Some(reserved),
                     track: Some(track),
@@ -230,9 +235,9 @@
         path: wire::RESERVE_PATH.to_owned(),
         body: wire::reserve_body(tokens, life),
     };
-    match ask::call(shared, call).await {
+    match control::call(shared, call).await {
         // It takes no more connections.
-        Err(ask::Error::Closed { cause }) => {
+        Err(control::Error::Closed { cause }) => {
             log::info!(kind = "reserve", replica = replica.id, cause = cause; "a replica closed the connection of a reservation");
             Asked::NoRoom
         }
@@ -269,7 +274,7 @@
         };
         tokio::task::spawn_local(async move {
             let replica = call.replica.clone();
-            let given = ask::call(&shared, call).await;
+            let given = control::call(&shared, call).await;
             if !given.is_ok_and(|answer| answer.status == StatusCode::OK) {
                 log::info!(kind = "reserve", replica = replica; "a reservation could not be given back; it lapses");
             }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -24,7 +24,7 @@
 use crate::body::Body;
 use crate::job::Job;
 use crate::limit;
-use crate::own;
+use crate::responses;
 use crate::send;
 use crate::shared::Shared;
 
@@ -66,7 +66,7 @@
         let Some(key) = replica(shared, &job, None, &tried).await else {
             return without_replica(shared, &mut job, &attempt, failure);
         };
-        let Some(permit) = job.permit(Work::Run) else {
+        let Some(permit) = job.take_permit(Work::Run) else {
             return without_replica(shared, &mut job, &attempt, failure);
         };
         tried.push(key);
@@ -78,7 +78,7 @@
         }
         let next = match sent {
             Sent::Overdue => {
-                return finish(&mut job, "overdue", own::overdue, "no answer in time");
+                return finish(&mut job, "overdue", responses::overdue, "no answer in time");
             }
             Sent::Left => attempt.after(Outcome::Lost, || true),
             Sent::Answered(answer) if is_failure(&job, &answer) => {
@@ -266,11 +266,11 @@
             passed_on(answer.status, &answer.headers, answer.body)
         }
         None if attempt.may_have_run() => {
-            finish(job, "unknown", own::unknown, "the replica was lost")
+            finish(job, "unknown", responses::unknown, "the replica was lost")
         }
         None => {
             let throttle = shared.throttle_remaining(&job.service);
-            let come_back = throttle.unwrap_or(own::COME_BACK);
+            let come_back = throttle.unwrap_or(responses::COME_BACK);
             refuse(shared, job, come_back, "no replica took the request")
         }
     }
@@ -285,7 +285,7 @@
 ) -> Response<Body> {
     match shared.quarantined_for(job.fingerprint) {
         Some(left) => refuse_quarantined(job, left),
-        None if shared.is_denied(job) => finish(job, "rejected", own::denied, DENIED),
+        None if shared.is_denied(job) => finish(job, "rejected", responses::denied, DENIED),
         None => refuse_with(job, come_back, cause, REFUSED_TEXT),
     }
 }
@@ -298,7 +298,7 @@
 /// Refuses `job`, which is beyond its customer's quota and has not run.
 pub fn refuse_beyond_quota(job: &mut Job, come_back: Duration) -> Response<Body> {
     job.end("beyond-quota", 429, "beyond the customer's quota");
-    own::refuse_beyond_quota(&job.call.id, come_back)
+    responses::refuse_beyond_quota(&job.call.id, come_back)
 }
 
 fn refuse_with(
@@ -308,7 +308,7 @@
     text: &'static str,
 ) -> Response<Body> {
     job.end("refused", 503, cause);
-    own::refuse(&job.call.id, come_back, text)
+    responses::refuse(&job.call.id, come_back, text)
 }
 
 /// Ends `job` with an answer of this daemon's own.
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -14,7 +14,7 @@
 use relay::replica::Stage;
 use relay::server::Key;
 
-use crate::ask;
+use crate::control;
 use crate::job::Job;
 use crate::limit;
 use crate::send;
@@ -83,7 +83,7 @@
     }
     if failed {
         // It pays for the read that failed, so that no other one may use it.
-        let _spent = job.permit(Work::Read);
+        let _spent = job.take_permit(Work::Read);
     }
     Some(own_read(last_event))
 }
@@ -131,7 +131,7 @@
     if let Ok(read) = timeout_at(late, &mut read).await {
         return read;
     }
-    if !ask::answers(shared, key).await {
+    if !control::is_responsive(shared, key).await {
         shared.note_silent(key);
         let cause = "the prompt is not read, and the replica does not answer";
         send::note(shared, job, key, Outcome::Lost, cause, 0);
@@ -160,7 +160,7 @@
     let begun = Instant::now();
     let before = shared.pool.borrow().queued(key);
     let reply = send::send(shared, job, key, Task::Prefill, None, permit).await?;
-    let exchanges_before = reply.link.exchanges_before();
+    let exchanges_before = reply.connection.exchanges_before();
     let read = send::whole(shared, reply, MAX_PREFILL_ANSWER).await;
     let body = match read {
         Ok((head, _, body)) if head.status == StatusCode::OK => body,
--- a/crates/gateway/src/quarantine/inquiry.rs
+++ b/crates/gateway/src/quarantine/inquiry.rs
@@ -10,9 +10,9 @@
 use relay::quarantine::LIMIT;
 use relay::server::Key;
 
-use crate::ask;
-use crate::ask::Presence;
 use crate::clock;
+use crate::control;
+use crate::control::Presence;
 use crate::shared::Shared;
 
 /// Pause between two questions to a replica that does not answer.
@@ -54,7 +54,7 @@
 async fn ask_for_presence(shared: &Shared, key: Key) -> Presence {
     let mut unanswered = 0;
     for question in 1..=MAX_QUESTIONS {
-        match ask::presence(shared, key).await {
+        match control::probe(shared, key).await {
             Presence::Unknown if unanswered + 1 == MAX_UNANSWERED => return Presence::Unknown,
             Presence::Unknown => unanswered += 1,
             Presence::Closing => {}
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -1,8 +1,8 @@
 //! Quotas of customers: what a request uses is asked of the daemon that keeps the customer's bucket, before the request runs.
 
-pub mod asking;
 pub mod charge;
-pub mod keeping;
+pub mod client;
+pub mod keeper;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use crate::body::Body;
 use crate::job::Job;
 use crate::plain;
-use crate::quota::asking::Heard;
 use crate::quota::charge::Charge;
 use crate::quota::charge::Source;
+use crate::quota::client::Heard;
 use crate::quotas::Demand;
 use crate::shared::Shared;
 
@@ -41,7 +41,7 @@
 /// Sees to it that `job` may run by its customer's quota; the answer to it if it may not.
 pub async fn admit(shared: &Rc<Shared>, job: &mut Job) -> Option<Response<Body>> {
     let demand = demand(job)?;
-    if let Some(number) = asking::spend_unasked(shared, demand) {
+    if let Some(number) = client::spend_unasked(shared, demand) {
         job.charge = Some(Charge::new(shared, demand, Source::Pocket(number)));
         return None;
     }
@@ -49,7 +49,7 @@
     let purpose = Purpose::Run {
         patience_ms: patience.as_millis() as u32,
     };
-    let heard = asking::ask(shared, demand, purpose).await;
+    let heard = client::ask(shared, demand, purpose).await;
     log_decision(shared, job, demand, heard);
     match heard.map(|heard| (heard.told.decision, heard.keeper)) {
         Some((Decision::Granted { after_ms }, keeper)) => {
@@ -61,7 +61,7 @@
             let come_back = Duration::from_millis(come_back_ms.into());
             Some(plain::refuse_beyond_quota(job, come_back))
         }
-        _ => match asking::overspend(shared, demand) {
+        _ => match client::overspend(shared, demand) {
             Some(number) => {
                 job.charge = Some(Charge::new(shared, demand, Source::Pocket(number)));
                 None
--- a/crates/gateway/src/quota/charge.rs
+++ b/crates/gateway/src/quota/charge.rs
@@ -9,7 +9,7 @@
 use customer::keeper::Purpose;
 use customer::pocket::Number;
 
-use crate::quota::asking;
+use crate::quota::client;
 use crate::quotas::Demand;
 use crate::shared::Shared;
 
@@ -56,7 +56,7 @@
         match (self.source, self.ran.get()) {
             (Source::Keeper(_), true) => {}
             (Source::Keeper(keeper), false) => {
-                asking::give_back(&self.shared, keeper, self.demand);
+                client::give_back(&self.shared, keeper, self.demand);
             }
             (Source::Pocket(number), false) => {
                 self.shared
@@ -75,7 +75,7 @@
 
 /// Has a request counted that ran unasked.
 async fn report(shared: Rc<Shared>, demand: Demand, number: Number) {
-    let heard = asking::ask(&shared, demand, Purpose::Ran).await;
+    let heard = client::ask(&shared, demand, Purpose::Ran).await;
     let decision = heard.map(|heard| heard.told.decision);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
--- a/crates/gateway/src/quota/asking.rs
+++ b/crates/gateway/src/quota/client.rs
@@ -14,8 +14,8 @@
 use tokio::sync::oneshot;
 
 use crate::gossip;
-use crate::quota::keeping;
-use crate::quota::keeping::UNANSWERED;
+use crate::quota::keeper;
+use crate::quota::keeper::UNANSWERED;
 use crate::quotas::Demand;
 use crate::quotas::Message;
 use crate::quotas::Pending;
@@ -83,7 +83,7 @@
     for (instance, address) in keepers {
         let heard = if instance == own {
             Some(Heard {
-                told: keeping::decide(shared, &demand.ask(purpose), demand.limit),
+                told: keeper::decide(shared, &demand.ask(purpose), demand.limit),
                 keeper: None,
             })
         } else {
@@ -104,11 +104,11 @@
 pub fn give_back(shared: &Rc<Shared>, keeper: Option<SocketAddr>, demand: Demand) {
     let ask = demand.ask(Purpose::GiveBack);
     let Some(keeper) = keeper else {
-        keeping::decide(shared, &ask, demand.limit);
+        keeper::decide(shared, &ask, demand.limit);
         return;
     };
     let shared = Rc::clone(shared);
-    let message = keeping::giving_back(demand);
+    let message = keeper::giving_back(demand);
     tokio::task::spawn_local(async move { gossip::tell_quota(&shared, keeper, message).await });
 }
 
--- a/crates/gateway/src/quota/keeping.rs
+++ b/crates/gateway/src/quota/keeper.rs
@@ -58,7 +58,7 @@
 
 /// Takes the answer to a question of this daemon. One that comes too late grants what nobody uses: what is to be told for that, and
 /// where.
-pub fn take_answer(shared: &Shared, number: u32, told: Told) -> Option<(SocketAddr, Message)> {
+pub fn handle_answer(shared: &Shared, number: u32, told: Told) -> Option<(SocketAddr, Message)> {
     let pending = shared.quotas.borrow_mut().pending.remove(&number)?;
     let is_unused = pending.answer.send(told).is_err();
     let is_granted = matches!(told.decision, Decision::Granted { .. });
--- a/crates/gateway/src/track.rs
+++ b/crates/gateway/src/run_tracking.rs
@@ -28,7 +28,7 @@
 
 /// A run that this daemon follows; over when this is dropped.
 #[derive(Debug)]
-pub struct Track {
+pub struct TrackedRun {
     shared: Rc<Shared>,
     id: Id,
     /// Tokens in one event.
@@ -37,7 +37,7 @@
     complete: bool,
 }
 
-impl Track {
+impl TrackedRun {
     /// Notes that a run of `size` gets a place at `server`.
     pub fn new(
         shared: &Rc<Shared>,
@@ -118,7 +118,7 @@
     }
 }
 
-impl Drop for Track {
+impl Drop for TrackedRun {
     fn drop(&mut self) {
         let now = self.shared.clock.now();
         let server = self.shared.runs.borrow().get(self.id).map(|run| run.server);
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -9,13 +9,13 @@
 use relay::server::Key;
 
 use crate::job::Job;
-use crate::place;
-use crate::place::Place;
+use crate::placement;
+use crate::placement::Placement;
 use crate::prefill;
+use crate::run_tracking::TrackedRun;
 use crate::send;
 use crate::send::Reply;
 use crate::shared::Shared;
-use crate::track::Track;
 
 /// Where a request was sent, and what the next replica is to do.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     /// Replicas that it was sent to.
     pub tried: &'a mut Vec<Key>,
     /// A place that was found already.
-    pub place: Option<Place>,
+    pub place: Option<Placement>,
     /// Id of the event after which the stream goes on.
     pub last_event: Option<u64>,
     /// Tokens that were made before.
@@ -38,7 +38,7 @@
     /// The answer's head, with what is needed to read the rest.
     pub reply: Reply,
     /// The run.
-    pub track: Option<Track>,
+    pub track: Option<TrackedRun>,
 }
 
 /// Finds a replica that answers.
@@ -57,7 +57,7 @@
     loop {
         let found = match place.take() {
             Some(place) => Some(place),
-            None => place::find(shared, job, tried, made).await,
+            None => placement::find(shared, job, tried, made).await,
         };
         let Some(place) = found else {
             return Err(without_place(attempt));
@@ -72,7 +72,7 @@
         if matches!(task, Task::Answer | Task::Resume { .. }) {
             place.reads();
         }
-        let Some(permit) = job.permit(Work::Run) else {
+        let Some(permit) = job.take_permit(Work::Run) else {
             return Err(without_place(attempt));
         };
         tried.push(key);
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -18,10 +18,10 @@
 use relay::permit::Work;
 use relay::server::Key;
 
-use crate::guard::Claim;
+use crate::connections::Connection;
+use crate::connections::Failure;
+use crate::guard::InFlight;
 use crate::job::Job;
-use crate::links::Failure;
-use crate::links::Link;
 use crate::shared::Shared;
 
 /// The head of a replica's genuine answer, with what is needed to read the rest.
@@ -32,9 +32,9 @@
     /// Its headers and its body, not read yet.
     pub response: Response<Incoming>,
     /// The connection; closed if this is dropped.
-    pub link: Link,
+    pub connection: Connection,
     /// The replica.
-    pub claim: Claim,
+    pub guard: InFlight,
 }
 
 /// Sends `job` to the replica `key`, which is to do `task`, and reads the head of the answer. The permit
@@ -99,7 +99,7 @@
         Task::Prefill => job.prompt(),
         _ => job.tokens(),
     };
-    let claim = Claim::new(shared, key, tokens, task == Task::Prefill);
+    let guard = InFlight::new(shared, key, tokens, task == Task::Prefill);
     let now = shared.clock.now();
     let target = shared.pool.borrow().get(key).map(|server| {
         let replica = &server.replica;
@@ -128,13 +128,13 @@
     // answer to an earlier send of this request to the replica has the same id.
     let is_first = job.is_first_send(key);
     let fresh = !is_first || !(prefill || job.route.mode.repeatable());
-    let (response, link) = match shared.links.send(address, request, fresh).await {
+    let (response, connection) = match shared.connections.send(address, request, fresh).await {
         Ok(answer) => answer,
         Err(failure) => return Err(failed(shared, job, key, &failure)),
     };
     let head = Head::read(&job.call.id, response.status(), response.headers());
-    if !link.may_answer(head.subject) {
-        return Err(foreign(shared, job, key, &head, &link));
+    if !connection.may_answer(head.subject) {
+        return Err(foreign(shared, job, key, &head, &connection));
     }
     if let Some(load) = head.load {
         shared.pool.borrow_mut().told(shared.clock.now(), key, load);
@@ -160,20 +160,25 @@
     Ok(Reply {
         head,
         response,
-        link,
-        claim,
+        connection,
+        guard,
     })
 }
 
 /// Notes that the answer is, or may be, another request's; this one may run all the same.
-fn foreign(shared: &Shared, job: &Job, key: Key, head: &Head, link: &Link) -> Outcome {
+fn foreign(shared: &Shared, job: &Job, key: Key, head: &Head, connection: &Connection) -> Outcome {
     shared.metrics.foreign_answers.inc();
-    shared.links.note_second_answer(link.address());
+    shared
+        .connections
+        .record_duplicate_answer(connection.address());
     let whose = match head.subject {
         Subject::Unnamed => "the answer names no request",
         _ => "the answer is another request's",
     };
-    let cause = format!("{whose}; exchanges before: {}", link.exchanges_before());
+    let cause = format!(
+        "{whose}; exchanges before: {}",
+        connection.exchanges_before()
+    );
     let outcome = Outcome::Lost;
     note(shared, job, key, outcome, &cause, head.status.as_u16());
     outcome
@@ -231,14 +236,14 @@
     let Reply {
         head,
         response,
-        link,
-        claim,
+        connection,
+        guard,
     } = reply;
     let (parts, body) = response.into_parts();
     match Limited::new(body, most).collect().await {
         Ok(body) => {
-            shared.links.keep_after(&head, link);
-            drop(claim);
+            shared.connections.keep_after(&head, connection);
+            drop(guard);
             Ok((head, parts.headers, body.to_bytes()))
         }
         Err(_) => Err(Outcome::Lost),
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -36,8 +36,8 @@
 
 use crate::card::Card;
 use crate::clock::Clock;
+use crate::connections::ConnectionPool;
 use crate::inquiries::Inquiries;
-use crate::links::Links;
 use crate::members::Members;
 use crate::metrics::Metrics;
 use crate::news::News;
@@ -71,7 +71,7 @@
     /// Client of the store.
     pub store: Store,
     /// Connections to replicas.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// The other instances.
     pub members: RefCell<Members>,
     /// The replicas.
@@ -155,7 +155,7 @@
         Self {
             clock: Clock::new(),
             store: Store::new(settings.store, metrics.store_calls.clone()),
-            links: Links::new(),
+            connections: ConnectionPool::new(),
             members: RefCell::new(Members::new(own.clone())),
             pool: RefCell::new(Pool::new()),
             metrics,
--- a/crates/gateway/src/shared/choice.rs
+++ b/crates/gateway/src/shared/choice.rs
@@ -161,7 +161,7 @@
     pub fn forget_links(&self, key: Key) {
         let address = self.pool.borrow().get(key).map(|s| s.replica.address);
         if let Some(address) = address {
-            self.links.forget(address);
+            self.connections.close_idle(address);
         }
     }
 }
--- a/crates/gateway/src/shared/customers.rs
+++ b/crates/gateway/src/shared/customers.rs
@@ -46,7 +46,7 @@
     /// Whether `job` may no longer be sent to a replica: by the plan in force, its customer does not hold its API key any more.
     /// A stream that has begun goes on to its end, as it was accepted.
     pub fn is_denied(&self, job: &Job) -> bool {
-        if job.answering.get() || self.plan_version() == job.plan {
+        if job.response_started.get() || self.plan_version() == job.plan {
             return false;
         }
         let Some(plan) = self.plan() else {
--- a/crates/gateway/src/shared/knowledge.rs
+++ b/crates/gateway/src/shared/knowledge.rs
@@ -100,7 +100,7 @@
     fn forget_earlier(&self, id: &str) {
         let address = self.pool.borrow().address(id);
         if let Some(address) = address {
-            self.links.forget(address);
+            self.connections.close_idle(address);
         }
         self.restarts.notify_waiters();
     }
--- a/crates/gateway/src/shared/retries.rs
+++ b/crates/gateway/src/shared/retries.rs
@@ -53,6 +53,6 @@
 
     /// The permit for `work` that `job` holds, or one out of the budget.
     pub fn permit(&self, job: &Job, work: Work) -> Option<Permit> {
-        self.allow(job, work).then(|| job.permit(work))?
+        self.allow(job, work).then(|| job.take_permit(work))?
     }
 }
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -27,8 +27,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::ask;
-use crate::ask::Call;
+use crate::control;
+use crate::control::Call;
 use crate::shared::Shared;
 use crate::store::Error;
 
@@ -165,7 +165,7 @@
         path: engine::REPORT_PATH.to_owned(),
         body: Vec::new(),
     };
-    let called = ask::call(shared, call).await;
+    let called = control::call(shared, call).await;
     let answer = called.map_err(|error| error.to_string())?;
     Report::read(&answer.body).map_err(|error| error.to_string())
 }
@@ -184,7 +184,7 @@
         path: engine::ORDER_PATH.to_owned(),
         body: engine::stage_body(stage, holder, fence, order.taken),
     };
-    let called = ask::call(shared, call).await;
+    let called = control::call(shared, call).await;
     let answer = called.map_err(|error| error.to_string())?;
     Ok(answer.status)
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -24,10 +24,10 @@
 use prometheus::IntCounterVec;
 use tokio::sync::Notify;
 
-use crate::links;
-use crate::links::Failure;
-use crate::links::Link;
-use crate::links::Links;
+use crate::connections;
+use crate::connections::Connection;
+use crate::connections::ConnectionPool;
+use crate::connections::Failure;
 
 /// Bytes of an answer at most; the store's own limit is 1 MB of rows, which base64 makes a third
 /// larger.
@@ -84,7 +84,7 @@
 pub struct Store {
     address: SocketAddr,
     /// Connections for later calls.
-    links: Rc<Links>,
+    connections: Rc<ConnectionPool>,
     calls: IntCounterVec,
     /// Told when a call had no answer in time, so that watches on connections of the same age do
     /// not wait for their own limit.
@@ -96,7 +96,7 @@
     pub fn new(address: SocketAddr, calls: IntCounterVec) -> Self {
         Self {
             address,
-            links: Rc::new(Links::new()),
+            connections: Rc::new(ConnectionPool::new()),
             calls,
             silence: Notify::new(),
         }
@@ -183,10 +183,10 @@
     /// Opens the connection of a later call while nobody waits for it. It also falls silent together with those of
     /// watches: the later call then has no answer, and the watches are given up.
     fn open_ahead(&self) {
-        let (address, links) = (self.address, Rc::clone(&self.links));
+        let (address, connections) = (self.address, Rc::clone(&self.connections));
         tokio::task::spawn_local(async move {
-            match links::connect(address).await {
-                Ok(link) => links.keep(link, None),
+            match connections::connect(address).await {
+                Ok(connection) => connections.keep(connection, None),
                 Err(failure) => {
                     log::debug!(kind = "store", cause = format!("{failure:?}"); "no connection was opened ahead");
                 }
@@ -246,7 +246,7 @@
         match timeout(limit, self.exchange(step, request)).await {
             Ok(answer) => answer,
             Err(elapsed) => {
-                self.links.forget(self.address);
+                self.connections.close_idle(self.address);
                 self.silence.notify_waiters();
                 Err(silent(step, &elapsed))
             }
@@ -258,11 +258,14 @@
     async fn send(
         &self,
         request: Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, Link), Failure> {
-        let sent = self.links.send(self.address, request.clone(), false).await;
+    ) -> Result<(Response<Incoming>, Connection), Failure> {
+        let sent = self
+            .connections
+            .send(self.address, request.clone(), false)
+            .await;
         match sent {
             Err(Failure::Unreachable { .. } | Failure::NotSent { .. }) => {
-                self.links.send(self.address, request, false).await
+                self.connections.send(self.address, request, false).await
             }
             sent => sent,
         }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -11,10 +11,10 @@
 use relay::attempt::Outcome;
 
 use crate::body::Body;
-use crate::flow;
+use crate::forward;
 use crate::job::Job;
-use crate::own;
 use crate::plain;
+use crate::responses;
 use crate::search;
 use crate::search::Search;
 use crate::send;
@@ -38,15 +38,18 @@
     let opened = timeout_at(job.deadline, search::open(shared, &job, search));
     match opened.await {
         Ok(Ok(opened)) if opened.reply.head.status == StatusCode::OK => {
-            flow::pass_on(shared, job, attempt, tried, opened)
+            forward::pass_on(shared, job, attempt, tried, opened)
         }
         Ok(Ok(opened)) => failure(shared, job, opened.reply).await,
-        Ok(Err(Next::Unknown)) => {
-            plain::finish(&mut job, "unknown", own::unknown, "the replica was lost")
-        }
+        Ok(Err(Next::Unknown)) => plain::finish(
+            &mut job,
+            "unknown",
+            responses::unknown,
+            "the replica was lost",
+        ),
         Ok(Err(_)) => refuse(shared, &mut job, "no replica took the request"),
         Err(_) if attempt.sends() == 0 => refuse(shared, &mut job, "no replica in time"),
-        Err(_) => plain::finish(&mut job, "overdue", own::overdue, "no answer in time"),
+        Err(_) => plain::finish(&mut job, "overdue", responses::overdue, "no answer in time"),
     }
 }
 
@@ -56,7 +59,7 @@
 
 /// Passes a replica's failure on.
 async fn failure(shared: &Rc<Shared>, mut job: Job, reply: Reply) -> Response<Body> {
-    let key = reply.claim.key;
+    let key = reply.guard.key;
     let status = reply.head.status;
     let read = timeout_at(job.deadline, send::whole(shared, reply, MAX_FAILURE)).await;
     send::note(
@@ -72,6 +75,11 @@
             job.end("failed", status.as_u16(), "the replica's own failure");
             plain::passed_on(status, &headers, body)
         }
-        _ => plain::finish(&mut job, "unknown", own::unknown, "the replica was lost"),
+        _ => plain::finish(
+            &mut job,
+            "unknown",
+            responses::unknown,
+            "the replica was lost",
+        ),
     }
 }
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/wait_queue.rs
@@ -8,13 +8,13 @@
 
 /// A place in the line of a service; left when this is dropped.
 #[derive(Debug)]
-pub struct Turn {
+pub struct QueueEntry {
     shared: Rc<Shared>,
     service: String,
     ticket: Ticket,
 }
 
-impl Turn {
+impl QueueEntry {
     /// Joins the line of `service`; after those of its rank that can be in time if `late`.
     pub fn new(shared: &Rc<Shared>, service: &str, priority: u8, late: bool) -> Self {
         Self {
@@ -31,7 +31,7 @@
     }
 }
 
-impl Drop for Turn {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         let mut line = self.shared.line.borrow_mut();
         line.leave(&self.service, self.ticket);
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use gateway::links;
+use gateway::connections;
 use gateway::store::Store;
 use prometheus::IntCounterVec;
 use prometheus::Opts;
@@ -163,12 +163,14 @@
     let attempts = async {
         let mut connected = false;
         for _ in 0..TRIES {
-            connected |= links::connect_twice(clogged(CLOGGED_SHORTLY)).await.is_ok();
+            connected |= connections::connect_twice(clogged(CLOGGED_SHORTLY))
+                .await
+                .is_ok();
             if connected {
                 break;
             }
         }
-        let once = links::connect(clogged(CLOGGED_SHORTLY)).await;
+        let once = connections::connect(clogged(CLOGGED_SHORTLY)).await;
         (once.is_ok(), connected)
     };
     let connected = LocalSet::new().block_on(&runtime.unwrap(), attempts);
