--- a/crates/gateway/src/auxiliary.rs
+++ b/crates/gateway/src/auxiliary.rs
@@ -26,16 +26,16 @@
     }
     let near = request.uri().query().and_then(directory::data_centre);
     let open = shared.members.borrow().open();
-    let told = relay::directory::answer(&open, near, shared.breadth());
-    if told.is_empty() {
+    let endpoints = relay::directory::answer(&open, near, shared.breadth());
+    if endpoints.is_empty() {
         return responses::answer(
             StatusCode::SERVICE_UNAVAILABLE,
             "",
             "no instance is known to be ready\n",
         );
     }
-    let body = directory::answer(told, ADDRESSES_TTL_S);
-    whole(body, "application/json")
+    let body = directory::answer(endpoints, ADDRESSES_TTL_S);
+    full_response(body, "application/json")
 }
 
 /// Answers the platform's question whether this daemon is ready.
@@ -51,7 +51,7 @@
 pub fn metrics(shared: &Rc<Shared>) -> Response<Body> {
     shared.refresh_metrics();
     match shared.metrics.text() {
-        Ok(text) => whole(text, "text/plain; version=0.0.4"),
+        Ok(text) => full_response(text, "text/plain; version=0.0.4"),
         Err(error) => {
             log::warn!(kind = "metrics", cause = error.to_string(); "metrics could not be written");
             responses::answer(
@@ -63,7 +63,7 @@
     }
 }
 
-fn whole(body: Vec<u8>, kind: &'static str) -> Response<Body> {
+fn full_response(body: Vec<u8>, kind: &'static str) -> Response<Body> {
     let mut response = Response::new(Body::whole(Bytes::from(body)));
     let kind = HeaderValue::from_static(kind);
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -13,21 +13,21 @@
 use tokio::sync::mpsc::Receiver;
 
 use crate::guard::OpenRequest;
-use crate::phase::Busy;
+use crate::phase::BusyGuard;
 
 /// Why a body ends without being complete; the connection is broken off.
 #[derive(Debug)]
-pub struct Broken;
+pub struct Aborted;
 
-impl fmt::Display for Broken {
+impl fmt::Display for Aborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the answer was broken off")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Aborted {}
 
-impl From<Infallible> for Broken {
+impl From<Infallible> for Aborted {
     fn from(never: Infallible) -> Self {
         match never {}
     }
@@ -38,7 +38,7 @@
 pub struct Body {
     content: Content,
     open: Option<OpenRequest>,
-    busy: Option<Busy>,
+    busy: Option<BusyGuard>,
 }
 
 #[derive(Debug)]
@@ -85,7 +85,7 @@
 
     /// The same body, which keeps its connection busy.
     #[must_use]
-    pub fn with_busy(mut self, busy: Busy) -> Self {
+    pub fn with_busy(mut self, busy: BusyGuard) -> Self {
         busy.set_unfinished(matches!(self.content, Content::Parts(_)));
         self.busy = Some(busy);
         self
@@ -94,12 +94,12 @@
 
 impl hyper::body::Body for Body {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Aborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut self.content {
             Content::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             Content::Parts(parts) => match ready!(parts.poll_recv(context)) {
@@ -111,7 +111,7 @@
                     }
                     Poll::Ready(None)
                 }
-                None => Poll::Ready(Some(Err(Broken))),
+                None => Poll::Ready(Some(Err(Aborted))),
             },
         }
     }
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -37,9 +37,9 @@
 use crate::target::Owner;
 
 /// Time after which a caller may come back to a daemon that has no plan yet.
-const STARTING: Duration = Duration::from_millis(500);
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Time after which a caller may come back when this daemon is stopping; another one serves it.
-const STOPPING: Duration = Duration::from_millis(50);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Serves one request.
 pub async fn serve(shared: Rc<Shared>, request: Request<Incoming>) -> Response<Body> {
@@ -100,12 +100,12 @@
     let host = host(&parts).unwrap_or_default();
     let key = caller::key(&parts.headers);
     let target = target::find(shared, &host, parts.uri.path(), key)
-        .map_err(|error| answer(shared, &call.id, key, &error))?;
+        .map_err(|error| error_response(shared, &call.id, key, &error))?;
     if target.owner != Owner::Anyone {
         caller::drop_key(&mut parts.headers);
     }
     shared.count_request(&target.service);
-    let path = job::path(&parts.uri);
+    let path = job::path_and_query(&parts.uri);
     let fingerprint = Fingerprint::new(parts.method.as_str(), &host, path, &body);
     Ok(Job::new(
         shared,
@@ -119,11 +119,16 @@
 }
 
 /// The answer to the request `id`, which came with `key` and has no target.
-fn answer(shared: &Shared, id: &str, key: Option<Digest>, error: &target::Error) -> Response<Body> {
+fn error_response(
+    shared: &Shared,
+    id: &str,
+    key: Option<Digest>,
+    error: &target::Error,
+) -> Response<Body> {
     match error {
-        target::Error::NoPlan => put_off(shared, id, STARTING, "no plan is known yet"),
-        target::Error::NoRoute { place, plan } => {
-            let cause = format!("no route for {place} in plan {plan}");
+        target::Error::NoPlan => refuse(shared, id, STARTING_RETRY_AFTER, "no plan is known yet"),
+        target::Error::NoRoute { location, plan } => {
+            let cause = format!("no route for {location} in plan {plan}");
             reject(shared, id, StatusCode::NOT_FOUND, &cause, "no route\n")
         }
         target::Error::Denied { denied, plan } => {
@@ -141,8 +146,12 @@
                 caller::KEY_HELP,
             )
         }
-        target::Error::Stopping => put_off(shared, id, STOPPING, "this daemon is stopping"),
-        target::Error::NoService => put_off(shared, id, STARTING, "the route has no service"),
+        target::Error::Stopping => {
+            refuse(shared, id, STOPPING_RETRY_AFTER, "this daemon is stopping")
+        }
+        target::Error::NoService => {
+            refuse(shared, id, STARTING_RETRY_AFTER, "the route has no service")
+        }
     }
 }
 
@@ -208,10 +217,10 @@
 }
 
 /// Answers that this daemon does not take the request now.
-fn put_off(shared: &Shared, id: &str, come_back: Duration, cause: &'static str) -> Response<Body> {
+fn refuse(shared: &Shared, id: &str, retry_after: Duration, cause: &'static str) -> Response<Body> {
     shared.metrics.request("refused");
     if let Some(omitted) = shared.may_log() {
         log::info!(kind = "end", request = id, outcome = "refused", status = 503, omitted = omitted, cause = cause; "request refused");
     }
-    responses::refuse(id, come_back, "not now; the request has not run\n")
+    responses::refuse(id, retry_after, "not now; the request has not run\n")
 }
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -26,7 +26,7 @@
 /// answers never.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time for the first of two attempts to connect: a call has 150 ms in all, and a round trip takes a few.
-const FIRST_CONNECT: Duration = Duration::from_millis(50);
+const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 /// Time after which the system gives up sent bytes that the peer does not confirm.
 const UNCONFIRMED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Idle connections kept to one address; a daemon rarely has more requests at one replica.
@@ -35,7 +35,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Part of the replica's own time after which a connection is not used again, so that a request
 /// does not meet the replica's close.
-const IDLE_PART: f64 = 0.6;
+const IDLE_FRACTION: f64 = 0.6;
 /// Time after a second answer of a replica in which its connections carry one exchange each. It may answer twice again,
 /// and a second answer on a used connection costs the request that is sent next.
 const SINGLE_USE_TIME: Duration = Duration::from_secs(10);
@@ -110,10 +110,10 @@
         &self,
         to: SocketAddr,
         request: Request<Full<Bytes>>,
-        fresh: bool,
+        force_new: bool,
     ) -> Result<(Response<Incoming>, Connection), Failure> {
         let mut request = request;
-        while let Some(connection) = (!fresh).then(|| self.take_idle(to)).flatten() {
+        while let Some(connection) = (!force_new).then(|| self.take_idle(to)).flatten() {
             match try_exchange(connection, request).await {
                 Err(Attempt::Unsent {
                     request: unsent, ..
@@ -128,7 +128,7 @@
     /// Keeps `connection` for another request, unless the replica answered twice lately; `keep_alive_s` is what it told.
     pub fn keep(&self, mut connection: Connection, keep_alive_s: Option<u64>) {
         connection.keep = keep_alive_s.map_or(IDLE_TIMEOUT, |seconds| {
-            Duration::from_secs(seconds).mul_f64(IDLE_PART)
+            Duration::from_secs(seconds).mul_f64(IDLE_FRACTION)
         });
         connection.idle_since = Instant::now();
         if self.is_single_use(connection.address) {
@@ -201,7 +201,7 @@
 
     /// Whether an answer that says it belongs to `subject` may be the one to the last exchange. Replicas may answer
     /// twice, the second time late: where an exchange went before, only the id tells whose answer arrives.
-    pub const fn may_answer(&self, subject: Subject) -> bool {
+    pub const fn may_match(&self, subject: Subject) -> bool {
         match subject {
             Subject::Own => true,
             Subject::Other => false,
@@ -220,8 +220,8 @@
 ///
 /// # Errors
 /// `Refused` or `Unreachable`.
-pub async fn connect_twice(to: SocketAddr) -> Result<Connection, Failure> {
-    match timeout(FIRST_CONNECT, connect(to)).await {
+pub async fn connect_with_retry(to: SocketAddr) -> Result<Connection, Failure> {
+    match timeout(FIRST_CONNECT_TIMEOUT, connect(to)).await {
         Ok(connected) => connected,
         Err(_) => connect(to).await,
     }
@@ -293,7 +293,7 @@
         Ok(Err(error)) => return Err(unreachable(&error)),
         Err(elapsed) => return Err(unreachable(&elapsed)),
     };
-    tune(&socket).map_err(|error| unreachable(&error))?;
+    configure_socket(&socket).map_err(|error| unreachable(&error))?;
     let (sender, connection) = http1::handshake(TokioIo::new(socket))
         .await
         .map_err(|error| unreachable(&error))?;
@@ -316,7 +316,7 @@
 ///
 /// # Errors
 /// Those of the system.
-pub fn tune(socket: &TcpStream) -> io::Result<()> {
+pub fn configure_socket(socket: &TcpStream) -> io::Result<()> {
     socket.set_nodelay(true)?;
     SockRef::from(socket).set_tcp_user_timeout(Some(UNCONFIRMED_TIMEOUT))
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -25,7 +25,7 @@
 /// Time for the answer; replicas answer such calls without waiting for a slot.
 const TIMEOUT: Duration = Duration::from_millis(150);
 /// Bytes of an answer at most.
-const MAX_ANSWER: usize = 64 * 1024;
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// One call.
 #[derive(Debug)]
@@ -118,7 +118,7 @@
 /// Sends `request` on a connection of its own, which closes with the answer: on one that was used before, the second
 /// answer to another exchange would be taken for it, and a second answer to this one would cost the next request.
 async fn exchange(to: SocketAddr, request: Request<Full<Bytes>>) -> Result<Answer, Error> {
-    let sent = match connections::connect_twice(to).await {
+    let sent = match connections::connect_with_retry(to).await {
         Ok(connection) => connections::exchange(connection, request).await,
         Err(failure) => Err(failure),
     };
@@ -129,7 +129,9 @@
         Failure::NotSent { cause } | Failure::Lost { cause } => Error::Closed { cause },
     })?;
     let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await;
+    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
+        .collect()
+        .await;
     let body = body.map_err(|error| unanswered(&error))?.to_bytes();
     Ok(Answer { status, body })
 }
@@ -177,7 +179,7 @@
         Ok(answer) if answer.status == StatusCode::OK => {
             let report = Report::read(&answer.body).ok();
             shared.note_birth(key, report.and_then(|report| report.birth));
-            present(shared, key)
+            presence_after_report(shared, key)
         }
         Ok(answer) if answer.status == StatusCode::MISDIRECTED_REQUEST => Presence::Ended,
         Err(Error::Refused) => Presence::Ended,
@@ -188,7 +190,7 @@
     }
 }
 
-fn present(shared: &Shared, key: Key) -> Presence {
+fn presence_after_report(shared: &Shared, key: Key) -> Presence {
     if shared.pool.borrow().has_restarted(key) {
         return Presence::Ended;
     }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -20,7 +20,7 @@
 use crate::body::Body;
 use crate::body::Part;
 use crate::job::Job;
-use crate::migration::Stopped;
+use crate::migration::StoppedRun;
 use crate::placement::Placement;
 use crate::run_tracking::TrackedRun;
 use crate::search::Opened;
@@ -29,18 +29,18 @@
 use crate::shared::Shared;
 
 /// Parts of an answer that wait for a slow caller before its replica is no longer read.
-const MAX_WAITING: usize = 32;
+const MAX_BUFFERED_PARTS: usize = 32;
 /// Silence after which a replica is asked whether it is there, and after twice of which a resumable
 /// stream goes on at another one. Callers leave after two seconds of silence or more, and the other
 /// replica needs some hundred milliseconds to read the prompt.
-const STALL: Duration = Duration::from_millis(800);
+const STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Time between two events from which on it is told in the log, where the route does not say how long a
 /// stream may pause.
 const LONG_GAP: Duration = Duration::from_millis(300);
 
 /// Answers with the replica's head, and passes its events on in a task of its own.
-pub fn pass_on(
+pub fn start(
     shared: &Rc<Shared>,
     job: Job,
     attempt: Attempt,
@@ -48,7 +48,7 @@
     opened: Opened,
 ) -> Response<Body> {
     job.response_started.set(true);
-    let (parts, body) = mpsc::channel(MAX_WAITING);
+    let (parts, body) = mpsc::channel(MAX_BUFFERED_PARTS);
     let mut response = Response::new(Body::parts(body));
     *response.headers_mut() = reply::headers(opened.reply.response.headers());
     let forwarder = Forwarder {
@@ -59,9 +59,9 @@
         splitter: Splitter::new(),
         parts,
         started: false,
-        track: opened.track,
+        tracked_run: opened.tracked_run,
         events: 0,
-        may_be_stopped: false,
+        may_have_stopped: false,
     };
     tokio::task::spawn_local(forwarder.run(opened.reply));
     response
@@ -77,11 +77,11 @@
     parts: Sender<Part>,
     started: bool,
     /// The run at the present replica, if it is followed.
-    track: Option<TrackedRun>,
+    tracked_run: Option<TrackedRun>,
     /// Events passed on.
     events: u64,
     /// Whether the run at the present replica may have been stopped without an answer that tells it.
-    may_be_stopped: bool,
+    may_have_stopped: bool,
 }
 
 /// How a replica's part of a stream ended.
@@ -89,15 +89,15 @@
     /// It is complete.
     Complete,
     /// The caller left.
-    Left,
+    CallerLeft,
     /// Time is up.
-    Overdue,
+    TimedOut,
     /// The replica broke off.
     Broken(String),
     /// The replica fell silent, and there is a place at another one.
     Silent(Placement),
     /// The run stopped so that it can go on elsewhere.
-    Stopped(Stopped),
+    Stopped(StoppedRun),
 }
 
 impl Forwarder {
@@ -105,12 +105,12 @@
         let mut reply = reply;
         loop {
             let key = reply.guard.key;
-            match self.copy(reply).await {
+            match self.forward_from(reply).await {
                 End::Complete => {
-                    send::note_success(&self.shared, key);
+                    send::record_success(&self.shared, key);
                     self.shared.note_served(self.job.fingerprint);
-                    if let Some(track) = &mut self.track {
-                        track.complete();
+                    if let Some(tracked_run) = &mut self.tracked_run {
+                        tracked_run.mark_complete();
                     }
                     self.job.end("answered", 200, "");
                     // A caller that left needs no end.
@@ -118,25 +118,25 @@
                     return;
                 }
                 // The job logs it.
-                End::Left => return,
-                End::Overdue => return self.break_off("overdue", "time is up"),
-                End::Stopped(stopped) => match self.go_on(stopped).await {
+                End::CallerLeft => return,
+                End::TimedOut => return self.abort("overdue", "time is up"),
+                End::Stopped(stopped) => match self.continue_run(stopped).await {
                     Some(next) => reply = next,
-                    None => return self.break_off("broken", "the run could not go on"),
+                    None => return self.abort("broken", "the run could not go on"),
                 },
                 End::Broken(cause) => {
-                    send::note(&self.shared, &self.job, key, Sent::Lost, &cause, 0);
+                    send::record_failure(&self.shared, &self.job, key, Sent::Lost, &cause, 0);
                     match self.resume(None).await {
                         Some(next) => reply = next,
-                        None => return self.break_off("broken", "the replica broke off"),
+                        None => return self.abort("broken", "the replica broke off"),
                     }
                 }
-                End::Silent(place) => {
+                End::Silent(placement) => {
                     let cause = "no event for too long";
-                    send::note(&self.shared, &self.job, key, Sent::Lost, cause, 0);
-                    match self.resume(Some(place)).await {
+                    send::record_failure(&self.shared, &self.job, key, Sent::Lost, cause, 0);
+                    match self.resume(Some(placement)).await {
                         Some(next) => reply = next,
-                        None => return self.break_off("broken", "the replica fell silent"),
+                        None => return self.abort("broken", "the replica fell silent"),
                     }
                 }
             }
@@ -144,14 +144,14 @@
     }
 
     /// Sends bytes to the caller; `false` if it left.
-    async fn pass(&mut self, bytes: Vec<u8>) -> bool {
+    async fn send_to_caller(&mut self, bytes: Vec<u8>) -> bool {
         if bytes.is_empty() {
             return true;
         }
         let events = event::count(&bytes);
         self.events += events;
-        if let Some(track) = &self.track {
-            track.events(events);
+        if let Some(tracked_run) = &self.tracked_run {
+            tracked_run.record_events(events);
         }
         if !self.started {
             self.started = true;
@@ -165,7 +165,7 @@
 
     /// Notes the time since the last event; a long one, at which a run was set aside or its replica fell
     /// silent, is told in the log.
-    fn note_gap(&self, key: Key, last: Instant) {
+    fn record_gap(&self, key: Key, last: Instant) {
         let gap = last.elapsed();
         self.shared.metrics.gap(gap.as_secs_f64());
         if self.started && gap > self.job.route.pause.unwrap_or(LONG_GAP) {
@@ -176,7 +176,7 @@
     }
 
     /// Ends the request; its body has no end and is broken off.
-    fn break_off(mut self, outcome: &'static str, cause: &str) {
+    fn abort(mut self, outcome: &'static str, cause: &str) {
         self.job.end(outcome, 200, cause);
     }
 }
--- a/crates/gateway/src/forward/copy.rs
+++ b/crates/gateway/src/forward/copy.rs
@@ -21,50 +21,50 @@
 use crate::connections::Connection;
 use crate::forward::End;
 use crate::forward::Forwarder;
-use crate::forward::STALL;
+use crate::forward::STALL_TIMEOUT;
 use crate::guard::InFlight;
 use crate::migration;
-use crate::migration::Stopped;
+use crate::migration::StoppedRun;
 use crate::run_tracking::TrackedRun;
 use crate::send::Reply;
 
 /// Time for the end of a stream whose run was stopped; its events are on their way by then.
-const LAST_EVENTS: Duration = Duration::from_millis(100);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// What a replica sends next: a part of the body, its end, or nothing until a moment.
-type Read = Result<Option<Result<Frame<Bytes>, hyper::Error>>, Elapsed>;
+type BodyRead = Result<Option<Result<Frame<Bytes>, hyper::Error>>, Elapsed>;
 
 /// A replica's part of a stream while it is read.
 #[derive(Debug)]
-struct Source {
+struct ReplicaStream {
     head: Head,
     body: Incoming,
     connection: Connection,
     guard: InFlight,
     /// Whether the answer tells where its body ends; else the body ends with its connection.
-    tells_end: bool,
+    has_explicit_end: bool,
     /// When its answer began.
     begun: Instant,
     last_event_at: Instant,
     /// Times that it was silent.
     silences: u32,
     /// Set once the run is stopped so that it can go on elsewhere.
-    stopped: Option<Stopped>,
+    stopped: Option<StoppedRun>,
 }
 
 /// What comes next while a replica is read.
 enum Step {
     /// Something is read, or silence.
-    Read(Read),
+    Read(BodyRead),
     /// The run is to go on at another replica.
-    Move(Key),
+    Migrate(Key),
     /// The replica has started again, and the run with it is lost.
     Restarted,
     /// The caller left.
-    Left,
+    CallerLeft,
 }
 
-impl Source {
+impl ReplicaStream {
     fn new(reply: Reply) -> Self {
         let Reply {
             head,
@@ -75,7 +75,7 @@
         let begun = Instant::now();
         Self {
             head,
-            tells_end: tells_end(&response),
+            has_explicit_end: has_explicit_end(&response),
             body: response.into_body(),
             connection,
             guard,
@@ -89,23 +89,23 @@
 
 impl Forwarder {
     /// Passes on what one replica sends.
-    pub(super) async fn copy(&mut self, reply: Reply) -> End {
-        let mut source = Source::new(reply);
-        self.may_be_stopped = false;
+    pub(super) async fn forward_from(&mut self, reply: Reply) -> End {
+        let mut source = ReplicaStream::new(reply);
+        self.may_have_stopped = false;
         loop {
             let end = match self.next_step(&mut source).await {
                 Step::Read(read) => self.handle_read(&mut source, read).await,
-                Step::Move(to) => {
-                    source.stopped = self.stop(source.guard.key, to).await;
+                Step::Migrate(to) => {
+                    source.stopped = self.stop_for_migration(source.guard.key, to).await;
                     None
                 }
                 Step::Restarted => Some(End::Broken("the replica has started again".to_owned())),
-                Step::Left => Some(End::Left),
+                Step::CallerLeft => Some(End::CallerLeft),
             };
             let Some(end) = end else { continue };
             // No replica will continue from the memory that was kept for the move.
             if let Some(stopped) = &source.stopped {
-                migration::free(&self.shared, stopped);
+                migration::free_cache(&self.shared, stopped);
             }
             if matches!(end, End::Complete) {
                 self.keep_connection(source);
@@ -114,23 +114,23 @@
         }
     }
 
-    async fn next_step(&mut self, source: &mut Source) -> Step {
-        let runs = source.stopped.is_none();
+    async fn next_step(&mut self, source: &mut ReplicaStream) -> Step {
+        let is_running = source.stopped.is_none();
         // A run goes on elsewhere only after an event whose id is known.
-        let movable = runs && matches!(self.position(), Ok(Some(_)));
+        let may_migrate = is_running && matches!(self.position(), Ok(Some(_)));
         let now = Instant::now();
-        let silent_at = if !runs {
-            now + LAST_EVENTS
+        let silent_at = if !is_running {
+            now + DRAIN_TIMEOUT
         } else if source.silences == 0 || self.is_resumable() {
-            min(self.job.deadline, now + STALL)
+            min(self.job.deadline, now + STALL_TIMEOUT)
         } else {
             self.job.deadline
         };
         tokio::select! {
             read = timeout_at(silent_at, source.body.frame()) => Step::Read(read),
-            to = ordered(&mut self.track), if movable => Step::Move(to),
-            () = self.shared.restarted(source.guard.key), if runs => Step::Restarted,
-            () = self.parts.closed() => Step::Left,
+            to = next_order(&mut self.tracked_run), if may_migrate => Step::Migrate(to),
+            () = self.shared.restarted(source.guard.key), if is_running => Step::Restarted,
+            () = self.parts.closed() => Step::CallerLeft,
         }
     }
 
@@ -147,15 +147,15 @@
     }
 
     /// Takes in what was read; the end of the replica's part, if this is it.
-    async fn handle_read(&mut self, source: &mut Source, read: Read) -> Option<End> {
+    async fn handle_read(&mut self, source: &mut ReplicaStream, read: BodyRead) -> Option<End> {
         // What the replica sent before it stopped the run is read to its end.
         let is_more = matches!(read, Ok(Some(Ok(_))));
         if let Some(stopped) = source.stopped.take_if(|_| !is_more) {
             return Some(End::Stopped(stopped));
         }
         match read {
-            Err(_) if Instant::now() >= self.job.deadline => Some(End::Overdue),
-            Err(_) => self.wait_on(source).await,
+            Err(_) if Instant::now() >= self.job.deadline => Some(End::TimedOut),
+            Err(_) => self.handle_silence(source).await,
             Ok(Some(Err(error))) => Some(End::Broken(error.to_string())),
             Ok(Some(Ok(frame))) => self.handle_frame(source, frame).await,
             Ok(None) => Some(self.finish(source).await),
@@ -163,22 +163,26 @@
     }
 
     /// What follows a silence: the replica is waited for, or left for another one.
-    async fn wait_on(&self, source: &mut Source) -> Option<End> {
+    async fn handle_silence(&self, source: &mut ReplicaStream) -> Option<End> {
         let key = source.guard.key;
         // A replica that still answers may have set the request aside; it gets more time.
         // One whose stream cannot be resumed is waited for in any case.
-        let waits = source.silences == 0 && (self.still_answers(key).await || !self.is_resumable());
-        let place = if waits {
+        let waits = source.silences == 0 && (self.is_responsive(key).await || !self.is_resumable());
+        let placement = if waits {
             None
         } else {
-            self.other_place().await
+            self.find_other_placement().await
         };
         // Without another place, waiting is the best there is.
         source.silences += 1;
-        place.map(End::Silent)
+        placement.map(End::Silent)
     }
 
-    async fn handle_frame(&mut self, source: &mut Source, frame: Frame<Bytes>) -> Option<End> {
+    async fn handle_frame(
+        &mut self,
+        source: &mut ReplicaStream,
+        frame: Frame<Bytes>,
+    ) -> Option<End> {
         // Trailers are for this connection.
         let data = frame.into_data().ok()?;
         let whole = match self.splitter.push(&data) {
@@ -186,35 +190,35 @@
             Err(error) => return Some(End::Broken(error.to_string())),
         };
         if !whole.is_empty() {
-            self.note_gap(source.guard.key, source.last_event_at);
+            self.record_gap(source.guard.key, source.last_event_at);
             source.last_event_at = Instant::now();
         }
-        let taken = self.pass(whole).await;
-        (!taken).then_some(End::Left)
+        let taken = self.send_to_caller(whole).await;
+        (!taken).then_some(End::CallerLeft)
     }
 
     /// Ends the replica's part: passes the rest on, unless the end may be a cut. A killed process closes its connections as
     /// well, and a run that is stopped its own.
-    async fn finish(&mut self, source: &Source) -> End {
-        if !source.tells_end && self.splitter.is_partial() {
+    async fn finish(&mut self, source: &ReplicaStream) -> End {
+        if !source.has_explicit_end && self.splitter.is_partial() {
             return End::Broken("it ended in the midst of an event".to_owned());
         }
-        if !source.tells_end && self.may_be_stopped {
+        if !source.has_explicit_end && self.may_have_stopped {
             return End::Broken("the run may have been stopped".to_owned());
         }
         let rest = match self.splitter.finish() {
             Ok(rest) => rest,
             Err(error) => return End::Broken(error.to_string()),
         };
-        if self.pass(rest).await {
+        if self.send_to_caller(rest).await {
             End::Complete
         } else {
-            End::Left
+            End::CallerLeft
         }
     }
 
     /// Notes how long a complete stream took, and keeps its connection.
-    fn keep_connection(&self, source: Source) {
+    fn keep_connection(&self, source: ReplicaStream) {
         self.shared
             .connections
             .keep_after(&source.head, source.connection);
@@ -224,15 +228,15 @@
 }
 
 /// Whether an answer tells where its body ends; else the body ends with its connection.
-fn tells_end(response: &Response<Incoming>) -> bool {
+fn has_explicit_end(response: &Response<Incoming>) -> bool {
     let in_chunks = response.headers().contains_key(header::TRANSFER_ENCODING);
     in_chunks || response.body().size_hint().exact().is_some()
 }
 
 /// Waits until the run is to go on elsewhere; forever if it is not followed.
-async fn ordered(track: &mut Option<TrackedRun>) -> Key {
-    match track {
-        Some(track) => track.ordered().await,
+async fn next_order(tracked_run: &mut Option<TrackedRun>) -> Key {
+    match tracked_run {
+        Some(tracked_run) => tracked_run.next_order().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/gateway/src/forward/resume.rs
+++ b/crates/gateway/src/forward/resume.rs
@@ -12,10 +12,10 @@
 
 use crate::control;
 use crate::forward::Forwarder;
-use crate::forward::STALL;
+use crate::forward::STALL_TIMEOUT;
 use crate::migration;
 use crate::migration::Outcome;
-use crate::migration::Stopped;
+use crate::migration::StoppedRun;
 use crate::placement;
 use crate::placement::Placement;
 use crate::search;
@@ -24,13 +24,13 @@
 use crate::send::Reply;
 
 /// Time for which no run is moved from a replica that did not move one.
-const UNMOVED: Duration = Duration::from_millis(300);
+const UNMOVED_PAUSE: Duration = Duration::from_millis(300);
 /// Time for which a run that was moved stays where it is.
-const MOVED: Duration = Duration::from_millis(500);
+const MOVED_PAUSE: Duration = Duration::from_millis(500);
 
 impl Forwarder {
     /// Stops the run at `from` so that it can go on at `to`; `None` if it goes on where it is.
-    pub(super) async fn stop(&mut self, from: Key, to: Key) -> Option<Stopped> {
+    pub(super) async fn stop_for_migration(&mut self, from: Key, to: Key) -> Option<StoppedRun> {
         let request = &self.job.call.id;
         let granted = self.shared.allow(&self.job, Work::Run);
         let outcome = if granted {
@@ -38,7 +38,7 @@
         } else {
             Outcome::Unchanged("no retry is left")
         };
-        self.may_be_stopped |= matches!(outcome, Outcome::Unknown(_));
+        self.may_have_stopped |= matches!(outcome, Outcome::Unknown(_));
         let pool = self.shared.pool.borrow();
         let name = |key| pool.get(key).map_or("", |server| &server.replica.id);
         let (stopped, cause) = match outcome {
@@ -52,21 +52,21 @@
             "unmoved"
         };
         self.shared.metrics.moved(moved);
-        let copied = stopped.as_ref().is_some_and(|s| s.places.len() > 1);
+        let copied = stopped.as_ref().is_some_and(|s| s.candidates.len() > 1);
         log::info!(kind = "move", request = request, replica = name(from), to = name(to), stopped = stopped.is_some(), copied = copied, events = self.events, cause = cause; "a run is to go on at another replica");
-        if let Some(track) = self.track.as_ref().filter(|_| stopped.is_none()) {
-            track.keep(UNMOVED);
+        if let Some(tracked_run) = self.tracked_run.as_ref().filter(|_| stopped.is_none()) {
+            tracked_run.block_moves(UNMOVED_PAUSE);
         }
         stopped
     }
 
     /// Has a run that stopped go on, at the other replica if it has a copy of the memory.
-    pub(super) async fn go_on(&mut self, stopped: Stopped) -> Option<Reply> {
+    pub(super) async fn continue_run(&mut self, stopped: StoppedRun) -> Option<Reply> {
         let Ok(Some(last_event)) = self.splitter.resume(self.job.call.last_event) else {
-            migration::free(&self.shared, &stopped);
+            migration::free_cache(&self.shared, &stopped);
             return None;
         };
-        for key in &stopped.places {
+        for key in &stopped.candidates {
             let Some(permit) = self.shared.permit(&self.job, Work::Run) else {
                 break;
             };
@@ -81,14 +81,14 @@
                 () = self.parts.closed() => None,
             };
             let Some(sent) = sent else {
-                migration::free(&self.shared, &stopped);
+                migration::free_cache(&self.shared, &stopped);
                 return None;
             };
             match sent {
                 Ok(reply) if reply.head.status == StatusCode::OK => {
-                    if let Some(track) = &mut self.track {
-                        track.moved(*key);
-                        track.settle(MOVED);
+                    if let Some(tracked_run) = &mut self.tracked_run {
+                        tracked_run.record_move(*key);
+                        tracked_run.stay(MOVED_PAUSE);
                     }
                     return Some(reply);
                 }
@@ -96,35 +96,40 @@
                 Err(Sent::NotRun | Sent::NotSent) => {}
             }
         }
-        migration::free(&self.shared, &stopped);
+        migration::free_cache(&self.shared, &stopped);
         self.resume(None).await
     }
 
     /// Whether the replica, which has been silent for [`STALL`], answers a question.
-    pub(super) async fn still_answers(&self, key: Key) -> bool {
+    pub(super) async fn is_responsive(&self, key: Key) -> bool {
         let answers = control::is_responsive(&self.shared, key).await;
         let pool = self.shared.pool.borrow();
         let replica = pool.get(key).map_or("", |server| &server.replica.id);
-        let ms = STALL.as_millis() as u64;
+        let ms = STALL_TIMEOUT.as_millis() as u64;
         log::info!(kind = "silence", request = self.job.call.id, replica = replica, ms = ms, answers = answers; "a replica sends nothing");
         answers
     }
 
     /// A place at another replica, while the present one is silent; none if no retry is left to go
     /// there.
-    pub(super) async fn other_place(&self) -> Option<Placement> {
+    pub(super) async fn find_other_placement(&self) -> Option<Placement> {
         if !self.shared.may_allow(&self.job) {
             return None;
         }
-        let find = placement::find_now(&self.shared, &self.job, &self.tried, self.made());
+        let find = placement::find_now(
+            &self.shared,
+            &self.job,
+            &self.tried,
+            self.generated_tokens(),
+        );
         tokio::select! {
-            place = find => place,
+            placement = find => placement,
             () = self.parts.closed() => None,
         }
     }
 
     /// Has another replica go on after the last event, at `place` if there is one.
-    pub(super) async fn resume(&mut self, place: Option<Placement>) -> Option<Reply> {
+    pub(super) async fn resume(&mut self, placement: Option<Placement>) -> Option<Reply> {
         let last_event = self.splitter.resume(self.job.call.last_event).ok()?;
         let (shared, job) = (&self.shared, &self.job);
         let in_budget = || shared.allow(job, Work::Run);
@@ -132,12 +137,12 @@
         if next != Next::Retry {
             return None;
         }
-        let made = self.made();
+        let generated = self.generated_tokens();
         let search = Search {
             attempt: &mut self.attempt,
             tried: &mut self.tried,
-            place,
-            made,
+            placement,
+            generated,
             last_event,
         };
         let opened = search::open(&self.shared, &self.job, search);
@@ -148,15 +153,15 @@
         if opened.reply.head.status != StatusCode::OK {
             return None;
         }
-        self.track = opened.track;
+        self.tracked_run = opened.tracked_run;
         Some(opened.reply)
     }
 
     /// Tokens that were made so far.
-    fn made(&self) -> u64 {
+    fn generated_tokens(&self) -> u64 {
         let runs = self.shared.runs.borrow();
-        self.track
+        self.tracked_run
             .as_ref()
-            .map_or(0, |track| runs.made_by(track.id()))
+            .map_or(0, |tracked_run| runs.made_by(tracked_run.id()))
     }
 }
--- a/crates/gateway/src/guard.rs
+++ b/crates/gateway/src/guard.rs
@@ -36,21 +36,21 @@
     pub key: Key,
     tokens: u64,
     /// Whether it only reads a prompt.
-    reads: bool,
+    prefill_only: bool,
 }
 
 impl InFlight {
     /// Counts one more request of `tokens` at the replica `key`, which `reads` its prompt and no more.
-    pub fn new(shared: &Rc<Shared>, key: Key, tokens: u64, reads: bool) -> Self {
+    pub fn new(shared: &Rc<Shared>, key: Key, tokens: u64, prefill_only: bool) -> Self {
         shared.pool.borrow_mut().begin(key, tokens);
-        if reads {
+        if prefill_only {
             shared.runs_changed.notify_one();
         }
         Self {
             shared: Rc::clone(shared),
             key,
             tokens,
-            reads,
+            prefill_only,
         }
     }
 }
@@ -58,7 +58,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.shared.pool.borrow_mut().end(self.key, self.tokens);
-        if self.reads {
+        if self.prefill_only {
             self.shared.runs_changed.notify_one();
         }
     }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -71,7 +71,7 @@
     /// Replicas that it was sent to.
     sent_to: RefCell<HashSet<Key>>,
     shared: Rc<Shared>,
-    done: bool,
+    end_recorded: bool,
 }
 
 impl Job {
@@ -112,12 +112,12 @@
             allowance: RefCell::new(Allowance::new()),
             sent_to: RefCell::default(),
             shared: Rc::clone(shared),
-            done: false,
+            end_recorded: false,
         }
     }
 
     /// Time that is left.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -133,7 +133,7 @@
 
     /// Notes a send to the replica `key`; whether it is the first one there. Callers give each of their attempts an id of
     /// its own, so that sends of other jobs need not be known.
-    pub fn is_first_send(&self, key: Key) -> bool {
+    pub fn record_first_send(&self, key: Key) -> bool {
         self.sent_to.borrow_mut().insert(key)
     }
 
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     /// If its parts make no request.
-    pub fn request(
+    pub fn build_request(
         &self,
         replica: &str,
         task: Task,
@@ -149,7 +149,7 @@
     ) -> Result<Request<Full<Bytes>>, http::Error> {
         let hop = Hop {
             replica,
-            left: self.left(),
+            left: self.time_left(),
             task,
             reservation,
             priority: self.customer().and_then(|customer| customer.priority),
@@ -157,7 +157,7 @@
         };
         let mut request = Request::builder()
             .method(self.method.clone())
-            .uri(path(&self.uri))
+            .uri(path_and_query(&self.uri))
             .body(Full::new(self.body.clone()))?;
         *request.headers_mut() = caller::headers(&self.headers, &hop);
         Ok(request)
@@ -186,47 +186,47 @@
     }
 
     /// Tokens of the prompt; 0 if the caller does not tell.
-    pub fn prompt(&self) -> u64 {
+    pub fn prompt_tokens(&self) -> u64 {
         self.call.tokens.unwrap_or_default().0
     }
 
     /// Tokens of the prompt and, as far as can be told, of the answer.
-    pub fn tokens(&self) -> u64 {
+    pub fn expected_tokens(&self) -> u64 {
         let size = self.size(0);
         size.prompt + size.estimate
     }
 
     /// What the generation asks of a decode replica, after `made` tokens were made.
-    pub fn size(&self, made: u64) -> Size {
-        let (prompt, most) = self.call.tokens.unwrap_or_default();
-        let estimate = self.call.expected_output.unwrap_or(most / 2);
+    pub fn size(&self, generated: u64) -> Size {
+        let (prompt, max_output) = self.call.tokens.unwrap_or_default();
+        let estimate = self.call.expected_output.unwrap_or(max_output / 2);
         Size {
             prompt,
-            estimate: estimate.min(most),
-            most,
-            made,
+            estimate: estimate.min(max_output),
+            most: max_output,
+            made: generated,
         }
     }
 
     /// Notes how the request ended.
     pub fn end(&mut self, outcome: &'static str, status: u16, cause: &str) {
-        self.done = true;
+        self.end_recorded = true;
         let ms = self.age().as_millis() as u64;
         self.shared.metrics.request(outcome);
         let customer = self.customer().map_or("", |customer| &customer.name);
         self.shared.count_customer(customer, outcome);
-        log::info!(kind = "end", request = self.call.id, customer = customer, route = self.route.name, service = self.service, plan = self.plan, outcome = outcome, status = status, ms = ms, cause = cause; "request ended");
+        log::info!(kind = "end", request = self.call.id, customer = customer, route = self.route.name, service = self.service, plan = self.plan, outcome = outcome, status = status, ms = ms, cause = cause; "request end_recorded");
     }
 }
 
 /// Path and query of a request: what replicas are sent of its URI, and what tells it from others.
-pub fn path(uri: &Uri) -> &str {
+pub fn path_and_query(uri: &Uri) -> &str {
     uri.path_and_query().map_or("/", PathAndQuery::as_str)
 }
 
 impl Drop for Job {
     fn drop(&mut self) {
-        if !self.done {
+        if !self.end_recorded {
             self.end("caller-left", 0, "the caller closed the connection");
         }
     }
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -43,8 +43,8 @@
         return true;
     };
     let purpose = Purpose::Run { patience_ms: 0 };
-    let heard = client::ask(shared, demand, purpose).await;
-    let decision = heard.map(|heard| heard.told.decision);
+    let reply = client::ask(shared, demand, purpose).await;
+    let decision = reply.map(|reply| reply.answer.decision);
     let pause = match decision {
         Some(Decision::Granted { .. }) => return true,
         Some(Decision::Refused { come_back_ms }) => Duration::from_millis(come_back_ms.into()),
--- a/crates/gateway/src/listen.rs
+++ b/crates/gateway/src/listen.rs
@@ -18,7 +18,7 @@
 use crate::body::Body;
 use crate::connections;
 use crate::phase::Phase;
-use crate::phase::Watched;
+use crate::phase::TrackedSocket;
 
 /// Pause after a failed accept; the usual cause is too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
@@ -63,7 +63,7 @@
     A: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    if let Err(error) = connections::tune(&socket) {
+    if let Err(error) = connections::configure_socket(&socket) {
         log::debug!(kind = "listen", peer = peer.to_string(), cause = error.to_string(); "a socket could not be set up");
     }
     let phase = Phase::new();
@@ -76,13 +76,13 @@
             Ok::<_, Infallible>(response.map(|body| body.with_busy(busy)))
         }
     });
-    let socket = Watched::new(socket, phase.clone());
+    let socket = TrackedSocket::new(socket, phase.clone());
     let served = http1::Builder::new()
         .max_buf_size(bounds.header_bytes.max(MIN_BUFFER))
         .serve_connection(TokioIo::new(socket), service);
     let served = tokio::select! {
         served = served => served,
-        () = phase.overdue(bounds.header_timeout, bounds.idle_timeout) => return,
+        () = phase.wait_until_expired(bounds.header_timeout, bounds.idle_timeout) => return,
     };
     if let Err(error) = served {
         log::debug!(kind = "listen", peer = peer.to_string(), cause = error.to_string(); "a connection ended");
--- a/crates/gateway/src/migration.rs
+++ b/crates/gateway/src/migration.rs
@@ -17,11 +17,11 @@
 
 /// Times that a move is asked for; one whose answer was lost may have been carried out, and then
 /// tells the name of the memory when it is asked for again.
-const TRIES: usize = 2;
+const MAX_TRIES: usize = 2;
 
 /// A run that stopped so that it can go on elsewhere.
 #[derive(Debug)]
-pub struct Stopped {
+pub struct StoppedRun {
     /// Where it was.
     pub from: Key,
     /// Address of that replica.
@@ -29,14 +29,14 @@
     /// Name of its memory there.
     pub handle: String,
     /// Where it can go on: the other replica if it has a copy, and the one where it was.
-    pub places: Vec<Key>,
+    pub candidates: Vec<Key>,
 }
 
 /// How a move ended.
 #[derive(Debug)]
 pub enum Outcome {
     /// The run stopped.
-    Stopped(Stopped),
+    Stopped(StoppedRun),
     /// It goes on where it is.
     Unchanged(&'static str),
     /// Whether it stopped is not known.
@@ -48,8 +48,8 @@
     let Some((source, target)) = replicas(shared, from, to) else {
         return Outcome::Unchanged("a replica is gone");
     };
-    let mut lost = None;
-    for _ in 0..TRIES {
+    let mut uncertain = None;
+    for _ in 0..MAX_TRIES {
         let call = Call {
             to: source.address,
             replica: source.id.clone(),
@@ -58,38 +58,38 @@
             body: engine::move_body(request, target.address),
         };
         let outcome = match control::call(shared, call).await {
-            Ok(answer) => read_answer(&answer, from, source.address, to),
+            Ok(answer) => parse_answer(&answer, from, source.address, to),
             Err(error) => {
                 // Another question does not undo what this one may have done.
-                lost = lost.or_else(|| error.is_uncertain().then(|| error.to_string()));
+                uncertain = uncertain.or_else(|| error.is_uncertain().then(|| error.to_string()));
                 continue;
             }
         };
-        return match (outcome, lost) {
+        return match (outcome, uncertain) {
             // The question that has no answer may have stopped the run.
             (Outcome::Unchanged(_), Some(cause)) => Outcome::Unknown(cause),
             (outcome, _) => outcome,
         };
     }
-    lost.map_or(
+    uncertain.map_or(
         Outcome::Unchanged("the replica cannot be reached"),
         Outcome::Unknown,
     )
 }
 
 /// What the answer of the replica behind `from`, which is at `address`, says.
-fn read_answer(answer: &Answer, from: Key, address: SocketAddr, to: Key) -> Outcome {
-    let places = match answer.status {
+fn parse_answer(answer: &Answer, from: Key, address: SocketAddr, to: Key) -> Outcome {
+    let candidates = match answer.status {
         StatusCode::OK => vec![to, from],
         StatusCode::NOT_FOUND => return Outcome::Unchanged("the replica does not run it"),
         _ => vec![from],
     };
     match Moved::read(&answer.body) {
-        Ok(moved) => Outcome::Stopped(Stopped {
+        Ok(moved) => Outcome::Stopped(StoppedRun {
             from,
             address,
             handle: moved.handle,
-            places,
+            candidates,
         }),
         // 200 and 503, which is no room at the other replica, both mean that the run stopped.
         Err(_)
@@ -112,7 +112,7 @@
 }
 
 /// Frees memory that nobody goes on from.
-pub fn free(shared: &Rc<Shared>, stopped: &Stopped) {
+pub fn free_cache(shared: &Rc<Shared>, stopped: &StoppedRun) {
     let source = shared.pool.borrow().get(stopped.from).cloned();
     let Some(source) = source else { return };
     let call = Call {
--- a/crates/gateway/src/phase.rs
+++ b/crates/gateway/src/phase.rs
@@ -18,7 +18,7 @@
 
 /// What a connection is doing.
 #[derive(Debug, Clone, Copy)]
-enum Doing {
+enum Activity {
     /// Nothing since then.
     Idle(Instant),
     /// The head of a request has been coming in since then.
@@ -30,15 +30,15 @@
 /// The phase of one connection, shared by its socket, its requests and its timer.
 #[derive(Debug, Clone)]
 pub struct Phase {
-    doing: Rc<Cell<Doing>>,
+    activity: Rc<Cell<Activity>>,
     /// Whether an answer without a length is being sent: an orderly close would pass a cut off as its end.
     reset_on_close: Rc<Cell<bool>>,
 }
 
 /// A request that is being served; the connection is idle again when this is dropped.
 #[derive(Debug)]
-pub struct Busy {
-    doing: Rc<Cell<Doing>>,
+pub struct BusyGuard {
+    activity: Rc<Cell<Activity>>,
     reset_on_close: Rc<Cell<bool>>,
     /// Whether an answer without a length ends with the connection.
     ends_with_connection: bool,
@@ -48,16 +48,16 @@
     /// A connection that was accepted now.
     pub fn new() -> Self {
         Self {
-            doing: Rc::new(Cell::new(Doing::Idle(Instant::now()))),
+            activity: Rc::new(Cell::new(Activity::Idle(Instant::now()))),
             reset_on_close: Rc::new(Cell::new(false)),
         }
     }
 
     /// Notes that a request of this HTTP version is being served.
-    pub fn begin(&self, version: Version) -> Busy {
-        self.doing.set(Doing::Busy);
-        Busy {
-            doing: Rc::clone(&self.doing),
+    pub fn begin(&self, version: Version) -> BusyGuard {
+        self.activity.set(Activity::Busy);
+        BusyGuard {
+            activity: Rc::clone(&self.activity),
             reset_on_close: Rc::clone(&self.reset_on_close),
             ends_with_connection: version < Version::HTTP_11,
         }
@@ -65,13 +65,13 @@
 
     /// Waits until a head takes longer than `head`, or the connection is idle for longer than
     /// `idle`.
-    pub async fn overdue(&self, head: Duration, idle: Duration) {
+    pub async fn wait_until_expired(&self, head: Duration, idle: Duration) {
         loop {
             let now = Instant::now();
-            let due = match self.doing.get() {
-                Doing::Idle(since) => since + idle,
-                Doing::Head(since) => since + head,
-                Doing::Busy => now + head,
+            let due = match self.activity.get() {
+                Activity::Idle(since) => since + idle,
+                Activity::Head(since) => since + head,
+                Activity::Busy => now + head,
             };
             if due <= now {
                 return;
@@ -88,7 +88,7 @@
     }
 }
 
-impl Busy {
+impl BusyGuard {
     /// Notes whether the answer, which has no length, is still to be completed.
     pub fn set_unfinished(&self, unfinished: bool) {
         self.reset_on_close
@@ -96,28 +96,28 @@
     }
 }
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
-        self.doing.set(Doing::Idle(Instant::now()));
+        self.activity.set(Activity::Idle(Instant::now()));
     }
 }
 
 /// A socket that notes when the head of a request begins, and resets the connection if an orderly close would pass a cut
 /// answer off as complete.
 #[derive(Debug)]
-pub struct Watched {
+pub struct TrackedSocket {
     socket: TcpStream,
     phase: Phase,
 }
 
-impl Watched {
+impl TrackedSocket {
     /// `socket`, whose phase is `phase`.
     pub const fn new(socket: TcpStream, phase: Phase) -> Self {
         Self { socket, phase }
     }
 }
 
-impl Drop for Watched {
+impl Drop for TrackedSocket {
     fn drop(&mut self) {
         if !self.phase.reset_on_close.get() {
             return;
@@ -128,7 +128,7 @@
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for TrackedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -136,9 +136,9 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.socket).poll_read(context, buffer);
-        match self.phase.doing.get() {
-            Doing::Idle(_) if buffer.filled().len() > before => {
-                self.phase.doing.set(Doing::Head(Instant::now()));
+        match self.phase.activity.get() {
+            Activity::Idle(_) if buffer.filled().len() > before => {
+                self.phase.activity.set(Activity::Head(Instant::now()));
             }
             _ => {}
         }
@@ -146,7 +146,7 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for TrackedSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -31,19 +31,19 @@
 /// every 60 ms.
 const ROUND_PAUSE: Duration = Duration::from_millis(30);
 /// Replicas asked in one round.
-const ROUND: usize = 3;
+const REPLICAS_PER_ROUND: usize = 3;
 
 /// A decode replica that is to serve a request.
 #[derive(Debug)]
 pub struct Placement {
     key: Key,
-    reserved: Option<Reserved>,
-    track: Option<TrackedRun>,
+    reserved: Option<HeldReservation>,
+    tracked_run: Option<TrackedRun>,
 }
 
 /// A reservation; given back if it is dropped unused.
 #[derive(Debug)]
-struct Reserved {
+struct HeldReservation {
     shared: Rc<Shared>,
     address: SocketAddr,
     replica: String,
@@ -52,8 +52,8 @@
 }
 
 /// How asking one replica ended.
-enum Asked {
-    Room(Reserved),
+enum ReserveOutcome {
+    Granted(HeldReservation),
     NoRoom,
     /// The replica did not answer.
     Failed(String),
@@ -71,48 +71,53 @@
     }
 
     /// Notes that the replica reads the prompt itself.
-    pub fn reads(&self) {
-        if let Some(track) = &self.track {
-            track.reads(self.key);
+    pub fn note_local_prefill(&self) {
+        if let Some(tracked_run) = &self.tracked_run {
+            tracked_run.note_local_prefill(self.key);
         }
     }
 
     /// Notes that the request has taken the reservation up; gives the run that has begun.
-    pub fn used(self) -> Option<TrackedRun> {
+    pub fn into_run(self) -> Option<TrackedRun> {
         if let Some(mut reserved) = self.reserved {
             reserved.used = true;
         }
-        self.track
+        self.tracked_run
     }
 }
 
 /// Finds a place for `job`, of which `made` tokens were made, at a replica that is not among `tried`;
 /// `None` if there is no room.
-pub async fn find(shared: &Rc<Shared>, job: &Job, tried: &[Key], made: u64) -> Option<Placement> {
-    let Some(engine) = engine(shared, job) else {
-        let key = plain::replica(shared, job, Some(Stage::Decode), tried).await?;
+pub async fn find(
+    shared: &Rc<Shared>,
+    job: &Job,
+    tried: &[Key],
+    generated: u64,
+) -> Option<Placement> {
+    let Some(engine) = reserving_engine(shared, job) else {
+        let key = plain::choose_replica(shared, job, Some(Stage::Decode), tried).await?;
         return Some(Placement {
             key,
             reserved: None,
-            track: None,
+            tracked_run: None,
         });
     };
     let begun = Instant::now();
     let objective = job.route.objective;
-    let kind = kind(job, made);
+    let kind = generation_kind(job, generated);
     // What is late already waits from now on.
     let from = if kind == Kind::New {
         job.arrived
     } else {
         begun
     };
-    let until = from + objective.mul_f64(kind.terms(usual(shared)).wait);
-    let turn = QueueEntry::new(shared, &job.service, job.priority(), kind == Kind::Returned);
+    let until = from + objective.mul_f64(kind.terms(new_request_terms(shared)).wait);
+    let queue_entry = QueueEntry::new(shared, &job.service, job.priority(), kind == Kind::Returned);
     let mut rounds = 0;
     loop {
         // A stream that is resumed waits for nobody: without a place it breaks off.
-        let found = if kind == Kind::Due || turn.is_now() {
-            round(shared, job, tried, engine, kind, made).await
+        let found = if kind == Kind::Due || queue_entry.is_first() {
+            try_round(shared, job, tried, engine, kind, generated).await
         } else {
             None
         };
@@ -122,9 +127,9 @@
         }
         rounds += 1;
         if Instant::now() + ROUND_PAUSE > until {
-            let read = shared.read_time(&job.service, job.prompt());
+            let read = shared.read_time(&job.service, job.prompt_tokens());
             let read_ms = read.unwrap_or_default().as_millis() as u64;
-            log::info!(kind = "reserve", request = job.call.id, class = format!("{kind:?}"), rounds = rounds, tokens = job.tokens(), read_ms = read_ms; "no decode replica has room");
+            log::info!(kind = "reserve", request = job.call.id, class = format!("{kind:?}"), rounds = rounds, tokens = job.expected_tokens(), read_ms = read_ms; "no decode replica has room");
             return None;
         }
         // Another round is due when a run ends here, or others told of theirs.
@@ -137,58 +142,58 @@
     shared: &Rc<Shared>,
     job: &Job,
     tried: &[Key],
-    made: u64,
+    generated: u64,
 ) -> Option<Placement> {
-    let Some(engine) = engine(shared, job) else {
+    let Some(engine) = reserving_engine(shared, job) else {
         let choose = || shared.choose(&job.service, Some(Stage::Decode), tried);
         let key = limit::choose_admitted(shared, choose).await?;
         return Some(Placement {
             key,
             reserved: None,
-            track: None,
+            tracked_run: None,
         });
     };
-    round(shared, job, tried, engine, Kind::Due, made).await
+    try_round(shared, job, tried, engine, Kind::Due, generated).await
 }
 
 /// Asks some replicas, the best first.
-async fn round(
+async fn try_round(
     shared: &Rc<Shared>,
     job: &Job,
     tried: &[Key],
     engine: Engine,
     kind: Kind,
-    made: u64,
+    generated: u64,
 ) -> Option<Placement> {
     let placing = shared.settings().placing;
-    let size = job.size(made);
+    let size = job.size(generated);
     let read = shared.read_time(&job.service, size.prompt);
     let idle = kind.idle_part(job.route.objective, job.age(), read.unwrap_or_default());
-    let ask = Ask {
+    let memory_demand = Ask {
         curve: shared.runs.borrow().ask(&job.service, size),
         spreads: placing.spreads,
-        spare: kind.terms(usual(shared)).spare.max(idle),
+        spare: kind.terms(new_request_terms(shared)).spare.max(idle),
     };
     let expected = size.estimate as f64 * placing.reserve;
-    let tokens = size.prompt + (expected as u64).max(made);
+    let tokens = size.prompt + (expected as u64).max(generated);
     let mut asked = tried.to_vec();
-    for _ in 0..ROUND {
-        let choose = || shared.choose_room(&job.service, &asked, ask);
+    for _ in 0..REPLICAS_PER_ROUND {
+        let choose = || shared.choose_room(&job.service, &asked, memory_demand);
         let key = limit::choose_admitted(shared, choose).await?;
         asked.push(key);
-        let track = TrackedRun::new(shared, &job.service, key, size, engine.event_tokens);
+        let tracked_run = TrackedRun::new(shared, &job.service, key, size, engine.event_tokens);
         match reserve(shared, tokens, key, engine.max_reservation).await {
-            Asked::Room(reserved) => {
+            ReserveOutcome::Granted(reserved) => {
                 let now = shared.clock.now();
                 shared.pool.borrow_mut().roomy(now, key);
                 return Some(Placement {
                     key,
                     reserved: Some(reserved),
-                    track: Some(track),
+                    tracked_run: Some(tracked_run),
                 });
             }
-            Asked::NoRoom => shared.pool.borrow_mut().full(shared.clock.now(), key),
-            Asked::Failed(cause) => {
+            ReserveOutcome::NoRoom => shared.pool.borrow_mut().full(shared.clock.now(), key),
+            ReserveOutcome::Failed(cause) => {
                 shared.pool.borrow_mut().note(shared.clock.now(), key, true);
                 shared.note_silent(key);
                 log::info!(kind = "reserve", request = job.call.id, cause = cause; "a replica did not answer");
@@ -199,16 +204,16 @@
 }
 
 /// What kind of generation `job` is, of which `made` tokens were made.
-fn kind(job: &Job, made: u64) -> Kind {
+fn generation_kind(job: &Job, generated: u64) -> Kind {
     match job.call.last_event {
-        None if made == 0 && job.returned => Kind::Returned,
-        None if made == 0 => Kind::New,
+        None if generated == 0 && job.returned => Kind::Returned,
+        None if generated == 0 => Kind::New,
         _ => Kind::Due,
     }
 }
 
 /// The terms of a new generation.
-fn usual(shared: &Shared) -> Terms {
+fn new_request_terms(shared: &Shared) -> Terms {
     let placing = shared.settings().placing;
     Terms {
         wait: placing.wait,
@@ -217,35 +222,35 @@
 }
 
 /// The engine that serves `job`; `None` where replicas keep no reservations.
-fn engine(shared: &Shared, job: &Job) -> Option<Engine> {
+fn reserving_engine(shared: &Shared, job: &Job) -> Option<Engine> {
     let plan = shared.plan()?;
     let engine = plan.services.get(&job.service)?.engine?;
     (!engine.max_reservation.is_zero()).then_some(engine)
 }
 
-async fn reserve(shared: &Rc<Shared>, tokens: u64, key: Key, life: Duration) -> Asked {
+async fn reserve(shared: &Rc<Shared>, tokens: u64, key: Key, lifetime: Duration) -> ReserveOutcome {
     let replica = shared.pool.borrow().get(key).map(|s| s.replica.clone());
     let Some(replica) = replica else {
-        return Asked::Failed("the replica is gone".to_owned());
+        return ReserveOutcome::Failed("the replica is gone".to_owned());
     };
     let call = Call {
         to: replica.address,
         replica: replica.id.clone(),
         method: Method::POST,
         path: wire::RESERVE_PATH.to_owned(),
-        body: wire::reserve_body(tokens, life),
+        body: wire::reserve_body(tokens, lifetime),
     };
     match control::call(shared, call).await {
         // It takes no more connections.
         Err(control::Error::Closed { cause }) => {
             log::info!(kind = "reserve", replica = replica.id, cause = cause; "a replica closed the connection of a reservation");
-            Asked::NoRoom
+            ReserveOutcome::NoRoom
         }
-        Err(error) => Asked::Failed(error.to_string()),
+        Err(error) => ReserveOutcome::Failed(error.to_string()),
         Ok(answer) if answer.status == StatusCode::OK => match Reservation::read(&answer.body) {
             Ok(reservation) => {
                 shared.note_birth(key, reservation.birth);
-                Asked::Room(Reserved {
+                ReserveOutcome::Granted(HeldReservation {
                     shared: Rc::clone(shared),
                     address: replica.address,
                     replica: replica.id,
@@ -253,13 +258,13 @@
                     used: false,
                 })
             }
-            Err(error) => Asked::Failed(error.to_string()),
+            Err(error) => ReserveOutcome::Failed(error.to_string()),
         },
-        Ok(_) => Asked::NoRoom,
+        Ok(_) => ReserveOutcome::NoRoom,
     }
 }
 
-impl Drop for Reserved {
+impl Drop for HeldReservation {
     fn drop(&mut self) {
         if self.used {
             return;
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -29,23 +29,23 @@
 use crate::shared::Shared;
 
 /// Bytes of an answer at most; it is held in memory until it is whole.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 /// Part of the objective that a request waits for a replica; one that is refused sooner may come
 /// back in time.
-const WAIT_PART: f64 = 0.2;
+const MAX_WAIT_FRACTION: f64 = 0.2;
 /// Times the objective after which a silent replica is left for another one, where the request may be
 /// repeated. Nine in ten answers come within a third of the objective, and the slowest of a sound
 /// replica within one and a half.
-const SILENCE: f64 = 2.0;
+const SILENCE_FACTOR: f64 = 2.0;
 /// Pause between two looks for a replica.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a quarantined request is refused.
-const QUARANTINED: &str = "replicas ended under this request";
+const QUARANTINED_CAUSE: &str = "replicas ended under this request";
 /// What its caller is told: to send it elsewhere, or at once again, does not help.
 const QUARANTINED_TEXT: &str = "replicas ended under this request; it has not run\n";
 /// Why a request is rejected whose API key was taken away while it waited.
-const DENIED: &str = "its API key was taken away";
+const DENIED_CAUSE: &str = "its API key was taken away";
 /// What other callers are told.
 const REFUSED_TEXT: &str = "no replica could take the request; it has not run\n";
 
@@ -63,59 +63,59 @@
     let mut tried = Vec::new();
     let mut failure = None;
     loop {
-        let Some(key) = replica(shared, &job, None, &tried).await else {
-            return without_replica(shared, &mut job, &attempt, failure);
+        let Some(key) = choose_replica(shared, &job, None, &tried).await else {
+            return respond_without_replica(shared, &mut job, &attempt, failure);
         };
         let Some(permit) = job.take_permit(Work::Run) else {
-            return without_replica(shared, &mut job, &attempt, failure);
+            return respond_without_replica(shared, &mut job, &attempt, failure);
         };
         tried.push(key);
         attempt.sent();
-        let may_leave = attempt.may_move_on();
-        let sent = send_to(shared, &job, key, permit, may_leave, &tried).await;
-        if matches!(&sent, Sent::Answered(answer) if answer.status.is_success()) {
+        let may_abandon = attempt.may_move_on();
+        let sent = send_to(shared, &job, key, permit, may_abandon, &tried).await;
+        if matches!(&sent, SendResult::Answered(answer) if answer.status.is_success()) {
             shared.note_served(job.fingerprint);
         }
         let next = match sent {
-            Sent::Overdue => {
+            SendResult::TimedOut => {
                 return finish(&mut job, "overdue", responses::overdue, "no answer in time");
             }
-            Sent::Left => attempt.after(Outcome::Lost, || true),
-            Sent::Answered(answer) if is_failure(&job, &answer) => {
+            SendResult::Abandoned => attempt.after(Outcome::Lost, || true),
+            SendResult::Answered(answer) if is_retryable_failure(&job, &answer) => {
                 let (cause, status) = ("its own failure", answer.status.as_u16());
-                send::note(shared, &job, key, Outcome::Failed, cause, status);
+                send::record_failure(shared, &job, key, Outcome::Failed, cause, status);
                 failure = Some(answer);
-                after(shared, &job, &mut attempt, Outcome::Failed)
+                next_after(shared, &job, &mut attempt, Outcome::Failed)
             }
-            Sent::Answered(answer) => {
-                send::note_success(shared, key);
-                return relay(shared, &mut job, answer);
+            SendResult::Answered(answer) => {
+                send::record_success(shared, key);
+                return forward(shared, &mut job, answer);
             }
-            Sent::Failed(outcome) => after(shared, &job, &mut attempt, outcome),
+            SendResult::Failed(outcome) => next_after(shared, &job, &mut attempt, outcome),
         };
         match next {
             Next::Retry => {}
             Next::Relay | Next::Unknown | Next::Refuse => {
-                return without_replica(shared, &mut job, &attempt, failure);
+                return respond_without_replica(shared, &mut job, &attempt, failure);
             }
         }
     }
 }
 
-fn after(shared: &Shared, job: &Job, attempt: &mut Attempt, outcome: Outcome) -> Next {
+fn next_after(shared: &Shared, job: &Job, attempt: &mut Attempt, outcome: Outcome) -> Next {
     attempt.after(outcome, || shared.allow(job, Work::Run))
 }
 
 /// How one send ended.
-enum Sent {
+enum SendResult {
     /// With a whole answer.
     Answered(Answer),
     /// Without one.
     Failed(Outcome),
     /// The replica was silent for too long and is left for another one; the retry is taken.
-    Left,
+    Abandoned,
     /// Time is up.
-    Overdue,
+    TimedOut,
 }
 
 /// Sends `job` to `key`; leaves it if it is silent, another replica than those `tried` can take the
@@ -125,19 +125,19 @@
     job: &Job,
     key: Key,
     permit: Permit,
-    may_leave: bool,
+    may_abandon: bool,
     tried: &[Key],
-) -> Sent {
+) -> SendResult {
     let mut exchange = std::pin::pin!(exchange(shared, job, key, permit));
-    let silence = Instant::now() + job.route.objective.mul_f64(SILENCE);
-    let first = if may_leave {
+    let silence = Instant::now() + job.route.objective.mul_f64(SILENCE_FACTOR);
+    let first = if may_abandon {
         silence.min(job.deadline)
     } else {
         job.deadline
     };
     let ended = async {
         match timeout_at(first, &mut exchange).await {
-            Err(_) if leaves(shared, job, key, tried) => None,
+            Err(_) if try_abandon(shared, job, key, tried) => None,
             Err(_) => Some(timeout_at(job.deadline, exchange).await),
             ended => Some(ended),
         }
@@ -147,47 +147,47 @@
         ended = ended => ended,
         () = shared.restarted(key) => {
             let cause = "the replica has started again";
-            send::note(shared, job, key, Outcome::Lost, cause, 0);
-            return Sent::Failed(Outcome::Lost);
+            send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
+            return SendResult::Failed(Outcome::Lost);
         }
     };
     let Some(ended) = ended else {
-        return Sent::Left;
+        return SendResult::Abandoned;
     };
     match ended {
-        Ok(Ok(answer)) => Sent::Answered(answer),
-        Ok(Err(outcome)) => Sent::Failed(outcome),
+        Ok(Ok(answer)) => SendResult::Answered(answer),
+        Ok(Err(outcome)) => SendResult::Failed(outcome),
         Err(_) => {
-            send::note(shared, job, key, Outcome::Lost, "no answer in time", 0);
-            Sent::Overdue
+            send::record_failure(shared, job, key, Outcome::Lost, "no answer in time", 0);
+            SendResult::TimedOut
         }
     }
 }
 
 /// Whether to leave the silent replica `key` for another one that has no request limit; takes the retry that this needs.
-fn leaves(shared: &Shared, job: &Job, key: Key, tried: &[Key]) -> bool {
-    let leaves = Instant::now() < job.deadline
+fn try_abandon(shared: &Shared, job: &Job, key: Key, tried: &[Key]) -> bool {
+    let abandons = Instant::now() < job.deadline
         && shared
             .choose(&job.service, None, tried)
             .is_some_and(|other| !shared.is_limited(other))
         && shared.allow(job, Work::Run);
-    if leaves {
+    if abandons {
         shared.forget_links(key);
         let cause = "no answer for too long";
-        send::note(shared, job, key, Outcome::Lost, cause, 0);
+        send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
     }
-    leaves
+    abandons
 }
 
 /// The replica to send to next; waits for one for a short part of the objective if nothing was
 /// sent yet.
-pub async fn replica(
+pub async fn choose_replica(
     shared: &Rc<Shared>,
     job: &Job,
     stage: Option<Stage>,
     tried: &[Key],
 ) -> Option<Key> {
-    let until = job.arrived + job.route.objective.mul_f64(WAIT_PART);
+    let until = job.arrived + job.route.objective.mul_f64(MAX_WAIT_FRACTION);
     loop {
         let choose = || shared.choose(&job.service, stage, tried);
         if let Some(key) = limit::choose_admitted(shared, choose).await {
@@ -199,7 +199,7 @@
         if !tried.is_empty() || earliest >= until {
             return None;
         }
-        sleep(LOOK_AGAIN).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -212,7 +212,7 @@
 ) -> Result<Answer, Outcome> {
     let begun = Instant::now();
     let reply = send::send(shared, job, key, Task::Answer, None, permit).await?;
-    match send::whole(shared, reply, MAX_ANSWER).await {
+    match send::read_whole(shared, reply, MAX_ANSWER_BYTES).await {
         Ok((head, headers, body)) => {
             shared.note_pace(key, begun.elapsed(), 1.0);
             Ok(Answer {
@@ -222,27 +222,27 @@
             })
         }
         Err(outcome) => {
-            send::note(shared, job, key, outcome, "its answer broke off", 0);
+            send::record_failure(shared, job, key, outcome, "its answer broke off", 0);
             Err(outcome)
         }
     }
 }
 
 /// Whether another replica may do better.
-fn is_failure(job: &Job, answer: &Answer) -> bool {
+fn is_retryable_failure(job: &Job, answer: &Answer) -> bool {
     job.route.mode == Mode::Idempotent && answer.status.is_server_error()
 }
 
-fn relay(shared: &Shared, job: &mut Job, answer: Answer) -> Response<Body> {
+fn forward(shared: &Shared, job: &mut Job, answer: Answer) -> Response<Body> {
     shared
         .metrics
         .latency(&job.route.name, job.age().as_secs_f64());
     job.end("answered", answer.status.as_u16(), "");
-    passed_on(answer.status, &answer.headers, answer.body)
+    forwarded(answer.status, &answer.headers, answer.body)
 }
 
 /// A replica's whole answer, for the caller.
-pub fn passed_on(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Response<Body> {
+pub fn forwarded(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Response<Body> {
     let mut response = Response::new(Body::whole(body));
     *response.status_mut() = status;
     *response.headers_mut() = reply::headers(headers);
@@ -250,7 +250,7 @@
 }
 
 /// The answer when no replica is left to try.
-fn without_replica(
+fn respond_without_replica(
     shared: &Shared,
     job: &mut Job,
     attempt: &Attempt,
@@ -263,15 +263,15 @@
                 answer.status.as_u16(),
                 "the replica's own failure",
             );
-            passed_on(answer.status, &answer.headers, answer.body)
+            forwarded(answer.status, &answer.headers, answer.body)
         }
         None if attempt.may_have_run() => {
             finish(job, "unknown", responses::unknown, "the replica was lost")
         }
         None => {
             let throttle = shared.throttle_remaining(&job.service);
-            let come_back = throttle.unwrap_or(responses::COME_BACK);
-            refuse(shared, job, come_back, "no replica took the request")
+            let retry_after = throttle.unwrap_or(responses::DEFAULT_RETRY_AFTER);
+            refuse(shared, job, retry_after, "no replica took the request")
         }
     }
 }
@@ -280,35 +280,35 @@
 pub fn refuse(
     shared: &Shared,
     job: &mut Job,
-    come_back: Duration,
+    retry_after: Duration,
     cause: &'static str,
 ) -> Response<Body> {
     match shared.quarantined_for(job.fingerprint) {
         Some(left) => refuse_quarantined(job, left),
-        None if shared.is_denied(job) => finish(job, "rejected", responses::denied, DENIED),
-        None => refuse_with(job, come_back, cause, REFUSED_TEXT),
+        None if shared.is_denied(job) => finish(job, "rejected", responses::denied, DENIED_CAUSE),
+        None => refuse_with(job, retry_after, cause, REFUSED_TEXT),
     }
 }
 
 /// Refuses `job`, which has not run and will not for the time `left`: replicas ended under the same request.
 pub fn refuse_quarantined(job: &mut Job, left: Duration) -> Response<Body> {
-    refuse_with(job, left, QUARANTINED, QUARANTINED_TEXT)
+    refuse_with(job, left, QUARANTINED_CAUSE, QUARANTINED_TEXT)
 }
 
 /// Refuses `job`, which is beyond its customer's quota and has not run.
-pub fn refuse_beyond_quota(job: &mut Job, come_back: Duration) -> Response<Body> {
+pub fn refuse_beyond_quota(job: &mut Job, retry_after: Duration) -> Response<Body> {
     job.end("beyond-quota", 429, "beyond the customer's quota");
-    responses::refuse_beyond_quota(&job.call.id, come_back)
+    responses::refuse_beyond_quota(&job.call.id, retry_after)
 }
 
 fn refuse_with(
     job: &mut Job,
-    come_back: Duration,
+    retry_after: Duration,
     cause: &'static str,
     text: &'static str,
 ) -> Response<Body> {
     job.end("refused", 503, cause);
-    responses::refuse(&job.call.id, come_back, text)
+    responses::refuse(&job.call.id, retry_after, text)
 }
 
 /// Ends `job` with an answer of this daemon's own.
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -22,16 +22,16 @@
 
 /// Part of the objective for reading the prompt elsewhere; what is left is enough for the decode
 /// replica to read it itself, at half the speed.
-const PREFILL_PART: f64 = 0.45;
+const SOFT_LIMIT_FRACTION: f64 = 0.45;
 /// Times the objective that a replica which is at work is waited for.
-const PREFILL_MOST: f64 = 2.0;
+const HARD_LIMIT_FACTOR: f64 = 2.0;
 /// Part of the objective that a replica has at least, however long ago the request came: a read takes a
 /// quarter of it, and the prompt of a stream that is resumed is read long after the objective.
-const PREFILL_LEAST: f64 = 0.3;
+const MIN_TIME_FRACTION: f64 = 0.3;
 /// Replicas that a prompt is sent to at most.
-const MAX_READS: usize = 2;
+const MAX_PREFILLS: usize = 2;
 /// Bytes of the answer to a prefill at most.
-const MAX_PREFILL_ANSWER: usize = 16 * 1024;
+const MAX_PREFILL_ANSWER_BYTES: usize = 16 * 1024;
 
 /// Has the prompt read by a prefill replica, in the data centre of the decode replica `decode` if one
 /// is idle there: a KV cache is thousands of times as large as prompt and answer, and its transfer
@@ -40,7 +40,7 @@
 ///
 /// A read that failed counts as an arrival, so that the send after it is a retry: `None` if the
 /// budget has none left.
-pub async fn read(
+pub async fn prefill_remotely(
     shared: &Rc<Shared>,
     job: &Job,
     decode: Key,
@@ -49,7 +49,7 @@
     let near = shared.data_centre_of(decode);
     let mut tried = Vec::new();
     let mut failed = false;
-    while tried.len() < MAX_READS {
+    while tried.len() < MAX_PREFILLS {
         let choose = || shared.choose_near(&job.service, Some(Stage::Prefill), &tried, near);
         let chosen = limit::choose_admitted(shared, choose).await;
         let Some(key) = chosen else { break };
@@ -57,7 +57,8 @@
         // read in time.
         let may_read = shared.may_read(decode);
         let objective = job.route.objective;
-        if may_read && rand::random::<f64>() < shared.own_reads(key, job.prompt(), objective) {
+        if may_read && rand::random::<f64>() < shared.own_reads(key, job.prompt_tokens(), objective)
+        {
             break;
         }
         // The first read is no retry; that of a stream which is resumed is one.
@@ -65,7 +66,12 @@
             break;
         };
         tried.push(key);
-        match timeout_at(job.deadline, patiently(shared, job, key, permit)).await {
+        match timeout_at(
+            job.deadline,
+            prefill_with_extension(shared, job, key, permit),
+        )
+        .await
+        {
             Ok(Ok(read)) => return Some(decode_task(read, last_event)),
             Ok(Err(Outcome::NotSent)) => continue,
             // The send that follows is withheld as well, and tells what comes of it.
@@ -73,7 +79,7 @@
             Ok(Err(_)) => {}
             Err(_) => {
                 let cause = "the prompt was not read in time";
-                send::note(shared, job, key, Outcome::Lost, cause, 0);
+                send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
             }
         }
         if !shared.allow(job, Work::Read) {
@@ -85,11 +91,11 @@
         // It pays for the read that failed, so that no other one may use it.
         let _spent = job.take_permit(Work::Read);
     }
-    Some(own_read(last_event))
+    Some(local_prefill_task(last_event))
 }
 
 /// The task of a decode replica that reads the prompt itself.
-pub const fn own_read(last_event: Option<u64>) -> Task {
+pub const fn local_prefill_task(last_event: Option<u64>) -> Task {
     match last_event {
         Some(last_event) => Task::Resume { last_event },
         None => Task::Answer,
@@ -97,8 +103,8 @@
 }
 
 /// The task of a decode replica for which the prompt was read.
-fn decode_task(read: Read, last_event: Option<u64>) -> Task {
-    let Read { address, handle } = read;
+fn decode_task(read: PrefilledPrompt, last_event: Option<u64>) -> Task {
+    let PrefilledPrompt { address, handle } = read;
     match last_event {
         Some(last_event) => Task::GoOn {
             address,
@@ -110,47 +116,48 @@
 }
 
 /// A prompt that was read.
-struct Read {
+struct PrefilledPrompt {
     address: SocketAddr,
     handle: String,
 }
 
 /// Has the prompt read; a replica that is late but answers a question is waited for, since a read
 /// that is given up is read in vain.
-async fn patiently(
+async fn prefill_with_extension(
     shared: &Rc<Shared>,
     job: &Job,
     key: Key,
     permit: Permit,
-) -> Result<Read, Outcome> {
+) -> Result<PrefilledPrompt, Outcome> {
     let objective = job.route.objective;
-    let soonest = Instant::now() + objective.mul_f64(PREFILL_LEAST);
-    let late = (job.arrived + objective.mul_f64(PREFILL_PART)).max(soonest);
-    let last = (job.arrived + objective.mul_f64(PREFILL_MOST)).max(soonest + objective);
-    let mut read = std::pin::pin!(read_prompt(shared, job, key, permit));
-    if let Ok(read) = timeout_at(late, &mut read).await {
+    let guaranteed_until = Instant::now() + objective.mul_f64(MIN_TIME_FRACTION);
+    let soft_limit = (job.arrived + objective.mul_f64(SOFT_LIMIT_FRACTION)).max(guaranteed_until);
+    let hard_limit =
+        (job.arrived + objective.mul_f64(HARD_LIMIT_FACTOR)).max(guaranteed_until + objective);
+    let mut read = std::pin::pin!(prefill_at(shared, job, key, permit));
+    if let Ok(read) = timeout_at(soft_limit, &mut read).await {
         return read;
     }
     if !control::is_responsive(shared, key).await {
         shared.note_silent(key);
         let cause = "the prompt is not read, and the replica does not answer";
-        send::note(shared, job, key, Outcome::Lost, cause, 0);
+        send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
         return Err(Outcome::Lost);
     }
-    if let Ok(read) = timeout_at(last, read).await {
+    if let Ok(read) = timeout_at(hard_limit, read).await {
         return read;
     }
     let cause = "the prompt was not read in time";
-    send::note(shared, job, key, Outcome::Lost, cause, 0);
+    send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
     Err(Outcome::Lost)
 }
 
-async fn read_prompt(
+async fn prefill_at(
     shared: &Rc<Shared>,
     job: &Job,
     key: Key,
     permit: Permit,
-) -> Result<Read, Outcome> {
+) -> Result<PrefilledPrompt, Outcome> {
     let address = shared
         .pool
         .borrow()
@@ -158,14 +165,14 @@
         .map(|server| server.replica.address)
         .ok_or(Outcome::NotSent)?;
     let begun = Instant::now();
-    let before = shared.pool.borrow().queued(key);
+    let queued_before = shared.pool.borrow().queued(key);
     let reply = send::send(shared, job, key, Task::Prefill, None, permit).await?;
     let exchanges_before = reply.connection.exchanges_before();
-    let read = send::whole(shared, reply, MAX_PREFILL_ANSWER).await;
+    let read = send::read_whole(shared, reply, MAX_PREFILL_ANSWER_BYTES).await;
     let body = match read {
         Ok((head, _, body)) if head.status == StatusCode::OK => body,
         Ok((head, ..)) => {
-            send::note(
+            send::record_failure(
                 shared,
                 job,
                 key,
@@ -176,25 +183,25 @@
             return Err(Outcome::Failed);
         }
         Err(outcome) => {
-            send::note(shared, job, key, outcome, "its answer broke off", 0);
+            send::record_failure(shared, job, key, outcome, "its answer broke off", 0);
             return Err(outcome);
         }
     };
     match Prefill::read(&body) {
         Ok(prefill) => {
-            send::note_success(shared, key);
+            send::record_success(shared, key);
             shared.note_birth(key, prefill.birth);
-            let prompt = job.prompt();
-            shared.note_read(key, begun.elapsed(), before + prompt);
+            let prompt = job.prompt_tokens();
+            shared.note_read(key, begun.elapsed(), queued_before + prompt);
             shared.note_pace(key, begun.elapsed(), prompt as f64);
             log::info!(kind = "read", request = job.call.id, ms = job.age().as_millis() as u64, cache = prefill.handle, exchanges_before = exchanges_before; "the prompt is read");
-            Ok(Read {
+            Ok(PrefilledPrompt {
                 address,
                 handle: prefill.handle,
             })
         }
         Err(error) => {
-            send::note(shared, job, key, Outcome::Lost, &error.to_string(), 200);
+            send::record_failure(shared, job, key, Outcome::Lost, &error.to_string(), 200);
             Err(Outcome::Lost)
         }
     }
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -19,14 +19,14 @@
 use crate::plain;
 use crate::quota::charge::Charge;
 use crate::quota::charge::Source;
-use crate::quota::client::Heard;
+use crate::quota::client::KeeperReply;
 use crate::quotas::Demand;
 use crate::shared::Shared;
 
 /// Part of the objective that a request waits for units that come free.
-const WAIT_PART: f64 = 0.1;
+const MAX_WAIT_FRACTION: f64 = 0.1;
 /// Time after which a caller may come back when the quota cannot be asked; another daemon is asked by then.
-const UNSURE: Duration = Duration::from_millis(300);
+const UNDECIDED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// What `job` asks of its customer's quota; `None` if the customer has none, or the request has no customer.
 fn demand(job: &Job) -> Option<Demand> {
@@ -41,42 +41,42 @@
 /// Sees to it that `job` may run by its customer's quota; the answer to it if it may not.
 pub async fn admit(shared: &Rc<Shared>, job: &mut Job) -> Option<Response<Body>> {
     let demand = demand(job)?;
-    if let Some(number) = client::spend_unasked(shared, demand) {
-        job.charge = Some(Charge::new(shared, demand, Source::Pocket(number)));
+    if let Some(number) = client::spend_locally(shared, demand) {
+        job.charge = Some(Charge::new(shared, demand, Source::LocalBudget(number)));
         return None;
     }
-    let patience = job.route.objective.mul_f64(WAIT_PART);
+    let patience = job.route.objective.mul_f64(MAX_WAIT_FRACTION);
     let purpose = Purpose::Run {
         patience_ms: patience.as_millis() as u32,
     };
-    let heard = client::ask(shared, demand, purpose).await;
-    log_decision(shared, job, demand, heard);
-    match heard.map(|heard| (heard.told.decision, heard.keeper)) {
+    let reply = client::ask(shared, demand, purpose).await;
+    log_decision(shared, job, demand, reply);
+    match reply.map(|reply| (reply.answer.decision, reply.keeper)) {
         Some((Decision::Granted { after_ms }, keeper)) => {
             job.charge = Some(Charge::new(shared, demand, Source::Keeper(keeper)));
             sleep(Duration::from_millis(after_ms.into())).await;
             None
         }
         Some((Decision::Refused { come_back_ms }, _)) => {
-            let come_back = Duration::from_millis(come_back_ms.into());
-            Some(plain::refuse_beyond_quota(job, come_back))
+            let retry_after = Duration::from_millis(come_back_ms.into());
+            Some(plain::refuse_beyond_quota(job, retry_after))
         }
-        _ => match client::overspend(shared, demand) {
+        _ => match client::overspend_locally(shared, demand) {
             Some(number) => {
-                job.charge = Some(Charge::new(shared, demand, Source::Pocket(number)));
+                job.charge = Some(Charge::new(shared, demand, Source::LocalBudget(number)));
                 None
             }
             None => {
                 let cause = "the quota cannot be asked";
-                Some(plain::refuse(shared, job, UNSURE, cause))
+                Some(plain::refuse(shared, job, UNDECIDED_RETRY_AFTER, cause))
             }
         },
     }
 }
 
-fn log_decision(shared: &Shared, job: &Job, demand: Demand, heard: Option<Heard>) {
-    let told = heard.map_or(Told::unsure(), |heard| heard.told);
-    let keeper = heard.map_or(String::new(), |heard| heard.name(shared));
+fn log_decision(shared: &Shared, job: &Job, demand: Demand, reply: Option<KeeperReply>) {
+    let answer = reply.map_or(Told::unsure(), |reply| reply.answer);
+    let keeper = reply.map_or(String::new(), |reply| reply.keeper_name(shared));
     let customer = job.customer().map_or("", |customer| &customer.name);
-    log::info!(kind = "quota", request = job.call.id, customer = customer, units = demand.units as u64, decision = format!("{:?}", told.decision), left = told.left as i64, keeper = keeper, ms = job.age().as_millis() as u64; "a quota was asked");
+    log::info!(kind = "quota", request = job.call.id, customer = customer, units = demand.units as u64, decision = format!("{:?}", answer.decision), left = answer.left as i64, keeper = keeper, ms = job.age().as_millis() as u64; "a quota was asked");
 }
--- a/crates/gateway/src/quota/charge.rs
+++ b/crates/gateway/src/quota/charge.rs
@@ -14,7 +14,7 @@
 use crate::shared::Shared;
 
 /// Least time for which the keeper is asked first, once it told that nothing was left.
-const STRICT: Duration = Duration::from_millis(500);
+const MIN_ASK_FIRST_PERIOD: Duration = Duration::from_millis(500);
 
 /// Units of a customer that a request uses; given back if this is dropped and the request did not run.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// The bucket of the daemon that listens there; of this one if `None`.
     Keeper(Option<SocketAddr>),
     /// The own pocket.
-    Pocket(Number),
+    LocalBudget(Number),
 }
 
 impl Charge {
@@ -56,16 +56,16 @@
         match (self.source, self.ran.get()) {
             (Source::Keeper(_), true) => {}
             (Source::Keeper(keeper), false) => {
-                client::give_back(&self.shared, keeper, self.demand);
+                client::refund(&self.shared, keeper, self.demand);
             }
-            (Source::Pocket(number), false) => {
+            (Source::LocalBudget(number), false) => {
                 self.shared
                     .quotas
                     .borrow_mut()
                     .pocket(self.demand.subject)
                     .settle(number);
             }
-            (Source::Pocket(number), true) => {
+            (Source::LocalBudget(number), true) => {
                 let shared = Rc::clone(&self.shared);
                 tokio::task::spawn_local(report(shared, self.demand, number));
             }
@@ -75,8 +75,8 @@
 
 /// Has a request counted that ran unasked.
 async fn report(shared: Rc<Shared>, demand: Demand, number: Number) {
-    let heard = client::ask(&shared, demand, Purpose::Ran).await;
-    let decision = heard.map(|heard| heard.told.decision);
+    let reply = client::ask(&shared, demand, Purpose::Ran).await;
+    let decision = reply.map(|reply| reply.answer.decision);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
     let pocket = quotas.pocket(demand.subject);
@@ -84,7 +84,7 @@
         Some(Decision::Counted) => pocket.settle(number),
         Some(Decision::Overdrawn { free_ms }) => {
             let free_in = Duration::from_millis(free_ms.into());
-            pocket.ask_first(now, free_in.max(STRICT));
+            pocket.ask_first(now, free_in.max(MIN_ASK_FIRST_PERIOD));
         }
         // It counts against the pocket until it leaves the window.
         _ => {}
--- a/crates/gateway/src/quota/client.rs
+++ b/crates/gateway/src/quota/client.rs
@@ -15,31 +15,31 @@
 
 use crate::gossip;
 use crate::quota::keeper;
-use crate::quota::keeper::UNANSWERED;
+use crate::quota::keeper::NO_REPLY;
 use crate::quotas::Demand;
 use crate::quotas::Message;
 use crate::quotas::Pending;
 use crate::shared::Shared;
 
 /// Time that a daemon gets for an answer; a round trip takes some milliseconds, and a busy daemon some ten.
-const PATIENCE: Duration = Duration::from_millis(100);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time for which a daemon that did not answer is not asked: each question would cost its request [`PATIENCE`].
-const SILENCE: Duration = Duration::from_secs(1);
+const SILENT_PERIOD: Duration = Duration::from_secs(1);
 /// Time after which an answer is not waited for to give back what it grants.
-const FORGOTTEN: Duration = Duration::from_secs(5);
+const PENDING_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An answer, and whose it is.
 #[derive(Debug, Clone, Copy)]
-pub struct Heard {
+pub struct KeeperReply {
     /// What was told.
-    pub told: Told,
+    pub answer: Told,
     /// Where the daemon listens that told it; `None` for this one.
     pub keeper: Option<SocketAddr>,
 }
 
-impl Heard {
+impl KeeperReply {
     /// Where the answer came from, in words.
-    pub fn name(&self, shared: &Shared) -> String {
+    pub fn keeper_name(&self, shared: &Shared) -> String {
         match self.keeper {
             Some(keeper) => keeper.ip().to_string(),
             None => shared.own_card().name,
@@ -48,8 +48,8 @@
 }
 
 /// Spends from the own pocket, if the customer has used little of it.
-pub fn spend_unasked(shared: &Shared, demand: Demand) -> Option<Number> {
-    let (window, allowance) = pocket(shared, demand.limit);
+pub fn spend_locally(shared: &Shared, demand: Demand) -> Option<Number> {
+    let (window, allowance) = local_budget(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
     let pocket = quotas.pocket(demand.subject);
@@ -57,8 +57,8 @@
 }
 
 /// Spends from the own pocket, since nobody can be asked.
-pub fn overspend(shared: &Shared, demand: Demand) -> Option<Number> {
-    let (window, allowance) = pocket(shared, demand.limit);
+pub fn overspend_locally(shared: &Shared, demand: Demand) -> Option<Number> {
+    let (window, allowance) = local_budget(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
     let pocket = quotas.pocket(demand.subject);
@@ -66,14 +66,14 @@
 }
 
 /// Window and size of a pocket.
-fn pocket(shared: &Shared, limit: Limit) -> (Duration, f64) {
+fn local_budget(shared: &Shared, limit: Limit) -> (Duration, f64) {
     let tolerance = shared.settings().quota_tolerance();
     let daemons = shared.members.borrow().known();
     (tolerance.window, tolerance.pocket(limit, daemons))
 }
 
 /// Asks the keeper, and its deputy where the keeper is silent or cannot tell; `None` if neither tells.
-pub async fn ask(shared: &Rc<Shared>, demand: Demand, purpose: Purpose) -> Option<Heard> {
+pub async fn ask(shared: &Rc<Shared>, demand: Demand, purpose: Purpose) -> Option<KeeperReply> {
     let mut keepers = shared.members.borrow().keepers(demand.subject.key());
     if matches!(demand.subject, Subject::Replica(_)) {
         // Only the keeper may grant requests to a replica.
@@ -81,39 +81,39 @@
     }
     let own = shared.own_card().instance();
     for (instance, address) in keepers {
-        let heard = if instance == own {
-            Some(Heard {
-                told: keeper::decide(shared, &demand.ask(purpose), demand.limit),
+        let reply = if instance == own {
+            Some(KeeperReply {
+                answer: keeper::decide(shared, &demand.ask(purpose), demand.limit),
                 keeper: None,
             })
         } else {
-            let told = question(shared, address, demand, purpose).await;
-            told.map(|told| Heard {
-                told,
+            let answer = ask_peer(shared, address, demand, purpose).await;
+            answer.map(|answer| KeeperReply {
+                answer,
                 keeper: Some(address),
             })
         };
-        if let Some(heard) = heard.filter(|heard| heard.told.decision != Decision::Unsure) {
-            return Some(heard);
+        if let Some(reply) = reply.filter(|reply| reply.answer.decision != Decision::Unsure) {
+            return Some(reply);
         }
     }
     None
 }
 
 /// Gives back to the daemon at `keeper`, or this one, what a request that did not run has taken.
-pub fn give_back(shared: &Rc<Shared>, keeper: Option<SocketAddr>, demand: Demand) {
+pub fn refund(shared: &Rc<Shared>, keeper: Option<SocketAddr>, demand: Demand) {
     let ask = demand.ask(Purpose::GiveBack);
     let Some(keeper) = keeper else {
         keeper::decide(shared, &ask, demand.limit);
         return;
     };
     let shared = Rc::clone(shared);
-    let message = keeper::giving_back(demand);
+    let message = keeper::refund_message(demand);
     tokio::task::spawn_local(async move { gossip::tell_quota(&shared, keeper, message).await });
 }
 
 /// Asks the daemon at `to`; `None` if it does not answer in time, or did not just now.
-async fn question(
+async fn ask_peer(
     shared: &Shared,
     to: SocketAddr,
     demand: Demand,
@@ -121,7 +121,7 @@
 ) -> Option<Told> {
     let now = shared.clock.now();
     let (answer, answered) = oneshot::channel();
-    let number = rand::random_range(UNANSWERED + 1..=u32::MAX);
+    let number = rand::random_range(NO_REPLY + 1..=u32::MAX);
     {
         let mut quotas = shared.quotas.borrow_mut();
         quotas.silent.retain(|_, until| *until > now);
@@ -130,7 +130,7 @@
         }
         quotas
             .pending
-            .retain(|_, pending| now.since(pending.sent) < FORGOTTEN);
+            .retain(|_, pending| now.since(pending.sent) < PENDING_TIMEOUT);
         let pending = Pending {
             to,
             demand,
@@ -145,12 +145,12 @@
         limit: demand.limit,
     };
     gossip::tell_quota(shared, to, message).await;
-    match timeout(PATIENCE, answered).await {
+    match timeout(ANSWER_TIMEOUT, answered).await {
         Ok(told) => told.ok(),
         Err(_) => {
-            let until = shared.clock.now() + SILENCE;
+            let until = shared.clock.now() + SILENT_PERIOD;
             shared.quotas.borrow_mut().silent.insert(to, until);
-            log::info!(kind = "quota", peer = to.to_string(), ms = PATIENCE.as_millis() as u64; "a daemon that keeps quotas does not answer");
+            log::info!(kind = "quota", peer = to.to_string(), ms = ANSWER_TIMEOUT.as_millis() as u64; "a daemon that keeps quotas does not answer");
             None
         }
     }
--- a/crates/gateway/src/quota/keeper.rs
+++ b/crates/gateway/src/quota/keeper.rs
@@ -15,7 +15,7 @@
 use crate::shared::Shared;
 
 /// Number of what is told without a question.
-pub const UNANSWERED: u32 = 0;
+pub const NO_REPLY: u32 = 0;
 
 /// Decides on `ask`. A customer's quota in this daemon's own plan takes precedence over `limit`.
 pub fn decide(shared: &Shared, ask: &Ask, limit: Limit) -> Told {
@@ -42,9 +42,9 @@
 }
 
 /// The message that gives back what `demand` has taken.
-pub const fn giving_back(demand: Demand) -> Message {
+pub const fn refund_message(demand: Demand) -> Message {
     Message::Ask {
-        number: UNANSWERED,
+        number: NO_REPLY,
         ask: demand.ask(Purpose::GiveBack),
         limit: demand.limit,
     }
@@ -62,5 +62,5 @@
     let pending = shared.quotas.borrow_mut().pending.remove(&number)?;
     let is_unused = pending.answer.send(told).is_err();
     let is_granted = matches!(told.decision, Decision::Granted { .. });
-    (is_unused && is_granted).then(|| (pending.to, giving_back(pending.demand)))
+    (is_unused && is_granted).then(|| (pending.to, refund_message(pending.demand)))
 }
--- a/crates/gateway/src/responses.rs
+++ b/crates/gateway/src/responses.rs
@@ -14,7 +14,7 @@
 
 /// Time after which a caller may come back when nothing tells better: the replicas' queues turn
 /// over within some hundred milliseconds.
-pub const COME_BACK: Duration = Duration::from_millis(400);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// An answer with `status` and a text for people.
 pub fn answer(status: StatusCode, id: &str, text: &'static str) -> Response<Body> {
@@ -29,24 +29,24 @@
 }
 
 /// Says that the request has not run, and when to come back.
-pub fn refuse(id: &str, come_back: Duration, text: &'static str) -> Response<Body> {
-    put_off(StatusCode::SERVICE_UNAVAILABLE, id, come_back, text)
+pub fn refuse(id: &str, retry_after: Duration, text: &'static str) -> Response<Body> {
+    with_retry_after(StatusCode::SERVICE_UNAVAILABLE, id, retry_after, text)
 }
 
 /// Says that the request has not run since its customer has used up its quota, and when there will be room.
-pub fn refuse_beyond_quota(id: &str, come_back: Duration) -> Response<Body> {
+pub fn refuse_beyond_quota(id: &str, retry_after: Duration) -> Response<Body> {
     let text = "beyond the quota of this customer; the request has not run\n";
-    put_off(StatusCode::TOO_MANY_REQUESTS, id, come_back, text)
+    with_retry_after(StatusCode::TOO_MANY_REQUESTS, id, retry_after, text)
 }
 
-fn put_off(
+fn with_retry_after(
     status: StatusCode,
     id: &str,
-    come_back: Duration,
+    retry_after: Duration,
     text: &'static str,
 ) -> Response<Body> {
     let mut response = answer(status, id, text);
-    let seconds = format!("{:.2}", come_back.as_secs_f64());
+    let seconds = format!("{:.2}", retry_after.as_secs_f64());
     if let Ok(seconds) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
     }
--- a/crates/gateway/src/run_tracking.rs
+++ b/crates/gateway/src/run_tracking.rs
@@ -20,11 +20,11 @@
 
 /// Time between two looks at the memory of the replicas; a move has to be begun some hundred
 /// milliseconds before the memory ends.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Daemons that are told at most, besides those drawn by chance: those that have runs.
-const MAX_TOLD: usize = 16;
+const MAX_ACTIVE_PEERS: usize = 16;
 /// Daemons drawn by chance in each round, so that those with runs find each other.
-const DRAWN: usize = 2;
+const RANDOM_PEERS: usize = 2;
 
 /// A run that this daemon follows; over when this is dropped.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
         let id = shared.runs.borrow_mut().begin(service, server, size);
         let (order, orders) = watch::channel(None);
         shared.orders.borrow_mut().insert(id, order);
-        shared.foresee(server);
+        shared.update_forecast(server);
         shared.runs_changed.notify_one();
         Self {
             shared: Rc::clone(shared),
@@ -66,46 +66,46 @@
     }
 
     /// Notes that the replica reads the prompt itself.
-    pub fn reads(&self, server: Key) {
+    pub fn note_local_prefill(&self, server: Key) {
         self.shared.runs.borrow_mut().reads(self.id);
-        self.shared.foresee(server);
+        self.shared.update_forecast(server);
         self.shared.runs_changed.notify_one();
     }
 
     /// Notes that `events` events came.
-    pub fn events(&self, events: u64) {
+    pub fn record_events(&self, events: u64) {
         let now = self.shared.clock.now();
         let tokens = events * self.event_tokens;
         self.shared.runs.borrow_mut().made(now, self.id, tokens);
     }
 
     /// Notes that the run goes on at `server`.
-    pub fn moved(&mut self, server: Key) {
+    pub fn record_move(&mut self, server: Key) {
         self.shared.runs.borrow_mut().moved(self.id, server);
         self.orders.mark_unchanged();
-        self.shared.foresee(server);
+        self.shared.update_forecast(server);
         self.shared.runs_changed.notify_one();
     }
 
     /// Leaves the run where it is for `pause`.
-    pub fn settle(&self, pause: Duration) {
+    pub fn stay(&self, pause: Duration) {
         let until = self.shared.clock.now() + pause;
         self.shared.runs.borrow_mut().settle(self.id, until);
     }
 
     /// Notes that the replica did not move the run: no other is moved from there for `pause`.
-    pub fn keep(&self, pause: Duration) {
+    pub fn block_moves(&self, pause: Duration) {
         let until = self.shared.clock.now() + pause;
         self.shared.runs.borrow_mut().keep(self.id, until);
     }
 
     /// Notes that the run ended with its last event.
-    pub const fn complete(&mut self) {
+    pub const fn mark_complete(&mut self) {
         self.complete = true;
     }
 
     /// Waits until the run is to go on elsewhere.
-    pub async fn ordered(&mut self) -> Key {
+    pub async fn next_order(&mut self) -> Key {
         loop {
             if self.orders.changed().await.is_err() {
                 std::future::pending::<()>().await;
@@ -127,7 +127,7 @@
         runs.end(now, self.id, self.complete);
         drop(runs);
         if let Some(server) = server {
-            self.shared.foresee(server);
+            self.shared.update_forecast(server);
             // Generations that wait here go before those of other daemons, which are told later: the
             // room that one run leaves must not be taken by several.
             self.shared.room.notify_waiters();
@@ -137,7 +137,7 @@
 
 impl Shared {
     /// Brings what the runs at `server` will hold up to date.
-    pub fn foresee(&self, server: Key) {
+    pub fn update_forecast(&self, server: Key) {
         let now = self.clock.now();
         let (runs, claims) = (self.runs.borrow(), self.claims.borrow());
         self.pool.borrow_mut().foresee(now, server, &runs, &claims);
@@ -146,21 +146,21 @@
 
 /// Looks after the runs, forever.
 pub async fn run(shared: Rc<Shared>) {
-    let mut teller = Teller::new();
-    let mut next_look = Instant::now();
+    let mut publisher = Teller::new();
+    let mut next_check = Instant::now();
     loop {
         let changed = shared.runs_changed.notified();
         // What changed is told at once; the rest has its time.
-        let _ = timeout_at(next_look, changed).await;
-        if Instant::now() >= next_look {
-            next_look = Instant::now() + LOOK;
-            look(&shared);
+        let _ = timeout_at(next_check, changed).await;
+        if Instant::now() >= next_check {
+            next_check = Instant::now() + CHECK_INTERVAL;
+            check_memory(&shared);
         }
-        tell(&shared, &mut teller).await;
+        publish_claims(&shared, &mut publisher).await;
     }
 }
 
-fn look(shared: &Shared) {
+fn check_memory(shared: &Shared) {
     let now = shared.clock.now();
     shared.claims.borrow_mut().sweep(now);
     let (runs, claims) = (shared.runs.borrow(), shared.claims.borrow());
@@ -186,26 +186,26 @@
     }
 }
 
-async fn tell(shared: &Shared, teller: &mut Teller) {
+async fn publish_claims(shared: &Shared, publisher: &mut Teller) {
     let now = shared.clock.now();
-    let due = teller.due(now, &shared.runs.borrow(), &shared.pool.borrow());
+    let due = publisher.due(now, &shared.runs.borrow(), &shared.pool.borrow());
     let Some(told) = due else { return };
-    for to in audience(shared) {
+    for to in claim_recipients(shared) {
         gossip::tell(shared, to, told.clone()).await;
     }
 }
 
 /// The daemons that are told: those that have runs, and some others.
-fn audience(shared: &Shared) -> Vec<SocketAddr> {
+fn claim_recipients(shared: &Shared) -> Vec<SocketAddr> {
     let members = shared.members.borrow();
     let peers = members.peers();
-    if peers.len() <= MAX_TOLD {
+    if peers.len() <= MAX_ACTIVE_PEERS {
         return peers;
     }
     let claims = shared.claims.borrow();
     let active = claims.active().filter_map(|peer| members.peer(peer));
-    let mut to: Vec<SocketAddr> = active.take(MAX_TOLD).collect();
-    for drawn in peers.sample(&mut rand::rng(), DRAWN) {
+    let mut to: Vec<SocketAddr> = active.take(MAX_ACTIVE_PEERS).collect();
+    for drawn in peers.sample(&mut rand::rng(), RANDOM_PEERS) {
         if !to.contains(drawn) {
             to.push(*drawn);
         }
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -25,11 +25,11 @@
     /// Replicas that it was sent to.
     pub tried: &'a mut Vec<Key>,
     /// A place that was found already.
-    pub place: Option<Placement>,
+    pub placement: Option<Placement>,
     /// Id of the event after which the stream goes on.
     pub last_event: Option<u64>,
     /// Tokens that were made before.
-    pub made: u64,
+    pub generated: u64,
 }
 
 /// A replica's answer, and the run there if it is followed.
@@ -38,7 +38,7 @@
     /// The answer's head, with what is needed to read the rest.
     pub reply: Reply,
     /// The run.
-    pub track: Option<TrackedRun>,
+    pub tracked_run: Option<TrackedRun>,
 }
 
 /// Finds a replica that answers.
@@ -49,39 +49,39 @@
     let Search {
         attempt,
         tried,
-        mut place,
+        mut placement,
         last_event,
-        made,
+        generated,
     } = search;
-    let mut own_read = None;
+    let mut local_prefill = None;
     loop {
-        let found = match place.take() {
-            Some(place) => Some(place),
-            None => placement::find(shared, job, tried, made).await,
+        let found = match placement.take() {
+            Some(placement) => Some(placement),
+            None => placement::find(shared, job, tried, generated).await,
         };
-        let Some(place) = found else {
-            return Err(without_place(attempt));
+        let Some(placement) = found else {
+            return Err(next_without_placement(attempt));
         };
-        let key = place.key();
-        let task = match &own_read {
+        let key = placement.key();
+        let task = match &local_prefill {
             Some(task) => Task::clone(task),
-            None => prefill::read(shared, job, key, last_event)
+            None => prefill::prefill_remotely(shared, job, key, last_event)
                 .await
                 .ok_or(Next::Refuse)?,
         };
         if matches!(task, Task::Answer | Task::Resume { .. }) {
-            place.reads();
+            placement.note_local_prefill();
         }
         let Some(permit) = job.take_permit(Work::Run) else {
-            return Err(without_place(attempt));
+            return Err(next_without_placement(attempt));
         };
         tried.push(key);
         attempt.sent();
-        let sent = send::send(shared, job, key, task, place.reservation(), permit);
+        let sent = send::send(shared, job, key, task, placement.reservation(), permit);
         let outcome = match sent.await {
             Ok(reply) => {
-                let track = place.used();
-                return Ok(Opened { reply, track });
+                let tracked_run = placement.into_run();
+                return Ok(Opened { reply, tracked_run });
             }
             Err(outcome) => outcome,
         };
@@ -90,12 +90,12 @@
             next => return Err(next),
         }
         // The KV cache may be gone; the next replica reads the prompt itself.
-        own_read = Some(prefill::own_read(last_event));
+        local_prefill = Some(prefill::local_prefill_task(last_event));
     }
 }
 
 /// What the caller is told when nothing more can be sent.
-const fn without_place(attempt: &Attempt) -> Next {
+const fn next_without_placement(attempt: &Attempt) -> Next {
     if attempt.may_have_run() {
         Next::Unknown
     } else {
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -60,7 +60,7 @@
     } else if shared.is_denied(job) {
         Err(Outcome::Denied)
     } else {
-        counted(job, work, send_once(shared, job, key, task, reservation)).await
+        with_charge(job, work, send_once(shared, job, key, task, reservation)).await
     };
     if matches!(
         sent,
@@ -72,7 +72,7 @@
 }
 
 /// Awaits a send of `job`, and notes whether it may have run: only then it counts against its customer's quota.
-async fn counted(
+async fn with_charge(
     job: &Job,
     work: Work,
     sent: impl Future<Output = Result<Reply, Outcome>>,
@@ -96,8 +96,8 @@
     reservation: Option<&str>,
 ) -> Result<Reply, Outcome> {
     let tokens = match task {
-        Task::Prefill => job.prompt(),
-        _ => job.tokens(),
+        Task::Prefill => job.prompt_tokens(),
+        _ => job.expected_tokens(),
     };
     let guard = InFlight::new(shared, key, tokens, task == Task::Prefill);
     let now = shared.clock.now();
@@ -110,31 +110,35 @@
         Some((target, true)) => target,
         Some((_, false)) => {
             let cause = "the replica is draining or no longer listed";
-            note(shared, job, key, Outcome::NotSent, cause, 0);
+            record_failure(shared, job, key, Outcome::NotSent, cause, 0);
             return Err(Outcome::NotSent);
         }
         None => return Err(Outcome::NotSent),
     };
     let (prompt, output) = job.call.tokens.unwrap_or_default();
-    log::info!(kind = "send", request = job.call.id, content = job.fingerprint.to_string(), replica = id, task = word(&task), cache = cache(&task), in_flight = in_flight, prompt = prompt, output = output, replicas = shared.replicas_version(), reserved = reservation.is_some(), plan = job.plan, left_ms = job.left().as_millis() as u64; "sending");
+    log::info!(kind = "send", request = job.call.id, content = job.fingerprint.to_string(), replica = id, task = task_name(&task), cache = cache_handle(&task), in_flight = in_flight, prompt = prompt, output = output, replicas = shared.replicas_version(), reserved = reservation.is_some(), plan = job.plan, left_ms = job.time_left().as_millis() as u64; "sending");
     let prefill = task == Task::Prefill;
     let decode = matches!(task, Task::Decode { .. });
     let begun = Instant::now();
-    let request = job.request(&id, task, reservation).map_err(|error| {
+    let request = job.build_request(&id, task, reservation).map_err(|error| {
         log::error!(kind = "send", request = job.call.id, cause = error.to_string(); "a request cannot be built");
         Outcome::NotSent
     })?;
     // A new connection, since a request that may run once must not be lost to a late second answer, and since the second
     // answer to an earlier send of this request to the replica has the same id.
-    let is_first = job.is_first_send(key);
-    let fresh = !is_first || !(prefill || job.route.mode.repeatable());
-    let (response, connection) = match shared.connections.send(address, request, fresh).await {
+    let is_first = job.record_first_send(key);
+    let needs_new_connection = !is_first || !(prefill || job.route.mode.repeatable());
+    let (response, connection) = match shared
+        .connections
+        .send(address, request, needs_new_connection)
+        .await
+    {
         Ok(answer) => answer,
-        Err(failure) => return Err(failed(shared, job, key, &failure)),
+        Err(failure) => return Err(record_exchange_failure(shared, job, key, &failure)),
     };
     let head = Head::read(&job.call.id, response.status(), response.headers());
-    if !connection.may_answer(head.subject) {
-        return Err(foreign(shared, job, key, &head, &connection));
+    if !connection.may_match(head.subject) {
+        return Err(record_foreign_answer(shared, job, key, &head, &connection));
     }
     if let Some(load) = head.load {
         shared.pool.borrow_mut().told(shared.clock.now(), key, load);
@@ -146,12 +150,12 @@
     if head.limit.is_some() || head.genuine {
         shared.note_limit(key, head.limit);
     }
-    if let Some((outcome, cause)) = fault(&head, prefill) {
+    if let Some((outcome, cause)) = invalid_reason(&head, prefill) {
         let load = head
             .load
             .map_or((0, 0), |load| (load.running, load.waiting));
         let cause = format!("{cause}; running {}, waiting {}", load.0, load.1);
-        note(shared, job, key, outcome, &cause, head.status.as_u16());
+        record_failure(shared, job, key, outcome, &cause, head.status.as_u16());
         return Err(outcome);
     }
     if decode {
@@ -166,7 +170,13 @@
 }
 
 /// Notes that the answer is, or may be, another request's; this one may run all the same.
-fn foreign(shared: &Shared, job: &Job, key: Key, head: &Head, connection: &Connection) -> Outcome {
+fn record_foreign_answer(
+    shared: &Shared,
+    job: &Job,
+    key: Key,
+    head: &Head,
+    connection: &Connection,
+) -> Outcome {
     shared.metrics.foreign_answers.inc();
     shared
         .connections
@@ -180,12 +190,12 @@
         connection.exchanges_before()
     );
     let outcome = Outcome::Lost;
-    note(shared, job, key, outcome, &cause, head.status.as_u16());
+    record_failure(shared, job, key, outcome, &cause, head.status.as_u16());
     outcome
 }
 
 /// Why an answer with this head is none to the request; `None` if it is one.
-fn fault(head: &Head, prefill: bool) -> Option<(Outcome, &'static str)> {
+fn invalid_reason(head: &Head, prefill: bool) -> Option<(Outcome, &'static str)> {
     match head {
         head if head.other_replica => Some((Outcome::NotRun, "another replica has its address")),
         head if head.not_run => Some((Outcome::NotRun, "it did not run the request")),
@@ -197,7 +207,14 @@
 }
 
 /// Notes that a send to `key` ended in `outcome`.
-pub fn note(shared: &Shared, job: &Job, key: Key, outcome: Outcome, cause: &str, status: u16) {
+pub fn record_failure(
+    shared: &Shared,
+    job: &Job,
+    key: Key,
+    outcome: Outcome,
+    cause: &str,
+    status: u16,
+) {
     if outcome == Outcome::Lost {
         shared.inquire(job.fingerprint, key);
     }
@@ -217,7 +234,7 @@
 }
 
 /// Notes that a send to `key` ended well.
-pub fn note_success(shared: &Shared, key: Key) {
+pub fn record_success(shared: &Shared, key: Key) {
     let now = shared.clock.now();
     shared.pool.borrow_mut().note(now, key, false);
     shared.metrics.send("answered");
@@ -228,10 +245,10 @@
 ///
 /// # Errors
 /// `Lost` if it breaks off or is longer than `most` bytes.
-pub async fn whole(
+pub async fn read_whole(
     shared: &Shared,
     reply: Reply,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<(Head, HeaderMap, Bytes), Outcome> {
     let Reply {
         head,
@@ -240,7 +257,7 @@
         guard,
     } = reply;
     let (parts, body) = response.into_parts();
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => {
             shared.connections.keep_after(&head, connection);
             drop(guard);
@@ -250,7 +267,7 @@
     }
 }
 
-fn failed(shared: &Shared, job: &Job, key: Key, failure: &Failure) -> Outcome {
+fn record_exchange_failure(shared: &Shared, job: &Job, key: Key, failure: &Failure) -> Outcome {
     let (outcome, cause) = match failure {
         Failure::Refused { cause } | Failure::Unreachable { cause } => {
             (Outcome::NotSent, format!("connecting: {cause}"))
@@ -258,19 +275,19 @@
         Failure::NotSent { cause } => (Outcome::NotSent, format!("sending: {cause}")),
         Failure::Lost { cause } => (Outcome::Lost, cause.clone()),
     };
-    note(shared, job, key, outcome, &cause, 0);
+    record_failure(shared, job, key, outcome, &cause, 0);
     outcome
 }
 
 /// Name of the KV cache, or of the moved memory, that `task` goes on from; empty if there is none.
-fn cache(task: &Task) -> &str {
+fn cache_handle(task: &Task) -> &str {
     match task {
         Task::Decode { handle, .. } | Task::GoOn { handle, .. } => handle,
         Task::Answer | Task::Prefill | Task::Resume { .. } => "",
     }
 }
 
-const fn word(task: &Task) -> &'static str {
+const fn task_name(task: &Task) -> &'static str {
     match task {
         Task::Answer => "answer",
         Task::Prefill => "prefill",
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -22,7 +22,7 @@
 use crate::shared::Shared;
 
 /// Bytes of a replica's failure at most.
-const MAX_FAILURE: usize = 64 * 1024;
+const MAX_FAILURE_BYTES: usize = 64 * 1024;
 
 /// Serves `job`.
 pub async fn serve(shared: &Rc<Shared>, mut job: Job) -> Response<Body> {
@@ -31,16 +31,16 @@
     let search = Search {
         attempt: &mut attempt,
         tried: &mut tried,
-        place: None,
+        placement: None,
         last_event: None,
-        made: 0,
+        generated: 0,
     };
     let opened = timeout_at(job.deadline, search::open(shared, &job, search));
     match opened.await {
         Ok(Ok(opened)) if opened.reply.head.status == StatusCode::OK => {
-            forward::pass_on(shared, job, attempt, tried, opened)
+            forward::start(shared, job, attempt, tried, opened)
         }
-        Ok(Ok(opened)) => failure(shared, job, opened.reply).await,
+        Ok(Ok(opened)) => forward_failure(shared, job, opened.reply).await,
         Ok(Err(Next::Unknown)) => plain::finish(
             &mut job,
             "unknown",
@@ -58,11 +58,15 @@
 }
 
 /// Passes a replica's failure on.
-async fn failure(shared: &Rc<Shared>, mut job: Job, reply: Reply) -> Response<Body> {
+async fn forward_failure(shared: &Rc<Shared>, mut job: Job, reply: Reply) -> Response<Body> {
     let key = reply.guard.key;
     let status = reply.head.status;
-    let read = timeout_at(job.deadline, send::whole(shared, reply, MAX_FAILURE)).await;
-    send::note(
+    let read = timeout_at(
+        job.deadline,
+        send::read_whole(shared, reply, MAX_FAILURE_BYTES),
+    )
+    .await;
+    send::record_failure(
         shared,
         &job,
         key,
@@ -73,7 +77,7 @@
     match read {
         Ok(Ok((_, headers, body))) => {
             job.end("failed", status.as_u16(), "the replica's own failure");
-            plain::passed_on(status, &headers, body)
+            plain::forwarded(status, &headers, body)
         }
         _ => plain::finish(
             &mut job,
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -43,7 +43,7 @@
     /// The plan has no route for it.
     NoRoute {
         /// The host and path.
-        place: String,
+        location: String,
         /// Version of the plan.
         plan: u64,
     },
@@ -67,7 +67,7 @@
 pub fn find(shared: &Shared, host: &str, path: &str, key: Option<Digest>) -> Result<Target, Error> {
     let plan = shared.plan().ok_or(Error::NoPlan)?;
     let route = plan.route(host, path).ok_or_else(|| Error::NoRoute {
-        place: format!("{host}{path}"),
+        location: format!("{host}{path}"),
         plan: plan.version,
     })?;
     let owner = owner(&plan, route, key).map_err(|denied| Error::Denied {
--- a/crates/gateway/src/wait_queue.rs
+++ b/crates/gateway/src/wait_queue.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether it is this one's turn.
-    pub fn is_now(&self) -> bool {
+    pub fn is_first(&self) -> bool {
         let line = self.shared.line.borrow();
         line.is_first(&self.service, self.ticket)
     }
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -163,7 +163,7 @@
     let attempts = async {
         let mut connected = false;
         for _ in 0..TRIES {
-            connected |= connections::connect_twice(clogged(CLOGGED_SHORTLY))
+            connected |= connections::connect_with_retry(clogged(CLOGGED_SHORTLY))
                 .await
                 .is_ok();
             if connected {
