--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -1,5 +1,5 @@
-//! Request limits that replicas set for all daemons together. Before each request to a limited replica, a daemon asks the
-//! keeper of the count.
+//! Enforces request limits that a replica sets for all daemons together. Before each request to a
+//! limited replica, a daemon asks the keeper of the count.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -57,7 +57,7 @@
     false
 }
 
-/// What a request asks of the limit of `server`; `None` if the replica has no limit.
+/// The units that a request takes from the limit of `server`; `None` if the replica has no limit.
 fn demand(server: &Server) -> Option<Demand> {
     Some(Demand {
         subject: Subject::Replica(server.hash),
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -1,4 +1,5 @@
-//! Quotas of customers: what a request uses is asked of the daemon that keeps the customer's bucket, before the request runs.
+//! Enforces quotas of customers: before a request runs, the daemon that keeps the customer's token
+//! bucket is asked for its units.
 
 pub mod charge;
 pub mod client;
@@ -23,12 +24,12 @@
 use crate::quotas::Demand;
 use crate::shared::Shared;
 
-/// Part of the objective that a request waits for units that come free.
+/// Fraction of the objective that a request waits for quota units.
 const MAX_WAIT_FRACTION: f64 = 0.1;
-/// Time after which a caller may come back when the quota cannot be asked; another daemon is asked by then.
+/// `Retry-After` if no keeper decides; by then, another daemon is asked.
 const UNDECIDED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// What `job` asks of its customer's quota; `None` if the customer has none, or the request has no customer.
+/// The units that `job` takes from its customer's quota; `None` without a customer or a quota.
 fn demand(job: &Job) -> Option<Demand> {
     let customer = job.customer()?;
     Some(Demand {
@@ -38,7 +39,7 @@
     })
 }
 
-/// Sees to it that `job` may run by its customer's quota; the answer to it if it may not.
+/// Charges `job` to its customer's quota; returns the response if the quota does not admit it.
 pub async fn admit(shared: &Rc<Shared>, job: &mut Job) -> Option<Response<Body>> {
     let demand = demand(job)?;
     if let Some(number) = client::spend_locally(shared, demand) {
@@ -67,7 +68,7 @@
                 None
             }
             None => {
-                let cause = "the quota cannot be asked";
+                let cause = "no keeper decided on the quota";
                 Some(plain::refuse(shared, job, UNDECIDED_RETRY_AFTER, cause))
             }
         },
@@ -78,5 +79,5 @@
     let answer = reply.map_or(Told::unsure(), |reply| reply.answer);
     let keeper = reply.map_or(String::new(), |reply| reply.keeper_name(shared));
     let customer = job.customer().map_or("", |customer| &customer.name);
-    log::info!(kind = "quota", request = job.call.id, customer = customer, units = demand.units as u64, decision = format!("{:?}", answer.decision), left = answer.left as i64, keeper = keeper, ms = job.age().as_millis() as u64; "a quota was asked");
+    log::info!(kind = "quota", request = job.call.id, customer = customer, units = demand.units as u64, decision = format!("{:?}", answer.decision), left = answer.left as i64, keeper = keeper, ms = job.age().as_millis() as u64; "asked for a quota decision");
 }
--- a/crates/gateway/src/quota/charge.rs
+++ b/crates/gateway/src/quota/charge.rs
@@ -1,4 +1,4 @@
-//! What a request takes from its customer's quota.
+//! Units that a request takes from its customer's quota.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use crate::quotas::Demand;
 use crate::shared::Shared;
 
-/// Least time for which the keeper is asked first, once it told that nothing was left.
+/// Minimum time for which the keeper is asked first after it reported an exhausted quota.
 const MIN_ASK_FIRST_PERIOD: Duration = Duration::from_millis(500);
 
-/// Units of a customer that a request uses; given back if this is dropped and the request did not run.
+/// Units charged for a request; refunded if this is dropped and the request did not run.
 #[derive(Debug)]
 pub struct Charge {
     shared: Rc<Shared>,
@@ -25,17 +25,17 @@
     ran: Cell<bool>,
 }
 
-/// Where units were taken from.
+/// Where the units were taken from.
 #[derive(Debug, Clone, Copy)]
 pub enum Source {
-    /// The bucket of the daemon that listens there; of this one if `None`.
+    /// The bucket of the daemon at this address, or of this one if `None`.
     Keeper(Option<SocketAddr>),
-    /// The own pocket.
+    /// The local budget of this daemon.
     LocalBudget(Number),
 }
 
 impl Charge {
-    /// What was taken from `source` for `demand`.
+    /// A charge for `demand` against `source`.
     pub fn new(shared: &Rc<Shared>, demand: Demand, source: Source) -> Self {
         Self {
             shared: Rc::clone(shared),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Notes whether the request may have run; tells what was noted before.
+    /// Records whether the request may have run; returns the previous value.
     pub fn set_ran(&self, ran: bool) -> bool {
         self.ran.replace(ran)
     }
@@ -73,7 +73,7 @@
     }
 }
 
-/// Has a request counted that ran unasked.
+/// Reports a request that ran without asking the keeper.
 async fn report(shared: Rc<Shared>, demand: Demand, number: Number) {
     let reply = client::ask(&shared, demand, Purpose::Ran).await;
     let decision = reply.map(|reply| reply.answer.decision);
@@ -86,7 +86,7 @@
             let free_in = Duration::from_millis(free_ms.into());
             pocket.ask_first(now, free_in.max(MIN_ASK_FIRST_PERIOD));
         }
-        // It counts against the pocket until it leaves the window.
+        // It counts against the local budget until it leaves the window.
         _ => {}
     }
 }
--- a/crates/gateway/src/quota/client.rs
+++ b/crates/gateway/src/quota/client.rs
@@ -1,4 +1,4 @@
-//! Questions about quotas, and their answers.
+//! Asks other daemons for quota decisions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,24 +21,25 @@
 use crate::quotas::Pending;
 use crate::shared::Shared;
 
-/// Time that a daemon gets for an answer; a round trip takes some milliseconds, and a busy daemon some ten.
+/// Time for an answer. A round trip takes a few milliseconds, a busy daemon some tens.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for which a daemon that did not answer is not asked: each question would cost its request [`PATIENCE`].
+/// Time for which an unresponsive daemon is not asked again; each attempt would delay its request
+/// by [`ANSWER_TIMEOUT`].
 const SILENT_PERIOD: Duration = Duration::from_secs(1);
-/// Time after which an answer is not waited for to give back what it grants.
+/// Time after which a late answer is ignored and the units that it grants are not refunded.
 const PENDING_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An answer, and whose it is.
+/// A decision on a quota, with its source.
 #[derive(Debug, Clone, Copy)]
 pub struct KeeperReply {
-    /// What was told.
+    /// The decision.
     pub answer: Told,
-    /// Where the daemon listens that told it; `None` for this one.
+    /// Address of the daemon that decided; `None` for this one.
     pub keeper: Option<SocketAddr>,
 }
 
 impl KeeperReply {
-    /// Where the answer came from, in words.
+    /// Address or name of the daemon that decided.
     pub fn keeper_name(&self, shared: &Shared) -> String {
         match self.keeper {
             Some(keeper) => keeper.ip().to_string(),
@@ -47,7 +48,7 @@
     }
 }
 
-/// Spends from the own pocket, if the customer has used little of it.
+/// Takes units from the local budget, if the customer has used little of it.
 pub fn spend_locally(shared: &Shared, demand: Demand) -> Option<Number> {
     let (window, allowance) = local_budget(shared, demand.limit);
     let now = shared.clock.now();
@@ -56,7 +57,7 @@
     pocket.spend(now, window, allowance, demand.units)
 }
 
-/// Spends from the own pocket, since nobody can be asked.
+/// Takes units from the local budget because no keeper can be asked.
 pub fn overspend_locally(shared: &Shared, demand: Demand) -> Option<Number> {
     let (window, allowance) = local_budget(shared, demand.limit);
     let now = shared.clock.now();
@@ -65,18 +66,19 @@
     pocket.overspend(now, window, allowance, demand.units)
 }
 
-/// Window and size of a pocket.
+/// Window and size of a local budget.
 fn local_budget(shared: &Shared, limit: Limit) -> (Duration, f64) {
     let tolerance = shared.settings().quota_tolerance();
     let daemons = shared.members.borrow().known();
     (tolerance.window, tolerance.pocket(limit, daemons))
 }
 
-/// Asks the keeper, and its deputy where the keeper is silent or cannot tell; `None` if neither tells.
+/// Asks the keeper, and its deputy if the keeper is unresponsive or undecided; `None` if neither
+/// decides.
 pub async fn ask(shared: &Rc<Shared>, demand: Demand, purpose: Purpose) -> Option<KeeperReply> {
     let mut keepers = shared.members.borrow().keepers(demand.subject.key());
     if matches!(demand.subject, Subject::Replica(_)) {
-        // Only the keeper may grant requests to a replica.
+        // For a replica's limit, only the keeper may grant requests.
         keepers.truncate(1);
     }
     let own = shared.own_card().instance();
@@ -100,7 +102,7 @@
     None
 }
 
-/// Gives back to the daemon at `keeper`, or this one, what a request that did not run has taken.
+/// Refunds the units of a request that did not run to the daemon at `keeper`, or to this one.
 pub fn refund(shared: &Rc<Shared>, keeper: Option<SocketAddr>, demand: Demand) {
     let ask = demand.ask(Purpose::GiveBack);
     let Some(keeper) = keeper else {
@@ -112,7 +114,7 @@
     tokio::task::spawn_local(async move { gossip::tell_quota(&shared, keeper, message).await });
 }
 
-/// Asks the daemon at `to`; `None` if it does not answer in time, or did not just now.
+/// Asks the daemon at `to`; `None` if it does not answer in time, or failed to do so recently.
 async fn ask_peer(
     shared: &Shared,
     to: SocketAddr,
@@ -146,11 +148,11 @@
     };
     gossip::tell_quota(shared, to, message).await;
     match timeout(ANSWER_TIMEOUT, answered).await {
-        Ok(told) => told.ok(),
+        Ok(reply) => reply.ok(),
         Err(_) => {
             let until = shared.clock.now() + SILENT_PERIOD;
             shared.quotas.borrow_mut().silent.insert(to, until);
-            log::info!(kind = "quota", peer = to.to_string(), ms = ANSWER_TIMEOUT.as_millis() as u64; "a daemon that keeps quotas does not answer");
+            log::info!(kind = "quota", peer = to.to_string(), ms = ANSWER_TIMEOUT.as_millis() as u64; "a quota keeper does not answer");
             None
         }
     }
--- a/crates/gateway/src/quota/keeper.rs
+++ b/crates/gateway/src/quota/keeper.rs
@@ -1,4 +1,4 @@
-//! Quotas that this daemon keeps for others, and answers of those that keep them for it.
+//! Decides on the quotas that this daemon keeps, and handles answers of other keepers.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 use crate::quotas::Message;
 use crate::shared::Shared;
 
-/// Number of what is told without a question.
+/// Request number of a message that expects no answer.
 pub const NO_REPLY: u32 = 0;
 
 /// Decides on `ask`. A customer's quota in this daemon's own plan takes precedence over `limit`.
@@ -41,7 +41,7 @@
     }
 }
 
-/// The message that gives back what `demand` has taken.
+/// The message that refunds the units of `demand`.
 pub const fn refund_message(demand: Demand) -> Message {
     Message::Ask {
         number: NO_REPLY,
@@ -50,17 +50,20 @@
     }
 }
 
-/// The answer to a question of another daemon, if it is to have one.
+/// The answer to another daemon's request; `None` for a refund.
 pub fn answer(shared: &Shared, number: u32, ask: Ask, limit: Limit) -> Option<Message> {
-    let told = decide(shared, &ask, limit);
-    (ask.purpose != Purpose::GiveBack).then_some(Message::Told { number, told })
+    let reply = decide(shared, &ask, limit);
+    (ask.purpose != Purpose::GiveBack).then_some(Message::Told {
+        number,
+        told: reply,
+    })
 }
 
-/// Takes the answer to a question of this daemon. One that comes too late grants what nobody uses: what is to be told for that, and
-/// where.
-pub fn handle_answer(shared: &Shared, number: u32, told: Told) -> Option<(SocketAddr, Message)> {
+/// Handles the answer to a request of this daemon. If it is too late, the units that it grants are
+/// unused: returns the refund and its recipient.
+pub fn handle_answer(shared: &Shared, number: u32, reply: Told) -> Option<(SocketAddr, Message)> {
     let pending = shared.quotas.borrow_mut().pending.remove(&number)?;
-    let is_unused = pending.answer.send(told).is_err();
-    let is_granted = matches!(told.decision, Decision::Granted { .. });
+    let is_unused = pending.answer.send(reply).is_err();
+    let is_granted = matches!(reply.decision, Decision::Granted { .. });
     (is_unused && is_granted).then(|| (pending.to, refund_message(pending.demand)))
 }
