--- a/crates/gateway/src/auxiliary.rs
+++ b/crates/gateway/src/auxiliary.rs
@@ -26,7 +26,7 @@
     }
     let near = request.uri().query().and_then(directory::data_centre);
     let open = shared.members.borrow().open();
-    let endpoints = relay::directory::answer(&open, near, shared.breadth());
+    let endpoints = relay::directory::select_addresses(&open, near, shared.breadth());
     if endpoints.is_empty() {
         return responses::answer(
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -149,7 +149,7 @@
         if bytes.is_empty() {
             return true;
         }
-        let events = event::count(&bytes);
+        let events = event::count_events(&bytes);
         self.events += events;
         if let Some(tracked_run) = &self.tracked_run {
             tracked_run.record_events(events);
--- a/crates/gateway/src/forward/resume.rs
+++ b/crates/gateway/src/forward/resume.rs
@@ -133,7 +133,7 @@
         let last_event = self.splitter.resume(self.job.call.last_event).ok()?;
         let (shared, job) = (&self.shared, &self.job);
         let in_budget = || shared.allow(job, Work::Run);
-        let next = self.attempt.after(Sent::Lost, in_budget);
+        let next = self.attempt.next_step(Sent::Lost, in_budget);
         if next != Next::Retry {
             return None;
         }
@@ -162,6 +162,6 @@
         let runs = self.shared.runs.borrow();
         self.tracked_run
             .as_ref()
-            .map_or(0, |tracked_run| runs.made_by(tracked_run.id()))
+            .map_or(0, |tracked_run| runs.generated_tokens(tracked_run.id()))
     }
 }
--- a/crates/gateway/src/guard.rs
+++ b/crates/gateway/src/guard.rs
@@ -42,7 +42,7 @@
 impl InFlight {
     /// Counts one more request of `tokens` at the replica `key`.
     pub fn new(shared: &Rc<Shared>, key: Key, tokens: u64, prefill_only: bool) -> Self {
-        shared.pool.borrow_mut().begin(key, tokens);
+        shared.pool.borrow_mut().start_request(key, tokens);
         if prefill_only {
             shared.runs_changed.notify_one();
         }
@@ -57,7 +57,10 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.shared.pool.borrow_mut().end(self.key, self.tokens);
+        self.shared
+            .pool
+            .borrow_mut()
+            .end_request(self.key, self.tokens);
         if self.prefill_only {
             self.shared.runs_changed.notify_one();
         }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -19,7 +19,7 @@
 use ident::Zone;
 use rand::seq::IteratorRandom;
 use rand::seq::SliceRandom;
-use relay::directory::Entry;
+use relay::directory::Endpoint;
 
 use crate::card::Card;
 
@@ -167,7 +167,7 @@
         let mut outputs = Vec::new();
         let next = fleet.step(now, &mut outputs);
         if fleet.declared_dead() {
-            let started = fleet.me().started + 1;
+            let started = fleet.local_member().started + 1;
             self.join(now, started);
             return (Vec::new(), Vec::new(), now);
         }
@@ -250,14 +250,14 @@
     }
 
     /// Instances that callers are told of: members that are neither leaving nor suspected.
-    pub fn open(&self) -> Vec<Entry> {
+    pub fn open(&self) -> Vec<Endpoint> {
         let Some(fleet) = &self.fleet else {
             return Vec::new();
         };
         let alive = fleet.alive().filter(|member| member.state == State::Alive);
         alive
             .filter_map(|member| self.card(member.instance))
-            .map(|card| Entry {
+            .map(|card| Endpoint {
                 data_centre: card.data_centre,
                 address: card.callers,
                 capacity: card.capacity,
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -70,8 +70,8 @@
             return respond_without_replica(shared, &mut job, &attempt, failure);
         };
         tried.push(key);
-        attempt.sent();
-        let may_abandon = attempt.may_move_on();
+        attempt.record_send();
+        let may_abandon = attempt.may_fail_over();
         let sent = send_to(shared, &job, key, permit, may_abandon, &tried).await;
         if matches!(&sent, SendResult::Answered(answer) if answer.status.is_success()) {
             shared.note_served(job.fingerprint);
@@ -80,7 +80,7 @@
             SendResult::TimedOut => {
                 return finish(&mut job, "overdue", responses::overdue, "no answer in time");
             }
-            SendResult::Abandoned => attempt.after(Outcome::Lost, || true),
+            SendResult::Abandoned => attempt.next_step(Outcome::Lost, || true),
             SendResult::Answered(answer) if is_retryable_failure(&job, &answer) => {
                 let (cause, status) =
                     ("the replica answered with an error", answer.status.as_u16());
@@ -104,7 +104,7 @@
 }
 
 fn next_after(shared: &Shared, job: &Job, attempt: &mut Attempt, outcome: Outcome) -> Next {
-    attempt.after(outcome, || shared.allow(job, Work::Run))
+    attempt.next_step(outcome, || shared.allow(job, Work::Run))
 }
 
 /// Result of one send.
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -166,7 +166,7 @@
         .map(|server| server.replica.address)
         .ok_or(Outcome::NotSent)?;
     let begun = Instant::now();
-    let queued_before = shared.pool.borrow().queued(key);
+    let queued_before = shared.pool.borrow().queued_tokens(key);
     let reply = send::send(shared, job, key, Task::Prefill, None, permit).await?;
     let exchanges_before = reply.connection.exchanges_before();
     let read = send::read_whole(shared, reply, MAX_PREFILL_ANSWER_BYTES).await;
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -11,7 +11,7 @@
 use boottime::timer::sleep;
 use customer::keeper::Decision;
 use customer::keeper::Purpose;
-use customer::keeper::Told;
+use customer::keeper::QuotaReply;
 use customer::subject::Subject;
 use http::Response;
 
@@ -76,7 +76,7 @@
 }
 
 fn log_decision(shared: &Shared, job: &Job, demand: Demand, reply: Option<KeeperReply>) {
-    let answer = reply.map_or(Told::unsure(), |reply| reply.answer);
+    let answer = reply.map_or(QuotaReply::unsure(), |reply| reply.answer);
     let keeper = reply.map_or(String::new(), |reply| reply.keeper_name(shared));
     let customer = job.customer().map_or("", |customer| &customer.name);
     log::info!(kind = "quota", request = job.call.id, customer = customer, units = demand.units as u64, decision = format!("{:?}", answer.decision), left = answer.left as i64, keeper = keeper, ms = job.age().as_millis() as u64; "asked for a quota decision");
--- a/crates/gateway/src/quota/charge.rs
+++ b/crates/gateway/src/quota/charge.rs
@@ -7,7 +7,7 @@
 
 use customer::keeper::Decision;
 use customer::keeper::Purpose;
-use customer::pocket::Number;
+use customer::local_budget::SpendId;
 
 use crate::quota::client;
 use crate::quotas::Demand;
@@ -31,7 +31,7 @@
     /// The bucket of the daemon at this address, or of this one if `None`.
     Keeper(Option<SocketAddr>),
     /// The local budget of this daemon.
-    LocalBudget(Number),
+    LocalBudget(SpendId),
 }
 
 impl Charge {
@@ -74,7 +74,7 @@
 }
 
 /// Reports a request that ran without asking the keeper.
-async fn report(shared: Rc<Shared>, demand: Demand, number: Number) {
+async fn report(shared: Rc<Shared>, demand: Demand, number: SpendId) {
     let reply = client::ask(&shared, demand, Purpose::Ran).await;
     let decision = reply.map(|reply| reply.answer.decision);
     let now = shared.clock.now();
@@ -84,7 +84,7 @@
         Some(Decision::Counted) => pocket.settle(number),
         Some(Decision::Overdrawn { free_ms }) => {
             let free_in = Duration::from_millis(free_ms.into());
-            pocket.ask_first(now, free_in.max(MIN_ASK_FIRST_PERIOD));
+            pocket.ask_keeper_first(now, free_in.max(MIN_ASK_FIRST_PERIOD));
         }
         // It counts against the local budget until it leaves the window.
         _ => {}
--- a/crates/gateway/src/quota/client.rs
+++ b/crates/gateway/src/quota/client.rs
@@ -7,8 +7,8 @@
 use boottime::timer::timeout;
 use customer::keeper::Decision;
 use customer::keeper::Purpose;
-use customer::keeper::Told;
-use customer::pocket::Number;
+use customer::keeper::QuotaReply;
+use customer::local_budget::SpendId;
 use customer::quota::Limit;
 use customer::subject::Subject;
 use tokio::sync::oneshot;
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct KeeperReply {
     /// The decision.
-    pub answer: Told,
+    pub answer: QuotaReply,
     /// Address of the daemon that decided; `None` for this one.
     pub keeper: Option<SocketAddr>,
 }
@@ -49,7 +49,7 @@
 }
 
 /// Takes units from the local budget, if the customer has used little of it.
-pub fn spend_locally(shared: &Shared, demand: Demand) -> Option<Number> {
+pub fn spend_locally(shared: &Shared, demand: Demand) -> Option<SpendId> {
     let (window, allowance) = local_budget(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
@@ -58,7 +58,7 @@
 }
 
 /// Takes units from the local budget because no keeper can be asked.
-pub fn overspend_locally(shared: &Shared, demand: Demand) -> Option<Number> {
+pub fn overspend_locally(shared: &Shared, demand: Demand) -> Option<SpendId> {
     let (window, allowance) = local_budget(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
@@ -70,7 +70,7 @@
 fn local_budget(shared: &Shared, limit: Limit) -> (Duration, f64) {
     let tolerance = shared.settings().quota_tolerance();
     let daemons = shared.members.borrow().known();
-    (tolerance.window, tolerance.pocket(limit, daemons))
+    (tolerance.window, tolerance.local_budget(limit, daemons))
 }
 
 /// Asks the keeper, and its deputy if the keeper is unresponsive or undecided; `None` if neither
@@ -120,7 +120,7 @@
     to: SocketAddr,
     demand: Demand,
     purpose: Purpose,
-) -> Option<Told> {
+) -> Option<QuotaReply> {
     let now = shared.clock.now();
     let (answer, answered) = oneshot::channel();
     let number = rand::random_range(NO_REPLY + 1..=u32::MAX);
--- a/crates/gateway/src/quota/keeper.rs
+++ b/crates/gateway/src/quota/keeper.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use customer::keeper::Ask;
 use customer::keeper::Decision;
 use customer::keeper::Purpose;
+use customer::keeper::QuotaReply;
+use customer::keeper::QuotaRequest;
 use customer::keeper::Role;
-use customer::keeper::Told;
 use customer::quota::Limit;
 use customer::subject::Subject;
 
@@ -18,7 +18,7 @@
 pub const NO_REPLY: u32 = 0;
 
 /// Decides on `ask`. A customer's quota in this daemon's own plan takes precedence over `limit`.
-pub fn decide(shared: &Shared, ask: &Ask, limit: Limit) -> Told {
+pub fn decide(shared: &Shared, ask: &QuotaRequest, limit: Limit) -> QuotaReply {
     let now = shared.clock.now();
     let limit = shared.quota_of(ask.subject).unwrap_or(limit);
     let tolerance = shared.settings().quota_tolerance();
@@ -35,7 +35,7 @@
     let keepers = members.keepers(subject.key());
     let own = members.own().instance();
     match keepers.first() {
-        _ if !members.is_majority(shared.clock.now()) => Role::Outsider,
+        _ if !members.is_majority(shared.clock.now()) => Role::NoMajority,
         Some((first, _)) if *first == own => Role::Keeper,
         _ => Role::Deputy,
     }
@@ -51,7 +51,7 @@
 }
 
 /// The answer to another daemon's request; `None` for a refund.
-pub fn answer(shared: &Shared, number: u32, ask: Ask, limit: Limit) -> Option<Message> {
+pub fn answer(shared: &Shared, number: u32, ask: QuotaRequest, limit: Limit) -> Option<Message> {
     let reply = decide(shared, &ask, limit);
     (ask.purpose != Purpose::GiveBack).then_some(Message::Told {
         number,
@@ -61,7 +61,11 @@
 
 /// Handles the answer to a request of this daemon. If it is too late, the units that it grants are
 /// unused: returns the refund and its recipient.
-pub fn handle_answer(shared: &Shared, number: u32, reply: Told) -> Option<(SocketAddr, Message)> {
+pub fn handle_answer(
+    shared: &Shared,
+    number: u32,
+    reply: QuotaReply,
+) -> Option<(SocketAddr, Message)> {
     let pending = shared.quotas.borrow_mut().pending.remove(&number)?;
     let is_unused = pending.answer.send(reply).is_err();
     let is_granted = matches!(reply.decision, Decision::Granted { .. });
--- a/crates/gateway/src/run_tracking.rs
+++ b/crates/gateway/src/run_tracking.rs
@@ -8,12 +8,12 @@
 use boottime::Instant;
 use boottime::timer::timeout_at;
 use rand::seq::IndexedRandom;
-use relay::rescue;
-use relay::rescue::Move;
-use relay::runs::Id;
+use relay::claim_publisher::ClaimPublisher;
+use relay::migration;
+use relay::migration::Move;
+use relay::runs::RunId;
 use relay::runs::Size;
 use relay::server::Key;
-use relay::teller::Teller;
 use tokio::sync::watch;
 
 use crate::gossip;
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct TrackedRun {
     shared: Rc<Shared>,
-    id: Id,
+    id: RunId,
     /// Tokens per event.
     event_tokens: u64,
     orders: watch::Receiver<Option<Key>>,
@@ -62,13 +62,13 @@
     }
 
     /// Id of the run.
-    pub const fn id(&self) -> Id {
+    pub const fn id(&self) -> RunId {
         self.id
     }
 
     /// Records that the replica prefills the prompt itself.
     pub fn note_local_prefill(&self, server: Key) {
-        self.shared.runs.borrow_mut().reads(self.id);
+        self.shared.runs.borrow_mut().mark_prefilling(self.id);
         self.shared.update_forecast(server);
         self.shared.runs_changed.notify_one();
     }
@@ -77,12 +77,15 @@
     pub fn record_events(&self, events: u64) {
         let now = self.shared.clock.now();
         let tokens = events * self.event_tokens;
-        self.shared.runs.borrow_mut().made(now, self.id, tokens);
+        self.shared
+            .runs
+            .borrow_mut()
+            .record_tokens(now, self.id, tokens);
     }
 
     /// Records that the run continues at `server`.
     pub fn record_move(&mut self, server: Key) {
-        self.shared.runs.borrow_mut().moved(self.id, server);
+        self.shared.runs.borrow_mut().record_move(self.id, server);
         self.orders.mark_unchanged();
         self.shared.update_forecast(server);
         self.shared.runs_changed.notify_one();
@@ -91,14 +94,17 @@
     /// Excludes the run from migrations for `pause`.
     pub fn block_moves(&self, pause: Duration) {
         let until = self.shared.clock.now() + pause;
-        self.shared.runs.borrow_mut().settle(self.id, until);
+        self.shared.runs.borrow_mut().block_moves(self.id, until);
     }
 
     /// Records that the replica did not migrate the run, and excludes its other runs from
     /// migrations for `pause`.
     pub fn block_moves_from_replica(&self, pause: Duration) {
         let until = self.shared.clock.now() + pause;
-        self.shared.runs.borrow_mut().keep(self.id, until);
+        self.shared
+            .runs
+            .borrow_mut()
+            .block_moves_from_replica(self.id, until);
     }
 
     /// Records that the run sent its last event.
@@ -142,13 +148,15 @@
     pub fn update_forecast(&self, server: Key) {
         let now = self.clock.now();
         let (runs, claims) = (self.runs.borrow(), self.claims.borrow());
-        self.pool.borrow_mut().foresee(now, server, &runs, &claims);
+        self.pool
+            .borrow_mut()
+            .update_forecast(now, server, &runs, &claims);
     }
 }
 
 /// Checks and publishes the runs forever.
 pub async fn run(shared: Rc<Shared>) {
-    let mut publisher = Teller::new();
+    let mut publisher = ClaimPublisher::new();
     let mut next_check = Instant::now();
     loop {
         let changed = shared.runs_changed.notified();
@@ -164,14 +172,17 @@
 
 fn check_memory(shared: &Shared) {
     let now = shared.clock.now();
-    shared.claims.borrow_mut().sweep(now);
+    shared.claims.borrow_mut().remove_expired(now);
     let (runs, claims) = (shared.runs.borrow(), shared.claims.borrow());
-    shared.pool.borrow_mut().foresee_all(now, &runs, &claims);
+    shared
+        .pool
+        .borrow_mut()
+        .update_all_forecasts(now, &runs, &claims);
     let plan = shared.plan().filter(|_| shared.settings().placing.moves);
     let Some(plan) = plan else { return };
     let moves = {
         let pool = shared.pool.borrow();
-        rescue::due(now, &pool, &runs, &claims, |run, from, ask| {
+        migration::due_moves(now, &pool, &runs, &claims, |run, from, ask| {
             let service = &runs.get(run)?.service;
             let engine = plan.services.get(service)?.engine?;
             let to = engine
@@ -188,7 +199,7 @@
     }
 }
 
-async fn publish_claims(shared: &Shared, publisher: &mut Teller) {
+async fn publish_claims(shared: &Shared, publisher: &mut ClaimPublisher) {
     let now = shared.clock.now();
     let due = publisher.due(now, &shared.runs.borrow(), &shared.pool.borrow());
     let Some(update) = due else { return };
@@ -205,7 +216,7 @@
         return peers;
     }
     let claims = shared.claims.borrow();
-    let active = claims.active().filter_map(|peer| members.peer(peer));
+    let active = claims.active_peers().filter_map(|peer| members.peer(peer));
     let mut to: Vec<SocketAddr> = active.take(MAX_ACTIVE_PEERS).collect();
     for drawn in peers.sample(&mut rand::rng(), RANDOM_PEERS) {
         if !to.contains(drawn) {
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -143,10 +143,13 @@
         return Err(record_foreign_answer(shared, job, key, &head, &connection));
     }
     if let Some(load) = head.load {
-        shared.pool.borrow_mut().told(shared.clock.now(), key, load);
+        shared
+            .pool
+            .borrow_mut()
+            .record_load(shared.clock.now(), key, load);
     }
     if head.other_replica {
-        shared.pool.borrow_mut().replaced(key);
+        shared.pool.borrow_mut().mark_replaced(key);
     }
     // An unsigned answer may come from an intermediary, so it cannot lift a limit.
     if head.limit.is_some() || head.genuine {
@@ -223,7 +226,7 @@
     }
     let now = shared.clock.now();
     let mut pool = shared.pool.borrow_mut();
-    pool.note(now, key, true);
+    pool.record_result(now, key, true);
     let replica = pool.get(key).map_or("", |server| &server.replica.id);
     shared.metrics.send(match outcome {
         Outcome::NotSent => "not-sent",
@@ -239,7 +242,7 @@
 /// Records that a send to `key` succeeded.
 pub fn record_success(shared: &Shared, key: Key) {
     let now = shared.clock.now();
-    shared.pool.borrow_mut().note(now, key, false);
+    shared.pool.borrow_mut().record_result(now, key, false);
     shared.metrics.send("answered");
 }
 
--- a/crates/gateway/src/shared/knowledge.rs
+++ b/crates/gateway/src/shared/knowledge.rs
@@ -5,12 +5,12 @@
 
 use customer::subject::Subject;
 use ident::Time;
-use relay::belief::Belief;
-use relay::belief::Change;
 use relay::plan::Plan;
 use relay::replica::Birth;
 use relay::replica::Source;
 use relay::replica::Update;
+use relay::replica_state::ReplicaState;
+use relay::replica_state::StateChange;
 use relay::server::Key;
 
 use crate::news::News;
@@ -70,7 +70,7 @@
     pub fn take_replicas(&self, source: Source, read_at: Time, update: &Update) {
         let version = update.version();
         let now = self.clock.now();
-        let changes = self.pool.borrow_mut().take(now, source, update);
+        let changes = self.pool.borrow_mut().apply_update(now, source, update);
         let Some(changes) = changes else {
             log::info!(kind = "replicas", version = version, source = source.name(); "older news of the replicas are ignored");
             return;
@@ -82,15 +82,15 @@
     /// Takes from an answer of `key` when its replica started.
     pub fn note_birth(&self, key: Key, birth: Option<Birth>) {
         let now = self.clock.now();
-        let changes = self.pool.borrow_mut().answered(now, key, birth);
+        let changes = self.pool.borrow_mut().update_birth(now, key, birth);
         self.tell_changes("answer", &changes);
     }
 
-    fn tell_changes(&self, source: &'static str, changes: &[Change]) {
+    fn tell_changes(&self, source: &'static str, changes: &[StateChange]) {
         let version = self.replicas_version();
         for change in changes {
             log::info!(kind = "replica", replica = change.id, belief = format!("{:?}", change.now), version = version, source = source; "a replica changed");
-            if change.now == Belief::Restarted {
+            if change.now == ReplicaState::Restarted {
                 self.forget_earlier(&change.id);
             }
         }
@@ -119,7 +119,7 @@
     /// What a peer is told whose replicas stand at `version` and have the hash `digest`.
     pub fn newer_replicas(&self, version: u64, digest: u64) -> Option<Update> {
         let pool = self.pool.borrow();
-        pool.newer(self.clock.now(), version, digest)
+        pool.update_for_peer(self.clock.now(), version, digest)
     }
 
     /// Notes that the replicas are the same as those that a peer has from `version`, which was read
@@ -152,7 +152,7 @@
             pool.digest() == digest,
             self.replicas_age(),
             self.store_lost.get(),
-            self.overload.borrow().is_near(self.clock.now()),
+            self.overload.borrow().is_reported(self.clock.now()),
         )
     }
 
--- a/crates/relay/tests/forecast.rs
+++ b/crates/relay/tests/forecast.rs
@@ -2,27 +2,27 @@
 
 use relay::forecast::Curve;
 use relay::forecast::Run;
-use relay::length::Length;
+use relay::length::LengthDistribution;
 
-fn run(made: f64) -> Run {
+fn run(generated: f64) -> Run {
     Run {
         prompt: 5_000.0,
-        made,
+        generated,
         estimate: 4_000.0,
-        most: 8_000.0,
-        pace: 1_200.0,
+        max_tokens: 8_000.0,
+        tokens_per_s: 1_200.0,
     }
 }
 
 /// `count` runs that have made `made` tokens.
 fn runs(count: usize, made: f64) -> Curve {
-    let one = run(made).curve(&Length::new());
+    let one = run(made).curve(&LengthDistribution::new());
     (0..count).fold(Curve::default(), |sum, _| sum.plus(&one))
 }
 
 #[test]
 fn a_run_holds_its_prompt_and_what_it_made() {
-    let curve = run(640.0).curve(&Length::new());
+    let curve = run(640.0).curve(&LengthDistribution::new());
     assert!((curve.mean()[0] - 5_640.0).abs() < 1.0);
     assert!(curve.spread()[0] < 1.0);
 }
@@ -48,15 +48,15 @@
 
 #[test]
 fn a_run_that_made_the_most_is_over_at_once() {
-    let curve = run(8_000.0).curve(&Length::new());
+    let curve = run(8_000.0).curve(&LengthDistribution::new());
     assert!(curve.mean()[1..].iter().all(|mean| *mean < 1.0));
 }
 
 #[test]
 fn a_run_longer_than_any_before_goes_on_for_a_while() {
-    let mut length = Length::new();
+    let mut length = LengthDistribution::new();
     for _ in 0..2_000 {
-        length.note(2_000.0, 4_000.0);
+        length.record(2_000.0, 4_000.0);
     }
     let curve = run(7_000.0).curve(&length);
     assert!(curve.mean()[1] > 5_000.0);
@@ -66,9 +66,9 @@
 #[test]
 fn a_curve_seen_later_starts_further_on() {
     let burst = runs(10, 0.0);
-    let later = burst.later(0.3);
+    let later = burst.shifted(0.3);
     assert!((later.mean()[0] - burst.mean()[1]).abs() < 1.0);
-    let much_later = burst.later(60.0);
+    let much_later = burst.shifted(60.0);
     assert!((much_later.mean()[0] - burst.mean()[5]).abs() < 1.0);
 }
 
@@ -77,11 +77,11 @@
 fn no_more_is_asked_for_than_if_no_run_ends() {
     let small = Run {
         estimate: 400.0,
-        most: 1_000.0,
-        pace: 120.0,
+        max_tokens: 1_000.0,
+        tokens_per_s: 120.0,
         ..run(100.0)
     };
-    let one = small.curve(&Length::new());
+    let one = small.curve(&LengthDistribution::new());
     let ten = (0..10).fold(Curve::default(), |sum, _| sum.plus(&one));
     assert!(ten.peak(3.0) <= 10.0 * 6_000.0);
     assert!(ten.peak(3.0) <= f64::from(ten.most()[5]) + 1.0);
