--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -166,15 +166,15 @@
     }
 
     fn is_single_use(&self, address: SocketAddr) -> bool {
-        let noted = self.duplicate_answer_at.borrow();
-        let noted = noted.get(&address);
-        noted.is_some_and(|noted| noted.elapsed() < SINGLE_USE_TIME)
+        let duplicate_at = self.duplicate_answer_at.borrow();
+        let duplicate_at = duplicate_at.get(&address);
+        duplicate_at.is_some_and(|duplicate_at| duplicate_at.elapsed() < SINGLE_USE_TIME)
     }
 
     /// Closes connections that were idle for too long, and forgets old duplicate answers.
     pub fn close_expired(&self) {
-        let mut noted = self.duplicate_answer_at.borrow_mut();
-        noted.retain(|_, at| at.elapsed() < SINGLE_USE_TIME);
+        let mut duplicate_at = self.duplicate_answer_at.borrow_mut();
+        duplicate_at.retain(|_, at| at.elapsed() < SINGLE_USE_TIME);
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
             connections.retain(Connection::is_usable);
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -67,7 +67,7 @@
     /// Units taken from the customer's quota.
     pub charge: Option<Charge>,
     /// Permits for sends to replicas.
-    pub allowance: RefCell<RequestPermits>,
+    pub permits: RefCell<RequestPermits>,
     /// Replicas that received the request.
     sent_to: RefCell<HashSet<Key>>,
     shared: Rc<Shared>,
@@ -109,7 +109,7 @@
             returned,
             response_started: Cell::new(false),
             charge: None,
-            allowance: RefCell::new(RequestPermits::new()),
+            permits: RefCell::new(RequestPermits::new()),
             sent_to: RefCell::default(),
             shared: Rc::clone(shared),
             end_recorded: false,
@@ -128,7 +128,7 @@
 
     /// Takes the permit for a send, if the job holds one; see [`Shared::allow`].
     pub fn take_permit(&self, work: Work) -> Option<Permit> {
-        self.allowance.borrow_mut().take(work)
+        self.permits.borrow_mut().take(work)
     }
 
     /// Records a send to the replica `key`; returns whether it is the first one there. Each attempt
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -121,14 +121,14 @@
         } else {
             None
         };
-        if let Some(place) = found {
+        if let Some(placement) = found {
             shared.metrics.wait(begun.elapsed().as_secs_f64());
-            return Some(place);
+            return Some(placement);
         }
         rounds += 1;
         if Instant::now() + ROUND_PAUSE > until {
-            let read = shared.read_time(&job.service, job.prompt_tokens());
-            let read_ms = read.unwrap_or_default().as_millis() as u64;
+            let prefill_time = shared.read_time(&job.service, job.prompt_tokens());
+            let read_ms = prefill_time.unwrap_or_default().as_millis() as u64;
             log::info!(kind = "reserve", request = job.call.id, class = format!("{kind:?}"), rounds = rounds, tokens = job.expected_tokens(), read_ms = read_ms; "no decode replica has room");
             return None;
         }
@@ -167,8 +167,12 @@
 ) -> Option<Placement> {
     let placing = shared.settings().placing;
     let size = job.size(generated);
-    let read = shared.read_time(&job.service, size.prompt);
-    let idle = kind.required_idle_share(job.route.objective, job.age(), read.unwrap_or_default());
+    let prefill_time = shared.read_time(&job.service, size.prompt);
+    let idle = kind.required_idle_share(
+        job.route.objective,
+        job.age(),
+        prefill_time.unwrap_or_default(),
+    );
     let memory_demand = MemoryDemand {
         curve: shared.runs.borrow().forecast(&job.service, size),
         spreads: placing.spreads,
@@ -285,8 +289,8 @@
         };
         tokio::task::spawn_local(async move {
             let replica = call.replica.clone();
-            let given = control::call(&shared, call).await;
-            if !given.is_ok_and(|answer| answer.status == StatusCode::OK) {
+            let released = control::call(&shared, call).await;
+            if !released.is_ok_and(|answer| answer.status == StatusCode::OK) {
                 log::info!(kind = "reserve", replica = replica; "a reservation could not be released; it will expire");
             }
         });
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -132,31 +132,31 @@
 ) -> SendResult {
     let mut exchange = std::pin::pin!(exchange(shared, job, key, permit));
     let silence = Instant::now() + job.route.objective.mul_f64(SILENCE_FACTOR);
-    let first = if may_abandon {
+    let first_limit = if may_abandon {
         silence.min(job.deadline)
     } else {
         job.deadline
     };
-    let ended = async {
-        match timeout_at(first, &mut exchange).await {
+    let result = async {
+        match timeout_at(first_limit, &mut exchange).await {
             Err(_) if try_abandon(shared, job, key, tried) => None,
             Err(_) => Some(timeout_at(job.deadline, exchange).await),
-            ended => Some(ended),
+            result => Some(result),
         }
     };
-    let ended = tokio::select! {
+    let result = tokio::select! {
         biased;
-        ended = ended => ended,
+        result = result => result,
         () = shared.restarted(key) => {
             let cause = "the replica restarted";
             send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
             return SendResult::Failed(Outcome::Lost);
         }
     };
-    let Some(ended) = ended else {
+    let Some(result) = result else {
         return SendResult::Abandoned;
     };
-    match ended {
+    match result {
         Ok(Ok(answer)) => SendResult::Answered(answer),
         Ok(Err(outcome)) => SendResult::Failed(outcome),
         Err(_) => {
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -73,7 +73,7 @@
         )
         .await
         {
-            Ok(Ok(read)) => return Some(decode_task(read, last_event)),
+            Ok(Ok(prefilled)) => return Some(decode_task(prefilled, last_event)),
             Ok(Err(Outcome::NotSent)) => continue,
             // The send that follows is withheld too, and determines the response.
             Ok(Err(Outcome::Quarantined | Outcome::Denied)) => break,
@@ -104,8 +104,8 @@
 }
 
 /// The task for a decode replica that fetches the KV cache of a prefilled prompt.
-fn decode_task(read: PrefilledPrompt, last_event: Option<u64>) -> Task {
-    let PrefilledPrompt { address, handle } = read;
+fn decode_task(prefilled: PrefilledPrompt, last_event: Option<u64>) -> Task {
+    let PrefilledPrompt { address, handle } = prefilled;
     match last_event {
         Some(last_event) => Task::GoOn {
             address,
@@ -135,9 +135,9 @@
     let soft_limit = (job.arrived + objective.mul_f64(SOFT_LIMIT_FRACTION)).max(guaranteed_until);
     let hard_limit =
         (job.arrived + objective.mul_f64(HARD_LIMIT_FACTOR)).max(guaranteed_until + objective);
-    let mut read = std::pin::pin!(prefill_at(shared, job, key, permit));
-    if let Ok(read) = timeout_at(soft_limit, &mut read).await {
-        return read;
+    let mut prefill = std::pin::pin!(prefill_at(shared, job, key, permit));
+    if let Ok(prefilled) = timeout_at(soft_limit, &mut prefill).await {
+        return prefilled;
     }
     if !control::is_responsive(shared, key).await {
         shared.note_silent(key);
@@ -145,8 +145,8 @@
         send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
         return Err(Outcome::Lost);
     }
-    if let Ok(read) = timeout_at(hard_limit, read).await {
-        return read;
+    if let Ok(prefilled) = timeout_at(hard_limit, prefill).await {
+        return prefilled;
     }
     let cause = "the prefill did not finish in time";
     send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
@@ -169,8 +169,8 @@
     let queued_before = shared.pool.borrow().queued_tokens(key);
     let reply = send::send(shared, job, key, Task::Prefill, None, permit).await?;
     let exchanges_before = reply.connection.exchanges_before();
-    let read = send::read_whole(shared, reply, MAX_PREFILL_ANSWER_BYTES).await;
-    let body = match read {
+    let answer = send::read_whole(shared, reply, MAX_PREFILL_ANSWER_BYTES).await;
+    let body = match answer {
         Ok((head, _, body)) if head.status == StatusCode::OK => body,
         Ok((head, ..)) => {
             send::record_failure(
--- a/crates/gateway/src/quota/charge.rs
+++ b/crates/gateway/src/quota/charge.rs
@@ -79,12 +79,12 @@
     let decision = reply.map(|reply| reply.answer.decision);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
-    let pocket = quotas.pocket(demand.subject);
+    let budget = quotas.pocket(demand.subject);
     match decision {
-        Some(Decision::Counted) => pocket.settle(number),
+        Some(Decision::Counted) => budget.settle(number),
         Some(Decision::Overdrawn { free_ms }) => {
             let free_in = Duration::from_millis(free_ms.into());
-            pocket.ask_keeper_first(now, free_in.max(MIN_ASK_FIRST_PERIOD));
+            budget.ask_keeper_first(now, free_in.max(MIN_ASK_FIRST_PERIOD));
         }
         // It counts against the local budget until it leaves the window.
         _ => {}
--- a/crates/gateway/src/quota/client.rs
+++ b/crates/gateway/src/quota/client.rs
@@ -53,8 +53,8 @@
     let (window, allowance) = local_budget(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
-    let pocket = quotas.pocket(demand.subject);
-    pocket.spend(now, window, allowance, demand.units)
+    let budget = quotas.pocket(demand.subject);
+    budget.spend(now, window, allowance, demand.units)
 }
 
 /// Takes units from the local budget because no keeper can be asked.
@@ -62,8 +62,8 @@
     let (window, allowance) = local_budget(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
-    let pocket = quotas.pocket(demand.subject);
-    pocket.overspend(now, window, allowance, demand.units)
+    let budget = quotas.pocket(demand.subject);
+    budget.overspend(now, window, allowance, demand.units)
 }
 
 /// Window and size of a local budget.
--- a/crates/gateway/src/run_tracking.rs
+++ b/crates/gateway/src/run_tracking.rs
@@ -136,8 +136,8 @@
         drop(runs);
         if let Some(server) = server {
             self.shared.update_forecast(server);
-            // Generations waiting here go first. Other daemons learn of the free room later, so
-            // that they do not all take it at once.
+            // Generations waiting here go first, and other daemons learn of the free room later:
+            // otherwise several generations would take the room of one run.
             self.shared.room.notify_waiters();
         }
     }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -66,7 +66,7 @@
         sent,
         Err(Outcome::NotSent | Outcome::Quarantined | Outcome::Denied)
     ) {
-        job.allowance.borrow_mut().put(work, permit);
+        job.permits.borrow_mut().put(work, permit);
     }
     sent
 }
--- a/crates/gateway/src/shared/retries.rs
+++ b/crates/gateway/src/shared/retries.rs
@@ -21,7 +21,7 @@
 
     /// Whether `job` could be sent once more.
     pub fn may_allow(&self, job: &Job) -> bool {
-        if job.allowance.borrow().has(Work::Run) {
+        if job.permits.borrow().has(Work::Run) {
             return true;
         }
         let sharers = self.members.borrow().sharers();
@@ -32,7 +32,7 @@
 
     /// Sees to it that `job` holds a permit for `work`, out of the budget if it has none; whether it does.
     pub fn allow(&self, job: &Job, work: Work) -> bool {
-        if job.allowance.borrow().has(work) {
+        if job.permits.borrow().has(work) {
             return true;
         }
         let service = &job.service;
@@ -46,7 +46,7 @@
         self.metrics.retries(service, granted);
         log::info!(kind = "retry", request = job.call.id, service = service, work = format!("{work:?}"), granted = granted, left = format!("{left:.1}"), sharers = sharers as u64; "a retry was asked of the budget");
         if let Some(permit) = permit {
-            job.allowance.borrow_mut().put(work, permit);
+            job.permits.borrow_mut().put(work, permit);
         }
         granted
     }
