--- a/crates/gateway/src/wait_queue.rs
+++ b/crates/gateway/src/wait_queue.rs
@@ -27,16 +27,16 @@
 
     /// Whether this generation is first in the queue.
     pub fn is_first(&self) -> bool {
-        let line = self.shared.line.borrow();
-        line.is_first(&self.service, self.ticket)
+        let queue = self.shared.line.borrow();
+        queue.is_first(&self.service, self.ticket)
     }
 }
 
 impl Drop for QueueEntry {
     fn drop(&mut self) {
-        let mut line = self.shared.line.borrow_mut();
-        line.leave(&self.service, self.ticket);
-        drop(line);
+        let mut queue = self.shared.line.borrow_mut();
+        queue.leave(&self.service, self.ticket);
+        drop(queue);
         self.shared.room.notify_waiters();
     }
 }
