--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -215,7 +215,7 @@
         self.shared.metrics.request(outcome);
         let customer = self.customer().map_or("", |customer| &customer.name);
         self.shared.count_customer(customer, outcome);
-        log::info!(kind = "end", request = self.call.id, customer = customer, route = self.route.name, service = self.service, plan = self.plan, outcome = outcome, status = status, ms = ms, cause = cause; "request end_recorded");
+        log::info!(kind = "end", request = self.call.id, customer = customer, route = self.route.name, service = self.service, plan = self.plan, outcome = outcome, status = status, ms = ms, cause = cause; "request ended");
     }
 }
 
