--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes in progress, those passed on for others, and the order of targets.
+//! Probes in progress, pings on behalf of other members, and the order of targets.
 
 use std::collections::VecDeque;
 
@@ -16,20 +16,22 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) sent: Time,
     /// Set once helpers have been asked.
-    pub(crate) indirect: Option<Indirect>,
+    pub(crate) indirect: Option<IndirectProbe>,
 }
 
-/// The part of a probe that helpers were asked for.
+/// The indirect part of a probe, sent through helpers.
 #[derive(Debug, Clone)]
-pub(crate) struct Indirect {
-    /// Differs from [`Probe::seq`]: an instance that has the target's address now answers the direct ping under its own
-    /// name, and if it is a helper too, that answer would count as the target's.
+pub(crate) struct IndirectProbe {
+    /// Differs from [`Probe::seq`]: another instance that took over the target's address answers
+    /// the direct ping under its own name. If it is also a helper, its answer would otherwise count
+    /// as the target's.
     pub(crate) seq: u32,
     pub(crate) helpers: Vec<Instance>,
 }
 
 impl Probe {
-    /// Whether an answer of `from` to the message `seq` is the target's, by itself or through a helper.
+    /// Whether an answer from `from` to the message `seq` is the target's, direct or through a
+    /// helper.
     pub(crate) fn is_answered(&self, from: Instance, seq: u32) -> bool {
         let direct = from == self.target && seq == self.seq;
         let indirect = self.indirect.as_ref();
@@ -37,7 +39,7 @@
     }
 }
 
-/// The ping of a suspected member in this period.
+/// This period's ping to a suspected member.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SuspectPing {
     pub(crate) target: Instance,
@@ -49,18 +51,18 @@
 struct Relay {
     seq: u32,
     target: Instance,
-    asker: Instance,
-    asker_seq: u32,
+    requester: Instance,
+    requester_seq: u32,
 }
 
-/// To whom and under which number an answer is passed on.
+/// The member that requested a ping, and the sequence number of its request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Asker {
+pub(crate) struct Requester {
     pub(crate) instance: Instance,
     pub(crate) seq: u32,
 }
 
-/// Pings on behalf of others, the oldest dropped first.
+/// Unanswered pings on behalf of others; the oldest is dropped first.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Relays {
     relays: VecDeque<Relay>,
@@ -69,39 +71,39 @@
 impl Relays {
     const CAPACITY: usize = 64;
 
-    pub(crate) fn push(&mut self, seq: u32, target: Instance, asker: Asker) {
+    pub(crate) fn push(&mut self, seq: u32, target: Instance, requester: Requester) {
         if self.relays.len() == Self::CAPACITY {
             self.relays.pop_front();
         }
         let relay = Relay {
             seq,
             target,
-            asker: asker.instance,
-            asker_seq: asker.seq,
+            requester: requester.instance,
+            requester_seq: requester.seq,
         };
         self.relays.push_back(relay);
     }
 
-    /// The asker for whom `target` answered `seq`.
-    pub(crate) fn take(&mut self, seq: u32, target: Instance) -> Option<Asker> {
-        let is_it = |relay: &Relay| relay.seq == seq && relay.target == target;
-        let index = self.relays.iter().position(is_it)?;
+    /// Removes the relayed ping that `target` answered and returns its requester.
+    pub(crate) fn take(&mut self, seq: u32, target: Instance) -> Option<Requester> {
+        let matches = |relay: &Relay| relay.seq == seq && relay.target == target;
+        let index = self.relays.iter().position(matches)?;
         let relay = self.relays.remove(index)?;
-        Some(Asker {
-            instance: relay.asker,
-            seq: relay.asker_seq,
+        Some(Requester {
+            instance: relay.requester,
+            seq: relay.requester_seq,
         })
     }
 }
 
 /// The outcomes of the last probes.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Outcomes {
+pub(crate) struct ProbeOutcomes {
     answered: VecDeque<bool>,
 }
 
-impl Outcomes {
-    /// Probes remembered; they were sent to as many members drawn at random.
+impl ProbeOutcomes {
+    /// Number of probes remembered; each went to another random member.
     const CAPACITY: usize = 6;
 
     pub(crate) fn push(&mut self, answered: bool) {
@@ -115,34 +117,34 @@
         self.answered.clear();
     }
 
-    /// How many of `others` answer, judged by the last probes and rounded up.
-    pub(crate) fn scale(&self, others: usize) -> usize {
+    /// Estimates from the last probes how many of `others` answer, rounded up.
+    pub(crate) fn estimate_answering(&self, others: usize) -> usize {
         let answered = self.answered.iter().filter(|answered| **answered).count();
         (others * answered).div_ceil(self.answered.len().max(1))
     }
 }
 
-/// Targets in random order; each comes once before any comes again.
+/// Targets in random order; each is returned once before any is repeated.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Round {
-    left: Vec<Instance>,
+pub(crate) struct RoundRobin {
+    remaining: Vec<Instance>,
 }
 
-impl Round {
-    /// The next target for which `valid` holds; `all` lists the targets of a new round.
+impl RoundRobin {
+    /// The next target for which `is_valid` holds; `refill` lists the targets of a new round.
     pub(crate) fn next(
         &mut self,
         rng: &mut Pcg64Mcg,
-        valid: impl Fn(Instance) -> bool,
-        all: impl FnOnce() -> Vec<Instance>,
+        is_valid: impl Fn(Instance) -> bool,
+        refill: impl FnOnce() -> Vec<Instance>,
     ) -> Option<Instance> {
-        while let Some(target) = self.left.pop() {
-            if valid(target) {
+        while let Some(target) = self.remaining.pop() {
+            if is_valid(target) {
                 return Some(target);
             }
         }
-        self.left = all();
-        self.left.shuffle(rng);
-        self.left.pop()
+        self.remaining = refill();
+        self.remaining.shuffle(rng);
+        self.remaining.pop()
     }
 }
--- a/crates/gateway/tests/gateway/common/daemon.rs
+++ b/crates/gateway/tests/gateway/common/daemon.rs
@@ -1,4 +1,4 @@
-//! The real daemon in a process of its own.
+//! Runs the gateway binary as a child process.
 
 use std::fs;
 use std::io::BufRead;
@@ -24,16 +24,16 @@
 use super::caller::Caller;
 use super::http::Message;
 
-/// Longest time that a test waits for something to happen.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Log lines of a daemon that a failed test shows.
-const SHOWN_LINES: usize = 40;
+/// Longest wait for a condition, or for a daemon to exit.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Log lines of a daemon that a failed test prints.
+const MAX_PRINTED_LINES: usize = 40;
 
 /// A daemon; killed when dropped.
 #[derive(Debug)]
 pub struct Daemon {
     child: Child,
-    /// Where it takes requests.
+    /// Address for requests of callers.
     pub callers: SocketAddr,
     addresses: SocketAddr,
     readiness: SocketAddr,
@@ -42,10 +42,10 @@
     lines: Arc<Mutex<Vec<String>>>,
 }
 
-/// Ports of each daemon; each has an address of its own.
+/// Ports of every daemon; the daemons of a test differ in their IP address.
 const PORTS: [u16; 5] = [7_001, 7_002, 7_003, 7_004, 7_005];
 
-/// A loopback address that nothing else of this process, or of another one, uses.
+/// Returns a loopback address that neither this nor another test process uses.
 pub fn new_ip() -> String {
     static USED: AtomicU32 = AtomicU32::new(0);
     let number = USED.fetch_add(1, Ordering::Relaxed);
@@ -60,41 +60,58 @@
 impl Daemon {
     /// Starts the daemon `name` at `ip`.
     pub fn start(name: &str, ip: &str, store: SocketAddr, seeds: &[&str]) -> Self {
-        Self::start_with(name, ip, store, seeds, "")
+        Self::start_with_settings(name, ip, store, seeds, "")
     }
 
-    /// The same with a daemon that is told that the whole system starts for the first time.
+    /// Starts a daemon whose settings say that the whole system starts for the first time.
     pub fn first_start(name: &str, ip: &str, store: SocketAddr) -> Self {
-        Self::spawn(name, ip, store, &[], "first_start: true\n").read()
+        Self::spawn(name, ip, store, &[], "first_start: true\n").collect_log_lines()
     }
 
-    /// Starts the daemon `name` at `ip` with more settings.
-    pub fn start_with(name: &str, ip: &str, store: SocketAddr, seeds: &[&str], more: &str) -> Self {
-        Self::spawn(name, ip, store, seeds, more).read()
+    /// Starts the daemon `name` at `ip` with additional lines in its settings file.
+    pub fn start_with_settings(
+        name: &str,
+        ip: &str,
+        store: SocketAddr,
+        seeds: &[&str],
+        extra_settings: &str,
+    ) -> Self {
+        Self::spawn(name, ip, store, seeds, extra_settings).collect_log_lines()
     }
 
-    fn read(mut self) -> Self {
+    fn collect_log_lines(mut self) -> Self {
         let daemon = &mut self;
-        let kept = Arc::clone(&daemon.lines);
+        let collected = Arc::clone(&daemon.lines);
         let output = BufReader::new(daemon.child.stdout.take().unwrap());
         thread::spawn(move || {
             for line in output.lines().map_while(Result::ok) {
-                kept.lock().unwrap().push(line);
+                collected.lock().unwrap().push(line);
             }
         });
         self
     }
 
-    /// Starts a daemon whose standard output nobody reads.
-    pub fn start_unread(name: &str, ip: &str, store: SocketAddr, seeds: &[&str]) -> Self {
+    /// Starts a daemon whose standard output is not read.
+    pub fn start_with_unread_output(
+        name: &str,
+        ip: &str,
+        store: SocketAddr,
+        seeds: &[&str],
+    ) -> Self {
         Self::spawn(name, ip, store, seeds, "")
     }
 
-    fn spawn(name: &str, ip: &str, store: SocketAddr, seeds: &[&str], more: &str) -> Self {
+    fn spawn(
+        name: &str,
+        ip: &str,
+        store: SocketAddr,
+        seeds: &[&str],
+        extra_settings: &str,
+    ) -> Self {
         let at = |index: usize| SocketAddr::new(ip.parse().unwrap(), PORTS[index]);
         let seeds: Vec<String> = seeds.iter().map(|ip| format!("\"{ip}:1\"")).collect();
         let settings = format!(
-            "instance: {name}\ndata_centre: here\nlisten:\n  callers: \"{}\"\n  addresses: \"{}\"\n  readiness: \"{}\"\n  metrics: \"{}\"\n  peers: \"{}\"\nstore: \"{store}\"\nseeds: [{}]\nretry: {{ratio: 0.2, slack: 50, window_s: 10}}\ngrace_s: 8\n{more}",
+            "instance: {name}\ndata_centre: here\nlisten:\n  callers: \"{}\"\n  addresses: \"{}\"\n  readiness: \"{}\"\n  metrics: \"{}\"\n  peers: \"{}\"\nstore: \"{store}\"\nseeds: [{}]\nretry: {{ratio: 0.2, slack: 50, window_s: 10}}\ngrace_s: 8\n{extra_settings}",
             at(0),
             at(1),
             at(2),
@@ -123,23 +140,23 @@
         }
     }
 
-    /// Its settings file.
-    pub fn settings(&self) -> &PathBuf {
+    /// Path of its settings file.
+    pub fn settings_path(&self) -> &PathBuf {
         &self.path
     }
 
-    /// Status of the answer to the platform's question whether it is ready; 0 without an answer.
+    /// Status of its readiness endpoint; 0 without an answer.
     pub fn readiness(&self) -> u16 {
         get(self.readiness, "/api/readyz").status()
     }
 
-    /// Waits until it is ready.
-    pub fn until_ready(&self) -> &Self {
-        until("the daemon is ready", || self.readiness() == 200);
+    /// Waits until its readiness endpoint answers 200.
+    pub fn wait_until_ready(&self) -> &Self {
+        wait_until("the daemon is ready", || self.readiness() == 200);
         self
     }
 
-    /// The body of its answer to a caller that asks for addresses.
+    /// Body of its answer to an address lookup.
     pub fn addresses(&self) -> String {
         let path = "/api/resolve?name=shop.example&region=r&zone=here";
         String::from_utf8_lossy(&get(self.addresses, path).body).into_owned()
@@ -150,18 +167,18 @@
         String::from_utf8_lossy(&get(self.metrics, "/metrics").body).into_owned()
     }
 
-    /// A caller connected to it.
+    /// Connects a new caller.
     pub fn caller(&self) -> Caller {
         Caller::new(self.callers).unwrap()
     }
 
-    /// The log lines so far that contain `text`.
+    /// Log lines so far that contain `text`.
     pub fn logged(&self, text: &str) -> Vec<String> {
         let lines = self.lines.lock().unwrap();
         lines.iter().filter(|l| l.contains(text)).cloned().collect()
     }
 
-    /// The id of its process.
+    /// Process id.
     pub fn pid(&self) -> Pid {
         Pid::from_child(&self.child)
     }
@@ -171,30 +188,30 @@
         kill_process(self.pid(), signal).unwrap();
     }
 
-    /// Kills it.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Prints its last log lines beside the failure of a test, which cannot be explained without them.
-    fn print_lines(&self) {
+    /// Prints the last log lines, which are needed to explain the failure of a test.
+    fn print_last_lines(&self) {
         let lines = self.logged("");
-        let last = lines.len().saturating_sub(SHOWN_LINES);
+        let first_printed = lines.len().saturating_sub(MAX_PRINTED_LINES);
         println!("log of the daemon at {}:", self.callers);
-        for line in &lines[last..] {
+        for line in &lines[first_printed..] {
             println!("{line}");
         }
     }
 
-    /// Waits for its end.
-    pub fn wait(&mut self) -> ExitStatus {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until the process exits by itself.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < end, "the daemon did not end");
+            assert!(Instant::now() < deadline, "the daemon did not exit in time");
             thread::sleep(Duration::from_millis(20));
         }
     }
@@ -204,23 +221,23 @@
     fn drop(&mut self) {
         self.kill();
         if thread::panicking() {
-            self.print_lines();
+            self.print_last_lines();
         }
     }
 }
 
-/// Waits until `holds`.
-pub fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < end, "waited in vain until {what}");
+/// Waits until `condition` is true; `what` describes it in the message of a timeout.
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 fn get(address: SocketAddr, path: &str) -> Message {
     match Caller::new(address) {
-        Ok(mut caller) => caller.ask(&format!("GET {path}"), &[], b""),
+        Ok(mut caller) => caller.send_and_read(&format!("GET {path}"), &[], b""),
         Err(_) => Message::default(),
     }
 }
--- a/crates/gateway/tests/gateway/world.rs
+++ b/crates/gateway/tests/gateway/discovery.rs
@@ -1,4 +1,4 @@
-//! What the daemon believes of plans, replicas and other daemons.
+//! How a daemon learns of plans, replicas and other daemons from the store and from its peers.
 
 use std::thread;
 use std::time::Duration;
@@ -7,78 +7,86 @@
 
 use crate::common::daemon::Daemon;
 use crate::common::daemon::new_ip;
-use crate::common::daemon::until;
-use crate::common::replica::Act;
+use crate::common::daemon::wait_until;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
-use crate::common::replica::signed;
+use crate::common::replica::signed_answer;
 use crate::site::Site;
-use crate::site::ask;
 use crate::site::config;
+use crate::site::send_and_read;
 
 fn echo(id: &str) -> Replica {
-    Replica::start(id, |request| Act::Send(signed(request, 200, b"x")))
+    Replica::start(id, |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    })
 }
 
 #[test]
-fn without_a_plan_requests_are_put_off() {
+fn requests_without_a_plan_are_refused() {
     let replica = echo("i-1");
     let site = Site::start("no-plan", &[]);
     site.store.remove("op", "config");
-    let other = site.another("planless", false);
+    let other = site.start_another("planless", false);
     site.store.put("servers", "i-1", &replica.row("app", ""));
-    until("it answers", || other.readiness() != 0);
+    wait_until("the readiness endpoint answers", || other.readiness() != 0);
     assert_eq!(other.readiness(), 503);
-    let told = ask(&other, "GET /read/1", "a");
-    assert_eq!(told.status(), 503);
-    assert!(told.header("retry-after").is_some());
+    let response = send_and_read(&other, "GET /read/1", "a");
+    assert_eq!(response.status(), 503);
+    assert!(response.header("retry-after").is_some());
 }
 
 #[test]
 fn a_newer_plan_comes_into_force_and_an_older_one_does_not() {
     let replica = echo("i-1");
     let site = Site::start("plans", &[(&replica, "app", "")]);
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
     let mut newer = config(5);
     newer["routes"][0]["prefix"] = "/renamed/".into();
     site.store.put("op", "config", &newer);
-    site.until_not("/read/1", 200);
-    assert_eq!(site.ask("GET /renamed/1", "a2").status(), 200);
+    site.wait_while_status("/read/1", 200);
+    assert_eq!(site.send_and_read("GET /renamed/1", "a2").status(), 200);
     site.store.put("op", "config", &config(4));
     site.store.put_bytes("op", "config", b"{not a plan");
-    until("it is told", || {
+    wait_until("the unreadable plan is logged", || {
         !site.daemon.logged("cannot be read").is_empty()
     });
-    assert_eq!(site.ask("GET /renamed/1", "a3").status(), 200);
-    assert_eq!(site.ask("GET /read/1", "a4").status(), 404);
+    assert_eq!(site.send_and_read("GET /renamed/1", "a3").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a4").status(), 404);
 }
 
 #[test]
-fn a_draining_replica_gets_nothing_new() {
+fn a_draining_replica_gets_no_new_requests() {
     let one = echo("i-1");
     let two = echo("i-2");
     let site = Site::start("draining", &[(&one, "app", ""), (&two, "app", "")]);
     let mut row = one.row("app", "");
     row["state"] = "draining".into();
     site.store.put("servers", "i-1", &row);
-    until("it is known", || !site.daemon.logged("Draining").is_empty());
+    wait_until("the draining state is logged", || {
+        !site.daemon.logged("Draining").is_empty()
+    });
     for number in 0..8 {
-        assert_eq!(site.ask("GET /read/1", &format!("a{number}")).status(), 200);
+        assert_eq!(
+            site.send_and_read("GET /read/1", &format!("a{number}"))
+                .status(),
+            200
+        );
     }
-    assert!(one.seen().is_empty());
+    assert!(one.requests().is_empty());
 }
 
 #[test]
-fn an_outage_of_the_store_stops_nothing() {
+fn requests_are_served_during_an_outage_of_the_store() {
     let replica = echo("i-1");
     let site = Site::start("outage", &[(&replica, "app", "")]);
     site.store.set_down(true);
-    until("it is noticed", || {
+    wait_until("the outage is logged", || {
         !site.daemon.logged("the store does not answer").is_empty()
     });
     assert_eq!(site.daemon.readiness(), 200);
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
     site.store.set_down(false);
-    until("it is noticed", || {
+    wait_until("the end of the outage is logged", || {
         !site.daemon.logged("answers again").is_empty()
     });
 }
@@ -88,68 +96,76 @@
     let replica = echo("i-1");
     let site = Site::start("seed", &[(&replica, "app", "")]);
     site.store.set_down(true);
-    let late = site.another("late", true);
-    late.until_ready();
-    let told = ask(&late, "GET /read/1", "a1");
-    assert_eq!(told.status(), 200);
+    let late = site.start_another("late", true);
+    late.wait_until_ready();
+    let response = send_and_read(&late, "GET /read/1", "a1");
+    assert_eq!(response.status(), 200);
 }
 
 #[test]
-fn a_daemon_that_the_store_refuses_learns_of_changes_from_its_peers() {
+fn a_daemon_that_does_not_read_the_store_gets_changes_from_its_peers() {
     let replica = echo("i-1");
     let site = Site::start("told", &[(&replica, "app", "")]);
-    let other = site.another("hears", true);
-    other.until_ready();
-    // One of the two reads the store for both; the other one hears of it.
+    let other = site.start_another("hears", true);
+    other.wait_until_ready();
+    // One of the two reads the store for both; the other one gets the change from it.
     site.store.put("op", "config", &config(7));
     for daemon in [&site.daemon, &other] {
-        until("the plan is in force", || {
+        wait_until("the plan is in force", || {
             !daemon.logged("\"version\":7").is_empty()
         });
     }
 }
 
 #[test]
-fn addresses_name_the_daemons_that_take_callers() {
+fn address_lookups_list_the_daemons_that_accept_callers() {
     let replica = echo("i-1");
     let site = Site::start("names", &[(&replica, "app", "")]);
-    let other = site.another("named", false);
-    let told = |text: &str, daemon: &Daemon| text.contains(&daemon.callers.to_string());
-    let both = |text: &str| told(text, &site.daemon) && told(text, &other);
-    until("both are told", || {
-        both(&site.daemon.addresses()) && both(&other.addresses())
+    let other = site.start_another("named", false);
+    let lists = |text: &str, daemon: &Daemon| text.contains(&daemon.callers.to_string());
+    let lists_both = |text: &str| lists(text, &site.daemon) && lists(text, &other);
+    wait_until("both daemons are listed", || {
+        lists_both(&site.daemon.addresses()) && lists_both(&other.addresses())
     });
     other.signal(rustix::process::Signal::TERM);
-    until("one is told", || !told(&site.daemon.addresses(), &other));
-    until("its row is gone", || !site.store.has("instances", "named"));
+    wait_until("only one daemon is listed", || {
+        !lists(&site.daemon.addresses(), &other)
+    });
+    wait_until("the row of the stopped daemon is removed", || {
+        !site.store.has("instances", "named")
+    });
     assert_eq!(other.readiness(), 503);
 }
 
 #[test]
-fn a_replica_that_cannot_be_read_is_told_and_left_out() {
+fn an_unreadable_replica_row_is_logged_and_ignored() {
     let replica = echo("i-1");
     let site = Site::start("odd-row", &[(&replica, "app", "")]);
     site.store
         .put("servers", "i-odd", &json!({"service": "app"}));
-    until("it is told", || !site.daemon.logged("i-odd").is_empty());
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    wait_until("the unreadable row is logged", || {
+        !site.daemon.logged("i-odd").is_empty()
+    });
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
 }
 
-/// Connections may fall silent without an end while new ones work; a watch on such a one would
-/// miss an edit for as long as it waits.
+/// Guards against a watch on a connection that has fallen silent without being closed while new connections work: it
+/// would miss changes for as long as it waits.
 #[test]
-fn a_watch_is_given_up_once_another_call_of_the_store_has_no_answer() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+fn a_watch_is_aborted_when_another_store_call_times_out() {
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start("silent-store", &[(&replica, "app", "")]);
     site.store.silence_open_connections();
-    until("the watch is given up", || {
-        let given_up = site.daemon.logged("another call had no answer in time");
-        !given_up.is_empty()
+    wait_until("the watch is aborted", || {
+        let aborted = site.daemon.logged("another call had no answer in time");
+        !aborted.is_empty()
     });
     let mut moved = config(2);
     moved["routes"][0]["prefix"] = "/moved/".into();
     site.store.put("op", "config", &moved);
-    site.until_not("/moved/1", 404);
+    site.wait_while_status("/moved/1", 404);
 }
 
 /// Number of watch calls for the replicas that `daemon` has sent to the store.
@@ -160,21 +176,21 @@
     counts.next().map_or(0, |count| count.parse().unwrap())
 }
 
-/// Guards against a list of replicas that is seconds out of date because the daemon that reads the
-/// store for others cannot reach it.
+/// Guards against a list of replicas that is seconds out of date because the daemon that reads the store for others
+/// cannot reach it.
 #[test]
 fn a_daemon_whose_reader_has_lost_the_store_reads_it_often() {
     let replica = echo("i-1");
     let site = Site::start("loses-store", &[(&replica, "app", "")]);
     let (other_store, address) = site.store.at_another_address("127.0.0.1");
     let other = Daemon::start("keeps-store", &new_ip(), address, &[&site.ip]);
-    other.until_ready();
+    other.wait_until_ready();
     let is_reader = |daemon: &Daemon| {
         let before = watch_count(daemon);
         thread::sleep(Duration::from_secs(2));
         watch_count(daemon) > before
     };
-    until("exactly one daemon reads the store", || {
+    wait_until("exactly one daemon reads the store", || {
         is_reader(&site.daemon) != is_reader(&other)
     });
     let (reader, store, asker) = if is_reader(&site.daemon) {
@@ -183,7 +199,7 @@
         (&other, &other_store, &site.daemon)
     };
     store.set_down(true);
-    until("the reader logs that the store does not answer", || {
+    wait_until("the reader logs that the store does not answer", || {
         !reader.logged("the store does not answer").is_empty()
     });
     let before = watch_count(asker);
@@ -192,9 +208,9 @@
     assert!(count >= 5, "{count} watch calls in 8 s");
 }
 
-/// Lists `count` instances beside those of the test; nobody is there.
-fn list_dead(site: &Site, count: usize) {
-    until("the own row is written", || {
+/// Lists `count` instances whose addresses nothing listens on.
+fn list_dead_instances(site: &Site, count: usize) {
+    wait_until("the daemon has written its row", || {
         site.store.has("instances", "crowded")
     });
     let own = site.store.get("instances", "crowded").unwrap();
@@ -209,20 +225,20 @@
     }
 }
 
-/// In a large data centre the list names the daemon that reads the store; it may be one that died.
+/// In a large data centre the daemon that reads the store is chosen from the instance list, where it may be a dead one.
 #[test]
 fn a_daemon_whose_reader_is_dead_reads_the_store_itself() {
     let replica = echo("i-1");
     let site = Site::start("crowded", &[(&replica, "app", "")]);
-    list_dead(&site, 40);
-    let late = site.another("crowded-too", false);
-    late.until_ready();
-    let told = ask(&late, "GET /read/1", "a1");
-    assert_eq!(told.status(), 200);
+    list_dead_instances(&site, 40);
+    let late = site.start_another("crowded-too", false);
+    late.wait_until_ready();
+    let response = send_and_read(&late, "GET /read/1", "a1");
+    assert_eq!(response.status(), 200);
 }
 
 #[test]
-fn calls_of_the_store_are_counted_by_purpose() {
+fn store_calls_are_counted_by_purpose() {
     let replica = echo("i-1");
     let site = Site::start("counted", &[(&replica, "app", "")]);
     let metrics = site.daemon.metrics();
@@ -240,6 +256,6 @@
     let replica = echo("i-1");
     let site = Site::start("earlier", &[(&replica, "app", "")]);
     let first = site.first_start("first");
-    first.until_ready();
+    first.wait_until_ready();
     assert!(site.store.has("instances", "first"));
 }
--- a/crates/gateway/tests/gateway/members.rs
+++ b/crates/gateway/tests/gateway/members.rs
@@ -1,4 +1,4 @@
-//! Which daemons a daemon takes for the fleet.
+//! Which daemons a daemon counts as members.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_daemon_that_knows_of_no_other_does_not_take_itself_for_the_only_one() {
+fn a_daemon_is_no_majority_before_it_has_the_instance_list() {
     let mut members = Members::new(card(1));
     members.join(Time::ZERO, 1);
     assert!(!members.is_majority(Time::ZERO));
@@ -27,16 +27,16 @@
 }
 
 #[test]
-fn daemons_that_are_listed_and_not_met_count_against_the_majority() {
+fn listed_daemons_without_contact_count_against_the_majority() {
     let mut members = Members::new(card(1));
     members.list(Time::ZERO, &[card(1), card(2), card(3)]);
     members.join(Time::ZERO, 1);
-    // For some seconds they may be met yet.
+    // For some seconds the other daemons may still make contact.
     assert!(members.is_majority(Time::ZERO));
     let later = Time::ZERO + Duration::from_secs(10);
     members.step(later);
     assert!(!members.is_majority(later));
-    // After that time they count as gone.
+    // After this time they no longer count as members.
     let much_later = Time::ZERO + Duration::from_mins(20);
     members.step(much_later);
     assert!(members.is_majority(much_later));
--- a/crates/gateway/tests/gateway/plain.rs
+++ b/crates/gateway/tests/gateway/plain.rs
@@ -5,17 +5,19 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
-use crate::common::replica::not_run;
-use crate::common::replica::signed;
+use crate::common::replica::not_run_answer;
+use crate::common::replica::signed_answer;
 use crate::site::Site;
 use crate::site::headers;
 
 fn echo(id: &str) -> Replica {
-    Replica::start(id, |request| Act::Send(signed(request, 200, b"done")))
+    Replica::start(id, |request| {
+        Action::Send(signed_answer(request, 200, b"done"))
+    })
 }
 
 #[test]
@@ -29,7 +31,7 @@
         ("X-Own", "kept"),
         ("Connection", "keep-alive, X-Hop"),
         ("X-Hop", "dropped"),
-        // Those are the system's to set.
+        // Headers that only the daemon may set.
         ("Stage", "prefill"),
         ("Kv-Source", "127.0.0.1:1/h"),
         ("Kv-Hold", "h"),
@@ -37,16 +39,16 @@
         ("Kv-Backup", "127.0.0.1:1"),
         ("Expect-Instance", "i-other"),
     ];
-    let told = caller.ask("POST /read/a%2fb//c?x=1&y=%20", &sent, b"{\"a\": 1}");
-    assert_eq!(told.status(), 200);
-    assert_eq!(told.body, b"done");
-    assert_eq!(told.header("response-seal"), Some("s.1"));
-    let seen = replica.seen().remove(0);
-    assert_eq!(seen.line, "POST /read/a%2fb//c?x=1&y=%20 HTTP/1.1");
-    assert_eq!(seen.body, b"{\"a\": 1}");
-    assert_eq!(seen.header("request-id"), Some("a1"));
-    assert_eq!(seen.header("x-own"), Some("kept"));
-    assert_eq!(seen.header("expect-instance"), Some("i-1"));
+    let response = caller.send_and_read("POST /read/a%2fb//c?x=1&y=%20", &sent, b"{\"a\": 1}");
+    assert_eq!(response.status(), 200);
+    assert_eq!(response.body, b"done");
+    assert_eq!(response.header("response-seal"), Some("s.1"));
+    let received = replica.requests().remove(0);
+    assert_eq!(received.line, "POST /read/a%2fb//c?x=1&y=%20 HTTP/1.1");
+    assert_eq!(received.body, b"{\"a\": 1}");
+    assert_eq!(received.header("request-id"), Some("a1"));
+    assert_eq!(received.header("x-own"), Some("kept"));
+    assert_eq!(received.header("expect-instance"), Some("i-1"));
     for dropped in [
         "x-hop",
         "stage",
@@ -55,9 +57,9 @@
         "pin-ms",
         "kv-backup",
     ] {
-        assert_eq!(seen.header(dropped), None, "{dropped}");
+        assert_eq!(received.header(dropped), None, "{dropped}");
     }
-    let left: u64 = seen.header("deadline-ms").unwrap().parse().unwrap();
+    let left: u64 = received.header("deadline-ms").unwrap().parse().unwrap();
     assert!(left <= 3_000);
 }
 
@@ -67,82 +69,84 @@
     let site = Site::start("chunked", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     let sent = [("Request-Id", "a1"), ("Transfer-Encoding", "chunked")];
-    caller.begin("POST /read/1", &sent, b"");
+    caller.start_request("POST /read/1", &sent, b"");
     crate::common::http::send(&mut caller.socket, b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     assert_eq!(caller.read().status(), 200);
-    assert_eq!(replica.seen()[0].body, b"abcde");
+    assert_eq!(replica.requests()[0].body, b"abcde");
 }
 
 #[test]
 fn a_call_that_may_run_once_is_not_sent_again_when_its_answer_is_lost() {
-    let replica = Replica::start("i-1", |_| Act::SendAndClose(Vec::new()));
-    let other = Replica::start("i-2", |_| Act::SendAndClose(Vec::new()));
+    let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
+    let other = Replica::start("i-2", |_| Action::SendAndClose(Vec::new()));
     let site = Site::start("once", &[(&replica, "app", ""), (&other, "app", "")]);
-    let told = site.ask("POST /book/1", "a1");
-    assert_eq!(told.status(), 502);
-    assert_eq!(replica.seen().len() + other.seen().len(), 1);
+    let response = site.send_and_read("POST /book/1", "a1");
+    assert_eq!(response.status(), 502);
+    assert_eq!(replica.requests().len() + other.requests().len(), 1);
 }
 
 #[test]
-fn a_failure_of_an_idempotent_call_is_tried_elsewhere() {
+fn a_failed_idempotent_call_is_retried_at_another_replica() {
     let failed = Arc::new(AtomicUsize::new(0));
     let counted = Arc::clone(&failed);
     let script = move |request: &crate::common::http::Message| {
         let first = counted.fetch_add(1, Ordering::SeqCst) == 0;
-        Act::Send(signed(request, if first { 500 } else { 200 }, b"x"))
+        Action::Send(signed_answer(request, if first { 500 } else { 200 }, b"x"))
     };
     let one = Replica::start("i-1", script.clone());
     let two = Replica::start("i-2", script);
     let site = Site::start("elsewhere", &[(&one, "app", ""), (&two, "app", "")]);
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
-    assert_eq!((one.seen().len(), two.seen().len()), (1, 1));
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
+    assert_eq!((one.requests().len(), two.requests().len()), (1, 1));
 }
 
 #[test]
-fn a_failure_of_a_call_that_may_run_once_is_passed_on() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 500, b"no")));
+fn a_failure_of_a_call_that_may_run_once_is_forwarded() {
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 500, b"no"))
+    });
     let site = Site::start("passed", &[(&replica, "app", "")]);
-    let told = site.ask("POST /book/1", "a1");
+    let response = site.send_and_read("POST /book/1", "a1");
     assert_eq!(
-        (told.status(), told.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (500, b"no".as_slice())
     );
-    assert_eq!(told.header("response-seal"), Some("s.1"));
+    assert_eq!(response.header("response-seal"), Some("s.1"));
 }
 
 #[test]
-fn a_call_that_no_replica_ran_is_refused_with_a_time_to_come_back() {
-    let replica = Replica::start("i-1", |request| Act::Send(not_run(request)));
+fn a_call_that_no_replica_ran_is_refused_with_retry_after() {
+    let replica = Replica::start("i-1", |request| Action::Send(not_run_answer(request)));
     let site = Site::start("refused", &[(&replica, "app", "")]);
-    let told = site.ask("POST /book/1", "a1");
-    assert_eq!(told.status(), 503);
-    let seconds: f64 = told.header("retry-after").unwrap().parse().unwrap();
+    let response = site.send_and_read("POST /book/1", "a1");
+    assert_eq!(response.status(), 503);
+    let seconds: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!(seconds < 4.0 / 3.0);
-    assert_eq!(told.header("response-seal"), None);
+    assert_eq!(response.header("response-seal"), None);
 }
 
 #[test]
-fn an_answer_without_signature_or_to_another_request_is_not_passed_on() {
-    let unsigned = Replica::start("i-1", |_| Act::Send(answer(200, &[], b"x")));
+fn an_answer_without_signature_or_to_another_request_is_not_forwarded() {
+    let unsigned = Replica::start("i-1", |_| Action::Send(answer(200, &[], b"x")));
     let site = Site::start("unsigned", &[(&unsigned, "app", "")]);
-    assert_eq!(site.ask("POST /book/1", "a1").status(), 502);
+    assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 502);
     let other = Replica::start("i-2", |_| {
         let headers = [("request-id", "zz"), ("response-seal", "s.1")];
-        Act::Send(answer(200, &headers, b"x"))
+        Action::Send(answer(200, &headers, b"x"))
     });
     let site = Site::start("other-id", &[(&other, "app", "")]);
-    assert_eq!(site.ask("POST /book/1", "a1").status(), 502);
+    assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 502);
 }
 
 #[test]
-fn an_answer_that_breaks_off_is_not_passed_on() {
+fn a_cut_answer_is_not_forwarded() {
     let replica = Replica::start("i-1", |request| {
-        let mut bytes = signed(request, 200, b"0123456789");
+        let mut bytes = signed_answer(request, 200, b"0123456789");
         bytes.truncate(bytes.len() - 3);
-        Act::SendAndClose(bytes)
+        Action::SendAndClose(bytes)
     });
     let site = Site::start("cut", &[(&replica, "app", "")]);
-    assert_eq!(site.ask("POST /book/1", "a1").status(), 502);
+    assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 502);
 }
 
 #[test]
@@ -150,68 +154,74 @@
     let replica = Replica::start("i-1", |request| {
         let id = request.header("request-id").unwrap_or_default();
         let head = format!("HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nresponse-seal: s\r\n\r\nwhole");
-        Act::SendAndClose(head.into_bytes())
+        Action::SendAndClose(head.into_bytes())
     });
     let site = Site::start("unframed", &[(&replica, "app", "")]);
-    let told = site.ask("POST /book/1", "a1");
+    let response = site.send_and_read("POST /book/1", "a1");
     assert_eq!(
-        (told.status(), told.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"whole".as_slice())
     );
 }
 
 #[test]
-fn a_second_answer_reaches_nobody() {
+fn a_second_answer_is_discarded() {
     let replica = Replica::start("i-1", |request| {
         let extra = [("request-id", "old"), ("response-seal", "s")];
         let extra = answer(200, &extra, b"extra");
-        Act::Send([signed(request, 200, b"mine"), extra].concat())
+        Action::Send([signed_answer(request, 200, b"mine"), extra].concat())
     });
     let site = Site::start("extra", &[(&replica, "app", "")]);
     for number in 0..5 {
-        let told = site.ask("GET /read/1", &format!("a{number}"));
+        let response = site.send_and_read("GET /read/1", &format!("a{number}"));
         assert_eq!(
-            (told.status(), told.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, b"mine".as_slice())
         );
     }
 }
 
 #[test]
-fn a_replica_whose_address_another_has_is_left() {
-    let gone = Replica::start("i-1", |_| {
-        Act::Send(answer(421, &[("instance-id", "i-9")], b""))
+fn a_replica_whose_address_another_one_has_is_avoided() {
+    let replaced = Replica::start("i-1", |_| {
+        Action::Send(answer(421, &[("instance-id", "i-9")], b""))
     });
     let live = echo("i-2");
-    let site = Site::start("replaced", &[(&gone, "app", ""), (&live, "app", "")]);
+    let site = Site::start("replaced", &[(&replaced, "app", ""), (&live, "app", "")]);
     for number in 0..6 {
         assert_eq!(
-            site.ask("POST /book/1", &format!("a{number}")).status(),
+            site.send_and_read("POST /book/1", &format!("a{number}"))
+                .status(),
             200
         );
     }
-    assert!(gone.seen().len() <= 1);
+    assert!(replaced.requests().len() <= 1);
 }
 
 #[test]
-fn a_call_is_answered_when_its_time_is_up() {
-    let replica = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
+fn a_call_is_answered_at_its_deadline() {
+    let replica = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("overdue", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     let sent = [("Request-Id", "a1"), ("Deadline-Ms", "300")];
-    assert_eq!(caller.ask("POST /book/1", &sent, b"").status(), 504);
+    assert_eq!(
+        caller.send_and_read("POST /book/1", &sent, b"").status(),
+        504
+    );
 }
 
 #[test]
-fn a_caller_that_leaves_frees_the_replica() {
-    let replica = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
+fn a_caller_that_disconnects_frees_the_replica() {
+    let replica = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("left", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
-    caller.begin("POST /book/1", &headers("a1"), b"");
-    until("the call arrives", || replica.seen().len() == 1);
+    caller.start_request("POST /book/1", &headers("a1"), b"");
+    wait_until("the call arrives", || replica.requests().len() == 1);
     drop(caller);
-    until("the replica is left", || replica.left() == 1);
-    until("it is logged", || {
+    wait_until("the request to the replica is aborted", || {
+        replica.abandoned_count() == 1
+    });
+    wait_until("the disconnect is logged", || {
         !site.daemon.logged("caller-left").is_empty()
     });
 }
@@ -223,45 +233,52 @@
     let mut caller = site.daemon.caller();
     for number in 0..3 {
         let id = format!("a{number}");
-        assert_eq!(caller.ask("GET /read/1", &headers(&id), b"").status(), 200);
+        assert_eq!(
+            caller
+                .send_and_read("GET /read/1", &headers(&id), b"")
+                .status(),
+            200
+        );
     }
-    assert!(!crate::common::http::closes(
+    assert!(!crate::common::http::closes_within(
         &mut caller.socket,
         Duration::from_millis(100)
     ));
 }
 
 #[test]
-fn a_silent_replica_is_left_for_another_one_where_a_call_may_be_repeated() {
-    let silent = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
-    let sound = echo("i-2");
-    let site = Site::start("silent", &[(&silent, "app", ""), (&sound, "app", "")]);
-    until("the silent one was tried", || {
-        assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
-        !silent.seen().is_empty()
+fn a_repeatable_call_is_retried_elsewhere_when_its_replica_is_silent() {
+    let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
+    let healthy = echo("i-2");
+    let site = Site::start("silent", &[(&silent, "app", ""), (&healthy, "app", "")]);
+    wait_until("the silent replica was tried", || {
+        assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
+        !silent.requests().is_empty()
+    });
+    wait_until("the request to the silent replica is aborted", || {
+        silent.abandoned_count() > 0
     });
-    until("the silent one is left", || silent.left() > 0);
 }
 
 #[test]
-fn a_silent_replica_is_kept_where_a_call_may_run_once() {
-    let silent = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
-    let other = Replica::start("i-2", |_| Act::SendAndHang(Vec::new()));
+fn a_call_that_may_run_once_stays_at_a_silent_replica() {
+    let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
+    let other = Replica::start("i-2", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start("silent-once", &[(&silent, "app", ""), (&other, "app", "")]);
-    assert_eq!(site.ask("POST /book/1", "a1").status(), 504);
-    assert_eq!(silent.seen().len() + other.seen().len(), 1);
+    assert_eq!(site.send_and_read("POST /book/1", "a1").status(), 504);
+    assert_eq!(silent.requests().len() + other.requests().len(), 1);
 }
 
-/// Broken off for a retry that is not granted, a call would end sooner and no better.
+/// Guards against aborting a call for a retry that the retry budget does not allow.
 #[test]
-fn a_silent_replica_is_kept_where_no_retry_is_left() {
-    let silent = Replica::start("i-1", |_| Act::SendAndHang(Vec::new()));
-    let other = Replica::start("i-2", |_| Act::SendAndHang(Vec::new()));
+fn a_call_stays_at_a_silent_replica_where_no_retry_is_left() {
+    let silent = Replica::start("i-1", |_| Action::SendAndHang(Vec::new()));
+    let other = Replica::start("i-2", |_| Action::SendAndHang(Vec::new()));
     let site = Site::start(
         "silent-budget",
         &[(&silent, "app", ""), (&other, "app", "")],
     );
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0, slack: 0");
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 504);
-    assert_eq!(silent.seen().len() + other.seen().len(), 1);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 504);
+    assert_eq!(silent.requests().len() + other.requests().len(), 1);
 }
