--- /dev/null
+++ b/crates/gateway/src/forward/replica_stream.rs
@@ -0,0 +1,242 @@
+//! Reads one replica's part of a stream.
+
+use std::cmp::min;
+use std::time::Duration;
+
+use boottime::Instant;
+use boottime::timer::Elapsed;
+use boottime::timer::timeout_at;
+use bytes::Bytes;
+use http::Response;
+use http::header;
+use http_body_util::BodyExt;
+use hyper::body::Body as _;
+use hyper::body::Frame;
+use hyper::body::Incoming;
+use platform::reply::Head;
+use relay::event;
+use relay::plan::Mode;
+use relay::server::Key;
+
+use crate::connections::Connection;
+use crate::forward::End;
+use crate::forward::Forwarder;
+use crate::forward::STALL_TIMEOUT;
+use crate::guard::InFlight;
+use crate::migration;
+use crate::migration::StoppedRun;
+use crate::run_tracking::TrackedRun;
+use crate::send::Reply;
+
+/// Time to read the remaining events of a stopped run; they are already in transit.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// What a read returns: a frame of the body, its end, or a timeout.
+type BodyRead = Result<Option<Result<Frame<Bytes>, hyper::Error>>, Elapsed>;
+
+/// One replica's part of a stream while it is read.
+#[derive(Debug)]
+struct ReplicaStream {
+    head: Head,
+    body: Incoming,
+    connection: Connection,
+    guard: InFlight,
+    /// Whether the answer marks the end of its body; otherwise the body ends with the connection.
+    has_explicit_end: bool,
+    /// When the answer began.
+    begun: Instant,
+    last_event_at: Instant,
+    /// Number of silences so far.
+    silences: u32,
+    /// Set once the run is stopped to continue at another replica.
+    stopped: Option<StoppedRun>,
+}
+
+/// The next event while a replica is read.
+enum Step {
+    /// The result of a read, or a timeout.
+    Read(BodyRead),
+    /// The run has to continue at another replica.
+    Migrate(Key),
+    /// The replica restarted, so the run is lost.
+    Restarted,
+    /// The caller closed the connection.
+    CallerLeft,
+}
+
+impl ReplicaStream {
+    fn new(reply: Reply) -> Self {
+        let Reply {
+            head,
+            response,
+            connection,
+            guard,
+        } = reply;
+        let begun = Instant::now();
+        Self {
+            head,
+            has_explicit_end: has_explicit_end(&response),
+            body: response.into_body(),
+            connection,
+            guard,
+            begun,
+            last_event_at: begun,
+            silences: 0,
+            stopped: None,
+        }
+    }
+}
+
+impl Forwarder {
+    /// Forwards one replica's part of the stream.
+    pub(super) async fn forward_from(&mut self, reply: Reply) -> End {
+        let mut source = ReplicaStream::new(reply);
+        self.may_have_stopped = false;
+        loop {
+            let end = match self.next_step(&mut source).await {
+                Step::Read(read) => self.handle_read(&mut source, read).await,
+                Step::Migrate(to) => {
+                    source.stopped = self.stop_for_migration(source.guard.key, to).await;
+                    None
+                }
+                Step::Restarted => Some(End::Broken("the replica restarted".to_owned())),
+                Step::CallerLeft => Some(End::CallerLeft),
+            };
+            let Some(end) = end else { continue };
+            // No replica will continue from the KV cache kept for the migration.
+            if let Some(stopped) = &source.stopped {
+                migration::free_cache(&self.shared, stopped);
+            }
+            if matches!(end, End::Complete) {
+                self.keep_connection(source);
+            }
+            return end;
+        }
+    }
+
+    async fn next_step(&mut self, source: &mut ReplicaStream) -> Step {
+        let is_running = source.stopped.is_none();
+        // A run can only continue elsewhere after an event whose id is known.
+        let may_migrate = is_running && matches!(self.position(), Ok(Some(_)));
+        let now = Instant::now();
+        let silent_at = if !is_running {
+            now + DRAIN_TIMEOUT
+        } else if source.silences == 0 || self.is_resumable() {
+            min(self.job.deadline, now + STALL_TIMEOUT)
+        } else {
+            self.job.deadline
+        };
+        tokio::select! {
+            read = timeout_at(silent_at, source.body.frame()) => Step::Read(read),
+            to = next_order(&mut self.tracked_run), if may_migrate => Step::Migrate(to),
+            () = self.shared.restarted(source.guard.key), if is_running => Step::Restarted,
+            () = self.parts.closed() => Step::CallerLeft,
+        }
+    }
+
+    /// Id of the last event sent to the caller.
+    const fn position(&self) -> Result<Option<u64>, event::Error> {
+        self.splitter.resumes_after(self.job.call.last_event)
+    }
+
+    /// Whether the stream can continue at another replica.
+    fn is_resumable(&self) -> bool {
+        matches!(self.job.route.mode, Mode::Stream { resumable: true })
+            && self.attempt.may_run_again()
+            && self.position().is_ok()
+    }
+
+    /// Handles the result of a read; returns the end of the replica's part, if this is it.
+    async fn handle_read(&mut self, source: &mut ReplicaStream, read: BodyRead) -> Option<End> {
+        // Events sent before the run was stopped are forwarded to the last one.
+        let is_more = matches!(read, Ok(Some(Ok(_))));
+        if let Some(stopped) = source.stopped.take_if(|_| !is_more) {
+            return Some(End::Stopped(stopped));
+        }
+        match read {
+            Err(_) if Instant::now() >= self.job.deadline => Some(End::TimedOut),
+            Err(_) => self.handle_silence(source).await,
+            Ok(Some(Err(error))) => Some(End::Broken(error.to_string())),
+            Ok(Some(Ok(frame))) => self.handle_frame(source, frame).await,
+            Ok(None) => Some(self.finish(source).await),
+        }
+    }
+
+    /// Handles a silence: keeps waiting, or returns `Silent` with a placement elsewhere.
+    async fn handle_silence(&self, source: &mut ReplicaStream) -> Option<End> {
+        let key = source.guard.key;
+        // A replica that is still responsive may have preempted the request and gets more time. A
+        // stream that cannot be resumed has to wait in any case.
+        let waits = source.silences == 0 && (self.is_responsive(key).await || !self.is_resumable());
+        let placement = if waits {
+            None
+        } else {
+            self.find_other_placement().await
+        };
+        // Without another placement, keep waiting.
+        source.silences += 1;
+        placement.map(End::Silent)
+    }
+
+    async fn handle_frame(
+        &mut self,
+        source: &mut ReplicaStream,
+        frame: Frame<Bytes>,
+    ) -> Option<End> {
+        // Trailers apply only to this connection.
+        let data = frame.into_data().ok()?;
+        let whole = match self.splitter.push(&data) {
+            Ok(whole) => whole,
+            Err(error) => return Some(End::Broken(error.to_string())),
+        };
+        if !whole.is_empty() {
+            self.record_gap(source.guard.key, source.last_event_at);
+            source.last_event_at = Instant::now();
+        }
+        let taken = self.send_to_caller(whole).await;
+        (!taken).then_some(End::CallerLeft)
+    }
+
+    /// Ends the replica's part and forwards the rest, unless the body may have been cut off: a
+    /// killed process closes its connections as well, and so does a stopped run.
+    async fn finish(&mut self, source: &ReplicaStream) -> End {
+        if !source.has_explicit_end && self.splitter.is_partial() {
+            return End::Broken("the answer ended in the middle of an event".to_owned());
+        }
+        if !source.has_explicit_end && self.may_have_stopped {
+            return End::Broken("the run may have been stopped".to_owned());
+        }
+        let rest = match self.splitter.finish() {
+            Ok(rest) => rest,
+            Err(error) => return End::Broken(error.to_string()),
+        };
+        if self.send_to_caller(rest).await {
+            End::Complete
+        } else {
+            End::CallerLeft
+        }
+    }
+
+    /// Records how long the complete stream took, and keeps its connection.
+    fn keep_connection(&self, source: ReplicaStream) {
+        self.shared
+            .connections
+            .keep_after(&source.head, source.connection);
+        let service = &self.job.service;
+        self.shared.note_answer(service, source.begun.elapsed());
+    }
+}
+
+/// Whether the answer marks the end of its body; otherwise the body ends with the connection.
+fn has_explicit_end(response: &Response<Incoming>) -> bool {
+    let in_chunks = response.headers().contains_key(header::TRANSFER_ENCODING);
+    in_chunks || response.body().size_hint().exact().is_some()
+}
+
+/// Waits for an order to migrate the run; never returns if the run is not tracked.
+async fn next_order(tracked_run: &mut Option<TrackedRun>) -> Key {
+    match tracked_run {
+        Some(tracked_run) => tracked_run.next_order().await,
+        None => std::future::pending().await,
+    }
+}
--- a/crates/gateway/src/phase.rs
+++ b/crates/gateway/src/phase.rs
@@ -1,4 +1,5 @@
-//! What a caller's connection is doing, so that slow heads and idle connections are given up.
+//! Tracks the phase of a caller's connection, so that slow request heads and idle connections time
+//! out.
 
 use std::cell::Cell;
 use std::io;
@@ -16,48 +17,49 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// What a connection is doing.
+/// Current activity of a connection.
 #[derive(Debug, Clone, Copy)]
-enum Doing {
-    /// Nothing since then.
+enum Activity {
+    /// Idle since this moment.
     Idle(Instant),
-    /// The head of a request has been coming in since then.
+    /// Receiving the head of a request since this moment.
     Head(Instant),
-    /// A request is being served.
+    /// Serving a request.
     Busy,
 }
 
 /// The phase of one connection, shared by its socket, its requests and its timer.
 #[derive(Debug, Clone)]
 pub struct Phase {
-    doing: Rc<Cell<Doing>>,
-    /// Whether an answer without a length is being sent: an orderly close would pass a cut off as its end.
+    activity: Rc<Cell<Activity>>,
+    /// Whether a response without a length is being sent. An orderly close would make a truncated
+    /// one look complete.
     reset_on_close: Rc<Cell<bool>>,
 }
 
-/// A request that is being served; the connection is idle again when this is dropped.
+/// A request that is being served; the connection is idle when this is dropped.
 #[derive(Debug)]
-pub struct Busy {
-    doing: Rc<Cell<Doing>>,
+pub struct BusyGuard {
+    activity: Rc<Cell<Activity>>,
     reset_on_close: Rc<Cell<bool>>,
-    /// Whether an answer without a length ends with the connection.
+    /// Whether a response without a length ends with the connection.
     ends_with_connection: bool,
 }
 
 impl Phase {
-    /// A connection that was accepted now.
+    /// The phase of a new connection.
     pub fn new() -> Self {
         Self {
-            doing: Rc::new(Cell::new(Doing::Idle(Instant::now()))),
+            activity: Rc::new(Cell::new(Activity::Idle(Instant::now()))),
             reset_on_close: Rc::new(Cell::new(false)),
         }
     }
 
-    /// Notes that a request of this HTTP version is being served.
-    pub fn begin(&self, version: Version) -> Busy {
-        self.doing.set(Doing::Busy);
-        Busy {
-            doing: Rc::clone(&self.doing),
+    /// Marks the start of a request with this HTTP version.
+    pub fn begin(&self, version: Version) -> BusyGuard {
+        self.activity.set(Activity::Busy);
+        BusyGuard {
+            activity: Rc::clone(&self.activity),
             reset_on_close: Rc::clone(&self.reset_on_close),
             ends_with_connection: version < Version::HTTP_11,
         }
@@ -65,13 +67,13 @@
 
     /// Waits until a head takes longer than `head`, or the connection is idle for longer than
     /// `idle`.
-    pub async fn overdue(&self, head: Duration, idle: Duration) {
+    pub async fn wait_until_expired(&self, head: Duration, idle: Duration) {
         loop {
             let now = Instant::now();
-            let due = match self.doing.get() {
-                Doing::Idle(since) => since + idle,
-                Doing::Head(since) => since + head,
-                Doing::Busy => now + head,
+            let due = match self.activity.get() {
+                Activity::Idle(since) => since + idle,
+                Activity::Head(since) => since + head,
+                Activity::Busy => now + head,
             };
             if due <= now {
                 return;
@@ -88,47 +90,47 @@
     }
 }
 
-impl Busy {
-    /// Notes whether the answer, which has no length, is still to be completed.
+impl BusyGuard {
+    /// Sets whether a response without a length is incomplete.
     pub fn set_unfinished(&self, unfinished: bool) {
         self.reset_on_close
             .set(unfinished && self.ends_with_connection);
     }
 }
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
-        self.doing.set(Doing::Idle(Instant::now()));
+        self.activity.set(Activity::Idle(Instant::now()));
     }
 }
 
-/// A socket that notes when the head of a request begins, and resets the connection if an orderly close would pass a cut
-/// answer off as complete.
+/// A socket that detects the start of a request head. It resets the connection if an orderly close
+/// would make a truncated response look complete.
 #[derive(Debug)]
-pub struct Watched {
+pub struct TrackedSocket {
     socket: TcpStream,
     phase: Phase,
 }
 
-impl Watched {
-    /// `socket`, whose phase is `phase`.
+impl TrackedSocket {
+    /// Wraps `socket` and reports to `phase`.
     pub const fn new(socket: TcpStream, phase: Phase) -> Self {
         Self { socket, phase }
     }
 }
 
-impl Drop for Watched {
+impl Drop for TrackedSocket {
     fn drop(&mut self) {
         if !self.phase.reset_on_close.get() {
             return;
         }
         if let Err(error) = self.socket.set_zero_linger() {
-            log::warn!(kind = "listen", cause = error.to_string(); "a connection with a cut answer is closed in order");
+            log::warn!(kind = "listen", cause = error.to_string(); "cannot reset a connection with a truncated response");
         }
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for TrackedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -136,9 +138,9 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.socket).poll_read(context, buffer);
-        match self.phase.doing.get() {
-            Doing::Idle(_) if buffer.filled().len() > before => {
-                self.phase.doing.set(Doing::Head(Instant::now()));
+        match self.phase.activity.get() {
+            Activity::Idle(_) if buffer.filled().len() > before => {
+                self.phase.activity.set(Activity::Head(Instant::now()));
             }
             _ => {}
         }
@@ -146,7 +148,7 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for TrackedSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/gateway/tests/gateway/connection_limits.rs
+++ b/crates/gateway/tests/gateway/connection_limits.rs
@@ -191,7 +191,7 @@
     let received = decode.requests();
     let aborted = site
         .daemon
-        .logged("the prompt is not read, and the replica does not answer");
+        .logged("the prefill is not finished, and the replica does not answer");
     assert!(aborted.is_empty(), "{aborted:?}");
     assert!(received[0].header("kv-source").is_some());
 }
