--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -239,7 +239,7 @@
     fn wake(&mut self, index: usize) {
         let at = self.seats[index]
             .node
-            .wake()
+            .next_wake()
             .max(self.now + Duration::from_micros(1));
         if self.seats[index].wake != at {
             self.seats[index].wake = at;
--- a/crates/bench/src/world/act.rs
+++ b/crates/bench/src/world/act.rs
@@ -4,8 +4,8 @@
 
 use ident::Instance;
 use node::action::Action;
-use node::action::Ask;
-use node::action::Tell;
+use node::action::CallerMessage;
+use node::action::StoreRequest;
 use node::action::Verdict;
 use node::event::Event;
 use node::ids::Query;
@@ -23,7 +23,7 @@
 pub(super) fn carry_out(world: &mut World, index: usize, action: Action) {
     match action {
         Action::Send { to, frame } => send(world, index, to, frame),
-        Action::Query { query, ask } => ask_store(world, index, query, &ask),
+        Action::Query { query, request } => ask_store(world, index, query, &request),
         Action::Inspect { replica, asked, .. } => {
             let state = Some(world.backs.inspect(world.now, replica));
             let at = world.now + backs::ANSWER;
@@ -50,7 +50,7 @@
                 world.push(world.now + after, index, event);
             }
         }
-        Action::Tell { tell, .. } => answer(world, &tell),
+        Action::SendToCaller { message, .. } => answer(world, &message),
         _ => {}
     }
 }
@@ -67,22 +67,28 @@
     }
 }
 
-fn ask_store(world: &mut World, index: usize, query: Query, ask: &Ask) {
+fn ask_store(world: &mut World, index: usize, query: Query, ask: &StoreRequest) {
     let outcome = if world.store.reachable(world.cut[index]) {
         world.store.answer(ask)
     } else {
         Store::refusal()
     };
-    world.push(world.now + CALL, index, Event::Stored { query, outcome });
+    world.push(
+        world.now + CALL,
+        index,
+        Event::StoreReplied { query, outcome },
+    );
 }
 
-fn answer(world: &mut World, tell: &Tell) {
+fn answer(world: &mut World, tell: &CallerMessage) {
     let answers = &mut world.tally.answers;
     match tell {
-        Tell::Done { .. } | Tell::Answer { .. } => answers.done += 1,
-        Tell::Refusal(_) => answers.refused += 1,
-        Tell::Edit(Verdict::Accepted { .. } | Verdict::Repeated { .. }) => answers.accepted += 1,
-        Tell::Edit(_) => answers.undecided += 1,
+        CallerMessage::Done { .. } | CallerMessage::Answer { .. } => answers.done += 1,
+        CallerMessage::Refusal(_) => answers.refused += 1,
+        CallerMessage::Edit(Verdict::Accepted { .. } | Verdict::Repeated { .. }) => {
+            answers.accepted += 1
+        }
+        CallerMessage::Edit(_) => answers.undecided += 1,
         _ => {}
     }
 }
--- a/crates/bench/src/world/backs.rs
+++ b/crates/bench/src/world/backs.rs
@@ -10,7 +10,7 @@
 use ident::Time;
 use node::action::Task;
 use node::event::Event;
-use node::event::Held;
+use node::event::HeldAttempt;
 use node::event::Inspection;
 use node::event::Piece;
 use node::event::Reply;
@@ -38,7 +38,7 @@
 /// What a replica holds for an attempt, and when that is over.
 #[derive(Debug, Clone, Copy)]
 struct Work {
-    held: Held,
+    held: HeldAttempt,
     end: Time,
 }
 
@@ -54,11 +54,11 @@
     /// The state of `replica`.
     pub(super) fn inspect(&self, now: Time, replica: Replica) -> Inspection {
         let works = self.works.get(&replica).into_iter().flatten();
-        let held = |work: &Work| Held {
+        let held = |work: &Work| HeldAttempt {
             done: now >= work.end,
             ..work.held
         };
-        let works: Vec<Held> = works.map(|(_, work)| held(work)).collect();
+        let works: Vec<HeldAttempt> = works.map(|(_, work)| held(work)).collect();
         let running = works.iter().filter(|held| !held.done).count() as u32;
         Inspection {
             report: Report {
@@ -124,7 +124,7 @@
     }
 
     fn hold(&mut self, replica: Replica, handle: Handle, owner: Incarnation, end: Time) {
-        let held = Held {
+        let held = HeldAttempt {
             handle,
             owner,
             fence: 1,
--- a/crates/bench/src/world/kind.rs
+++ b/crates/bench/src/world/kind.rs
@@ -72,7 +72,7 @@
             Event::Frame(frame) => Self::of_body(&frame.body),
             Event::Inspected { .. } => Self::Inspect,
             Event::Listed(_) => Self::List,
-            Event::Stored { .. } | Event::Edited { .. } => Self::Store,
+            Event::StoreReplied { .. } | Event::Edited { .. } => Self::Store,
             Event::Tick | Event::Stop => Self::Timer,
             _ => Self::Caller,
         }
--- a/crates/bench/src/world/list.rs
+++ b/crates/bench/src/world/list.rs
@@ -4,9 +4,9 @@
 use ident::Pool;
 use ident::Replica;
 use ident::Zone;
-use node::list::Backend;
-use node::list::List;
-use node::list::Seat;
+use node::list::ListedInstance;
+use node::list::ListedReplica;
+use node::list::PlatformList;
 use route::replica::Role;
 use table::Table;
 use table::row::Row;
@@ -23,8 +23,8 @@
 /// The list, which holds no replicas at first.
 #[derive(Debug)]
 pub struct Listing {
-    instances: Vec<Seat>,
-    replicas: Vec<Backend>,
+    instances: Vec<ListedInstance>,
+    replicas: Vec<ListedReplica>,
     shows_replicas: bool,
 }
 
@@ -46,8 +46,8 @@
     }
 
     /// The list as the platform shows it now.
-    pub(super) fn list(&self) -> List {
-        List {
+    pub(super) fn list(&self) -> PlatformList {
+        PlatformList {
             instances: self.instances.clone(),
             replicas: if self.shows_replicas {
                 self.replicas.clone()
@@ -114,8 +114,8 @@
     Table::new(1, rows.collect())
 }
 
-fn seat(index: usize, size: &Size) -> Seat {
-    Seat {
+fn seat(index: usize, size: &Size) -> ListedInstance {
+    ListedInstance {
         instance: instance(index),
         name: instance_name(index),
         zone: Zone::new(&zone_name(index % size.zones)),
@@ -124,9 +124,9 @@
     }
 }
 
-fn backend(index: usize, size: &Size) -> Backend {
+fn backend(index: usize, size: &Size) -> ListedReplica {
     let role = role(index, size.pools);
-    Backend {
+    ListedReplica {
         replica: Replica::new(&replica_name(index)),
         name: replica_name(index),
         zone: Zone::new(&zone_name(index / size.pools % size.zones)),
--- a/crates/bench/src/world/store.rs
+++ b/crates/bench/src/world/store.rs
@@ -1,7 +1,7 @@
 //! The platform's store, as the cores see it.
 
-use node::action::Ask;
-use node::event::Stored;
+use node::action::StoreRequest;
+use node::event::StoreReply;
 use table::Table;
 use table::edit::Edit;
 
@@ -73,38 +73,38 @@
     }
 
     /// Answers `ask`.
-    pub(super) fn answer(&mut self, ask: &Ask) -> Stored {
+    pub(super) fn answer(&mut self, ask: &StoreRequest) -> StoreReply {
         match ask {
-            Ask::Generation => {
+            StoreRequest::Generation => {
                 self.calls.generations += 1;
                 let generation = self.table.generation;
-                Stored::Generation { generation }
+                StoreReply::Generation { generation }
             }
-            Ask::Table => {
+            StoreRequest::Table => {
                 self.calls.tables += 1;
-                Stored::Table(Box::new(self.table.clone()))
+                StoreReply::Table(Box::new(self.table.clone()))
             }
-            Ask::Commit(edit) => {
+            StoreRequest::Commit(edit) => {
                 self.calls.others += 1;
                 self.calls.writes += 1;
                 self.commit(edit);
                 let generation = self.table.generation;
-                Stored::Committed { generation }
+                StoreReply::Committed { generation }
             }
-            Ask::Record { .. } => {
+            StoreRequest::Record { .. } => {
                 self.calls.writes += 1;
-                Stored::Recorded
+                StoreReply::Recorded
             }
-            Ask::Outcome { .. } => {
+            StoreRequest::Outcome { .. } => {
                 self.calls.others += 1;
-                Stored::Outcome(None)
+                StoreReply::Outcome(None)
             }
         }
     }
 
     /// The answer when it is out of reach.
-    pub(super) fn refusal() -> Stored {
-        Stored::Failed {
+    pub(super) fn refusal() -> StoreReply {
+        StoreReply::Failed {
             maybe: false,
             cause: "the store is out of reach".to_owned(),
         }
--- a/crates/ctl/src/answer.rs
+++ b/crates/ctl/src/answer.rs
@@ -4,9 +4,9 @@
 use serde::Serialize;
 use serde_json::Value;
 
-pub use node::status::Force;
 pub use node::status::Member;
 pub use node::status::Pool;
+pub use node::status::Rollout;
 pub use node::status::Status;
 
 /// Result of submitting an edit.
--- a/crates/ctl/src/submit.rs
+++ b/crates/ctl/src/submit.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 use crate::answer::EditResult;
-use crate::answer::Force;
+use crate::answer::Rollout;
 use crate::cli::SubmitOptions;
 use crate::client::AdminClient;
 use crate::client::Answer;
@@ -222,8 +222,8 @@
     let path = format!("/v1/table/force?generation={generation}");
     let mut missing = Vec::new();
     loop {
-        match admin.get::<Force>(&path).await {
-            Ok(force) if force.complete() => {
+        match admin.get::<Rollout>(&path).await {
+            Ok(force) if force.is_complete() => {
                 report_in_force(generation, &force, start.elapsed(), edit_id, output);
                 return Ok(());
             }
@@ -245,7 +245,7 @@
 
 fn report_in_force(
     generation: u64,
-    force: &Force,
+    force: &Rollout,
     waited: Duration,
     edit_id: &str,
     output: Output,
--- a/crates/entry/src/admin/edit.rs
+++ b/crates/entry/src/admin/edit.rs
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use http_body_util::BodyExt;
 use http_body_util::Limited;
-use node::action::Tell;
+use node::action::CallerMessage;
 use node::action::Verdict;
 use serde_json::json;
 use table::edit::Edit;
@@ -48,8 +48,8 @@
     let _response = shared.stop.response();
     let mut open = shared.inbox.open(Wish::Edit(edit)).await;
     match open.next().await {
-        Some(Tell::Edit(verdict)) => verdict_response(&verdict),
-        Some(Tell::Refusal(refusal)) => {
+        Some(CallerMessage::Edit(verdict)) => verdict_response(&verdict),
+        Some(CallerMessage::Refusal(refusal)) => {
             answer::json(StatusCode::SERVICE_UNAVAILABLE, &refusal_json(&refusal))
         }
         Some(_) | None => verdict_response(&Verdict::Undecided {
--- a/crates/entry/src/backends/inspect.rs
+++ b/crates/entry/src/backends/inspect.rs
@@ -8,7 +8,7 @@
 use engine::state::Phase;
 use engine::state::State;
 use engine::state::Work;
-use node::event::Held;
+use node::event::HeldAttempt;
 use node::event::Inspection;
 use route::replica::CacheEvent;
 use route::replica::Report;
@@ -20,14 +20,14 @@
     after: u64,
 ) -> Option<Inspection> {
     let state = client.state(address, after).await.ok()?;
-    let works: Vec<Held> = state.works.iter().map(held).collect();
+    let works: Vec<HeldAttempt> = state.works.iter().map(held).collect();
     Some(Inspection {
         report: report(state, &works),
         works,
     })
 }
 
-fn report(state: State, works: &[Held]) -> Report {
+fn report(state: State, works: &[HeldAttempt]) -> Report {
     Report {
         // Replicas do not tell how old their figures are.
         age: Duration::ZERO,
@@ -48,8 +48,8 @@
     }
 }
 
-fn held(work: &Work) -> Held {
-    Held {
+fn held(work: &Work) -> HeldAttempt {
+    HeldAttempt {
         handle: work.handle,
         owner: work.owner,
         fence: work.fence,
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -15,7 +15,7 @@
 use http::Response;
 use http::StatusCode;
 use launch::error::Error;
-use node::action::Tell;
+use node::action::CallerMessage;
 use volo_http::body::Body;
 use volo_http::request::Request;
 use volo_http::server::Server;
@@ -123,13 +123,13 @@
     };
     let mut open = shared.inbox.open(wish).await;
     match open.next().await {
-        Some(Tell::Answer {
+        Some(CallerMessage::Answer {
             status,
             body,
             repeated,
         }) => answer::plain(status, body, repeated, response),
-        Some(Tell::Refusal(refusal)) => answer::refusal(&refusal),
-        Some(Tell::Edit(_)) | None => answer::lost(),
+        Some(CallerMessage::Refusal(refusal)) => answer::refusal(&refusal),
+        Some(CallerMessage::Edit(_)) | None => answer::lost(),
         Some(first) => stream::response(first, open, response),
     }
 }
--- a/crates/entry/src/callers/stream.rs
+++ b/crates/entry/src/callers/stream.rs
@@ -5,7 +5,7 @@
 
 use futures::stream;
 use http::Response;
-use node::action::Tell;
+use node::action::CallerMessage;
 use serde_json::Value;
 use serde_json::json;
 use volo_http::body::Body;
@@ -22,7 +22,7 @@
 const KEEP_ALIVE: Duration = Duration::from_secs(10);
 
 struct State {
-    first: Option<Tell>,
+    first: Option<CallerMessage>,
     open: Open,
     over: bool,
     // Counted as being written until the connection drops the stream.
@@ -32,7 +32,11 @@
 /// The response whose stream begins with `first` and goes on with what `open` is told.
 ///
 /// It ends without a last event if the core gave the connection up; the caller resumes then.
-pub(super) fn response(first: Tell, open: Open, response: stop::Response) -> Response<Body> {
+pub(super) fn response(
+    first: CallerMessage,
+    open: Open,
+    response: stop::Response,
+) -> Response<Body> {
     let state = State {
         first: Some(first),
         open,
@@ -47,7 +51,10 @@
             Some(first) => first,
             None => state.open.next().await?,
         };
-        state.over = !matches!(tell, Tell::Head { .. } | Tell::Tokens { .. });
+        state.over = !matches!(
+            tell,
+            CallerMessage::Head { .. } | CallerMessage::Tokens { .. }
+        );
         Some((Ok::<_, Infallible>(event(&tell)), state))
     });
     Sse::new(events)
@@ -55,13 +62,13 @@
         .into_response()
 }
 
-fn event(tell: &Tell) -> Event {
+fn event(tell: &CallerMessage) -> Event {
     match tell {
-        Tell::Head { handle, token } => named(
+        CallerMessage::Head { handle, token } => named(
             "head",
             &json!({"request": handle.to_string(), "resume": token}),
         ),
-        Tell::Tokens {
+        CallerMessage::Tokens {
             offset,
             count,
             text,
@@ -73,11 +80,11 @@
             )
             .id((offset + count).to_string())
         }
-        Tell::Done { tokens } => named("done", &json!({"tokens": tokens})),
-        Tell::Superseded => named("superseded", &json!({})),
-        Tell::Refusal(refusal) => named("error", &answer::refusal_json(refusal)),
+        CallerMessage::Done { tokens } => named("done", &json!({"tokens": tokens})),
+        CallerMessage::Superseded => named("superseded", &json!({})),
+        CallerMessage::Refusal(refusal) => named("error", &answer::refusal_json(refusal)),
         // Neither belongs to a stream; the caller resumes.
-        Tell::Answer { .. } | Tell::Edit(_) => Event::new().comment("cut off"),
+        CallerMessage::Answer { .. } | CallerMessage::Edit(_) => Event::new().comment("cut off"),
     }
 }
 
--- a/crates/entry/src/driver/inbox.rs
+++ b/crates/entry/src/driver/inbox.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 
 use ident::Zone;
-use node::action::Tell;
+use node::action::CallerMessage;
 use node::event::Event;
 use node::ids::Call;
 use node::request::Request;
@@ -58,7 +58,7 @@
     /// Addresses for callers near a data centre.
     Addresses(Zone, oneshot::Sender<Vec<status::Address>>),
     /// How far a generation is in force.
-    Force(u64, oneshot::Sender<status::Force>),
+    Force(u64, oneshot::Sender<status::Rollout>),
 }
 
 /// What reaches the driver.
@@ -73,7 +73,7 @@
         /// What it wants.
         wish: Wish,
         /// Where its answers go.
-        teller: mpsc::Sender<Tell>,
+        teller: mpsc::Sender<CallerMessage>,
     },
     /// A connection closed.
     Closed(Call),
@@ -145,7 +145,7 @@
 #[derive(Debug)]
 pub struct Open {
     call: Call,
-    tells: mpsc::Receiver<Tell>,
+    tells: mpsc::Receiver<CallerMessage>,
     inbox: Inbox,
 }
 
@@ -156,7 +156,7 @@
     }
 
     /// The next thing to tell the caller; `None` if the driver gave the connection up.
-    pub async fn next(&mut self) -> Option<Tell> {
+    pub async fn next(&mut self) -> Option<CallerMessage> {
         self.tells.recv().await
     }
 }
--- a/crates/entry/src/driver/mod.rs
+++ b/crates/entry/src/driver/mod.rs
@@ -13,8 +13,8 @@
 use engine::Claim;
 use node::Node;
 use node::action::Action;
+use node::action::CallerMessage;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::event::Piece;
 use node::ids::Call;
@@ -85,7 +85,7 @@
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
         let mut batch = Vec::with_capacity(BATCH);
         loop {
-            let pause = self.clock.until(self.node.wake());
+            let pause = self.clock.until(self.node.next_wake());
             tokio::select! {
                 count = inputs.recv_many(&mut batch, BATCH) => {
                     if count == 0 {
@@ -97,7 +97,7 @@
                 }
                 () = sleep(pause) => {}
             }
-            if self.clock.now() >= self.node.wake() {
+            if self.clock.now() >= self.node.next_wake() {
                 self.step(Event::Tick);
             }
         }
@@ -150,7 +150,7 @@
         // A call that got its last answer is known to be over; the core isn't told again.
         if self.tellers.remove(call) {
             self.contents.close(call);
-            self.step(Event::Left { call });
+            self.step(Event::Disconnected { call });
         }
     }
 
@@ -204,9 +204,9 @@
                 after,
                 asked,
             } => self.outlets.backends.inspect(replica, after, asked),
-            Action::Tell { call, tell } => self.tell(call, tell),
+            Action::SendToCaller { call, message } => self.tell(call, message),
             Action::Send { to, frame } => self.outlets.peers.send(to, &frame),
-            Action::Query { query, ask } => self.outlets.platform.query(query, ask),
+            Action::Query { query, request } => self.outlets.platform.query(query, request),
             Action::UseList(copy) => self.use_list(&copy),
             Action::Log(decision) => self.outlets.recent.decision(&decision),
             Action::Fault { cause } => {
@@ -225,8 +225,8 @@
         }
     }
 
-    fn tell(&mut self, call: Call, tell: Tell) {
-        if let Tell::Head { handle, .. } = &tell {
+    fn tell(&mut self, call: Call, tell: CallerMessage) {
+        if let CallerMessage::Head { handle, .. } = &tell {
             self.contents.join(call, *handle);
         }
         if self.tellers.tell(call, tell) {
@@ -244,7 +244,7 @@
                 drop(sender.send(self.node.addresses(now, zone)));
             }
             Question::Force(generation, sender) => {
-                drop(sender.send(self.node.force(now, generation)));
+                drop(sender.send(self.node.rollout(now, generation)));
             }
         }
     }
--- a/crates/entry/src/driver/tellers.rs
+++ b/crates/entry/src/driver/tellers.rs
@@ -2,19 +2,19 @@
 
 use std::collections::HashMap;
 
-use node::action::Tell;
+use node::action::CallerMessage;
 use node::ids::Call;
 use tokio::sync::mpsc;
 
 /// The response channels of open connections.
 #[derive(Debug, Default)]
 pub(super) struct Tellers {
-    senders: HashMap<Call, mpsc::Sender<Tell>>,
+    senders: HashMap<Call, mpsc::Sender<CallerMessage>>,
 }
 
 impl Tellers {
     /// Answers of `call` go to `sender`.
-    pub(super) fn insert(&mut self, call: Call, sender: mpsc::Sender<Tell>) {
+    pub(super) fn insert(&mut self, call: Call, sender: mpsc::Sender<CallerMessage>) {
         self.senders.insert(call, sender);
     }
 
@@ -27,7 +27,7 @@
     ///
     /// A caller that does not read loses its connection: the channel is left full and closed
     /// without a last answer, the caller's task drops it and the core hears that the caller left.
-    pub(super) fn tell(&mut self, call: Call, tell: Tell) -> bool {
+    pub(super) fn tell(&mut self, call: Call, tell: CallerMessage) -> bool {
         let last = is_last(&tell);
         let Some(sender) = self.senders.get_mut(&call) else {
             return false;
@@ -40,13 +40,13 @@
     }
 }
 
-const fn is_last(tell: &Tell) -> bool {
+const fn is_last(tell: &CallerMessage) -> bool {
     match tell {
-        Tell::Head { .. } | Tell::Tokens { .. } => false,
-        Tell::Done { .. }
-        | Tell::Superseded
-        | Tell::Answer { .. }
-        | Tell::Refusal(_)
-        | Tell::Edit(_) => true,
+        CallerMessage::Head { .. } | CallerMessage::Tokens { .. } => false,
+        CallerMessage::Done { .. }
+        | CallerMessage::Superseded
+        | CallerMessage::Answer { .. }
+        | CallerMessage::Refusal(_)
+        | CallerMessage::Edit(_) => true,
     }
 }
--- a/crates/entry/src/platform/commit.rs
+++ b/crates/entry/src/platform/commit.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use boottime::timer::sleep;
-use node::event::Stored;
+use node::event::StoreReply;
 use store::Client;
 use store::txn::Reply;
 use store::txn::Txn;
@@ -48,14 +48,14 @@
 }
 
 /// One read and one commit; `None` if another edit came first.
-async fn attempt(client: &Client, edit: &Edit, sent: bool) -> Result<Option<Stored>, Error> {
+async fn attempt(client: &Client, edit: &Edit, sent: bool) -> Result<Option<StoreReply>, Error> {
     let txn = read::scans().with_read(&stored::edit_id_key(&edit.id));
     let records = read::records(client, txn).await?;
     match table::plan::plan(edit, &records, clock::unix().as_secs())? {
-        Step::Applied(generation) if sent => Ok(Some(Stored::Committed { generation })),
-        Step::Applied(generation) => Ok(Some(Stored::Repeated { generation })),
+        Step::Applied(generation) if sent => Ok(Some(StoreReply::Committed { generation })),
+        Step::Applied(generation) => Ok(Some(StoreReply::Repeated { generation })),
         Step::Commit(plan) => match client.txn(&transaction(&plan)).await? {
-            Reply::Committed(_) => Ok(Some(Stored::Committed {
+            Reply::Committed(_) => Ok(Some(StoreReply::Committed {
                 generation: plan.table.generation,
             })),
             Reply::Conflict(_) => Ok(None),
@@ -76,7 +76,7 @@
     match error {
         Error::Record(stored::Error::Conflict(conflict)) => {
             let lines = conflict.clashes.iter().map(ToString::to_string).collect();
-            Ok(Stored::Conflict { lines })
+            Ok(StoreReply::Conflict { lines })
         }
         error => Err(error),
     }
--- a/crates/entry/src/platform/list.rs
+++ b/crates/entry/src/platform/list.rs
@@ -10,9 +10,9 @@
 use ident::Replica;
 use ident::Zone;
 use node::event::Event;
-use node::list::Backend;
-use node::list::List;
-use node::list::Seat;
+use node::list::ListedInstance;
+use node::list::ListedReplica;
+use node::list::PlatformList;
 use route::replica::Role;
 use store::Client;
 use store::list;
@@ -95,15 +95,15 @@
     );
 }
 
-fn convert(list: list::List) -> List {
-    List {
+fn convert(list: list::List) -> PlatformList {
+    PlatformList {
         instances: list.instances.into_iter().map(seat).collect(),
         replicas: list.replicas.into_iter().map(backend).collect(),
     }
 }
 
-fn seat(instance: list::Instance) -> Seat {
-    Seat {
+fn seat(instance: list::Instance) -> ListedInstance {
+    ListedInstance {
         instance: Instance::new(&instance.name),
         zone: Zone::new(&instance.data_centre),
         caller: instance.caller.to_string(),
@@ -112,8 +112,8 @@
     }
 }
 
-fn backend(replica: list::Replica) -> Backend {
-    Backend {
+fn backend(replica: list::Replica) -> ListedReplica {
+    ListedReplica {
         replica: Replica::new(&replica.name),
         zone: Zone::new(&replica.data_centre),
         pool: Pool::new(&replica.service),
--- a/crates/entry/src/platform/mod.rs
+++ b/crates/entry/src/platform/mod.rs
@@ -10,9 +10,9 @@
 
 use std::time::Duration;
 
-use node::action::Ask;
+use node::action::StoreRequest;
 use node::event::Event;
-use node::event::Stored;
+use node::event::StoreReply;
 use node::ids::Query;
 use store::Client;
 
@@ -46,33 +46,35 @@
         Self { client, inbox }
     }
 
-    /// Carries out `ask`; `Event::Stored` follows.
-    pub fn query(&self, query: Query, ask: Ask) {
+    /// Carries out `ask`; `Event::StoreReplied` follows.
+    pub fn query(&self, query: Query, ask: StoreRequest) {
         let client = self.client.clone();
         let inbox = self.inbox.clone();
         tokio::spawn(async move {
             let outcome = carry_out(&client, ask).await;
-            inbox.event(Event::Stored { query, outcome }).await;
+            inbox.event(Event::StoreReplied { query, outcome }).await;
         });
     }
 }
 
-async fn carry_out(client: &Client, ask: Ask) -> Stored {
+async fn carry_out(client: &Client, ask: StoreRequest) -> StoreReply {
     let outcome = match ask {
-        Ask::Generation => read::generation(client).await,
-        Ask::Table => read::table(client).await,
-        Ask::Commit(edit) => commit::commit(client, &edit).await,
-        Ask::Record {
+        StoreRequest::Generation => read::generation(client).await,
+        StoreRequest::Table => read::table(client).await,
+        StoreRequest::Commit(edit) => commit::commit(client, &edit).await,
+        StoreRequest::Record {
             incarnation,
             sequence,
             outcomes,
         } => outcomes::record(client, incarnation, sequence, &outcomes).await,
-        Ask::Outcome { incarnation, key } => outcomes::find(client, incarnation, &key).await,
+        StoreRequest::Outcome { incarnation, key } => {
+            outcomes::find(client, incarnation, &key).await
+        }
     };
-    outcome.unwrap_or_else(|error| Stored::Failed {
+    outcome.unwrap_or_else(|error| StoreReply::Failed {
         maybe: error.is_uncertain(),
         cause: error.to_string(),
     })
 }
 
-type Outcome = Result<Stored, Error>;
+type Outcome = Result<StoreReply, Error>;
--- a/crates/entry/src/platform/outcomes.rs
+++ b/crates/entry/src/platform/outcomes.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use ident::Incarnation;
-use node::event::Recorded;
-use node::event::Stored;
+use node::event::RecordedOutcome;
+use node::event::StoreReply;
 use serde::Deserialize;
 use serde::Serialize;
 use store::Client;
@@ -45,7 +45,7 @@
     client
         .txn(&Txn::new().with_write(&key, Some(&row(outcomes))))
         .await?;
-    Ok(Stored::Recorded)
+    Ok(StoreReply::Recorded)
 }
 
 /// Looks for the outcome of `key` among those recorded by `incarnation`.
@@ -58,13 +58,13 @@
         })?;
         if let Some(line) = row.lines.into_iter().find(|line| line.key == key) {
             let body = line.body.map(Bytes::from);
-            return Ok(Stored::Outcome(Some(Recorded {
+            return Ok(StoreReply::Outcome(Some(RecordedOutcome {
                 status: line.status,
                 body,
             })));
         }
     }
-    Ok(Stored::Outcome(None))
+    Ok(StoreReply::Outcome(None))
 }
 
 fn prefix(incarnation: Incarnation) -> String {
--- a/crates/entry/src/platform/read.rs
+++ b/crates/entry/src/platform/read.rs
@@ -1,6 +1,6 @@
 //! Linearizable reads of the table.
 
-use node::event::Stored;
+use node::event::StoreReply;
 use store::Client;
 use store::txn::Reply;
 use store::txn::Row;
@@ -16,7 +16,7 @@
 pub(super) async fn generation(client: &Client) -> Outcome {
     let records = records(client, Txn::new().with_read(stored::GENERATION)).await?;
     let (table, _) = stored::read(&records)?;
-    Ok(Stored::Generation {
+    Ok(StoreReply::Generation {
         generation: table.generation,
     })
 }
@@ -24,7 +24,7 @@
 /// Reads the whole table in one transaction.
 pub(super) async fn table(client: &Client) -> Outcome {
     let (table, _) = stored::read(&records(client, scans()).await?)?;
-    Ok(Stored::Table(Box::<Table>::new(table)))
+    Ok(StoreReply::Table(Box::<Table>::new(table)))
 }
 
 /// A transaction that reads the whole table.
--- a/crates/node/examples/drive.rs
+++ b/crates/node/examples/drive.rs
@@ -19,19 +19,19 @@
 use ident::Zone;
 use node::Node;
 use node::action::Action;
-use node::action::Ask;
+use node::action::CallerMessage;
+use node::action::StoreRequest;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::event::Inspection;
 use node::event::Piece;
 use node::event::Reply;
-use node::event::Stored;
+use node::event::StoreReply;
 use node::ids::Call;
 use node::ids::Order;
-use node::list::Backend;
-use node::list::List;
-use node::list::Seat;
+use node::list::ListedInstance;
+use node::list::ListedReplica;
+use node::list::PlatformList;
 use node::request::Request;
 use node::request::Work;
 use node::settings::Settings;
@@ -101,7 +101,7 @@
             let event = self.events.pop_front();
             self.now = match event {
                 Some(_) => self.now + PACE,
-                None => self.node.wake().max(self.now + PACE).min(end),
+                None => self.node.next_wake().max(self.now + PACE).min(end),
             };
             let event = event.unwrap_or(Event::Tick);
             self.node.step(self.now, event, &mut actions);
@@ -115,9 +115,9 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Order { order, task, .. } => self.answer_order(order, &task),
-            Action::Query { query, ask } => {
-                let outcome = answer_query(&ask);
-                self.feed(Event::Stored { query, outcome });
+            Action::Query { query, request } => {
+                let outcome = answer_query(&request);
+                self.feed(Event::StoreReplied { query, outcome });
             }
             Action::Inspect { replica, asked, .. } => {
                 let state = Some(idle());
@@ -127,7 +127,9 @@
                     state,
                 });
             }
-            Action::Tell { call, tell } => println!("{call:?} is told {}", shown(&tell)),
+            Action::SendToCaller { call, message } => {
+                println!("{call:?} is told {}", shown(&message))
+            }
             Action::Log(decision) => println!(
                 "  {} {}: {} ({})",
                 decision.step.word(),
@@ -183,13 +185,13 @@
     }
 }
 
-fn answer_query(ask: &Ask) -> Stored {
+fn answer_query(ask: &StoreRequest) -> StoreReply {
     match ask {
-        Ask::Generation => Stored::Generation { generation: 1 },
-        Ask::Table => Stored::Table(Box::new(table())),
-        Ask::Record { .. } => Stored::Recorded,
-        Ask::Outcome { .. } => Stored::Outcome(None),
-        Ask::Commit(_) => Stored::Failed {
+        StoreRequest::Generation => StoreReply::Generation { generation: 1 },
+        StoreRequest::Table => StoreReply::Table(Box::new(table())),
+        StoreRequest::Record { .. } => StoreReply::Recorded,
+        StoreRequest::Outcome { .. } => StoreReply::Outcome(None),
+        StoreRequest::Commit(_) => StoreReply::Failed {
             maybe: false,
             cause: "this store takes no edits".to_owned(),
         },
@@ -212,9 +214,9 @@
     }
 }
 
-fn shown(tell: &Tell) -> String {
+fn shown(tell: &CallerMessage) -> String {
     match tell {
-        Tell::Head { handle, .. } => format!("the head of {handle}, with a resume token"),
+        CallerMessage::Head { handle, .. } => format!("the head of {handle}, with a resume token"),
         _ => format!("{tell:?}"),
     }
 }
@@ -247,9 +249,9 @@
     Table::new(1, vec![Row::new("ration", "default", "ration"), booking])
 }
 
-fn list() -> List {
+fn list() -> PlatformList {
     let zone = Zone::new("osijek-a");
-    let backend = |name: &str, pool: &str, role| Backend {
+    let backend = |name: &str, pool: &str, role| ListedReplica {
         replica: Replica::new(name),
         name: name.to_owned(),
         zone,
@@ -259,14 +261,14 @@
         fences: true,
         leaving: false,
     };
-    let seat = Seat {
+    let seat = ListedInstance {
         instance: Instance::new("entry-1"),
         name: "entry-1".to_owned(),
         zone,
         caller: "127.0.0.1:7001".to_owned(),
         leaving: false,
     };
-    List {
+    PlatformList {
         instances: vec![seat],
         replicas: vec![
             backend("ration-prefill", "ration", Role::Prefill),
--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -47,11 +47,11 @@
         asked: Time,
     },
     /// Say something to a caller.
-    Tell {
+    SendToCaller {
         /// The caller's connection.
         call: Call,
         /// What to say.
-        tell: Tell,
+        message: CallerMessage,
     },
     /// Send a frame to a peer.
     Send {
@@ -68,7 +68,7 @@
         /// Names the query in the answering event.
         query: Query,
         /// What to ask.
-        ask: Ask,
+        request: StoreRequest,
     },
     /// Log a decision.
     Log(Decision),
@@ -128,7 +128,7 @@
 
 /// What a caller is told.
 #[derive(Debug, Clone)]
-pub enum Tell {
+pub enum CallerMessage {
     /// The head of a streamed answer.
     Head {
         /// The attempt.
@@ -262,7 +262,7 @@
 
 /// A query to the store.
 #[derive(Debug, Clone)]
-pub enum Ask {
+pub enum StoreRequest {
     /// The present generation, by a linearizable read.
     Generation,
     /// The whole table, by a linearizable read.
--- a/crates/node/src/asking.rs
+++ b/crates/node/src/asking.rs
@@ -14,14 +14,14 @@
 use wire::Told;
 
 use crate::action::Action;
-use crate::action::Ask;
+use crate::action::CallerMessage;
 use crate::action::Outcome;
 use crate::action::Reason;
 use crate::action::Refusal;
-use crate::action::Tell;
+use crate::action::StoreRequest;
 use crate::decision::Step;
-use crate::event::Recorded;
-use crate::event::Stored;
+use crate::event::RecordedOutcome;
+use crate::event::StoreReply;
 use crate::node::Node;
 use crate::question::Question;
 use crate::refusals::SOON;
@@ -98,11 +98,14 @@
         };
         question.lookup = Some(query);
         question.heard = self.now;
-        let ask = Ask::Outcome {
+        let ask = StoreRequest::Outcome {
             incarnation: prefix.runner,
             key: question.key.to_string(),
         };
-        out.push(Action::Query { query, ask });
+        out.push(Action::Query {
+            query,
+            request: ask,
+        });
     }
 
     /// Asks silent runners again, and gives up those that stay silent.
@@ -153,7 +156,7 @@
     pub(crate) fn looked_up(
         &mut self,
         query: Query,
-        outcome: &Stored,
+        outcome: &StoreReply,
         out: &mut Vec<Action>,
     ) -> bool {
         let found = self
@@ -165,14 +168,14 @@
             return false;
         };
         match outcome {
-            Stored::Outcome(Some(recorded)) => self.tell_recorded(nonce, recorded.clone(), out),
+            StoreReply::Outcome(Some(recorded)) => self.tell_recorded(nonce, recorded.clone(), out),
             _ => self.no_record(nonce, out),
         }
         true
     }
 
-    fn tell_recorded(&mut self, nonce: u64, recorded: Recorded, out: &mut Vec<Action>) {
-        let Recorded { status, body } = recorded;
+    fn tell_recorded(&mut self, nonce: u64, recorded: RecordedOutcome, out: &mut Vec<Action>) {
+        let RecordedOutcome { status, body } = recorded;
         match body {
             Some(body) => self.tell_repeated(nonce, status, body, out),
             None => {
@@ -190,14 +193,14 @@
         out: &mut Vec<Action>,
     ) {
         if let Some(question) = self.requests.questions.remove(&nonce) {
-            let tell = Tell::Answer {
+            let tell = CallerMessage::Answer {
                 status,
                 body,
                 repeated: true,
             };
-            out.push(Action::Tell {
+            out.push(Action::SendToCaller {
                 call: question.call,
-                tell,
+                message: tell,
             });
         }
     }
@@ -266,7 +269,7 @@
             Told::OtherRun => self.runner_silent(nonce, out),
             Told::Streaming { token } => self.follow_stream(nonce, &token, out),
             Told::Answered { status, body } => {
-                self.tell_recorded(nonce, Recorded { status, body }, out);
+                self.tell_recorded(nonce, RecordedOutcome { status, body }, out);
             }
             Told::Unknown => self.close_tried(nonce, Outcome::Unknown, out),
             Told::Failed => self.close_tried(nonce, Outcome::Failed, out),
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -14,10 +14,10 @@
 use table::row::Row;
 
 use crate::action::Action;
+use crate::action::CallerMessage;
 use crate::action::Outcome;
 use crate::action::Reason;
 use crate::action::Refusal;
-use crate::action::Tell;
 use crate::decision::Step;
 use crate::node::Node;
 use crate::open::End;
@@ -254,12 +254,15 @@
                 status,
                 body: Some(body),
             } => {
-                let tell = Tell::Answer {
+                let tell = CallerMessage::Answer {
                     status,
                     body,
                     repeated: true,
                 };
-                out.push(Action::Tell { call, tell });
+                out.push(Action::SendToCaller {
+                    call,
+                    message: tell,
+                });
             }
             Mark::Answered { body: None, .. } => {
                 let refusal = Self::refusal(Outcome::Failed, Reason::AnswerGone, Duration::ZERO);
--- a/crates/node/src/edits.rs
+++ b/crates/node/src/edits.rs
@@ -10,14 +10,14 @@
 use wire::Body;
 
 use crate::action::Action;
-use crate::action::Ask;
-use crate::action::Tell;
+use crate::action::CallerMessage;
+use crate::action::StoreRequest;
 use crate::action::Verdict;
 use crate::decision::Step;
 use crate::edition::Edition;
-use crate::event::Stored;
+use crate::event::StoreReply;
 use crate::node::Node;
-use crate::status::Force;
+use crate::status::Rollout;
 
 /// How long a majority may take to note the generation of a committed edit.
 const NOTE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -38,7 +38,7 @@
         }
         let number = self.unique_number();
         let query = self.query();
-        let ask = Ask::Commit(Box::new(edit.clone()));
+        let ask = StoreRequest::Commit(Box::new(edit.clone()));
         let edition = Edition {
             call,
             edit,
@@ -49,13 +49,16 @@
             announced: self.now,
         };
         self.tables.desk.editions.insert(number, edition);
-        out.push(Action::Query { query, ask });
+        out.push(Action::Query {
+            query,
+            request: ask,
+        });
     }
 
-    pub(crate) fn committed(&mut self, number: u64, outcome: Stored, out: &mut Vec<Action>) {
+    pub(crate) fn committed(&mut self, number: u64, outcome: StoreReply, out: &mut Vec<Action>) {
         let made = match &outcome {
-            Stored::Committed { generation } => Some((*generation, false)),
-            Stored::Repeated { generation } => Some((*generation, true)),
+            StoreReply::Committed { generation } => Some((*generation, false)),
+            StoreReply::Repeated { generation } => Some((*generation, true)),
             _ => None,
         };
         match made {
@@ -63,7 +66,7 @@
             None => self.close_edition(number, refused(outcome), out),
         }
         if self.tables.view.behind() {
-            self.read(Ask::Table, out);
+            self.read(StoreRequest::Table, out);
         }
     }
 
@@ -188,7 +191,7 @@
     }
 
     /// How far `generation` has come into force.
-    pub fn force(&self, now: Time, generation: u64) -> Force {
+    pub fn rollout(&self, now: Time, generation: u64) -> Rollout {
         let mut missing = Vec::new();
         let silence = self.settings.lease * 2;
         for seat in self.members.seats.values() {
@@ -203,7 +206,7 @@
             }
         }
         let known = self.members.seats.len();
-        Force {
+        Rollout {
             generation,
             in_force: known - missing.len(),
             known,
@@ -213,16 +216,16 @@
 }
 
 fn answer(call: Call, verdict: Verdict, out: &mut Vec<Action>) {
-    out.push(Action::Tell {
+    out.push(Action::SendToCaller {
         call,
-        tell: Tell::Edit(verdict),
+        message: CallerMessage::Edit(verdict),
     });
 }
 
-fn refused(outcome: Stored) -> Verdict {
+fn refused(outcome: StoreReply) -> Verdict {
     match outcome {
-        Stored::Conflict { lines } => Verdict::Conflict { lines },
-        Stored::Failed { cause, .. } => Verdict::Undecided { cause },
+        StoreReply::Conflict { lines } => Verdict::Conflict { lines },
+        StoreReply::Failed { cause, .. } => Verdict::Undecided { cause },
         _ => {
             let cause = "the store gave another answer than was asked for".to_owned();
             Verdict::Undecided { cause }
--- a/crates/node/src/endings.rs
+++ b/crates/node/src/endings.rs
@@ -7,10 +7,10 @@
 use route::phase::Phase;
 
 use crate::action::Action;
+use crate::action::CallerMessage;
 use crate::action::Count;
 use crate::action::Outcome;
 use crate::action::Reason;
-use crate::action::Tell;
 use crate::decision::Step;
 use crate::node::Node;
 use crate::open::End;
@@ -131,23 +131,29 @@
         let (count, tell) = match end {
             End::Answered { status, body } => (
                 Some(Count::Answered),
-                Tell::Answer {
+                CallerMessage::Answer {
                     status: *status,
                     body: Bytes::clone(body),
                     repeated: false,
                 },
             ),
-            End::Streamed { tokens } => (Some(Count::Answered), Tell::Done { tokens: *tokens }),
-            End::Superseded => (None, Tell::Superseded),
+            End::Streamed { tokens } => (
+                Some(Count::Answered),
+                CallerMessage::Done { tokens: *tokens },
+            ),
+            End::Superseded => (None, CallerMessage::Superseded),
             End::Refused(refusal) => (
                 Some(Count::Refused(refusal.outcome)),
-                Tell::Refusal(refusal.clone()),
+                CallerMessage::Refusal(refusal.clone()),
             ),
         };
         out.extend(count.map(Action::Count));
         if matches!(end, End::Answered { .. } | End::Streamed { .. }) {
             self.count_targets(opened, out);
         }
-        out.extend(call.map(|call| Action::Tell { call, tell }));
+        out.extend(call.map(|call| Action::SendToCaller {
+            call,
+            message: tell,
+        }));
     }
 }
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -11,7 +11,7 @@
 use crate::ids::Call;
 use crate::ids::Order;
 use crate::ids::Query;
-use crate::list::List;
+use crate::list::PlatformList;
 use crate::request::Request;
 
 /// One event.
@@ -36,7 +36,7 @@
         offset: u32,
     },
     /// A caller's connection closed before its answer was complete.
-    Left {
+    Disconnected {
         /// The caller's connection.
         call: Call,
     },
@@ -73,15 +73,15 @@
     /// A peer's frame.
     Frame(Box<Frame>),
     /// The platform's list of instances and replicas.
-    Listed(List),
+    Listed(PlatformList),
     /// A copy of the platform's list in its own form, kept for peers that cannot read it.
     ListCopy(Bytes),
     /// The store answered `Action::Query`.
-    Stored {
+    StoreReplied {
         /// The query.
         query: Query,
         /// What it said.
-        outcome: Stored,
+        outcome: StoreReply,
     },
     /// An operator's edit arrived.
     Edited {
@@ -166,12 +166,12 @@
     /// Load and cache events.
     pub report: Report,
     /// Attempts it holds memory for.
-    pub works: Vec<Held>,
+    pub works: Vec<HeldAttempt>,
 }
 
 /// One attempt that holds memory on a replica.
 #[derive(Debug, Clone, Copy)]
-pub struct Held {
+pub struct HeldAttempt {
     /// The attempt.
     pub handle: ident::Handle,
     /// Its present owner.
@@ -184,7 +184,7 @@
 
 /// How a query to the store ended.
 #[derive(Debug, Clone)]
-pub enum Stored {
+pub enum StoreReply {
     /// The generation and the time it took to ask, in milliseconds.
     Generation {
         /// Present generation.
@@ -210,7 +210,7 @@
     /// Recorded outcomes were written.
     Recorded,
     /// Recorded outcome of a key: HTTP status and body, if one was found.
-    Outcome(Option<Recorded>),
+    Outcome(Option<RecordedOutcome>),
     /// The query did not reach the store, or its answer was lost.
     Failed {
         /// Whether it may have taken effect.
@@ -222,7 +222,7 @@
 
 /// A recorded outcome.
 #[derive(Debug, Clone)]
-pub struct Recorded {
+pub struct RecordedOutcome {
     /// HTTP status of the back end.
     pub status: u16,
     /// Body, if it was small enough to record.
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -8,16 +8,16 @@
 
 /// Instances and replicas, as the platform last told; it lags.
 #[derive(Debug, Clone, Default)]
-pub struct List {
+pub struct PlatformList {
     /// Entry instances.
-    pub instances: Vec<Seat>,
+    pub instances: Vec<ListedInstance>,
     /// Replicas.
-    pub replicas: Vec<Backend>,
+    pub replicas: Vec<ListedReplica>,
 }
 
 /// An entry instance on the list.
 #[derive(Debug, Clone)]
-pub struct Seat {
+pub struct ListedInstance {
     /// Key of its name.
     pub instance: Instance,
     /// Its name.
@@ -32,7 +32,7 @@
 
 /// A replica on the list.
 #[derive(Debug, Clone)]
-pub struct Backend {
+pub struct ListedReplica {
     /// Key of its name.
     pub replica: Replica,
     /// Its name.
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -17,7 +17,7 @@
 use crate::action::Outcome;
 use crate::action::Reason;
 use crate::decision::Step;
-use crate::list::List;
+use crate::list::PlatformList;
 use crate::membership::member;
 use crate::node::Node;
 use crate::open::End;
@@ -145,7 +145,7 @@
         }
     }
 
-    pub(crate) fn listed(&mut self, list: List, out: &mut Vec<Action>) {
+    pub(crate) fn listed(&mut self, list: PlatformList, out: &mut Vec<Action>) {
         self.replicas.is_listed = true;
         self.members.seats = list
             .instances
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -81,7 +81,7 @@
         }
         self.take(event, out);
         self.run_local(out);
-        if self.now >= self.wake() {
+        if self.now >= self.next_wake() {
             self.run_timers(out);
             self.run_local(out);
         }
@@ -98,7 +98,7 @@
             } => {
                 self.resumed(call, &customer, &token, offset, out);
             }
-            Event::Left { call } => self.left(call, out),
+            Event::Disconnected { call } => self.left(call, out),
             Event::Answered { order, reply } => self.answered(order, reply, out),
             Event::Streamed { order, piece } => self.streamed(order, piece, out),
             Event::Failed { order, failure } => self.failed(order, failure, out),
@@ -111,7 +111,7 @@
             Event::Tick => (),
             Event::ListCopy(copy) => self.replicas.list_copy = Some(copy),
             Event::Listed(list) => self.listed(list, out),
-            Event::Stored { query, outcome } => self.stored(query, outcome, out),
+            Event::StoreReplied { query, outcome } => self.stored(query, outcome, out),
             Event::Edited { call, edit } => self.edited(call, edit, out),
             Event::Stop => self.stop(out),
         }
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -8,7 +8,7 @@
 use ledger::ids::Query;
 
 use crate::action::Action;
-use crate::action::Ask;
+use crate::action::StoreRequest;
 use crate::journal::Line;
 use crate::node::Node;
 
@@ -54,13 +54,16 @@
             .collect();
         self.requests.journal.sequence += 1;
         let query = self.query();
-        let ask = Ask::Record {
+        let ask = StoreRequest::Record {
             incarnation: runner,
             sequence: self.requests.journal.sequence,
             outcomes: lines.iter().map(|line| line.outcome.clone()).collect(),
         };
         self.requests.journal.sent = Some((query, lines));
-        out.push(Action::Query { query, ask });
+        out.push(Action::Query {
+            query,
+            request: ask,
+        });
     }
 
     /// Notes the end of a record; `false` if `query` is none.
--- a/crates/node/src/refusals.rs
+++ b/crates/node/src/refusals.rs
@@ -6,11 +6,11 @@
 use ledger::ids::Call;
 
 use crate::action::Action;
+use crate::action::CallerMessage;
 use crate::action::Count;
 use crate::action::Outcome;
 use crate::action::Reason;
 use crate::action::Refusal;
-use crate::action::Tell;
 use crate::decision::Step;
 use crate::node::Node;
 use crate::node::millis;
@@ -123,9 +123,9 @@
             out,
         );
         out.push(Action::Count(Count::Refused(refusal.outcome)));
-        out.push(Action::Tell {
+        out.push(Action::SendToCaller {
             call,
-            tell: Tell::Refusal(refusal),
+            message: CallerMessage::Refusal(refusal),
         });
     }
 }
--- a/crates/node/src/rounds.rs
+++ b/crates/node/src/rounds.rs
@@ -14,7 +14,7 @@
 
 impl Node {
     /// When `Event::Tick` is wanted at the latest.
-    pub fn wake(&self) -> Time {
+    pub fn next_wake(&self) -> Time {
         self.timers.first().min(self.requests.holds.next())
     }
 
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -21,8 +21,8 @@
 use crate::desk::Desk;
 use crate::journal::Journal;
 use crate::kept::Kept;
-use crate::list::Backend;
-use crate::list::Seat;
+use crate::list::ListedInstance;
+use crate::list::ListedReplica;
 use crate::open::Open;
 use crate::open::OpenKey;
 use crate::question::Question;
@@ -87,7 +87,7 @@
     /// Former incarnations of this process, given up after a pause.
     pub(crate) former: Vec<Incarnation>,
     /// The instances as the platform lists them.
-    pub(crate) seats: BTreeMap<Instance, Seat>,
+    pub(crate) seats: BTreeMap<Instance, ListedInstance>,
 }
 
 impl Members {
@@ -123,7 +123,7 @@
 /// The replicas as the platform lists them.
 #[derive(Debug)]
 pub(crate) struct Replicas {
-    pub(crate) backends: BTreeMap<Replica, Backend>,
+    pub(crate) backends: BTreeMap<Replica, ListedReplica>,
     /// Whether a list was told; without one no replica is known.
     pub(crate) is_listed: bool,
     /// The part of the replicas that was inspected last.
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -57,7 +57,7 @@
 
 /// How far an edit has come into force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Force {
+pub struct Rollout {
     /// The generation asked about.
     pub generation: u64,
     /// Instances that decide by it, or by a later one, or cannot decide at all any more.
@@ -68,9 +68,9 @@
     pub missing: Vec<String>,
 }
 
-impl Force {
+impl Rollout {
     /// Whether it is in force on every instance.
-    pub const fn complete(&self) -> bool {
+    pub const fn is_complete(&self) -> bool {
         self.missing.is_empty() && self.known > 0 && self.in_force >= self.known
     }
 }
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -6,8 +6,8 @@
 use route::phase::Phase;
 
 use crate::action::Action;
+use crate::action::CallerMessage;
 use crate::action::Count;
-use crate::action::Tell;
 use crate::event::Piece;
 use crate::node::Node;
 use crate::open::End;
@@ -79,9 +79,9 @@
             note_tokens(entry, now, out);
         }
         if let Some(call) = entry.call {
-            out.extend(ready.into_iter().map(|run| Action::Tell {
+            out.extend(ready.into_iter().map(|run| Action::SendToCaller {
                 call,
-                tell: Tell::Tokens {
+                message: CallerMessage::Tokens {
                     offset: run.offset,
                     count: run.count,
                     text: run.text,
--- a/crates/node/src/sweeping.rs
+++ b/crates/node/src/sweeping.rs
@@ -14,7 +14,7 @@
 use crate::action::Action;
 use crate::action::Count;
 use crate::decision::Step;
-use crate::event::Held;
+use crate::event::HeldAttempt;
 use crate::node::Node;
 
 /// Time between two audits of what owners still want.
@@ -30,7 +30,7 @@
         &mut self,
         pool: Pool,
         replica: Replica,
-        works: &[Held],
+        works: &[HeldAttempt],
         out: &mut Vec<Action>,
     ) {
         let mut questions: BTreeMap<Instance, Vec<Handle>> = BTreeMap::new();
@@ -72,7 +72,7 @@
         &mut self,
         pool: Pool,
         replica: Replica,
-        found: &[Held],
+        found: &[HeldAttempt],
         out: &mut Vec<Action>,
     ) {
         let now = self.now;
@@ -101,7 +101,7 @@
         }
     }
 
-    fn sweep_one(&mut self, replica: Replica, held: Held, out: &mut Vec<Action>) {
+    fn sweep_one(&mut self, replica: Replica, held: HeldAttempt, out: &mut Vec<Action>) {
         let handle = held.handle;
         if !self.requests.holds.has(replica, handle) {
             self.requests
--- a/crates/node/src/tables.rs
+++ b/crates/node/src/tables.rs
@@ -17,9 +17,9 @@
 use wire::Body;
 
 use crate::action::Action;
-use crate::action::Ask;
+use crate::action::StoreRequest;
 use crate::decision::Step;
-use crate::event::Stored;
+use crate::event::StoreReply;
 use crate::node::Node;
 use crate::rows::Rows;
 
@@ -47,23 +47,26 @@
             .is_none_or(|age| age * 2 > self.settings.lease);
         if !waiting && (mine || stale) {
             let ask = if self.tables.view.table().is_none() {
-                Ask::Table
+                StoreRequest::Table
             } else {
-                Ask::Generation
+                StoreRequest::Generation
             };
             self.read(ask, out);
         }
     }
 
-    pub(crate) fn read(&mut self, ask: Ask, out: &mut Vec<Action>) {
+    pub(crate) fn read(&mut self, ask: StoreRequest, out: &mut Vec<Action>) {
         let query = self.query();
         self.tables.desk.reading = Some((query, self.now));
-        out.push(Action::Query { query, ask });
+        out.push(Action::Query {
+            query,
+            request: ask,
+        });
     }
 
     /// The store answered.
-    pub(crate) fn stored(&mut self, query: Query, outcome: Stored, out: &mut Vec<Action>) {
-        let recorded = matches!(outcome, Stored::Recorded);
+    pub(crate) fn stored(&mut self, query: Query, outcome: StoreReply, out: &mut Vec<Action>) {
+        let recorded = matches!(outcome, StoreReply::Recorded);
         if self.recorded(query, recorded) || self.looked_up(query, &outcome, out) {
             return;
         }
@@ -85,15 +88,15 @@
             return;
         };
         match outcome {
-            Stored::Generation { generation } => {
+            StoreReply::Generation { generation } => {
                 self.tables.view.announce(generation);
                 if self.tables.view.behind() {
-                    self.read(Ask::Table, out);
+                    self.read(StoreRequest::Table, out);
                 } else {
                     self.prove(since);
                 }
             }
-            Stored::Table(table) => {
+            StoreReply::Table(table) => {
                 self.tables.view.announce(table.generation);
                 self.take_table(*table, out);
                 self.prove(since);
--- a/crates/node/src/takeovers.rs
+++ b/crates/node/src/takeovers.rs
@@ -11,9 +11,9 @@
 use wire::Body;
 
 use crate::action::Action;
+use crate::action::CallerMessage;
 use crate::action::Outcome;
 use crate::action::Reason;
-use crate::action::Tell;
 use crate::decision::Step;
 use crate::node::Node;
 use crate::open::Open;
@@ -37,9 +37,9 @@
         match (entry.call, token) {
             (Some(call), Some(token)) if !entry.headed => {
                 entry.headed = true;
-                out.push(Action::Tell {
+                out.push(Action::SendToCaller {
                     call,
-                    tell: Tell::Head { handle, token },
+                    message: CallerMessage::Head { handle, token },
                 });
             }
             _ => (),
@@ -106,9 +106,9 @@
         let entry = &mut self.requests.open[opened];
         if let Some(former) = entry.call.replace(call) {
             self.requests.by_call.remove(&former);
-            out.push(Action::Tell {
+            out.push(Action::SendToCaller {
                 call: former,
-                tell: Tell::Superseded,
+                message: CallerMessage::Superseded,
             });
         }
         self.requests.by_call.insert(call, opened);
--- a/crates/node/src/verifying.rs
+++ b/crates/node/src/verifying.rs
@@ -8,7 +8,7 @@
 
 use crate::action::Action;
 use crate::event::Failure;
-use crate::event::Held;
+use crate::event::HeldAttempt;
 use crate::http_status;
 use crate::node::Node;
 use crate::open::End;
@@ -51,7 +51,12 @@
     }
 
     /// Verifies suspect streams against what their replica holds.
-    pub(crate) fn verify(&mut self, replica: Replica, works: &[Held], out: &mut Vec<Action>) {
+    pub(crate) fn verify(
+        &mut self,
+        replica: Replica,
+        works: &[HeldAttempt],
+        out: &mut Vec<Action>,
+    ) {
         let suspects = self.requests.open_where(|entry| {
             entry.withheld.is_some() && entry.place.is_some_and(|place| place.run == replica)
         });
@@ -64,7 +69,7 @@
 
     /// The engine keeps the highest fence it was told, also where it does not enforce it: only a
     /// higher one than this daemon's shows another reader.
-    fn verify_one(&mut self, opened: OpenKey, held: Option<Held>, out: &mut Vec<Action>) {
+    fn verify_one(&mut self, opened: OpenKey, held: Option<HeldAttempt>, out: &mut Vec<Action>) {
         let mine = self.incarnation();
         let now = self.now;
         let entry = &mut self.requests.open[opened];
--- a/crates/node/tests/one/mod.rs
+++ b/crates/node/tests/one/mod.rs
@@ -16,21 +16,21 @@
 use ident::Zone;
 use node::Node;
 use node::action::Action;
-use node::action::Ask;
+use node::action::CallerMessage;
+use node::action::StoreRequest;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::event::Failure;
-use node::event::Held;
+use node::event::HeldAttempt;
 use node::event::Inspection;
 use node::event::Piece;
 use node::event::Reply;
-use node::event::Stored;
+use node::event::StoreReply;
 use node::ids::Call;
 use node::ids::Order;
-use node::list::Backend;
-use node::list::List;
-use node::list::Seat;
+use node::list::ListedInstance;
+use node::list::ListedReplica;
+use node::list::PlatformList;
 use node::request::Request;
 use node::request::Work;
 use node::settings::Settings;
@@ -53,7 +53,7 @@
     node: Node,
     now: Time,
     pub orders: Vec<(Order, Task)>,
-    pub tells: Vec<(Call, Tell)>,
+    pub tells: Vec<(Call, CallerMessage)>,
     pub sent: Vec<(Instance, Body)>,
     /// Whether replicas answer inspections.
     pub inspected: bool,
@@ -106,12 +106,16 @@
     fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Order { order, task, .. } => self.orders.push((order, task)),
-            Action::Tell { call, tell } => self.tells.push((call, tell)),
+            Action::SendToCaller { call, message } => self.tells.push((call, message)),
             Action::Send { to, frame } => self.sent.push((to, frame.body)),
             Action::Fault { cause } => panic!("fault: {cause}"),
-            Action::Query { query, ask } => {
-                let outcome = if self.stored { answer(&ask) } else { failed() };
-                return Some(Event::Stored { query, outcome });
+            Action::Query { query, request } => {
+                let outcome = if self.stored {
+                    answer(&request)
+                } else {
+                    failed()
+                };
+                return Some(Event::StoreReplied { query, outcome });
             }
             Action::Inspect { replica, asked, .. } if self.inspected => {
                 let state = Some(idle());
@@ -130,7 +134,7 @@
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            let wake = self.node.wake().max(self.now + PACE).min(end);
+            let wake = self.node.next_wake().max(self.now + PACE).min(end);
             self.now = wake - PACE;
             self.feed(Event::Tick);
         }
@@ -164,7 +168,7 @@
     /// Answers `inspections`: each replica holds the stream told last, with this core as its reader
     /// and `fence`.
     pub fn answer_inspections(&mut self, inspections: Vec<(Replica, Time)>, fence: u64) {
-        let held = Held {
+        let held = HeldAttempt {
             handle: self.handle(),
             owner: INCARNATION,
             fence,
@@ -185,7 +189,7 @@
 
     fn handle(&self) -> Handle {
         let mut heads = self.tells.iter().rev().filter_map(|(_, tell)| match tell {
-            Tell::Head { handle, .. } => Some(*handle),
+            CallerMessage::Head { handle, .. } => Some(*handle),
             _ => None,
         });
         heads.next().expect("a head was told")
@@ -248,7 +252,7 @@
     pub fn tokens(&self, call: Call) -> Vec<(u32, u32)> {
         let told = self.tells.iter().filter(|(to, _)| *to == call);
         told.filter_map(|(_, tell)| match tell {
-            Tell::Tokens { offset, count, .. } => Some((*offset, *count)),
+            CallerMessage::Tokens { offset, count, .. } => Some((*offset, *count)),
             _ => None,
         })
         .collect()
@@ -257,25 +261,25 @@
     pub fn token(&self) -> String {
         let heads = self.tells.iter().rev();
         let mut tokens = heads.filter_map(|(_, tell)| match tell {
-            Tell::Head { token, .. } => Some(token.clone()),
+            CallerMessage::Head { token, .. } => Some(token.clone()),
             _ => None,
         });
         tokens.next().expect("a head was told")
     }
 }
 
-fn answer(ask: &Ask) -> Stored {
+fn answer(ask: &StoreRequest) -> StoreReply {
     match ask {
-        Ask::Generation => Stored::Generation { generation: 1 },
-        Ask::Table => Stored::Table(Box::new(table())),
-        Ask::Outcome { .. } => Stored::Outcome(None),
-        Ask::Record { .. } => Stored::Recorded,
-        Ask::Commit(_) => failed(),
+        StoreRequest::Generation => StoreReply::Generation { generation: 1 },
+        StoreRequest::Table => StoreReply::Table(Box::new(table())),
+        StoreRequest::Outcome { .. } => StoreReply::Outcome(None),
+        StoreRequest::Record { .. } => StoreReply::Recorded,
+        StoreRequest::Commit(_) => failed(),
     }
 }
 
-fn failed() -> Stored {
-    Stored::Failed {
+fn failed() -> StoreReply {
+    StoreReply::Failed {
         maybe: false,
         cause: "not answered here".to_owned(),
     }
@@ -322,8 +326,8 @@
     Table::new(1, vec![Row::new("ration", "default", "ration")])
 }
 
-fn list() -> List {
-    let backend = |name: &str, role| Backend {
+fn list() -> PlatformList {
+    let backend = |name: &str, role| ListedReplica {
         replica: Replica::new(name),
         name: name.to_owned(),
         zone: Zone::new(ZONE),
@@ -333,14 +337,14 @@
         fences: true,
         leaving: false,
     };
-    let seat = Seat {
+    let seat = ListedInstance {
         instance: Instance::new("entry-1"),
         name: "entry-1".to_owned(),
         zone: Zone::new(ZONE),
         caller: "127.0.0.1:7001".to_owned(),
         leaving: false,
     };
-    List {
+    PlatformList {
         instances: vec![seat],
         replicas: vec![
             backend("ration-p0", Role::Prefill),
--- a/crates/node/tests/pauses.rs
+++ b/crates/node/tests/pauses.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
+use node::action::CallerMessage;
 use node::action::Outcome;
-use node::action::Tell;
 use node::event::Event;
 use node::ids::Call;
 use rstest::rstest;
@@ -35,7 +35,7 @@
     one.run(CLOSED);
     one.arrive(CALL);
     let outcome = one.tells.iter().find_map(|(_, tell)| match tell {
-        Tell::Refusal(refusal) => Some(refusal.outcome),
+        CallerMessage::Refusal(refusal) => Some(refusal.outcome),
         _ => None,
     });
     assert_eq!(outcome, Some(expected));
--- a/crates/node/tests/proofs.rs
+++ b/crates/node/tests/proofs.rs
@@ -8,8 +8,8 @@
 use ident::Incarnation;
 use ident::Instance;
 use ident::Zone;
+use node::action::CallerMessage;
 use node::action::Reason;
-use node::action::Tell;
 use node::ids::Call;
 use wire::Body;
 use wire::News;
@@ -56,7 +56,7 @@
 fn is_stale(one: &mut One) -> bool {
     one.arrive(CALL);
     let mut told = one.tells.iter();
-    told.any(|(_, tell)| matches!(tell, Tell::Refusal(refusal) if refusal.reason == Reason::Stale))
+    told.any(|(_, tell)| matches!(tell, CallerMessage::Refusal(refusal) if refusal.reason == Reason::Stale))
 }
 
 /// A daemon asked a peer how old its table was, and was started again. The answer came to the new
--- a/crates/node/tests/questions.rs
+++ b/crates/node/tests/questions.rs
@@ -7,7 +7,7 @@
 use ident::Incarnation;
 use ident::Instance;
 use ident::Zone;
-use node::action::Tell;
+use node::action::CallerMessage;
 use node::event::Event;
 use node::ids::Call;
 use node::request::Request;
@@ -53,7 +53,7 @@
 
 fn bodies(one: &One) -> Vec<Bytes> {
     let told = one.tells.iter().filter_map(|(_, tell)| match tell {
-        Tell::Answer { body, .. } => Some(body.clone()),
+        CallerMessage::Answer { body, .. } => Some(body.clone()),
         _ => None,
     });
     told.collect()
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
+use node::action::CallerMessage;
 use node::action::Outcome;
 use node::action::Reason;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::event::Failure;
 use node::event::Piece;
@@ -43,7 +43,7 @@
     assert_eq!(one.tokens(SECOND), [(0, 40)]);
     assert!(matches!(
         one.tells.last(),
-        Some((SECOND, Tell::Done { tokens: 40 }))
+        Some((SECOND, CallerMessage::Done { tokens: 40 }))
     ));
 }
 
@@ -82,7 +82,7 @@
     one.arrive(FIRST);
     let (order, _) = one.prefill();
     one.stream(order, 0, 5);
-    one.feed(Event::Left { call: FIRST });
+    one.feed(Event::Disconnected { call: FIRST });
     one.fail(order, Failure::Lost);
     one.run(Duration::from_secs(1));
     let (last, task) = one.last();
@@ -119,7 +119,7 @@
         offset: 0,
     });
     let (call, tell) = one.tells.last().expect("something was told");
-    let Tell::Refusal(refusal) = tell else {
+    let CallerMessage::Refusal(refusal) = tell else {
         panic!("{tell:?}");
     };
     assert_eq!(*call, SECOND);
--- a/crates/node/tests/world/actions.rs
+++ b/crates/node/tests/world/actions.rs
@@ -4,11 +4,11 @@
 
 use ident::Instance;
 use node::action::Action;
-use node::action::Ask;
+use node::action::StoreRequest;
 use node::decision::Decision;
 use node::decision::Step;
 use node::event::Event;
-use node::event::Stored;
+use node::event::StoreReply;
 use node::ids::Query;
 use rand::RngExt;
 use wire::Decoder;
@@ -54,9 +54,9 @@
                     },
                 );
             }
-            Action::Tell { call, tell } => self.tell(host, call, tell),
+            Action::SendToCaller { call, message } => self.tell(host, call, message),
             Action::Send { to, frame } => self.send(host, to, &frame),
-            Action::Query { query, ask } => self.query(host, run, query, ask),
+            Action::Query { query, request } => self.query(host, run, query, request),
             Action::Log(decision) => self.check_decision(host, &decision),
             Action::Fault { cause } => self.violate(format!("entry-{host}: fault: {cause}")),
             Action::Count(_) | Action::UseList(_) => (),
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn query(&mut self, host: usize, run: u32, query: Query, ask: Ask) {
+    pub(super) fn query(&mut self, host: usize, run: u32, query: Query, ask: StoreRequest) {
         let slow = self.now < self.store.slow;
         let micros = if slow {
             self.rng.random_range(500_000..4_000_000)
@@ -106,10 +106,10 @@
         );
     }
 
-    pub(super) fn query_arrives(&mut self, host: usize, run: u32, query: Query, ask: Ask) {
+    pub(super) fn query_arrives(&mut self, host: usize, run: u32, query: Query, ask: StoreRequest) {
         let cut = self.net.is_cut(self.now, Way::Store(host));
         let (outcome, delay) = if cut {
-            let outcome = Stored::Failed {
+            let outcome = StoreReply::Failed {
                 maybe: false,
                 cause: "store: not reached".to_owned(),
             };
@@ -118,7 +118,7 @@
             let back = Duration::from_micros(self.rng.random_range(300..3_000));
             (self.store.carry_out(self.now, ask), back)
         };
-        let event = Event::Stored { query, outcome };
+        let event = Event::StoreReplied { query, outcome };
         self.after(delay, Item::Event { host, run, event });
     }
 
@@ -186,7 +186,7 @@
 fn kind_number(action: &Action) -> u64 {
     match action {
         Action::Order { order, handle, .. } => order.0 ^ handle.sequence ^ handle.owner.0,
-        Action::Tell { call, .. } => call.0 << 8,
+        Action::SendToCaller { call, .. } => call.0 << 8,
         Action::Send { to, .. } => to.0,
         Action::Query { query, .. } => query.0 << 16,
         Action::Log(decision) => decision.generation + decision.reason.len() as u64,
--- a/crates/node/tests/world/answers.rs
+++ b/crates/node/tests/world/answers.rs
@@ -1,10 +1,10 @@
 //! What callers and operators are told, and whether it is true.
 
 use bytes::Bytes;
+use node::action::CallerMessage;
 use node::action::Outcome;
 use node::action::Reason;
 use node::action::Refusal;
-use node::action::Tell;
 use node::ids::Call;
 
 use super::LEASE;
@@ -24,7 +24,7 @@
 
 impl World {
     /// A daemon tells a connection something.
-    pub(super) fn tell(&mut self, host: usize, call: Call, tell: Tell) {
+    pub(super) fn tell(&mut self, host: usize, call: Call, tell: CallerMessage) {
         self.note(|| format!("entry-{host} tells {call:?} {}", short(&tell)));
         let Some(conn) = self.conns.get(&call).copied() else {
             return self.violate(format!("entry-{host} tells {call:?}, which never was"));
@@ -47,8 +47,8 @@
         }
     }
 
-    fn tell_operator(&mut self, call: Call, operator: usize, tell: Tell) {
-        let Tell::Edit(verdict) = tell else {
+    fn tell_operator(&mut self, call: Call, operator: usize, tell: CallerMessage) {
+        let CallerMessage::Edit(verdict) = tell else {
             return self.violate(format!("operator at {call:?} is told {tell:?}"));
         };
         self.check_verdict(operator, &verdict);
@@ -63,29 +63,37 @@
         }
     }
 
-    fn tell_caller(&mut self, call: Call, caller: usize, is_request: bool, tell: Tell) {
-        if matches!(tell, Tell::Tokens { .. } | Tell::Done { .. }) {
+    fn tell_caller(&mut self, call: Call, caller: usize, is_request: bool, tell: CallerMessage) {
+        if matches!(
+            tell,
+            CallerMessage::Tokens { .. } | CallerMessage::Done { .. }
+        ) {
             self.check_owner(call);
         }
         match &tell {
-            Tell::Head { handle, .. } => {
+            CallerMessage::Head { handle, .. } => {
                 let handle = Some(*handle);
                 self.conns
                     .entry(call)
                     .and_modify(|conn| conn.handle = handle);
             }
-            Tell::Tokens {
+            CallerMessage::Tokens {
                 offset,
                 count,
                 text,
             } => self.check_tokens(call, caller, *offset, *count, text),
-            Tell::Done { tokens } => self.check_done(call, caller, *tokens),
-            Tell::Superseded => self.check_superseded(call, caller),
-            Tell::Answer { body, .. } => self.check_body(call, caller, body),
-            Tell::Refusal(refusal) => self.check_refusal(call, caller, is_request, refusal),
-            Tell::Edit(_) => self.violate(format!("{call:?} is told of an edit")),
+            CallerMessage::Done { tokens } => self.check_done(call, caller, *tokens),
+            CallerMessage::Superseded => self.check_superseded(call, caller),
+            CallerMessage::Answer { body, .. } => self.check_body(call, caller, body),
+            CallerMessage::Refusal(refusal) => {
+                self.check_refusal(call, caller, is_request, refusal)
+            }
+            CallerMessage::Edit(_) => self.violate(format!("{call:?} is told of an edit")),
         }
-        if !matches!(tell, Tell::Head { .. } | Tell::Tokens { .. }) {
+        if !matches!(
+            tell,
+            CallerMessage::Head { .. } | CallerMessage::Tokens { .. }
+        ) {
             self.set_answered(call);
         }
         let note = Note::Told { call, tell };
@@ -169,11 +177,11 @@
 }
 
 /// A short form for traces.
-fn short(tell: &Tell) -> String {
+fn short(tell: &CallerMessage) -> String {
     match tell {
-        Tell::Head { handle, .. } => format!("head of {handle}"),
-        Tell::Tokens { offset, count, .. } => format!("{count} tokens from {offset}"),
-        Tell::Refusal(refusal) => format!(
+        CallerMessage::Head { handle, .. } => format!("head of {handle}"),
+        CallerMessage::Tokens { offset, count, .. } => format!("{count} tokens from {offset}"),
+        CallerMessage::Refusal(refusal) => format!(
             "{} {}, back in {} ms at {:?}",
             refusal.outcome.word(),
             refusal.reason.word(),
--- a/crates/node/tests/world/conns.rs
+++ b/crates/node/tests/world/conns.rs
@@ -87,7 +87,7 @@
         };
         conn.state = State::Closed;
         let (host, run) = (conn.host, conn.run);
-        let event = Event::Left { call };
+        let event = Event::Disconnected { call };
         self.note(|| format!("{call:?} at entry-{host} closes"));
         self.after_micros(500, Item::Event { host, run, event });
     }
--- a/crates/node/tests/world/engine.rs
+++ b/crates/node/tests/world/engine.rs
@@ -8,7 +8,7 @@
 use ident::Replica;
 use ident::Time;
 use node::event::Failure;
-use node::event::Held;
+use node::event::HeldAttempt;
 use node::event::Inspection;
 use node::ids::Order;
 use route::replica::Report;
@@ -179,7 +179,7 @@
             works: self.held(),
             events: Vec::new(),
         };
-        let works = self.works.iter().map(|(handle, work)| Held {
+        let works = self.works.iter().map(|(handle, work)| HeldAttempt {
             handle: *handle,
             owner: work.owner,
             fence: work.fence,
--- a/crates/node/tests/world/host.rs
+++ b/crates/node/tests/world/host.rs
@@ -10,9 +10,9 @@
 use ident::Zone;
 use node::Node;
 use node::event::Event;
-use node::list::Backend;
-use node::list::List;
-use node::list::Seat;
+use node::list::ListedInstance;
+use node::list::ListedReplica;
+use node::list::PlatformList;
 use node::settings::Settings;
 use rand::RngExt;
 
@@ -117,14 +117,14 @@
     }
 
     pub(super) fn tell_list(&mut self, host: usize) {
-        let instances = self.hosts.iter().map(|slot| Seat {
+        let instances = self.hosts.iter().map(|slot| ListedInstance {
             instance: slot.instance,
             name: slot.name.clone(),
             zone: slot.zone,
             caller: slot.name.clone(),
             leaving: slot.stopping,
         });
-        let replicas = self.engines.iter().map(|engine| Backend {
+        let replicas = self.engines.iter().map(|engine| ListedReplica {
             replica: engine.replica,
             name: engine.name.clone(),
             zone: Zone::new("osijek-a"),
@@ -134,7 +134,7 @@
             fences: engine.fences,
             leaving: false,
         });
-        let list = List {
+        let list = PlatformList {
             instances: instances.collect(),
             replicas: replicas.collect(),
         };
@@ -187,7 +187,7 @@
         }
         let mut actions = Vec::new();
         core.step(local, event, &mut actions);
-        let wake = core.wake() - Duration::from_millis(slot.skew);
+        let wake = core.next_wake() - Duration::from_millis(slot.skew);
         for action in actions {
             if self.hosts[host].core.is_some() {
                 self.act(host, run, action);
--- a/crates/node/tests/world/item.rs
+++ b/crates/node/tests/world/item.rs
@@ -4,9 +4,9 @@
 use ident::Incarnation;
 use ident::Replica;
 use ident::Time;
-use node::action::Ask;
+use node::action::CallerMessage;
+use node::action::StoreRequest;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::ids::Call;
 use node::ids::Query;
@@ -46,7 +46,7 @@
         host: usize,
         run: u32,
         query: Query,
-        ask: Ask,
+        ask: StoreRequest,
     },
     /// A replica is asked for its state.
     Inspect {
@@ -108,7 +108,7 @@
     /// Its connection reaches a daemon.
     Connect { host: usize, resume: Option<String> },
     /// Its connection said something.
-    Told { call: Call, tell: Tell },
+    Told { call: Call, tell: CallerMessage },
     /// Its connection broke, or was never made.
     Broken { call: Option<Call> },
 }
--- a/crates/node/tests/world/store.rs
+++ b/crates/node/tests/world/store.rs
@@ -4,9 +4,9 @@
 
 use bytes::Bytes;
 use ident::Time;
-use node::action::Ask;
-use node::event::Recorded;
-use node::event::Stored;
+use node::action::StoreRequest;
+use node::event::RecordedOutcome;
+use node::event::StoreReply;
 use table::Table;
 use table::edit::Edit;
 
@@ -40,7 +40,7 @@
     }
 
     /// Carries a query out.
-    pub fn carry_out(&mut self, now: Time, ask: Ask) -> Stored {
+    pub fn carry_out(&mut self, now: Time, ask: StoreRequest) -> StoreReply {
         if now < self.down {
             return failed(false, "store: down");
         }
@@ -51,46 +51,46 @@
         stored
     }
 
-    fn answer(&mut self, ask: Ask) -> Stored {
+    fn answer(&mut self, ask: StoreRequest) -> StoreReply {
         match ask {
-            Ask::Generation => Stored::Generation {
+            StoreRequest::Generation => StoreReply::Generation {
                 generation: self.table.generation,
             },
-            Ask::Table => Stored::Table(Box::new(self.table.clone())),
-            Ask::Commit(edit) => self.commit(&edit),
-            Ask::Record { outcomes, .. } => {
+            StoreRequest::Table => StoreReply::Table(Box::new(self.table.clone())),
+            StoreRequest::Commit(edit) => self.commit(&edit),
+            StoreRequest::Record { outcomes, .. } => {
                 let rows = outcomes.into_iter();
                 self.outcomes
                     .extend(rows.map(|(key, status, body)| (key, (status, body))));
-                Stored::Recorded
+                StoreReply::Recorded
             }
-            Ask::Outcome { key, .. } => {
+            StoreRequest::Outcome { key, .. } => {
                 let found = self.outcomes.get(&key).cloned();
-                Stored::Outcome(found.map(|(status, body)| Recorded { status, body }))
+                StoreReply::Outcome(found.map(|(status, body)| RecordedOutcome { status, body }))
             }
         }
     }
 
-    fn commit(&mut self, edit: &Edit) -> Stored {
+    fn commit(&mut self, edit: &Edit) -> StoreReply {
         if let Some(generation) = self.applied.get(&edit.id).copied() {
-            return Stored::Repeated { generation };
+            return StoreReply::Repeated { generation };
         }
         match edit.apply(&self.table) {
             Ok(table) => {
                 let generation = table.generation;
                 self.table = table;
                 self.applied.insert(edit.id.clone(), generation);
-                Stored::Committed { generation }
+                StoreReply::Committed { generation }
             }
-            Err(conflict) => Stored::Conflict {
+            Err(conflict) => StoreReply::Conflict {
                 lines: vec![conflict.to_string()],
             },
         }
     }
 }
 
-fn failed(maybe: bool, cause: &str) -> Stored {
-    Stored::Failed {
+fn failed(maybe: bool, cause: &str) -> StoreReply {
+    StoreReply::Failed {
         maybe,
         cause: cause.to_owned(),
     }
--- a/crates/node/tests/world/visits.rs
+++ b/crates/node/tests/world/visits.rs
@@ -1,10 +1,10 @@
 //! How callers come, come back and take answers.
 
 use ident::Prefix;
+use node::action::CallerMessage;
 use node::action::Outcome;
 use node::action::Reason;
 use node::action::Refusal;
-use node::action::Tell;
 use node::event::Event;
 use node::ids::Call;
 use rand::RngExt;
@@ -110,19 +110,23 @@
         self.event(host, run, event);
     }
 
-    pub(super) fn told(&mut self, caller: usize, call: Call, tell: Tell) {
+    pub(super) fn told(&mut self, caller: usize, call: Call, tell: CallerMessage) {
         if self.is_lost(call) {
             return;
         }
         let is_present = self.callers[caller].conn == Some(call);
         match tell {
-            Tell::Done { .. } | Tell::Answer { .. } => self.end_caller(caller, State::Complete),
+            CallerMessage::Done { .. } | CallerMessage::Answer { .. } => {
+                self.end_caller(caller, State::Complete)
+            }
             _ if !is_present => (),
-            Tell::Head { token, .. } => self.callers[caller].token = Some(token),
-            Tell::Tokens { offset, count, .. } => self.callers[caller].had = offset + count,
-            Tell::Superseded => self.try_again(caller, 300),
-            Tell::Refusal(refusal) => self.refused(caller, call, &refusal),
-            Tell::Edit(_) => (),
+            CallerMessage::Head { token, .. } => self.callers[caller].token = Some(token),
+            CallerMessage::Tokens { offset, count, .. } => {
+                self.callers[caller].had = offset + count
+            }
+            CallerMessage::Superseded => self.try_again(caller, 300),
+            CallerMessage::Refusal(refusal) => self.refused(caller, call, &refusal),
+            CallerMessage::Edit(_) => (),
         }
     }
 
