--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -18,26 +18,26 @@
 use crate::event::Failure;
 use crate::http_status;
 use crate::node::Node;
-use crate::open::OpenKey;
-use crate::open::Place;
-use crate::refusals::SOON;
+use crate::open::OpenId;
+use crate::open::Placement;
+use crate::refusals::DEFAULT_RETRY_AFTER;
 
 /// Pause after which an unanswered submission is sent again.
-const RESUBMIT: Duration = Duration::from_millis(400);
+const RESUBMIT_AFTER: Duration = Duration::from_millis(400);
 /// How long a prefill result is worth another decode replica.
-const RESULT_LIFE: Duration = Duration::from_millis(800);
+const PREFILL_RESULT_TTL: Duration = Duration::from_millis(800);
 
 impl Node {
     /// Asks the keeper of its pool to place a waiting request.
-    pub(crate) fn submit(&mut self, opened: OpenKey, out: &mut Vec<Action>) {
+    pub(crate) fn submit(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
         let now = self.now;
-        let entry = &mut self.requests.open[opened];
+        let entry = &mut self.requests.open[open_id];
         entry.times.submitted = now;
         // A continuation's first token was told long ago: only the loss counts.
         let since = entry
             .times
             .first
-            .map_or(entry.times.arrived, |_| entry.queued);
+            .map_or(entry.times.arrived, |_| entry.queued_at);
         entry.ticket.waited = now.since(since);
         let ticket = Box::new(entry.ticket.clone());
         let pool = entry.pool;
@@ -48,24 +48,24 @@
     pub(crate) fn resubmit(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let due = self.requests.open_where(|entry| {
-            entry.stage == Stage::Waiting && now >= entry.times.submitted + RESUBMIT
+            entry.stage == Stage::Waiting && now >= entry.times.submitted + RESUBMIT_AFTER
         });
-        for opened in due {
-            let entry = &self.requests.open[opened];
-            if now >= entry.queued + entry.patience {
-                self.give_up(opened, Reason::NoReplica, SOON, out);
+        for open_id in due {
+            let entry = &self.requests.open[open_id];
+            if now >= entry.queued_at + entry.max_wait {
+                self.give_up(open_id, Reason::NoReplica, DEFAULT_RETRY_AFTER, out);
             } else {
-                self.submit(opened, out);
+                self.submit(open_id, out);
             }
         }
         let expired = self.requests.open_where(|entry| {
             entry.stage == Stage::Prefill
                 && entry.order.is_none()
-                && now >= entry.times.submitted + RESULT_LIFE
+                && now >= entry.times.submitted + PREFILL_RESULT_TTL
         });
-        for opened in expired {
+        for open_id in expired {
             self.retry(
-                opened,
+                open_id,
                 Failure::Refused {
                     status: http_status::GONE,
                     fence: None,
@@ -76,29 +76,34 @@
     }
 
     /// Tells the keeper how an attempt goes on.
-    pub(crate) fn advance(&mut self, opened: OpenKey, phase: Phase, out: &mut Vec<Action>) {
-        let entry = &mut self.requests.open[opened];
+    pub(crate) fn report_phase(&mut self, open_id: OpenId, phase: Phase, out: &mut Vec<Action>) {
+        let entry = &mut self.requests.open[open_id];
         entry.phase = Some(phase);
         let (pool, handle) = (entry.pool, entry.handle());
         self.send(self.keeper_of(pool), Body::Advance { handle, phase }, out);
     }
 
     /// What a new keeper is told of a placed request.
-    pub(crate) fn hold_of(&self, opened: OpenKey) -> Option<Hold> {
-        let entry = &self.requests.open[opened];
-        let place = entry.place?;
+    pub(crate) fn hold_of(&self, open_id: OpenId) -> Option<Hold> {
+        let entry = &self.requests.open[open_id];
+        let placement = entry.placement?;
         Some(Hold {
             ticket: entry.ticket.clone(),
-            prefill: place.prefill,
-            decode: place.run,
+            prefill: placement.prefill,
+            decode: placement.serving,
             phase: entry.phase,
         })
     }
 
     /// The keeper decided about one of this daemon's attempts.
-    pub(crate) fn decided(&mut self, from: Instance, verdict: Verdict, out: &mut Vec<Action>) {
+    pub(crate) fn handle_verdict(
+        &mut self,
+        from: Instance,
+        verdict: Verdict,
+        out: &mut Vec<Action>,
+    ) {
         let handle = verdict.handle;
-        let Some(opened) = self.requests.by_handle.get(&handle).copied() else {
+        let Some(open_id) = self.requests.by_handle.get(&handle).copied() else {
             return self.send(
                 from,
                 Body::Advance {
@@ -108,38 +113,38 @@
                 out,
             );
         };
-        let entry = &self.requests.open[opened];
-        let (stage, place) = (entry.stage, entry.place);
+        let entry = &self.requests.open[open_id];
+        let (stage, placement) = (entry.stage, entry.placement);
         match verdict.choice {
             _ if !self.may_decide() => (),
             Choice::Refused {
                 reason,
                 retry_after,
             } if stage == Stage::Waiting => {
-                self.give_up(opened, reason.into(), retry_after, out);
+                self.give_up(open_id, reason.into(), retry_after, out);
             }
             Choice::Paired { prefill, decode } if stage == Stage::Waiting => {
-                self.log_place(opened, prefill, Some(decode), &verdict.why, out);
+                self.log_place(open_id, prefill, Some(decode), &verdict.why, out);
                 self.start_prefill(
-                    opened,
-                    Place {
+                    open_id,
+                    Placement {
                         prefill: Some(prefill),
-                        run: decode,
+                        serving: decode,
                     },
                     out,
                 );
             }
-            Choice::Paired { prefill, decode } if is_moved(stage, place, prefill, decode) => {
-                self.log_place(opened, prefill, Some(decode), &verdict.why, out);
-                self.requests.open[opened].place = Some(Place {
+            Choice::Paired { prefill, decode } if is_moved(stage, placement, prefill, decode) => {
+                self.log_place(open_id, prefill, Some(decode), &verdict.why, out);
+                self.requests.open[open_id].placement = Some(Placement {
                     prefill: Some(prefill),
-                    run: decode,
+                    serving: decode,
                 });
-                self.start_decode(opened, prefill, decode, out);
+                self.start_decode(open_id, prefill, decode, out);
             }
             Choice::Single { replica } if stage == Stage::Waiting => {
-                self.log_place(opened, replica, None, &verdict.why, out);
-                self.start_plain(opened, replica, out);
+                self.log_place(open_id, replica, None, &verdict.why, out);
+                self.start_plain(open_id, replica, out);
             }
             _ => (),
         }
@@ -147,7 +152,7 @@
 
     fn log_place(
         &self,
-        opened: OpenKey,
+        open_id: OpenId,
         first: Replica,
         second: Option<Replica>,
         why: &Why,
@@ -163,12 +168,14 @@
             why.ttft.as_millis(),
             why.cached_blocks,
         );
-        let label = self.requests.open[opened].label();
+        let label = self.requests.open[open_id].label();
         self.log_with(&label, Step::Place, &choice, &alternatives, &reason, out);
     }
 }
 
-fn is_moved(stage: Stage, place: Option<Place>, prefill: Replica, decode: Replica) -> bool {
+fn is_moved(stage: Stage, placement: Option<Placement>, prefill: Replica, decode: Replica) -> bool {
     stage == Stage::Prefill
-        && place.is_some_and(|place| place.prefill == Some(prefill) && place.run != decode)
+        && placement.is_some_and(|placement| {
+            placement.prefill == Some(prefill) && placement.serving != decode
+        })
 }
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -21,22 +21,22 @@
 use crate::decision::Step;
 use crate::node::Node;
 use crate::open::End;
-use crate::open::Open;
-use crate::open::OpenKey;
+use crate::open::OpenId;
+use crate::open::OpenRequest;
 use crate::open::Reach;
 use crate::open::Targets;
-use crate::refusals::SOON;
+use crate::refusals::DEFAULT_RETRY_AFTER;
 use crate::request::Request;
 use crate::request::Work;
 
 /// How much longer than its row's longest wait a request waits for a keeper that is silent.
-const PATIENCE: Duration = Duration::from_secs(1);
+const KEEPER_GRACE: Duration = Duration::from_secs(1);
 /// How many times the address answer's time to live a leaving daemon still takes requests.
 const LEAVING_TTLS: u32 = 2;
 
 impl Node {
-    pub(crate) fn arrived(&mut self, call: Call, request: Request, out: &mut Vec<Action>) {
-        let key = match Self::key_of(&request) {
+    pub(crate) fn handle_request(&mut self, call: Call, request: Request, out: &mut Vec<Action>) {
+        let key = match Self::parse_key(&request) {
             Ok(key) => key,
             Err(refusal) => return self.refuse(call, &request.customer, refusal, out),
         };
@@ -51,9 +51,9 @@
             (Some(Mark::Unknown), Some(_)) if self.is_repeatable(&request) => {
                 self.open_new(call, key, &request, Some(Outcome::Unknown), out);
             }
-            (Some(mark), Some(key)) => self.repeat(call, key, mark, out),
+            (Some(mark), Some(key)) => self.handle_repeat(call, key, mark, out),
             (None, Some(key)) if self.is_foreign(key) => {
-                self.ask(call, key.clone(), Some(request), out);
+                self.look_up_key(call, key.clone(), Some(request), out);
             }
             (None, Some(key)) if self.may_run_elsewhere(key, &request) => {
                 let earlier = Some(Outcome::Unknown);
@@ -66,9 +66,11 @@
     /// Whether another instance may have run a repeatable key of this run: its prefix is older than
     /// the end of a pause in which this run may have counted as lost.
     fn may_run_elsewhere(&self, key: &Key, request: &Request) -> bool {
-        let paused = self.life.woke > self.begun;
-        let woke_s = self.unix_s() - self.now.since(self.life.woke).as_secs();
-        let older = key.prefix().is_some_and(|prefix| prefix.issued <= woke_s);
+        let paused = self.lifecycle.pause_ended > self.started;
+        let pause_ended_s = self.unix_s() - self.now.since(self.lifecycle.pause_ended).as_secs();
+        let older = key
+            .prefix()
+            .is_some_and(|prefix| prefix.issued <= pause_ended_s);
         paused && older && self.is_repeatable(request)
     }
 
@@ -86,11 +88,11 @@
             .as_ref()
             .map_or_else(|| request.customer.clone(), Key::to_string);
         match self.admit(call, key, request) {
-            Ok(opened) => {
+            Ok(open_id) => {
                 if earlier.is_some() {
-                    self.requests.open[opened].reach = Reach::Touched;
+                    self.requests.open[open_id].reach = Reach::Touched;
                 }
-                self.begin(opened, out);
+                self.start(open_id, out);
             }
             Err(refusal) => {
                 let outcome = earlier.unwrap_or(refusal.outcome);
@@ -100,7 +102,7 @@
     }
 
     /// The key of a request, checked for its form.
-    fn key_of(request: &Request) -> Result<Option<Key>, Refusal> {
+    fn parse_key(request: &Request) -> Result<Option<Key>, Refusal> {
         let invalid = || Self::refusal(Outcome::NotRun, Reason::Invalid, Duration::ZERO);
         match &request.key {
             Some(text) if text.is_empty() || text.len() > Key::MAX_LEN => Err(invalid()),
@@ -120,7 +122,7 @@
         call: Call,
         key: Option<Key>,
         request: &Request,
-    ) -> Result<OpenKey, Refusal> {
+    ) -> Result<OpenId, Refusal> {
         let not_run = |reason, after| Self::refusal(Outcome::NotRun, reason, after);
         if !self.may_decide() {
             let outcome = self.stale_outcome(key.as_ref(), request);
@@ -164,7 +166,7 @@
     /// for a while after it began to leave.
     pub(crate) fn is_closed(&self) -> bool {
         let span = self.settings.address_ttl * LEAVING_TTLS;
-        let since = self.life.leaving.or(self.life.drained);
+        let since = self.lifecycle.leaving.or(self.lifecycle.drained);
         since.is_some_and(|since| self.now >= since + span)
     }
 
@@ -200,56 +202,56 @@
         request: &Request,
         row: &Row,
         repeatable: bool,
-    ) -> OpenKey {
-        let handle = self.fresh_handle();
+    ) -> OpenId {
+        let handle = self.new_handle();
         let work = ticket_work(&request.work);
         let ticket = Ticket::new(handle, row.id(), work, self.settings.zone);
         let pool = Pool::new(&row.pool);
-        let opened = self.requests.open.insert(Open {
-            origin: Some(call),
+        let open_id = self.requests.open.insert(OpenRequest {
+            body_call: Some(call),
             key: key.clone(),
             repeatable,
             fence: self.unix_ms(),
-            patience: Duration::from_millis(u64::from(row.max_wait_ms)) + PATIENCE,
+            max_wait: Duration::from_millis(u64::from(row.max_wait_ms)) + KEEPER_GRACE,
             priority: row.priority,
             targets: Targets::new(row),
-            ..Open::new(call, &request.customer, pool, ticket, self.now)
+            ..OpenRequest::new(call, &request.customer, pool, ticket, self.now)
         });
-        self.requests.by_handle.insert(handle, opened);
-        self.requests.by_call.insert(call, opened);
+        self.requests.by_handle.insert(handle, open_id);
+        self.requests.by_call.insert(call, open_id);
         if let Some(key) = key {
             self.requests
                 .keys
-                .mark(self.unix_s(), &key, Mark::Open(opened));
+                .mark(self.unix_s(), &key, Mark::Open(open_id));
         }
-        opened
+        open_id
     }
 
-    pub(crate) fn fresh_handle(&mut self) -> Handle {
-        Handle::new(self.incarnation(), self.number())
+    pub(crate) fn new_handle(&mut self) -> Handle {
+        Handle::new(self.incarnation(), self.next_number())
     }
 
-    fn begin(&mut self, opened: OpenKey, out: &mut Vec<Action>) {
-        let entry = &self.requests.open[opened];
+    fn start(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
+        let entry = &self.requests.open[open_id];
         let pool = format!("pool {}", self.tables.rows.pool_name(entry.pool));
         let row = self.tables.rows.row_name(entry.ticket.row);
         let reason = format!("row {row}, attempt {}", entry.handle());
         self.log(&entry.label(), Step::Admit, &pool, &reason, out);
-        self.submit(opened, out);
+        self.submit(open_id, out);
     }
 
     /// A key that was seen before.
-    fn repeat(&mut self, call: Call, key: &Key, mark: Mark<OpenKey>, out: &mut Vec<Action>) {
+    fn handle_repeat(&mut self, call: Call, key: &Key, mark: Mark<OpenId>, out: &mut Vec<Action>) {
         let label = key.to_string();
         self.log(
             &label,
             Step::Repeat,
-            mark_word(&mark),
+            mark_description(&mark),
             "the key was seen before",
             out,
         );
         match mark {
-            Mark::Open(opened) => self.take_over_locally(opened, call, 0, true, out),
+            Mark::Open(open_id) => self.move_to_connection(open_id, call, 0, true, out),
             Mark::Answered {
                 status,
                 body: Some(body),
@@ -268,7 +270,7 @@
                 let refusal = Self::refusal(Outcome::Failed, Reason::AnswerGone, Duration::ZERO);
                 self.refuse(call, &label, refusal, out);
             }
-            Mark::Streamed { token } => self.resumed(call, &key.customer, &token, 0, out),
+            Mark::Streamed { token } => self.handle_resume(call, &key.customer, &token, 0, out),
             Mark::Unknown => {
                 let refusal = Self::refusal(Outcome::Unknown, Reason::Backend, Duration::ZERO);
                 self.refuse(call, &label, refusal, out);
@@ -280,59 +282,59 @@
         }
     }
 
-    pub(crate) fn left(&mut self, call: Call, out: &mut Vec<Action>) {
+    pub(crate) fn handle_disconnect(&mut self, call: Call, out: &mut Vec<Action>) {
         self.requests
-            .questions
-            .retain(|_, question| question.call != call);
-        let Some(opened) = self.requests.by_call.remove(&call) else {
+            .lookups
+            .retain(|_, lookup| lookup.call != call);
+        let Some(open_id) = self.requests.by_call.remove(&call) else {
             return;
         };
         let now = self.now;
         let Some(entry) = self
             .requests
             .open
-            .get_mut(opened)
+            .get_mut(open_id)
             .filter(|entry| entry.call == Some(call))
         else {
             return;
         };
         entry.call = None;
-        entry.origin = entry.origin.filter(|origin| *origin != call);
-        entry.times.left = Some(now);
-        let reads_stream = entry.headed && entry.stage == Stage::Decode;
+        entry.body_call = entry.body_call.filter(|body_call| *body_call != call);
+        entry.times.disconnected = Some(now);
+        let reads_stream = entry.head_sent && entry.stage == Stage::Decode;
         if !reads_stream && entry.stage != Stage::Call {
-            self.abandon(opened, "the caller went away", out);
+            self.abandon(open_id, "the caller went away", out);
         }
     }
 
     /// Ends streams whose callers did not come back. One that lost its reader may have another owner
     /// by now, and is verified first.
-    pub(crate) fn give_up_left(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn end_abandoned(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let gone = self
             .requests
-            .open_where(|entry| entry.is_left(now) && entry.withheld.is_none());
-        for opened in gone {
-            let entry = &mut self.requests.open[opened];
+            .open_where(|entry| entry.is_abandoned(now) && entry.withheld.is_none());
+        for open_id in gone {
+            let entry = &mut self.requests.open[open_id];
             if entry.stage == Stage::Decode && entry.order.is_none() {
                 entry.withheld = Some(Vec::new());
             } else {
-                self.abandon(opened, "the caller did not come back", out);
+                self.abandon(open_id, "the caller did not come back", out);
             }
         }
     }
 
     /// Ends a request that nobody waits for, and releases all that it holds.
-    pub(crate) fn abandon(&mut self, opened: OpenKey, reason: &str, out: &mut Vec<Action>) {
-        let outcome = if self.requests.open[opened].is_touched() {
+    pub(crate) fn abandon(&mut self, open_id: OpenId, reason: &str, out: &mut Vec<Action>) {
+        let outcome = if self.requests.open[open_id].may_have_reached() {
             Outcome::Failed
         } else {
             Outcome::NotRun
         };
-        let refusal = Self::refusal(outcome, Reason::Backend, SOON);
-        let label = self.requests.open[opened].label();
+        let refusal = Self::refusal(outcome, Reason::Backend, DEFAULT_RETRY_AFTER);
+        let label = self.requests.open[open_id].label();
         self.log(&label, Step::End, "abandoned", reason, out);
-        self.end(opened, &End::Refused(refusal), out);
+        self.end(open_id, &End::Refused(refusal), out);
     }
 }
 
@@ -352,7 +354,7 @@
     }
 }
 
-const fn mark_word(mark: &Mark<OpenKey>) -> &'static str {
+const fn mark_description(mark: &Mark<OpenId>) -> &'static str {
     match mark {
         Mark::Open(_) => "attached",
         Mark::Answered { .. } => "answered before",
--- a/crates/node/src/edits.rs
+++ b/crates/node/src/edits.rs
@@ -14,9 +14,9 @@
 use crate::action::StoreRequest;
 use crate::action::Verdict;
 use crate::decision::Step;
-use crate::edition::Edition;
 use crate::event::StoreReply;
 use crate::node::Node;
+use crate::pending_edit::PendingEdit;
 use crate::status::Rollout;
 
 /// How long a majority may take to note the generation of a committed edit.
@@ -26,7 +26,7 @@
 
 impl Node {
     /// An operator's edit arrived.
-    pub(crate) fn edited(&mut self, call: Call, edit: Edit, out: &mut Vec<Action>) {
+    pub(crate) fn handle_edit(&mut self, call: Call, edit: Edit, out: &mut Vec<Action>) {
         if let Err(report) = edit.check() {
             return answer(
                 call,
@@ -37,60 +37,65 @@
             );
         }
         let number = self.unique_number();
-        let query = self.query();
+        let query = self.new_query();
         let ask = StoreRequest::Commit(Box::new(edit.clone()));
-        let edition = Edition {
+        let pending = PendingEdit {
             call,
             edit,
             commit: query,
-            made: None,
+            committed: None,
             noted: BTreeSet::from([self.settings.instance]),
             since: self.now,
             announced: self.now,
         };
-        self.tables.desk.editions.insert(number, edition);
+        self.tables.sync.pending_edits.insert(number, pending);
         out.push(Action::Query {
             query,
             request: ask,
         });
     }
 
-    pub(crate) fn committed(&mut self, number: u64, outcome: StoreReply, out: &mut Vec<Action>) {
-        let made = match &outcome {
+    pub(crate) fn handle_commit(
+        &mut self,
+        number: u64,
+        outcome: StoreReply,
+        out: &mut Vec<Action>,
+    ) {
+        let committed = match &outcome {
             StoreReply::Committed { generation } => Some((*generation, false)),
             StoreReply::Repeated { generation } => Some((*generation, true)),
             _ => None,
         };
-        match made {
-            Some(made) => self.announce(number, made, out),
-            None => self.close_edition(number, refused(outcome), out),
+        match committed {
+            Some(committed) => self.announce(number, committed, out),
+            None => self.close_edit(number, verdict_of(outcome), out),
         }
         if self.tables.view.behind() {
-            self.read(StoreRequest::Table, out);
+            self.read_store(StoreRequest::Table, out);
         }
     }
 
-    fn announce(&mut self, number: u64, made: (u64, bool), out: &mut Vec<Action>) {
+    fn announce(&mut self, number: u64, committed: (u64, bool), out: &mut Vec<Action>) {
         let now = self.now;
-        self.tables.view.announce(made.0);
-        if let Some(edition) = self.tables.desk.editions.get_mut(&number) {
-            edition.made = Some(made);
-            edition.since = now;
+        self.tables.view.announce(committed.0);
+        if let Some(pending) = self.tables.sync.pending_edits.get_mut(&number) {
+            pending.committed = Some(committed);
+            pending.since = now;
         }
-        self.announce_to_rest(number, out);
+        self.announce_to_missing(number, out);
         self.try_accept(number, out);
     }
 
-    fn announce_to_rest(&mut self, number: u64, out: &mut Vec<Action>) {
+    fn announce_to_missing(&mut self, number: u64, out: &mut Vec<Action>) {
         let now = self.now;
-        let Some(edition) = self.tables.desk.editions.get_mut(&number) else {
+        let Some(pending) = self.tables.sync.pending_edits.get_mut(&number) else {
             return;
         };
-        edition.announced = now;
-        let Some((generation, _)) = edition.made else {
+        pending.announced = now;
+        let Some((generation, _)) = pending.committed else {
             return;
         };
-        let noted = edition.noted.clone();
+        let noted = pending.noted.clone();
         let rest: Vec<Instance> = self
             .members
             .fleet
@@ -110,7 +115,7 @@
         }
     }
 
-    pub(crate) fn announced(
+    pub(crate) fn handle_announcement(
         &mut self,
         from: Instance,
         edit: u64,
@@ -124,28 +129,28 @@
         }
     }
 
-    pub(crate) fn noted(&mut self, from: Instance, edit: u64, out: &mut Vec<Action>) {
-        if let Some(edition) = self.tables.desk.editions.get_mut(&edit) {
-            edition.noted.insert(from);
+    pub(crate) fn handle_noted(&mut self, from: Instance, edit: u64, out: &mut Vec<Action>) {
+        if let Some(pending) = self.tables.sync.pending_edits.get_mut(&edit) {
+            pending.noted.insert(from);
             self.try_accept(edit, out);
         }
     }
 
     fn try_accept(&mut self, number: u64, out: &mut Vec<Action>) {
         let known = self.members.fleet.listed_count();
-        let Some(edition) = self.tables.desk.editions.get(&number) else {
+        let Some(pending) = self.tables.sync.pending_edits.get(&number) else {
             return;
         };
         let listed = |instance: &&Instance| {
-            **instance == self.settings.instance || self.members.seats.contains_key(*instance)
+            **instance == self.settings.instance || self.members.listed.contains_key(*instance)
         };
-        let noted = edition.noted.iter().filter(listed).count();
-        match edition.made {
+        let noted = pending.noted.iter().filter(listed).count();
+        match pending.committed {
             Some((generation, false)) if noted * 2 > known => {
-                self.close_edition(number, Verdict::Accepted { generation }, out);
+                self.close_edit(number, Verdict::Accepted { generation }, out);
             }
             Some((generation, true)) if noted * 2 > known => {
-                self.close_edition(number, Verdict::Repeated { generation }, out);
+                self.close_edit(number, Verdict::Repeated { generation }, out);
             }
             _ => (),
         }
@@ -156,15 +161,15 @@
         let now = self.now;
         let mut again = Vec::new();
         let mut late = Vec::new();
-        for (number, edition) in &self.tables.desk.editions {
-            match edition.made {
-                Some(_) if now >= edition.since + NOTE_TIMEOUT => late.push(*number),
-                Some(_) if now >= edition.announced + ANNOUNCE_AGAIN => again.push(*number),
+        for (number, pending) in &self.tables.sync.pending_edits {
+            match pending.committed {
+                Some(_) if now >= pending.since + NOTE_TIMEOUT => late.push(*number),
+                Some(_) if now >= pending.announced + ANNOUNCE_AGAIN => again.push(*number),
                 _ => (),
             }
         }
         for number in again {
-            self.announce_to_rest(number, out);
+            self.announce_to_missing(number, out);
         }
         for number in late {
             let cause = "it was committed, but a majority of the listed instances could not be \
@@ -172,13 +177,13 @@
             let verdict = Verdict::Undecided {
                 cause: cause.to_owned(),
             };
-            self.close_edition(number, verdict, out);
+            self.close_edit(number, verdict, out);
         }
     }
 
-    fn close_edition(&mut self, number: u64, verdict: Verdict, out: &mut Vec<Action>) {
-        if let Some(edition) = self.tables.desk.editions.remove(&number) {
-            let Edit { operator, id, .. } = &edition.edit;
+    fn close_edit(&mut self, number: u64, verdict: Verdict, out: &mut Vec<Action>) {
+        if let Some(pending) = self.tables.sync.pending_edits.remove(&number) {
+            let Edit { operator, id, .. } = &pending.edit;
             self.log(
                 operator,
                 Step::Table,
@@ -186,7 +191,7 @@
                 &format!("edit {id}"),
                 out,
             );
-            answer(edition.call, verdict, out);
+            answer(pending.call, verdict, out);
         }
     }
 
@@ -194,18 +199,18 @@
     pub fn rollout(&self, now: Time, generation: u64) -> Rollout {
         let mut missing = Vec::new();
         let silence = self.settings.lease * 2;
-        for seat in self.members.seats.values() {
-            let here = seat.instance == self.settings.instance;
-            let reached = match self.tables.desk.told.get(&seat.instance) {
+        for listed in self.members.listed.values() {
+            let here = listed.instance == self.settings.instance;
+            let reached = match self.tables.sync.peers.get(&listed.instance) {
                 _ if here => self.tables.view.generation() >= generation,
-                Some(heard) => heard.generation >= generation || now >= heard.at + silence,
-                None => now >= self.begun + silence,
+                Some(peer) => peer.generation >= generation || now >= peer.at + silence,
+                None => now >= self.started + silence,
             };
             if !reached {
-                missing.push(seat.name.clone());
+                missing.push(listed.name.clone());
             }
         }
-        let known = self.members.seats.len();
+        let known = self.members.listed.len();
         Rollout {
             generation,
             in_force: known - missing.len(),
@@ -222,7 +227,7 @@
     });
 }
 
-fn refused(outcome: StoreReply) -> Verdict {
+fn verdict_of(outcome: StoreReply) -> Verdict {
     match outcome {
         StoreReply::Conflict { lines } => Verdict::Conflict { lines },
         StoreReply::Failed { cause, .. } => Verdict::Undecided { cause },
--- a/crates/node/src/endings.rs
+++ b/crates/node/src/endings.rs
@@ -14,55 +14,55 @@
 use crate::decision::Step;
 use crate::node::Node;
 use crate::open::End;
-use crate::open::OpenKey;
+use crate::open::OpenId;
 
 impl Node {
     /// Ends a request without an answer, with the outcome that is true for it.
     pub(crate) fn give_up(
         &mut self,
-        opened: OpenKey,
+        open_id: OpenId,
         reason: Reason,
         after: Duration,
         out: &mut Vec<Action>,
     ) {
-        let entry = &self.requests.open[opened];
+        let entry = &self.requests.open[open_id];
         let elsewhere = entry.is_keyed() && entry.repeatable && !self.may_decide();
         let outcome = match () {
             () if elsewhere => Outcome::Unknown,
-            () if !entry.is_touched() => Outcome::NotRun,
+            () if !entry.may_have_reached() => Outcome::NotRun,
             () if entry.repeatable => Outcome::Failed,
             () => Outcome::Unknown,
         };
         let refusal = Self::refusal(outcome, reason, after);
-        self.end(opened, &End::Refused(refusal), out);
+        self.end(open_id, &End::Refused(refusal), out);
     }
 
     /// Counts the prefill work of an attempt that comes to nothing.
-    pub(crate) fn waste(&mut self, opened: OpenKey, out: &mut Vec<Action>) {
-        let computed = std::mem::take(&mut self.requests.open[opened].computed);
+    pub(crate) fn count_wasted(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
+        let computed = std::mem::take(&mut self.requests.open[open_id].computed);
         if computed > 0 {
             out.push(Action::Count(Count::Wasted(computed)));
         }
     }
 
     /// Ends a request: tells its caller and all who asked, remembers its key, releases its holds.
-    pub(crate) fn end(&mut self, opened: OpenKey, end: &End, out: &mut Vec<Action>) {
+    pub(crate) fn end(&mut self, open_id: OpenId, end: &End, out: &mut Vec<Action>) {
         let superseded = matches!(end, End::Superseded);
         match end {
             End::Streamed { tokens } => {
-                self.advance(opened, Phase::Finished { tokens: *tokens }, out);
+                self.report_phase(open_id, Phase::Finished { tokens: *tokens }, out);
             }
-            End::Answered { .. } => self.advance(opened, Phase::Finished { tokens: 0 }, out),
-            End::Refused(_) => self.advance(opened, Phase::Gone, out),
+            End::Answered { .. } => self.report_phase(open_id, Phase::Finished { tokens: 0 }, out),
+            End::Refused(_) => self.report_phase(open_id, Phase::Gone, out),
             End::Superseded => (),
         }
         if !matches!(end, End::Streamed { .. }) {
-            self.waste(opened, out);
+            self.count_wasted(open_id, out);
         }
-        self.remember_end(opened, end);
-        self.tell_askers(opened, end, out);
-        self.tell_end(opened, end, out);
-        let Some(entry) = self.requests.open.remove(opened) else {
+        self.record_key_outcome(open_id, end);
+        self.answer_waiting_peers(open_id, end, out);
+        self.send_end(open_id, end, out);
+        let Some(entry) = self.requests.open.remove(open_id) else {
             return;
         };
         self.requests.by_handle.remove(&entry.ticket.handle);
@@ -82,13 +82,13 @@
         }
     }
 
-    fn remember_end(&mut self, opened: OpenKey, end: &End) {
-        let entry = &self.requests.open[opened];
+    fn record_key_outcome(&mut self, open_id: OpenId, end: &End) {
+        let entry = &self.requests.open[open_id];
         let Some(key) = entry.key.clone() else {
             return;
         };
-        let token = self.token_of(opened);
-        let entry = &self.requests.open[opened];
+        let token = self.resume_token(open_id);
+        let entry = &self.requests.open[open_id];
         let now = self.unix_s();
         let mark = match end {
             End::Answered { status, body } => {
@@ -114,8 +114,8 @@
         }
     }
 
-    fn tell_end(&mut self, opened: OpenKey, end: &End, out: &mut Vec<Action>) {
-        let entry = &self.requests.open[opened];
+    fn send_end(&mut self, open_id: OpenId, end: &End, out: &mut Vec<Action>) {
+        let entry = &self.requests.open[open_id];
         let label = entry.label();
         let call = entry.call;
         let (word, reason) = match end {
@@ -149,7 +149,7 @@
         };
         out.extend(count.map(Action::Count));
         if matches!(end, End::Answered { .. } | End::Streamed { .. }) {
-            self.count_targets(opened, out);
+            self.count_targets(open_id, out);
         }
         out.extend(call.map(|call| Action::SendToCaller {
             call,
--- a/crates/node/src/asking.rs
+++ b/crates/node/src/foreign_keys.rs
@@ -22,19 +22,19 @@
 use crate::decision::Step;
 use crate::event::RecordedOutcome;
 use crate::event::StoreReply;
+use crate::key_lookup::KeyLookup;
 use crate::node::Node;
-use crate::question::Question;
-use crate::refusals::SOON;
+use crate::refusals::DEFAULT_RETRY_AFTER;
 use crate::request::Request;
 
 /// How long a runner may be silent before its answer counts as lost.
-const SILENCE: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after which a runner is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+const RESEND_AFTER: Duration = Duration::from_millis(500);
 
 impl Node {
     /// Finds out what became of `key`, which belongs to another run.
-    pub(crate) fn ask(
+    pub(crate) fn look_up_key(
         &mut self,
         call: Call,
         key: Key,
@@ -52,55 +52,55 @@
             .map(|member| member.instance);
         let nonce = self.unique_number();
         let (now, runner) = (self.now, alive);
-        let question = Question {
+        let lookup = KeyLookup {
             call,
             key,
             request,
             runner,
-            heard: now,
-            asked: now,
-            lookup: None,
+            last_answer: now,
+            last_sent: now,
+            store_query: None,
         };
         let choice = runner.map_or_else(
             || "the store".to_owned(),
             |instance| format!("runner {}", self.instance_name(instance)),
         );
         self.log(
-            &question.key.to_string(),
+            &lookup.key.to_string(),
             Step::Repeat,
             &choice,
             "key of another run",
             out,
         );
-        self.requests.questions.insert(nonce, question);
-        self.pursue(nonce, out);
+        self.requests.lookups.insert(nonce, lookup);
+        self.send_lookup(nonce, out);
     }
 
-    fn pursue(&mut self, nonce: u64, out: &mut Vec<Action>) {
-        let Some(question) = self.requests.questions.get_mut(&nonce) else {
+    fn send_lookup(&mut self, nonce: u64, out: &mut Vec<Action>) {
+        let Some(lookup) = self.requests.lookups.get_mut(&nonce) else {
             return;
         };
-        question.asked = self.now;
-        let key = question.key.clone();
-        match question.runner {
+        lookup.last_sent = self.now;
+        let key = lookup.key.clone();
+        match lookup.runner {
             Some(runner) => self.send(runner, Body::Ask { nonce, key }, out),
-            None => self.look_up(nonce, out),
+            None => self.query_store(nonce, out),
         }
     }
 
-    fn look_up(&mut self, nonce: u64, out: &mut Vec<Action>) {
-        let query = self.query();
-        let Some(question) = self.requests.questions.get_mut(&nonce) else {
+    fn query_store(&mut self, nonce: u64, out: &mut Vec<Action>) {
+        let query = self.new_query();
+        let Some(lookup) = self.requests.lookups.get_mut(&nonce) else {
             return;
         };
-        let Some(prefix) = question.key.prefix() else {
+        let Some(prefix) = lookup.key.prefix() else {
             return;
         };
-        question.lookup = Some(query);
-        question.heard = self.now;
+        lookup.store_query = Some(query);
+        lookup.last_answer = self.now;
         let ask = StoreRequest::Outcome {
             incarnation: prefix.runner,
-            key: question.key.to_string(),
+            key: lookup.key.to_string(),
         };
         out.push(Action::Query {
             query,
@@ -109,51 +109,51 @@
     }
 
     /// Asks silent runners again, and gives up those that stay silent.
-    pub(crate) fn expire_questions(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn expire_lookups(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let mut silent = Vec::new();
         let mut again = Vec::new();
-        for (nonce, question) in &self.requests.questions {
+        for (nonce, lookup) in &self.requests.lookups {
             match () {
-                () if now >= question.heard + SILENCE => silent.push(*nonce),
-                () if question.lookup.is_some() => (),
-                () if now >= question.asked + ASK_AGAIN => again.push(*nonce),
+                () if now >= lookup.last_answer + ANSWER_TIMEOUT => silent.push(*nonce),
+                () if lookup.store_query.is_some() => (),
+                () if now >= lookup.last_sent + RESEND_AFTER => again.push(*nonce),
                 () => (),
             }
         }
         silent.sort_unstable();
         again.sort_unstable();
         for nonce in silent {
-            self.runner_silent(nonce, out);
+            self.handle_silent_runner(nonce, out);
         }
         for nonce in again {
-            self.pursue(nonce, out);
+            self.send_lookup(nonce, out);
         }
     }
 
     /// A runner that was asked does not answer: its record in the store is looked for, once.
-    fn runner_silent(&mut self, nonce: u64, out: &mut Vec<Action>) {
-        let Some(question) = self.requests.questions.get_mut(&nonce) else {
+    fn handle_silent_runner(&mut self, nonce: u64, out: &mut Vec<Action>) {
+        let Some(lookup) = self.requests.lookups.get_mut(&nonce) else {
             return;
         };
-        if question.runner.take().is_some() && question.lookup.is_none() {
-            return self.look_up(nonce, out);
+        if lookup.runner.take().is_some() && lookup.store_query.is_none() {
+            return self.query_store(nonce, out);
         }
-        self.close(nonce, Self::unknown(), out);
+        self.close_lookup(nonce, Self::unknown_refusal(), out);
     }
 
-    fn unknown() -> Refusal {
-        Self::refusal(Outcome::Unknown, Reason::RunnerLost, SOON)
+    fn unknown_refusal() -> Refusal {
+        Self::refusal(Outcome::Unknown, Reason::RunnerLost, DEFAULT_RETRY_AFTER)
     }
 
-    fn close(&mut self, nonce: u64, refusal: Refusal, out: &mut Vec<Action>) {
-        if let Some(question) = self.requests.questions.remove(&nonce) {
-            self.refuse(question.call, &question.key.to_string(), refusal, out);
+    fn close_lookup(&mut self, nonce: u64, refusal: Refusal, out: &mut Vec<Action>) {
+        if let Some(lookup) = self.requests.lookups.remove(&nonce) {
+            self.refuse(lookup.call, &lookup.key.to_string(), refusal, out);
         }
     }
 
     /// The store answered a lookup; `false` if `query` is none.
-    pub(crate) fn looked_up(
+    pub(crate) fn handle_lookup_reply(
         &mut self,
         query: Query,
         outcome: &StoreReply,
@@ -161,45 +161,47 @@
     ) -> bool {
         let found = self
             .requests
-            .questions
+            .lookups
             .iter()
-            .find(|(_, question)| question.lookup == Some(query));
+            .find(|(_, lookup)| lookup.store_query == Some(query));
         let Some(nonce) = found.map(|(nonce, _)| *nonce) else {
             return false;
         };
         match outcome {
-            StoreReply::Outcome(Some(recorded)) => self.tell_recorded(nonce, recorded.clone(), out),
-            _ => self.no_record(nonce, out),
+            StoreReply::Outcome(Some(recorded)) => {
+                self.answer_recorded(nonce, recorded.clone(), out)
+            }
+            _ => self.handle_no_record(nonce, out),
         }
         true
     }
 
-    fn tell_recorded(&mut self, nonce: u64, recorded: RecordedOutcome, out: &mut Vec<Action>) {
+    fn answer_recorded(&mut self, nonce: u64, recorded: RecordedOutcome, out: &mut Vec<Action>) {
         let RecordedOutcome { status, body } = recorded;
         match body {
-            Some(body) => self.tell_repeated(nonce, status, body, out),
+            Some(body) => self.answer_repeated(nonce, status, body, out),
             None => {
                 let refusal = Self::refusal(Outcome::Failed, Reason::AnswerGone, Duration::ZERO);
-                self.close(nonce, refusal, out);
+                self.close_lookup(nonce, refusal, out);
             }
         }
     }
 
-    fn tell_repeated(
+    fn answer_repeated(
         &mut self,
         nonce: u64,
         status: u16,
         body: bytes::Bytes,
         out: &mut Vec<Action>,
     ) {
-        if let Some(question) = self.requests.questions.remove(&nonce) {
+        if let Some(lookup) = self.requests.lookups.remove(&nonce) {
             let tell = CallerMessage::Answer {
                 status,
                 body,
                 repeated: true,
             };
             out.push(Action::SendToCaller {
-                call: question.call,
+                call: lookup.call,
                 message: tell,
             });
         }
@@ -207,24 +209,24 @@
 
     /// Nothing is recorded of a key whose runner is gone. A repeatable request is run by one
     /// successor, chosen by rendezvous hashing; of a non-repeatable one nothing can be said.
-    fn no_record(&mut self, nonce: u64, out: &mut Vec<Action>) {
-        if !self.asks_repeatable(nonce) {
-            return self.close(nonce, Self::unknown(), out);
+    fn handle_no_record(&mut self, nonce: u64, out: &mut Vec<Action>) {
+        if !self.is_lookup_repeatable(nonce) {
+            return self.close_lookup(nonce, Self::unknown_refusal(), out);
         }
-        let Some(question) = self.requests.questions.remove(&nonce) else {
+        let Some(lookup) = self.requests.lookups.remove(&nonce) else {
             return;
         };
-        let Some(request) = question.request else {
+        let Some(request) = lookup.request else {
             return;
         };
-        let label = question.key.to_string();
+        let label = lookup.key.to_string();
         let successor = self.keeper_of(Pool::new(&label));
         if successor != self.settings.instance {
             let refusal = Refusal {
                 outcome: Outcome::Unknown,
                 ..self.refusal_at(Reason::OtherRunner, successor)
             };
-            return self.refuse(question.call, &label, refusal, out);
+            return self.refuse(lookup.call, &label, refusal, out);
         }
         self.log(
             &label,
@@ -234,8 +236,8 @@
             out,
         );
         self.open_new(
-            question.call,
-            Some(question.key),
+            lookup.call,
+            Some(lookup.key),
             &request,
             Some(Outcome::Unknown),
             out,
@@ -257,69 +259,69 @@
     }
 
     /// A runner answered.
-    pub(crate) fn told(&mut self, nonce: u64, told: Told, out: &mut Vec<Action>) {
+    pub(crate) fn handle_key_answer(&mut self, nonce: u64, told: Told, out: &mut Vec<Action>) {
         let now = self.now;
-        let Some(question) = self.requests.questions.get_mut(&nonce) else {
+        let Some(lookup) = self.requests.lookups.get_mut(&nonce) else {
             return;
         };
-        question.heard = now;
-        let runner = question.runner;
+        lookup.last_answer = now;
+        let runner = lookup.runner;
         match told {
             Told::InProgress => (),
-            Told::OtherRun => self.runner_silent(nonce, out),
-            Told::Streaming { token } => self.follow_stream(nonce, &token, out),
+            Told::OtherRun => self.handle_silent_runner(nonce, out),
+            Told::Streaming { token } => self.resume_stream(nonce, &token, out),
             Told::Answered { status, body } => {
-                self.tell_recorded(nonce, RecordedOutcome { status, body }, out);
+                self.answer_recorded(nonce, RecordedOutcome { status, body }, out);
             }
             Told::Unknown => self.close_tried(nonce, Outcome::Unknown, out),
             Told::Failed => self.close_tried(nonce, Outcome::Failed, out),
             Told::Expired => {
                 let refusal = Self::refusal(Outcome::NotRun, Reason::KeyExpired, Duration::ZERO);
-                self.close(nonce, refusal, out);
+                self.close_lookup(nonce, refusal, out);
             }
-            Told::NotSeen => self.close_unseen(nonce, runner, out),
+            Told::NotSeen => self.close_not_seen(nonce, runner, out),
         }
     }
 
     /// The runner never saw the key. A repeatable one may have been run by a successor all the same.
-    fn close_unseen(&mut self, nonce: u64, runner: Option<Instance>, out: &mut Vec<Action>) {
+    fn close_not_seen(&mut self, nonce: u64, runner: Option<Instance>, out: &mut Vec<Action>) {
         let refusal = match runner {
             Some(runner) => self.refusal_at(Reason::OtherRunner, runner),
-            None => Self::unknown(),
+            None => Self::unknown_refusal(),
         };
-        let outcome = if self.asks_repeatable(nonce) {
+        let outcome = if self.is_lookup_repeatable(nonce) {
             Outcome::Unknown
         } else {
             refusal.outcome
         };
-        self.close(nonce, Refusal { outcome, ..refusal }, out);
+        self.close_lookup(nonce, Refusal { outcome, ..refusal }, out);
     }
 
-    fn asks_repeatable(&self, nonce: u64) -> bool {
-        let question = self.requests.questions.get(&nonce);
-        let request = question.and_then(|question| question.request.as_ref());
+    fn is_lookup_repeatable(&self, nonce: u64) -> bool {
+        let lookup = self.requests.lookups.get(&nonce);
+        let request = lookup.and_then(|lookup| lookup.request.as_ref());
         request.is_some_and(|request| self.is_repeatable(request))
     }
 
     /// The runner has tried the key without an answer: it may try a repeatable request again.
     fn close_tried(&mut self, nonce: u64, outcome: Outcome, out: &mut Vec<Action>) {
-        let Some(question) = self.requests.questions.get(&nonce) else {
+        let Some(lookup) = self.requests.lookups.get(&nonce) else {
             return;
         };
-        let repeatable = self.asks_repeatable(nonce);
-        let refusal = match question.runner.filter(|_| repeatable) {
+        let repeatable = self.is_lookup_repeatable(nonce);
+        let refusal = match lookup.runner.filter(|_| repeatable) {
             Some(runner) => Refusal {
                 outcome,
                 ..self.refusal_at(Reason::OtherRunner, runner)
             },
             None => Self::refusal(outcome, Reason::Backend, Duration::ZERO),
         };
-        self.close(nonce, refusal, out);
+        self.close_lookup(nonce, refusal, out);
     }
 
-    fn follow_stream(&mut self, nonce: u64, token: &str, out: &mut Vec<Action>) {
-        if let Some(question) = self.requests.questions.remove(&nonce) {
-            self.resumed(question.call, &question.key.customer, token, 0, out);
+    fn resume_stream(&mut self, nonce: u64, token: &str, out: &mut Vec<Action>) {
+        if let Some(lookup) = self.requests.lookups.remove(&nonce) {
+            self.handle_resume(lookup.call, &lookup.key.customer, token, 0, out);
         }
     }
 }
--- a/crates/node/src/queries.rs
+++ b/crates/node/src/introspection.rs
@@ -13,9 +13,9 @@
 use crate::status::Status;
 
 /// Weight of an address in the asked data centre.
-const NEAR_WEIGHT: u32 = 10;
+const LOCAL_WEIGHT: u32 = 10;
 /// Weight of an address elsewhere.
-const FAR_WEIGHT: u32 = 1;
+const REMOTE_WEIGHT: u32 = 1;
 
 impl Node {
     /// The table in force here.
@@ -29,25 +29,25 @@
             name: self.settings.name.clone(),
             incarnation: self.incarnation().to_string(),
             generation: self.tables.view.generation(),
-            fresh: self.tables.view.fresh(now) && self.replicas.is_listed,
-            store_age_ms: self.tables.desk.store_age(now).map(millis),
-            leaving: self.life.leaving.is_some(),
+            fresh: self.tables.view.fresh(now) && self.replicas.has_list,
+            store_age_ms: self.tables.sync.store_age(now).map(millis),
+            leaving: self.lifecycle.leaving.is_some(),
             open: self.requests.open.len(),
             holds: self.requests.holds.len(),
             keys: self.requests.keys.len(),
             pools: self.pools(),
             members: self
                 .members
-                .seats
+                .listed
                 .values()
-                .map(|seat| self.member(now, seat.instance))
+                .map(|listed| self.member(now, listed.instance))
                 .collect(),
         }
     }
 
     fn pools(&self) -> Vec<Pool> {
         self.pools
-            .cells
+            .kept
             .values()
             .map(|kept| Pool {
                 name: kept.name.clone(),
@@ -66,7 +66,7 @@
         Member {
             name: self.instance_name(instance),
             state,
-            generation: self.tables.desk.generation_told(instance),
+            generation: self.tables.sync.peer_generation(instance),
             heard_ms: self
                 .members
                 .fleet
@@ -82,22 +82,22 @@
             .fleet
             .serving()
             .filter_map(|member| {
-                let seat = self.members.seats.get(&member.instance)?;
+                let listed = self.members.listed.get(&member.instance)?;
                 let marked = self
                     .tables
                     .view
                     .table()
-                    .is_some_and(|table| table.drains_instance(&seat.name));
-                let usable = !seat.leaving && !marked;
+                    .is_some_and(|table| table.drains_instance(&listed.name));
+                let usable = !listed.leaving && !marked;
                 usable.then(|| Address {
-                    name: seat.name.clone(),
-                    address: seat.caller.clone(),
-                    zone: seat.zone,
+                    name: listed.name.clone(),
+                    address: listed.caller.clone(),
+                    zone: listed.zone,
                     runner: member.incarnation,
-                    weight: if seat.zone == near {
-                        NEAR_WEIGHT
+                    weight: if listed.zone == near {
+                        LOCAL_WEIGHT
                     } else {
-                        FAR_WEIGHT
+                        REMOTE_WEIGHT
                     },
                 })
             })
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -13,7 +13,7 @@
 
 /// One outcome, with the incarnation that its key names.
 #[derive(Debug, Clone)]
-pub(crate) struct Line {
+pub(crate) struct JournalEntry {
     pub(crate) runner: Incarnation,
     pub(crate) outcome: (String, u16, Option<Bytes>),
 }
@@ -21,8 +21,8 @@
 /// Outcomes on their way to the store.
 #[derive(Debug)]
 pub(crate) struct Journal {
-    pub(crate) waiting: VecDeque<Line>,
-    pub(crate) sent: Option<(Query, Vec<Line>)>,
+    pub(crate) waiting: VecDeque<JournalEntry>,
+    pub(crate) sent: Option<(Query, Vec<JournalEntry>)>,
     pub(crate) sequence: u64,
 }
 
@@ -49,7 +49,7 @@
         }
         let body = (body.len() <= MAX_BODY).then(|| body.clone());
         let outcome = (key.to_string(), status, body);
-        self.waiting.push_back(Line {
+        self.waiting.push_back(JournalEntry {
             runner: prefix.runner,
             outcome,
         });
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeper.rs
@@ -25,16 +25,16 @@
 use crate::action::Action;
 use crate::decision::Step;
 use crate::event::Inspection;
-use crate::kept::Kept;
-use crate::kept::Placed;
+use crate::kept_pool::KeptPool;
+use crate::kept_pool::Placed;
 use crate::node::Node;
 
 /// Time in which a new keeper of a pool places nothing, so that owners can report first.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Parts into which the inspections of a period are spread.
 const INSPECT_PARTS: u64 = 5;
 /// Time without an answer to inspections after which a replica counts as lost.
-const SILENCE: Duration = Duration::from_millis(750);
+const LOST_AFTER: Duration = Duration::from_millis(750);
 
 impl Node {
     /// The keeper of `pool`; this daemon itself if every instance is leaving.
@@ -54,9 +54,9 @@
     pub(crate) fn reassign(&mut self, out: &mut Vec<Action>) {
         let mut pools: Vec<Pool> = self
             .replicas
-            .backends
+            .listed
             .values()
-            .map(|backend| backend.pool)
+            .map(|listed| listed.pool)
             .collect();
         pools.extend(self.requests.open.values().map(|entry| entry.pool));
         pools.sort_unstable();
@@ -64,12 +64,12 @@
         for pool in pools {
             let owner = self.keeper_of(pool);
             if self.pools.keepers.insert(pool, owner) != Some(owner) {
-                self.keeper_moved(pool, owner, out);
+                self.keeper_changed(pool, owner, out);
             }
         }
     }
 
-    fn keeper_moved(&mut self, pool: Pool, owner: Instance, out: &mut Vec<Action>) {
+    fn keeper_changed(&mut self, pool: Pool, owner: Instance, out: &mut Vec<Action>) {
         let name = self.tables.rows.pool_name(pool);
         self.log(
             &name,
@@ -79,41 +79,41 @@
             out,
         );
         if owner == self.settings.instance {
-            self.begin_keeping(pool, name);
+            self.start_keeping(pool, name);
         } else {
-            self.pools.cells.remove(&pool);
+            self.pools.kept.remove(&pool);
         }
         let mine = self.requests.open_where(|entry| entry.pool == pool);
-        for opened in mine {
-            if self.requests.open[opened].place.is_some() {
-                self.tell_keeper_adopted(opened, out);
+        for open_id in mine {
+            if self.requests.open[open_id].placement.is_some() {
+                self.notify_keeper(open_id, out);
             } else {
-                self.submit(opened, out);
+                self.submit(open_id, out);
             }
         }
     }
 
-    fn begin_keeping(&mut self, pool: Pool, name: String) {
+    fn start_keeping(&mut self, pool: Pool, name: String) {
         let mut cell = Cell::new(route::settings::Settings::default(), self.rng.next_u64());
         let alone = self
             .members
             .fleet
             .alive()
             .all(|member| member.instance == self.settings.instance);
-        let settle = if alone { Duration::ZERO } else { SETTLE };
+        let settle = if alone { Duration::ZERO } else { SETTLE_TIME };
         if !alone {
             cell.takeover(self.now);
         }
-        let kept = Kept {
+        let kept = KeptPool {
             name,
             cell,
             ready: self.now + settle,
             placed: BTreeMap::new(),
-            watches: BTreeMap::new(),
+            health: BTreeMap::new(),
             orphans: BTreeMap::new(),
             generation: 0,
         };
-        self.pools.cells.insert(pool, kept);
+        self.pools.kept.insert(pool, kept);
         self.refresh_cell(pool);
         self.timers.inspect = self.now;
         self.timers.cells = self.now;
@@ -121,7 +121,7 @@
 
     /// Puts list and table in force in every kept pool.
     pub(crate) fn refresh_cells(&mut self) {
-        let pools: Vec<Pool> = self.pools.cells.keys().copied().collect();
+        let pools: Vec<Pool> = self.pools.kept.keys().copied().collect();
         for pool in pools {
             self.refresh_cell(pool);
         }
@@ -132,15 +132,15 @@
         let now = self.now;
         let members: Vec<Member> = self
             .replicas
-            .backends
+            .listed
             .values()
-            .filter(|backend| backend.pool == pool)
-            .map(|backend| Member {
-                replica: backend.replica,
-                zone: backend.zone,
-                role: backend.role,
-                slots: backend.slots,
-                leaving: backend.leaving || self.is_drained(&backend.name),
+            .filter(|listed| listed.pool == pool)
+            .map(|listed| Member {
+                replica: listed.replica,
+                zone: listed.zone,
+                role: listed.role,
+                slots: listed.slots,
+                leaving: listed.leaving || self.is_drained(&listed.name),
             })
             .collect();
         let rules: Vec<Rule> = self
@@ -154,7 +154,7 @@
             .collect();
         let name = self.tables.rows.pool_name(pool);
         let generation = self.tables.view.generation();
-        if let Some(kept) = self.pools.cells.get_mut(&pool) {
+        if let Some(kept) = self.pools.kept.get_mut(&pool) {
             kept.name = name;
             kept.generation = generation;
             kept.cell.set_members(now, &members);
@@ -170,10 +170,10 @@
     }
 
     /// An owner asks for a placement.
-    pub(crate) fn submitted(&mut self, from: Instance, ticket: Ticket) {
+    pub(crate) fn handle_submission(&mut self, from: Instance, ticket: Ticket) {
         let incarnation = self.incarnation_of(from);
         let now = self.now;
-        let Some(kept) = self.cell_of(ticket.row) else {
+        let Some(kept) = self.kept_pool_of(ticket.row) else {
             return;
         };
         let placed = Placed {
@@ -191,21 +191,21 @@
         current.map_or(Incarnation(0), |member| member.incarnation)
     }
 
-    fn cell_of(&mut self, row: ident::Row) -> Option<&mut Kept> {
+    fn kept_pool_of(&mut self, row: ident::Row) -> Option<&mut KeptPool> {
         let pool = self.tables.rows.get(row)?.pool;
         if !self.is_keeper(pool) {
             return None;
         }
-        self.pools.cells.get_mut(&pool)
+        self.pools.kept.get_mut(&pool)
     }
 
     /// An owner reports progress.
-    pub(crate) fn advanced(&mut self, handle: Handle, phase: Phase) {
+    pub(crate) fn handle_progress(&mut self, handle: Handle, phase: Phase) {
         let now = self.now;
         let ended = matches!(phase, Phase::Finished { .. } | Phase::Gone);
         for kept in self
             .pools
-            .cells
+            .kept
             .values_mut()
             .filter(|kept| kept.placed.contains_key(&handle))
         {
@@ -219,10 +219,10 @@
     }
 
     /// An owner tells of a placed request.
-    pub(crate) fn adopted(&mut self, from: Instance, hold: &Hold) {
+    pub(crate) fn handle_adoption(&mut self, from: Instance, hold: &Hold) {
         let incarnation = self.incarnation_of(from);
         let now = self.now;
-        let Some(kept) = self.cell_of(hold.ticket.row) else {
+        let Some(kept) = self.kept_pool_of(hold.ticket.row) else {
             return;
         };
         let placed = Placed {
@@ -241,12 +241,12 @@
         let mut next = Time::NEVER;
         let mut verdicts = Vec::new();
         let may_decide = self.may_decide();
-        for kept in self.pools.cells.values_mut() {
+        for kept in self.pools.kept.values_mut() {
             if may_decide && now >= kept.ready {
                 kept.cell.settled(now);
                 next = next.min(kept.cell.step(now, &mut verdicts));
             } else {
-                next = next.min(kept.ready.max(now + SETTLE));
+                next = next.min(kept.ready.max(now + SETTLE_TIME));
             }
         }
         self.timers.cells = next;
@@ -260,7 +260,7 @@
         let refused = matches!(verdict.choice, route::verdict::Choice::Refused { .. });
         let kept = self
             .pools
-            .cells
+            .kept
             .values_mut()
             .find(|kept| kept.placed.contains_key(&handle));
         let Some(kept) = kept else {
@@ -281,24 +281,24 @@
         self.timers.inspect = now + self.settings.inspect_every / INSPECT_PARTS as u32;
         self.replicas.inspect_part = (self.replicas.inspect_part + 1) % INSPECT_PARTS;
         if self.replicas.inspect_part == 0 {
-            self.recheck_suspects(out);
+            self.inspect_withheld(out);
         }
-        for backend in self.replicas.backends.values() {
-            let replica = backend.replica;
+        for listed in self.replicas.listed.values() {
+            let replica = listed.replica;
             if replica.0 % INSPECT_PARTS != self.replicas.inspect_part {
                 continue;
             }
-            let Some(kept) = self.pools.cells.get_mut(&backend.pool) else {
+            let Some(kept) = self.pools.kept.get_mut(&listed.pool) else {
                 continue;
             };
-            let watch = kept.watches.entry(replica).or_default();
-            let since = *watch.unanswered.get_or_insert(now);
-            if now >= since + SILENCE && !watch.lost {
-                watch.lost = true;
-                watch.after = 0;
+            let health = kept.health.entry(replica).or_default();
+            let since = *health.unanswered.get_or_insert(now);
+            if now >= since + LOST_AFTER && !health.lost {
+                health.lost = true;
+                health.last_event = 0;
                 kept.cell.lost(now, replica);
             }
-            let after = watch.after;
+            let after = health.last_event;
             out.push(Action::Inspect {
                 replica,
                 after,
@@ -309,38 +309,34 @@
 
     /// A replica answered an inspection, or failed to. An answer to a question from before a pause
     /// counts for nothing: the replica may have another reader or owner by now.
-    pub(crate) fn inspected(
+    pub(crate) fn handle_inspection(
         &mut self,
         replica: Replica,
         asked: Time,
         state: Option<Inspection>,
         out: &mut Vec<Action>,
     ) {
-        let Some(inspection) = state.filter(|_| asked >= self.life.woke) else {
+        let Some(inspection) = state.filter(|_| asked >= self.lifecycle.pause_ended) else {
             return;
         };
         self.verify(replica, &inspection.works, out);
-        let pool = self
-            .replicas
-            .backends
-            .get(&replica)
-            .map(|backend| backend.pool);
-        if let Some(pool) = pool.filter(|pool| self.pools.cells.contains_key(pool)) {
-            self.take_report(pool, replica, &inspection);
+        let pool = self.replicas.listed.get(&replica).map(|listed| listed.pool);
+        if let Some(pool) = pool.filter(|pool| self.pools.kept.contains_key(pool)) {
+            self.apply_report(pool, replica, &inspection);
             self.sweep(pool, replica, &inspection.works, out);
         }
     }
 
-    fn take_report(&mut self, pool: Pool, replica: Replica, inspection: &Inspection) {
+    fn apply_report(&mut self, pool: Pool, replica: Replica, inspection: &Inspection) {
         let now = self.now;
-        let Some(kept) = self.pools.cells.get_mut(&pool) else {
+        let Some(kept) = self.pools.kept.get_mut(&pool) else {
             return;
         };
-        let watch = kept.watches.entry(replica).or_default();
-        watch.unanswered = None;
-        watch.lost = false;
+        let health = kept.health.entry(replica).or_default();
+        health.unanswered = None;
+        health.lost = false;
         let last = inspection.report.events.iter().map(|event| event.seq).max();
-        watch.after = last.unwrap_or(watch.after);
+        health.last_event = last.unwrap_or(health.last_event);
         kept.cell.report(now, replica, &inspection.report);
         self.timers.cells = now;
     }
--- a/crates/node/src/kept.rs
+++ b/crates/node/src/kept_pool.rs
@@ -19,23 +19,23 @@
 
 /// What the keeper knows of one replica's answers.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Watch {
+pub(crate) struct ReplicaHealth {
     /// Since when inspections have been unanswered.
     pub(crate) unanswered: Option<Time>,
     /// Whether it counts as lost.
     pub(crate) lost: bool,
     /// Last cache event seen.
-    pub(crate) after: u64,
+    pub(crate) last_event: u64,
 }
 
 /// A pool kept by this daemon.
 #[derive(Debug)]
-pub(crate) struct Kept {
+pub(crate) struct KeptPool {
     pub(crate) name: String,
     pub(crate) cell: Cell,
     pub(crate) ready: Time,
     pub(crate) placed: BTreeMap<Handle, Placed>,
-    pub(crate) watches: BTreeMap<Replica, Watch>,
+    pub(crate) health: BTreeMap<Replica, ReplicaHealth>,
     /// Memory found without a live owner, and since when.
     pub(crate) orphans: BTreeMap<(Replica, Handle), Time>,
     pub(crate) generation: u64,
--- a/crates/node/src/question.rs
+++ b/crates/node/src/key_lookup.rs
@@ -10,13 +10,13 @@
 
 /// A caller waits for what another instance knows of its key.
 #[derive(Debug)]
-pub(crate) struct Question {
+pub(crate) struct KeyLookup {
     /// The caller's connection.
     pub(crate) call: Call,
     pub(crate) key: Key,
     pub(crate) request: Option<Request>,
     pub(crate) runner: Option<Instance>,
-    pub(crate) heard: Time,
-    pub(crate) asked: Time,
-    pub(crate) lookup: Option<Query>,
+    pub(crate) last_answer: Time,
+    pub(crate) last_sent: Time,
+    pub(crate) store_query: Option<Query>,
 }
--- a/crates/node/src/telling.rs
+++ b/crates/node/src/key_status.rs
@@ -11,20 +11,26 @@
 use crate::action::Action;
 use crate::action::Outcome;
 use crate::node::Node;
-use crate::open::Asker;
 use crate::open::End;
-use crate::open::OpenKey;
+use crate::open::OpenId;
+use crate::open::WaitingPeer;
 
 /// Longest body passed on to another instance: it fits a frame.
-const MAX_TOLD_BODY: usize = wire::MAX_BODY - 1_024;
+const MAX_FORWARDED_BODY: usize = wire::MAX_BODY - 1_024;
 
 impl Node {
     /// Another instance asks what became of a key that names this run.
-    pub(crate) fn asked(&mut self, from: Instance, nonce: u64, key: &Key, out: &mut Vec<Action>) {
+    pub(crate) fn handle_key_query(
+        &mut self,
+        from: Instance,
+        nonce: u64,
+        key: &Key,
+        out: &mut Vec<Action>,
+    ) {
         let told = match self.requests.keys.get(key).cloned() {
-            Some(Mark::Open(opened)) => self.told_open(
-                opened,
-                Asker {
+            Some(Mark::Open(open_id)) => self.answer_open(
+                open_id,
+                WaitingPeer {
                     instance: from,
                     nonce,
                 },
@@ -33,13 +39,13 @@
             Some(Mark::Streamed { token }) => Told::Streaming { token },
             Some(Mark::Unknown) => Told::Unknown,
             Some(Mark::Failed) => Told::Failed,
-            None => self.told_unseen(key),
+            None => self.answer_unseen(key),
         };
         self.send(from, Body::Told { nonce, told }, out);
     }
 
     /// What is told of a key that is not remembered: only its own run can say that it never ran.
-    fn told_unseen(&self, key: &Key) -> Told {
+    fn answer_unseen(&self, key: &Key) -> Told {
         let Some(prefix) = key.prefix() else {
             return Told::OtherRun;
         };
@@ -52,14 +58,14 @@
         }
     }
 
-    fn told_open(&mut self, opened: OpenKey, asker: Asker) -> Told {
-        let streams = self.requests.open[opened].stage == Stage::Decode;
-        match self.token_of(opened).filter(|_| streams) {
+    fn answer_open(&mut self, open_id: OpenId, peer: WaitingPeer) -> Told {
+        let streams = self.requests.open[open_id].stage == Stage::Decode;
+        match self.resume_token(open_id).filter(|_| streams) {
             Some(token) => Told::Streaming { token },
             None => {
-                let askers = &mut self.requests.open[opened].askers;
-                if !askers.iter().any(|other| other.nonce == asker.nonce) {
-                    askers.push(asker);
+                let waiting_peers = &mut self.requests.open[open_id].waiting_peers;
+                if !waiting_peers.iter().any(|other| other.nonce == peer.nonce) {
+                    waiting_peers.push(peer);
                 }
                 Told::InProgress
             }
@@ -67,16 +73,21 @@
     }
 
     /// Tells instances that asked for a request how it ended.
-    pub(crate) fn tell_askers(&mut self, opened: OpenKey, end: &End, out: &mut Vec<Action>) {
-        let askers = std::mem::take(&mut self.requests.open[opened].askers);
-        if askers.is_empty() {
+    pub(crate) fn answer_waiting_peers(
+        &mut self,
+        open_id: OpenId,
+        end: &End,
+        out: &mut Vec<Action>,
+    ) {
+        let waiting_peers = std::mem::take(&mut self.requests.open[open_id].waiting_peers);
+        if waiting_peers.is_empty() {
             return;
         }
-        let token = self.token_of(opened);
+        let token = self.resume_token(open_id);
         let told = match (end, token) {
             (End::Answered { status, body }, _) => Told::Answered {
                 status: *status,
-                body: Some(body.clone()).filter(|body| body.len() <= MAX_TOLD_BODY),
+                body: Some(body.clone()).filter(|body| body.len() <= MAX_FORWARDED_BODY),
             },
             (End::Streamed { .. } | End::Superseded, Some(token)) => Told::Streaming { token },
             (End::Streamed { .. } | End::Superseded, None) => Told::Unknown,
@@ -86,12 +97,12 @@
                 Outcome::Failed => Told::Failed,
             },
         };
-        for asker in askers {
+        for peer in waiting_peers {
             let body = Body::Told {
-                nonce: asker.nonce,
+                nonce: peer.nonce,
                 told: told.clone(),
             };
-            self.send(asker.instance, body, out);
+            self.send(peer.instance, body, out);
         }
     }
 }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -21,7 +21,7 @@
 use crate::membership::member;
 use crate::node::Node;
 use crate::open::End;
-use crate::refusals::SOON;
+use crate::refusals::DEFAULT_RETRY_AFTER;
 
 /// Longest wait for unwritten records and unconfirmed releases once nothing else is in progress:
 /// the store or an engine may be out for long, and keepers sweep what is left.
@@ -73,32 +73,32 @@
         );
         fleet.set_list(self.now, &self.entries());
         self.members.fleet = fleet;
-        if self.life.leaving.is_some() {
+        if self.lifecycle.leaving.is_some() {
             self.members.fleet.leave(self.now);
         }
-        self.pools.cells.clear();
+        self.pools.kept.clear();
         self.pools.keepers.clear();
         let reason = format!("run {former} was declared dead while it was paused");
         let name = self.settings.name.clone();
         self.log(&name, Step::Member, &format!("run {fresh}"), &reason, out);
-        self.suspect_streams(out);
+        self.withhold_streams(out);
         self.end_retaken(out);
         self.timers.fleet = self.now;
         self.reassign(out);
     }
 
     fn entries(&self) -> Vec<Entry> {
-        let seats = self.members.seats.values().map(|seat| Entry {
-            instance: seat.instance,
-            data_centre: seat.zone,
-            leaving: seat.leaving,
+        let listed = self.members.listed.values().map(|listed| Entry {
+            instance: listed.instance,
+            data_centre: listed.zone,
+            leaving: listed.leaving,
         });
-        seats.collect()
+        listed.collect()
     }
 
     /// The clock jumped by more than the lease: this process was paused.
-    pub(crate) fn woke(&mut self, out: &mut Vec<Action>) {
-        self.life.woke = self.now;
+    pub(crate) fn handle_pause(&mut self, out: &mut Vec<Action>) {
+        self.lifecycle.pause_ended = self.now;
         let name = self.settings.name.clone();
         self.log(
             &name,
@@ -107,7 +107,7 @@
             "paused for longer than the lease",
             out,
         );
-        self.suspect_streams(out);
+        self.withhold_streams(out);
         self.end_retaken(out);
     }
 
@@ -117,50 +117,50 @@
         let retaken = self.requests.open_where(|entry| {
             entry.is_keyed() && entry.repeatable && entry.stage != Stage::Decode
         });
-        for opened in retaken {
-            let refusal = Self::refusal(Outcome::Unknown, Reason::RunnerLost, SOON);
-            self.end(opened, &End::Refused(refusal), out);
+        for open_id in retaken {
+            let refusal = Self::refusal(Outcome::Unknown, Reason::RunnerLost, DEFAULT_RETRY_AFTER);
+            self.end(open_id, &End::Refused(refusal), out);
         }
     }
 
     /// Asks a peer for the platform's list while none is known here.
-    pub(crate) fn pull_list(&mut self, out: &mut Vec<Action>) {
-        if self.replicas.is_listed {
+    pub(crate) fn request_list(&mut self, out: &mut Vec<Action>) {
+        if self.replicas.has_list {
             return;
         }
-        for peer in self.some_peers(1) {
+        for peer in self.random_peers(1) {
             self.send(peer, Body::ListPull, out);
         }
     }
 
-    pub(crate) fn list_pulled(&mut self, from: Instance, out: &mut Vec<Action>) {
+    pub(crate) fn send_list(&mut self, from: Instance, out: &mut Vec<Action>) {
         if let Some(copy) = self.replicas.list_copy.clone() {
             self.send(from, Body::ListPush(copy), out);
         }
     }
 
-    pub(crate) fn list_pushed(&mut self, copy: Bytes, out: &mut Vec<Action>) {
-        if !self.replicas.is_listed {
+    pub(crate) fn use_peer_list(&mut self, copy: Bytes, out: &mut Vec<Action>) {
+        if !self.replicas.has_list {
             out.push(Action::UseList(copy));
         }
     }
 
-    pub(crate) fn listed(&mut self, list: PlatformList, out: &mut Vec<Action>) {
-        self.replicas.is_listed = true;
-        self.members.seats = list
+    pub(crate) fn apply_list(&mut self, list: PlatformList, out: &mut Vec<Action>) {
+        self.replicas.has_list = true;
+        self.members.listed = list
             .instances
             .into_iter()
-            .map(|seat| (seat.instance, seat))
+            .map(|listed| (listed.instance, listed))
             .collect();
-        let before = std::mem::take(&mut self.replicas.backends);
-        self.replicas.backends = list
+        let before = std::mem::take(&mut self.replicas.listed);
+        self.replicas.listed = list
             .replicas
             .into_iter()
             .map(|found| (found.replica, found))
             .collect();
         for replica in before
             .keys()
-            .filter(|replica| !self.replicas.backends.contains_key(replica))
+            .filter(|replica| !self.replicas.listed.contains_key(replica))
         {
             self.requests.holds.erase_replica(*replica);
         }
@@ -172,9 +172,9 @@
     }
 
     /// A planned stop: nothing in progress is cut off.
-    pub(crate) fn stop(&mut self, out: &mut Vec<Action>) {
-        if self.life.leaving.is_none() {
-            self.life.leaving = Some(self.now);
+    pub(crate) fn begin_stop(&mut self, out: &mut Vec<Action>) {
+        if self.lifecycle.leaving.is_none() {
+            self.lifecycle.leaving = Some(self.now);
             self.members.fleet.leave(self.now);
             self.timers.fleet = self.now;
             let name = self.settings.name.clone();
@@ -185,15 +185,16 @@
 
     /// Ends a planned stop once nothing is in progress.
     pub(crate) fn try_finish(&mut self, out: &mut Vec<Action>) {
-        let idle = self.requests.open.is_empty() && self.requests.questions.is_empty();
-        if self.life.finished || self.life.leaving.is_none() || !self.is_closed() || !idle {
-            self.life.idle_since = None;
+        let idle = self.requests.open.is_empty() && self.requests.lookups.is_empty();
+        if self.lifecycle.finished || self.lifecycle.leaving.is_none() || !self.is_closed() || !idle
+        {
+            self.lifecycle.idle_since = None;
             return;
         }
-        let since = *self.life.idle_since.get_or_insert(self.now);
+        let since = *self.lifecycle.idle_since.get_or_insert(self.now);
         let clean = self.requests.journal.is_empty() && self.requests.holds.is_empty();
         if clean || self.now >= since + CLEANUP_WAIT {
-            self.life.finished = true;
+            self.lifecycle.finished = true;
             out.push(Action::Finished);
         }
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -22,10 +22,10 @@
 use crate::ids;
 use crate::membership;
 use crate::settings::Settings;
-use crate::state::Life;
+use crate::state::Lifecycle;
 use crate::state::Members;
+use crate::state::OrderPurpose;
 use crate::state::Pools;
-use crate::state::Purpose;
 use crate::state::Replicas;
 use crate::state::Requests;
 use crate::state::Tables;
@@ -36,14 +36,14 @@
 pub struct Node {
     pub(crate) settings: Settings,
     pub(crate) now: Time,
-    pub(crate) begun: Time,
+    pub(crate) started: Time,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) members: Members,
     pub(crate) tables: Tables,
     pub(crate) replicas: Replicas,
     pub(crate) pools: Pools,
     pub(crate) requests: Requests,
-    pub(crate) life: Life,
+    pub(crate) lifecycle: Lifecycle,
     pub(crate) timers: Timers,
     /// Frames of this daemon to itself.
     pub(crate) local: VecDeque<Body>,
@@ -55,14 +55,14 @@
     pub fn new(settings: Settings, now: Time, seed: u64) -> Self {
         Self {
             now,
-            begun: now,
+            started: now,
             rng: Pcg64Mcg::seed_from_u64(seed),
             members: Members::new(membership::fleet(&settings, now, seed)),
             tables: Tables::new(&settings),
             replicas: Replicas::new(),
             pools: Pools::new(),
             requests: Requests::new(&settings),
-            life: Life::new(now),
+            lifecycle: Lifecycle::new(now),
             timers: Timers::new(now),
             local: VecDeque::new(),
             counter: 0,
@@ -77,55 +77,55 @@
         let gap = now.since(self.now);
         self.now = now.max(self.now);
         if gap > self.settings.lease {
-            self.woke(out);
+            self.handle_pause(out);
         }
-        self.take(event, out);
-        self.run_local(out);
+        self.handle_event(event, out);
+        self.process_local(out);
         if self.now >= self.next_wake() {
             self.run_timers(out);
-            self.run_local(out);
+            self.process_local(out);
         }
     }
 
-    fn take(&mut self, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Arrived { call, request } => self.arrived(call, request, out),
+            Event::Arrived { call, request } => self.handle_request(call, request, out),
             Event::Resumed {
                 call,
                 customer,
                 token,
                 offset,
             } => {
-                self.resumed(call, &customer, &token, offset, out);
+                self.handle_resume(call, &customer, &token, offset, out);
             }
-            Event::Disconnected { call } => self.left(call, out),
-            Event::Answered { order, reply } => self.answered(order, reply, out),
-            Event::Streamed { order, piece } => self.streamed(order, piece, out),
-            Event::Failed { order, failure } => self.failed(order, failure, out),
+            Event::Disconnected { call } => self.handle_disconnect(call, out),
+            Event::Answered { order, reply } => self.handle_reply(order, reply, out),
+            Event::Streamed { order, piece } => self.handle_stream(order, piece, out),
+            Event::Failed { order, failure } => self.handle_failure(order, failure, out),
             Event::Inspected {
                 replica,
                 asked,
                 state,
-            } => self.inspected(replica, asked, state, out),
-            Event::Frame(frame) => self.frame(*frame, out),
+            } => self.handle_inspection(replica, asked, state, out),
+            Event::Frame(frame) => self.handle_frame(*frame, out),
             Event::Tick => (),
             Event::ListCopy(copy) => self.replicas.list_copy = Some(copy),
-            Event::Listed(list) => self.listed(list, out),
-            Event::StoreReplied { query, outcome } => self.stored(query, outcome, out),
-            Event::Edited { call, edit } => self.edited(call, edit, out),
-            Event::Stop => self.stop(out),
+            Event::Listed(list) => self.apply_list(list, out),
+            Event::StoreReplied { query, outcome } => self.handle_store_reply(query, outcome, out),
+            Event::Edited { call, edit } => self.handle_edit(call, edit, out),
+            Event::Stop => self.begin_stop(out),
         }
     }
 
-    fn run_local(&mut self, out: &mut Vec<Action>) {
+    fn process_local(&mut self, out: &mut Vec<Action>) {
         let me = self.settings.instance;
         while let Some(body) = self.local.pop_front() {
-            self.body(me, body, out);
+            self.handle_body(me, body, out);
         }
     }
 
     /// A number not used before in this run.
-    pub(crate) fn number(&mut self) -> u64 {
+    pub(crate) fn next_number(&mut self) -> u64 {
         self.counter += 1;
         self.counter
     }
@@ -133,19 +133,19 @@
     /// A number that differs from those of other runs, but for a chance of about 2^-64 each. Peers repeat it in answers, which may come when this
     /// instance has started again: counted from one, it would name a question of the new run.
     pub(crate) fn unique_number(&mut self) -> u64 {
-        self.number() ^ self.incarnation().0
+        self.next_number() ^ self.incarnation().0
     }
 
     /// A fresh order for `purpose`.
-    pub(crate) fn order(&mut self, purpose: Purpose) -> Order {
-        let order = ids::Order(self.number());
+    pub(crate) fn new_order(&mut self, purpose: OrderPurpose) -> Order {
+        let order = ids::Order(self.next_number());
         self.requests.orders.insert(order, purpose);
         order
     }
 
     /// A fresh query to the store.
-    pub(crate) fn query(&mut self) -> Query {
-        ids::Query(self.number())
+    pub(crate) fn new_query(&mut self) -> Query {
+        ids::Query(self.next_number())
     }
 
     /// This run of this daemon.
@@ -160,7 +160,7 @@
 
     /// Milliseconds of the Unix clock, moved on by the monotonic clock.
     pub(crate) fn unix_ms(&self) -> u64 {
-        self.settings.started_ms + self.now.since(self.begun).as_millis() as u64
+        self.settings.started_ms + self.now.since(self.started).as_millis() as u64
     }
 
     /// Sends `body` to `to`, or to this daemon itself.
@@ -177,7 +177,7 @@
     }
 
     /// Up to `count` other live members, chosen at random.
-    pub(crate) fn some_peers(&mut self, count: usize) -> Vec<Instance> {
+    pub(crate) fn random_peers(&mut self, count: usize) -> Vec<Instance> {
         let me = self.settings.instance;
         let mut peers: Vec<Instance> = self
             .members
@@ -229,7 +229,7 @@
     /// The name of a replica, for log lines.
     pub(crate) fn replica_name(&self, replica: Replica) -> String {
         self.replicas
-            .backends
+            .listed
             .get(&replica)
             .map_or_else(|| replica.to_string(), |found| found.name.clone())
     }
@@ -237,17 +237,17 @@
     /// The name of an instance, for log lines.
     pub(crate) fn instance_name(&self, instance: Instance) -> String {
         self.members
-            .seats
+            .listed
             .get(&instance)
-            .map_or_else(|| instance.to_string(), |seat| seat.name.clone())
+            .map_or_else(|| instance.to_string(), |listed| listed.name.clone())
     }
 
     /// Whether decisions may be made now: a list is known, the table is up to date, and after a pause a peer was
     /// heard or the store was read.
     pub(crate) fn may_decide(&self) -> bool {
-        let caught_up =
-            !self.members.fleet.paused(self.now) || self.tables.desk.proved_since(self.life.woke);
-        self.tables.view.fresh(self.now) && caught_up && self.replicas.is_listed
+        let caught_up = !self.members.fleet.paused(self.now)
+            || self.tables.sync.proved_since(self.lifecycle.pause_ended);
+        self.tables.view.fresh(self.now) && caught_up && self.replicas.has_list
     }
 }
 
--- a/crates/node/src/open.rs
+++ b/crates/node/src/open.rs
@@ -25,7 +25,7 @@
 
 new_key_type! {
     /// An open request in its arena.
-    pub struct OpenKey;
+    pub struct OpenId;
 }
 
 /// How long a stream goes on without its caller, who may come back with the resume token.
@@ -80,16 +80,16 @@
 
 /// Where a placed request runs.
 #[derive(Debug, Clone, Copy)]
-pub struct Place {
+pub struct Placement {
     /// The prefill replica; `None` for plain calls and streams taken over.
     pub prefill: Option<Replica>,
     /// The decode replica, or the replica of the plain call.
-    pub run: Replica,
+    pub serving: Replica,
 }
 
 /// Another instance that asked what became of a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Asker {
+pub struct WaitingPeer {
     /// The instance.
     pub instance: Instance,
     /// Its question.
@@ -110,7 +110,7 @@
     /// Last token told to the caller.
     pub last: Option<Time>,
     /// When the caller's connection closed.
-    pub left: Option<Time>,
+    pub disconnected: Option<Time>,
 }
 
 impl Times {
@@ -122,19 +122,19 @@
             submitted: now,
             first: None,
             last: None,
-            left: None,
+            disconnected: None,
         }
     }
 }
 
 /// One open request.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenRequest {
     /// The caller's present connection.
     pub call: Option<Call>,
     /// The connection under which the driver keeps the prompt or the plain call; `None` for a
     /// stream taken over.
-    pub origin: Option<Call>,
+    pub body_call: Option<Call>,
     /// Its idempotency key.
     pub key: Option<Key>,
     /// Its customer.
@@ -148,7 +148,7 @@
     /// What the keeper was told of it; its handle is the present attempt.
     pub ticket: Ticket,
     /// Where it runs.
-    pub place: Option<Place>,
+    pub placement: Option<Placement>,
     /// The last phase told to the keeper.
     pub phase: Option<Phase>,
     /// The order that starts or streams its present work.
@@ -164,17 +164,17 @@
     /// How far it may have got.
     pub reach: Reach,
     /// When its present attempt began to wait.
-    pub queued: Time,
+    pub queued_at: Time,
     /// How long an attempt may wait without a decision of the keeper.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// Whether the head of its stream was told to the present connection.
-    pub headed: bool,
+    pub head_sent: bool,
     /// Pieces withheld until the stream is verified; `None` if it needs no verification.
     pub withheld: Option<Vec<Withheld>>,
     /// Attach orders that failed in a row.
-    pub attach_tries: u32,
+    pub attach_failures: u32,
     /// When the stream is read again after a failure.
-    pub attach_at: Option<Time>,
+    pub reattach_at: Option<Time>,
     /// Prompt tokens computed by the present attempt and not yet used.
     pub computed: u32,
     /// Priority of its row, 0 first.
@@ -184,22 +184,22 @@
     /// Clock points.
     pub times: Times,
     /// Instances that asked for it.
-    pub askers: Vec<Asker>,
+    pub waiting_peers: Vec<WaitingPeer>,
 }
 
-impl Open {
+impl OpenRequest {
     /// A request that waits for its first attempt: repeatable, without key, targets or prompt.
     pub fn new(call: Call, customer: &str, pool: Pool, ticket: Ticket, now: Time) -> Self {
         Self {
             call: Some(call),
-            origin: None,
+            body_call: None,
             key: None,
             customer: customer.to_owned(),
             pool,
             repeatable: true,
             stage: Stage::Waiting,
             ticket,
-            place: None,
+            placement: None,
             phase: None,
             order: None,
             prefill_hold: None,
@@ -207,17 +207,17 @@
             fence: 0,
             sequence: Sequence::new(0),
             reach: Reach::Untouched,
-            queued: now,
-            patience: Duration::ZERO,
-            headed: false,
+            queued_at: now,
+            max_wait: Duration::ZERO,
+            head_sent: false,
             withheld: None,
-            attach_tries: 0,
-            attach_at: None,
+            attach_failures: 0,
+            reattach_at: None,
             computed: 0,
             priority: 0,
             targets: Targets::none(),
             times: Times::new(now),
-            askers: Vec::new(),
+            waiting_peers: Vec::new(),
         }
     }
 
@@ -227,7 +227,7 @@
     }
 
     /// Notes that an order goes out.
-    pub fn dispatch(&mut self, now: Time) {
+    pub fn record_order_sent(&mut self, now: Time) {
         self.times.progress = now;
         if self.reach == Reach::Untouched {
             self.reach = Reach::Sent;
@@ -235,7 +235,7 @@
     }
 
     /// Notes how an order ended; `unsent` if no byte of it can have left.
-    pub fn landed(&mut self, unsent: bool) {
+    pub fn record_order_end(&mut self, unsent: bool) {
         self.reach = match self.reach {
             Reach::Untouched | Reach::Sent if unsent => Reach::Untouched,
             _ => Reach::Touched,
@@ -243,7 +243,7 @@
     }
 
     /// Whether a byte of it may have reached a replica.
-    pub fn is_touched(&self) -> bool {
+    pub fn may_have_reached(&self) -> bool {
         self.reach != Reach::Untouched
     }
 
@@ -271,8 +271,8 @@
     }
 
     /// Whether its caller went away and did not come back in time; a plain call runs on.
-    pub fn is_left(&self, now: Time) -> bool {
-        let since = self.times.left.filter(|_| self.call.is_none());
+    pub fn is_abandoned(&self, now: Time) -> bool {
+        let since = self.times.disconnected.filter(|_| self.call.is_none());
         since.is_some_and(|left| now >= left + CALLER_GRACE) && self.stage != Stage::Call
     }
 
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -12,18 +12,23 @@
 use crate::event::Reply;
 use crate::node::Node;
 use crate::open::End;
-use crate::open::OpenKey;
-use crate::open::Place;
-use crate::state::Purpose;
+use crate::open::OpenId;
+use crate::open::Placement;
+use crate::state::OrderPurpose;
 
 impl Node {
-    pub(crate) fn start_prefill(&mut self, opened: OpenKey, place: Place, out: &mut Vec<Action>) {
-        let Some(prefill) = place.prefill else {
+    pub(crate) fn start_prefill(
+        &mut self,
+        open_id: OpenId,
+        placement: Placement,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(prefill) = placement.prefill else {
             return;
         };
-        let order = self.order(Purpose::Prefill(opened));
+        let order = self.new_order(OrderPurpose::Prefill(open_id));
         let owner = self.incarnation();
-        let entry = &mut self.requests.open[opened];
+        let entry = &mut self.requests.open[open_id];
         let route::ticket::Work::Model {
             prompt_tokens,
             max_tokens,
@@ -33,12 +38,12 @@
         else {
             return;
         };
-        let (Some(call), handle, fence) = (entry.origin, entry.handle(), entry.fence) else {
+        let (Some(call), handle, fence) = (entry.body_call, entry.handle(), entry.fence) else {
             return;
         };
-        entry.place = Some(place);
+        entry.placement = Some(placement);
         entry.order = Some(order);
-        entry.dispatch(self.now);
+        entry.record_order_sent(self.now);
         entry.enter(Stage::Prefill, out);
         let priority = entry.priority;
         entry.prefill_hold = Some(
@@ -66,14 +71,14 @@
 
     pub(crate) fn start_decode(
         &mut self,
-        opened: OpenKey,
+        open_id: OpenId,
         source: Replica,
         replica: Replica,
         out: &mut Vec<Action>,
     ) {
-        let order = self.order(Purpose::Decode(opened));
+        let order = self.new_order(OrderPurpose::Decode(open_id));
         let owner = self.incarnation();
-        let entry = &mut self.requests.open[opened];
+        let entry = &mut self.requests.open[open_id];
         let (handle, fence) = (entry.handle(), entry.fence);
         let max_tokens = match entry.ticket.work {
             route::ticket::Work::Model { max_tokens, .. } => max_tokens,
@@ -82,7 +87,7 @@
         let offset = entry.sequence.delivered();
         let priority = entry.priority;
         entry.order = Some(order);
-        entry.dispatch(self.now);
+        entry.record_order_sent(self.now);
         entry.enter(Stage::Decode, out);
         entry.decode_hold = Some(
             self.requests
@@ -103,24 +108,24 @@
             fence,
             task,
         });
-        self.tell_head(opened, out);
+        self.send_head(open_id, out);
     }
 
-    pub(crate) fn start_plain(&mut self, opened: OpenKey, replica: Replica, out: &mut Vec<Action>) {
-        let order = self.order(Purpose::Plain(opened));
+    pub(crate) fn start_plain(&mut self, open_id: OpenId, replica: Replica, out: &mut Vec<Action>) {
+        let order = self.new_order(OrderPurpose::Plain(open_id));
         let owner = self.incarnation();
-        let entry = &mut self.requests.open[opened];
-        let Some(call) = entry.origin else {
+        let entry = &mut self.requests.open[open_id];
+        let Some(call) = entry.body_call else {
             return;
         };
         let (handle, fence) = (entry.handle(), entry.fence);
-        entry.place = Some(Place {
+        entry.placement = Some(Placement {
             prefill: None,
-            run: replica,
+            serving: replica,
         });
         entry.order = Some(order);
         entry.enter(Stage::Call, out);
-        entry.dispatch(self.now);
+        entry.record_order_sent(self.now);
         let task = Task::Plain { call };
         out.push(Action::Order {
             order,
@@ -132,82 +137,88 @@
         });
     }
 
-    pub(crate) fn answered(&mut self, order: Order, reply: Reply, out: &mut Vec<Action>) {
+    pub(crate) fn handle_reply(&mut self, order: Order, reply: Reply, out: &mut Vec<Action>) {
         let purpose = self.requests.orders.remove(&order);
         self.requests.holds.closed(order);
         match (purpose, reply) {
-            (Some(Purpose::Cancel), _) => self.release_confirmed(order, out),
+            (Some(OrderPurpose::Cancel), _) => self.release_confirmed(order, out),
             (
-                Some(Purpose::Prefill(opened)),
+                Some(OrderPurpose::Prefill(open_id)),
                 Reply::Prefilled {
                     computed, cached, ..
                 },
             ) => {
                 out.push(Action::Count(Count::Prefilled(computed)));
-                if self.is_current(opened, order) {
-                    self.prefilled(opened, computed, cached, out);
+                if self.is_current(open_id, order) {
+                    self.handle_prefilled(open_id, computed, cached, out);
                 } else {
                     out.push(Action::Count(Count::Wasted(computed)));
                 }
             }
-            (Some(Purpose::Decode(opened)), Reply::StreamEnded)
-                if self.is_current(opened, order) =>
+            (Some(OrderPurpose::Decode(open_id)), Reply::StreamEnded)
+                if self.is_current(open_id, order) =>
             {
-                self.decode_failed(opened, Failure::Lost, out);
+                self.handle_decode_failure(open_id, Failure::Lost, out);
             }
-            (Some(Purpose::Plain(opened)), Reply::Plain { status, body })
-                if self.is_current(opened, order) =>
+            (Some(OrderPurpose::Plain(open_id)), Reply::Plain { status, body })
+                if self.is_current(open_id, order) =>
             {
-                self.requests.open[opened].landed(false);
-                self.end(opened, &End::Answered { status, body }, out);
+                self.requests.open[open_id].record_order_end(false);
+                self.end(open_id, &End::Answered { status, body }, out);
             }
             _ => (),
         }
     }
 
-    pub(crate) fn failed(&mut self, order: Order, failure: Failure, out: &mut Vec<Action>) {
+    pub(crate) fn handle_failure(&mut self, order: Order, failure: Failure, out: &mut Vec<Action>) {
         let purpose = self.requests.orders.remove(&order);
         self.requests.holds.closed(order);
         match purpose {
-            Some(Purpose::Cancel) => self.release_failed(order, failure),
-            Some(Purpose::Prefill(opened) | Purpose::Plain(opened))
-                if self.is_current(opened, order) =>
+            Some(OrderPurpose::Cancel) => self.release_failed(order, failure),
+            Some(OrderPurpose::Prefill(open_id) | OrderPurpose::Plain(open_id))
+                if self.is_current(open_id, order) =>
             {
-                self.touch(opened, failure);
-                self.retry(opened, failure, out);
+                self.record_reach(open_id, failure);
+                self.retry(open_id, failure, out);
             }
-            Some(Purpose::Decode(opened)) if self.is_current(opened, order) => {
-                self.touch(opened, failure);
-                self.decode_failed(opened, failure, out);
+            Some(OrderPurpose::Decode(open_id)) if self.is_current(open_id, order) => {
+                self.record_reach(open_id, failure);
+                self.handle_decode_failure(open_id, failure, out);
             }
             _ => (),
         }
     }
 
     /// Whether `order` carries the present work of an open request.
-    pub(crate) fn is_current(&self, opened: OpenKey, order: Order) -> bool {
+    pub(crate) fn is_current(&self, open_id: OpenId, order: Order) -> bool {
         self.requests
             .open
-            .get(opened)
+            .get(open_id)
             .is_some_and(|entry| entry.order == Some(order))
     }
 
-    fn touch(&mut self, opened: OpenKey, failure: Failure) {
-        self.requests.open[opened].landed(failure == Failure::NotSent);
+    fn record_reach(&mut self, open_id: OpenId, failure: Failure) {
+        self.requests.open[open_id].record_order_end(failure == Failure::NotSent);
     }
 
-    fn prefilled(&mut self, opened: OpenKey, computed: u32, cached: u32, out: &mut Vec<Action>) {
-        let entry = &mut self.requests.open[opened];
-        entry.landed(false);
+    fn handle_prefilled(
+        &mut self,
+        open_id: OpenId,
+        computed: u32,
+        cached: u32,
+        out: &mut Vec<Action>,
+    ) {
+        let entry = &mut self.requests.open[open_id];
+        entry.record_order_end(false);
         entry.computed = computed;
-        let Some(Place {
+        let Some(Placement {
             prefill: Some(prefill),
-            run,
-        }) = entry.place
+            serving,
+        }) = entry.placement
         else {
             return;
         };
-        self.advance(opened, Phase::Prefilled { computed, cached }, out);
-        self.start_decode(opened, prefill, run, out);
+        self.report_phase(open_id, Phase::Prefilled { computed, cached }, out);
+        self.start_decode(open_id, prefill, serving, out);
     }
 }
--- a/crates/node/src/edition.rs
+++ b/crates/node/src/pending_edit.rs
@@ -10,12 +10,12 @@
 
 /// An edit on its way.
 #[derive(Debug)]
-pub(crate) struct Edition {
+pub(crate) struct PendingEdit {
     pub(crate) call: Call,
     pub(crate) edit: Edit,
     pub(crate) commit: Query,
     /// Once it is committed: its generation, and whether an earlier try had committed it.
-    pub(crate) made: Option<(u64, bool)>,
+    pub(crate) committed: Option<(u64, bool)>,
     pub(crate) noted: BTreeSet<Instance>,
     pub(crate) since: Time,
     pub(crate) announced: Time,
--- a/crates/node/src/proofs.rs
+++ b/crates/node/src/proofs.rs
@@ -8,9 +8,9 @@
 use wire::News;
 
 use crate::action::Action;
-use crate::desk::Heard;
 use crate::node::Node;
 use crate::node::millis;
+use crate::table_sync::PeerTable;
 
 /// Time between two rounds of news.
 const NEWS_EVERY: Duration = Duration::from_millis(250);
@@ -19,18 +19,18 @@
 
 impl Node {
     /// The store was read linearizably at or after `since`, and holds nothing newer than this view.
-    pub(crate) fn prove(&mut self, since: Time) {
+    pub(crate) fn record_proof(&mut self, since: Time) {
         let age = self.now.since(since);
         self.tables.view.vouch(self.now, age);
-        self.tables.desk.proved = self.tables.desk.proved.max(Some(since));
+        self.tables.sync.proved = self.tables.sync.proved.max(Some(since));
     }
 
     /// Asks a few peers what they hold, and tells them what is held here.
-    pub(crate) fn tell_news(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn send_news(&mut self, out: &mut Vec<Action>) {
         self.timers.news = self.now + NEWS_EVERY;
-        self.pull_list(out);
-        let news = self.my_news(self.now.0.wrapping_add(self.incarnation().0), false);
-        for peer in self.some_peers(self.news_fanout()) {
+        self.request_list(out);
+        let news = self.local_news(self.now.0.wrapping_add(self.incarnation().0), false);
+        for peer in self.random_peers(self.news_fanout()) {
             self.send(peer, Body::News(news), out);
         }
     }
@@ -39,7 +39,7 @@
     /// silent so many that a majority answers within the lease.
     fn news_fanout(&self) -> usize {
         let lease = self.settings.lease;
-        let age = self.tables.desk.store_age(self.now);
+        let age = self.tables.sync.store_age(self.now);
         if age.is_some_and(|age| age * 2 < lease) {
             return NEWS_FANOUT;
         }
@@ -48,10 +48,10 @@
         NEWS_FANOUT.max(others.div_ceil(rounds))
     }
 
-    fn my_news(&self, asked: u64, answer: bool) -> News {
+    fn local_news(&self, asked: u64, answer: bool) -> News {
         let age = self
             .tables
-            .desk
+            .sync
             .proved
             .map(|proved| millis(self.now.since(proved)));
         News {
@@ -63,16 +63,16 @@
         }
     }
 
-    pub(crate) fn news(&mut self, from: Instance, news: News, out: &mut Vec<Action>) {
+    pub(crate) fn handle_news(&mut self, from: Instance, news: News, out: &mut Vec<Action>) {
         self.tables.view.announce(news.generation);
-        self.note_told(from, news);
+        self.record_news(from, news);
         if self.tables.view.behind() {
             self.send(from, Body::Pull, out);
         } else {
-            self.take_proof(news);
+            self.apply_proof(news);
         }
         if !news.answer {
-            let answer = self.my_news(news.asked, true);
+            let answer = self.local_news(news.asked, true);
             self.send(from, Body::News(answer), out);
         }
     }
@@ -83,27 +83,27 @@
     /// to a question asked just now: questions tell the time from a point that no two runs share.
     fn asked_at(&self, news: News) -> Option<Time> {
         let asked = Time(news.asked.wrapping_sub(self.incarnation().0));
-        Some(asked).filter(|asked| news.answer && (self.begun..=self.now).contains(asked))
+        Some(asked).filter(|asked| news.answer && (self.started..=self.now).contains(asked))
     }
 
-    fn note_told(&mut self, from: Instance, news: News) {
+    fn record_news(&mut self, from: Instance, news: News) {
         let before = self
             .tables
-            .desk
-            .told
+            .sync
+            .peers
             .get(&from)
-            .and_then(|heard| heard.settled);
+            .and_then(|peer| peer.settled);
         let settled = before.max(self.asked_at(news).filter(|_| news.settled));
-        let heard = Heard {
+        let peer = PeerTable {
             generation: news.generation,
             at: self.now,
             settled,
         };
-        self.tables.desk.told.insert(from, heard);
+        self.tables.sync.peers.insert(from, peer);
     }
 
     /// An answer proves as much as its sender could prove when the question was asked.
-    fn take_proof(&mut self, news: News) {
+    fn apply_proof(&mut self, news: News) {
         let Some(asked) = self.asked_at(news) else {
             return;
         };
@@ -113,21 +113,21 @@
         if let Some(age) = age {
             let proved = asked - Duration::from_millis(u64::from(age));
             self.tables.view.vouch(self.now, self.now.since(proved));
-            self.tables.desk.proved = self.tables.desk.proved.max(Some(proved));
+            self.tables.sync.proved = self.tables.sync.proved.max(Some(proved));
         }
-        if let Some(point) = self.contact_point() {
+        if let Some(point) = self.majority_contact() {
             self.tables.view.vouch(self.now, self.now.since(point));
         }
     }
 
     /// The latest point from which on a majority of the list, this instance among it, has answered.
-    fn contact_point(&self) -> Option<Time> {
+    fn majority_contact(&self) -> Option<Time> {
         let mut points: Vec<Time> = self
             .tables
-            .desk
-            .told
+            .sync
+            .peers
             .values()
-            .filter_map(|heard| heard.settled)
+            .filter_map(|peer| peer.settled)
             .collect();
         points.sort_unstable_by(|a, b| b.cmp(a));
         let others = self.members.fleet.listed_count() / 2;
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -9,24 +9,24 @@
 
 use crate::action::Action;
 use crate::action::StoreRequest;
-use crate::journal::Line;
+use crate::journal::JournalEntry;
 use crate::node::Node;
 
 /// Time between two records while the fleet is small.
-const EVERY: Duration = Duration::from_millis(250);
+const RECORD_EVERY: Duration = Duration::from_millis(250);
 /// Time between two records for each member: it keeps the writes of the whole fleet under two
 /// hundred a second.
-const EVERY_PER_MEMBER: Duration = Duration::from_millis(5);
+const RECORD_EVERY_PER_MEMBER: Duration = Duration::from_millis(5);
 /// Pause after a record failed.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Most outcomes in one row.
-const MAX_ROW: usize = 512;
+const MAX_ROW_OUTCOMES: usize = 512;
 
 impl Node {
     /// Writes the waiting outcomes as one row.
-    pub(crate) fn record(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn write_outcomes(&mut self, out: &mut Vec<Action>) {
         let members = self.members.fleet.listed_count() as u32;
-        self.timers.record = self.now + EVERY.max(EVERY_PER_MEMBER * members);
+        self.timers.record = self.now + RECORD_EVERY.max(RECORD_EVERY_PER_MEMBER * members);
         if self.requests.journal.sent.is_some() {
             return;
         }
@@ -35,7 +35,7 @@
             .journal
             .waiting
             .front()
-            .map(|line| line.runner)
+            .map(|entry| entry.runner)
         else {
             return;
         };
@@ -44,22 +44,22 @@
             .journal
             .waiting
             .iter()
-            .take_while(|line| line.runner == runner)
+            .take_while(|entry| entry.runner == runner)
             .count();
-        let lines: Vec<Line> = self
+        let entries: Vec<JournalEntry> = self
             .requests
             .journal
             .waiting
-            .drain(..same.min(MAX_ROW))
+            .drain(..same.min(MAX_ROW_OUTCOMES))
             .collect();
         self.requests.journal.sequence += 1;
-        let query = self.query();
+        let query = self.new_query();
         let ask = StoreRequest::Record {
             incarnation: runner,
             sequence: self.requests.journal.sequence,
-            outcomes: lines.iter().map(|line| line.outcome.clone()).collect(),
+            outcomes: entries.iter().map(|entry| entry.outcome.clone()).collect(),
         };
-        self.requests.journal.sent = Some((query, lines));
+        self.requests.journal.sent = Some((query, entries));
         out.push(Action::Query {
             query,
             request: ask,
@@ -67,7 +67,7 @@
     }
 
     /// Notes the end of a record; `false` if `query` is none.
-    pub(crate) fn recorded(&mut self, query: Query, done: bool) -> bool {
+    pub(crate) fn outcomes_written(&mut self, query: Query, done: bool) -> bool {
         if self
             .requests
             .journal
@@ -78,9 +78,9 @@
             return false;
         }
         let failed = self.requests.journal.sent.take().filter(|_| !done);
-        for line in failed.into_iter().flat_map(|(_, lines)| lines).rev() {
-            self.requests.journal.waiting.push_front(line);
-            self.timers.record = self.now + RETRY;
+        for entry in failed.into_iter().flat_map(|(_, entries)| entries).rev() {
+            self.requests.journal.waiting.push_front(entry);
+            self.timers.record = self.now + RETRY_AFTER;
         }
         true
     }
--- a/crates/node/src/refusals.rs
+++ b/crates/node/src/refusals.rs
@@ -16,7 +16,7 @@
 use crate::node::millis;
 
 /// When to come back after a refusal that passes by itself soon.
-pub(crate) const SOON: Duration = Duration::from_secs(1);
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Most addresses named in a refusal.
 const MAX_ADDRESSES: usize = 3;
@@ -93,7 +93,7 @@
         Refusal {
             outcome,
             reason,
-            retry_after_ms: millis(SOON),
+            retry_after_ms: millis(DEFAULT_RETRY_AFTER),
             addresses,
         }
     }
@@ -102,13 +102,13 @@
     pub(crate) fn refusal_at(&self, reason: Reason, instance: Instance) -> Refusal {
         let addresses = self
             .members
-            .seats
+            .listed
             .get(&instance)
-            .map(|seat| seat.caller.clone());
+            .map(|listed| listed.caller.clone());
         Refusal {
             outcome: Outcome::NotRun,
             reason,
-            retry_after_ms: millis(SOON),
+            retry_after_ms: millis(DEFAULT_RETRY_AFTER),
             addresses: addresses.into_iter().collect(),
         }
     }
--- a/crates/node/src/releases.rs
+++ b/crates/node/src/releases.rs
@@ -9,7 +9,7 @@
 use crate::event::Failure;
 use crate::http_status;
 use crate::node::Node;
-use crate::state::Purpose;
+use crate::state::OrderPurpose;
 
 impl Node {
     /// Begins the release of a hold; its starting order is aborted first.
@@ -22,7 +22,7 @@
     /// Sends the releases that are due.
     pub(crate) fn run_releases(&mut self, out: &mut Vec<Action>) {
         while let Some(cancel) = self.requests.holds.due(self.now) {
-            let order = self.order(Purpose::Cancel);
+            let order = self.new_order(OrderPurpose::Cancel);
             self.requests.holds.sent(cancel.hold, order);
             let handle = cancel.handle;
             let replica = self.replica_name(cancel.replica);
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -13,8 +13,8 @@
 use crate::decision::Step;
 use crate::event::Failure;
 use crate::node::Node;
-use crate::open::OpenKey;
-use crate::refusals::SOON;
+use crate::open::OpenId;
+use crate::refusals::DEFAULT_RETRY_AFTER;
 
 /// Attempts at one request, the first included.
 const MAX_ATTEMPTS: u8 = 4;
@@ -22,8 +22,8 @@
 impl Node {
     /// A decode replica did not take the request: its prefill result may still be kept, so another
     /// decode replica is asked for.
-    pub(crate) fn ask_other_decode(&mut self, opened: OpenKey, out: &mut Vec<Action>) {
-        let entry = &mut self.requests.open[opened];
+    pub(crate) fn request_other_decode(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
+        let entry = &mut self.requests.open[open_id];
         entry.enter(Stage::Prefill, out);
         entry.order = None;
         entry.times.submitted = self.now;
@@ -37,33 +37,33 @@
             "no slot or not reached",
             out,
         );
-        self.advance(opened, Phase::Rejected, out);
+        self.report_phase(open_id, Phase::Rejected, out);
     }
 
     /// Tries a request again after `failure`, or ends it.
-    pub(crate) fn retry(&mut self, opened: OpenKey, failure: Failure, out: &mut Vec<Action>) {
-        let entry = &self.requests.open[opened];
+    pub(crate) fn retry(&mut self, open_id: OpenId, failure: Failure, out: &mut Vec<Action>) {
+        let entry = &self.requests.open[open_id];
         let spent = entry.ticket.attempt + 1 >= MAX_ATTEMPTS;
-        let may_repeat = entry.repeatable || !entry.is_touched();
+        let may_repeat = entry.repeatable || !entry.may_have_reached();
         match () {
-            () if !may_repeat => self.give_up(opened, Reason::Backend, Duration::ZERO, out),
-            () if spent || entry.origin.is_none() => {
-                self.give_up(opened, Reason::Backend, SOON, out);
+            () if !may_repeat => self.give_up(open_id, Reason::Backend, Duration::ZERO, out),
+            () if spent || entry.body_call.is_none() => {
+                self.give_up(open_id, Reason::Backend, DEFAULT_RETRY_AFTER, out);
             }
-            () => self.try_again(opened, failure, out),
+            () => self.start_attempt(open_id, failure, out),
         }
     }
 
-    fn try_again(&mut self, opened: OpenKey, failure: Failure, out: &mut Vec<Action>) {
-        self.waste(opened, out);
-        self.advance(opened, Phase::Gone, out);
-        let fresh = self.fresh_handle();
-        let entry = &mut self.requests.open[opened];
+    fn start_attempt(&mut self, open_id: OpenId, failure: Failure, out: &mut Vec<Action>) {
+        self.count_wasted(open_id, out);
+        self.report_phase(open_id, Phase::Gone, out);
+        let fresh = self.new_handle();
+        let entry = &mut self.requests.open[open_id];
         let former = entry.ticket.handle;
         let label = entry.label();
-        let failed = entry.place.map(|place| match entry.stage {
-            Stage::Prefill => place.prefill.unwrap_or(place.run),
-            _ => place.run,
+        let failed = entry.placement.map(|placement| match entry.stage {
+            Stage::Prefill => placement.prefill.unwrap_or(placement.serving),
+            _ => placement.serving,
         });
         entry.ticket.handle = fresh;
         entry.ticket.attempt += 1;
@@ -73,21 +73,21 @@
         entry.ticket.avoid.extend(failed);
         continue_from(&mut entry.ticket.work, entry.sequence.delivered());
         entry.enter(Stage::Waiting, out);
-        entry.place = None;
+        entry.placement = None;
         entry.phase = None;
         entry.order = None;
-        entry.headed = false;
-        entry.queued = self.now;
-        entry.attach_tries = 0;
-        entry.attach_at = None;
+        entry.head_sent = false;
+        entry.queued_at = self.now;
+        entry.attach_failures = 0;
+        entry.reattach_at = None;
         entry.sequence.reset();
         let holds = [entry.prefill_hold.take(), entry.decode_hold.take()];
         for hold in holds {
             self.release_hold(hold, out);
         }
         self.requests.by_handle.remove(&former);
-        self.requests.by_handle.insert(fresh, opened);
-        let reason = format!("{failure:?} at {}", self.named(failed));
+        self.requests.by_handle.insert(fresh, open_id);
+        let reason = format!("{failure:?} at {}", self.replica_name_or_none(failed));
         self.log(
             &label,
             Step::Retry,
@@ -96,10 +96,10 @@
             out,
         );
         out.push(Action::Count(Count::Retried));
-        self.submit(opened, out);
+        self.submit(open_id, out);
     }
 
-    fn named(&self, replica: Option<Replica>) -> String {
+    fn replica_name_or_none(&self, replica: Option<Replica>) -> String {
         replica.map_or_else(
             || "no replica".to_owned(),
             |replica| self.replica_name(replica),
--- a/crates/node/src/rows.rs
+++ b/crates/node/src/rows.rs
@@ -10,7 +10,7 @@
 
 /// What is looked up for every request.
 #[derive(Debug)]
-pub(crate) struct Brief {
+pub(crate) struct RowSummary {
     pub(crate) pool: Pool,
     pub(crate) targets: Targets,
     pub(crate) name: String,
@@ -19,7 +19,7 @@
 /// Index of the table in force.
 #[derive(Debug, Default)]
 pub(crate) struct Rows {
-    by_key: HashMap<Row, Brief>,
+    by_key: HashMap<Row, RowSummary>,
     names: HashMap<Pool, String>,
 }
 
@@ -34,25 +34,25 @@
         let mut rows = Self::new();
         for row in &table.rows {
             let pool = Pool::new(&row.pool);
-            let brief = Brief {
+            let summary = RowSummary {
                 pool,
                 targets: Targets::new(row),
                 name: row.key(),
             };
-            rows.by_key.insert(row.id(), brief);
+            rows.by_key.insert(row.id(), summary);
             rows.names.insert(pool, row.pool.clone());
         }
         rows
     }
 
-    pub(crate) fn get(&self, row: Row) -> Option<&Brief> {
+    pub(crate) fn get(&self, row: Row) -> Option<&RowSummary> {
         self.by_key.get(&row)
     }
 
     /// The name of a row, or its key if the table does not hold it.
     pub(crate) fn row_name(&self, row: Row) -> String {
         self.get(row)
-            .map_or_else(|| row.to_string(), |brief| brief.name.clone())
+            .map_or_else(|| row.to_string(), |summary| summary.name.clone())
     }
 
     /// The name of a pool, or its key if no row names it.
--- a/crates/node/src/stalls.rs
+++ b/crates/node/src/stalls.rs
@@ -13,11 +13,11 @@
 use crate::action::Action;
 use crate::event::Failure;
 use crate::node::Node;
-use crate::open::Open;
-use crate::open::OpenKey;
+use crate::open::OpenId;
+use crate::open::OpenRequest;
 
 /// Time that any order may take without progress.
-const BASE: Duration = Duration::from_secs(3);
+const BASE_LIMIT: Duration = Duration::from_secs(3);
 /// Further time for each prompt token of a prefill: a thousand tokens a second.
 const PREFILL_TOKEN: Duration = Duration::from_millis(1);
 /// Further time for each prompt token of a transfer: ten thousand tokens a second.
@@ -25,30 +25,32 @@
 
 impl Node {
     /// Aborts orders past their limit and sends their requests on.
-    pub(crate) fn break_stalls(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn abort_stalled_orders(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        let stalled = self.requests.open_where(|entry| now >= limit(entry));
-        for opened in stalled {
-            self.break_stall(opened, out);
+        let stalled = self
+            .requests
+            .open_where(|entry| now >= stall_deadline(entry));
+        for open_id in stalled {
+            self.abort_stalled_order(open_id, out);
         }
     }
 
-    fn break_stall(&mut self, opened: OpenKey, out: &mut Vec<Action>) {
-        let entry = &mut self.requests.open[opened];
-        entry.landed(false);
+    fn abort_stalled_order(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
+        let entry = &mut self.requests.open[open_id];
+        entry.record_order_end(false);
         if let Some(order) = entry.order.take() {
             out.push(Action::Abort { order });
         }
-        if entry.stage == Stage::Decode && entry.origin.is_none() {
-            self.stream_lost(opened, Failure::Lost, out);
+        if entry.stage == Stage::Decode && entry.body_call.is_none() {
+            self.handle_lost_stream(open_id, Failure::Lost, out);
         } else {
-            self.retry(opened, Failure::Lost, out);
+            self.retry(open_id, Failure::Lost, out);
         }
     }
 }
 
 /// When the present order of a request counts as stalled.
-fn limit(entry: &Open) -> Time {
+fn stall_deadline(entry: &OpenRequest) -> Time {
     if entry.order.is_none() || entry.withheld.is_some() {
         return Time::NEVER;
     }
@@ -61,8 +63,8 @@
         Stage::Prefill => PREFILL_TOKEN * tokens,
         Stage::Decode if importing => TRANSFER_TOKEN * tokens,
         Stage::Decode => Duration::ZERO,
-        Stage::Call if entry.repeatable => entry.patience,
+        Stage::Call if entry.repeatable => entry.max_wait,
         Stage::Call | Stage::Waiting | Stage::Ended => return Time::NEVER,
     };
-    entry.times.progress + BASE + extra
+    entry.times.progress + BASE_LIMIT + extra
 }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -18,26 +18,26 @@
 use slotmap::SlotMap;
 use table::view::View;
 
-use crate::desk::Desk;
 use crate::journal::Journal;
-use crate::kept::Kept;
+use crate::kept_pool::KeptPool;
+use crate::key_lookup::KeyLookup;
 use crate::list::ListedInstance;
 use crate::list::ListedReplica;
-use crate::open::Open;
-use crate::open::OpenKey;
-use crate::question::Question;
+use crate::open::OpenId;
+use crate::open::OpenRequest;
 use crate::rows::Rows;
 use crate::settings::Settings;
+use crate::table_sync::TableSync;
 
 /// What an order was for.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Purpose {
+pub(crate) enum OrderPurpose {
     /// Prefill of an open request.
-    Prefill(OpenKey),
+    Prefill(OpenId),
     /// Decode of an open request, or reading its stream.
-    Decode(OpenKey),
+    Decode(OpenId),
     /// Plain call of an open request.
-    Plain(OpenKey),
+    Plain(OpenId),
     /// Release of a hold.
     Cancel,
 }
@@ -45,16 +45,16 @@
 /// Requests that this daemon owns, and their keys.
 #[derive(Debug)]
 pub(crate) struct Requests {
-    pub(crate) open: SlotMap<OpenKey, Open>,
-    pub(crate) by_handle: HashMap<Handle, OpenKey>,
-    pub(crate) by_call: HashMap<Call, OpenKey>,
+    pub(crate) open: SlotMap<OpenId, OpenRequest>,
+    pub(crate) by_handle: HashMap<Handle, OpenId>,
+    pub(crate) by_call: HashMap<Call, OpenId>,
     /// Orders to replicas that are not answered yet.
-    pub(crate) orders: HashMap<Order, Purpose>,
+    pub(crate) orders: HashMap<Order, OrderPurpose>,
     pub(crate) holds: Holds,
     /// Keys of requests that run or ran here.
-    pub(crate) keys: Memory<OpenKey>,
+    pub(crate) keys: Memory<OpenId>,
     /// Callers that wait for what another instance knows of their key.
-    pub(crate) questions: HashMap<u64, Question>,
+    pub(crate) lookups: HashMap<u64, KeyLookup>,
     pub(crate) journal: Journal,
 }
 
@@ -68,13 +68,13 @@
             orders: HashMap::new(),
             holds: Holds::new(),
             keys: Memory::new(settings.window.as_secs(), settings.max_keys),
-            questions: HashMap::new(),
+            lookups: HashMap::new(),
             journal: Journal::new(),
         }
     }
 
     /// Keys of the open requests that are `wanted`.
-    pub(crate) fn open_where(&self, wanted: impl Fn(&Open) -> bool) -> Vec<OpenKey> {
+    pub(crate) fn open_where(&self, wanted: impl Fn(&OpenRequest) -> bool) -> Vec<OpenId> {
         let found = self.open.iter().filter(|(_, open)| wanted(open));
         found.map(|(key, _)| key).collect()
     }
@@ -87,7 +87,7 @@
     /// Former incarnations of this process, given up after a pause.
     pub(crate) former: Vec<Incarnation>,
     /// The instances as the platform lists them.
-    pub(crate) seats: BTreeMap<Instance, ListedInstance>,
+    pub(crate) listed: BTreeMap<Instance, ListedInstance>,
 }
 
 impl Members {
@@ -96,7 +96,7 @@
         Self {
             fleet,
             former: Vec::new(),
-            seats: BTreeMap::new(),
+            listed: BTreeMap::new(),
         }
     }
 }
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 pub(crate) struct Tables {
     pub(crate) view: View,
-    pub(crate) desk: Desk,
+    pub(crate) sync: TableSync,
     pub(crate) rows: Rows,
 }
 
@@ -114,7 +114,7 @@
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             view: View::new(settings.lease),
-            desk: Desk::new(),
+            sync: TableSync::new(),
             rows: Rows::new(),
         }
     }
@@ -123,9 +123,9 @@
 /// The replicas as the platform lists them.
 #[derive(Debug)]
 pub(crate) struct Replicas {
-    pub(crate) backends: BTreeMap<Replica, ListedReplica>,
+    pub(crate) listed: BTreeMap<Replica, ListedReplica>,
     /// Whether a list was told; without one no replica is known.
-    pub(crate) is_listed: bool,
+    pub(crate) has_list: bool,
     /// The part of the replicas that was inspected last.
     pub(crate) inspect_part: u64,
     /// The list as it was read, for daemons that cannot read it.
@@ -136,8 +136,8 @@
     /// No list yet.
     pub(crate) const fn new() -> Self {
         Self {
-            backends: BTreeMap::new(),
-            is_listed: false,
+            listed: BTreeMap::new(),
+            has_list: false,
             inspect_part: 0,
             list_copy: None,
         }
@@ -148,7 +148,7 @@
 #[derive(Debug)]
 pub(crate) struct Pools {
     /// Those that this daemon keeps.
-    pub(crate) cells: BTreeMap<Pool, Kept>,
+    pub(crate) kept: BTreeMap<Pool, KeptPool>,
     pub(crate) keepers: BTreeMap<Pool, Instance>,
 }
 
@@ -156,7 +156,7 @@
     /// None yet.
     pub(crate) const fn new() -> Self {
         Self {
-            cells: BTreeMap::new(),
+            kept: BTreeMap::new(),
             keepers: BTreeMap::new(),
         }
     }
@@ -164,9 +164,9 @@
 
 /// Pauses and the end of this daemon.
 #[derive(Debug)]
-pub(crate) struct Life {
+pub(crate) struct Lifecycle {
     /// When the last pause longer than the lease ended.
-    pub(crate) woke: Time,
+    pub(crate) pause_ended: Time,
     /// Since when a planned stop is under way.
     pub(crate) leaving: Option<Time>,
     pub(crate) finished: bool,
@@ -176,11 +176,11 @@
     pub(crate) drained: Option<Time>,
 }
 
-impl Life {
+impl Lifecycle {
     /// A daemon that starts at `now`.
     pub(crate) const fn new(now: Time) -> Self {
         Self {
-            woke: now,
+            pause_ended: now,
             leaving: None,
             finished: false,
             idle_since: None,
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -11,37 +11,37 @@
 use crate::event::Piece;
 use crate::node::Node;
 use crate::open::End;
-use crate::open::Open;
-use crate::open::OpenKey;
+use crate::open::OpenId;
+use crate::open::OpenRequest;
 use crate::open::Withheld;
-use crate::state::Purpose;
+use crate::state::OrderPurpose;
 
 impl Node {
-    pub(crate) fn streamed(&mut self, order: Order, piece: Piece, out: &mut Vec<Action>) {
-        let Some(Purpose::Decode(opened)) = self.requests.orders.get(&order).copied() else {
+    pub(crate) fn handle_stream(&mut self, order: Order, piece: Piece, out: &mut Vec<Action>) {
+        let Some(OrderPurpose::Decode(open_id)) = self.requests.orders.get(&order).copied() else {
             return;
         };
-        match self.requests.open.get_mut(opened) {
+        match self.requests.open.get_mut(open_id) {
             Some(entry) if entry.order != Some(order) => (),
-            Some(Open {
+            Some(OpenRequest {
                 withheld: Some(withheld),
                 ..
             }) => withheld.push(Withheld::Piece(order, piece)),
-            Some(_) => self.piece(opened, piece, out),
+            Some(_) => self.handle_piece(open_id, piece, out),
             None => (),
         }
     }
 
-    pub(crate) fn piece(&mut self, opened: OpenKey, piece: Piece, out: &mut Vec<Action>) {
+    pub(crate) fn handle_piece(&mut self, open_id: OpenId, piece: Piece, out: &mut Vec<Action>) {
         match piece {
-            Piece::Imported => self.imported(opened, out),
+            Piece::Imported => self.handle_import(open_id, out),
             Piece::Tokens {
                 offset,
                 count,
                 text,
             } => {
-                self.tokens(
-                    opened,
+                self.handle_tokens(
+                    open_id,
                     Run {
                         offset,
                         count,
@@ -50,33 +50,33 @@
                     out,
                 );
             }
-            Piece::End { offset } => self.stream_end(opened, offset, out),
-            Piece::Superseded => self.end(opened, &End::Superseded, out),
+            Piece::End { offset } => self.handle_stream_end(open_id, offset, out),
+            Piece::Superseded => self.end(open_id, &End::Superseded, out),
         }
     }
 
-    fn imported(&mut self, opened: OpenKey, out: &mut Vec<Action>) {
-        let entry = &mut self.requests.open[opened];
+    fn handle_import(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
+        let entry = &mut self.requests.open[open_id];
         entry.computed = 0;
-        entry.attach_tries = 0;
+        entry.attach_failures = 0;
         entry.times.progress = self.now;
         if let Some(hold) = entry.prefill_hold.take() {
             self.requests.holds.erase(hold);
         }
-        if !matches!(self.requests.open[opened].phase, Some(Phase::Decoding)) {
-            self.advance(opened, Phase::Decoding, out);
+        if !matches!(self.requests.open[open_id].phase, Some(Phase::Decoding)) {
+            self.report_phase(open_id, Phase::Decoding, out);
         }
     }
 
-    fn tokens(&mut self, opened: OpenKey, run: Run, out: &mut Vec<Action>) {
+    fn handle_tokens(&mut self, open_id: OpenId, run: Run, out: &mut Vec<Action>) {
         let now = self.now;
-        let entry = &mut self.requests.open[opened];
-        entry.attach_tries = 0;
+        let entry = &mut self.requests.open[open_id];
+        entry.attach_failures = 0;
         entry.times.progress = now;
         let mut ready = Vec::new();
         let arrival = entry.sequence.arrive(run, &mut ready);
         if arrival == Arrival::Ready {
-            note_tokens(entry, now, out);
+            record_token_times(entry, now, out);
         }
         if let Some(call) = entry.call {
             out.extend(ready.into_iter().map(|run| Action::SendToCaller {
@@ -89,23 +89,23 @@
             }));
         }
         if arrival == Arrival::Broken {
-            let offset = self.requests.open[opened].sequence.delivered();
-            self.attach(opened, offset, out);
+            let offset = self.requests.open[open_id].sequence.delivered();
+            self.attach(open_id, offset, out);
         }
     }
 
-    fn stream_end(&mut self, opened: OpenKey, tokens: u32, out: &mut Vec<Action>) {
-        let delivered = self.requests.open[opened].sequence.delivered();
+    fn handle_stream_end(&mut self, open_id: OpenId, tokens: u32, out: &mut Vec<Action>) {
+        let delivered = self.requests.open[open_id].sequence.delivered();
         if delivered < tokens {
-            self.attach(opened, delivered, out);
+            self.attach(open_id, delivered, out);
         } else {
-            self.end(opened, &End::Streamed { tokens }, out);
+            self.end(open_id, &End::Streamed { tokens }, out);
         }
     }
 
     /// Compares a finished request with its targets.
-    pub(crate) fn count_targets(&self, opened: OpenKey, out: &mut Vec<Action>) {
-        let entry = &self.requests.open[opened];
+    pub(crate) fn count_targets(&self, open_id: OpenId, out: &mut Vec<Action>) {
+        let entry = &self.requests.open[open_id];
         let first = entry.times.first.unwrap_or(self.now);
         let ttft = first.since(entry.times.arrived).as_micros() as u64;
         let last = entry.times.last.unwrap_or(first);
@@ -123,7 +123,7 @@
     }
 }
 
-fn note_tokens(entry: &mut Open, now: ident::Time, out: &mut Vec<Action>) {
+fn record_token_times(entry: &mut OpenRequest, now: ident::Time, out: &mut Vec<Action>) {
     if entry.times.first.is_none() {
         entry.times.first = Some(now);
         let micros = now.since(entry.times.arrived).as_micros() as u64;
--- a/crates/node/src/sweeping.rs
+++ b/crates/node/src/sweeping.rs
@@ -22,7 +22,7 @@
 /// Age from which a placed attempt is audited.
 const AUDIT_AGE: Duration = Duration::from_secs(4);
 /// Stands for no replica in the questions of an audit.
-const AUDITED: Replica = Replica(0);
+const NO_REPLICA: Replica = Replica(0);
 
 impl Node {
     /// Compares what a replica holds with what live owners want.
@@ -42,7 +42,7 @@
                 Some(owner) => questions.entry(owner).or_default().push(held.handle),
             }
         }
-        self.note_orphans(pool, replica, &orphans, out);
+        self.update_orphans(pool, replica, &orphans, out);
         for (owner, handles) in questions {
             self.send(owner, Body::Claimed { replica, handles }, out);
         }
@@ -50,7 +50,7 @@
 
     fn is_placed(&self, pool: Pool, handle: Handle) -> bool {
         self.pools
-            .cells
+            .kept
             .get(&pool)
             .is_some_and(|kept| kept.placed.contains_key(&handle))
     }
@@ -68,7 +68,7 @@
         majority && !self.members.fleet.paused(self.now)
     }
 
-    fn note_orphans(
+    fn update_orphans(
         &mut self,
         pool: Pool,
         replica: Replica,
@@ -78,7 +78,7 @@
         let now = self.now;
         let grace = self.settings.orphan_grace;
         let may_sweep = self.may_sweep();
-        let Some(kept) = self.pools.cells.get_mut(&pool) else {
+        let Some(kept) = self.pools.kept.get_mut(&pool) else {
             return;
         };
         kept.orphans.retain(|(at, handle), _| {
@@ -97,11 +97,11 @@
             }
         }
         for held in due {
-            self.sweep_one(replica, held, out);
+            self.cancel_orphan(replica, held, out);
         }
     }
 
-    fn sweep_one(&mut self, replica: Replica, held: HeldAttempt, out: &mut Vec<Action>) {
+    fn cancel_orphan(&mut self, replica: Replica, held: HeldAttempt, out: &mut Vec<Action>) {
         let handle = held.handle;
         if !self.requests.holds.has(replica, handle) {
             self.requests
@@ -117,11 +117,11 @@
             out,
         );
         out.push(Action::Count(Count::Swept));
-        self.advanced(handle, Phase::Gone);
+        self.handle_progress(handle, Phase::Gone);
     }
 
     /// A keeper found attempts that name this daemon as owner: those not open are disowned.
-    pub(crate) fn claimed(
+    pub(crate) fn handle_claims(
         &mut self,
         from: Instance,
         replica: Replica,
@@ -131,8 +131,8 @@
         let mut disowned = Vec::new();
         for handle in handles {
             match self.requests.by_handle.get(handle).copied() {
-                Some(opened) if self.requests.open[opened].place.is_some() => {
-                    self.tell_keeper_adopted(opened, out);
+                Some(open_id) if self.requests.open[open_id].placement.is_some() => {
+                    self.notify_keeper(open_id, out);
                 }
                 Some(_) => (),
                 None => disowned.push(*handle),
@@ -151,10 +151,15 @@
     }
 
     /// An owner disowns attempts that this keeper found.
-    pub(crate) fn disowned(&mut self, replica: Replica, handles: &[Handle], out: &mut Vec<Action>) {
+    pub(crate) fn handle_disowned(
+        &mut self,
+        replica: Replica,
+        handles: &[Handle],
+        out: &mut Vec<Action>,
+    ) {
         for handle in handles {
-            self.advanced(*handle, Phase::Gone);
-            if self.replicas.backends.contains_key(&replica)
+            self.handle_progress(*handle, Phase::Gone);
+            if self.replicas.listed.contains_key(&replica)
                 && !self.requests.holds.has(replica, *handle)
             {
                 let fence = self.unix_ms();
@@ -184,7 +189,7 @@
         }
         let mut gone = Vec::new();
         let mut questions: BTreeMap<Instance, Vec<Handle>> = BTreeMap::new();
-        for kept in self.pools.cells.values() {
+        for kept in self.pools.kept.values() {
             for (handle, placed) in &kept.placed {
                 let dead = self.live_owner(placed.incarnation).is_none();
                 let grace = self.settings.orphan_grace + AUDIT_AGE;
@@ -196,10 +201,10 @@
             }
         }
         for handle in gone {
-            self.advanced(handle, Phase::Gone);
+            self.handle_progress(handle, Phase::Gone);
         }
         for (owner, handles) in questions {
-            let replica = AUDITED;
+            let replica = NO_REPLICA;
             self.send(owner, Body::Claimed { replica, handles }, out);
         }
     }
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/table_sync.rs
@@ -7,33 +7,33 @@
 use ident::Time;
 use ledger::ids::Query;
 
-use crate::edition::Edition;
+use crate::pending_edit::PendingEdit;
 
 /// What this daemon does about the table.
 #[derive(Debug)]
-pub(crate) struct Desk {
-    pub(crate) reading: Option<(Query, Time)>,
+pub(crate) struct TableSync {
+    pub(crate) pending_read: Option<(Query, Time)>,
     /// When the store was last proved to hold this generation, here or by whoever told.
     pub(crate) proved: Option<Time>,
     /// What each instance last told.
-    pub(crate) told: BTreeMap<Instance, Heard>,
-    pub(crate) editions: BTreeMap<u64, Edition>,
+    pub(crate) peers: BTreeMap<Instance, PeerTable>,
+    pub(crate) pending_edits: BTreeMap<u64, PendingEdit>,
 }
 
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Heard {
+pub(crate) struct PeerTable {
     pub(crate) generation: u64,
     pub(crate) at: Time,
     pub(crate) settled: Option<Time>,
 }
 
-impl Desk {
+impl TableSync {
     pub(crate) const fn new() -> Self {
         Self {
-            reading: None,
+            pending_read: None,
             proved: None,
-            told: BTreeMap::new(),
-            editions: BTreeMap::new(),
+            peers: BTreeMap::new(),
+            pending_edits: BTreeMap::new(),
         }
     }
 
@@ -47,7 +47,7 @@
         self.proved.map(|proved| now.since(proved))
     }
 
-    pub(crate) fn generation_told(&self, instance: Instance) -> Option<u64> {
-        self.told.get(&instance).map(|heard| heard.generation)
+    pub(crate) fn peer_generation(&self, instance: Instance) -> Option<u64> {
+        self.peers.get(&instance).map(|peer| peer.generation)
     }
 }
--- a/crates/node/src/tables.rs
+++ b/crates/node/src/tables.rs
@@ -26,7 +26,7 @@
 /// Pause after which an unanswered read of the store is given up.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 /// What the poller of a data centre is chosen by.
-const POLLER: u64 = 0x706f_6c6c;
+const POLLER_KEY: u64 = 0x706f_6c6c;
 
 impl Node {
     /// Reads the generation if this daemon polls for its data centre, or has no fresh proof.
@@ -35,10 +35,10 @@
         self.timers.poll = now + self.settings.poll_every;
         let waiting = self
             .tables
-            .desk
-            .reading
+            .sync
+            .pending_read
             .is_some_and(|(_, since)| now < since + READ_TIMEOUT);
-        let poller = self.members.fleet.owner_in(self.settings.zone, POLLER);
+        let poller = self.members.fleet.owner_in(self.settings.zone, POLLER_KEY);
         let mine = poller.is_none_or(|poller| poller == self.settings.instance);
         let stale = self
             .tables
@@ -51,13 +51,13 @@
             } else {
                 StoreRequest::Generation
             };
-            self.read(ask, out);
+            self.read_store(ask, out);
         }
     }
 
-    pub(crate) fn read(&mut self, ask: StoreRequest, out: &mut Vec<Action>) {
-        let query = self.query();
-        self.tables.desk.reading = Some((query, self.now));
+    pub(crate) fn read_store(&mut self, ask: StoreRequest, out: &mut Vec<Action>) {
+        let query = self.new_query();
+        self.tables.sync.pending_read = Some((query, self.now));
         out.push(Action::Query {
             query,
             request: ask,
@@ -65,47 +65,53 @@
     }
 
     /// The store answered.
-    pub(crate) fn stored(&mut self, query: Query, outcome: StoreReply, out: &mut Vec<Action>) {
+    pub(crate) fn handle_store_reply(
+        &mut self,
+        query: Query,
+        outcome: StoreReply,
+        out: &mut Vec<Action>,
+    ) {
         let recorded = matches!(outcome, StoreReply::Recorded);
-        if self.recorded(query, recorded) || self.looked_up(query, &outcome, out) {
+        if self.outcomes_written(query, recorded) || self.handle_lookup_reply(query, &outcome, out)
+        {
             return;
         }
-        let edition = self
+        let pending = self
             .tables
-            .desk
-            .editions
+            .sync
+            .pending_edits
             .iter()
-            .find(|(_, edition)| edition.commit == query);
-        if let Some(number) = edition.map(|(number, _)| *number) {
-            return self.committed(number, outcome, out);
+            .find(|(_, pending)| pending.commit == query);
+        if let Some(number) = pending.map(|(number, _)| *number) {
+            return self.handle_commit(number, outcome, out);
         }
-        let reading = self
+        let pending_read = self
             .tables
-            .desk
-            .reading
-            .take_if(|(reading, _)| *reading == query);
-        let Some((_, since)) = reading else {
+            .sync
+            .pending_read
+            .take_if(|(pending_read, _)| *pending_read == query);
+        let Some((_, since)) = pending_read else {
             return;
         };
         match outcome {
             StoreReply::Generation { generation } => {
                 self.tables.view.announce(generation);
                 if self.tables.view.behind() {
-                    self.read(StoreRequest::Table, out);
+                    self.read_store(StoreRequest::Table, out);
                 } else {
-                    self.prove(since);
+                    self.record_proof(since);
                 }
             }
             StoreReply::Table(table) => {
                 self.tables.view.announce(table.generation);
-                self.take_table(*table, out);
-                self.prove(since);
+                self.apply_table(*table, out);
+                self.record_proof(since);
             }
             _ => (),
         }
     }
 
-    pub(crate) fn take_table(&mut self, table: Table, out: &mut Vec<Action>) {
+    pub(crate) fn apply_table(&mut self, table: Table, out: &mut Vec<Action>) {
         let generation = table.generation;
         if self.tables.view.offer(self.now, table) == Offer::Taken {
             let name = self.settings.name.clone();
@@ -121,13 +127,13 @@
                 .view
                 .table()
                 .is_some_and(|table| table.drains_instance(&self.settings.name));
-            self.life.drained = marked.then(|| self.life.drained.unwrap_or(self.now));
+            self.lifecycle.drained = marked.then(|| self.lifecycle.drained.unwrap_or(self.now));
             self.refresh_cells();
-            self.tell_news(out);
+            self.send_news(out);
         }
     }
 
-    pub(crate) fn pulled(&mut self, from: Instance, out: &mut Vec<Action>) {
+    pub(crate) fn send_table(&mut self, from: Instance, out: &mut Vec<Action>) {
         if let Some(table) = self.tables.view.table().cloned() {
             self.send(from, Body::Push(Box::new(table)), out);
         }
--- a/crates/node/src/takeovers.rs
+++ b/crates/node/src/takeovers.rs
@@ -16,9 +16,9 @@
 use crate::action::Reason;
 use crate::decision::Step;
 use crate::node::Node;
-use crate::open::Open;
-use crate::open::OpenKey;
-use crate::open::Place;
+use crate::open::OpenId;
+use crate::open::OpenRequest;
+use crate::open::Placement;
 use crate::open::Reach;
 use crate::open::Targets;
 use crate::retries::continue_from;
@@ -30,13 +30,13 @@
 
 impl Node {
     /// Tells the present connection the head of the stream, once.
-    pub(crate) fn tell_head(&mut self, opened: OpenKey, out: &mut Vec<Action>) {
-        let token = self.token_of(opened);
-        let entry = &mut self.requests.open[opened];
+    pub(crate) fn send_head(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
+        let token = self.resume_token(open_id);
+        let entry = &mut self.requests.open[open_id];
         let handle = entry.handle();
         match (entry.call, token) {
-            (Some(call), Some(token)) if !entry.headed => {
-                entry.headed = true;
+            (Some(call), Some(token)) if !entry.head_sent => {
+                entry.head_sent = true;
                 out.push(Action::SendToCaller {
                     call,
                     message: CallerMessage::Head { handle, token },
@@ -47,9 +47,9 @@
     }
 
     /// The sealed resume token of a stream.
-    pub(crate) fn token_of(&self, opened: OpenKey) -> Option<String> {
-        let entry = &self.requests.open[opened];
-        let place = entry.place?;
+    pub(crate) fn resume_token(&self, open_id: OpenId) -> Option<String> {
+        let entry = &self.requests.open[open_id];
+        let placement = entry.placement?;
         let Work::Model {
             prompt_tokens,
             max_tokens,
@@ -60,7 +60,7 @@
         };
         let token = Token {
             handle: entry.handle(),
-            replica: place.run,
+            replica: placement.serving,
             pool: entry.pool,
             row: entry.ticket.row,
             customer: entry.customer.clone(),
@@ -71,7 +71,7 @@
         Some(token.seal(&self.settings.secret))
     }
 
-    pub(crate) fn resumed(
+    pub(crate) fn handle_resume(
         &mut self,
         call: Call,
         customer: &str,
@@ -85,8 +85,8 @@
             return self.refuse(call, customer, refusal, out);
         };
         match self.requests.by_handle.get(&token.handle).copied() {
-            Some(opened) => self.take_over_locally(opened, call, offset, false, out),
-            None if !self.replicas.backends.contains_key(&token.replica) => {
+            Some(open_id) => self.move_to_connection(open_id, call, offset, false, out),
+            None if !self.replicas.listed.contains_key(&token.replica) => {
                 let refusal = self.refusal_elsewhere(Outcome::Unknown, Reason::NoReplica);
                 self.refuse(call, customer, refusal, out);
             }
@@ -95,15 +95,15 @@
     }
 
     /// Moves an open request to a newer connection of the same caller.
-    pub(crate) fn take_over_locally(
+    pub(crate) fn move_to_connection(
         &mut self,
-        opened: OpenKey,
+        open_id: OpenId,
         call: Call,
         offset: u32,
         brings_body: bool,
         out: &mut Vec<Action>,
     ) {
-        let entry = &mut self.requests.open[opened];
+        let entry = &mut self.requests.open[open_id];
         if let Some(former) = entry.call.replace(call) {
             self.requests.by_call.remove(&former);
             out.push(Action::SendToCaller {
@@ -111,10 +111,10 @@
                 message: CallerMessage::Superseded,
             });
         }
-        self.requests.by_call.insert(call, opened);
-        entry.origin = brings_body.then_some(call);
-        entry.times.left = None;
-        entry.headed = false;
+        self.requests.by_call.insert(call, open_id);
+        entry.body_call = brings_body.then_some(call);
+        entry.times.disconnected = None;
+        entry.head_sent = false;
         if entry.stage != Stage::Decode {
             entry.sequence = Sequence::new(offset);
             if entry.stage == Stage::Waiting {
@@ -123,9 +123,9 @@
             return;
         }
         let in_place = entry.order.is_some() && entry.sequence.delivered() == offset;
-        self.tell_head(opened, out);
+        self.send_head(open_id, out);
         if !in_place {
-            self.attach(opened, offset, out);
+            self.attach(open_id, offset, out);
         }
     }
 
@@ -135,25 +135,25 @@
             let refusal = self.refusal_elsewhere(Outcome::NotRun, Reason::Full);
             return self.refuse(call, &token.customer, refusal, out);
         }
-        let opened = self.insert_adopted(call, token, offset);
-        let label = self.requests.open[opened].label();
+        let open_id = self.insert_adopted(call, token, offset);
+        let label = self.requests.open[open_id].label();
         let choice = format!("{} at {}", token.handle, self.replica_name(token.replica));
         let reason = format!("resume token, from token {offset}");
         self.log(&label, Step::Adopt, &choice, &reason, out);
-        self.tell_head(opened, out);
-        self.attach(opened, offset, out);
-        self.tell_keeper_adopted(opened, out);
+        self.send_head(open_id, out);
+        self.attach(open_id, offset, out);
+        self.notify_keeper(open_id, out);
     }
 
     /// Tells the keeper of a placed request that this daemon owns it.
-    pub(crate) fn tell_keeper_adopted(&mut self, opened: OpenKey, out: &mut Vec<Action>) {
-        let keeper = self.keeper_of(self.requests.open[opened].pool);
-        if let Some(hold) = self.hold_of(opened) {
+    pub(crate) fn notify_keeper(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
+        let keeper = self.keeper_of(self.requests.open[open_id].pool);
+        if let Some(hold) = self.hold_of(open_id) {
             self.send(keeper, Body::Adopt(Box::new(hold)), out);
         }
     }
 
-    fn insert_adopted(&mut self, call: Call, token: &Token, offset: u32) -> OpenKey {
+    fn insert_adopted(&mut self, call: Call, token: &Token, offset: u32) -> OpenId {
         let work = Work::Model {
             prompt_tokens: token.prompt_tokens,
             max_tokens: token.max_tokens,
@@ -165,22 +165,22 @@
             .tables
             .rows
             .get(token.row)
-            .map_or_else(Targets::none, |brief| brief.targets);
-        let opened = self.requests.open.insert(Open {
+            .map_or_else(Targets::none, |summary| summary.targets);
+        let open_id = self.requests.open.insert(OpenRequest {
             stage: Stage::Decode,
-            place: Some(Place {
+            placement: Some(Placement {
                 prefill: None,
-                run: token.replica,
+                serving: token.replica,
             }),
             phase: Some(Phase::Decoding),
             fence: self.unix_ms().max(token.fence + TAKEOVER_STEP),
             sequence: Sequence::new(offset),
             reach: Reach::Touched,
             targets,
-            ..Open::new(call, &token.customer, token.pool, ticket, self.now)
+            ..OpenRequest::new(call, &token.customer, token.pool, ticket, self.now)
         });
-        self.requests.by_handle.insert(token.handle, opened);
-        self.requests.by_call.insert(call, opened);
-        opened
+        self.requests.by_handle.insert(token.handle, open_id);
+        self.requests.by_call.insert(call, open_id);
+        open_id
     }
 }
--- a/crates/node/src/rounds.rs
+++ b/crates/node/src/timer_tasks.rs
@@ -15,7 +15,7 @@
 impl Node {
     /// When `Event::Tick` is wanted at the latest.
     pub fn next_wake(&self) -> Time {
-        self.timers.first().min(self.requests.holds.next())
+        self.timers.earliest().min(self.requests.holds.next())
     }
 
     /// Carries out all that is due.
@@ -32,7 +32,7 @@
             self.poll(out);
         }
         if now >= self.timers.news {
-            self.tell_news(out);
+            self.send_news(out);
         }
         if now >= self.timers.inspect {
             self.inspect(out);
@@ -41,7 +41,7 @@
             self.audit(out);
         }
         if now >= self.timers.record {
-            self.record(out);
+            self.write_outcomes(out);
         }
         if now >= self.timers.cells {
             self.step_cells(out);
@@ -63,10 +63,10 @@
             self.reassign(out);
         }
         self.resubmit(out);
-        self.break_stalls(out);
-        self.attach_again(out);
-        self.give_up_left(out);
-        self.expire_questions(out);
+        self.abort_stalled_orders(out);
+        self.retry_attach(out);
+        self.end_abandoned(out);
+        self.expire_lookups(out);
         self.expire_edits(out);
         self.try_finish(out);
     }
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -33,7 +33,7 @@
     }
 
     /// When the first of them is due.
-    pub(crate) fn first(&self) -> Time {
+    pub(crate) fn earliest(&self) -> Time {
         self.fleet
             .min(self.cells)
             .min(self.inspect)
--- a/crates/node/src/token.rs
+++ b/crates/node/src/token.rs
@@ -18,7 +18,7 @@
 
 const TAG_LEN: usize = 32;
 /// Longest token text that is looked at, in bytes.
-const MAX_TEXT: usize = 2048;
+const MAX_TOKEN_BYTES: usize = 2048;
 
 /// What a resume token tells.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
 
     /// The token in `text`; `None` if it is damaged, forged or sealed under another secret.
     pub fn open(text: &str, secret: &[u8]) -> Option<Self> {
-        if text.len() > MAX_TEXT {
+        if text.len() > MAX_TOKEN_BYTES {
             return None;
         }
         let bytes = URL_SAFE_NO_PAD.decode(text).ok()?;
--- a/crates/node/src/verifying.rs
+++ b/crates/node/src/verifying.rs
@@ -12,16 +12,16 @@
 use crate::http_status;
 use crate::node::Node;
 use crate::open::End;
-use crate::open::OpenKey;
+use crate::open::OpenId;
 use crate::open::Withheld;
 
 /// Time within which an order that was sent may not yet show at its replica.
-const ORDER_TRAVEL: Duration = Duration::from_secs(1);
+const ORDER_TRANSIT: Duration = Duration::from_secs(1);
 
 impl Node {
     /// Withholds every stream until it is verified: this daemon was paused for longer than the
     /// lease, and others may have taken its streams over.
-    pub(crate) fn suspect_streams(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn withhold_streams(&mut self, out: &mut Vec<Action>) {
         for entry in self
             .requests
             .open
@@ -30,18 +30,18 @@
         {
             entry.withheld.get_or_insert_default();
         }
-        self.recheck_suspects(out);
+        self.inspect_withheld(out);
     }
 
     /// Asks the replicas of withheld streams for their state.
-    pub(crate) fn recheck_suspects(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn inspect_withheld(&mut self, out: &mut Vec<Action>) {
         let asked = self.now;
         let replicas: BTreeSet<Replica> = self
             .requests
             .open
             .values()
             .filter(|entry| entry.withheld.is_some())
-            .filter_map(|entry| entry.place.map(|place| place.run))
+            .filter_map(|entry| entry.placement.map(|placement| placement.serving))
             .collect();
         out.extend(replicas.into_iter().map(|replica| Action::Inspect {
             replica,
@@ -58,51 +58,61 @@
         out: &mut Vec<Action>,
     ) {
         let suspects = self.requests.open_where(|entry| {
-            entry.withheld.is_some() && entry.place.is_some_and(|place| place.run == replica)
+            entry.withheld.is_some()
+                && entry
+                    .placement
+                    .is_some_and(|placement| placement.serving == replica)
         });
-        for opened in suspects {
-            let handle = self.requests.open[opened].handle();
+        for open_id in suspects {
+            let handle = self.requests.open[open_id].handle();
             let held = works.iter().find(|held| held.handle == handle).copied();
-            self.verify_one(opened, held, out);
+            self.verify_stream(open_id, held, out);
         }
     }
 
     /// The engine keeps the highest fence it was told, also where it does not enforce it: only a
     /// higher one than this daemon's shows another reader.
-    fn verify_one(&mut self, opened: OpenKey, held: Option<HeldAttempt>, out: &mut Vec<Action>) {
+    fn verify_stream(&mut self, open_id: OpenId, held: Option<HeldAttempt>, out: &mut Vec<Action>) {
         let mine = self.incarnation();
         let now = self.now;
-        let entry = &mut self.requests.open[opened];
-        let just_sent = now < entry.times.progress + ORDER_TRAVEL;
+        let entry = &mut self.requests.open[open_id];
+        let just_sent = now < entry.times.progress + ORDER_TRANSIT;
         let withheld = entry.withheld.take().unwrap_or_default();
         match held {
-            Some(held) if held.fence > entry.fence => self.end(opened, &End::Superseded, out),
-            _ if entry.is_left(now) => self.abandon(opened, "the caller did not come back", out),
-            Some(held) if held.owner == mine => self.tell_withheld(opened, withheld, out),
+            Some(held) if held.fence > entry.fence => self.end(open_id, &End::Superseded, out),
+            _ if entry.is_abandoned(now) => {
+                self.abandon(open_id, "the caller did not come back", out)
+            }
+            Some(held) if held.owner == mine => self.deliver_withheld(open_id, withheld, out),
             None if just_sent => entry.withheld = Some(withheld),
             Some(_) => {
                 let offset = entry.sequence.delivered();
-                self.attach(opened, offset, out);
-                self.tell_keeper_adopted(opened, out);
+                self.attach(open_id, offset, out);
+                self.notify_keeper(open_id, out);
             }
             None => {
                 let failure = Failure::Refused {
                     status: http_status::NOT_FOUND,
                     fence: None,
                 };
-                self.stream_lost(opened, failure, out);
+                self.handle_lost_stream(open_id, failure, out);
             }
         }
     }
 
-    fn tell_withheld(&mut self, opened: OpenKey, withheld: Vec<Withheld>, out: &mut Vec<Action>) {
+    fn deliver_withheld(
+        &mut self,
+        open_id: OpenId,
+        withheld: Vec<Withheld>,
+        out: &mut Vec<Action>,
+    ) {
         for arrival in withheld {
             match arrival {
-                Withheld::Piece(order, piece) if self.is_current(opened, order) => {
-                    self.piece(opened, piece, out);
+                Withheld::Piece(order, piece) if self.is_current(open_id, order) => {
+                    self.handle_piece(open_id, piece, out);
                 }
-                Withheld::End(order, failure) if self.is_current(opened, order) => {
-                    self.decode_failed(opened, failure, out);
+                Withheld::End(order, failure) if self.is_current(open_id, order) => {
+                    self.handle_decode_failure(open_id, failure, out);
                 }
                 _ => (),
             }
