--- a/crates/node/examples/drive.rs
+++ b/crates/node/examples/drive.rs
@@ -1,8 +1,8 @@
 //! Drives one core by events and actions alone: no sockets, files, clock or threads.
 //!
-//! One daemon, a prefill and a decode engine and one plain application. A model request is
-//! streamed to its end, and a booking is answered. Whoever embeds the core does what
-//! [`Drive::carry_out`] does, with real replicas, callers and a real store behind it.
+//! One daemon with a prefill engine, a decode engine and a plain application streams a model
+//! request to its end and answers a booking. A real driver does the same as [`Drive::carry_out`],
+//! with replicas, callers and a store behind it.
 //!
 //! Run it with `cargo run -p node --example drive`.
 
@@ -71,7 +71,7 @@
     drive.run(Duration::from_secs(10));
 }
 
-/// The core, its clock, and what is on the way to it.
+/// The core, its clock and the pending events.
 struct Drive {
     node: Node,
     now: Time,
@@ -92,8 +92,7 @@
         self.events.push_back(event);
     }
 
-    /// Steps the core for `span` of virtual time: by events while there are any, else when it
-    /// wants to be woken.
+    /// Steps the core for `span` of virtual time, with pending events or at its next due time.
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -111,7 +110,7 @@
         }
     }
 
-    /// What a driver does with actions; the replicas and the store here answer at once.
+    /// Carries out an action; replicas and store answer at once.
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Order { order, task, .. } => self.answer_order(order, &task),
@@ -128,7 +127,7 @@
                 });
             }
             Action::SendToCaller { call, message } => {
-                println!("{call:?} is told {}", shown(&message))
+                println!("{call:?} receives {}", shown(&message))
             }
             Action::Log(decision) => println!(
                 "  {} {}: {} ({})",
@@ -139,7 +138,7 @@
             ),
             Action::Fault { cause } => println!("fault: {cause}"),
             Action::Finished => println!("nothing is in progress; the process may end"),
-            // Frames go to other daemons, and aborts drop connections: there are none here.
+            // There are no other daemons and no connections here.
             Action::Send { .. } | Action::Abort { .. } | Action::UseList(_) | Action::Count(_) => {}
         }
     }
@@ -185,8 +184,8 @@
     }
 }
 
-fn answer_query(ask: &StoreRequest) -> StoreReply {
-    match ask {
+fn answer_query(request: &StoreRequest) -> StoreReply {
+    match request {
         StoreRequest::Generation => StoreReply::Generation { generation: 1 },
         StoreRequest::Table => StoreReply::Table(Box::new(table())),
         StoreRequest::Record { .. } => StoreReply::Recorded,
@@ -198,7 +197,7 @@
     }
 }
 
-/// The state of a replica that does nothing.
+/// Returns the state of an idle replica.
 fn idle() -> Inspection {
     Inspection {
         report: Report {
@@ -214,10 +213,10 @@
     }
 }
 
-fn shown(tell: &CallerMessage) -> String {
-    match tell {
+fn shown(message: &CallerMessage) -> String {
+    match message {
         CallerMessage::Head { handle, .. } => format!("the head of {handle}, with a resume token"),
-        _ => format!("{tell:?}"),
+        _ => format!("{message:?}"),
     }
 }
 
@@ -251,7 +250,7 @@
 
 fn list() -> PlatformList {
     let zone = Zone::new("osijek-a");
-    let backend = |name: &str, pool: &str, role| ListedReplica {
+    let replica = |name: &str, pool: &str, role| ListedReplica {
         replica: Replica::new(name),
         name: name.to_owned(),
         zone,
@@ -261,7 +260,7 @@
         fences: true,
         leaving: false,
     };
-    let seat = ListedInstance {
+    let instance = ListedInstance {
         instance: Instance::new("entry-1"),
         name: "entry-1".to_owned(),
         zone,
@@ -269,11 +268,11 @@
         leaving: false,
     };
     PlatformList {
-        instances: vec![seat],
+        instances: vec![instance],
         replicas: vec![
-            backend("ration-prefill", "ration", Role::Prefill),
-            backend("ration-decode", "ration", Role::Decode),
-            backend("booking-app", "booking", Role::Plain),
+            replica("ration-prefill", "ration", Role::Prefill),
+            replica("ration-decode", "ration", Role::Decode),
+            replica("booking-app", "booking", Role::Plain),
         ],
     }
 }
--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -1,4 +1,4 @@
-//! What a daemon does: the output of [`crate::Node::step`].
+//! Actions that the driver carries out: the output of [`crate::Node::step`].
 
 use bytes::Bytes;
 use ident::Handle;
@@ -14,43 +14,44 @@
 use crate::ids::Order;
 use crate::ids::Query;
 
-/// One action.
+/// One action of a daemon.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Send an order to a replica.
     Order {
-        /// Names the order in the answering event.
+        /// Identifies the order in the events that answer it.
         order: Order,
         /// The replica.
         replica: Replica,
         /// The attempt.
         handle: Handle,
-        /// Owner to be named to the replica.
+        /// Incarnation that owns the attempt.
         owner: Incarnation,
         /// Fencing number.
         fence: u64,
-        /// What to do.
+        /// Work to carry out.
         task: Task,
     },
-    /// Drop the connection of an order; `Event::Failed` with `Lost` follows unless it ended before.
+    /// Close the connection of an order; `Event::Failed` with `Lost` follows unless it ended
+    /// before.
     Abort {
         /// The order.
         order: Order,
     },
-    /// Ask a replica for its state; cache events after the last one seen.
+    /// Request the state of a replica and its cache events after the last one seen.
     Inspect {
         /// The replica.
         replica: Replica,
         /// Last cache event seen.
         after: u64,
-        /// When it is asked; `Event::Inspected` repeats it.
+        /// Time of the request; `Event::Inspected` repeats it.
         asked: Time,
     },
-    /// Say something to a caller.
+    /// Send a message to a caller.
     SendToCaller {
         /// The caller's connection.
         call: Call,
-        /// What to say.
+        /// The message.
         message: CallerMessage,
     },
     /// Send a frame to a peer.
@@ -60,83 +61,83 @@
         /// The frame.
         frame: Box<Frame>,
     },
-    /// Take a peer's copy of the platform's list as if the platform had told it; `Event::Listed`
+    /// Use a peer's copy of the platform's list as if it came from the platform; `Event::Listed`
     /// follows.
     UseList(Bytes),
-    /// Ask the store.
+    /// Send a request to the store.
     Query {
-        /// Names the query in the answering event.
+        /// Identifies the request in `Event::StoreReplied`.
         query: Query,
-        /// What to ask.
+        /// The request.
         request: StoreRequest,
     },
     /// Log a decision.
     Log(Decision),
-    /// Log a fault of this daemon: something that no request may do was about to be done.
+    /// Log a fault of this daemon: a request was about to make a forbidden transition.
     Fault {
-        /// What it was, with step and attempt.
+        /// The transition and the attempt.
         cause: String,
     },
-    /// Count something for the metrics.
+    /// Record a value for the metrics.
     Count(Count),
-    /// Nothing is in progress and a planned stop was asked for: the process may end.
+    /// A planned stop was requested and nothing is in progress: the process may exit.
     Finished,
 }
 
-/// An order's content.
+/// Work that an order requests from a replica.
 #[derive(Debug, Clone)]
 pub enum Task {
-    /// Prefill the prompt kept under `call`, and after it what was already generated there.
+    /// Prefill the prompt stored under `call`, followed by the tokens already generated.
     Prefill {
-        /// Where the driver keeps the prompt.
+        /// Connection under which the driver stores the prompt.
         call: Call,
         /// Length of the prompt in tokens.
         prompt_tokens: u32,
-        /// Most tokens wanted.
+        /// Maximum number of tokens to generate.
         max_tokens: u32,
-        /// Tokens already delivered, whose text the driver keeps too.
+        /// Tokens already delivered; the driver stores their text as well.
         done_tokens: u32,
-        /// Priority of the table row, 0 first.
+        /// Priority of the table row; 0 is the highest.
         priority: u8,
         /// Prefix block hashes.
         blocks: Vec<u64>,
     },
-    /// Import the KV cache from `source` and stream from `offset`.
+    /// Import the KV cache from `source` and stream tokens from `offset`.
     Decode {
         /// The prefill replica.
         source: Replica,
-        /// Most tokens wanted.
+        /// Maximum number of tokens to generate.
         max_tokens: u32,
-        /// First token wanted.
+        /// Index of the first token to send.
         offset: u32,
-        /// Priority of the table row, 0 first.
+        /// Priority of the table row; 0 is the highest.
         priority: u8,
     },
-    /// Read a running stream from `offset`, replacing its reader.
+    /// Read a running stream from `offset` in place of its present reader.
     Attach {
-        /// First token wanted.
+        /// Index of the first token to send.
         offset: u32,
     },
-    /// Release all that the attempt holds.
+    /// Release all resources of the attempt.
     Cancel,
-    /// Carry out the plain call kept under `call`.
+    /// Carry out the plain call stored under `call`.
     Plain {
-        /// Where the driver keeps the call.
+        /// Connection under which the driver stores the call.
         call: Call,
     },
 }
 
-/// What a caller is told.
+/// Message to a caller.
 #[derive(Debug, Clone)]
 pub enum CallerMessage {
-    /// The head of a streamed answer.
+    /// Start of a streamed answer.
     Head {
         /// The attempt.
         handle: Handle,
         /// Sealed resume token.
         token: String,
     },
-    /// Tokens of a streamed answer, in order, none twice.
+    /// Tokens of a streamed answer, in order and without repeats.
     Tokens {
         /// Index of the first token.
         offset: u32,
@@ -147,7 +148,7 @@
     },
     /// The streamed answer is complete.
     Done {
-        /// Tokens in the whole answer.
+        /// Number of tokens in the complete answer.
         tokens: u32,
     },
     /// A newer connection reads the answer now.
@@ -161,33 +162,33 @@
         /// Whether this repeats an earlier answer.
         repeated: bool,
     },
-    /// No answer.
+    /// The request gets no answer.
     Refusal(Refusal),
     /// The answer to an operator's edit.
     Edit(Verdict),
 }
 
-/// A typed refusal.
+/// Refusal of a request, with its outcome and reason.
 #[derive(Debug, Clone)]
 pub struct Refusal {
-    /// What became of the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Why, in a word.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// When to come back, in milliseconds; 0 if coming back does not help.
+    /// Time to wait before a retry, in milliseconds; 0 if a retry does not help.
     pub retry_after_ms: u64,
-    /// Where to come back: caller addresses, best first.
+    /// Addresses for the retry, best first.
     pub addresses: Vec<String>,
 }
 
-/// What became of a request that gets no answer.
+/// Outcome of a request that gets no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// No byte of it reached any back end.
+    /// No byte of it reached a replica.
     NotRun,
-    /// It was sent, and its effect is not known.
+    /// It was sent; its effect is not known.
     Unknown,
-    /// It was sent, and it failed; nothing of it is running.
+    /// It was sent and failed; nothing of it is running.
     Failed,
 }
 
@@ -196,7 +197,7 @@
 pub enum Reason {
     /// The request is malformed.
     Invalid,
-    /// The table has no row for its service and class.
+    /// The table has no row for its service and caller class.
     NoRow,
     /// No replica serves it.
     NoReplica,
@@ -204,118 +205,118 @@
     Doomed,
     /// A ceiling of its row is reached.
     Ceiling,
-    /// The retry budget of its row is spent.
+    /// The retry budget of its row is exhausted.
     RetryBudget,
-    /// The table may be out of date here.
+    /// The table of this daemon may be out of date.
     Stale,
     /// This instance is leaving.
     Leaving,
-    /// Too many requests or keys are held here.
+    /// Too many requests are open or too many keys are remembered.
     Full,
-    /// A non-repeatable call needs a key with the prefix of an address answer.
+    /// A call that is not repeatable needs a key with the prefix from an address answer.
     KeyNeeded,
     /// The key is older than the window in which keys are remembered.
     KeyExpired,
-    /// The key belongs to another runner, which never saw it.
+    /// The key belongs to another runner, which has not seen it.
     OtherRunner,
-    /// The runner of the key is gone or silent.
+    /// The runner of the key is gone or does not answer.
     RunnerLost,
-    /// The resume token is damaged, forged or another caller's.
+    /// The resume token is damaged, forged or belongs to another customer.
     BadToken,
-    /// The stream is no longer kept.
+    /// The stream is no longer available.
     StreamLost,
-    /// The answer was given before and is no longer kept.
+    /// The answer was sent before and is no longer stored.
     AnswerGone,
-    /// The back end failed.
+    /// The replica failed.
     Backend,
 }
 
 /// The answer to an operator's edit.
 #[derive(Debug, Clone)]
 pub enum Verdict {
-    /// Committed: it is the table from now on.
+    /// The edit is committed and in force.
     Accepted {
-        /// Generation it made.
+        /// Generation that it created.
         generation: u64,
     },
-    /// It was committed earlier under the same id.
+    /// The edit was committed earlier under the same id.
     Repeated {
-        /// Generation it made.
+        /// Generation that it created.
         generation: u64,
     },
-    /// Another edit came first; lines that show both values.
+    /// Another edit was committed first.
     Conflict {
-        /// One line a row.
+        /// One line per row, with both values.
         lines: Vec<String>,
     },
     /// Not committed.
     Rejected {
-        /// Why, and what to try.
+        /// Reason, and how to correct the edit.
         cause: String,
     },
-    /// It may have been committed; send the same edit id again to learn it.
+    /// The edit may have been committed; sending the same edit id again shows whether it was.
     Undecided {
-        /// What went wrong.
+        /// Cause of the uncertainty.
         cause: String,
     },
 }
 
-/// A query to the store.
+/// Request to the store.
 #[derive(Debug, Clone)]
 pub enum StoreRequest {
-    /// The present generation, by a linearizable read.
+    /// Read the current generation, linearizably.
     Generation,
-    /// The whole table, by a linearizable read.
+    /// Read the complete table, linearizably.
     Table,
     /// Commit an edit.
     Commit(Box<Edit>),
-    /// Append outcomes of this incarnation, as one row.
+    /// Append outcomes of one incarnation as a single row.
     Record {
-        /// Whose outcomes.
+        /// Incarnation that the keys name.
         incarnation: Incarnation,
-        /// Number of the row.
+        /// Sequence number of the row.
         sequence: u64,
-        /// Key text with customer, status and body.
+        /// Key text with customer, HTTP status and body.
         outcomes: Vec<(String, u16, Option<Bytes>)>,
     },
     /// Find the recorded outcome of a key.
     Outcome {
-        /// Whose outcomes.
+        /// Incarnation that the keys name.
         incarnation: Incarnation,
         /// Key text with customer.
         key: String,
     },
 }
 
-/// What the driver counts.
+/// Values that the driver adds to its metrics.
 #[derive(Debug, Clone, Copy)]
 pub enum Count {
-    /// Time to first token of a request, in microseconds, with its row's target.
+    /// Time to first token of a request, in microseconds.
     FirstToken {
-        /// Measured.
+        /// Measured value.
         micros: u64,
-        /// Target.
+        /// Target of the request's row.
         target: u64,
     },
-    /// Mean time between tokens of a finished request, in microseconds, with its row's target.
+    /// Mean time between tokens of a finished request, in microseconds.
     TokenGap {
-        /// Measured.
+        /// Measured value.
         micros: u64,
-        /// Target.
+        /// Target of the request's row.
         target: u64,
     },
-    /// A request met both targets.
+    /// A request met both latency targets.
     Good,
-    /// A request was answered in full.
+    /// A request was answered completely.
     Answered,
     /// A request was refused.
     Refused(Outcome),
-    /// Prefill work done, in tokens.
+    /// Tokens computed by prefills.
     Prefilled(u32),
-    /// Prefill work whose result was never used, in tokens.
+    /// Tokens computed by prefills whose result was never used.
     Wasted(u32),
     /// An attempt without an owner was cancelled.
     Swept,
-    /// An attempt was made again.
+    /// A request was tried again.
     Retried,
 }
--- a/crates/node/src/attempts.rs
+++ b/crates/node/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: from the keeper's placement to the replica's answer.
+//! Submission of attempts to the keeper, and its placements.
 
 use std::time::Duration;
 
@@ -22,18 +22,18 @@
 use crate::open::Placement;
 use crate::refusals::DEFAULT_RETRY_AFTER;
 
-/// Pause after which an unanswered submission is sent again.
+/// Time after which an unanswered submission is repeated.
 const RESUBMIT_AFTER: Duration = Duration::from_millis(400);
-/// How long a prefill result is worth another decode replica.
+/// Time that a prefill result waits for another decode replica.
 const PREFILL_RESULT_TTL: Duration = Duration::from_millis(800);
 
 impl Node {
-    /// Asks the keeper of its pool to place a waiting request.
+    /// Submits a waiting request to the keeper of its pool for placement.
     pub(crate) fn submit(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
         let now = self.now;
         let entry = &mut self.requests.open[open_id];
         entry.times.submitted = now;
-        // A continuation's first token was told long ago: only the loss counts.
+        // The first token of a continuation was sent before: only the wait since its loss counts.
         let since = entry
             .times
             .first
@@ -44,7 +44,8 @@
         self.send(self.keeper_of(pool), Body::Submit(ticket), out);
     }
 
-    /// Sends unanswered submissions again; a keeper answers the same ticket the same way.
+    /// Repeats unanswered submissions, which the keeper answers identically, and ends or retries
+    /// requests that waited too long.
     pub(crate) fn resubmit(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let due = self.requests.open_where(|entry| {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Tells the keeper how an attempt goes on.
+    /// Reports the phase of an attempt to the keeper.
     pub(crate) fn report_phase(&mut self, open_id: OpenId, phase: Phase, out: &mut Vec<Action>) {
         let entry = &mut self.requests.open[open_id];
         entry.phase = Some(phase);
@@ -83,7 +84,7 @@
         self.send(self.keeper_of(pool), Body::Advance { handle, phase }, out);
     }
 
-    /// What a new keeper is told of a placed request.
+    /// Returns the state of a placed request for a new keeper.
     pub(crate) fn hold_of(&self, open_id: OpenId) -> Option<Hold> {
         let entry = &self.requests.open[open_id];
         let placement = entry.placement?;
@@ -95,7 +96,7 @@
         })
     }
 
-    /// The keeper decided about one of this daemon's attempts.
+    /// Handles the keeper's decision about an attempt of this daemon.
     pub(crate) fn handle_verdict(
         &mut self,
         from: Instance,
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -1,4 +1,4 @@
-//! Requests as they arrive, repeat and go away.
+//! Arriving requests, repeated keys and callers that disconnect.
 
 use std::time::Duration;
 
@@ -29,9 +29,9 @@
 use crate::request::Request;
 use crate::request::Work;
 
-/// How much longer than its row's longest wait a request waits for a keeper that is silent.
+/// Time that a request waits for an unresponsive keeper beyond the longest wait of its row.
 const KEEPER_GRACE: Duration = Duration::from_secs(1);
-/// How many times the address answer's time to live a leaving daemon still takes requests.
+/// Lifetimes of an address answer during which a leaving daemon still admits requests.
 const LEAVING_TTLS: u32 = 2;
 
 impl Node {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Whether another instance may have run a repeatable key of this run: its prefix is older than
-    /// the end of a pause in which this run may have counted as lost.
+    /// Returns whether another instance may have run a repeatable key of this run: its prefix is
+    /// older than the end of a pause during which this run may have been considered lost.
     fn may_run_elsewhere(&self, key: &Key, request: &Request) -> bool {
         let paused = self.lifecycle.pause_ended > self.started;
         let pause_ended_s = self.unix_s() - self.now.since(self.lifecycle.pause_ended).as_secs();
@@ -74,8 +74,8 @@
         paused && older && self.is_repeatable(request)
     }
 
-    /// Opens a request and asks for its placement, or refuses it. `earlier` is the outcome told in
-    /// place of *not run* if an earlier try with the same key may have got further.
+    /// Opens a request and submits it for placement, or refuses it. `earlier` is the outcome to
+    /// report instead of *not run* if an earlier try with the same key may have reached a replica.
     pub(crate) fn open_new(
         &mut self,
         call: Call,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The key of a request, checked for its form.
+    /// Validates the key of a request.
     fn parse_key(request: &Request) -> Result<Option<Key>, Refusal> {
         let invalid = || Self::refusal(Outcome::NotRun, Reason::Invalid, Duration::ZERO);
         match &request.key {
@@ -116,7 +116,7 @@
             .is_some_and(|prefix| prefix.runner != self.incarnation())
     }
 
-    /// Opens a request, unless a rule forbids it.
+    /// Opens a request, or returns the reason to refuse it.
     fn admit(
         &mut self,
         call: Call,
@@ -151,8 +151,9 @@
         }
     }
 
-    /// While this daemon is out of contact others may count it as lost, and one of them may run a
-    /// repeatable key of this run.
+    /// Returns the outcome of a request that is refused for a stale table. While this daemon is out
+    /// of contact, peers may consider it lost, and one of them may run a repeatable key of this
+    /// run.
     fn stale_outcome(&self, key: Option<&Key>, request: &Request) -> Outcome {
         let keyed = key.and_then(Key::prefix).is_some();
         if keyed && self.is_repeatable(request) {
@@ -162,15 +163,15 @@
         }
     }
 
-    /// Whether a leaving or drained daemon takes nothing new any more: callers may hold its address
-    /// for a while after it began to leave.
+    /// Returns whether a leaving or draining daemon refuses new requests. It still admits them for
+    /// a while, because callers may hold its address.
     pub(crate) fn is_closed(&self) -> bool {
         let span = self.settings.address_ttl * LEAVING_TTLS;
         let since = self.lifecycle.leaving.or(self.lifecycle.drained);
         since.is_some_and(|since| self.now >= since + span)
     }
 
-    /// The row for a request; several pools of one service and class are drawn by their shares.
+    /// Returns the row for a request, drawn by share if several pools have its service and class.
     fn pick_row(&mut self, request: &Request) -> Option<Row> {
         let table = self.tables.view.table()?;
         let rows: Vec<Row> = table
@@ -240,7 +241,7 @@
         self.submit(open_id, out);
     }
 
-    /// A key that was seen before.
+    /// Attaches a repeated key to its request, or answers it from memory.
     fn handle_repeat(&mut self, call: Call, key: &Key, mark: Mark<OpenId>, out: &mut Vec<Action>) {
         let label = key.to_string();
         self.log(
@@ -256,15 +257,12 @@
                 status,
                 body: Some(body),
             } => {
-                let tell = CallerMessage::Answer {
+                let message = CallerMessage::Answer {
                     status,
                     body,
                     repeated: true,
                 };
-                out.push(Action::SendToCaller {
-                    call,
-                    message: tell,
-                });
+                out.push(Action::SendToCaller { call, message });
             }
             Mark::Answered { body: None, .. } => {
                 let refusal = Self::refusal(Outcome::Failed, Reason::AnswerGone, Duration::ZERO);
@@ -307,8 +305,8 @@
         }
     }
 
-    /// Ends streams whose callers did not come back. One that lost its reader may have another owner
-    /// by now, and is verified first.
+    /// Ends streams whose callers did not reconnect in time. A stream without a reader may have
+    /// another owner and is verified first.
     pub(crate) fn end_abandoned(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let gone = self
@@ -324,7 +322,7 @@
         }
     }
 
-    /// Ends a request that nobody waits for, and releases all that it holds.
+    /// Ends a request without a caller and releases its resources.
     pub(crate) fn abandon(&mut self, open_id: OpenId, reason: &str, out: &mut Vec<Action>) {
         let outcome = if self.requests.open[open_id].may_have_reached() {
             Outcome::Failed
--- a/crates/node/src/decision.rs
+++ b/crates/node/src/decision.rs
@@ -1,19 +1,19 @@
-//! Log lines of routing and placement decisions.
+//! Decisions that are written to the log.
 
-/// One decision, logged as one line.
+/// A decision, logged as one line.
 #[derive(Debug, Clone)]
 pub struct Decision {
-    /// The request key (customer and key, or the handle if the caller gave no key).
+    /// Customer and idempotency key of the request, or its handle if it has no key.
     pub request: String,
-    /// What was decided.
+    /// Kind of the decision.
     pub step: Step,
-    /// What was chosen, by name.
+    /// Name of the chosen option.
     pub choice: String,
-    /// What else could have been chosen, by name or number.
+    /// Names or number of the other options.
     pub alternatives: String,
-    /// Why.
+    /// Reason for the choice.
     pub reason: String,
-    /// Table generation under which it was decided.
+    /// Table generation in force at the decision.
     pub generation: u64,
 }
 
@@ -24,19 +24,19 @@
     Admit,
     /// A request was placed on replicas.
     Place,
-    /// A request is tried again.
+    /// A request is retried.
     Retry,
     /// A request was refused.
     Refuse,
     /// A stream was taken over.
     Adopt,
-    /// A repeated key was attached to its request or answered from memory.
+    /// A repeated key was attached to its open request or answered from memory.
     Repeat,
-    /// An attempt's memory on a replica is released.
+    /// The memory of an attempt on a replica is released.
     Release,
     /// An attempt without an owner is cancelled.
     Sweep,
-    /// A table generation came into force here.
+    /// A table generation came into force on this daemon.
     Table,
     /// A member's state changed.
     Member,
@@ -45,7 +45,7 @@
 }
 
 impl Step {
-    /// The word used in log lines.
+    /// Value of the decision's kind in log lines.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Admit => "admit",
--- a/crates/node/src/edits.rs
+++ b/crates/node/src/edits.rs
@@ -1,4 +1,4 @@
-//! Operators' edits: commit, announcement and acceptance.
+//! Edits of operators: commit, announcement and acceptance.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 use crate::pending_edit::PendingEdit;
 use crate::status::Rollout;
 
-/// How long a majority may take to note the generation of a committed edit.
+/// Time within which a majority must confirm the generation of a committed edit.
 const NOTE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause after which instances that have not noted a generation are told again.
+/// Time after which a generation is announced again to instances that have not confirmed it.
 const ANNOUNCE_AGAIN: Duration = Duration::from_millis(300);
 
 impl Node {
-    /// An operator's edit arrived.
+    /// Checks and commits an operator's edit.
     pub(crate) fn handle_edit(&mut self, call: Call, edit: Edit, out: &mut Vec<Action>) {
         if let Err(report) = edit.check() {
             return answer(
@@ -38,7 +38,7 @@
         }
         let number = self.unique_number();
         let query = self.new_query();
-        let ask = StoreRequest::Commit(Box::new(edit.clone()));
+        let request = StoreRequest::Commit(Box::new(edit.clone()));
         let pending = PendingEdit {
             call,
             edit,
@@ -49,10 +49,7 @@
             announced: self.now,
         };
         self.tables.sync.pending_edits.insert(number, pending);
-        out.push(Action::Query {
-            query,
-            request: ask,
-        });
+        out.push(Action::Query { query, request });
     }
 
     pub(crate) fn handle_commit(
@@ -156,7 +153,7 @@
         }
     }
 
-    /// Announces committed edits again, and answers those that no majority noted in time.
+    /// Repeats announcements, and answers edits that no majority confirmed in time.
     pub(crate) fn expire_edits(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let mut again = Vec::new();
@@ -195,7 +192,8 @@
         }
     }
 
-    /// How far `generation` has come into force.
+    /// Returns the rollout of `generation`: instances that use it, or that cannot admit requests
+    /// any more because they were silent for two leases, count as reached.
     pub fn rollout(&self, now: Time, generation: u64) -> Rollout {
         let mut missing = Vec::new();
         let silence = self.settings.lease * 2;
--- a/crates/node/src/endings.rs
+++ b/crates/node/src/endings.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its caller, its key and its holds.
+//! Ends of requests: answer to the caller, record of the key and release of holds.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use crate::open::OpenId;
 
 impl Node {
-    /// Ends a request without an answer, with the outcome that is true for it.
+    /// Ends a request without an answer, with its actual outcome.
     pub(crate) fn give_up(
         &mut self,
         open_id: OpenId,
@@ -37,7 +37,7 @@
         self.end(open_id, &End::Refused(refusal), out);
     }
 
-    /// Counts the prefill work of an attempt that comes to nothing.
+    /// Counts the unused prefill work of an attempt as wasted.
     pub(crate) fn count_wasted(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
         let computed = std::mem::take(&mut self.requests.open[open_id].computed);
         if computed > 0 {
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Ends a request: tells its caller and all who asked, remembers its key, releases its holds.
+    /// Ends a request: answers its caller and waiting peers, records the outcome of its key and
+    /// releases its holds.
     pub(crate) fn end(&mut self, open_id: OpenId, end: &End, out: &mut Vec<Action>) {
         let superseded = matches!(end, End::Superseded);
         match end {
@@ -128,7 +129,7 @@
             End::Refused(refusal) => (refusal.outcome.word(), refusal.reason.word().to_owned()),
         };
         self.log(&label, Step::End, word, &reason, out);
-        let (count, tell) = match end {
+        let (count, message) = match end {
             End::Answered { status, body } => (
                 Some(Count::Answered),
                 CallerMessage::Answer {
@@ -151,9 +152,6 @@
         if matches!(end, End::Answered { .. } | End::Streamed { .. }) {
             self.count_targets(open_id, out);
         }
-        out.extend(call.map(|call| Action::SendToCaller {
-            call,
-            message: tell,
-        }));
+        out.extend(call.map(|call| Action::SendToCaller { call, message }));
     }
 }
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a daemon: the input of [`crate::Node::step`].
+//! Events that the driver reports: the input of [`crate::Node::step`].
 
 use bytes::Bytes;
 use ident::Replica;
@@ -14,25 +14,25 @@
 use crate::list::PlatformList;
 use crate::request::Request;
 
-/// One event.
+/// One event at a daemon.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A caller sent a request; the driver keeps its body under `call`.
+    /// A caller sent a request; the driver stores its body under `call`.
     Arrived {
         /// The caller's connection.
         call: Call,
-        /// What is asked.
+        /// The request without its body.
         request: Request,
     },
     /// A caller presented a resume token.
     Resumed {
         /// The caller's connection.
         call: Call,
-        /// The customer that presents it.
+        /// Customer that presents the token.
         customer: String,
-        /// Sealed token.
+        /// Sealed resume token.
         token: String,
-        /// Tokens the caller has already got.
+        /// Number of tokens that the caller already received.
         offset: u32,
     },
     /// A caller's connection closed before its answer was complete.
@@ -40,47 +40,47 @@
         /// The caller's connection.
         call: Call,
     },
-    /// An order ended well.
+    /// An order succeeded.
     Answered {
         /// The order.
         order: Order,
-        /// What the replica said.
+        /// The replica's reply.
         reply: Reply,
     },
-    /// A streaming order delivered something.
+    /// A streaming order delivered a piece.
     Streamed {
         /// The order.
         order: Order,
         /// The piece.
         piece: Piece,
     },
-    /// An order ended badly, or was aborted.
+    /// An order failed or was aborted.
     Failed {
         /// The order.
         order: Order,
-        /// How far it got.
+        /// Kind of the failure.
         failure: Failure,
     },
     /// A replica answered `Action::Inspect`.
     Inspected {
         /// The replica.
         replica: Replica,
-        /// When it was asked, as the action said.
+        /// Time of the request, copied from the action.
         asked: Time,
-        /// Its state; `None` if it did not answer in time.
+        /// State of the replica; `None` if it did not answer in time.
         state: Option<Inspection>,
     },
-    /// A peer's frame.
+    /// A frame arrived from a peer.
     Frame(Box<Frame>),
-    /// The platform's list of instances and replicas.
+    /// A list of instances and replicas arrived from the platform.
     Listed(PlatformList),
-    /// A copy of the platform's list in its own form, kept for peers that cannot read it.
+    /// The platform's list in its original encoding, stored for peers that cannot read it.
     ListCopy(Bytes),
     /// The store answered `Action::Query`.
     StoreReplied {
-        /// The query.
+        /// Identifier of the request.
         query: Query,
-        /// What it said.
+        /// Result of the request.
         outcome: StoreReply,
     },
     /// An operator's edit arrived.
@@ -90,43 +90,43 @@
         /// The edit.
         edit: Edit,
     },
-    /// Time passed.
+    /// A timer is due.
     Tick,
-    /// A planned stop was asked for.
+    /// A planned stop was requested.
     Stop,
 }
 
-/// How an order ended well.
+/// Reply to a successful order.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// A prefill ended; tokens computed and tokens found in the prefix cache.
+    /// A prefill is complete.
     Prefilled {
-        /// Tokens computed.
+        /// Number of tokens computed.
         computed: u32,
-        /// Tokens found in the cache.
+        /// Number of tokens found in the prefix cache.
         cached: u32,
-        /// Start number of the engine.
+        /// Identifies the engine's process start.
         boot: u64,
     },
-    /// A stream ended normally; its last piece was delivered before.
+    /// A stream ended normally after its last piece.
     StreamEnded,
-    /// A cancel was carried out.
+    /// The attempt was cancelled.
     Cancelled,
     /// A plain call was answered.
     Plain {
         /// HTTP status.
         status: u16,
-        /// Body, bounded by the driver.
+        /// Body; the driver limits its length.
         body: Bytes,
     },
 }
 
-/// A piece of a stream.
+/// One item of a stream.
 #[derive(Debug, Clone)]
 pub enum Piece {
-    /// The KV cache has arrived; tokens follow.
+    /// The KV cache is imported; tokens follow.
     Imported,
-    /// One or more tokens from `offset` on.
+    /// One or more consecutive tokens.
     Tokens {
         /// Index of the first token.
         offset: u32,
@@ -137,35 +137,35 @@
     },
     /// The last token was delivered.
     End {
-        /// Number of tokens in the whole answer.
+        /// Number of tokens in the complete answer.
         offset: u32,
     },
-    /// Another reader took the stream over.
+    /// Another reader took over the stream.
     Superseded,
 }
 
-/// How an order failed.
+/// Failure of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte can have reached the replica.
+    /// No byte reached the replica.
     NotSent,
-    /// Bytes may have reached the replica; its effect is not known.
+    /// Bytes may have reached the replica; the effect is not known.
     Lost,
-    /// The replica answered with this status and did not carry the order out.
+    /// The replica rejected the order.
     Refused {
         /// HTTP status.
         status: u16,
-        /// The highest fencing number the replica has seen, if it told.
+        /// Highest fencing number that the replica has seen, if reported.
         fence: Option<u64>,
     },
 }
 
-/// What a replica says of itself.
+/// State that a replica reports.
 #[derive(Debug, Clone)]
 pub struct Inspection {
     /// Load and cache events.
     pub report: Report,
-    /// Attempts it holds memory for.
+    /// Attempts that hold memory on it.
     pub works: Vec<HeldAttempt>,
 }
 
@@ -174,57 +174,57 @@
 pub struct HeldAttempt {
     /// The attempt.
     pub handle: ident::Handle,
-    /// Its present owner.
+    /// Current owner of the attempt.
     pub owner: ident::Incarnation,
-    /// The fencing number of that owner.
+    /// Fencing number of the owner.
     pub fence: u64,
-    /// Whether the work is over and only its text is kept for readers.
+    /// Whether the work is complete and only its text remains for readers.
     pub done: bool,
 }
 
-/// How a query to the store ended.
+/// Result of a request to the store.
 #[derive(Debug, Clone)]
 pub enum StoreReply {
-    /// The generation and the time it took to ask, in milliseconds.
+    /// The current generation.
     Generation {
-        /// Present generation.
+        /// Generation of the table in the store.
         generation: u64,
     },
-    /// The whole table.
+    /// The complete table.
     Table(Box<Table>),
     /// The commit took effect.
     Committed {
         /// Generation after the commit.
         generation: u64,
     },
-    /// The same edit had been committed before.
+    /// The same edit was committed before.
     Repeated {
-        /// Generation it made.
+        /// Generation that it created.
         generation: u64,
     },
-    /// Another edit came first; lines that show both values.
+    /// Another edit was committed first.
     Conflict {
-        /// One line a row.
+        /// One line per row, with both values.
         lines: Vec<String>,
     },
-    /// Recorded outcomes were written.
+    /// The outcomes were written.
     Recorded,
-    /// Recorded outcome of a key: HTTP status and body, if one was found.
+    /// Recorded outcome of a key, if one was found.
     Outcome(Option<RecordedOutcome>),
-    /// The query did not reach the store, or its answer was lost.
+    /// The request did not reach the store, or its reply was lost.
     Failed {
         /// Whether it may have taken effect.
         maybe: bool,
-        /// What went wrong, with step and peer.
+        /// Error message with step and peer.
         cause: String,
     },
 }
 
-/// A recorded outcome.
+/// Outcome of a call that is not repeatable, read from the store or from a peer.
 #[derive(Debug, Clone)]
 pub struct RecordedOutcome {
-    /// HTTP status of the back end.
+    /// HTTP status of the replica's answer.
     pub status: u16,
-    /// Body, if it was small enough to record.
+    /// Body, if it was short enough to record.
     pub body: Option<Bytes>,
 }
--- a/crates/node/src/foreign_keys.rs
+++ b/crates/node/src/foreign_keys.rs
@@ -1,7 +1,7 @@
-//! Keys whose runner is another instance.
+//! Requests whose key names another runner.
 //!
-//! Only the runner may start such a request. Any other instance asks it, and passes its answer on;
-//! if the runner is gone it looks for a recorded outcome, and otherwise answers *unknown*.
+//! Only the runner may start such a request. Other instances ask the runner and forward its
+//! answer; if the runner is gone, they look for a recorded outcome and otherwise answer *unknown*.
 
 use std::time::Duration;
 
@@ -27,13 +27,13 @@
 use crate::refusals::DEFAULT_RETRY_AFTER;
 use crate::request::Request;
 
-/// How long a runner may be silent before its answer counts as lost.
+/// Time without an answer after which a runner is considered lost.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after which a runner is asked again.
+/// Interval between repeated questions to a runner.
 const RESEND_AFTER: Duration = Duration::from_millis(500);
 
 impl Node {
-    /// Finds out what became of `key`, which belongs to another run.
+    /// Looks up the outcome of `key`, which belongs to another run.
     pub(crate) fn look_up_key(
         &mut self,
         call: Call,
@@ -98,17 +98,14 @@
         };
         lookup.store_query = Some(query);
         lookup.last_answer = self.now;
-        let ask = StoreRequest::Outcome {
+        let request = StoreRequest::Outcome {
             incarnation: prefix.runner,
             key: lookup.key.to_string(),
         };
-        out.push(Action::Query {
-            query,
-            request: ask,
-        });
+        out.push(Action::Query { query, request });
     }
 
-    /// Asks silent runners again, and gives up those that stay silent.
+    /// Repeats unanswered questions to runners, and ends lookups without an answer in time.
     pub(crate) fn expire_lookups(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let mut silent = Vec::new();
@@ -131,7 +128,7 @@
         }
     }
 
-    /// A runner that was asked does not answer: its record in the store is looked for, once.
+    /// Looks for the runner's record in the store, once, or ends the lookup.
     fn handle_silent_runner(&mut self, nonce: u64, out: &mut Vec<Action>) {
         let Some(lookup) = self.requests.lookups.get_mut(&nonce) else {
             return;
@@ -152,7 +149,7 @@
         }
     }
 
-    /// The store answered a lookup; `false` if `query` is none.
+    /// Handles the store's reply to a lookup; returns `false` if `query` is not a lookup.
     pub(crate) fn handle_lookup_reply(
         &mut self,
         query: Query,
@@ -195,20 +192,20 @@
         out: &mut Vec<Action>,
     ) {
         if let Some(lookup) = self.requests.lookups.remove(&nonce) {
-            let tell = CallerMessage::Answer {
+            let message = CallerMessage::Answer {
                 status,
                 body,
                 repeated: true,
             };
             out.push(Action::SendToCaller {
                 call: lookup.call,
-                message: tell,
+                message,
             });
         }
     }
 
-    /// Nothing is recorded of a key whose runner is gone. A repeatable request is run by one
-    /// successor, chosen by rendezvous hashing; of a non-repeatable one nothing can be said.
+    /// Handles a key without a record whose runner is gone. A repeatable request is run by one
+    /// successor, chosen by rendezvous hashing; the outcome of any other request is unknown.
     fn handle_no_record(&mut self, nonce: u64, out: &mut Vec<Action>) {
         if !self.is_lookup_repeatable(nonce) {
             return self.close_lookup(nonce, Self::unknown_refusal(), out);
@@ -244,7 +241,7 @@
         );
     }
 
-    /// Whether `request` may be run again after it was sent.
+    /// Returns whether `request` may be run again after it was sent.
     pub(crate) fn is_repeatable(&self, request: &Request) -> bool {
         let rows = self
             .tables
@@ -258,7 +255,7 @@
         request.repeatable && rows.all(|row| row.repeatable)
     }
 
-    /// A runner answered.
+    /// Handles the answer of a runner.
     pub(crate) fn handle_key_answer(&mut self, nonce: u64, told: Told, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(lookup) = self.requests.lookups.get_mut(&nonce) else {
@@ -283,7 +280,8 @@
         }
     }
 
-    /// The runner never saw the key. A repeatable one may have been run by a successor all the same.
+    /// Ends a lookup of a key that the runner has not seen. A successor may nevertheless have run a
+    /// repeatable request.
     fn close_not_seen(&mut self, nonce: u64, runner: Option<Instance>, out: &mut Vec<Action>) {
         let refusal = match runner {
             Some(runner) => self.refusal_at(Reason::OtherRunner, runner),
@@ -303,7 +301,8 @@
         request.is_some_and(|request| self.is_repeatable(request))
     }
 
-    /// The runner has tried the key without an answer: it may try a repeatable request again.
+    /// Ends a lookup of a key that the runner tried without success; the runner may retry a
+    /// repeatable request.
     fn close_tried(&mut self, nonce: u64, outcome: Outcome, out: &mut Vec<Action>) {
         let Some(lookup) = self.requests.lookups.get(&nonce) else {
             return;
--- a/crates/node/src/ids.rs
+++ b/crates/node/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers that tie an action to the event that answers it.
+//! Identifiers that match an action with the events that answer it.
 
 pub use ledger::ids::Call;
 pub use ledger::ids::Order;
--- a/crates/node/src/introspection.rs
+++ b/crates/node/src/introspection.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells about itself, without changing.
+//! Read-only views of a daemon's state.
 
 use ident::Instance;
 use ident::Time;
@@ -12,18 +12,18 @@
 use crate::status::Pool;
 use crate::status::Status;
 
-/// Weight of an address in the asked data centre.
+/// Weight of an address in the caller's data centre.
 const LOCAL_WEIGHT: u32 = 10;
-/// Weight of an address elsewhere.
+/// Weight of an address in another data centre.
 const REMOTE_WEIGHT: u32 = 1;
 
 impl Node {
-    /// The table in force here.
+    /// Returns the table in force on this daemon.
     pub fn table(&self) -> Option<&Table> {
         self.tables.view.table()
     }
 
-    /// The state of this daemon.
+    /// Returns the state of this daemon.
     pub fn status(&self, now: Time) -> Status {
         Status {
             name: self.settings.name.clone(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Addresses for callers: live instances that take requests, those of `near` first.
+    /// Returns the addresses of live instances that admit requests, those in `near` first.
     pub fn addresses(&self, _now: Time, near: Zone) -> Vec<Address> {
         let mut addresses: Vec<Address> = self
             .members
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -1,4 +1,4 @@
-//! Outcomes of non-repeatable calls that are to be written to the store.
+//! Outcomes of calls that are not repeatable, queued for the store.
 
 use std::collections::VecDeque;
 
@@ -8,17 +8,18 @@
 use ledger::ids::Query;
 use ledger::keys::MAX_BODY;
 
-/// Most outcomes that wait; beyond it the oldest are dropped and stay unknown after a death.
+/// Maximum number of queued outcomes; beyond it the oldest are dropped and become *unknown* if
+/// this daemon dies.
 pub(crate) const MAX_WAITING: usize = 16_384;
 
-/// One outcome, with the incarnation that its key names.
+/// An outcome with the incarnation that its key names.
 #[derive(Debug, Clone)]
 pub(crate) struct JournalEntry {
     pub(crate) runner: Incarnation,
     pub(crate) outcome: (String, u16, Option<Bytes>),
 }
 
-/// Outcomes on their way to the store.
+/// Outcomes that are queued or being written to the store.
 #[derive(Debug)]
 pub(crate) struct Journal {
     pub(crate) waiting: VecDeque<JournalEntry>,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Whether all outcomes are written.
+    /// Returns whether all outcomes are written.
     pub(crate) fn is_empty(&self) -> bool {
         self.waiting.is_empty() && self.sent.is_none()
     }
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -1,7 +1,7 @@
-//! The keeper's work: one queue a pool.
+//! Keeper of pools: queues and places the requests of a pool.
 //!
-//! A pool's keeper is the live instance that rendezvous hashing names. It keeps soft state only: a
-//! new keeper learns what is placed from the owners, and what runs from the replicas.
+//! The keeper of a pool is the live instance selected by rendezvous hashing. Its state is soft: a
+//! new keeper gets placed requests from their owners and running work from the replicas.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,15 +29,15 @@
 use crate::kept_pool::Placed;
 use crate::node::Node;
 
-/// Time in which a new keeper of a pool places nothing, so that owners can report first.
+/// Time during which a new keeper places nothing, so that owners can report first.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// Parts into which the inspections of a period are spread.
+/// Number of rounds over which the inspections of a period are spread.
 const INSPECT_PARTS: u64 = 5;
-/// Time without an answer to inspections after which a replica counts as lost.
+/// Time without an answer to inspections after which a replica is considered lost.
 const LOST_AFTER: Duration = Duration::from_millis(750);
 
 impl Node {
-    /// The keeper of `pool`; this daemon itself if every instance is leaving.
+    /// Returns the keeper of `pool`; this daemon if every instance is leaving.
     pub(crate) fn keeper_of(&self, pool: Pool) -> Instance {
         self.members
             .fleet
@@ -49,8 +49,8 @@
         self.keeper_of(pool) == self.settings.instance
     }
 
-    /// Follows changes of membership and list: begins and ends keeping, and tells new keepers what
-    /// this daemon has placed with them.
+    /// Updates the keepers after changes of membership and list, and reports this daemon's requests
+    /// to new keepers.
     pub(crate) fn reassign(&mut self, out: &mut Vec<Action>) {
         let mut pools: Vec<Pool> = self
             .replicas
@@ -119,7 +119,7 @@
         self.timers.cells = self.now;
     }
 
-    /// Puts list and table in force in every kept pool.
+    /// Applies the list and the table to every kept pool.
     pub(crate) fn refresh_cells(&mut self) {
         let pools: Vec<Pool> = self.pools.kept.keys().copied().collect();
         for pool in pools {
@@ -169,7 +169,7 @@
             .is_some_and(|table| table.drains_replica(replica))
     }
 
-    /// An owner asks for a placement.
+    /// Queues an attempt for placement.
     pub(crate) fn handle_submission(&mut self, from: Instance, ticket: Ticket) {
         let incarnation = self.incarnation_of(from);
         let now = self.now;
@@ -199,7 +199,7 @@
         self.pools.kept.get_mut(&pool)
     }
 
-    /// An owner reports progress.
+    /// Updates the phase of an attempt.
     pub(crate) fn handle_progress(&mut self, handle: Handle, phase: Phase) {
         let now = self.now;
         let ended = matches!(phase, Phase::Finished { .. } | Phase::Gone);
@@ -218,7 +218,7 @@
         self.timers.cells = now;
     }
 
-    /// An owner tells of a placed request.
+    /// Registers a placed request with its owner.
     pub(crate) fn handle_adoption(&mut self, from: Instance, hold: &Hold) {
         let incarnation = self.incarnation_of(from);
         let now = self.now;
@@ -235,7 +235,7 @@
         self.timers.cells = now;
     }
 
-    /// Lets every kept pool decide.
+    /// Runs the scheduler of every kept pool and sends its verdicts.
     pub(crate) fn step_cells(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let mut next = Time::NEVER;
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Asks the replicas of the kept pools for their state, a part of them at a time.
+    /// Inspects one share of the replicas of the kept pools.
     pub(crate) fn inspect(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         self.timers.inspect = now + self.settings.inspect_every / INSPECT_PARTS as u32;
@@ -307,8 +307,8 @@
         }
     }
 
-    /// A replica answered an inspection, or failed to. An answer to a question from before a pause
-    /// counts for nothing: the replica may have another reader or owner by now.
+    /// Handles the result of an inspection. Results of inspections from before a pause are ignored,
+    /// because the replica may have another reader or owner since.
     pub(crate) fn handle_inspection(
         &mut self,
         replica: Replica,
--- a/crates/node/src/kept_pool.rs
+++ b/crates/node/src/kept_pool.rs
@@ -1,4 +1,4 @@
-//! A pool that this daemon keeps.
+//! State of a pool whose keeper is this daemon.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use ident::Time;
 use route::cell::Cell;
 
-/// An attempt as the keeper knows it.
+/// Owner and age of an attempt in a kept pool.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Placed {
     pub(crate) owner: Instance,
@@ -17,18 +17,18 @@
     pub(crate) since: Time,
 }
 
-/// What the keeper knows of one replica's answers.
+/// Responses of a replica to inspections.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ReplicaHealth {
-    /// Since when inspections have been unanswered.
+    /// Time of the first unanswered inspection.
     pub(crate) unanswered: Option<Time>,
-    /// Whether it counts as lost.
+    /// Whether the replica is considered lost.
     pub(crate) lost: bool,
-    /// Last cache event seen.
+    /// Sequence number of the last cache event received.
     pub(crate) last_event: u64,
 }
 
-/// A pool kept by this daemon.
+/// Scheduler of a pool and the attempts placed in it.
 #[derive(Debug)]
 pub(crate) struct KeptPool {
     pub(crate) name: String,
@@ -36,7 +36,7 @@
     pub(crate) ready: Time,
     pub(crate) placed: BTreeMap<Handle, Placed>,
     pub(crate) health: BTreeMap<Replica, ReplicaHealth>,
-    /// Memory found without a live owner, and since when.
+    /// Attempts found on replicas without a live owner, with the time of discovery.
     pub(crate) orphans: BTreeMap<(Replica, Handle), Time>,
     pub(crate) generation: u64,
 }
--- a/crates/node/src/key_lookup.rs
+++ b/crates/node/src/key_lookup.rs
@@ -1,4 +1,4 @@
-//! A caller that waits for what another instance knows of its key.
+//! Lookup of a key that belongs to another run.
 
 use ident::Instance;
 use ident::Key;
@@ -8,7 +8,7 @@
 
 use crate::request::Request;
 
-/// A caller waits for what another instance knows of its key.
+/// A caller that waits for the outcome of its key from the runner or from the store.
 #[derive(Debug)]
 pub(crate) struct KeyLookup {
     /// The caller's connection.
--- a/crates/node/src/key_status.rs
+++ b/crates/node/src/key_status.rs
@@ -1,4 +1,4 @@
-//! What a runner tells other instances about its keys.
+//! Answers queries of other instances about keys of this run.
 
 use ident::Instance;
 use ident::Key;
@@ -15,11 +15,11 @@
 use crate::open::OpenId;
 use crate::open::WaitingPeer;
 
-/// Longest body passed on to another instance: it fits a frame.
+/// Maximum length of a body that fits into a frame to another instance.
 const MAX_FORWARDED_BODY: usize = wire::MAX_BODY - 1_024;
 
 impl Node {
-    /// Another instance asks what became of a key that names this run.
+    /// Answers a peer's query about a key that names this run.
     pub(crate) fn handle_key_query(
         &mut self,
         from: Instance,
@@ -44,7 +44,8 @@
         self.send(from, Body::Told { nonce, told }, out);
     }
 
-    /// What is told of a key that is not remembered: only its own run can say that it never ran.
+    /// Returns the answer for a key that is not remembered: only the run that it names can report
+    /// that it never ran.
     fn answer_unseen(&self, key: &Key) -> Told {
         let Some(prefix) = key.prefix() else {
             return Told::OtherRun;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Tells instances that asked for a request how it ended.
+    /// Sends the end of a request to the peers that wait for it.
     pub(crate) fn answer_waiting_peers(
         &mut self,
         open_id: OpenId,
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list, as the core needs it.
+//! The platform's list of instances and replicas.
 
 use ident::Instance;
 use ident::Pool;
@@ -6,46 +6,46 @@
 use ident::Zone;
 use route::replica::Role;
 
-/// Instances and replicas, as the platform last told; it lags.
+/// Instances and replicas as last published by the platform, which may lag behind their state.
 #[derive(Debug, Clone, Default)]
 pub struct PlatformList {
-    /// Entry instances.
+    /// Listed entry instances.
     pub instances: Vec<ListedInstance>,
-    /// Replicas.
+    /// Listed replicas.
     pub replicas: Vec<ListedReplica>,
 }
 
-/// An entry instance on the list.
+/// An entry instance in the list.
 #[derive(Debug, Clone)]
 pub struct ListedInstance {
-    /// Key of its name.
+    /// Hash of its name.
     pub instance: Instance,
     /// Its name.
     pub name: String,
     /// Its data centre.
     pub zone: Zone,
-    /// Where callers connect, as `ip:port`.
+    /// Address for callers, as `ip:port`.
     pub caller: String,
     /// Whether the platform marks it as leaving.
     pub leaving: bool,
 }
 
-/// A replica on the list.
+/// A replica in the list.
 #[derive(Debug, Clone)]
 pub struct ListedReplica {
-    /// Key of its name.
+    /// Hash of its name.
     pub replica: Replica,
     /// Its name.
     pub name: String,
     /// Its data centre.
     pub zone: Zone,
-    /// Key of the service it serves.
+    /// Hash of the name of the service that it serves.
     pub pool: Pool,
-    /// What it does.
+    /// Role in its pool.
     pub role: Role,
-    /// Requests it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it rejects outdated fencing numbers.
     pub fences: bool,
     /// Whether the platform marks it as leaving.
     pub leaving: bool,
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -1,4 +1,4 @@
-//! Membership: the platform's list, failure detection, planned stops and pauses.
+//! Membership changes, the platform's list, planned stops and pauses.
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
 use crate::open::End;
 use crate::refusals::DEFAULT_RETRY_AFTER;
 
-/// Longest wait for unwritten records and unconfirmed releases once nothing else is in progress:
-/// the store or an engine may be out for long, and keepers sweep what is left.
+/// Time that a planned stop waits for unwritten records and unconfirmed releases once nothing else
+/// is in progress: the store or an engine may be down for long, and keepers release what remains.
 const CLEANUP_WAIT: Duration = Duration::from_secs(10);
 
 impl Node {
@@ -57,8 +57,8 @@
         self.reassign(out);
     }
 
-    /// Others declared this run dead while it was paused: it goes on as a new run. What it had in
-    /// progress is verified before anything more is told or ordered.
+    /// Continues as a new run after peers declared this run dead during a pause. Work in progress
+    /// is verified before further messages or orders are sent for it.
     fn reincarnate(&mut self, out: &mut Vec<Action>) {
         let former = self.incarnation();
         let fresh = Incarnation(self.rng.next_u64());
@@ -96,7 +96,7 @@
         listed.collect()
     }
 
-    /// The clock jumped by more than the lease: this process was paused.
+    /// Handles a clock jump by more than the lease: this process was paused.
     pub(crate) fn handle_pause(&mut self, out: &mut Vec<Action>) {
         self.lifecycle.pause_ended = self.now;
         let name = self.settings.name.clone();
@@ -112,7 +112,7 @@
     }
 
     /// Ends requests that another instance may have run while this one was out of contact: keyed,
-    /// repeatable, and without a stream that shows who reads it.
+    /// repeatable, and without a stream whose replica can show the reader.
     fn end_retaken(&mut self, out: &mut Vec<Action>) {
         let retaken = self.requests.open_where(|entry| {
             entry.is_keyed() && entry.repeatable && entry.stage != Stage::Decode
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Asks a peer for the platform's list while none is known here.
+    /// Requests the platform's list from a peer while none is known.
     pub(crate) fn request_list(&mut self, out: &mut Vec<Action>) {
         if self.replicas.has_list {
             return;
@@ -171,7 +171,7 @@
         self.refresh_cells();
     }
 
-    /// A planned stop: nothing in progress is cut off.
+    /// Starts a planned stop; work in progress continues to its end.
     pub(crate) fn begin_stop(&mut self, out: &mut Vec<Action>) {
         if self.lifecycle.leaving.is_none() {
             self.lifecycle.leaving = Some(self.now);
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Ends a planned stop once nothing is in progress.
+    /// Finishes a planned stop once nothing is in progress.
     pub(crate) fn try_finish(&mut self, out: &mut Vec<Action>) {
         let idle = self.requests.open.is_empty() && self.requests.lookups.is_empty();
         if self.lifecycle.finished || self.lifecycle.leaving.is_none() || !self.is_closed() || !idle
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -1,4 +1,4 @@
-//! The membership of a daemon at its start.
+//! Builds the initial membership of a daemon.
 
 use fleet::Fleet;
 use fleet::entry::Entry;
@@ -9,7 +9,7 @@
 
 use crate::settings::Settings;
 
-/// The membership of a daemon at its start.
+/// Returns a membership that contains this daemon and its seeds.
 pub(crate) fn fleet(settings: &Settings, now: Time, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(
         member(settings, settings.incarnation, settings.started_ms),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The state of a daemon and its one entry point.
+//! State of a daemon and its entry point, [`Node::step`].
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -45,13 +45,13 @@
     pub(crate) requests: Requests,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) timers: Timers,
-    /// Frames of this daemon to itself.
+    /// Messages of this daemon to itself.
     pub(crate) local: VecDeque<Body>,
     counter: u64,
 }
 
 impl Node {
-    /// A daemon at its start: no table, no list, nothing open.
+    /// Creates a daemon without table, list or open requests.
     pub fn new(settings: Settings, now: Time, seed: u64) -> Self {
         Self {
             now,
@@ -70,9 +70,9 @@
         }
     }
 
-    /// Takes one event and appends the actions that follow from it.
+    /// Processes one event and appends the resulting actions to `out`.
     ///
-    /// `now` must not go back. Actions are to be carried out in their order.
+    /// `now` must not decrease. Actions must be carried out in order.
     pub fn step(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let gap = now.since(self.now);
         self.now = now.max(self.now);
@@ -124,46 +124,47 @@
         }
     }
 
-    /// A number not used before in this run.
+    /// Returns a number that is unique in this run.
     pub(crate) fn next_number(&mut self) -> u64 {
         self.counter += 1;
         self.counter
     }
 
-    /// A number that differs from those of other runs, but for a chance of about 2^-64 each. Peers repeat it in answers, which may come when this
-    /// instance has started again: counted from one, it would name a question of the new run.
+    /// Returns a number that also differs from those of other runs, except with a probability of
+    /// about 2^-64. Peers repeat it in answers, which may arrive after a restart of this instance:
+    /// a counter from one could match a question of the new run.
     pub(crate) fn unique_number(&mut self) -> u64 {
         self.next_number() ^ self.incarnation().0
     }
 
-    /// A fresh order for `purpose`.
+    /// Registers a new order for `purpose`.
     pub(crate) fn new_order(&mut self, purpose: OrderPurpose) -> Order {
         let order = ids::Order(self.next_number());
         self.requests.orders.insert(order, purpose);
         order
     }
 
-    /// A fresh query to the store.
+    /// Returns a new identifier of a store request.
     pub(crate) fn new_query(&mut self) -> Query {
         ids::Query(self.next_number())
     }
 
-    /// This run of this daemon.
+    /// Returns the incarnation of this run.
     pub(crate) fn incarnation(&self) -> Incarnation {
         self.members.fleet.local_member().incarnation
     }
 
-    /// Seconds of the Unix clock, moved on by the monotonic clock.
+    /// Returns Unix time in seconds, advanced by the monotonic clock since the start.
     pub(crate) fn unix_s(&self) -> u64 {
         self.unix_ms() / 1_000
     }
 
-    /// Milliseconds of the Unix clock, moved on by the monotonic clock.
+    /// Returns Unix time in milliseconds, advanced by the monotonic clock since the start.
     pub(crate) fn unix_ms(&self) -> u64 {
         self.settings.started_ms + self.now.since(self.started).as_millis() as u64
     }
 
-    /// Sends `body` to `to`, or to this daemon itself.
+    /// Sends `body` to `to`, which may be this daemon.
     pub(crate) fn send(&mut self, to: Instance, body: Body, out: &mut Vec<Action>) {
         if to == self.settings.instance {
             self.local.push_back(body);
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Up to `count` other live members, chosen at random.
+    /// Returns up to `count` other live members, chosen at random.
     pub(crate) fn random_peers(&mut self, count: usize) -> Vec<Instance> {
         let me = self.settings.instance;
         let mut peers: Vec<Instance> = self
@@ -206,7 +207,7 @@
         self.log_with(request, step, choice, "", reason, out);
     }
 
-    /// Logs a decision about `request` with its alternatives.
+    /// Logs a decision about `request` with the alternatives.
     pub(crate) fn log_with(
         &self,
         request: &str,
@@ -226,7 +227,7 @@
         }));
     }
 
-    /// The name of a replica, for log lines.
+    /// Returns the name of a replica, or its hash if it is not listed.
     pub(crate) fn replica_name(&self, replica: Replica) -> String {
         self.replicas
             .listed
@@ -234,7 +235,7 @@
             .map_or_else(|| replica.to_string(), |found| found.name.clone())
     }
 
-    /// The name of an instance, for log lines.
+    /// Returns the name of an instance, or its hash if it is not listed.
     pub(crate) fn instance_name(&self, instance: Instance) -> String {
         self.members
             .listed
@@ -242,8 +243,8 @@
             .map_or_else(|| instance.to_string(), |listed| listed.name.clone())
     }
 
-    /// Whether decisions may be made now: a list is known, the table is up to date, and after a pause a peer was
-    /// heard or the store was read.
+    /// Returns whether requests may be admitted and placed: a list is known, the table is up to
+    /// date, and since the last pause a peer was heard or the store was read.
     pub(crate) fn may_decide(&self) -> bool {
         let caught_up = !self.members.fleet.paused(self.now)
             || self.tables.sync.proved_since(self.lifecycle.pause_ended);
@@ -251,7 +252,7 @@
     }
 }
 
-/// `span` in whole milliseconds.
+/// Returns `span` in whole milliseconds.
 pub(crate) fn millis(span: Duration) -> u64 {
     span.as_millis() as u64
 }
--- a/crates/node/src/open.rs
+++ b/crates/node/src/open.rs
@@ -1,4 +1,4 @@
-//! A request that has no final answer yet.
+//! Open requests: those without a final answer.
 
 use std::time::Duration;
 
@@ -24,11 +24,11 @@
 use crate::event::Piece;
 
 new_key_type! {
-    /// An open request in its arena.
+    /// Identifies an open request.
     pub struct OpenId;
 }
 
-/// How long a stream goes on without its caller, who may come back with the resume token.
+/// Time that a stream continues without its caller, who may reconnect with the resume token.
 const CALLER_GRACE: Duration = Duration::from_secs(3);
 
 /// Latency targets of a request's row.
@@ -41,7 +41,7 @@
 }
 
 impl Targets {
-    /// The targets of `row`.
+    /// Returns the targets of `row`.
     pub fn new(row: &Row) -> Self {
         Self {
             ttft: u64::from(row.ttft_ms) * 1_000,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Targets that every request meets.
+    /// Returns targets that every request meets.
     pub const fn none() -> Self {
         Self {
             ttft: u64::MAX,
@@ -58,63 +58,63 @@
     }
 }
 
-/// What arrived of a stream while it was withheld.
+/// Stream event that arrived while the stream was withheld.
 #[derive(Debug, Clone)]
 pub enum Withheld {
     /// A piece.
     Piece(Order, Piece),
-    /// The end of the order.
+    /// The failure of the order.
     End(Order, Failure),
 }
 
-/// How far a request may have got towards a replica.
+/// Whether a request may have reached a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
-    /// No byte of it left this daemon.
+    /// No byte of it was sent.
     Untouched,
-    /// Its first order is on its way.
+    /// Its first order is in flight.
     Sent,
     /// A byte of it may have reached a replica.
     Touched,
 }
 
-/// Where a placed request runs.
+/// Replicas of a placed request.
 #[derive(Debug, Clone, Copy)]
 pub struct Placement {
-    /// The prefill replica; `None` for plain calls and streams taken over.
+    /// The prefill replica; `None` for plain calls and adopted streams.
     pub prefill: Option<Replica>,
-    /// The decode replica, or the replica of the plain call.
+    /// The decode replica, or the replica of a plain call.
     pub serving: Replica,
 }
 
-/// Another instance that asked what became of a request.
+/// A peer that waits for the outcome of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitingPeer {
     /// The instance.
     pub instance: Instance,
-    /// Its question.
+    /// Nonce of its query.
     pub nonce: u64,
 }
 
-/// Points on the clock that the figures are made from.
+/// Timestamps for latency metrics and timeouts.
 #[derive(Debug, Clone, Copy)]
 pub struct Times {
-    /// Arrival here.
+    /// Arrival at this daemon.
     pub arrived: Time,
-    /// Last order sent, or last piece of a stream.
+    /// Last order or last piece of a stream.
     pub progress: Time,
     /// Last submission to the keeper.
     pub submitted: Time,
-    /// First token told to the caller.
+    /// First token sent to the caller.
     pub first: Option<Time>,
-    /// Last token told to the caller.
+    /// Last token sent to the caller.
     pub last: Option<Time>,
-    /// When the caller's connection closed.
+    /// Close of the caller's connection.
     pub disconnected: Option<Time>,
 }
 
 impl Times {
-    /// The points of a request that arrives at `now`.
+    /// Returns the timestamps of a request that arrives at `now`.
     pub const fn new(now: Time) -> Self {
         Self {
             arrived: now,
@@ -127,68 +127,69 @@
     }
 }
 
-/// One open request.
+/// State of an open request.
 #[derive(Debug)]
 pub struct OpenRequest {
-    /// The caller's present connection.
+    /// Current connection of the caller.
     pub call: Option<Call>,
-    /// The connection under which the driver keeps the prompt or the plain call; `None` for a
-    /// stream taken over.
+    /// Connection under which the driver stores the prompt or the plain call; `None` for an adopted
+    /// stream.
     pub body_call: Option<Call>,
-    /// Its idempotency key.
+    /// Idempotency key.
     pub key: Option<Key>,
-    /// Its customer.
+    /// Customer of the request.
     pub customer: String,
-    /// Its pool.
+    /// Pool of the request.
     pub pool: Pool,
-    /// Whether it may be sent again after it was sent.
+    /// Whether it may be sent again after it reached a replica.
     pub repeatable: bool,
-    /// Where it is.
+    /// Current stage.
     pub stage: Stage,
-    /// What the keeper was told of it; its handle is the present attempt.
+    /// Ticket submitted to the keeper; its handle is the current attempt.
     pub ticket: Ticket,
-    /// Where it runs.
+    /// Replicas assigned by the keeper.
     pub placement: Option<Placement>,
-    /// The last phase told to the keeper.
+    /// Last phase reported to the keeper.
     pub phase: Option<Phase>,
-    /// The order that starts or streams its present work.
+    /// Order that starts or streams the current work.
     pub order: Option<Order>,
-    /// Its memory on the prefill replica.
+    /// Memory on the prefill replica.
     pub prefill_hold: Option<HoldKey>,
-    /// Its memory on the decode replica.
+    /// Memory on the decode replica.
     pub decode_hold: Option<HoldKey>,
-    /// Fencing number of this owner.
+    /// Fencing number of this daemon as owner.
     pub fence: u64,
-    /// Tokens in order.
+    /// Restores the order of tokens.
     pub sequence: Sequence,
-    /// How far it may have got.
+    /// Whether it may have reached a replica.
     pub reach: Reach,
-    /// When its present attempt began to wait.
+    /// Time at which the current attempt began to wait.
     pub queued_at: Time,
-    /// How long an attempt may wait without a decision of the keeper.
+    /// Maximum wait of an attempt for a decision of the keeper.
     pub max_wait: Duration,
-    /// Whether the head of its stream was told to the present connection.
+    /// Whether the head of the stream was sent on the current connection.
     pub head_sent: bool,
-    /// Pieces withheld until the stream is verified; `None` if it needs no verification.
+    /// Events withheld until the stream is verified; `None` if no verification is pending.
     pub withheld: Option<Vec<Withheld>>,
-    /// Attach orders that failed in a row.
+    /// Number of consecutive failed attach orders.
     pub attach_failures: u32,
-    /// When the stream is read again after a failure.
+    /// Time of the next attach order after a failure.
     pub reattach_at: Option<Time>,
-    /// Prompt tokens computed by the present attempt and not yet used.
+    /// Prompt tokens computed by the current attempt and not used yet.
     pub computed: u32,
-    /// Priority of its row, 0 first.
+    /// Priority of the table row; 0 is the highest.
     pub priority: u8,
-    /// Targets of its row.
+    /// Latency targets of the table row.
     pub targets: Targets,
-    /// Clock points.
+    /// Timestamps of the request.
     pub times: Times,
-    /// Instances that asked for it.
+    /// Peers that wait for its outcome.
     pub waiting_peers: Vec<WaitingPeer>,
 }
 
 impl OpenRequest {
-    /// A request that waits for its first attempt: repeatable, without key, targets or prompt.
+    /// Creates a request that waits for its first attempt: repeatable, without key, targets or
+    /// prompt.
     pub fn new(call: Call, customer: &str, pool: Pool, ticket: Ticket, now: Time) -> Self {
         Self {
             call: Some(call),
@@ -221,12 +222,12 @@
         }
     }
 
-    /// The present attempt.
+    /// Returns the current attempt.
     pub const fn handle(&self) -> Handle {
         self.ticket.handle
     }
 
-    /// Notes that an order goes out.
+    /// Records that an order is sent.
     pub fn record_order_sent(&mut self, now: Time) {
         self.times.progress = now;
         if self.reach == Reach::Untouched {
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Notes how an order ended; `unsent` if no byte of it can have left.
+    /// Records the end of an order; `unsent` if no byte of it reached the replica.
     pub fn record_order_end(&mut self, unsent: bool) {
         self.reach = match self.reach {
             Reach::Untouched | Reach::Sent if unsent => Reach::Untouched,
@@ -242,12 +243,12 @@
         };
     }
 
-    /// Whether a byte of it may have reached a replica.
+    /// Returns whether a byte of it may have reached a replica.
     pub fn may_have_reached(&self) -> bool {
         self.reach != Reach::Untouched
     }
 
-    /// Moves to `next`; a transition that no request may make is a fault, and is not made.
+    /// Changes the stage to `next`; a forbidden transition is reported as a fault and not made.
     pub fn enter(&mut self, next: Stage, out: &mut Vec<Action>) {
         match self.stage.advance(next, self.ticket.handle) {
             Ok(stage) => self.stage = stage,
@@ -257,7 +258,7 @@
         }
     }
 
-    /// The name used in log lines: the key, or the handle if there is no key.
+    /// Returns the name for log lines: the key, or the customer and handle if there is no key.
     pub fn label(&self) -> String {
         match &self.key {
             Some(key) => key.to_string(),
@@ -265,40 +266,41 @@
         }
     }
 
-    /// Whether its key names its runner, so that other instances know where to ask.
+    /// Returns whether its key names the runner, so that other instances can ask the runner about
+    /// it.
     pub fn is_keyed(&self) -> bool {
         self.key.as_ref().and_then(Key::prefix).is_some()
     }
 
-    /// Whether its caller went away and did not come back in time; a plain call runs on.
+    /// Returns whether its caller disconnected and did not reconnect in time; plain calls continue.
     pub fn is_abandoned(&self, now: Time) -> bool {
         let since = self.times.disconnected.filter(|_| self.call.is_none());
         since.is_some_and(|left| now >= left + CALLER_GRACE) && self.stage != Stage::Call
     }
 
-    /// Whether it is a language-model request.
+    /// Returns whether it is a language-model request.
     pub const fn is_model(&self) -> bool {
         matches!(self.ticket.work, route::ticket::Work::Model { .. })
     }
 }
 
-/// An answer that is told to askers and kept for repeats.
+/// End of a request, for its caller, waiting peers and repeats of its key.
 #[derive(Debug, Clone)]
 pub enum End {
-    /// A plain answer.
+    /// A plain call was answered.
     Answered {
         /// HTTP status.
         status: u16,
         /// Body.
         body: Bytes,
     },
-    /// A stream, complete.
+    /// A stream is complete.
     Streamed {
-        /// Tokens in the whole answer.
+        /// Number of tokens in the complete answer.
         tokens: u32,
     },
     /// A newer connection or another instance reads the stream.
     Superseded,
-    /// No answer.
+    /// The request was refused.
     Refused(crate::action::Refusal),
 }
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to replicas: how they go out, and what their ends mean.
+//! Sends orders to replicas and handles their ends.
 
 use ident::Replica;
 use ledger::ids::Order;
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Whether `order` carries the present work of an open request.
+    /// Returns whether `order` carries the current work of an open request.
     pub(crate) fn is_current(&self, open_id: OpenId, order: Order) -> bool {
         self.requests
             .open
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Frames from other daemons, and from this one to itself.
+//! Dispatches frames from other daemons and from this daemon to itself.
 
 use ident::Instance;
 use wire::Body;
--- a/crates/node/src/pending_edit.rs
+++ b/crates/node/src/pending_edit.rs
@@ -1,4 +1,4 @@
-//! An operator's edit on its way.
+//! An operator's edit that is not answered yet.
 
 use std::collections::BTreeSet;
 
@@ -8,13 +8,13 @@
 use ledger::ids::Query;
 use table::edit::Edit;
 
-/// An edit on its way.
+/// State of an edit between its arrival and its answer.
 #[derive(Debug)]
 pub(crate) struct PendingEdit {
     pub(crate) call: Call,
     pub(crate) edit: Edit,
     pub(crate) commit: Query,
-    /// Once it is committed: its generation, and whether an earlier try had committed it.
+    /// After the commit: its generation, and whether an earlier try committed it.
     pub(crate) committed: Option<(u64, bool)>,
     pub(crate) noted: BTreeSet<Instance>,
     pub(crate) since: Time,
--- a/crates/node/src/proofs.rs
+++ b/crates/node/src/proofs.rs
@@ -1,4 +1,4 @@
-//! Proofs that the table held here is the newest.
+//! Proofs that the table of this daemon is the newest, from the store and from peers.
 
 use std::time::Duration;
 
@@ -12,20 +12,20 @@
 use crate::node::millis;
 use crate::table_sync::PeerTable;
 
-/// Time between two rounds of news.
+/// Interval between two rounds of news.
 const NEWS_EVERY: Duration = Duration::from_millis(250);
-/// Peers asked in a round while the store gives proof.
+/// Number of peers asked per round while the store provides proofs.
 const NEWS_FANOUT: usize = 3;
 
 impl Node {
-    /// The store was read linearizably at or after `since`, and holds nothing newer than this view.
+    /// Records that a linearizable read of the store, at or after `since`, showed nothing newer.
     pub(crate) fn record_proof(&mut self, since: Time) {
         let age = self.now.since(since);
         self.tables.view.vouch(self.now, age);
         self.tables.sync.proved = self.tables.sync.proved.max(Some(since));
     }
 
-    /// Asks a few peers what they hold, and tells them what is held here.
+    /// Exchanges table generations and the age of proofs with some peers.
     pub(crate) fn send_news(&mut self, out: &mut Vec<Action>) {
         self.timers.news = self.now + NEWS_EVERY;
         self.request_list(out);
@@ -35,8 +35,8 @@
         }
     }
 
-    /// How many peers are asked in a round: a few while the store gives proof, and while it is
-    /// silent so many that a majority answers within the lease.
+    /// Returns the number of peers to ask per round: few while the store provides proofs; otherwise
+    /// enough that a majority answers within the lease.
     fn news_fanout(&self) -> usize {
         let lease = self.settings.lease;
         let age = self.tables.sync.store_age(self.now);
@@ -77,10 +77,10 @@
         }
     }
 
-    /// When this run asked what `news` answers; `None` if it answers nothing that this run asked.
+    /// Returns the time at which this run asked the question that `news` answers, if it did.
     ///
-    /// Clocks of all runs begin at zero, so that a late answer to an earlier run would pass for one
-    /// to a question asked just now: questions tell the time from a point that no two runs share.
+    /// The clock of every run starts at zero, so a late answer to an earlier run could match a
+    /// recent question. Timestamps in questions are therefore offset by the incarnation.
     fn asked_at(&self, news: News) -> Option<Time> {
         let asked = Time(news.asked.wrapping_sub(self.incarnation().0));
         Some(asked).filter(|asked| news.answer && (self.started..=self.now).contains(asked))
@@ -102,7 +102,7 @@
         self.tables.sync.peers.insert(from, peer);
     }
 
-    /// An answer proves as much as its sender could prove when the question was asked.
+    /// Applies the proof in an answer: what its sender could prove when the question was sent.
     fn apply_proof(&mut self, news: News) {
         let Some(asked) = self.asked_at(news) else {
             return;
@@ -120,7 +120,8 @@
         }
     }
 
-    /// The latest point from which on a majority of the list, this instance among it, has answered.
+    /// Returns the latest time since which a majority of the listed instances, including this one,
+    /// answered.
     fn majority_contact(&self) -> Option<Time> {
         let mut points: Vec<Time> = self
             .tables
--- a/crates/node/src/reattach.rs
+++ b/crates/node/src/reattach.rs
@@ -1,4 +1,4 @@
-//! Reading a stream again after its reader was lost.
+//! Failures of stream readers, and attach orders that read a stream again.
 
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
 use crate::state::OrderPurpose;
 use crate::takeovers::TAKEOVER_STEP;
 
-/// Attach orders that may fail in a row before the stream counts as lost.
+/// Consecutive failures of attach orders after which a stream is considered lost.
 const MAX_ATTACH_FAILURES: u32 = 3;
 
 impl Node {
-    /// A decode or attach order failed.
+    /// Handles the failure of a decode or attach order.
     pub(crate) fn handle_decode_failure(
         &mut self,
         open_id: OpenId,
@@ -67,7 +67,7 @@
             } => {
                 self.handle_lost_stream(open_id, failure, out);
             }
-            // The caller may read elsewhere by now: nobody here needs another reader.
+            // Without a caller no reader is needed here: the caller may read elsewhere.
             _ if entry.call.is_none() => entry.order = None,
             _ if entry.attach_failures < MAX_ATTACH_FAILURES => {
                 entry.order = None;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Reads streams again whose last reading failed a while ago.
+    /// Sends the attach orders that are due after a failure.
     pub(crate) fn retry_attach(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let due = self
@@ -90,7 +90,8 @@
         }
     }
 
-    /// The stream cannot be read any more: it is continued elsewhere if its prompt is at hand.
+    /// Handles a stream that cannot be read any more: another replica continues it if the prompt is
+    /// available here.
     pub(crate) fn handle_lost_stream(
         &mut self,
         open_id: OpenId,
@@ -109,7 +110,8 @@
         }
     }
 
-    /// The engine of an adopted stream is out of reach from here; others may still read it.
+    /// Refuses an adopted stream whose engine is unreachable from here; other instances may reach
+    /// it.
     fn refuse_unreachable_stream(
         &mut self,
         open_id: OpenId,
@@ -124,7 +126,7 @@
         self.end(open_id, &End::Refused(refusal), out);
     }
 
-    /// Reads the stream of `opened` from `offset` in place of the present reader.
+    /// Reads the stream of a request from `offset` in place of its present reader.
     pub(crate) fn attach(&mut self, open_id: OpenId, offset: u32, out: &mut Vec<Action>) {
         let order = self.new_order(OrderPurpose::Decode(open_id));
         let owner = self.incarnation();
@@ -163,8 +165,8 @@
     }
 }
 
-/// Whether a takeover was refused for a fence so far ahead that clocks differ: a reader that came
-/// later by a moment lies closer.
+/// Returns whether an adoption was rejected because of clock skew: the fence of a reader that took
+/// over a moment later would be closer.
 fn has_clock_skew(entry: &OpenRequest, fence: u64) -> bool {
     let adopting = entry.body_call.is_none();
     adopting && entry.attach_failures < MAX_ATTACH_FAILURES && fence > entry.fence + TAKEOVER_STEP
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -1,7 +1,7 @@
-//! Outcomes of non-repeatable calls, written to the store in batches.
+//! Writes outcomes of calls that are not repeatable to the store, in batches.
 //!
-//! The caller's answer does not wait for the record: a runner that dies in between leaves its keys
-//! with the truthful outcome *unknown*.
+//! The caller's answer does not wait for the write: if the runner dies in between, the outcome of
+//! the key is *unknown*.
 
 use std::time::Duration;
 
@@ -12,18 +12,17 @@
 use crate::journal::JournalEntry;
 use crate::node::Node;
 
-/// Time between two records while the fleet is small.
+/// Interval between two writes in a small fleet.
 const RECORD_EVERY: Duration = Duration::from_millis(250);
-/// Time between two records for each member: it keeps the writes of the whole fleet under two
-/// hundred a second.
+/// Interval between two writes per listed instance; limits the fleet to 200 writes a second.
 const RECORD_EVERY_PER_MEMBER: Duration = Duration::from_millis(5);
-/// Pause after a record failed.
+/// Pause after a failed write.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Most outcomes in one row.
+/// Maximum number of outcomes in one row.
 const MAX_ROW_OUTCOMES: usize = 512;
 
 impl Node {
-    /// Writes the waiting outcomes as one row.
+    /// Writes queued outcomes of one incarnation as one row.
     pub(crate) fn write_outcomes(&mut self, out: &mut Vec<Action>) {
         let members = self.members.fleet.listed_count() as u32;
         self.timers.record = self.now + RECORD_EVERY.max(RECORD_EVERY_PER_MEMBER * members);
@@ -54,19 +53,16 @@
             .collect();
         self.requests.journal.sequence += 1;
         let query = self.new_query();
-        let ask = StoreRequest::Record {
+        let request = StoreRequest::Record {
             incarnation: runner,
             sequence: self.requests.journal.sequence,
             outcomes: entries.iter().map(|entry| entry.outcome.clone()).collect(),
         };
         self.requests.journal.sent = Some((query, entries));
-        out.push(Action::Query {
-            query,
-            request: ask,
-        });
+        out.push(Action::Query { query, request });
     }
 
-    /// Notes the end of a record; `false` if `query` is none.
+    /// Handles the end of a write; returns `false` if `query` is not a write of outcomes.
     pub(crate) fn outcomes_written(&mut self, query: Query, done: bool) -> bool {
         if self
             .requests
--- a/crates/node/src/refusals.rs
+++ b/crates/node/src/refusals.rs
@@ -1,4 +1,4 @@
-//! Typed refusals.
+//! Refusals and their texts.
 
 use std::time::Duration;
 
@@ -15,14 +15,14 @@
 use crate::node::Node;
 use crate::node::millis;
 
-/// When to come back after a refusal that passes by itself soon.
+/// Retry delay after a refusal whose cause is temporary.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Most addresses named in a refusal.
+/// Maximum number of addresses in a refusal.
 const MAX_ADDRESSES: usize = 3;
 
 impl Reason {
-    /// The word used towards callers and in log lines.
+    /// Name in answers and log lines.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Invalid => "invalid",
@@ -47,7 +47,7 @@
 }
 
 impl Outcome {
-    /// The word used towards callers and in log lines.
+    /// Name in answers and log lines.
     pub const fn word(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -70,7 +70,7 @@
 }
 
 impl Node {
-    /// A refusal without addresses; `after` of zero means that coming back does not help.
+    /// Returns a refusal without addresses; `after` is zero if a retry does not help.
     pub(crate) fn refusal(outcome: Outcome, reason: Reason, after: Duration) -> Refusal {
         Refusal {
             outcome,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A refusal that names other instances to go to.
+    /// Returns a refusal with the addresses of other instances.
     pub(crate) fn refusal_elsewhere(&self, outcome: Outcome, reason: Reason) -> Refusal {
         let me = &self.settings.name;
         let addresses = self
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A refusal that names the one instance to go to.
+    /// Returns a refusal with the address of `instance`.
     pub(crate) fn refusal_at(&self, reason: Reason, instance: Instance) -> Refusal {
         let addresses = self
             .members
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Refuses a call that opened no request.
+    /// Refuses a call for which no request was opened.
     pub(crate) fn refuse(&self, call: Call, label: &str, refusal: Refusal, out: &mut Vec<Action>) {
         self.log(
             label,
--- a/crates/node/src/releases.rs
+++ b/crates/node/src/releases.rs
@@ -1,4 +1,4 @@
-//! Release of memory on replicas.
+//! Releases memory on replicas.
 
 use ledger::holds::HoldKey;
 use ledger::ids::Order;
@@ -12,7 +12,7 @@
 use crate::state::OrderPurpose;
 
 impl Node {
-    /// Begins the release of a hold; its starting order is aborted first.
+    /// Starts the release of a hold after aborting the order that created it.
     pub(crate) fn release_hold(&mut self, hold: Option<HoldKey>, out: &mut Vec<Action>) {
         let now = self.now;
         let start = hold.and_then(|hold| self.requests.holds.release(now, hold));
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -1,4 +1,4 @@
-//! Another try after a lost or refused order.
+//! Further attempts after a lost or refused order.
 
 use std::time::Duration;
 
@@ -16,12 +16,12 @@
 use crate::open::OpenId;
 use crate::refusals::DEFAULT_RETRY_AFTER;
 
-/// Attempts at one request, the first included.
+/// Maximum number of attempts at a request, including the first.
 const MAX_ATTEMPTS: u8 = 4;
 
 impl Node {
-    /// A decode replica did not take the request: its prefill result may still be kept, so another
-    /// decode replica is asked for.
+    /// Requests another decode replica after one did not accept the request, because the prefill
+    /// result may still be available.
     pub(crate) fn request_other_decode(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
         let entry = &mut self.requests.open[open_id];
         entry.enter(Stage::Prefill, out);
@@ -40,7 +40,7 @@
         self.report_phase(open_id, Phase::Rejected, out);
     }
 
-    /// Tries a request again after `failure`, or ends it.
+    /// Retries a request after `failure`, or ends it.
     pub(crate) fn retry(&mut self, open_id: OpenId, failure: Failure, out: &mut Vec<Action>) {
         let entry = &self.requests.open[open_id];
         let spent = entry.ticket.attempt + 1 >= MAX_ATTEMPTS;
@@ -107,7 +107,7 @@
     }
 }
 
-/// Turns the work of a ticket into the continuation after `delivered` tokens.
+/// Changes the work of a ticket to its continuation after `delivered` tokens.
 pub(crate) fn continue_from(work: &mut route::ticket::Work, delivered: u32) {
     if let route::ticket::Work::Model {
         prompt_tokens,
--- a/crates/node/src/rows.rs
+++ b/crates/node/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the table in force, by key.
+//! Index of the table in force.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 
 use crate::open::Targets;
 
-/// What is looked up for every request.
+/// Columns of a row that each request needs.
 #[derive(Debug)]
 pub(crate) struct RowSummary {
     pub(crate) pool: Pool,
@@ -16,7 +16,7 @@
     pub(crate) name: String,
 }
 
-/// Index of the table in force.
+/// Rows by key, and pool names.
 #[derive(Debug, Default)]
 pub(crate) struct Rows {
     by_key: HashMap<Row, RowSummary>,
@@ -24,12 +24,12 @@
 }
 
 impl Rows {
-    /// The index of no table.
+    /// Returns an empty index.
     pub(crate) fn new() -> Self {
         Self::default()
     }
 
-    /// The index of `table`.
+    /// Returns the index of `table`.
     pub(crate) fn with_table(table: &Table) -> Self {
         let mut rows = Self::new();
         for row in &table.rows {
@@ -49,13 +49,13 @@
         self.by_key.get(&row)
     }
 
-    /// The name of a row, or its key if the table does not hold it.
+    /// Returns the name of a row, or its hash if the table does not contain it.
     pub(crate) fn row_name(&self, row: Row) -> String {
         self.get(row)
             .map_or_else(|| row.to_string(), |summary| summary.name.clone())
     }
 
-    /// The name of a pool, or its key if no row names it.
+    /// Returns the name of a pool, or its hash if no row refers to it.
     pub(crate) fn pool_name(&self, pool: Pool) -> String {
         self.names
             .get(&pool)
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -6,7 +6,7 @@
 use ident::Instance;
 use ident::Zone;
 
-/// What a core is told at its start.
+/// Settings of [`crate::Node`], fixed for a run.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// This instance.
@@ -15,15 +15,15 @@
     pub name: String,
     /// Its data centre.
     pub zone: Zone,
-    /// This run; random.
+    /// Random identifier of this run.
     pub incarnation: Incarnation,
-    /// Start of this run in milliseconds of the Unix clock.
+    /// Start of this run on the Unix clock, in milliseconds.
     pub started_ms: u64,
-    /// Instances to start from, besides the platform's list.
+    /// Instances to contact before the platform's list is known.
     pub seeds: Vec<Instance>,
-    /// Secret shared by all instances; seals resume tokens.
+    /// Secret shared by all instances, used to authenticate resume tokens.
     pub secret: Vec<u8>,
-    /// How long a table may be decided by without proof that it is the newest.
+    /// How long a table may be used without proof that it is the newest.
     pub lease: Duration,
     /// How long keys are remembered.
     pub window: Duration,
@@ -31,12 +31,12 @@
     pub address_ttl: Duration,
     /// How long an attempt may be without a live owner before it is cancelled.
     pub orphan_grace: Duration,
-    /// Time between two inspections of a replica by its keeper.
+    /// Interval between two inspections of a replica by its keeper.
     pub inspect_every: Duration,
-    /// Time between two reads of the store by a poller.
+    /// Interval between two reads of the store by a poller.
     pub poll_every: Duration,
-    /// Most requests open at once.
+    /// Maximum number of open requests.
     pub max_open: usize,
-    /// Most keys remembered at once.
+    /// Maximum number of remembered keys.
     pub max_keys: usize,
 }
--- a/crates/node/src/stalls.rs
+++ b/crates/node/src/stalls.rs
@@ -1,7 +1,7 @@
-//! Orders that make no progress: stalled prefills, transfers, streams and calls.
+//! Aborts stalled prefills, transfers, streams and calls.
 //!
-//! The limits are far above what the slowest sound replica needs. An order past its limit is
-//! aborted and its request goes on as after a lost connection.
+//! The limits are far above the needs of the slowest healthy replica. The request of an aborted
+//! order continues as after a lost connection.
 
 use std::time::Duration;
 
@@ -16,15 +16,15 @@
 use crate::open::OpenId;
 use crate::open::OpenRequest;
 
-/// Time that any order may take without progress.
+/// Time that every order may take without progress.
 const BASE_LIMIT: Duration = Duration::from_secs(3);
-/// Further time for each prompt token of a prefill: a thousand tokens a second.
+/// Additional time per prompt token of a prefill: 1000 tokens a second.
 const PREFILL_TOKEN: Duration = Duration::from_millis(1);
-/// Further time for each prompt token of a transfer: ten thousand tokens a second.
+/// Additional time per prompt token of a transfer: 10,000 tokens a second.
 const TRANSFER_TOKEN: Duration = Duration::from_micros(100);
 
 impl Node {
-    /// Aborts orders past their limit and sends their requests on.
+    /// Aborts orders past their limit and retries their requests.
     pub(crate) fn abort_stalled_orders(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let stalled = self
@@ -49,7 +49,7 @@
     }
 }
 
-/// When the present order of a request counts as stalled.
+/// Returns the time at which the current order of a request is considered stalled.
 fn stall_deadline(entry: &OpenRequest) -> Time {
     if entry.order.is_none() || entry.withheld.is_some() {
         return Time::NEVER;
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of a daemon, parted by what it is about. The core composes the parts.
+//! Parts of the state of a daemon, composed by [`crate::Node`].
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -29,12 +29,12 @@
 use crate::settings::Settings;
 use crate::table_sync::TableSync;
 
-/// What an order was for.
+/// Purpose of an order to a replica.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum OrderPurpose {
     /// Prefill of an open request.
     Prefill(OpenId),
-    /// Decode of an open request, or reading its stream.
+    /// Decode of an open request, or a read of its stream.
     Decode(OpenId),
     /// Plain call of an open request.
     Plain(OpenId),
@@ -42,24 +42,24 @@
     Cancel,
 }
 
-/// Requests that this daemon owns, and their keys.
+/// Requests owned by this daemon, and their keys.
 #[derive(Debug)]
 pub(crate) struct Requests {
     pub(crate) open: SlotMap<OpenId, OpenRequest>,
     pub(crate) by_handle: HashMap<Handle, OpenId>,
     pub(crate) by_call: HashMap<Call, OpenId>,
-    /// Orders to replicas that are not answered yet.
+    /// Unanswered orders to replicas.
     pub(crate) orders: HashMap<Order, OrderPurpose>,
     pub(crate) holds: Holds,
-    /// Keys of requests that run or ran here.
+    /// Keys of requests that this daemon runs or ran.
     pub(crate) keys: Memory<OpenId>,
-    /// Callers that wait for what another instance knows of their key.
+    /// Pending lookups of keys that belong to other runs, by nonce.
     pub(crate) lookups: HashMap<u64, KeyLookup>,
     pub(crate) journal: Journal,
 }
 
 impl Requests {
-    /// None yet; keys are remembered as `settings` say.
+    /// Creates an empty state; `settings` limit the number and age of keys.
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             open: SlotMap::with_key(),
@@ -73,25 +73,25 @@
         }
     }
 
-    /// Keys of the open requests that are `wanted`.
+    /// Returns the open requests that satisfy `wanted`.
     pub(crate) fn open_where(&self, wanted: impl Fn(&OpenRequest) -> bool) -> Vec<OpenId> {
         let found = self.open.iter().filter(|(_, open)| wanted(open));
         found.map(|(key, _)| key).collect()
     }
 }
 
-/// The other instances.
+/// Membership, and the instances in the platform's list.
 #[derive(Debug)]
 pub(crate) struct Members {
     pub(crate) fleet: Fleet,
-    /// Former incarnations of this process, given up after a pause.
+    /// Former incarnations of this process, declared dead during a pause.
     pub(crate) former: Vec<Incarnation>,
-    /// The instances as the platform lists them.
+    /// Instances in the platform's list.
     pub(crate) listed: BTreeMap<Instance, ListedInstance>,
 }
 
 impl Members {
-    /// Those that `fleet` knows; nothing is listed yet.
+    /// Creates the state with the members of `fleet` and an empty list.
     pub(crate) const fn new(fleet: Fleet) -> Self {
         Self {
             fleet,
@@ -101,7 +101,7 @@
     }
 }
 
-/// The table in force here.
+/// The table in force on this daemon.
 #[derive(Debug)]
 pub(crate) struct Tables {
     pub(crate) view: View,
@@ -110,7 +110,7 @@
 }
 
 impl Tables {
-    /// No table yet; one is decided by for as long as `settings` say.
+    /// Creates the state without a table; `settings` define the lease of tables.
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             view: View::new(settings.lease),
@@ -120,20 +120,20 @@
     }
 }
 
-/// The replicas as the platform lists them.
+/// Replicas in the platform's list.
 #[derive(Debug)]
 pub(crate) struct Replicas {
     pub(crate) listed: BTreeMap<Replica, ListedReplica>,
-    /// Whether a list was told; without one no replica is known.
+    /// Whether a list was received; without one no replica is known.
     pub(crate) has_list: bool,
-    /// The part of the replicas that was inspected last.
+    /// Index of the share of replicas that was inspected last.
     pub(crate) inspect_part: u64,
-    /// The list as it was read, for daemons that cannot read it.
+    /// The list in its original encoding, for daemons that cannot read it from the platform.
     pub(crate) list_copy: Option<Bytes>,
 }
 
 impl Replicas {
-    /// No list yet.
+    /// Creates the state without a list.
     pub(crate) const fn new() -> Self {
         Self {
             listed: BTreeMap::new(),
@@ -144,16 +144,16 @@
     }
 }
 
-/// The pools and who keeps them.
+/// Pools and their keepers.
 #[derive(Debug)]
 pub(crate) struct Pools {
-    /// Those that this daemon keeps.
+    /// Pools whose keeper is this daemon.
     pub(crate) kept: BTreeMap<Pool, KeptPool>,
     pub(crate) keepers: BTreeMap<Pool, Instance>,
 }
 
 impl Pools {
-    /// None yet.
+    /// Creates an empty state.
     pub(crate) const fn new() -> Self {
         Self {
             kept: BTreeMap::new(),
@@ -162,22 +162,22 @@
     }
 }
 
-/// Pauses and the end of this daemon.
+/// Pauses and the planned stop of this daemon.
 #[derive(Debug)]
 pub(crate) struct Lifecycle {
-    /// When the last pause longer than the lease ended.
+    /// End of the last pause that was longer than the lease.
     pub(crate) pause_ended: Time,
-    /// Since when a planned stop is under way.
+    /// Start of the planned stop.
     pub(crate) leaving: Option<Time>,
     pub(crate) finished: bool,
-    /// Since when a planned stop waits for records and releases only.
+    /// Time since which the planned stop waits only for records and releases.
     pub(crate) idle_since: Option<Time>,
-    /// Since when the table marks this instance to drain.
+    /// Time since which the table marks this instance as draining.
     pub(crate) drained: Option<Time>,
 }
 
 impl Lifecycle {
-    /// A daemon that starts at `now`.
+    /// Creates the state of a daemon that starts at `now`.
     pub(crate) const fn new(now: Time) -> Self {
         Self {
             pause_ended: now,
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -1,75 +1,75 @@
-//! What a daemon tells operators and callers about itself.
+//! Status reports for operators and addresses for callers.
 
 use ident::Incarnation;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// State of the daemon, for `status` and the metrics.
+/// State of a daemon, for `status` and the metrics.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// This run.
+    /// Incarnation of this run.
     pub incarnation: String,
-    /// Table generation in force here; 0 before the first table.
+    /// Table generation in force; 0 before the first table.
     pub generation: u64,
-    /// Whether the table may be decided by now, and a list of replicas is known.
+    /// Whether the table is up to date and a list of replicas is known.
     pub fresh: bool,
-    /// Milliseconds since the store was last read, here or by whoever told.
+    /// Milliseconds since the last read of the store that is known, by this daemon or a peer.
     pub store_age_ms: Option<u64>,
-    /// Whether a planned stop is going on.
+    /// Whether a planned stop is in progress.
     pub leaving: bool,
-    /// Requests open here.
+    /// Number of open requests.
     pub open: usize,
-    /// Attempts whose memory on a replica is not confirmed released.
+    /// Number of attempts whose memory on a replica is not confirmed as released.
     pub holds: usize,
-    /// Keys remembered.
+    /// Number of remembered keys.
     pub keys: usize,
-    /// Pools this daemon is keeper of, with requests waiting and placed.
+    /// Pools whose keeper is this daemon.
     pub pools: Vec<Pool>,
-    /// All instances known.
+    /// Instances in the platform's list.
     pub members: Vec<Member>,
 }
 
-/// A pool kept by this daemon.
+/// Load of a pool whose keeper is this daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
     /// Its name.
     pub name: String,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// Requests placed.
+    /// Number of placed requests.
     pub placed: usize,
 }
 
-/// An instance as seen from here.
+/// State of an instance as seen by this daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its name.
     pub name: String,
     /// `alive`, `suspect`, `leaving`, `dead` or `unheard`.
     pub state: String,
-    /// Generation it last told of.
+    /// Table generation that it last reported.
     pub generation: Option<u64>,
-    /// Milliseconds since it was last heard.
+    /// Milliseconds since the last message from it.
     pub heard_ms: Option<u64>,
 }
 
-/// How far an edit has come into force.
+/// Rollout of a table generation to the listed instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The generation asked about.
+    /// The generation.
     pub generation: u64,
-    /// Instances that decide by it, or by a later one, or cannot decide at all any more.
+    /// Number of instances that use it or a later one, or that cannot admit requests any more.
     pub in_force: usize,
-    /// Instances on the list.
+    /// Number of instances in the list.
     pub known: usize,
-    /// Names of the others.
+    /// Names of the other instances.
     pub missing: Vec<String>,
 }
 
 impl Rollout {
-    /// Whether it is in force on every instance.
+    /// Returns whether it is in force on every instance.
     pub const fn is_complete(&self) -> bool {
         self.missing.is_empty() && self.known > 0 && self.in_force >= self.known
     }
@@ -80,11 +80,11 @@
 pub struct Address {
     /// Instance name.
     pub name: String,
-    /// `ip:port`.
+    /// Address as `ip:port`.
     pub address: String,
-    /// Data centre key.
+    /// Data centre of the instance.
     pub zone: ident::Zone,
-    /// The run that keys with this address's prefix belong to.
+    /// Run that owns keys with the prefix of this address.
     pub runner: Incarnation,
     /// Relative weight.
     pub weight: u32,
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: tokens in order, and their figures.
+//! Forwards streams to callers in order and measures their latency.
 
 use ledger::ids::Order;
 use ledger::order::Arrival;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Compares a finished request with its targets.
+    /// Counts the latency of a finished request against its targets.
     pub(crate) fn count_targets(&self, open_id: OpenId, out: &mut Vec<Action>) {
         let entry = &self.requests.open[open_id];
         let first = entry.times.first.unwrap_or(self.now);
--- a/crates/node/src/sweeping.rs
+++ b/crates/node/src/sweeping.rs
@@ -1,4 +1,4 @@
-//! Memory on replicas without an owner, and claims in a pool whose end was not told.
+//! Releases memory on replicas without an owner, and placements whose end was not reported.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,15 +17,15 @@
 use crate::event::HeldAttempt;
 use crate::node::Node;
 
-/// Time between two audits of what owners still want.
+/// Interval between two audits of placed attempts.
 const AUDIT_EVERY: Duration = Duration::from_secs(2);
-/// Age from which a placed attempt is audited.
+/// Minimum age of an audited attempt.
 const AUDIT_AGE: Duration = Duration::from_secs(4);
-/// Stands for no replica in the questions of an audit.
+/// Placeholder in claims of an audit, which concern no particular replica.
 const NO_REPLICA: Replica = Replica(0);
 
 impl Node {
-    /// Compares what a replica holds with what live owners want.
+    /// Compares the attempts that a replica holds with the requests of live owners.
     pub(crate) fn sweep(
         &mut self,
         pool: Pool,
@@ -61,8 +61,8 @@
         alive.then_some(member.instance)
     }
 
-    /// Whether this daemon may judge that owners are gone: cut off from the majority, it would take
-    /// the whole fleet for dead.
+    /// Returns whether this daemon may decide that owners are gone: without contact to the
+    /// majority, it would consider the rest of the fleet dead.
     fn may_sweep(&self) -> bool {
         let majority = self.members.fleet.reachable_count() * 2 > self.members.fleet.listed_count();
         majority && !self.members.fleet.paused(self.now)
@@ -120,7 +120,7 @@
         self.handle_progress(handle, Phase::Gone);
     }
 
-    /// A keeper found attempts that name this daemon as owner: those not open are disowned.
+    /// Answers a keeper that found attempts of this daemon: those not open are disowned.
     pub(crate) fn handle_claims(
         &mut self,
         from: Instance,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// An owner disowns attempts that this keeper found.
+    /// Releases attempts that their owner disowned.
     pub(crate) fn handle_disowned(
         &mut self,
         replica: Replica,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Asks owners about attempts placed long ago, and drops those of dead owners.
+    /// Asks owners about old placements, and drops those of dead owners.
     pub(crate) fn audit(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         self.timers.audit = now + AUDIT_EVERY;
--- a/crates/node/src/table_sync.rs
+++ b/crates/node/src/table_sync.rs
@@ -1,4 +1,4 @@
-//! What this daemon does about the table.
+//! Synchronization of the table with the store and with peers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 
 use crate::pending_edit::PendingEdit;
 
-/// What this daemon does about the table.
+/// Pending reads and edits of the table, and proofs that it is current.
 #[derive(Debug)]
 pub(crate) struct TableSync {
     pub(crate) pending_read: Option<(Query, Time)>,
-    /// When the store was last proved to hold this generation, here or by whoever told.
+    /// Latest time at which the store is known, here or through a peer, to hold this generation.
     pub(crate) proved: Option<Time>,
-    /// What each instance last told.
+    /// Last report of each peer.
     pub(crate) peers: BTreeMap<Instance, PeerTable>,
     pub(crate) pending_edits: BTreeMap<u64, PendingEdit>,
 }
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Whether the store was proved to hold nothing newer at or after `since`.
+    /// Returns whether the store is known to have held nothing newer at or after `since`.
     pub(crate) fn proved_since(&self, since: Time) -> bool {
         self.proved.is_some_and(|proved| proved >= since)
     }
 
-    /// How long ago the store was last proved to hold nothing newer.
+    /// Returns the time since the store was last known to hold nothing newer.
     pub(crate) fn store_age(&self, now: Time) -> Option<Duration> {
         self.proved.map(|proved| now.since(proved))
     }
--- a/crates/node/src/tables.rs
+++ b/crates/node/src/tables.rs
@@ -1,12 +1,12 @@
-//! The table in force here, and reads of the store.
+//! The table in force, and reads of the store.
 //!
-//! One poller a data centre reads the generation from the store; daemons ask each other which
-//! generation they hold and how old their proof is. An edit is accepted, and its operator told so,
-//! only after it was committed and a majority of the listed instances noted its generation. A
-//! daemon counts as up to date for one lease from a read of the store, or from questions that a
-//! majority answered. Any two majorities share an instance, so no decision under an older
-//! generation comes later than one lease after acceptance; cut off from the store and from the
-//! majority, a daemon stops deciding within the lease.
+//! One poller per data centre reads the generation from the store; daemons exchange their
+//! generations and the age of their proofs. An edit is reported as accepted only after its commit
+//! and after a majority of the listed instances confirmed its generation. A daemon is up to date
+//! for one lease after a read of the store, or after questions that a majority answered. Any two
+//! majorities share an instance, so no decision uses an older generation later than one lease after
+//! acceptance; without contact to the store and the majority, a daemon stops deciding within the
+//! lease.
 
 use std::time::Duration;
 
@@ -23,13 +23,13 @@
 use crate::node::Node;
 use crate::rows::Rows;
 
-/// Pause after which an unanswered read of the store is given up.
+/// Timeout of a read of the store.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// What the poller of a data centre is chosen by.
+/// Key that selects the poller of a data centre.
 const POLLER_KEY: u64 = 0x706f_6c6c;
 
 impl Node {
-    /// Reads the generation if this daemon polls for its data centre, or has no fresh proof.
+    /// Reads the generation if this daemon is the poller of its data centre or has no recent proof.
     pub(crate) fn poll(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         self.timers.poll = now + self.settings.poll_every;
@@ -46,25 +46,22 @@
             .age(now)
             .is_none_or(|age| age * 2 > self.settings.lease);
         if !waiting && (mine || stale) {
-            let ask = if self.tables.view.table().is_none() {
+            let request = if self.tables.view.table().is_none() {
                 StoreRequest::Table
             } else {
                 StoreRequest::Generation
             };
-            self.read_store(ask, out);
+            self.read_store(request, out);
         }
     }
 
-    pub(crate) fn read_store(&mut self, ask: StoreRequest, out: &mut Vec<Action>) {
+    pub(crate) fn read_store(&mut self, request: StoreRequest, out: &mut Vec<Action>) {
         let query = self.new_query();
         self.tables.sync.pending_read = Some((query, self.now));
-        out.push(Action::Query {
-            query,
-            request: ask,
-        });
+        out.push(Action::Query { query, request });
     }
 
-    /// The store answered.
+    /// Handles a reply of the store.
     pub(crate) fn handle_store_reply(
         &mut self,
         query: Query,
--- a/crates/node/src/takeovers.rs
+++ b/crates/node/src/takeovers.rs
@@ -1,4 +1,4 @@
-//! Streams that change their reader: resume tokens, newer connections, other daemons.
+//! Streams that get another reader: a newer connection, or another daemon with a resume token.
 
 use std::time::Duration;
 
@@ -24,12 +24,12 @@
 use crate::retries::continue_from;
 use crate::token::Token;
 
-/// How far the fence of a takeover lies above the one in its token: above all that the former owner
-/// used meanwhile, whatever the clocks of the two say.
+/// Minimum distance of an adopter's fence above the one in the token, so that it exceeds all fences
+/// that the former owner has used since, even with skewed clocks.
 pub(crate) const TAKEOVER_STEP: u64 = 1_000;
 
 impl Node {
-    /// Tells the present connection the head of the stream, once.
+    /// Sends the head of the stream on the current connection, once.
     pub(crate) fn send_head(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
         let token = self.resume_token(open_id);
         let entry = &mut self.requests.open[open_id];
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The sealed resume token of a stream.
+    /// Returns the sealed resume token of a stream.
     pub(crate) fn resume_token(&self, open_id: OpenId) -> Option<String> {
         let entry = &self.requests.open[open_id];
         let placement = entry.placement?;
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes over a stream that another daemon, or a former run, began.
+    /// Adopts a stream that another daemon or a former run started.
     pub(crate) fn adopt(&mut self, call: Call, token: &Token, offset: u32, out: &mut Vec<Action>) {
         if self.requests.open.len() >= self.settings.max_open {
             let refusal = self.refusal_elsewhere(Outcome::NotRun, Reason::Full);
@@ -145,7 +145,7 @@
         self.notify_keeper(open_id, out);
     }
 
-    /// Tells the keeper of a placed request that this daemon owns it.
+    /// Reports the ownership of a placed request to its keeper.
     pub(crate) fn notify_keeper(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
         let keeper = self.keeper_of(self.requests.open[open_id].pool);
         if let Some(hold) = self.hold_of(open_id) {
--- a/crates/node/src/timer_tasks.rs
+++ b/crates/node/src/timer_tasks.rs
@@ -1,4 +1,4 @@
-//! Carries out what is due.
+//! Runs periodic work when it is due.
 
 use std::time::Duration;
 
@@ -7,18 +7,19 @@
 use crate::action::Action;
 use crate::node::Node;
 
-/// Time between two housekeeping rounds.
+/// Interval between two rounds of housekeeping.
 const HOUSEKEEPING: Duration = Duration::from_millis(100);
-/// Time between two looks at the keepers of all pools; changes of members and list look at once.
+/// Interval between two checks of the keepers of all pools; changes of members and list are
+/// handled at once.
 const REASSIGN: Duration = Duration::from_secs(1);
 
 impl Node {
-    /// When `Event::Tick` is wanted at the latest.
+    /// Returns the latest time for the next `Event::Tick`.
     pub fn next_wake(&self) -> Time {
         self.timers.earliest().min(self.requests.holds.next())
     }
 
-    /// Carries out all that is due.
+    /// Runs all work that is due.
     pub(crate) fn run_timers(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         if now >= self.timers.fleet {
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -1,8 +1,8 @@
-//! Work that is due at points in time.
+//! Due times of periodic work.
 
 use ident::Time;
 
-/// When each kind of work is due next.
+/// Next due time of each kind of work.
 #[derive(Debug)]
 pub(crate) struct Timers {
     pub(crate) fleet: Time,
@@ -17,7 +17,7 @@
 }
 
 impl Timers {
-    /// Everything is due at once.
+    /// Makes all work due at `now`.
     pub(crate) const fn new(now: Time) -> Self {
         Self {
             fleet: now,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// When the first of them is due.
+    /// Returns the earliest due time. Keepers are reassigned during housekeeping.
     pub(crate) fn earliest(&self) -> Time {
         self.fleet
             .min(self.cells)
--- a/crates/node/src/token.rs
+++ b/crates/node/src/token.rs
@@ -1,7 +1,8 @@
 //! Sealed resume tokens.
 //!
-//! A token holds all that another instance needs to take a stream over. It is authenticated with
-//! HMAC-SHA-256 under the secret shared by all instances; a damaged or forged one does not open.
+//! A token contains everything that another instance needs to take over a stream. It is
+//! authenticated with HMAC-SHA-256 under the secret shared by all instances, so that damaged and
+//! forged tokens are rejected.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -17,32 +18,32 @@
 use sha2::Sha256;
 
 const TAG_LEN: usize = 32;
-/// Longest token text that is looked at, in bytes.
+/// Maximum length of a token's text, in bytes.
 const MAX_TOKEN_BYTES: usize = 2048;
 
-/// What a resume token tells.
+/// Content of a resume token.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Token {
-    /// The attempt whose stream is to be read.
+    /// Attempt that generates the stream.
     pub handle: Handle,
-    /// Where it decodes.
+    /// Replica that decodes it.
     pub replica: Replica,
-    /// The pool it belongs to.
+    /// Pool of the attempt.
     pub pool: Pool,
-    /// The row that governs it.
+    /// Table row of the request.
     pub row: Row,
-    /// The customer it answers.
+    /// Customer of the request.
     pub customer: String,
-    /// The owner's fencing number when the token was sealed.
+    /// Fencing number of the owner at the time of sealing.
     pub fence: u64,
     /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens wanted.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
 impl Token {
-    /// The token as text.
+    /// Encodes and authenticates the token.
     pub fn seal(&self, secret: &[u8]) -> String {
         let mut bytes = bincode::serde::encode_to_vec(self, config::standard()).unwrap_or_default();
         let tag = mac(secret, &bytes).finalize().into_bytes();
@@ -50,7 +51,7 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// The token in `text`; `None` if it is damaged, forged or sealed under another secret.
+    /// Decodes the token in `text`; `None` if it is damaged, forged or sealed with another secret.
     pub fn open(text: &str, secret: &[u8]) -> Option<Self> {
         if text.len() > MAX_TOKEN_BYTES {
             return None;
--- a/crates/node/src/verifying.rs
+++ b/crates/node/src/verifying.rs
@@ -1,4 +1,4 @@
-//! Streams are withheld after a pause until their replica shows that nobody took them over.
+//! Withholds streams after a pause until their replica shows that nobody took them over.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::open::OpenId;
 use crate::open::Withheld;
 
-/// Time within which an order that was sent may not yet show at its replica.
+/// Time that a sent order may take to become visible at its replica.
 const ORDER_TRANSIT: Duration = Duration::from_secs(1);
 
 impl Node {
-    /// Withholds every stream until it is verified: this daemon was paused for longer than the
-    /// lease, and others may have taken its streams over.
+    /// Withholds all streams until they are verified, because other daemons may have taken them
+    /// over during a pause longer than the lease.
     pub(crate) fn withhold_streams(&mut self, out: &mut Vec<Action>) {
         for entry in self
             .requests
@@ -33,7 +33,7 @@
         self.inspect_withheld(out);
     }
 
-    /// Asks the replicas of withheld streams for their state.
+    /// Inspects the replicas of withheld streams.
     pub(crate) fn inspect_withheld(&mut self, out: &mut Vec<Action>) {
         let asked = self.now;
         let replicas: BTreeSet<Replica> = self
@@ -50,7 +50,7 @@
         }));
     }
 
-    /// Verifies suspect streams against what their replica holds.
+    /// Verifies withheld streams against the attempts that their replica holds.
     pub(crate) fn verify(
         &mut self,
         replica: Replica,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// The engine keeps the highest fence it was told, also where it does not enforce it: only a
-    /// higher one than this daemon's shows another reader.
+    /// Verifies one stream. The engine stores the highest fence it received, even if it does not
+    /// enforce fences: only one higher than this daemon's shows another reader.
     fn verify_stream(&mut self, open_id: OpenId, held: Option<HeldAttempt>, out: &mut Vec<Action>) {
         let mine = self.incarnation();
         let now = self.now;
