--- a/crates/entry/src/platform/mod.rs
+++ b/crates/entry/src/platform/mod.rs
@@ -13,7 +13,7 @@
 use node::action::StoreRequest;
 use node::event::Event;
 use node::event::StoreReply;
-use node::ids::Query;
+use node::ids::QueryId;
 use store::Client;
 
 use crate::config::Config;
@@ -47,7 +47,7 @@
     }
 
     /// Carries out `ask`; `Event::StoreReplied` follows.
-    pub fn query(&self, query: Query, ask: StoreRequest) {
+    pub fn query(&self, query: QueryId, ask: StoreRequest) {
         let client = self.client.clone();
         let inbox = self.inbox.clone();
         tokio::spawn(async move {
--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -10,9 +10,9 @@
 use wire::Frame;
 
 use crate::decision::Decision;
-use crate::ids::Call;
-use crate::ids::Order;
-use crate::ids::Query;
+use crate::ids::CallId;
+use crate::ids::OrderId;
+use crate::ids::QueryId;
 
 /// One action of a daemon.
 #[derive(Debug, Clone)]
@@ -20,7 +20,7 @@
     /// Send an order to a replica.
     Order {
         /// Identifies the order in the events that answer it.
-        order: Order,
+        order: OrderId,
         /// The replica.
         replica: Replica,
         /// The attempt.
@@ -36,7 +36,7 @@
     /// before.
     Abort {
         /// The order.
-        order: Order,
+        order: OrderId,
     },
     /// Request the state of a replica and its cache events after the last one seen.
     Inspect {
@@ -50,7 +50,7 @@
     /// Send a message to a caller.
     SendToCaller {
         /// The caller's connection.
-        call: Call,
+        call: CallId,
         /// The message.
         message: CallerMessage,
     },
@@ -67,7 +67,7 @@
     /// Send a request to the store.
     Query {
         /// Identifies the request in `Event::StoreReplied`.
-        query: Query,
+        query: QueryId,
         /// The request.
         request: StoreRequest,
     },
@@ -90,7 +90,7 @@
     /// Prefill the prompt stored under `call`, followed by the tokens already generated.
     Prefill {
         /// Connection under which the driver stores the prompt.
-        call: Call,
+        call: CallId,
         /// Length of the prompt in tokens.
         prompt_tokens: u32,
         /// Maximum number of tokens to generate.
@@ -123,7 +123,7 @@
     /// Carry out the plain call stored under `call`.
     Plain {
         /// Connection under which the driver stores the call.
-        call: Call,
+        call: CallId,
     },
 }
 
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -5,9 +5,9 @@
 use ident::Handle;
 use ident::Key;
 use ident::Pool;
-use ledger::ids::Call;
+use ledger::ids::CallId;
 use ledger::keys::Admission;
-use ledger::keys::Mark;
+use ledger::keys::KeyState;
 use ledger::stage::Stage;
 use rand::RngExt;
 use route::ticket::Ticket;
@@ -35,7 +35,7 @@
 const LEAVING_TTLS: u32 = 2;
 
 impl Node {
-    pub(crate) fn handle_request(&mut self, call: Call, request: Request, out: &mut Vec<Action>) {
+    pub(crate) fn handle_request(&mut self, call: CallId, request: Request, out: &mut Vec<Action>) {
         let key = match Self::parse_key(&request) {
             Ok(key) => key,
             Err(refusal) => return self.refuse(call, &request.customer, refusal, out),
@@ -45,13 +45,13 @@
             .and_then(|key| self.requests.keys.get(key))
             .cloned();
         match (known, &key) {
-            (Some(Mark::Failed), Some(_)) if self.is_repeatable(&request) => {
+            (Some(KeyState::Failed), Some(_)) if self.is_repeatable(&request) => {
                 self.open_new(call, key, &request, Some(Outcome::Failed), out);
             }
-            (Some(Mark::Unknown), Some(_)) if self.is_repeatable(&request) => {
+            (Some(KeyState::Unknown), Some(_)) if self.is_repeatable(&request) => {
                 self.open_new(call, key, &request, Some(Outcome::Unknown), out);
             }
-            (Some(mark), Some(key)) => self.handle_repeat(call, key, mark, out),
+            (Some(state), Some(key)) => self.handle_repeat(call, key, state, out),
             (None, Some(key)) if self.is_foreign(key) => {
                 self.look_up_key(call, key.clone(), Some(request), out);
             }
@@ -78,7 +78,7 @@
     /// report instead of *not run* if an earlier try with the same key may have reached a replica.
     pub(crate) fn open_new(
         &mut self,
-        call: Call,
+        call: CallId,
         key: Option<Key>,
         request: &Request,
         earlier: Option<Outcome>,
@@ -119,7 +119,7 @@
     /// Opens a request, or returns the reason to refuse it.
     fn admit(
         &mut self,
-        call: Call,
+        call: CallId,
         key: Option<Key>,
         request: &Request,
     ) -> Result<OpenId, Refusal> {
@@ -198,7 +198,7 @@
 
     fn insert(
         &mut self,
-        call: Call,
+        call: CallId,
         key: Option<Key>,
         request: &Request,
         row: &Row,
@@ -223,7 +223,7 @@
         if let Some(key) = key {
             self.requests
                 .keys
-                .mark(self.unix_s(), &key, Mark::Open(open_id));
+                .set(self.unix_s(), &key, KeyState::Open(open_id));
         }
         open_id
     }
@@ -242,18 +242,24 @@
     }
 
     /// Attaches a repeated key to its request, or answers it from memory.
-    fn handle_repeat(&mut self, call: Call, key: &Key, mark: Mark<OpenId>, out: &mut Vec<Action>) {
+    fn handle_repeat(
+        &mut self,
+        call: CallId,
+        key: &Key,
+        state: KeyState<OpenId>,
+        out: &mut Vec<Action>,
+    ) {
         let label = key.to_string();
         self.log(
             &label,
             Step::Repeat,
-            mark_description(&mark),
+            state_description(&state),
             "the key was seen before",
             out,
         );
-        match mark {
-            Mark::Open(open_id) => self.move_to_connection(open_id, call, 0, true, out),
-            Mark::Answered {
+        match state {
+            KeyState::Open(open_id) => self.move_to_connection(open_id, call, 0, true, out),
+            KeyState::Answered {
                 status,
                 body: Some(body),
             } => {
@@ -264,23 +270,23 @@
                 };
                 out.push(Action::SendToCaller { call, message });
             }
-            Mark::Answered { body: None, .. } => {
+            KeyState::Answered { body: None, .. } => {
                 let refusal = Self::refusal(Outcome::Failed, Reason::AnswerGone, Duration::ZERO);
                 self.refuse(call, &label, refusal, out);
             }
-            Mark::Streamed { token } => self.handle_resume(call, &key.customer, &token, 0, out),
-            Mark::Unknown => {
+            KeyState::Streamed { token } => self.handle_resume(call, &key.customer, &token, 0, out),
+            KeyState::Unknown => {
                 let refusal = Self::refusal(Outcome::Unknown, Reason::Backend, Duration::ZERO);
                 self.refuse(call, &label, refusal, out);
             }
-            Mark::Failed => {
+            KeyState::Failed => {
                 let refusal = Self::refusal(Outcome::Failed, Reason::Backend, Duration::ZERO);
                 self.refuse(call, &label, refusal, out);
             }
         }
     }
 
-    pub(crate) fn handle_disconnect(&mut self, call: Call, out: &mut Vec<Action>) {
+    pub(crate) fn handle_disconnect(&mut self, call: CallId, out: &mut Vec<Action>) {
         self.requests
             .lookups
             .retain(|_, lookup| lookup.call != call);
@@ -352,12 +358,12 @@
     }
 }
 
-const fn mark_description(mark: &Mark<OpenId>) -> &'static str {
-    match mark {
-        Mark::Open(_) => "attached",
-        Mark::Answered { .. } => "answered before",
-        Mark::Streamed { .. } => "streamed before",
-        Mark::Unknown => "unknown",
-        Mark::Failed => "failed",
+const fn state_description(state: &KeyState<OpenId>) -> &'static str {
+    match state {
+        KeyState::Open(_) => "attached",
+        KeyState::Answered { .. } => "answered before",
+        KeyState::Streamed { .. } => "streamed before",
+        KeyState::Unknown => "unknown",
+        KeyState::Failed => "failed",
     }
 }
--- a/crates/node/src/endings.rs
+++ b/crates/node/src/endings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ledger::keys::Mark;
+use ledger::keys::KeyState;
 use route::phase::Phase;
 
 use crate::action::Action;
@@ -91,26 +91,28 @@
         let token = self.resume_token(open_id);
         let entry = &self.requests.open[open_id];
         let now = self.unix_s();
-        let mark = match end {
+        let state = match end {
             End::Answered { status, body } => {
                 if !entry.repeatable {
                     self.requests.journal.push(&key, *status, body);
                 }
                 let kept = (body.len() <= ledger::keys::MAX_BODY).then(|| body.clone());
-                Some(Mark::Answered {
+                Some(KeyState::Answered {
                     status: *status,
                     body: kept,
                 })
             }
-            End::Streamed { .. } | End::Superseded => token.map(|token| Mark::Streamed { token }),
+            End::Streamed { .. } | End::Superseded => {
+                token.map(|token| KeyState::Streamed { token })
+            }
             End::Refused(refusal) => match refusal.outcome {
                 Outcome::NotRun => None,
-                Outcome::Unknown => Some(Mark::Unknown),
-                Outcome::Failed => Some(Mark::Failed),
+                Outcome::Unknown => Some(KeyState::Unknown),
+                Outcome::Failed => Some(KeyState::Failed),
             },
         };
-        match mark {
-            Some(mark) => self.requests.keys.mark(now, &key, mark),
+        match state {
+            Some(state) => self.requests.keys.set(now, &key, state),
             None => self.requests.keys.forget(&key),
         }
     }
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -8,9 +8,9 @@
 use table::edit::Edit;
 use wire::Frame;
 
-use crate::ids::Call;
-use crate::ids::Order;
-use crate::ids::Query;
+use crate::ids::CallId;
+use crate::ids::OrderId;
+use crate::ids::QueryId;
 use crate::list::PlatformList;
 use crate::request::Request;
 
@@ -20,14 +20,14 @@
     /// A caller sent a request; the driver stores its body under `call`.
     Arrived {
         /// The caller's connection.
-        call: Call,
+        call: CallId,
         /// The request without its body.
         request: Request,
     },
     /// A caller presented a resume token.
     Resumed {
         /// The caller's connection.
-        call: Call,
+        call: CallId,
         /// Customer that presents the token.
         customer: String,
         /// Sealed resume token.
@@ -38,26 +38,26 @@
     /// A caller's connection closed before its answer was complete.
     Disconnected {
         /// The caller's connection.
-        call: Call,
+        call: CallId,
     },
     /// An order succeeded.
     Answered {
         /// The order.
-        order: Order,
+        order: OrderId,
         /// The replica's reply.
         reply: Reply,
     },
     /// A streaming order delivered a piece.
     Streamed {
         /// The order.
-        order: Order,
+        order: OrderId,
         /// The piece.
         piece: Piece,
     },
     /// An order failed or was aborted.
     Failed {
         /// The order.
-        order: Order,
+        order: OrderId,
         /// Kind of the failure.
         failure: Failure,
     },
@@ -79,14 +79,14 @@
     /// The store answered `Action::Query`.
     StoreReplied {
         /// Identifier of the request.
-        query: Query,
+        query: QueryId,
         /// Result of the request.
         outcome: StoreReply,
     },
     /// An operator's edit arrived.
     Edited {
         /// The operator's connection.
-        call: Call,
+        call: CallId,
         /// The edit.
         edit: Edit,
     },
--- a/crates/node/src/foreign_keys.rs
+++ b/crates/node/src/foreign_keys.rs
@@ -8,10 +8,10 @@
 use ident::Instance;
 use ident::Key;
 use ident::Pool;
-use ledger::ids::Call;
-use ledger::ids::Query;
+use ledger::ids::CallId;
+use ledger::ids::QueryId;
 use wire::Body;
-use wire::Told;
+use wire::KeyStatus;
 
 use crate::action::Action;
 use crate::action::CallerMessage;
@@ -36,7 +36,7 @@
     /// Looks up the outcome of `key`, which belongs to another run.
     pub(crate) fn look_up_key(
         &mut self,
-        call: Call,
+        call: CallId,
         key: Key,
         request: Option<Request>,
         out: &mut Vec<Action>,
@@ -152,7 +152,7 @@
     /// Handles the store's reply to a lookup; returns `false` if `query` is not a lookup.
     pub(crate) fn handle_lookup_reply(
         &mut self,
-        query: Query,
+        query: QueryId,
         outcome: &StoreReply,
         out: &mut Vec<Action>,
     ) -> bool {
@@ -256,7 +256,7 @@
     }
 
     /// Handles the answer of a runner.
-    pub(crate) fn handle_key_answer(&mut self, nonce: u64, told: Told, out: &mut Vec<Action>) {
+    pub(crate) fn handle_key_answer(&mut self, nonce: u64, told: KeyStatus, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(lookup) = self.requests.lookups.get_mut(&nonce) else {
             return;
@@ -264,19 +264,19 @@
         lookup.last_answer = now;
         let runner = lookup.runner;
         match told {
-            Told::InProgress => (),
-            Told::OtherRun => self.handle_silent_runner(nonce, out),
-            Told::Streaming { token } => self.resume_stream(nonce, &token, out),
-            Told::Answered { status, body } => {
+            KeyStatus::InProgress => (),
+            KeyStatus::OtherRun => self.handle_silent_runner(nonce, out),
+            KeyStatus::Streaming { token } => self.resume_stream(nonce, &token, out),
+            KeyStatus::Answered { status, body } => {
                 self.answer_recorded(nonce, RecordedOutcome { status, body }, out);
             }
-            Told::Unknown => self.close_tried(nonce, Outcome::Unknown, out),
-            Told::Failed => self.close_tried(nonce, Outcome::Failed, out),
-            Told::Expired => {
+            KeyStatus::Unknown => self.close_tried(nonce, Outcome::Unknown, out),
+            KeyStatus::Failed => self.close_tried(nonce, Outcome::Failed, out),
+            KeyStatus::Expired => {
                 let refusal = Self::refusal(Outcome::NotRun, Reason::KeyExpired, Duration::ZERO);
                 self.close_lookup(nonce, refusal, out);
             }
-            Told::NotSeen => self.close_not_seen(nonce, runner, out),
+            KeyStatus::NotSeen => self.close_not_seen(nonce, runner, out),
         }
     }
 
--- a/crates/node/src/ids.rs
+++ b/crates/node/src/ids.rs
@@ -1,5 +1,5 @@
 //! Identifiers that match an action with the events that answer it.
 
-pub use ledger::ids::Call;
-pub use ledger::ids::Order;
-pub use ledger::ids::Query;
+pub use ledger::ids::CallId;
+pub use ledger::ids::OrderId;
+pub use ledger::ids::QueryId;
--- a/crates/node/src/introspection.rs
+++ b/crates/node/src/introspection.rs
@@ -51,8 +51,8 @@
             .values()
             .map(|kept| Pool {
                 name: kept.name.clone(),
-                waiting: kept.cell.waiting(),
-                placed: kept.cell.in_progress(),
+                waiting: kept.scheduler.waiting(),
+                placed: kept.scheduler.in_progress(),
             })
             .collect()
     }
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use ident::Incarnation;
 use ident::Key;
-use ledger::ids::Query;
+use ledger::ids::QueryId;
 use ledger::keys::MAX_BODY;
 
 /// Maximum number of queued outcomes; beyond it the oldest are dropped and become *unknown* if
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub(crate) struct Journal {
     pub(crate) waiting: VecDeque<JournalEntry>,
-    pub(crate) sent: Option<(Query, Vec<JournalEntry>)>,
+    pub(crate) sent: Option<(QueryId, Vec<JournalEntry>)>,
     pub(crate) sequence: u64,
 }
 
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -13,11 +13,11 @@
 use ident::Replica;
 use ident::Time;
 use rand::Rng;
-use route::cell::Cell;
-use route::cell::Hold;
 use route::phase::Phase;
 use route::replica::Member;
 use route::rule::Rule;
+use route::scheduler::Hold;
+use route::scheduler::Scheduler;
 use route::ticket::Ticket;
 use table::row::Row;
 use wire::Body;
@@ -94,7 +94,8 @@
     }
 
     fn start_keeping(&mut self, pool: Pool, name: String) {
-        let mut cell = Cell::new(route::settings::Settings::default(), self.rng.next_u64());
+        let mut scheduler =
+            Scheduler::new(route::settings::Settings::default(), self.rng.next_u64());
         let alone = self
             .members
             .fleet
@@ -102,11 +103,11 @@
             .all(|member| member.instance == self.settings.instance);
         let settle = if alone { Duration::ZERO } else { SETTLE_TIME };
         if !alone {
-            cell.takeover(self.now);
+            scheduler.begin_takeover(self.now);
         }
         let kept = KeptPool {
             name,
-            cell,
+            scheduler,
             ready: self.now + settle,
             placed: BTreeMap::new(),
             health: BTreeMap::new(),
@@ -114,21 +115,21 @@
             generation: 0,
         };
         self.pools.kept.insert(pool, kept);
-        self.refresh_cell(pool);
+        self.refresh_scheduler(pool);
         self.timers.inspect = self.now;
-        self.timers.cells = self.now;
+        self.timers.schedulers = self.now;
     }
 
     /// Applies the list and the table to every kept pool.
-    pub(crate) fn refresh_cells(&mut self) {
+    pub(crate) fn refresh_schedulers(&mut self) {
         let pools: Vec<Pool> = self.pools.kept.keys().copied().collect();
         for pool in pools {
-            self.refresh_cell(pool);
+            self.refresh_scheduler(pool);
         }
-        self.timers.cells = self.now;
+        self.timers.schedulers = self.now;
     }
 
-    fn refresh_cell(&mut self, pool: Pool) {
+    fn refresh_scheduler(&mut self, pool: Pool) {
         let now = self.now;
         let members: Vec<Member> = self
             .replicas
@@ -157,8 +158,8 @@
         if let Some(kept) = self.pools.kept.get_mut(&pool) {
             kept.name = name;
             kept.generation = generation;
-            kept.cell.set_members(now, &members);
-            kept.cell.set_rules(now, &rules);
+            kept.scheduler.set_members(now, &members);
+            kept.scheduler.set_rules(now, &rules);
         }
     }
 
@@ -182,8 +183,8 @@
             since: now,
         };
         kept.placed.entry(ticket.handle).or_insert(placed);
-        kept.cell.submit(now, ticket);
-        self.timers.cells = now;
+        kept.scheduler.submit(now, ticket);
+        self.timers.schedulers = now;
     }
 
     fn incarnation_of(&self, instance: Instance) -> Incarnation {
@@ -209,13 +210,13 @@
             .values_mut()
             .filter(|kept| kept.placed.contains_key(&handle))
         {
-            kept.cell.advance(now, handle, phase);
+            kept.scheduler.advance(now, handle, phase);
             if ended {
-                kept.cell.advance(now, handle, Phase::Gone);
+                kept.scheduler.advance(now, handle, Phase::Gone);
                 kept.placed.remove(&handle);
             }
         }
-        self.timers.cells = now;
+        self.timers.schedulers = now;
     }
 
     /// Registers a placed request with its owner.
@@ -231,25 +232,25 @@
             since: now,
         };
         kept.placed.insert(hold.ticket.handle, placed);
-        kept.cell.adopt(now, hold);
-        self.timers.cells = now;
+        kept.scheduler.adopt(now, hold);
+        self.timers.schedulers = now;
     }
 
     /// Runs the scheduler of every kept pool and sends its verdicts.
-    pub(crate) fn step_cells(&mut self, out: &mut Vec<Action>) {
+    pub(crate) fn run_schedulers(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let mut next = Time::NEVER;
         let mut verdicts = Vec::new();
         let may_decide = self.may_decide();
         for kept in self.pools.kept.values_mut() {
             if may_decide && now >= kept.ready {
-                kept.cell.settled(now);
-                next = next.min(kept.cell.step(now, &mut verdicts));
+                kept.scheduler.end_grace(now);
+                next = next.min(kept.scheduler.step(now, &mut verdicts));
             } else {
                 next = next.min(kept.ready.max(now + SETTLE_TIME));
             }
         }
-        self.timers.cells = next;
+        self.timers.schedulers = next;
         for verdict in verdicts {
             self.send_verdict(verdict, out);
         }
@@ -296,7 +297,7 @@
             if now >= since + LOST_AFTER && !health.lost {
                 health.lost = true;
                 health.last_event = 0;
-                kept.cell.lost(now, replica);
+                kept.scheduler.mark_lost(now, replica);
             }
             let after = health.last_event;
             out.push(Action::Inspect {
@@ -337,8 +338,9 @@
         health.lost = false;
         let last = inspection.report.events.iter().map(|event| event.seq).max();
         health.last_event = last.unwrap_or(health.last_event);
-        kept.cell.report(now, replica, &inspection.report);
-        self.timers.cells = now;
+        kept.scheduler
+            .apply_report(now, replica, &inspection.report);
+        self.timers.schedulers = now;
     }
 }
 
--- a/crates/node/src/kept_pool.rs
+++ b/crates/node/src/kept_pool.rs
@@ -7,7 +7,7 @@
 use ident::Instance;
 use ident::Replica;
 use ident::Time;
-use route::cell::Cell;
+use route::scheduler::Scheduler;
 
 /// Owner and age of an attempt in a kept pool.
 #[derive(Debug, Clone, Copy)]
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(crate) struct KeptPool {
     pub(crate) name: String,
-    pub(crate) cell: Cell,
+    pub(crate) scheduler: Scheduler,
     pub(crate) ready: Time,
     pub(crate) placed: BTreeMap<Handle, Placed>,
     pub(crate) health: BTreeMap<Replica, ReplicaHealth>,
--- a/crates/node/src/key_status.rs
+++ b/crates/node/src/key_status.rs
@@ -3,10 +3,10 @@
 use ident::Instance;
 use ident::Key;
 use ledger::keys::Admission;
-use ledger::keys::Mark;
+use ledger::keys::KeyState;
 use ledger::stage::Stage;
 use wire::Body;
-use wire::Told;
+use wire::KeyStatus;
 
 use crate::action::Action;
 use crate::action::Outcome;
@@ -28,17 +28,17 @@
         out: &mut Vec<Action>,
     ) {
         let told = match self.requests.keys.get(key).cloned() {
-            Some(Mark::Open(open_id)) => self.answer_open(
+            Some(KeyState::Open(open_id)) => self.answer_open(
                 open_id,
                 WaitingPeer {
                     instance: from,
                     nonce,
                 },
             ),
-            Some(Mark::Answered { status, body }) => Told::Answered { status, body },
-            Some(Mark::Streamed { token }) => Told::Streaming { token },
-            Some(Mark::Unknown) => Told::Unknown,
-            Some(Mark::Failed) => Told::Failed,
+            Some(KeyState::Answered { status, body }) => KeyStatus::Answered { status, body },
+            Some(KeyState::Streamed { token }) => KeyStatus::Streaming { token },
+            Some(KeyState::Unknown) => KeyStatus::Unknown,
+            Some(KeyState::Failed) => KeyStatus::Failed,
             None => self.answer_unseen(key),
         };
         self.send(from, Body::Told { nonce, told }, out);
@@ -46,29 +46,29 @@
 
     /// Returns the answer for a key that is not remembered: only the run that it names can report
     /// that it never ran.
-    fn answer_unseen(&self, key: &Key) -> Told {
+    fn answer_unseen(&self, key: &Key) -> KeyStatus {
         let Some(prefix) = key.prefix() else {
-            return Told::OtherRun;
+            return KeyStatus::OtherRun;
         };
         let expired = self.requests.keys.admit(self.unix_s(), prefix.issued) == Admission::Expired;
         match prefix.runner {
-            runner if self.members.former.contains(&runner) => Told::Expired,
-            runner if runner != self.incarnation() => Told::OtherRun,
-            _ if expired => Told::Expired,
-            _ => Told::NotSeen,
+            runner if self.members.former.contains(&runner) => KeyStatus::Expired,
+            runner if runner != self.incarnation() => KeyStatus::OtherRun,
+            _ if expired => KeyStatus::Expired,
+            _ => KeyStatus::NotSeen,
         }
     }
 
-    fn answer_open(&mut self, open_id: OpenId, peer: WaitingPeer) -> Told {
+    fn answer_open(&mut self, open_id: OpenId, peer: WaitingPeer) -> KeyStatus {
         let streams = self.requests.open[open_id].stage == Stage::Decode;
         match self.resume_token(open_id).filter(|_| streams) {
-            Some(token) => Told::Streaming { token },
+            Some(token) => KeyStatus::Streaming { token },
             None => {
                 let waiting_peers = &mut self.requests.open[open_id].waiting_peers;
                 if !waiting_peers.iter().any(|other| other.nonce == peer.nonce) {
                     waiting_peers.push(peer);
                 }
-                Told::InProgress
+                KeyStatus::InProgress
             }
         }
     }
@@ -86,16 +86,16 @@
         }
         let token = self.resume_token(open_id);
         let told = match (end, token) {
-            (End::Answered { status, body }, _) => Told::Answered {
+            (End::Answered { status, body }, _) => KeyStatus::Answered {
                 status: *status,
                 body: Some(body.clone()).filter(|body| body.len() <= MAX_FORWARDED_BODY),
             },
-            (End::Streamed { .. } | End::Superseded, Some(token)) => Told::Streaming { token },
-            (End::Streamed { .. } | End::Superseded, None) => Told::Unknown,
+            (End::Streamed { .. } | End::Superseded, Some(token)) => KeyStatus::Streaming { token },
+            (End::Streamed { .. } | End::Superseded, None) => KeyStatus::Unknown,
             (End::Refused(refusal), _) => match refusal.outcome {
-                Outcome::NotRun => Told::NotSeen,
-                Outcome::Unknown => Told::Unknown,
-                Outcome::Failed => Told::Failed,
+                Outcome::NotRun => KeyStatus::NotSeen,
+                Outcome::Unknown => KeyStatus::Unknown,
+                Outcome::Failed => KeyStatus::Failed,
             },
         };
         for peer in waiting_peers {
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -168,7 +168,7 @@
         self.members.fleet.set_list(self.now, &entries);
         self.timers.fleet = self.now;
         self.reassign(out);
-        self.refresh_cells();
+        self.refresh_schedulers();
     }
 
     /// Starts a planned stop; work in progress continues to its end.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,8 +7,8 @@
 use ident::Instance;
 use ident::Replica;
 use ident::Time;
-use ledger::ids::Order;
-use ledger::ids::Query;
+use ledger::ids::OrderId;
+use ledger::ids::QueryId;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -138,15 +138,15 @@
     }
 
     /// Registers a new order for `purpose`.
-    pub(crate) fn new_order(&mut self, purpose: OrderPurpose) -> Order {
-        let order = ids::Order(self.next_number());
+    pub(crate) fn new_order(&mut self, purpose: OrderPurpose) -> OrderId {
+        let order = ids::OrderId(self.next_number());
         self.requests.orders.insert(order, purpose);
         order
     }
 
     /// Returns a new identifier of a store request.
-    pub(crate) fn new_query(&mut self) -> Query {
-        ids::Query(self.next_number())
+    pub(crate) fn new_query(&mut self) -> QueryId {
+        ids::QueryId(self.next_number())
     }
 
     /// Returns the incarnation of this run.
--- a/crates/node/src/open.rs
+++ b/crates/node/src/open.rs
@@ -10,9 +10,9 @@
 use ident::Replica;
 use ident::Time;
 use ledger::holds::HoldKey;
-use ledger::ids::Call;
-use ledger::ids::Order;
-use ledger::order::Sequence;
+use ledger::ids::CallId;
+use ledger::ids::OrderId;
+use ledger::reassembly::Reassembler;
 use ledger::stage::Stage;
 use route::phase::Phase;
 use route::ticket::Ticket;
@@ -62,9 +62,9 @@
 #[derive(Debug, Clone)]
 pub enum Withheld {
     /// A piece.
-    Piece(Order, Piece),
+    Piece(OrderId, Piece),
     /// The failure of the order.
-    End(Order, Failure),
+    End(OrderId, Failure),
 }
 
 /// Whether a request may have reached a replica.
@@ -131,10 +131,10 @@
 #[derive(Debug)]
 pub struct OpenRequest {
     /// Current connection of the caller.
-    pub call: Option<Call>,
+    pub call: Option<CallId>,
     /// Connection under which the driver stores the prompt or the plain call; `None` for an adopted
     /// stream.
-    pub body_call: Option<Call>,
+    pub body_call: Option<CallId>,
     /// Idempotency key.
     pub key: Option<Key>,
     /// Customer of the request.
@@ -152,7 +152,7 @@
     /// Last phase reported to the keeper.
     pub phase: Option<Phase>,
     /// Order that starts or streams the current work.
-    pub order: Option<Order>,
+    pub order: Option<OrderId>,
     /// Memory on the prefill replica.
     pub prefill_hold: Option<HoldKey>,
     /// Memory on the decode replica.
@@ -160,7 +160,7 @@
     /// Fencing number of this daemon as owner.
     pub fence: u64,
     /// Restores the order of tokens.
-    pub sequence: Sequence,
+    pub sequence: Reassembler,
     /// Whether it may have reached a replica.
     pub reach: Reach,
     /// Time at which the current attempt began to wait.
@@ -190,7 +190,7 @@
 impl OpenRequest {
     /// Creates a request that waits for its first attempt: repeatable, without key, targets or
     /// prompt.
-    pub fn new(call: Call, customer: &str, pool: Pool, ticket: Ticket, now: Time) -> Self {
+    pub fn new(call: CallId, customer: &str, pool: Pool, ticket: Ticket, now: Time) -> Self {
         Self {
             call: Some(call),
             body_call: None,
@@ -206,7 +206,7 @@
             prefill_hold: None,
             decode_hold: None,
             fence: 0,
-            sequence: Sequence::new(0),
+            sequence: Reassembler::new(0),
             reach: Reach::Untouched,
             queued_at: now,
             max_wait: Duration::ZERO,
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -1,7 +1,7 @@
 //! Sends orders to replicas and handles their ends.
 
 use ident::Replica;
-use ledger::ids::Order;
+use ledger::ids::OrderId;
 use ledger::stage::Stage;
 use route::phase::Phase;
 
@@ -49,7 +49,7 @@
         entry.prefill_hold = Some(
             self.requests
                 .holds
-                .take(prefill, handle, owner, fence, order),
+                .insert(prefill, handle, owner, fence, order),
         );
         let task = Task::Prefill {
             call,
@@ -92,7 +92,7 @@
         entry.decode_hold = Some(
             self.requests
                 .holds
-                .take(replica, handle, owner, fence, order),
+                .insert(replica, handle, owner, fence, order),
         );
         let task = Task::Decode {
             source,
@@ -137,9 +137,9 @@
         });
     }
 
-    pub(crate) fn handle_reply(&mut self, order: Order, reply: Reply, out: &mut Vec<Action>) {
+    pub(crate) fn handle_reply(&mut self, order: OrderId, reply: Reply, out: &mut Vec<Action>) {
         let purpose = self.requests.orders.remove(&order);
-        self.requests.holds.closed(order);
+        self.requests.holds.start_ended(order);
         match (purpose, reply) {
             (Some(OrderPurpose::Cancel), _) => self.release_confirmed(order, out),
             (
@@ -170,9 +170,14 @@
         }
     }
 
-    pub(crate) fn handle_failure(&mut self, order: Order, failure: Failure, out: &mut Vec<Action>) {
+    pub(crate) fn handle_failure(
+        &mut self,
+        order: OrderId,
+        failure: Failure,
+        out: &mut Vec<Action>,
+    ) {
         let purpose = self.requests.orders.remove(&order);
-        self.requests.holds.closed(order);
+        self.requests.holds.start_ended(order);
         match purpose {
             Some(OrderPurpose::Cancel) => self.release_failed(order, failure),
             Some(OrderPurpose::Prefill(open_id) | OrderPurpose::Plain(open_id))
@@ -190,7 +195,7 @@
     }
 
     /// Returns whether `order` carries the current work of an open request.
-    pub(crate) fn is_current(&self, open_id: OpenId, order: Order) -> bool {
+    pub(crate) fn is_current(&self, open_id: OpenId, order: OrderId) -> bool {
         self.requests
             .open
             .get(open_id)
--- a/crates/node/src/proofs.rs
+++ b/crates/node/src/proofs.rs
@@ -5,7 +5,7 @@
 use ident::Instance;
 use ident::Time;
 use wire::Body;
-use wire::News;
+use wire::TableStatus;
 
 use crate::action::Action;
 use crate::node::Node;
@@ -48,13 +48,13 @@
         NEWS_FANOUT.max(others.div_ceil(rounds))
     }
 
-    fn local_news(&self, asked: u64, answer: bool) -> News {
+    fn local_news(&self, asked: u64, answer: bool) -> TableStatus {
         let age = self
             .tables
             .sync
             .proved
             .map(|proved| millis(self.now.since(proved)));
-        News {
+        TableStatus {
             generation: self.tables.view.generation(),
             store_age_ms: age.and_then(|age| u32::try_from(age).ok()),
             settled: !self.tables.view.behind(),
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(crate) fn handle_news(&mut self, from: Instance, news: News, out: &mut Vec<Action>) {
+    pub(crate) fn handle_news(&mut self, from: Instance, news: TableStatus, out: &mut Vec<Action>) {
         self.tables.view.announce(news.generation);
         self.record_news(from, news);
         if self.tables.view.behind() {
@@ -81,12 +81,12 @@
     ///
     /// The clock of every run starts at zero, so a late answer to an earlier run could match a
     /// recent question. Timestamps in questions are therefore offset by the incarnation.
-    fn asked_at(&self, news: News) -> Option<Time> {
+    fn asked_at(&self, news: TableStatus) -> Option<Time> {
         let asked = Time(news.asked.wrapping_sub(self.incarnation().0));
         Some(asked).filter(|asked| news.answer && (self.started..=self.now).contains(asked))
     }
 
-    fn record_news(&mut self, from: Instance, news: News) {
+    fn record_news(&mut self, from: Instance, news: TableStatus) {
         let before = self
             .tables
             .sync
@@ -103,7 +103,7 @@
     }
 
     /// Applies the proof in an answer: what its sender could prove when the question was sent.
-    fn apply_proof(&mut self, news: News) {
+    fn apply_proof(&mut self, news: TableStatus) {
         let Some(asked) = self.asked_at(news) else {
             return;
         };
--- a/crates/node/src/reattach.rs
+++ b/crates/node/src/reattach.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ledger::backoff;
-use ledger::order::Sequence;
+use ledger::reassembly::Reassembler;
 use route::phase::Phase;
 
 use crate::action::Action;
@@ -141,15 +141,15 @@
         entry.reattach_at = None;
         entry.record_order_sent(self.now);
         let (handle, fence) = (entry.handle(), entry.fence);
-        entry.sequence = Sequence::new(offset);
+        entry.sequence = Reassembler::new(offset);
         entry.withheld = None;
         match entry.decode_hold {
-            Some(hold) => self.requests.holds.reopen(hold, order, owner, fence),
+            Some(hold) => self.requests.holds.restart(hold, order, owner, fence),
             None => {
-                let hold = self
-                    .requests
-                    .holds
-                    .take(placement.serving, handle, owner, fence, order);
+                let hold =
+                    self.requests
+                        .holds
+                        .insert(placement.serving, handle, owner, fence, order);
                 self.requests.open[open_id].decode_hold = Some(hold);
             }
         }
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ledger::ids::Query;
+use ledger::ids::QueryId;
 
 use crate::action::Action;
 use crate::action::StoreRequest;
@@ -63,7 +63,7 @@
     }
 
     /// Handles the end of a write; returns `false` if `query` is not a write of outcomes.
-    pub(crate) fn outcomes_written(&mut self, query: Query, done: bool) -> bool {
+    pub(crate) fn outcomes_written(&mut self, query: QueryId, done: bool) -> bool {
         if self
             .requests
             .journal
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -12,9 +12,9 @@
 use ident::Replica;
 use ident::Time;
 use ledger::holds::Holds;
-use ledger::ids::Call;
-use ledger::ids::Order;
-use ledger::keys::Memory;
+use ledger::ids::CallId;
+use ledger::ids::OrderId;
+use ledger::keys::KeyRegistry;
 use slotmap::SlotMap;
 use table::view::View;
 
@@ -47,12 +47,12 @@
 pub(crate) struct Requests {
     pub(crate) open: SlotMap<OpenId, OpenRequest>,
     pub(crate) by_handle: HashMap<Handle, OpenId>,
-    pub(crate) by_call: HashMap<Call, OpenId>,
+    pub(crate) by_call: HashMap<CallId, OpenId>,
     /// Unanswered orders to replicas.
-    pub(crate) orders: HashMap<Order, OrderPurpose>,
+    pub(crate) orders: HashMap<OrderId, OrderPurpose>,
     pub(crate) holds: Holds,
     /// Keys of requests that this daemon runs or ran.
-    pub(crate) keys: Memory<OpenId>,
+    pub(crate) keys: KeyRegistry<OpenId>,
     /// Pending lookups of keys that belong to other runs, by nonce.
     pub(crate) lookups: HashMap<u64, KeyLookup>,
     pub(crate) journal: Journal,
@@ -67,7 +67,7 @@
             by_call: HashMap::new(),
             orders: HashMap::new(),
             holds: Holds::new(),
-            keys: Memory::new(settings.window.as_secs(), settings.max_keys),
+            keys: KeyRegistry::new(settings.window.as_secs(), settings.max_keys),
             lookups: HashMap::new(),
             journal: Journal::new(),
         }
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -1,8 +1,8 @@
 //! Forwards streams to callers in order and measures their latency.
 
-use ledger::ids::Order;
-use ledger::order::Arrival;
-use ledger::order::Run;
+use ledger::ids::OrderId;
+use ledger::reassembly::Arrival;
+use ledger::reassembly::TokenRun;
 use route::phase::Phase;
 
 use crate::action::Action;
@@ -17,7 +17,7 @@
 use crate::state::OrderPurpose;
 
 impl Node {
-    pub(crate) fn handle_stream(&mut self, order: Order, piece: Piece, out: &mut Vec<Action>) {
+    pub(crate) fn handle_stream(&mut self, order: OrderId, piece: Piece, out: &mut Vec<Action>) {
         let Some(OrderPurpose::Decode(open_id)) = self.requests.orders.get(&order).copied() else {
             return;
         };
@@ -42,7 +42,7 @@
             } => {
                 self.handle_tokens(
                     open_id,
-                    Run {
+                    TokenRun {
                         offset,
                         count,
                         text,
@@ -68,13 +68,13 @@
         }
     }
 
-    fn handle_tokens(&mut self, open_id: OpenId, run: Run, out: &mut Vec<Action>) {
+    fn handle_tokens(&mut self, open_id: OpenId, run: TokenRun, out: &mut Vec<Action>) {
         let now = self.now;
         let entry = &mut self.requests.open[open_id];
         entry.attach_failures = 0;
         entry.times.progress = now;
         let mut ready = Vec::new();
-        let arrival = entry.sequence.arrive(run, &mut ready);
+        let arrival = entry.sequence.push(run, &mut ready);
         if arrival == Arrival::Ready {
             record_token_times(entry, now, out);
         }
--- a/crates/node/src/table_sync.rs
+++ b/crates/node/src/table_sync.rs
@@ -5,14 +5,14 @@
 
 use ident::Instance;
 use ident::Time;
-use ledger::ids::Query;
+use ledger::ids::QueryId;
 
 use crate::pending_edit::PendingEdit;
 
 /// Pending reads and edits of the table, and proofs that it is current.
 #[derive(Debug)]
 pub(crate) struct TableSync {
-    pub(crate) pending_read: Option<(Query, Time)>,
+    pub(crate) pending_read: Option<(QueryId, Time)>,
     /// Latest time at which the store is known, here or through a peer, to hold this generation.
     pub(crate) proved: Option<Time>,
     /// Last report of each peer.
--- a/crates/node/src/tables.rs
+++ b/crates/node/src/tables.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use ident::Instance;
-use ledger::ids::Query;
+use ledger::ids::QueryId;
 use table::Table;
 use table::view::Offer;
 use wire::Body;
@@ -64,7 +64,7 @@
     /// Handles a reply of the store.
     pub(crate) fn handle_store_reply(
         &mut self,
-        query: Query,
+        query: QueryId,
         outcome: StoreReply,
         out: &mut Vec<Action>,
     ) {
@@ -125,7 +125,7 @@
                 .table()
                 .is_some_and(|table| table.drains_instance(&self.settings.name));
             self.lifecycle.drained = marked.then(|| self.lifecycle.drained.unwrap_or(self.now));
-            self.refresh_cells();
+            self.refresh_schedulers();
             self.send_news(out);
         }
     }
--- a/crates/node/src/timer_tasks.rs
+++ b/crates/node/src/timer_tasks.rs
@@ -16,7 +16,7 @@
 impl Node {
     /// Returns the latest time for the next `Event::Tick`.
     pub fn next_wake(&self) -> Time {
-        self.timers.earliest().min(self.requests.holds.next())
+        self.timers.earliest().min(self.requests.holds.next_due())
     }
 
     /// Runs all work that is due.
@@ -44,8 +44,8 @@
         if now >= self.timers.record {
             self.write_outcomes(out);
         }
-        if now >= self.timers.cells {
-            self.step_cells(out);
+        if now >= self.timers.schedulers {
+            self.run_schedulers(out);
         }
         self.run_releases(out);
     }
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -6,7 +6,7 @@
 #[derive(Debug)]
 pub(crate) struct Timers {
     pub(crate) fleet: Time,
-    pub(crate) cells: Time,
+    pub(crate) schedulers: Time,
     pub(crate) inspect: Time,
     pub(crate) audit: Time,
     pub(crate) poll: Time,
@@ -21,7 +21,7 @@
     pub(crate) const fn new(now: Time) -> Self {
         Self {
             fleet: now,
-            cells: now,
+            schedulers: now,
             inspect: now,
             audit: now,
             poll: now,
@@ -35,7 +35,7 @@
     /// Returns the earliest due time. Keepers are reassigned during housekeeping.
     pub(crate) fn earliest(&self) -> Time {
         self.fleet
-            .min(self.cells)
+            .min(self.schedulers)
             .min(self.inspect)
             .min(self.audit)
             .min(self.poll)
