--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The state of a daemon and its one entry point.
+//! State of a daemon and its entry point, [`Node::step`].
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,10 +22,10 @@
 use crate::ids;
 use crate::membership;
 use crate::settings::Settings;
-use crate::state::Life;
+use crate::state::Lifecycle;
 use crate::state::Members;
+use crate::state::OrderPurpose;
 use crate::state::Pools;
-use crate::state::Purpose;
 use crate::state::Replicas;
 use crate::state::Requests;
 use crate::state::Tables;
@@ -36,33 +36,33 @@
 pub struct Node {
     pub(crate) settings: Settings,
     pub(crate) now: Time,
-    pub(crate) begun: Time,
+    pub(crate) started: Time,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) members: Members,
     pub(crate) tables: Tables,
     pub(crate) replicas: Replicas,
     pub(crate) pools: Pools,
     pub(crate) requests: Requests,
-    pub(crate) life: Life,
+    pub(crate) lifecycle: Lifecycle,
     pub(crate) timers: Timers,
-    /// Frames of this daemon to itself.
+    /// Messages of this daemon to itself.
     pub(crate) local: VecDeque<Body>,
     counter: u64,
 }
 
 impl Node {
-    /// A daemon at its start: no table, no list, nothing open.
+    /// Creates a daemon without table, list or open requests.
     pub fn new(settings: Settings, now: Time, seed: u64) -> Self {
         Self {
             now,
-            begun: now,
+            started: now,
             rng: Pcg64Mcg::seed_from_u64(seed),
             members: Members::new(membership::fleet(&settings, now, seed)),
             tables: Tables::new(&settings),
             replicas: Replicas::new(),
             pools: Pools::new(),
             requests: Requests::new(&settings),
-            life: Life::new(now),
+            lifecycle: Lifecycle::new(now),
             timers: Timers::new(now),
             local: VecDeque::new(),
             counter: 0,
@@ -70,100 +70,101 @@
         }
     }
 
-    /// Takes one event and appends the actions that follow from it.
+    /// Processes one event and appends the resulting actions to `out`.
     ///
-    /// `now` must not go back. Actions are to be carried out in their order.
+    /// `now` must not decrease. Actions must be carried out in order.
     pub fn step(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let gap = now.since(self.now);
         self.now = now.max(self.now);
         if gap > self.settings.lease {
-            self.woke(out);
+            self.handle_pause(out);
         }
-        self.take(event, out);
-        self.run_local(out);
-        if self.now >= self.wake() {
+        self.handle_event(event, out);
+        self.process_local(out);
+        if self.now >= self.next_wake() {
             self.run_timers(out);
-            self.run_local(out);
+            self.process_local(out);
         }
     }
 
-    fn take(&mut self, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Arrived { call, request } => self.arrived(call, request, out),
+            Event::Arrived { call, request } => self.handle_request(call, request, out),
             Event::Resumed {
                 call,
                 customer,
                 token,
                 offset,
             } => {
-                self.resumed(call, &customer, &token, offset, out);
+                self.handle_resume(call, &customer, &token, offset, out);
             }
-            Event::Left { call } => self.left(call, out),
-            Event::Answered { order, reply } => self.answered(order, reply, out),
-            Event::Streamed { order, piece } => self.streamed(order, piece, out),
-            Event::Failed { order, failure } => self.failed(order, failure, out),
+            Event::Disconnected { call } => self.handle_disconnect(call, out),
+            Event::Answered { order, reply } => self.handle_reply(order, reply, out),
+            Event::Streamed { order, piece } => self.handle_stream(order, piece, out),
+            Event::Failed { order, failure } => self.handle_failure(order, failure, out),
             Event::Inspected {
                 replica,
                 asked,
                 state,
-            } => self.inspected(replica, asked, state, out),
-            Event::Frame(frame) => self.frame(*frame, out),
+            } => self.handle_inspection(replica, asked, state, out),
+            Event::Frame(frame) => self.handle_frame(*frame, out),
             Event::Tick => (),
             Event::ListCopy(copy) => self.replicas.list_copy = Some(copy),
-            Event::Listed(list) => self.listed(list, out),
-            Event::Stored { query, outcome } => self.stored(query, outcome, out),
-            Event::Edited { call, edit } => self.edited(call, edit, out),
-            Event::Stop => self.stop(out),
+            Event::Listed(list) => self.apply_list(list, out),
+            Event::StoreReplied { query, outcome } => self.handle_store_reply(query, outcome, out),
+            Event::Edited { call, edit } => self.handle_edit(call, edit, out),
+            Event::Stop => self.begin_stop(out),
         }
     }
 
-    fn run_local(&mut self, out: &mut Vec<Action>) {
+    fn process_local(&mut self, out: &mut Vec<Action>) {
         let me = self.settings.instance;
         while let Some(body) = self.local.pop_front() {
-            self.body(me, body, out);
+            self.handle_body(me, body, out);
         }
     }
 
-    /// A number not used before in this run.
-    pub(crate) fn number(&mut self) -> u64 {
+    /// Returns a number that is unique in this run.
+    pub(crate) fn next_number(&mut self) -> u64 {
         self.counter += 1;
         self.counter
     }
 
-    /// A number that differs from those of other runs, but for a chance of about 2^-64 each. Peers repeat it in answers, which may come when this
-    /// instance has started again: counted from one, it would name a question of the new run.
+    /// Returns a number that also differs from those of other runs, except with a probability of
+    /// about 2^-64. Peers repeat it in answers, which may arrive after a restart of this instance:
+    /// a counter from one could match a question of the new run.
     pub(crate) fn unique_number(&mut self) -> u64 {
-        self.number() ^ self.incarnation().0
+        self.next_number() ^ self.incarnation().0
     }
 
-    /// A fresh order for `purpose`.
-    pub(crate) fn order(&mut self, purpose: Purpose) -> OrderId {
-        let order = ids::OrderId(self.number());
+    /// Registers a new order for `purpose`.
+    pub(crate) fn new_order(&mut self, purpose: OrderPurpose) -> OrderId {
+        let order = ids::OrderId(self.next_number());
         self.requests.orders.insert(order, purpose);
         order
     }
 
-    /// A fresh query to the store.
-    pub(crate) fn query(&mut self) -> QueryId {
-        ids::QueryId(self.number())
+    /// Returns a new identifier of a store request.
+    pub(crate) fn new_query(&mut self) -> QueryId {
+        ids::QueryId(self.next_number())
     }
 
-    /// This run of this daemon.
+    /// Returns the incarnation of this run.
     pub(crate) fn incarnation(&self) -> Incarnation {
         self.members.fleet.local_member().incarnation
     }
 
-    /// Seconds of the Unix clock, moved on by the monotonic clock.
+    /// Returns Unix time in seconds, advanced by the monotonic clock since the start.
     pub(crate) fn unix_s(&self) -> u64 {
         self.unix_ms() / 1_000
     }
 
-    /// Milliseconds of the Unix clock, moved on by the monotonic clock.
+    /// Returns Unix time in milliseconds, advanced by the monotonic clock since the start.
     pub(crate) fn unix_ms(&self) -> u64 {
-        self.settings.started_ms + self.now.since(self.begun).as_millis() as u64
+        self.settings.started_ms + self.now.since(self.started).as_millis() as u64
     }
 
-    /// Sends `body` to `to`, or to this daemon itself.
+    /// Sends `body` to `to`, which may be this daemon.
     pub(crate) fn send(&mut self, to: Instance, body: Body, out: &mut Vec<Action>) {
         if to == self.settings.instance {
             self.local.push_back(body);
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Up to `count` other live members, chosen at random.
-    pub(crate) fn some_peers(&mut self, count: usize) -> Vec<Instance> {
+    /// Returns up to `count` other live members, chosen at random.
+    pub(crate) fn random_peers(&mut self, count: usize) -> Vec<Instance> {
         let me = self.settings.instance;
         let mut peers: Vec<Instance> = self
             .members
@@ -206,7 +207,7 @@
         self.log_with(request, step, choice, "", reason, out);
     }
 
-    /// Logs a decision about `request` with its alternatives.
+    /// Logs a decision about `request` with the alternatives.
     pub(crate) fn log_with(
         &self,
         request: &str,
@@ -226,32 +227,32 @@
         }));
     }
 
-    /// The name of a replica, for log lines.
+    /// Returns the name of a replica, or its hash if it is not listed.
     pub(crate) fn replica_name(&self, replica: Replica) -> String {
         self.replicas
-            .backends
+            .listed
             .get(&replica)
             .map_or_else(|| replica.to_string(), |found| found.name.clone())
     }
 
-    /// The name of an instance, for log lines.
+    /// Returns the name of an instance, or its hash if it is not listed.
     pub(crate) fn instance_name(&self, instance: Instance) -> String {
         self.members
-            .seats
+            .listed
             .get(&instance)
-            .map_or_else(|| instance.to_string(), |seat| seat.name.clone())
+            .map_or_else(|| instance.to_string(), |listed| listed.name.clone())
     }
 
-    /// Whether decisions may be made now: a list is known, the table is up to date, and after a pause a peer was
-    /// heard or the store was read.
+    /// Returns whether requests may be admitted and placed: a list is known, the table is up to
+    /// date, and since the last pause a peer was heard or the store was read.
     pub(crate) fn may_decide(&self) -> bool {
-        let caught_up =
-            !self.members.fleet.paused(self.now) || self.tables.desk.proved_since(self.life.woke);
-        self.tables.view.fresh(self.now) && caught_up && self.replicas.is_listed
+        let caught_up = !self.members.fleet.paused(self.now)
+            || self.tables.sync.proved_since(self.lifecycle.pause_ended);
+        self.tables.view.fresh(self.now) && caught_up && self.replicas.has_list
     }
 }
 
-/// `span` in whole milliseconds.
+/// Returns `span` in whole milliseconds.
 pub(crate) fn millis(span: Duration) -> u64 {
     span.as_millis() as u64
 }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of a daemon, parted by what it is about. The core composes the parts.
+//! Parts of the state of a daemon, composed by [`crate::Node`].
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,48 +18,48 @@
 use slotmap::SlotMap;
 use table::view::View;
 
-use crate::desk::Desk;
 use crate::journal::Journal;
-use crate::kept::Kept;
-use crate::list::Backend;
-use crate::list::Seat;
-use crate::open::Open;
-use crate::open::OpenKey;
-use crate::question::Question;
+use crate::kept_pool::KeptPool;
+use crate::key_lookup::KeyLookup;
+use crate::list::ListedInstance;
+use crate::list::ListedReplica;
+use crate::open::OpenId;
+use crate::open::OpenRequest;
 use crate::rows::Rows;
 use crate::settings::Settings;
+use crate::table_sync::TableSync;
 
-/// What an order was for.
+/// Purpose of an order to a replica.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Purpose {
+pub(crate) enum OrderPurpose {
     /// Prefill of an open request.
-    Prefill(OpenKey),
-    /// Decode of an open request, or reading its stream.
-    Decode(OpenKey),
+    Prefill(OpenId),
+    /// Decode of an open request, or a read of its stream.
+    Decode(OpenId),
     /// Plain call of an open request.
-    Plain(OpenKey),
+    Plain(OpenId),
     /// Release of a hold.
     Cancel,
 }
 
-/// Requests that this daemon owns, and their keys.
+/// Requests owned by this daemon, and their keys.
 #[derive(Debug)]
 pub(crate) struct Requests {
-    pub(crate) open: SlotMap<OpenKey, Open>,
-    pub(crate) by_handle: HashMap<Handle, OpenKey>,
-    pub(crate) by_call: HashMap<CallId, OpenKey>,
-    /// Orders to replicas that are not answered yet.
-    pub(crate) orders: HashMap<OrderId, Purpose>,
+    pub(crate) open: SlotMap<OpenId, OpenRequest>,
+    pub(crate) by_handle: HashMap<Handle, OpenId>,
+    pub(crate) by_call: HashMap<CallId, OpenId>,
+    /// Unanswered orders to replicas.
+    pub(crate) orders: HashMap<OrderId, OrderPurpose>,
     pub(crate) holds: Holds,
-    /// Keys of requests that run or ran here.
-    pub(crate) keys: KeyRegistry<OpenKey>,
-    /// Callers that wait for what another instance knows of their key.
-    pub(crate) questions: HashMap<u64, Question>,
+    /// Keys of requests that this daemon runs or ran.
+    pub(crate) keys: KeyRegistry<OpenId>,
+    /// Pending lookups of keys that belong to other runs, by nonce.
+    pub(crate) lookups: HashMap<u64, KeyLookup>,
     pub(crate) journal: Journal,
 }
 
 impl Requests {
-    /// None yet; keys are remembered as `settings` say.
+    /// Creates an empty state; `settings` limit the number and age of keys.
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             open: SlotMap::with_key(),
@@ -68,119 +68,119 @@
             orders: HashMap::new(),
             holds: Holds::new(),
             keys: KeyRegistry::new(settings.window.as_secs(), settings.max_keys),
-            questions: HashMap::new(),
+            lookups: HashMap::new(),
             journal: Journal::new(),
         }
     }
 
-    /// Keys of the open requests that are `wanted`.
-    pub(crate) fn open_where(&self, wanted: impl Fn(&Open) -> bool) -> Vec<OpenKey> {
+    /// Returns the open requests that satisfy `wanted`.
+    pub(crate) fn open_where(&self, wanted: impl Fn(&OpenRequest) -> bool) -> Vec<OpenId> {
         let found = self.open.iter().filter(|(_, open)| wanted(open));
         found.map(|(key, _)| key).collect()
     }
 }
 
-/// The other instances.
+/// Membership, and the instances in the platform's list.
 #[derive(Debug)]
 pub(crate) struct Members {
     pub(crate) fleet: Fleet,
-    /// Former incarnations of this process, given up after a pause.
+    /// Former incarnations of this process, declared dead during a pause.
     pub(crate) former: Vec<Incarnation>,
-    /// The instances as the platform lists them.
-    pub(crate) seats: BTreeMap<Instance, Seat>,
+    /// Instances in the platform's list.
+    pub(crate) listed: BTreeMap<Instance, ListedInstance>,
 }
 
 impl Members {
-    /// Those that `fleet` knows; nothing is listed yet.
+    /// Creates the state with the members of `fleet` and an empty list.
     pub(crate) const fn new(fleet: Fleet) -> Self {
         Self {
             fleet,
             former: Vec::new(),
-            seats: BTreeMap::new(),
+            listed: BTreeMap::new(),
         }
     }
 }
 
-/// The table in force here.
+/// The table in force on this daemon.
 #[derive(Debug)]
 pub(crate) struct Tables {
     pub(crate) view: View,
-    pub(crate) desk: Desk,
+    pub(crate) sync: TableSync,
     pub(crate) rows: Rows,
 }
 
 impl Tables {
-    /// No table yet; one is decided by for as long as `settings` say.
+    /// Creates the state without a table; `settings` define the lease of tables.
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             view: View::new(settings.lease),
-            desk: Desk::new(),
+            sync: TableSync::new(),
             rows: Rows::new(),
         }
     }
 }
 
-/// The replicas as the platform lists them.
+/// Replicas in the platform's list.
 #[derive(Debug)]
 pub(crate) struct Replicas {
-    pub(crate) backends: BTreeMap<Replica, Backend>,
-    /// Whether a list was told; without one no replica is known.
-    pub(crate) is_listed: bool,
-    /// The part of the replicas that was inspected last.
+    pub(crate) listed: BTreeMap<Replica, ListedReplica>,
+    /// Whether a list was received; without one no replica is known.
+    pub(crate) has_list: bool,
+    /// Index of the share of replicas that was inspected last.
     pub(crate) inspect_part: u64,
-    /// The list as it was read, for daemons that cannot read it.
+    /// The list in its original encoding, for daemons that cannot read it from the platform.
     pub(crate) list_copy: Option<Bytes>,
 }
 
 impl Replicas {
-    /// No list yet.
+    /// Creates the state without a list.
     pub(crate) const fn new() -> Self {
         Self {
-            backends: BTreeMap::new(),
-            is_listed: false,
+            listed: BTreeMap::new(),
+            has_list: false,
             inspect_part: 0,
             list_copy: None,
         }
     }
 }
 
-/// The pools and who keeps them.
+/// Pools and their keepers.
 #[derive(Debug)]
 pub(crate) struct Pools {
-    /// Those that this daemon keeps.
-    pub(crate) cells: BTreeMap<Pool, Kept>,
+    /// Pools whose keeper is this daemon.
+    pub(crate) kept: BTreeMap<Pool, KeptPool>,
     pub(crate) keepers: BTreeMap<Pool, Instance>,
 }
 
 impl Pools {
-    /// None yet.
+    /// Creates an empty state.
     pub(crate) const fn new() -> Self {
         Self {
-            cells: BTreeMap::new(),
+            kept: BTreeMap::new(),
             keepers: BTreeMap::new(),
         }
     }
 }
 
-/// Pauses and the end of this daemon.
+/// Pauses and the planned stop of this daemon.
 #[derive(Debug)]
-pub(crate) struct Life {
-    /// When the last pause longer than the lease ended.
-    pub(crate) woke: Time,
-    /// Since when a planned stop is under way.
+pub(crate) struct Lifecycle {
+    /// End of the last pause that was longer than the lease.
+    pub(crate) pause_ended: Time,
+    /// Start of the planned stop.
     pub(crate) leaving: Option<Time>,
     pub(crate) finished: bool,
-    /// Since when a planned stop waits for records and releases only.
+    /// Time since which the planned stop waits only for records and releases.
     pub(crate) idle_since: Option<Time>,
-    /// Since when the table marks this instance to drain.
+    /// Time since which the table marks this instance as draining.
     pub(crate) drained: Option<Time>,
 }
 
-impl Life {
-    /// A daemon that starts at `now`.
+impl Lifecycle {
+    /// Creates the state of a daemon that starts at `now`.
     pub(crate) const fn new(now: Time) -> Self {
         Self {
-            woke: now,
+            pause_ended: now,
             leaving: None,
             finished: false,
             idle_since: None,
