--- a/crates/gateway/src/asides.rs
+++ b/crates/gateway/src/asides.rs
@@ -34,7 +34,7 @@
             "no instance is known to be ready\n",
         );
     }
-    let body = directory::answer(told, ADDRESSES_TTL_S);
+    let body = directory::answer_body(told, ADDRESSES_TTL_S);
     whole(body, "application/json")
 }
 
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -97,7 +97,7 @@
 /// # Errors
 /// [`Error`].
 pub async fn call(shared: &Shared, call: Call) -> Result<Answer, Error> {
-    let (name, id) = engine::aimed_at(&call.replica);
+    let (name, id) = engine::expected_replica(&call.replica);
     let request = Request::builder()
         .method(call.method)
         .uri(call.path)
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -98,11 +98,11 @@
         .map_or_else(Limits::default, |plan| plan.limits);
     let body = read_body(shared, &call.id, body, limits).await?;
     let host = host(&parts).unwrap_or_default();
-    let key = caller::key(&parts.headers);
+    let key = caller::key_digest(&parts.headers);
     let target = target::find(shared, &host, parts.uri.path(), key)
         .map_err(|error| answer(shared, &call.id, key, &error))?;
     if target.owner != Owner::Anyone {
-        caller::drop_key(&mut parts.headers);
+        caller::remove_key(&mut parts.headers);
     }
     shared.count_request(&target.service);
     let path = job::path(&parts.uri);
--- a/crates/gateway/src/flow.rs
+++ b/crates/gateway/src/flow.rs
@@ -50,7 +50,7 @@
     job.answering.set(true);
     let (parts, body) = mpsc::channel(MAX_WAITING);
     let mut response = Response::new(Body::parts(body));
-    *response.headers_mut() = reply::headers(opened.reply.response.headers());
+    *response.headers_mut() = reply::caller_headers(opened.reply.response.headers());
     let flow = Flow {
         shared: Rc::clone(shared),
         job,
--- a/crates/gateway/src/flow/next.rs
+++ b/crates/gateway/src/flow/next.rs
@@ -70,7 +70,7 @@
             let Some(permit) = self.shared.permit(&self.job, Work::Run) else {
                 break;
             };
-            let task = Task::GoOn {
+            let task = Task::Continue {
                 address: stopped.address,
                 handle: stopped.handle.clone(),
                 last_event,
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -17,7 +17,7 @@
 use http_body_util::Full;
 use platform::caller;
 use platform::caller::Call;
-use platform::caller::Hop;
+use platform::caller::ReplicaRequest;
 use platform::caller::Task;
 use relay::fingerprint::Fingerprint;
 use relay::permit::Permit;
@@ -91,8 +91,8 @@
             service,
             owner,
         } = target;
-        let returned = shared.has_returned(&route, &service, call.patience);
-        let patience = call.patience.unwrap_or(route.timeout).min(route.timeout);
+        let returned = shared.has_returned(&route, &service, call.timeout);
+        let patience = call.timeout.unwrap_or(route.timeout).min(route.timeout);
         Self {
             call,
             fingerprint,
@@ -147,19 +147,19 @@
         task: Task,
         reservation: Option<&str>,
     ) -> Result<Request<Full<Bytes>>, http::Error> {
-        let hop = Hop {
+        let hop = ReplicaRequest {
             replica,
-            left: self.left(),
+            time_left: self.left(),
             task,
             reservation,
             priority: self.customer().and_then(|customer| customer.priority),
-            owner: self.caller(),
+            caller: self.caller(),
         };
         let mut request = Request::builder()
             .method(self.method.clone())
             .uri(path(&self.uri))
             .body(Full::new(self.body.clone()))?;
-        *request.headers_mut() = caller::headers(&self.headers, &hop);
+        *request.headers_mut() = caller::replica_headers(&self.headers, &hop);
         Ok(request)
     }
 
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -17,7 +17,7 @@
 use hyper::client::conn::http1::SendRequest;
 use hyper_util::rt::TokioIo;
 use platform::reply::Head;
-use platform::reply::Subject;
+use platform::reply::RequestMatch;
 use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
@@ -145,7 +145,7 @@
     /// Keeps `link` after the whole answer with this head, unless the replica closes it or named no request: without
     /// a name a late second answer could not be told from the next one.
     pub fn keep_after(&self, head: &Head, link: Link) {
-        if head.subject == Subject::Own && !head.closes {
+        if head.request_match == RequestMatch::Same && !head.closes {
             self.keep(link, head.keep_alive_s);
         }
     }
@@ -201,11 +201,11 @@
 
     /// Whether an answer that says it belongs to `subject` may be the one to the last exchange. Replicas may answer
     /// twice, the second time late: where an exchange went before, only the id tells whose answer arrives.
-    pub const fn may_answer(&self, subject: Subject) -> bool {
+    pub const fn may_answer(&self, subject: RequestMatch) -> bool {
         match subject {
-            Subject::Own => true,
-            Subject::Other => false,
-            Subject::Unnamed => self.exchanges_before() == 0,
+            RequestMatch::Same => true,
+            RequestMatch::Other => false,
+            RequestMatch::Unnamed => self.exchanges_before() == 0,
         }
     }
 
--- a/crates/gateway/src/mover.rs
+++ b/crates/gateway/src/mover.rs
@@ -6,7 +6,7 @@
 use http::Method;
 use http::StatusCode;
 use platform::engine;
-use platform::engine::Moved;
+use platform::engine::MovedCache;
 use relay::replica::Replica;
 use relay::server::Key;
 
@@ -84,7 +84,7 @@
         StatusCode::NOT_FOUND => return Outcome::Unchanged("the replica does not run it"),
         _ => vec![from],
     };
-    match Moved::read(&answer.body) {
+    match MovedCache::read(&answer.body) {
         Ok(moved) => Outcome::Stopped(Stopped {
             from,
             address,
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -270,7 +270,7 @@
             to: self.address,
             replica: self.replica.clone(),
             method: Method::DELETE,
-            path: wire::unreserve_path(&self.id),
+            path: wire::release_path(&self.id),
             body: Vec::new(),
         };
         tokio::task::spawn_local(async move {
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -245,7 +245,7 @@
 pub fn passed_on(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Response<Body> {
     let mut response = Response::new(Body::whole(body));
     *response.status_mut() = status;
-    *response.headers_mut() = reply::headers(headers);
+    *response.headers_mut() = reply::caller_headers(headers);
     response
 }
 
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -100,7 +100,7 @@
 fn decode_task(read: Read, last_event: Option<u64>) -> Task {
     let Read { address, handle } = read;
     match last_event {
-        Some(last_event) => Task::GoOn {
+        Some(last_event) => Task::Continue {
             address,
             handle,
             last_event,
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use platform::caller::Task;
 use platform::reply::Head;
-use platform::reply::Subject;
+use platform::reply::RequestMatch;
 use relay::attempt::Outcome;
 use relay::permit::Permit;
 use relay::permit::Work;
@@ -133,7 +133,7 @@
         Err(failure) => return Err(failed(shared, job, key, &failure)),
     };
     let head = Head::read(&job.call.id, response.status(), response.headers());
-    if !link.may_answer(head.subject) {
+    if !link.may_answer(head.request_match) {
         return Err(foreign(shared, job, key, &head, &link));
     }
     if let Some(load) = head.load {
@@ -172,8 +172,8 @@
 fn foreign(shared: &Shared, job: &Job, key: Key, head: &Head, link: &Link) -> Outcome {
     shared.metrics.foreign_answers.inc();
     shared.links.note_second_answer(link.address());
-    let whose = match head.subject {
-        Subject::Unnamed => "the answer names no request",
+    let whose = match head.request_match {
+        RequestMatch::Unnamed => "the answer names no request",
         _ => "the answer is another request's",
     };
     let cause = format!("{whose}; exchanges before: {}", link.exchanges_before());
@@ -263,7 +263,7 @@
 /// Name of the KV cache, or of the moved memory, that `task` goes on from; empty if there is none.
 fn cache(task: &Task) -> &str {
     match task {
-        Task::Decode { handle, .. } | Task::GoOn { handle, .. } => handle,
+        Task::Decode { handle, .. } | Task::Continue { handle, .. } => handle,
         Task::Answer | Task::Prefill | Task::Resume { .. } => "",
     }
 }
@@ -273,7 +273,7 @@
         Task::Answer => "answer",
         Task::Prefill => "prefill",
         Task::Decode { .. } => "decode",
-        Task::GoOn { .. } => "go-on",
+        Task::Continue { .. } => "go-on",
         Task::Resume { .. } => "resume",
     }
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -18,7 +18,7 @@
 use http_body_util::Limited;
 use hyper::body::Incoming;
 use platform::store;
-use platform::store::Done;
+use platform::store::Committed;
 use platform::store::Edit;
 use platform::store::Rows;
 use prometheus::IntCounterVec;
@@ -108,11 +108,11 @@
     /// [`Error`].
     pub async fn read(&self, table: &str) -> Result<Rows, Error> {
         let mut all = self.page(table, None).await?;
-        while all.more {
+        while all.has_more {
             let last = all.rows.last().map(|row| row.key.clone());
             let page = self.page(table, last.as_deref()).await?;
             all.rows.extend(page.rows);
-            all.more = page.more;
+            all.has_more = page.has_more;
         }
         Ok(all)
     }
@@ -156,7 +156,7 @@
     ) -> Result<u64, Error> {
         let body = store::swap_body(table, key, value, version);
         let answer = self.transact("claiming", table, body).await?;
-        let done = Done::read(&answer).map_err(Error::Garbled)?;
+        let done = Committed::read(&answer).map_err(Error::Garbled)?;
         Ok(done.version)
     }
 
