--- a/crates/ctl/src/base.rs
+++ b/crates/ctl/src/base.rs
@@ -44,7 +44,7 @@
 fn undo(rows: &mut Vec<Row>, change: Change) {
     match change {
         Change::Put { row, base } => {
-            rows.retain(|other| other.parts() != row.parts());
+            rows.retain(|other| other.key_parts() != row.key_parts());
             rows.extend(base);
         }
         Change::Remove { base } => rows.push(base),
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use getopts::Matches;
-use table::drain::Mark;
+use table::drain::DrainTarget;
 
 use crate::error::Error;
 
@@ -89,9 +89,9 @@
     /// List the accepted edits.
     TableHistory,
     /// Mark to drain.
-    Drain(Mark, Submission),
+    Drain(DrainTarget, Submission),
     /// Take the mark away.
-    Undrain(Mark, Submission),
+    Undrain(DrainTarget, Submission),
     /// Show the instances.
     Status,
     /// Show the decisions for a request; log files to search in.
@@ -220,9 +220,9 @@
         .map_err(|_| usage(format!("{name}: `{text}` is not a number from 0 up")))
 }
 
-fn mark(kind: &str, name: &str) -> Result<Mark, Error> {
+fn mark(kind: &str, name: &str) -> Result<DrainTarget, Error> {
     let problem = || usage(format!("`{kind}` is neither `instance` nor `replica`"));
-    Mark::with_kind(kind, name).ok_or_else(problem)
+    DrainTarget::from_kind(kind, name).ok_or_else(problem)
 }
 
 fn usage(cause: String) -> Error {
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use table::Table;
-use table::drain::Mark;
+use table::drain::DrainTarget;
 use table::edit::Change;
 use table::edit::Edit;
 
@@ -17,7 +17,7 @@
 /// Sets or clears `mark`, and waits until that is in force.
 pub(super) async fn run(
     admin: &Admin,
-    mark: &Mark,
+    mark: &DrainTarget,
     set: bool,
     how: &Submission,
     output: Output,
--- a/crates/ctl/src/commands/show.rs
+++ b/crates/ctl/src/commands/show.rs
@@ -18,7 +18,7 @@
     for mark in &table.drains {
         output.line(&format!("# draining: {mark}"));
     }
-    output.line(file::print(&table.rows).trim_end());
+    output.line(file::to_yaml(&table.rows).trim_end());
     output.value(&table);
     Ok(())
 }
--- a/crates/entry/src/admin/view.rs
+++ b/crates/entry/src/admin/view.rs
@@ -5,7 +5,7 @@
 use node::status::Status;
 use serde_json::Value;
 use serde_json::json;
-use table::plan::History;
+use table::transaction::History;
 use volo_http::body::Body;
 
 use super::Shared;
--- a/crates/entry/src/platform/commit.rs
+++ b/crates/entry/src/platform/commit.rs
@@ -12,9 +12,9 @@
 use store::txn::Reply;
 use store::txn::Txn;
 use table::edit::Edit;
-use table::plan::Plan;
-use table::plan::Step;
-use table::stored;
+use table::storage;
+use table::transaction::Decision;
+use table::transaction::Transaction;
 
 use super::Outcome;
 use super::error::Error;
@@ -49,12 +49,12 @@
 
 /// One read and one commit; `None` if another edit came first.
 async fn attempt(client: &Client, edit: &Edit, sent: bool) -> Result<Option<Stored>, Error> {
-    let txn = read::scans().with_read(&stored::edit_id_key(&edit.id));
+    let txn = read::scans().with_read(&storage::edit_id_key(&edit.id));
     let records = read::records(client, txn).await?;
-    match table::plan::plan(edit, &records, clock::unix().as_secs())? {
-        Step::Applied(generation) if sent => Ok(Some(Stored::Committed { generation })),
-        Step::Applied(generation) => Ok(Some(Stored::Repeated { generation })),
-        Step::Commit(plan) => match client.txn(&transaction(&plan)).await? {
+    match table::transaction::plan_edit(edit, &records, clock::unix().as_secs())? {
+        Decision::Applied(generation) if sent => Ok(Some(Stored::Committed { generation })),
+        Decision::Applied(generation) => Ok(Some(Stored::Repeated { generation })),
+        Decision::Commit(plan) => match client.txn(&transaction(&plan)).await? {
             Reply::Committed(_) => Ok(Some(Stored::Committed {
                 generation: plan.table.generation,
             })),
@@ -63,7 +63,7 @@
     }
 }
 
-fn transaction(plan: &Plan) -> Txn {
+fn transaction(plan: &Transaction) -> Txn {
     let required = plan.require.iter().fold(Txn::new(), |txn, requirement| {
         txn.with_requirement(&requirement.key, requirement.version)
     });
@@ -74,8 +74,8 @@
 
 fn refused(error: Error) -> Outcome {
     match error {
-        Error::Record(stored::Error::Conflict(conflict)) => {
-            let lines = conflict.clashes.iter().map(ToString::to_string).collect();
+        Error::Record(storage::Error::Conflict(conflict)) => {
+            let lines = conflict.rows.iter().map(ToString::to_string).collect();
             Ok(Stored::Conflict { lines })
         }
         error => Err(error),
--- a/crates/entry/src/platform/error.rs
+++ b/crates/entry/src/platform/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use table::stored;
+use table::storage;
 
 /// Why a query was not answered.
 #[derive(Debug)]
@@ -12,7 +12,7 @@
     /// A call of the query failed earlier and may have taken effect; this one failed too.
     Uncertain(store::Error),
     /// Records that cannot be read, or an edit that is not valid.
-    Record(stored::Error),
+    Record(storage::Error),
     /// A recorded outcome that cannot be read.
     Outcome {
         /// Its key.
@@ -68,8 +68,8 @@
     }
 }
 
-impl From<stored::Error> for Error {
-    fn from(error: stored::Error) -> Self {
+impl From<storage::Error> for Error {
+    fn from(error: storage::Error) -> Self {
         Self::Record(error)
     }
 }
--- a/crates/entry/src/platform/read.rs
+++ b/crates/entry/src/platform/read.rs
@@ -6,16 +6,16 @@
 use store::txn::Row;
 use store::txn::Txn;
 use table::Table;
-use table::stored;
-use table::stored::Record;
+use table::storage;
+use table::storage::Record;
 
 use super::Outcome;
 use super::error::Error;
 
 /// Reads the generation.
 pub(super) async fn generation(client: &Client) -> Outcome {
-    let records = records(client, Txn::new().with_read(stored::GENERATION)).await?;
-    let (table, _) = stored::read(&records)?;
+    let records = records(client, Txn::new().with_read(storage::GENERATION_KEY)).await?;
+    let (table, _) = storage::read_table(&records)?;
     Ok(Stored::Generation {
         generation: table.generation,
     })
@@ -23,13 +23,15 @@
 
 /// Reads the whole table in one transaction.
 pub(super) async fn table(client: &Client) -> Outcome {
-    let (table, _) = stored::read(&records(client, scans()).await?)?;
+    let (table, _) = storage::read_table(&records(client, scans()).await?)?;
     Ok(Stored::Table(Box::<Table>::new(table)))
 }
 
 /// A transaction that reads the whole table.
 pub(super) fn scans() -> Txn {
-    stored::SCANS.into_iter().fold(Txn::new(), Txn::with_scan)
+    storage::SCAN_PREFIXES
+        .into_iter()
+        .fold(Txn::new(), Txn::with_scan)
 }
 
 /// What `txn`, which requires nothing, reads.
--- a/crates/entry/tests/operators.rs
+++ b/crates/entry/tests/operators.rs
@@ -9,7 +9,7 @@
 use crate::common::settings::TOKEN;
 
 fn edit(operator: &str) -> String {
-    let mark = table::drain::Mark::Replica("decode-1".to_owned());
+    let mark = table::drain::DrainTarget::Replica("decode-1".to_owned());
     let edit =
         table::edit::Edit::new("edit-2", operator).with_change(table::edit::Change::Drain(mark));
     serde_json::to_string(&edit).unwrap()
--- a/crates/node/src/edits.rs
+++ b/crates/node/src/edits.rs
@@ -62,14 +62,14 @@
             Some(made) => self.announce(number, made, out),
             None => self.close_edition(number, refused(outcome), out),
         }
-        if self.tables.view.behind() {
+        if self.tables.view.is_behind() {
             self.read(Ask::Table, out);
         }
     }
 
     fn announce(&mut self, number: u64, made: (u64, bool), out: &mut Vec<Action>) {
         let now = self.now;
-        self.tables.view.announce(made.0);
+        self.tables.view.record_generation(made.0);
         if let Some(edition) = self.tables.desk.editions.get_mut(&number) {
             edition.made = Some(made);
             edition.since = now;
@@ -114,9 +114,9 @@
         generation: u64,
         out: &mut Vec<Action>,
     ) {
-        self.tables.view.announce(generation);
+        self.tables.view.record_generation(generation);
         self.send(from, Body::Noted { edit }, out);
-        if self.tables.view.behind() {
+        if self.tables.view.is_behind() {
             self.send(from, Body::Pull, out);
         }
     }
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -166,7 +166,7 @@
         self.tables
             .view
             .table()
-            .is_some_and(|table| table.drains_replica(replica))
+            .is_some_and(|table| table.is_replica_draining(replica))
     }
 
     /// An owner asks for a placement.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -247,7 +247,7 @@
     pub(crate) fn may_decide(&self) -> bool {
         let caught_up =
             !self.members.fleet.paused(self.now) || self.tables.desk.proved_since(self.life.woke);
-        self.tables.view.fresh(self.now) && caught_up && self.replicas.is_listed
+        self.tables.view.is_fresh(self.now) && caught_up && self.replicas.is_listed
     }
 }
 
--- a/crates/node/src/proofs.rs
+++ b/crates/node/src/proofs.rs
@@ -21,7 +21,7 @@
     /// The store was read linearizably at or after `since`, and holds nothing newer than this view.
     pub(crate) fn prove(&mut self, since: Time) {
         let age = self.now.since(since);
-        self.tables.view.vouch(self.now, age);
+        self.tables.view.record_store_read(self.now, age);
         self.tables.desk.proved = self.tables.desk.proved.max(Some(since));
     }
 
@@ -57,16 +57,16 @@
         News {
             generation: self.tables.view.generation(),
             store_age_ms: age.and_then(|age| u32::try_from(age).ok()),
-            settled: !self.tables.view.behind(),
+            settled: !self.tables.view.is_behind(),
             asked,
             answer,
         }
     }
 
     pub(crate) fn news(&mut self, from: Instance, news: News, out: &mut Vec<Action>) {
-        self.tables.view.announce(news.generation);
+        self.tables.view.record_generation(news.generation);
         self.note_told(from, news);
-        if self.tables.view.behind() {
+        if self.tables.view.is_behind() {
             self.send(from, Body::Pull, out);
         } else {
             self.take_proof(news);
@@ -112,11 +112,15 @@
             .filter(|_| news.generation == self.tables.view.generation());
         if let Some(age) = age {
             let proved = asked - Duration::from_millis(u64::from(age));
-            self.tables.view.vouch(self.now, self.now.since(proved));
+            self.tables
+                .view
+                .record_store_read(self.now, self.now.since(proved));
             self.tables.desk.proved = self.tables.desk.proved.max(Some(proved));
         }
         if let Some(point) = self.contact_point() {
-            self.tables.view.vouch(self.now, self.now.since(point));
+            self.tables
+                .view
+                .record_store_read(self.now, self.now.since(point));
         }
     }
 
--- a/crates/node/src/queries.rs
+++ b/crates/node/src/queries.rs
@@ -29,7 +29,7 @@
             name: self.settings.name.clone(),
             incarnation: self.incarnation().to_string(),
             generation: self.tables.view.generation(),
-            fresh: self.tables.view.fresh(now) && self.replicas.is_listed,
+            fresh: self.tables.view.is_fresh(now) && self.replicas.is_listed,
             store_age_ms: self.tables.desk.store_age(now).map(millis),
             leaving: self.life.leaving.is_some(),
             open: self.requests.open.len(),
@@ -87,7 +87,7 @@
                     .tables
                     .view
                     .table()
-                    .is_some_and(|table| table.drains_instance(&seat.name));
+                    .is_some_and(|table| table.is_instance_draining(&seat.name));
                 let usable = !seat.leaving && !marked;
                 usable.then(|| Address {
                     name: seat.name.clone(),
--- a/crates/node/src/tables.rs
+++ b/crates/node/src/tables.rs
@@ -13,7 +13,7 @@
 use ident::Instance;
 use ledger::ids::Query;
 use table::Table;
-use table::view::Offer;
+use table::view::OfferResult;
 use wire::Body;
 
 use crate::action::Action;
@@ -86,15 +86,15 @@
         };
         match outcome {
             Stored::Generation { generation } => {
-                self.tables.view.announce(generation);
-                if self.tables.view.behind() {
+                self.tables.view.record_generation(generation);
+                if self.tables.view.is_behind() {
                     self.read(Ask::Table, out);
                 } else {
                     self.prove(since);
                 }
             }
             Stored::Table(table) => {
-                self.tables.view.announce(table.generation);
+                self.tables.view.record_generation(table.generation);
                 self.take_table(*table, out);
                 self.prove(since);
             }
@@ -104,7 +104,7 @@
 
     pub(crate) fn take_table(&mut self, table: Table, out: &mut Vec<Action>) {
         let generation = table.generation;
-        if self.tables.view.offer(self.now, table) == Offer::Taken {
+        if self.tables.view.offer(self.now, table) == OfferResult::Accepted {
             let name = self.settings.name.clone();
             let choice = format!("generation {generation}");
             self.log(&name, Step::Table, &choice, "in force here", out);
@@ -117,7 +117,7 @@
                 .tables
                 .view
                 .table()
-                .is_some_and(|table| table.drains_instance(&self.settings.name));
+                .is_some_and(|table| table.is_instance_draining(&self.settings.name));
             self.life.drained = marked.then(|| self.life.drained.unwrap_or(self.now));
             self.refresh_cells();
             self.tell_news(out);
--- a/crates/node/tests/world/operators.rs
+++ b/crates/node/tests/world/operators.rs
@@ -5,7 +5,7 @@
 use node::action;
 use node::event::Event;
 use rand::RngExt;
-use table::drain::Mark;
+use table::drain::DrainTarget;
 use table::edit::Change;
 use table::edit::Edit;
 use table::row::Row;
@@ -54,7 +54,7 @@
     pub(super) fn add_operator(&mut self, fault: Fault, host: usize, which: usize) {
         let number = self.operators.len();
         let draining = [0, 2, 5][which % 3];
-        let mark = Mark::Replica(self.engines[draining].name.clone());
+        let mark = DrainTarget::Replica(self.engines[draining].name.clone());
         let change = match fault {
             Fault::Drain => Change::Drain(mark),
             Fault::Undrain => Change::Undrain(mark),
@@ -115,7 +115,7 @@
         let Some(engine) = self.operators[operator].drains else {
             return;
         };
-        let mark = Mark::Replica(self.engines[engine].name.clone());
+        let mark = DrainTarget::Replica(self.engines[engine].name.clone());
         let mut others = self.operators.iter();
         let undone = others.any(|other| other.edit.changes == [Change::Undrain(mark.clone())]);
         if !undone {
--- a/crates/scenario/src/play/edits.rs
+++ b/crates/scenario/src/play/edits.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use serde_json::json;
 use table::Table;
-use table::drain::Mark;
+use table::drain::DrainTarget;
 use table::edit::Change;
 use table::edit::Edit;
 use table::row::Row;
@@ -68,7 +68,7 @@
             });
         }
         for name in &step.drain {
-            edit = edit.with_change(Change::Drain(Mark::Replica(name.clone())));
+            edit = edit.with_change(Change::Drain(DrainTarget::Replica(name.clone())));
         }
         Ok(edit)
     }
--- a/crates/table/src/diff.rs
+++ b/crates/table/src/diff.rs
@@ -13,10 +13,10 @@
 pub fn lines(a: &Table, b: &Table) -> Vec<String> {
     let mut pairs: BTreeMap<_, Pair<'_>> = BTreeMap::new();
     for row in &a.rows {
-        pairs.entry(row.parts()).or_default().old = Some(row);
+        pairs.entry(row.key_parts()).or_default().old = Some(row);
     }
     for row in &b.rows {
-        pairs.entry(row.parts()).or_default().new = Some(row);
+        pairs.entry(row.key_parts()).or_default().new = Some(row);
     }
     let mut lines: Vec<String> = pairs.values().filter_map(Pair::line).collect();
     lines.extend(
--- a/crates/table/src/drain.rs
+++ b/crates/table/src/drain.rs
@@ -8,14 +8,14 @@
 /// What is marked to drain; it takes no new work and finishes what is in progress.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Mark {
+pub enum DrainTarget {
     /// An entry instance, by its name in the platform's list.
     Instance(String),
     /// A replica, by its name in the platform's list.
     Replica(String),
 }
 
-impl Mark {
+impl DrainTarget {
     /// `instance` or `replica`, as written in keys of the store.
     pub const fn kind(&self) -> &'static str {
         match self {
@@ -32,7 +32,7 @@
     }
 
     /// The mark for a `kind` as written in keys of the store.
-    pub fn with_kind(kind: &str, name: &str) -> Option<Self> {
+    pub fn from_kind(kind: &str, name: &str) -> Option<Self> {
         match kind {
             "instance" => Some(Self::Instance(name.to_owned())),
             "replica" => Some(Self::Replica(name.to_owned())),
@@ -41,7 +41,7 @@
     }
 }
 
-impl fmt::Display for Mark {
+impl fmt::Display for DrainTarget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.kind(), self.name())
     }
--- a/crates/table/src/edit.rs
+++ b/crates/table/src/edit.rs
@@ -8,9 +8,9 @@
 
 use crate::Table;
 use crate::diff;
-use crate::drain::Mark;
+use crate::drain::DrainTarget;
 use crate::error::Error;
-use crate::error::Place;
+use crate::error::Location;
 use crate::error::Report;
 use crate::row::Row;
 use crate::row::is_name;
@@ -35,9 +35,9 @@
         base: Row,
     },
     /// Marks an instance or replica to drain.
-    Drain(Mark),
+    Drain(DrainTarget),
     /// Takes the mark away.
-    Undrain(Mark),
+    Undrain(DrainTarget),
 }
 
 /// A set of changes that an operator makes at once.
@@ -67,8 +67,11 @@
     /// The edit that turns the rows of `base` into `wanted` and leaves the marks alone.
     pub fn between(id: &str, operator: &str, base: &Table, wanted: &[Row]) -> Self {
         let mut edit = Self::new(id, operator);
-        let keys: BTreeSet<_> = wanted.iter().map(Row::parts).collect();
-        let removed = base.rows.iter().filter(|row| !keys.contains(&row.parts()));
+        let keys: BTreeSet<_> = wanted.iter().map(Row::key_parts).collect();
+        let removed = base
+            .rows
+            .iter()
+            .filter(|row| !keys.contains(&row.key_parts()));
         edit.changes
             .extend(removed.map(|row| Change::Remove { base: row.clone() }));
         for row in wanted {
@@ -108,21 +111,21 @@
         let texts = texts.into_iter().filter(|(_, text)| !is_name(text));
         errors.extend(texts.map(|(name, text)| bad_text(name, text)));
         if self.note.len() > MAX_NOTE {
-            errors.push(Error::Size {
+            errors.push(Error::TooLong {
                 bytes: self.note.len(),
-                most: MAX_NOTE,
+                max: MAX_NOTE,
             });
         }
         if self.changes.is_empty() {
-            errors.push(Error::Empty);
+            errors.push(Error::NoChanges);
         }
         let mut seen = BTreeSet::new();
         for change in &self.changes {
             errors.extend(change.check());
             let key = change.key();
             if seen.contains(&key) {
-                errors.push(Error::Duplicate {
-                    place: Place::new(&key, ""),
+                errors.push(Error::DuplicateKey {
+                    location: Location::new(&key, ""),
                     first: None,
                 });
             }
@@ -139,15 +142,15 @@
     ///
     /// A conflict, with every row that differs from what the operator saw.
     pub fn apply(&self, table: &Table) -> Result<Table, Conflict> {
-        let clashes: Vec<Clash> = self
+        let rows: Vec<RowConflict> = self
             .changes
             .iter()
-            .filter_map(|change| change.clash(table))
+            .filter_map(|change| change.conflict(table))
             .collect();
-        if !clashes.is_empty() {
+        if !rows.is_empty() {
             return Err(Conflict {
                 generation: table.generation,
-                clashes,
+                rows,
             });
         }
         let mut next = table.clone();
@@ -173,7 +176,7 @@
             Self::Put {
                 row,
                 base: Some(base),
-            } if row.parts() != base.parts() => {
+            } if row.key_parts() != base.key_parts() => {
                 vec![bad_text("base", &base.key())]
             }
             Self::Put { row, .. } => row.check(),
@@ -184,7 +187,7 @@
         }
     }
 
-    fn clash(&self, table: &Table) -> Option<Clash> {
+    fn conflict(&self, table: &Table) -> Option<RowConflict> {
         let (key, base, wanted) = match self {
             Self::Put { row, base } => (row, base.as_ref(), Some(row)),
             Self::Remove { base } => (base, Some(base), None),
@@ -192,7 +195,7 @@
         };
         let current = table.row(&key.service, &key.class, &key.pool);
         let conflicts = current != base && current != wanted;
-        conflicts.then(|| Clash {
+        conflicts.then(|| RowConflict {
             key: key.key(),
             base: base.cloned(),
             current: current.cloned(),
@@ -205,13 +208,13 @@
             Self::Put { row, .. } => {
                 let found = table
                     .rows
-                    .binary_search_by(|other| other.parts().cmp(&row.parts()));
+                    .binary_search_by(|other| other.key_parts().cmp(&row.key_parts()));
                 match found {
                     Ok(index) => table.rows[index] = row.clone(),
                     Err(index) => table.rows.insert(index, row.clone()),
                 }
             }
-            Self::Remove { base } => table.rows.retain(|row| row.parts() != base.parts()),
+            Self::Remove { base } => table.rows.retain(|row| row.key_parts() != base.key_parts()),
             Self::Drain(mark) => {
                 table.drains.insert(mark.clone());
             }
@@ -223,15 +226,15 @@
 }
 
 fn bad_text(field: &str, value: &str) -> Error {
-    Error::Text {
-        place: Place::new("", field),
+    Error::InvalidName {
+        location: Location::new("", field),
         value: value.to_owned(),
     }
 }
 
 /// A row that is no longer as the operator saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Clash {
+pub struct RowConflict {
     /// `service/class/pool`.
     pub key: String,
     /// What the operator saw.
@@ -242,7 +245,7 @@
     pub wanted: Option<Row>,
 }
 
-impl fmt::Display for Clash {
+impl fmt::Display for RowConflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             key,
@@ -270,14 +273,14 @@
     /// The generation that was found.
     pub generation: u64,
     /// The rows in conflict, never empty.
-    pub clashes: Vec<Clash>,
+    pub rows: Vec<RowConflict>,
 }
 
 impl fmt::Display for Conflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "conflict with generation {}", self.generation)?;
-        for clash in &self.clashes {
-            write!(f, "\n{clash}")?;
+        for conflict in &self.rows {
+            write!(f, "\n{conflict}")?;
         }
         Ok(())
     }
--- a/crates/table/src/error.rs
+++ b/crates/table/src/error.rs
@@ -3,11 +3,11 @@
 use std::fmt;
 
 use crate::Table;
-use crate::limits::MAX_TEXT;
+use crate::limits::MAX_NAME_BYTES;
 
 /// Where a fault stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The line of the file, counted from 1; `None` if the rows come from no file or can't be
     /// told apart in it by lines.
     pub line: Option<usize>,
@@ -17,7 +17,7 @@
     pub field: String,
 }
 
-impl Place {
+impl Location {
     /// The column `field` of the row `row`, in no file.
     pub fn new(row: &str, field: &str) -> Self {
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The same place at `line` of a file.
+    /// The same location at `line` of a file.
     #[must_use]
     pub fn with_line(mut self, line: Option<usize>) -> Self {
         self.line = line;
@@ -35,7 +35,7 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let line = self.line.map(|line| format!("line {line}"));
         let row = (!self.row.is_empty()).then(|| format!("row {}", self.row));
@@ -54,37 +54,37 @@
     /// The file is no YAML list of rows, or a column is unknown or of the wrong type.
     Syntax {
         /// Where it stands.
-        place: Place,
+        location: Location,
         /// What the parser found.
         found: String,
     },
     /// A column that has no default is missing.
-    Missing {
+    MissingColumn {
         /// Where it should stand.
-        place: Place,
+        location: Location,
     },
     /// A number outside the values that its column may take.
-    Range {
+    OutOfRange {
         /// Where it stands.
-        place: Place,
+        location: Location,
         /// The number found.
         value: i64,
         /// The least value allowed.
-        least: i64,
+        min: i64,
         /// The greatest value allowed.
-        most: i64,
+        max: i64,
     },
     /// A name with characters that are not allowed, or of a wrong length.
-    Text {
+    InvalidName {
         /// Where it stands.
-        place: Place,
+        location: Location,
         /// The text found.
         value: String,
     },
     /// Two columns of a row that can't both hold.
     Contradiction {
         /// Where the smaller one stands.
-        place: Place,
+        location: Location,
         /// Its value.
         value: i64,
         /// The column that it must not be below.
@@ -93,26 +93,26 @@
         bound: i64,
     },
     /// A key that stands twice.
-    Duplicate {
+    DuplicateKey {
         /// Where the second one stands.
-        place: Place,
+        location: Location,
         /// The line of the first one.
         first: Option<usize>,
     },
     /// More rows than a table may have.
-    Count {
+    TooManyRows {
         /// The number of rows found.
         rows: usize,
     },
     /// A file longer than is read.
-    Size {
+    TooLong {
         /// The length found, in bytes.
         bytes: usize,
         /// The longest that is read, in bytes.
-        most: usize,
+        max: usize,
     },
     /// An edit without any change.
-    Empty,
+    NoChanges,
 }
 
 impl Error {
@@ -120,27 +120,27 @@
     #[must_use]
     pub fn with_line(mut self, line: Option<usize>) -> Self {
         match &mut self {
-            Self::Syntax { place, .. }
-            | Self::Missing { place }
-            | Self::Range { place, .. }
-            | Self::Text { place, .. }
-            | Self::Contradiction { place, .. }
-            | Self::Duplicate { place, .. } => place.line = line,
-            Self::Count { .. } | Self::Size { .. } | Self::Empty => {}
+            Self::Syntax { location, .. }
+            | Self::MissingColumn { location }
+            | Self::OutOfRange { location, .. }
+            | Self::InvalidName { location, .. }
+            | Self::Contradiction { location, .. }
+            | Self::DuplicateKey { location, .. } => location.line = line,
+            Self::TooManyRows { .. } | Self::TooLong { .. } | Self::NoChanges => {}
         }
         self
     }
 
-    /// Where the fault stands, if it stands at one place.
-    pub fn place(&self) -> Option<&Place> {
+    /// Where the fault stands, if it stands at one location.
+    pub fn location(&self) -> Option<&Location> {
         match self {
-            Self::Syntax { place, .. }
-            | Self::Missing { place }
-            | Self::Range { place, .. }
-            | Self::Text { place, .. }
-            | Self::Contradiction { place, .. }
-            | Self::Duplicate { place, .. } => Some(place),
-            Self::Count { .. } | Self::Size { .. } | Self::Empty => None,
+            Self::Syntax { location, .. }
+            | Self::MissingColumn { location }
+            | Self::OutOfRange { location, .. }
+            | Self::InvalidName { location, .. }
+            | Self::Contradiction { location, .. }
+            | Self::DuplicateKey { location, .. } => Some(location),
+            Self::TooManyRows { .. } | Self::TooLong { .. } | Self::NoChanges => None,
         }
     }
 }
@@ -148,55 +148,58 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Syntax { place, found } => {
+            Self::Syntax { location, found } => {
                 write!(
                     f,
-                    "{place}: {found}; write a list of rows with the documented columns"
+                    "{location}: {found}; write a list of rows with the documented columns"
                 )
             }
-            Self::Missing { place } => {
-                write!(f, "{place}: missing; add it, it has no default")
+            Self::MissingColumn { location } => {
+                write!(f, "{location}: missing; add it, it has no default")
             }
-            Self::Range {
-                place,
+            Self::OutOfRange {
+                location,
                 value,
-                least,
-                most,
+                min,
+                max,
             } => {
-                write!(f, "{place}: {value} is out of range; use {least} to {most}")
+                write!(f, "{location}: {value} is out of range; use {min} to {max}")
             }
-            Self::Text { place, value } => write!(
+            Self::InvalidName { location, value } => write!(
                 f,
-                "{place}: `{value}` is not a name; use 1 to {MAX_TEXT} letters, digits, `-`, `_` or `.`"
+                "{location}: `{value}` is not a name; use 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`"
             ),
             Self::Contradiction {
-                place,
+                location,
                 value,
                 other,
                 bound,
             } => write!(
                 f,
-                "{place}: {value} is below {other} ({bound}); raise it to {bound} or lower {other}"
+                "{location}: {value} is below {other} ({bound}); raise it to {bound} or lower {other}"
             ),
-            Self::Duplicate {
-                place,
+            Self::DuplicateKey {
+                location,
                 first: Some(first),
             } => {
                 write!(
                     f,
-                    "{place}: the key stands on line {first} already; keep one of the two"
+                    "{location}: the key stands on line {first} already; keep one of the two"
                 )
             }
-            Self::Duplicate { place, first: None } => {
-                write!(f, "{place}: the key stands twice; keep one of the two")
+            Self::DuplicateKey {
+                location,
+                first: None,
+            } => {
+                write!(f, "{location}: the key stands twice; keep one of the two")
             }
-            Self::Count { rows } => {
+            Self::TooManyRows { rows } => {
                 write!(f, "table: {rows} rows; use at most {}", Table::MAX_ROWS)
             }
-            Self::Size { bytes, most } => {
-                write!(f, "file: {bytes} bytes; use at most {most}")
+            Self::TooLong { bytes, max } => {
+                write!(f, "file: {bytes} bytes; use at most {max}")
             }
-            Self::Empty => write!(f, "edit: no change; nothing is left to apply"),
+            Self::NoChanges => write!(f, "edit: no change; nothing is left to apply"),
         }
     }
 }
--- a/crates/table/src/file.rs
+++ b/crates/table/src/file.rs
@@ -10,7 +10,7 @@
 
 use crate::Table;
 use crate::error::Error;
-use crate::error::Place;
+use crate::error::Location;
 use crate::error::Report;
 use crate::limits;
 use crate::limits::KEY_COLUMNS;
@@ -61,8 +61,8 @@
             ("pool", &self.pool),
         ];
         let missing = texts.into_iter().filter(|(_, text)| text.is_none());
-        let missing = missing.map(|(name, _)| Error::Missing {
-            place: Place::new(&key, name),
+        let missing = missing.map(|(name, _)| Error::MissingColumn {
+            location: Location::new(&key, name),
         });
         let ranges = self.numbers().into_iter();
         let ranges = ranges.filter_map(|(range, value)| range.check(&key, value?));
@@ -113,16 +113,16 @@
 /// Every fault found, with its line and column where they can be told.
 pub fn parse(text: &str) -> Result<Vec<Row>, Report> {
     if text.len() > MAX_BYTES {
-        return Err(Error::Size {
+        return Err(Error::TooLong {
             bytes: text.len(),
-            most: MAX_BYTES,
+            max: MAX_BYTES,
         }
         .into());
     }
     let columns: Vec<Columns> =
         serde_norway::from_str(text).map_err(|error| Report::from(syntax(&error)))?;
     if columns.len() > Table::MAX_ROWS {
-        return Err(Error::Count {
+        return Err(Error::TooManyRows {
             rows: columns.len(),
         }
         .into());
@@ -139,9 +139,9 @@
         let Some(row) = row else { continue };
         match seen.insert(row.key(), index) {
             Some(first) => {
-                let place = Place::new(&row.key(), "").with_line(lines.start(index));
-                errors.push(Error::Duplicate {
-                    place,
+                let location = Location::new(&row.key(), "").with_line(lines.start(index));
+                errors.push(Error::DuplicateKey {
+                    location,
                     first: lines.start(first),
                 });
             }
@@ -153,14 +153,14 @@
 }
 
 /// Writes `rows` in the file form, every column spelt out.
-pub fn print(rows: &[Row]) -> String {
+pub fn to_yaml(rows: &[Row]) -> String {
     if rows.is_empty() {
         return "[]\n".to_owned();
     }
-    rows.iter().map(print_row).collect()
+    rows.iter().map(row_to_yaml).collect()
 }
 
-fn print_row(row: &Row) -> String {
+fn row_to_yaml(row: &Row) -> String {
     let columns = row.columns();
     let lines = columns.iter().enumerate().map(|(index, column)| {
         let lead = if index == 0 { "- " } else { "  " };
@@ -176,8 +176,8 @@
     let field = found.split(": ").next().and_then(column);
     let field = field.unwrap_or_default();
     let line = error.location().map(|location| location.line());
-    let place = Place::new("", field).with_line(line);
-    Error::Syntax { place, found }
+    let location = Location::new("", field).with_line(line);
+    Error::Syntax { location, found }
 }
 
 /// The column in a path of the parser, such as `.[0].tbt_ms`.
@@ -228,8 +228,8 @@
             .copied()
             .unwrap_or(self.text.len());
         let field = fault
-            .place()
-            .map_or(String::new(), |place| format!("{}:", place.field));
+            .location()
+            .map_or(String::new(), |location| format!("{}:", location.field));
         let is_field = |line: &&str| {
             line.trim_start()
                 .trim_start_matches("- ")
--- a/crates/table/src/limits.rs
+++ b/crates/table/src/limits.rs
@@ -3,13 +3,13 @@
 /// The number of key columns, which come first in a row.
 pub const KEY_COLUMNS: usize = 3;
 /// The longest text in a key column, in bytes.
-pub const MAX_TEXT: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// The largest share.
 pub const MAX_SHARE: u32 = 1_000_000;
 /// The last priority; zero is the highest.
-pub const LAST_PRIORITY: u8 = 9;
+pub const MAX_PRIORITY: u8 = 9;
 /// The largest latency target or wait: one day, in milliseconds.
-pub const MAX_SPAN_MS: u32 = 86_400_000;
+pub const MAX_DURATION_MS: u32 = 86_400_000;
 /// The largest ceiling, in requests at once.
 pub const MAX_CEILING: u32 = 10_000_000;
 
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::error::Error;
-use crate::error::Place;
+use crate::error::Location;
 use crate::limits::DEFAULT_DECODE_CEILING;
 use crate::limits::DEFAULT_MAX_WAIT_MS;
 use crate::limits::DEFAULT_PREFILL_CEILING;
@@ -16,11 +16,11 @@
 use crate::limits::DEFAULT_TBT_MS;
 use crate::limits::DEFAULT_TTFT_MS;
 use crate::limits::DEFAULT_WASTE_PERCENT;
-use crate::limits::LAST_PRIORITY;
 use crate::limits::MAX_CEILING;
+use crate::limits::MAX_DURATION_MS;
+use crate::limits::MAX_NAME_BYTES;
+use crate::limits::MAX_PRIORITY;
 use crate::limits::MAX_SHARE;
-use crate::limits::MAX_SPAN_MS;
-use crate::limits::MAX_TEXT;
 
 /// Weights and limits for one service, caller class and pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -85,7 +85,7 @@
     }
 
     /// The key columns, in the order by which rows are sorted.
-    pub fn parts(&self) -> (&str, &str, &str) {
+    pub fn key_parts(&self) -> (&str, &str, &str) {
         (&self.service, &self.class, &self.pool)
     }
 
@@ -123,8 +123,8 @@
         ];
         for (field, value) in texts {
             if !is_name(value) {
-                errors.push(Error::Text {
-                    place: Place::new(&key, field),
+                errors.push(Error::InvalidName {
+                    location: Location::new(&key, field),
                     value: value.clone(),
                 });
             }
@@ -134,7 +134,7 @@
         }
         if self.max_wait_ms < self.ttft_ms {
             errors.push(Error::Contradiction {
-                place: Place::new(&key, "max_wait_ms"),
+                location: Location::new(&key, "max_wait_ms"),
                 value: i64::from(self.max_wait_ms),
                 other: "ttft_ms",
                 bound: i64::from(self.ttft_ms),
@@ -171,39 +171,39 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Range {
     field: &'static str,
-    least: i64,
-    most: i64,
+    min: i64,
+    max: i64,
 }
 
 impl Range {
-    const fn new(field: &'static str, least: i64, most: i64) -> Self {
-        Self { field, least, most }
+    const fn new(field: &'static str, min: i64, max: i64) -> Self {
+        Self { field, min, max }
     }
 
     /// The error for `value` in the row `key`, if it lies outside.
     pub(crate) fn check(self, key: &str, value: i64) -> Option<Error> {
-        let outside = value < self.least || value > self.most;
-        outside.then(|| Error::Range {
-            place: Place::new(key, self.field),
+        let outside = value < self.min || value > self.max;
+        outside.then(|| Error::OutOfRange {
+            location: Location::new(key, self.field),
             value,
-            least: self.least,
-            most: self.most,
+            min: self.min,
+            max: self.max,
         })
     }
 }
 
 pub(crate) const SHARE: Range = Range::new("share", 1, MAX_SHARE as i64);
-pub(crate) const PRIORITY: Range = Range::new("priority", 0, LAST_PRIORITY as i64);
-pub(crate) const TTFT_MS: Range = Range::new("ttft_ms", 1, MAX_SPAN_MS as i64);
-pub(crate) const TBT_MS: Range = Range::new("tbt_ms", 1, MAX_SPAN_MS as i64);
-pub(crate) const MAX_WAIT_MS: Range = Range::new("max_wait_ms", 1, MAX_SPAN_MS as i64);
+pub(crate) const PRIORITY: Range = Range::new("priority", 0, MAX_PRIORITY as i64);
+pub(crate) const TTFT_MS: Range = Range::new("ttft_ms", 1, MAX_DURATION_MS as i64);
+pub(crate) const TBT_MS: Range = Range::new("tbt_ms", 1, MAX_DURATION_MS as i64);
+pub(crate) const MAX_WAIT_MS: Range = Range::new("max_wait_ms", 1, MAX_DURATION_MS as i64);
 pub(crate) const PREFILL_CEILING: Range = Range::new("prefill_ceiling", 1, MAX_CEILING as i64);
 pub(crate) const DECODE_CEILING: Range = Range::new("decode_ceiling", 1, MAX_CEILING as i64);
 pub(crate) const RETRY_PERCENT: Range = Range::new("retry_percent", 0, 100);
 pub(crate) const WASTE_PERCENT: Range = Range::new("waste_percent", 0, 100);
 
-/// Whether `text` may stand in a key: 1 to [`MAX_TEXT`] of ASCII letters, digits, `-`, `_`, `.`.
+/// Whether `text` may stand in a key: 1 to [`MAX_NAME_BYTES`] of ASCII letters, digits, `-`, `_`, `.`.
 pub fn is_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    !text.is_empty() && text.len() <= MAX_TEXT && text.bytes().all(allowed)
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
 }
--- a/crates/table/src/stored.rs
+++ b/crates/table/src/storage.rs
@@ -12,7 +12,7 @@
 //! raises the generation by exactly one; of two racing ones the later has to be planned again
 //! from what it then reads. It also requires `table/edit-id/<id>` to be absent, so that an edit
 //! whose acknowledgement was lost can't be applied twice, and the version of each row that it
-//! changes. The table must be read in one transaction over [`SCANS`]; separate reads could mix
+//! changes. The table must be read in one transaction over [`SCAN_PREFIXES`]; separate reads could mix
 //! two generations.
 
 use std::collections::BTreeMap;
@@ -20,23 +20,23 @@
 use std::fmt;
 
 use crate::Table;
-use crate::drain::Mark;
+use crate::drain::DrainTarget;
 use crate::edit::Conflict;
 use crate::error::Report;
 use crate::row::Row;
 
 /// The key of the generation.
-pub const GENERATION: &str = "table/generation";
+pub const GENERATION_KEY: &str = "table/generation";
 /// The prefix of the rows.
-pub const ROWS: &str = "table/row/";
+pub const ROW_PREFIX: &str = "table/row/";
 /// The prefix of the marks.
-pub const DRAINS: &str = "table/drain/";
+pub const DRAIN_PREFIX: &str = "table/drain/";
 /// The prefix of the history.
-pub const EDITS: &str = "table/edit/";
+pub const EDIT_PREFIX: &str = "table/edit/";
 /// The prefix of the ids of edits.
-pub const EDIT_IDS: &str = "table/edit-id/";
+pub const EDIT_ID_PREFIX: &str = "table/edit-id/";
 /// The prefixes to scan, in one transaction, to read the whole table.
-pub const SCANS: [&str; 3] = [GENERATION, ROWS, DRAINS];
+pub const SCAN_PREFIXES: [&str; 3] = [GENERATION_KEY, ROW_PREFIX, DRAIN_PREFIX];
 
 /// A row of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -113,30 +113,30 @@
 
 /// The key of the row.
 pub fn row_key(row: &Row) -> String {
-    format!("{ROWS}{}", row.key())
+    format!("{ROW_PREFIX}{}", row.key())
 }
 
 /// The key of the mark.
-pub fn drain_key(mark: &Mark) -> String {
-    format!("{DRAINS}{}/{}", mark.kind(), mark.name())
+pub fn drain_key(mark: &DrainTarget) -> String {
+    format!("{DRAIN_PREFIX}{}/{}", mark.kind(), mark.name())
 }
 
 /// The key of the history record of `generation`.
 pub fn edit_key(generation: u64) -> String {
-    format!("{EDITS}{generation:012}")
+    format!("{EDIT_PREFIX}{generation:012}")
 }
 
 /// The key that tells whether the edit `id` has been applied.
 pub fn edit_id_key(id: &str) -> String {
-    format!("{EDIT_IDS}{id}")
+    format!("{EDIT_ID_PREFIX}{id}")
 }
 
-/// Reads the table from the records of one transaction over [`SCANS`]; other keys are passed over.
+/// Reads the table from the records of one transaction over [`SCAN_PREFIXES`]; other keys are passed over.
 ///
 /// # Errors
 ///
 /// The first record that can't be read.
-pub fn read(records: &[Record]) -> Result<(Table, Versions), Error> {
+pub fn read_table(records: &[Record]) -> Result<(Table, Versions), Error> {
     let mut rows = Vec::new();
     let mut drains = BTreeSet::new();
     let mut generation = 0;
@@ -144,11 +144,11 @@
     for record in records.iter().filter(|record| record.version > 0) {
         let key = record.key.as_str();
         versions.0.insert(key.to_owned(), record.version);
-        if key == GENERATION {
+        if key == GENERATION_KEY {
             generation = number(record)?;
-        } else if key.starts_with(ROWS) {
+        } else if key.starts_with(ROW_PREFIX) {
             rows.push(row(record)?);
-        } else if let Some(rest) = key.strip_prefix(DRAINS) {
+        } else if let Some(rest) = key.strip_prefix(DRAIN_PREFIX) {
             drains.insert(mark(record, rest)?);
         }
     }
@@ -171,9 +171,9 @@
     Ok(row)
 }
 
-fn mark(record: &Record, rest: &str) -> Result<Mark, Error> {
+fn mark(record: &Record, rest: &str) -> Result<DrainTarget, Error> {
     let parts = rest.split_once('/');
-    let mark = parts.and_then(|(kind, name)| Mark::with_kind(kind, name));
+    let mark = parts.and_then(|(kind, name)| DrainTarget::from_kind(kind, name));
     mark.ok_or_else(|| corrupt(record, "neither an instance nor a replica"))
 }
 
--- a/crates/table/src/plan.rs
+++ b/crates/table/src/transaction.rs
@@ -7,16 +7,16 @@
 use crate::edit::Change;
 use crate::edit::Edit;
 use crate::error;
-use crate::stored::Error;
-use crate::stored::GENERATION;
-use crate::stored::Record;
-use crate::stored::corrupt;
-use crate::stored::drain_key;
-use crate::stored::edit_id_key;
-use crate::stored::edit_key;
-use crate::stored::number;
-use crate::stored::read;
-use crate::stored::row_key;
+use crate::storage::Error;
+use crate::storage::GENERATION_KEY;
+use crate::storage::Record;
+use crate::storage::corrupt;
+use crate::storage::drain_key;
+use crate::storage::edit_id_key;
+use crate::storage::edit_key;
+use crate::storage::number;
+use crate::storage::read_table;
+use crate::storage::row_key;
 
 /// A key that must be at a version for the transaction to commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 
 /// The transaction that applies an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Plan {
+pub struct Transaction {
     /// What must hold for it to commit.
     pub require: Vec<Requirement>,
     /// What it writes.
@@ -49,9 +49,9 @@
 
 /// What is to be done about an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum Decision {
     /// Commit this transaction; if it fails, read again and plan again.
-    Commit(Plan),
+    Commit(Transaction),
     /// Nothing: the edit has been applied and made this generation.
     Applied(u64),
 }
@@ -67,25 +67,25 @@
     pub edit: Edit,
 }
 
-/// Plans `edit` against the records of one transaction that scanned [`stored::SCANS`](crate::stored::SCANS) and read
-/// [`edit_id_key`](crate::stored::edit_id_key). `unix_seconds` goes into the history record.
+/// Plans `edit` against the records of one transaction that scanned [`storage::SCAN_PREFIXES`](crate::storage::SCAN_PREFIXES) and read
+/// [`edit_id_key`](crate::storage::edit_id_key). `unix_seconds` goes into the history record.
 ///
 /// # Errors
 ///
 /// A record that can't be read, an edit that is not valid, or a conflict.
-pub fn plan(edit: &Edit, records: &[Record], unix_seconds: u64) -> Result<Step, Error> {
+pub fn plan_edit(edit: &Edit, records: &[Record], unix_seconds: u64) -> Result<Decision, Error> {
     edit.check()?;
     let id_key = edit_id_key(&edit.id);
     let applied = records
         .iter()
         .find(|record| record.key == id_key && record.version > 0);
     if let Some(applied) = applied {
-        return number(applied).map(Step::Applied);
+        return number(applied).map(Decision::Applied);
     }
-    let (current, versions) = read(records)?;
+    let (current, versions) = read_table(records)?;
     let table = edit.apply(&current)?;
     if table.rows.len() > Table::MAX_ROWS {
-        let count = error::Error::Count {
+        let count = error::Error::TooManyRows {
             rows: table.rows.len(),
         };
         return Err(Error::Invalid(count.into()));
@@ -98,16 +98,16 @@
     let generation = table.generation.to_string();
     let mut write: Vec<Write> = edit.changes.iter().map(change).collect();
     let mut keys: Vec<String> = write.iter().map(|write| write.key.clone()).collect();
-    write.push(put(GENERATION.to_owned(), generation.clone()));
+    write.push(put(GENERATION_KEY.to_owned(), generation.clone()));
     write.push(put(edit_key(table.generation), json(&history)));
     write.push(put(id_key.clone(), generation));
-    keys.push(GENERATION.to_owned());
+    keys.push(GENERATION_KEY.to_owned());
     keys.push(id_key);
     let require = keys.into_iter().map(|key| Requirement {
         version: versions.get(&key),
         key,
     });
-    Ok(Step::Commit(Plan {
+    Ok(Decision::Commit(Transaction {
         require: require.collect(),
         write,
         table,
@@ -119,7 +119,7 @@
 /// # Errors
 ///
 /// The record, if it can't be read.
-pub fn history(record: &Record) -> Result<History, Error> {
+pub fn read_history(record: &Record) -> Result<History, Error> {
     serde_json::from_str(&record.value).map_err(|error| corrupt(record, &error.to_string()))
 }
 
--- a/crates/table/src/view.rs
+++ b/crates/table/src/view.rs
@@ -5,11 +5,11 @@
 //! from that point on. Two sources move the point:
 //!
 //! - *The store*, read linearizably by this daemon or by a peer that tells how long ago
-//!   ([`View::vouch`]).
-//! - *A majority of the listed instances* ([`View::contact`]). An edit is accepted only after a
+//!   ([`View::record_store_read`]).
+//! - *A majority of the listed instances* ([`View::record_contact`]). An edit is accepted only after a
 //!   majority of them have acknowledged its generation, and any two majorities share an instance.
 //!   A daemon in contact with a majority therefore hears of an accepted edit from at least one of
-//!   them, provided that every contact also tells the peer's generation ([`View::announce`]).
+//!   them, provided that every contact also tells the peer's generation ([`View::record_generation`]).
 //!
 //! Ways that were weighed:
 //!
@@ -34,9 +34,9 @@
 
 /// What became of a table that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferResult {
     /// It is the one to decide by now.
-    Taken,
+    Accepted,
     /// Its generation is the one held.
     Same,
     /// Its generation is lower than the one held; it was dropped.
@@ -68,42 +68,42 @@
     /// Takes `table` unless its generation is lower than the one held.
     ///
     /// A table does not confirm itself: it may come from a stale read.
-    pub fn offer(&mut self, _now: Time, table: Table) -> Offer {
+    pub fn offer(&mut self, _now: Time, table: Table) -> OfferResult {
         let held = self.table.as_ref().map(|held| held.generation);
         match held {
-            Some(held) if table.generation < held => Offer::Older,
-            Some(held) if table.generation == held => Offer::Same,
+            Some(held) if table.generation < held => OfferResult::Older,
+            Some(held) if table.generation == held => OfferResult::Same,
             _ => {
                 self.highest = self.highest.max(table.generation);
                 self.table = Some(table);
-                Offer::Taken
+                OfferResult::Accepted
             }
         }
     }
 
     /// Notes that `generation` exists: a peer holds it, or the store shows it.
-    pub fn announce(&mut self, generation: u64) {
+    pub fn record_generation(&mut self, generation: u64) {
         self.highest = self.highest.max(generation);
     }
 
     /// Notes that the store was read, linearizably, at most `age` ago.
     ///
     /// The generation that was read must be announced first.
-    pub fn vouch(&mut self, now: Time, age: Duration) {
+    pub fn record_store_read(&mut self, now: Time, age: Duration) {
         self.confirm(now - age);
     }
 
     /// Notes that `heard` of the `known` listed instances, both counting this one, are in contact.
     ///
     /// The generations that they told must be announced first.
-    pub fn contact(&mut self, now: Time, heard: usize, known: usize) {
+    pub fn record_contact(&mut self, now: Time, heard: usize, known: usize) {
         if heard * 2 > known {
             self.confirm(now);
         }
     }
 
     /// Whether the table may be decided by at `now`.
-    pub fn fresh(&self, now: Time) -> bool {
+    pub fn is_fresh(&self, now: Time) -> bool {
         self.age(now).is_some_and(|age| age < self.lease)
     }
 
@@ -124,12 +124,12 @@
     }
 
     /// Whether a higher generation than the one held is known to exist.
-    pub fn behind(&self) -> bool {
+    pub fn is_behind(&self) -> bool {
         self.highest > self.generation()
     }
 
     fn confirm(&mut self, point: Time) {
-        let counts = self.table.is_some() && !self.behind();
+        let counts = self.table.is_some() && !self.is_behind();
         if counts && self.confirmed.is_none_or(|confirmed| confirmed < point) {
             self.confirmed = Some(point);
         }
--- a/crates/table/tests/edit.rs
+++ b/crates/table/tests/edit.rs
@@ -7,16 +7,16 @@
 use proptest::proptest;
 use table::Table;
 use table::diff;
-use table::drain::Mark;
+use table::drain::DrainTarget;
 use table::edit::Change;
 use table::edit::Edit;
 use table::error;
 use table::error::Report;
-use table::plan::Plan;
-use table::plan::Step;
 use table::row::Row;
-use table::stored;
-use table::stored::Record;
+use table::storage;
+use table::storage::Record;
+use table::transaction::Decision;
+use table::transaction::Transaction;
 
 /// A store of versioned rows with the platform's transactions.
 #[derive(Debug, Default, Clone)]
@@ -27,9 +27,13 @@
 
 impl Store {
     fn read(&self, id: &str) -> Vec<Record> {
-        let id_key = stored::edit_id_key(id);
-        let wanted =
-            |key: &str| key == id_key || stored::SCANS.iter().any(|prefix| key.starts_with(prefix));
+        let id_key = storage::edit_id_key(id);
+        let wanted = |key: &str| {
+            key == id_key
+                || storage::SCAN_PREFIXES
+                    .iter()
+                    .any(|prefix| key.starts_with(prefix))
+        };
         self.rows
             .values()
             .filter(|row| wanted(&row.key))
@@ -37,7 +41,7 @@
             .collect()
     }
 
-    fn commit(&mut self, plan: &Plan) -> bool {
+    fn commit(&mut self, plan: &Transaction) -> bool {
         let version = |key: &str| self.rows.get(key).map_or(0, |row| row.version);
         if plan
             .require
@@ -62,13 +66,13 @@
     }
 
     fn table(&self) -> Table {
-        stored::read(&self.read("")).expect("readable").0
+        storage::read_table(&self.read("")).expect("readable").0
     }
 
-    fn apply(&mut self, edit: &Edit) -> Result<u64, stored::Error> {
-        match table::plan::plan(edit, &self.read(&edit.id), 1_790_000_000)? {
-            Step::Applied(generation) => Ok(generation),
-            Step::Commit(plan) => {
+    fn apply(&mut self, edit: &Edit) -> Result<u64, storage::Error> {
+        match table::transaction::plan_edit(edit, &self.read(&edit.id), 1_790_000_000)? {
+            Decision::Applied(generation) => Ok(generation),
+            Decision::Commit(plan) => {
                 assert!(self.commit(&plan));
                 Ok(plan.table.generation)
             }
@@ -86,9 +90,9 @@
     Edit::new(id, "ana").with_change(Change::Put { row, base })
 }
 
-fn plan(edit: &Edit, store: &Store) -> Plan {
-    match table::plan::plan(edit, &store.read(&edit.id), 7) {
-        Ok(Step::Commit(plan)) => plan,
+fn plan(edit: &Edit, store: &Store) -> Transaction {
+    match table::transaction::plan_edit(edit, &store.read(&edit.id), 7) {
+        Ok(Decision::Commit(plan)) => plan,
         other => panic!("{other:?}"),
     }
 }
@@ -148,14 +152,14 @@
     assert_eq!(store.apply(&ana), Ok(2));
     assert!(!store.commit(&late));
     let conflict = match store.apply(&iva) {
-        Err(stored::Error::Conflict(conflict)) => conflict,
+        Err(storage::Error::Conflict(conflict)) => conflict,
         other => panic!("{other:?}"),
     };
     assert_eq!(conflict.generation, 2);
-    let clash = &conflict.clashes[0];
-    assert_eq!(clash.base, Some(row("drafts", 1)));
-    assert_eq!(clash.current, Some(row("drafts", 5)));
-    assert_eq!(clash.wanted, Some(row("drafts", 9)));
+    let row_conflict = &conflict.rows[0];
+    assert_eq!(row_conflict.base, Some(row("drafts", 1)));
+    assert_eq!(row_conflict.current, Some(row("drafts", 5)));
+    assert_eq!(row_conflict.wanted, Some(row("drafts", 9)));
     assert_eq!(
         conflict.to_string(),
         "conflict with generation 2\n\
@@ -203,15 +207,15 @@
 #[test]
 fn marks_are_kept_in_the_store() {
     let mut store = Store::default();
-    let replica = Mark::Replica("draft-3".to_owned());
-    let instance = Mark::Instance("entry-1".to_owned());
+    let replica = DrainTarget::Replica("draft-3".to_owned());
+    let instance = DrainTarget::Instance("entry-1".to_owned());
     let drain = Edit::new("e1", "ana")
         .with_change(Change::Drain(replica.clone()))
         .with_change(Change::Drain(instance.clone()));
     assert_eq!(store.apply(&drain), Ok(1));
-    assert!(store.table().drains_replica("draft-3"));
-    assert!(store.table().drains_instance("entry-1"));
-    assert!(!store.table().drains_instance("draft-3"));
+    assert!(store.table().is_replica_draining("draft-3"));
+    assert!(store.table().is_instance_draining("entry-1"));
+    assert!(!store.table().is_instance_draining("draft-3"));
     let undrain = Edit::new("e2", "ana").with_change(Change::Undrain(replica));
     assert_eq!(store.apply(&undrain), Ok(2));
     assert_eq!(
@@ -226,7 +230,7 @@
     let edit = put("e1", None, row("drafts", 1)).with_note("harvest");
     store.apply(&edit).expect("applied");
     let record = &store.rows["table/edit/000000000001"];
-    let history = table::plan::history(record).expect("readable");
+    let history = table::transaction::read_history(record).expect("readable");
     assert_eq!(
         (history.generation, history.unix_seconds),
         (1, 1_790_000_000)
@@ -258,47 +262,59 @@
 #[test]
 fn invalid_edits_are_refused() {
     let store = Store::default();
-    let refused = |edit: &Edit| match table::plan::plan(edit, &store.read(&edit.id), 0) {
-        Err(stored::Error::Invalid(Report { errors })) => errors,
+    let refused = |edit: &Edit| match table::transaction::plan_edit(edit, &store.read(&edit.id), 0)
+    {
+        Err(storage::Error::Invalid(Report { errors })) => errors,
         other => panic!("{other:?}"),
     };
-    assert_eq!(refused(&Edit::new("e1", "ana")), [error::Error::Empty]);
+    assert_eq!(refused(&Edit::new("e1", "ana")), [error::Error::NoChanges]);
     assert!(matches!(
         refused(&put("e1", None, row("drafts", 0)))[0],
-        error::Error::Range { .. }
+        error::Error::OutOfRange { .. }
     ));
     assert!(matches!(
         refused(&put("e 1", None, row("a", 1)))[0],
-        error::Error::Text { .. }
+        error::Error::InvalidName { .. }
     ));
     let twice = put("e1", None, row("a", 1)).with_change(Change::Put {
         row: row("a", 2),
         base: None,
     });
-    assert!(matches!(refused(&twice)[0], error::Error::Duplicate { .. }));
+    assert!(matches!(
+        refused(&twice)[0],
+        error::Error::DuplicateKey { .. }
+    ));
     let other_key = put("e1", Some(row("b", 1)), row("a", 1));
-    assert!(matches!(refused(&other_key)[0], error::Error::Text { .. }));
-    let mark = Edit::new("e1", "ana").with_change(Change::Drain(Mark::Replica("a/b".to_owned())));
-    assert!(matches!(refused(&mark)[0], error::Error::Text { .. }));
+    assert!(matches!(
+        refused(&other_key)[0],
+        error::Error::InvalidName { .. }
+    ));
+    let mark =
+        Edit::new("e1", "ana").with_change(Change::Drain(DrainTarget::Replica("a/b".to_owned())));
+    assert!(matches!(
+        refused(&mark)[0],
+        error::Error::InvalidName { .. }
+    ));
 }
 
 #[test]
 fn a_table_may_not_outgrow_its_limit() {
     let rows = (0..Table::MAX_ROWS).map(|index| row(&format!("s{index}"), 1));
     let table = Table::new(3, rows.collect());
-    let mut records = vec![Record::new(stored::GENERATION, "3", 3)];
+    let mut records = vec![Record::new(storage::GENERATION_KEY, "3", 3)];
     records.extend(table.rows.iter().map(|row| {
         let value = serde_json::to_string(row).expect("serialises");
-        Record::new(&stored::row_key(row), &value, 3)
+        Record::new(&storage::row_key(row), &value, 3)
     }));
-    let refused = table::plan::plan(&put("e1", None, row("one-more", 1)), &records, 0);
-    assert!(matches!(refused, Err(stored::Error::Invalid(_))));
+    let refused = table::transaction::plan_edit(&put("e1", None, row("one-more", 1)), &records, 0);
+    assert!(matches!(refused, Err(storage::Error::Invalid(_))));
 }
 
 #[test]
 fn corrupt_records_are_named() {
-    let corrupt = |key: &str, value: &str| match stored::read(&[Record::new(key, value, 1)]) {
-        Err(stored::Error::Corrupt { key, .. }) => key,
+    let corrupt = |key: &str, value: &str| match storage::read_table(&[Record::new(key, value, 1)])
+    {
+        Err(storage::Error::Corrupt { key, .. }) => key,
         other => panic!("{other:?}"),
     };
     assert_eq!(corrupt("table/generation", "x"), "table/generation");
@@ -315,7 +331,7 @@
 fn absent_records_are_no_rows() {
     let records = [Record::new("table/generation", "", 0)];
     assert_eq!(
-        stored::read(&records).map(|read| read.0),
+        storage::read_table(&records).map(|read| read.0),
         Ok(Table::default())
     );
 }
@@ -324,7 +340,7 @@
 fn differences_are_told_by_column() {
     let a = Table::new(1, vec![row("a", 1), row("b", 1)]);
     let b = Table::new(2, vec![row("b", 7), row("c", 1)])
-        .with_drains([Mark::Replica("draft-3".to_owned())].into());
+        .with_drains([DrainTarget::Replica("draft-3".to_owned())].into());
     let lines = diff::lines(&a, &b);
     assert_eq!(lines[0], "- a/farmers/pool");
     assert_eq!(lines[1], "~ b/farmers/pool: share 1 -> 7");
--- a/crates/table/tests/file.rs
+++ b/crates/table/tests/file.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use table::Table;
 use table::error::Error;
-use table::error::Place;
+use table::error::Location;
 use table::file;
 use table::limits;
 use table::row::Row;
@@ -39,7 +39,7 @@
 fn rows_are_read_with_defaults() {
     let rows = file::parse(KRMIVA).expect("valid");
     let drafts = &rows[0];
-    assert_eq!(drafts.parts(), ("drafts", "farmers", "drafting-9b"));
+    assert_eq!(drafts.key_parts(), ("drafts", "farmers", "drafting-9b"));
     assert_eq!(
         (drafts.share, drafts.priority, drafts.waste_percent),
         (3, 2, 80)
@@ -70,7 +70,7 @@
 #[test]
 fn an_empty_list_is_a_table() {
     assert_eq!(file::parse("[]"), Ok(Vec::new()));
-    assert_eq!(file::print(&[]), "[]\n");
+    assert_eq!(file::to_yaml(&[]), "[]\n");
 }
 
 #[rstest]
@@ -88,16 +88,16 @@
 fn a_number_out_of_range_is_placed(#[case] line: &str, #[case] field: &str, #[case] found: i64) {
     let text = format!("{KRMIVA}- service: stock\n  class: agents\n  pool: ordering\n  {line}\n");
     match error(&text) {
-        Error::Range {
-            place,
+        Error::OutOfRange {
+            location,
             value,
-            least,
-            most,
+            min,
+            max,
         } => {
-            let expected = Place::new("stock/agents/ordering", field).with_line(Some(19));
-            assert_eq!(place, expected);
+            let expected = Location::new("stock/agents/ordering", field).with_line(Some(19));
+            assert_eq!(location, expected);
             assert_eq!(value, found);
-            assert!(value < least || value > most);
+            assert!(value < min || value > max);
         }
         other => panic!("{other:?}"),
     }
@@ -126,11 +126,11 @@
 fn a_duplicate_key_names_both_lines() {
     let text = format!("{KRMIVA}- pool: ordering\n  class: farmers\n  service: lorries\n");
     let fault = error(&text);
-    let place = Place::new("lorries/farmers/ordering", "").with_line(Some(16));
+    let location = Location::new("lorries/farmers/ordering", "").with_line(Some(16));
     assert_eq!(
         fault,
-        Error::Duplicate {
-            place,
+        Error::DuplicateKey {
+            location,
             first: Some(10)
         }
     );
@@ -140,8 +140,8 @@
 fn an_unknown_column_is_refused_with_its_line() {
     let text = KRMIVA.replace("tbt_ms: 29", "tbt: 29");
     match error(&text) {
-        Error::Syntax { place, found } => {
-            assert_eq!(place.line, Some(7));
+        Error::Syntax { location, found } => {
+            assert_eq!(location.line, Some(7));
             assert!(found.contains("unknown field `tbt`"), "{found}");
         }
         other => panic!("{other:?}"),
@@ -152,8 +152,8 @@
 fn a_value_of_the_wrong_type_is_refused_with_its_column() {
     let text = KRMIVA.replace("tbt_ms: 29", "tbt_ms: fast");
     match error(&text) {
-        Error::Syntax { place, .. } => {
-            assert_eq!(place, Place::new("", "tbt_ms").with_line(Some(7)));
+        Error::Syntax { location, .. } => {
+            assert_eq!(location, Location::new("", "tbt_ms").with_line(Some(7)));
         }
         other => panic!("{other:?}"),
     }
@@ -168,7 +168,9 @@
 fn a_key_that_is_not_a_name_is_refused(#[case] class: &str) {
     let text = KRMIVA.replacen("class: farmers", &format!("class: {class}"), 1);
     match error(&text) {
-        Error::Text { place, .. } => assert_eq!((place.line, &*place.field), (Some(2), "class")),
+        Error::InvalidName { location, .. } => {
+            assert_eq!((location.line, &*location.field), (Some(2), "class"))
+        }
         other => panic!("{other:?}"),
     }
 }
@@ -176,8 +178,8 @@
 #[test]
 fn a_missing_key_column_is_named() {
     let text = KRMIVA.replacen("  pool: drafting-9b\n", "", 1);
-    let place = Place::new("drafts/farmers/?", "pool").with_line(Some(1));
-    assert_eq!(error(&text), Error::Missing { place });
+    let location = Location::new("drafts/farmers/?", "pool").with_line(Some(1));
+    assert_eq!(error(&text), Error::MissingColumn { location });
 }
 
 #[test]
@@ -189,7 +191,7 @@
     let lines: Vec<_> = report
         .errors
         .iter()
-        .map(|e| e.place().and_then(|p| p.line))
+        .map(|e| e.location().and_then(|p| p.line))
         .collect();
     assert_eq!(lines, [Some(4), Some(13)]);
 }
@@ -197,7 +199,7 @@
 #[test]
 fn faults_in_flow_style_are_placed_by_row() {
     match error("[{service: a, class: b, pool: c, share: 0}]") {
-        Error::Range { place, .. } => assert_eq!(place, Place::new("a/b/c", "share")),
+        Error::OutOfRange { location, .. } => assert_eq!(location, Location::new("a/b/c", "share")),
         other => panic!("{other:?}"),
     }
 }
@@ -208,7 +210,7 @@
     let text: String = (0..=Table::MAX_ROWS).map(row).collect();
     assert_eq!(
         error(&text),
-        Error::Count {
+        Error::TooManyRows {
             rows: Table::MAX_ROWS + 1
         }
     );
@@ -222,7 +224,7 @@
 #[test]
 fn a_file_that_is_too_long_is_refused() {
     let text = " ".repeat(file::MAX_BYTES + 1);
-    assert!(matches!(error(&text), Error::Size { .. }));
+    assert!(matches!(error(&text), Error::TooLong { .. }));
 }
 
 fn rows() -> impl Strategy<Value = Vec<Row>> {
@@ -255,7 +257,7 @@
     });
     proptest::collection::vec(row, 0..20).prop_map(|rows| {
         let mut rows = Table::new(0, rows).rows;
-        rows.dedup_by(|a, b| a.parts() == b.parts());
+        rows.dedup_by(|a, b| a.key_parts() == b.key_parts());
         rows
     })
 }
@@ -263,7 +265,7 @@
 proptest! {
     #[test]
     fn what_is_printed_is_read_back(rows in rows()) {
-        prop_assert_eq!(file::parse(&file::print(&rows)), Ok(rows));
+        prop_assert_eq!(file::parse(&file::to_yaml(&rows)), Ok(rows));
     }
 
     #[test]
--- a/crates/table/tests/view.rs
+++ b/crates/table/tests/view.rs
@@ -9,7 +9,7 @@
 use proptest::prop_oneof;
 use proptest::proptest;
 use table::Table;
-use table::view::Offer;
+use table::view::OfferResult;
 use table::view::View;
 
 const LEASE: Duration = Duration::from_secs(4);
@@ -25,112 +25,112 @@
 /// A view that holds `number`.
 fn holding(number: u64) -> View {
     let mut view = View::new(LEASE);
-    assert_eq!(view.offer(at(0), generation(number)), Offer::Taken);
+    assert_eq!(view.offer(at(0), generation(number)), OfferResult::Accepted);
     view
 }
 
 #[test]
 fn a_view_without_a_table_is_not_fresh() {
     let mut view = View::new(LEASE);
-    view.vouch(at(0), Duration::ZERO);
-    view.contact(at(0), 9, 9);
-    assert!(!view.fresh(at(0)));
+    view.record_store_read(at(0), Duration::ZERO);
+    view.record_contact(at(0), 9, 9);
+    assert!(!view.is_fresh(at(0)));
     assert_eq!(view.age(at(0)), None);
 }
 
 #[test]
 fn a_table_does_not_confirm_itself() {
     let view = holding(3);
-    assert!(!view.fresh(at(0)));
+    assert!(!view.is_fresh(at(0)));
 }
 
 #[test]
 fn a_lower_generation_is_never_taken() {
     let mut view = holding(3);
-    assert_eq!(view.offer(at(1), generation(2)), Offer::Older);
-    assert_eq!(view.offer(at(1), generation(3)), Offer::Same);
+    assert_eq!(view.offer(at(1), generation(2)), OfferResult::Older);
+    assert_eq!(view.offer(at(1), generation(3)), OfferResult::Same);
     assert_eq!(view.generation(), 3);
-    assert_eq!(view.offer(at(1), generation(7)), Offer::Taken);
+    assert_eq!(view.offer(at(1), generation(7)), OfferResult::Accepted);
     assert_eq!(view.generation(), 7);
 }
 
 #[test]
 fn a_read_of_the_store_lasts_for_a_lease_from_the_read() {
     let mut view = holding(3);
-    view.vouch(at(0), Duration::from_secs(1));
-    assert!(view.fresh(at(2_999)));
-    assert!(!view.fresh(at(3_000)));
+    view.record_store_read(at(0), Duration::from_secs(1));
+    assert!(view.is_fresh(at(2_999)));
+    assert!(!view.is_fresh(at(3_000)));
     assert_eq!(view.age(at(500)), Some(Duration::from_millis(1_500)));
 }
 
 #[test]
 fn an_older_read_does_not_shorten_freshness() {
     let mut view = holding(3);
-    view.vouch(at(0), Duration::ZERO);
-    view.vouch(at(0), Duration::from_secs(3));
-    assert!(view.fresh(at(3_999)));
+    view.record_store_read(at(0), Duration::ZERO);
+    view.record_store_read(at(0), Duration::from_secs(3));
+    assert!(view.is_fresh(at(3_999)));
 }
 
 #[test]
 fn contact_with_a_majority_counts_and_with_half_does_not() {
     let mut view = holding(3);
-    view.contact(at(0), 4, 8);
-    assert!(!view.fresh(at(0)));
-    view.contact(at(0), 5, 8);
-    assert!(view.fresh(at(0)));
+    view.record_contact(at(0), 4, 8);
+    assert!(!view.is_fresh(at(0)));
+    view.record_contact(at(0), 5, 8);
+    assert!(view.is_fresh(at(0)));
 }
 
 #[test]
 fn in_an_outage_of_the_store_contact_keeps_a_daemon_going() {
     let mut view = holding(3);
-    view.vouch(at(0), Duration::ZERO);
+    view.record_store_read(at(0), Duration::ZERO);
     for second in 1..3_600 {
-        view.contact(at(second * 1_000), 7, 9);
-        assert!(view.fresh(at(second * 1_000)));
+        view.record_contact(at(second * 1_000), 7, 9);
+        assert!(view.is_fresh(at(second * 1_000)));
     }
 }
 
 #[test]
 fn cut_off_from_both_a_daemon_stops_within_the_lease() {
     let mut view = holding(3);
-    view.vouch(at(0), Duration::ZERO);
-    view.contact(at(1_000), 9, 9);
-    view.contact(at(2_000), 4, 9);
-    assert!(view.fresh(at(4_999)));
-    assert!(!view.fresh(at(5_000)));
+    view.record_store_read(at(0), Duration::ZERO);
+    view.record_contact(at(1_000), 9, 9);
+    view.record_contact(at(2_000), 4, 9);
+    assert!(view.is_fresh(at(4_999)));
+    assert!(!view.is_fresh(at(5_000)));
 }
 
 #[test]
 fn a_daemon_that_is_behind_catches_up_or_stops() {
     let mut view = holding(3);
-    view.vouch(at(0), Duration::ZERO);
-    view.announce(4);
-    assert!(view.behind());
-    view.vouch(at(3_000), Duration::ZERO);
-    view.contact(at(3_000), 9, 9);
-    assert!(view.fresh(at(3_999)));
-    assert!(!view.fresh(at(4_000)));
-    assert_eq!(view.offer(at(5_000), generation(4)), Offer::Taken);
-    view.vouch(at(5_000), Duration::ZERO);
-    assert!(!view.behind());
-    assert!(view.fresh(at(5_000)));
+    view.record_store_read(at(0), Duration::ZERO);
+    view.record_generation(4);
+    assert!(view.is_behind());
+    view.record_store_read(at(3_000), Duration::ZERO);
+    view.record_contact(at(3_000), 9, 9);
+    assert!(view.is_fresh(at(3_999)));
+    assert!(!view.is_fresh(at(4_000)));
+    assert_eq!(view.offer(at(5_000), generation(4)), OfferResult::Accepted);
+    view.record_store_read(at(5_000), Duration::ZERO);
+    assert!(!view.is_behind());
+    assert!(view.is_fresh(at(5_000)));
 }
 
 #[test]
 fn after_a_restart_a_stale_read_does_not_hide_a_newer_generation() {
     let mut view = View::new(LEASE);
-    view.announce(12);
-    assert_eq!(view.offer(at(0), generation(10)), Offer::Taken);
-    view.contact(at(0), 9, 9);
-    view.vouch(at(0), Duration::ZERO);
-    assert!(!view.fresh(at(0)));
+    view.record_generation(12);
+    assert_eq!(view.offer(at(0), generation(10)), OfferResult::Accepted);
+    view.record_contact(at(0), 9, 9);
+    view.record_store_read(at(0), Duration::ZERO);
+    assert!(!view.is_fresh(at(0)));
 }
 
 #[test]
 fn a_paused_daemon_is_not_fresh_when_it_wakes() {
     let mut view = holding(3);
-    view.contact(at(0), 9, 9);
-    assert!(!view.fresh(at(60_000)));
+    view.record_contact(at(0), 9, 9);
+    assert!(!view.is_fresh(at(60_000)));
 }
 
 #[derive(Debug, Clone)]
@@ -166,14 +166,14 @@
                 Event::Offer(number) => {
                     view.offer(now, generation(number));
                 }
-                Event::Announce(number) => view.announce(number),
+                Event::Announce(number) => view.record_generation(number),
                 Event::Vouch(age) => {
                     let age = Duration::from_millis(age);
-                    view.vouch(now, age);
+                    view.record_store_read(now, age);
                     source = source.max(Some(now - age));
                 }
                 Event::Contact(heard) => {
-                    view.contact(now, heard, 9);
+                    view.record_contact(now, heard, 9);
                     source = if heard > 4 { Some(now) } else { source };
                 }
                 Event::Wait(ms) => now = now + Duration::from_millis(ms),
@@ -181,7 +181,7 @@
             prop_assert!(view.generation() >= held);
             held = view.generation();
             let allowed = source.is_some_and(|source| now.since(source) < LEASE);
-            prop_assert!(!view.fresh(now) || allowed);
+            prop_assert!(!view.is_fresh(now) || allowed);
         }
     }
 }
