--- a/crates/call/src/direct.rs
+++ b/crates/call/src/direct.rs
@@ -30,9 +30,9 @@
 
 use crate::Error;
 
-/// Limits of one exchange.
+/// Timeouts of one exchange.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct Timeouts {
     /// Longest wait for the connection.
     pub connect: Duration,
     /// Longest wait for the head of the answer.
@@ -41,9 +41,9 @@
 
 /// Closes the connection when dropped, whatever it still carries.
 #[derive(Debug)]
-pub struct Guard(AbortHandle);
+pub struct ConnectionGuard(AbortHandle);
 
-impl Drop for Guard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -57,7 +57,7 @@
     /// The body, to be read yet.
     pub body: Incoming,
     /// Keeps the connection open.
-    pub guard: Guard,
+    pub guard: ConnectionGuard,
 }
 
 impl Answer {
@@ -94,7 +94,7 @@
 pub async fn send<S: Copy>(
     step: S,
     peer: SocketAddr,
-    limits: Limits,
+    timeouts: Timeouts,
     mut request: Request<Full<Bytes>>,
 ) -> Result<Answer, Error<S>> {
     let not_sent = |cause: String| Error::NotSent { step, peer, cause };
@@ -105,7 +105,7 @@
         .headers_mut()
         .insert(CONNECTION, HeaderValue::from_static("close"));
 
-    let stream = timer::timeout(limits.connect, connect(peer))
+    let stream = timer::timeout(timeouts.connect, connect(peer))
         .await
         .map_err(|_| not_sent("connecting timed out".to_owned()))?
         .map_err(|e| not_sent(e.to_string()))?;
@@ -113,9 +113,9 @@
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|e| not_sent(e.to_string()))?;
-    let guard = Guard(tokio::spawn(connection).abort_handle());
+    let guard = ConnectionGuard(tokio::spawn(connection).abort_handle());
 
-    let answer = timer::timeout(limits.head, sender.send_request(request))
+    let answer = timer::timeout(timeouts.head, sender.send_request(request))
         .await
         .map_err(|_| lost("no answer in time".to_owned()))?
         .map_err(|e| lost(e.to_string()))?;
@@ -136,7 +136,7 @@
     limit: usize,
     (method, path, body): (Method, &str, Vec<u8>),
 ) -> Result<(StatusCode, Bytes), Error<S>> {
-    let limits = Limits {
+    let timeouts = Timeouts {
         connect: timeout / 2,
         head: timeout,
     };
@@ -150,7 +150,7 @@
             cause: e.to_string(),
         })?;
     let exchange = async {
-        let answer = send(step, peer, limits, request).await?;
+        let answer = send(step, peer, timeouts, request).await?;
         let status = answer.head.status;
         let body = answer.collect(step, peer, timeout, limit).await?;
         Ok((status, body))
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -5,7 +5,7 @@
 
 use ::call::direct;
 use ::call::direct::Answer;
-use ::call::direct::Limits;
+use ::call::direct::Timeouts;
 use bytes::Bytes;
 use http::Method;
 use http::header;
@@ -40,7 +40,7 @@
 /// Each call takes a fresh connection. Dropping a future or a stream closes its connection.
 #[derive(Debug, Clone)]
 pub struct Client {
-    limits: Limits,
+    timeouts: Timeouts,
     control: Duration,
     body_limit: usize,
 }
@@ -52,10 +52,10 @@
 }
 
 impl Client {
-    /// A client with the usual limits.
+    /// A client with the usual timeouts.
     pub fn new() -> Self {
         Self {
-            limits: Limits {
+            timeouts: Timeouts {
                 connect: CONNECT,
                 head: WORK,
             },
@@ -67,14 +67,14 @@
     /// Sets the longest wait for a fresh connection.
     #[must_use]
     pub fn with_connect_timeout(mut self, timeout: Duration) -> Self {
-        self.limits.connect = timeout;
+        self.timeouts.connect = timeout;
         self
     }
 
     /// Sets the longest wait for the answer to what starts work.
     #[must_use]
     pub fn with_work_timeout(mut self, timeout: Duration) -> Self {
-        self.limits.head = timeout;
+        self.timeouts.head = timeout;
         self
     }
 
@@ -203,7 +203,7 @@
             }
         };
         *sent.headers_mut() = call::end_to_end(request.headers);
-        let answer = direct::send(step, peer, self.limits, sent).await?;
+        let answer = direct::send(step, peer, self.timeouts, sent).await?;
         let status = answer.head.status.as_u16();
         let headers = answer.head.headers.clone();
         let body = self.collect(step, peer, answer).await?;
@@ -240,7 +240,7 @@
                 peer,
                 cause: e.to_string(),
             })?;
-        let answer = direct::send(step, peer, self.limits, request).await?;
+        let answer = direct::send(step, peer, self.timeouts, request).await?;
         if answer.head.status.is_success() {
             return Ok(answer);
         }
@@ -256,7 +256,7 @@
 
     async fn collect(&self, step: Step, peer: SocketAddr, answer: Answer) -> Result<Bytes, Error> {
         answer
-            .collect(step, peer, self.limits.head, self.body_limit)
+            .collect(step, peer, self.timeouts.head, self.body_limit)
             .await
     }
 }
--- a/crates/engine/src/stream.rs
+++ b/crates/engine/src/stream.rs
@@ -5,7 +5,7 @@
 use bytes::Buf;
 use bytes::BytesMut;
 use call::direct::Answer;
-use call::direct::Guard;
+use call::direct::ConnectionGuard;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use serde::Deserialize;
@@ -71,7 +71,7 @@
     body: Incoming,
     buffer: BytesMut,
     over: bool,
-    _guard: Guard,
+    _guard: ConnectionGuard,
 }
 
 impl Stream {
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -8,7 +8,7 @@
 const PROGRAM: Program = Program {
     name: "waxwingd",
     version: env!("CARGO_PKG_VERSION"),
-    brief: "Usage: waxwingd --config FILE [--check]
+    usage: "Usage: waxwingd --config FILE [--check]
 
 Routes language-model requests and plain calls for one entry instance.
 
@@ -18,8 +18,8 @@
 
 SIGTERM and SIGINT stop it gracefully: requests in progress are finished first.
 Logs go to standard error, one JSON object a line.",
-    page: "docs/API.md",
-    variable: None,
+    settings_page: "docs/API.md",
+    settings_variable: None,
 };
 
 fn main() -> ExitCode {
--- a/crates/entry/src/platform/list.rs
+++ b/crates/entry/src/platform/list.rs
@@ -33,7 +33,7 @@
     let mut failing = false;
     let mut instances = 0;
     loop {
-        match client.list(&name).await {
+        match client.read_list(&name).await {
             Ok(list) => {
                 failing = false;
                 instances = list.instances.len() as u32;
--- a/crates/entry/src/platform/sweep.rs
+++ b/crates/entry/src/platform/sweep.rs
@@ -43,7 +43,7 @@
 /// The platform did not carry it out in full.
 pub async fn sweep(client: &Client, age: Duration) -> Result<usize, Error> {
     let limit = clock::unix().saturating_sub(age).as_secs();
-    let rows = client.rows(outcomes::PREFIX).await?;
+    let rows = client.read_rows(outcomes::PREFIX).await?;
     let old: Vec<Row> = rows
         .into_iter()
         .filter(|row| is_older(row, limit))
--- a/crates/entry/tests/outcomes.rs
+++ b/crates/entry/tests/outcomes.rs
@@ -39,7 +39,7 @@
 
     assert_eq!(platform::sweep(&client, WINDOW).await.unwrap(), 100);
 
-    let rows = client.rows("").await.unwrap();
+    let rows = client.read_rows("").await.unwrap();
     let keys: Vec<&str> = rows.iter().map(|row| row.key.as_str()).collect();
     assert_eq!(
         keys,
--- a/crates/fake/tests/platform.rs
+++ b/crates/fake/tests/platform.rs
@@ -56,7 +56,7 @@
         .with_write("t/a", None);
     client.txn(&delete.with_read("t/a")).await.unwrap();
     client.txn(&first.with_read("t/a")).await.unwrap();
-    let rows = client.rows("t/a").await.unwrap();
+    let rows = client.read_rows("t/a").await.unwrap();
     assert!(rows[0].version > version, "a version must not come back");
 }
 
@@ -69,7 +69,7 @@
     assert!(matches!(lost, Err(Error::Lost { .. })), "{lost:?}");
     fault(peer, "ok", 0).await;
     assert_eq!(
-        client.rows("k").await.unwrap()[0].value.as_deref(),
+        client.read_rows("k").await.unwrap()[0].value.as_deref(),
         Some("v")
     );
 }
@@ -82,9 +82,9 @@
     let lost = client.txn(&Txn::new().with_write("k", Some("v"))).await;
     assert!(matches!(lost, Err(Error::Lost { .. })), "{lost:?}");
     fault(peer, "ok", 0).await;
-    assert!(client.rows("k").await.unwrap().is_empty());
+    assert!(client.read_rows("k").await.unwrap().is_empty());
     tokio::time::sleep(Duration::from_millis(700)).await;
-    assert_eq!(client.rows("k").await.unwrap().len(), 1);
+    assert_eq!(client.read_rows("k").await.unwrap().len(), 1);
 }
 
 #[rstest]
@@ -96,18 +96,18 @@
         .txn(&Txn::new().with_write("k", Some("v")))
         .await
         .unwrap();
-    assert!(client.rows("k").await.unwrap().is_empty());
+    assert!(client.read_rows("k").await.unwrap().is_empty());
     fault(peer, "down", 0).await;
-    let down = client.rows("k").await;
+    let down = client.read_rows("k").await;
     assert!(
         matches!(down, Err(Error::Refused { status: 503, .. })),
         "{down:?}"
     );
     fault(peer, "hang", 0).await;
-    let hung = client.rows("k").await;
+    let hung = client.read_rows("k").await;
     assert!(matches!(hung, Err(Error::Lost { .. })), "{hung:?}");
     fault(peer, "ok", 0).await;
-    assert_eq!(client.rows("k").await.unwrap().len(), 1);
+    assert_eq!(client.read_rows("k").await.unwrap().len(), 1);
 }
 
 #[rstest]
@@ -123,10 +123,10 @@
         "lag_ms": 150,
     });
     control::post(peer, "/control/list", &list).await.unwrap();
-    assert!(client.list("e1").await.unwrap().instances.is_empty());
+    assert!(client.read_list("e1").await.unwrap().instances.is_empty());
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let own = client.list("e1").await.unwrap();
-    let other = client.list("e2").await.unwrap();
+    let own = client.read_list("e1").await.unwrap();
+    let other = client.read_list("e2").await.unwrap();
     assert_eq!(
         (own.instances[0].peer.port(), own.replicas[0].address.port()),
         (1, 3)
@@ -167,7 +167,10 @@
 #[tokio::test]
 async fn objects_are_kept() {
     let (_, client) = platform().await;
-    assert_eq!(client.fetch("a/b").await.unwrap(), None);
-    client.keep("a/b", b"bytes".to_vec()).await.unwrap();
-    assert_eq!(client.fetch("a/b").await.unwrap(), Some(b"bytes".to_vec()));
+    assert_eq!(client.get_object("a/b").await.unwrap(), None);
+    client.put_object("a/b", b"bytes".to_vec()).await.unwrap();
+    assert_eq!(
+        client.get_object("a/b").await.unwrap(),
+        Some(b"bytes".to_vec())
+    );
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -59,7 +59,7 @@
 use flexi_logger::LoggerHandle;
 use launch::error::Error;
 use launch::listen::bind;
-use logs::queue::Count;
+use logs::queue::LineCounters;
 use logs::queue::Queue;
 use relay::plan::Limits;
 use tokio::runtime::Builder;
@@ -106,7 +106,7 @@
         .map_err(|error| start("runtime", &error))?;
     let shared = Rc::new(Shared::new(settings, metrics));
     let served = LocalSet::new().block_on(&runtime, serve(shared, path));
-    lines.settle(LAST_LINES);
+    lines.wait_until_written(LAST_LINES);
     std::thread::sleep(COLLECTOR_PAUSE);
     served
 }
@@ -211,11 +211,11 @@
 }
 
 /// Starts the logs; gives their handle and the counts of lines.
-fn start_logs(instance: &str) -> Result<(LoggerHandle, Arc<Count>), Error> {
+fn start_logs(instance: &str) -> Result<(LoggerHandle, Arc<LineCounters>), Error> {
     let run = format!("{:06x}", rand::random_range(0..MAX_RUN));
     let queue = Queue::new(Box::new(io::stdout()), instance.to_owned(), run)
         .map_err(|error| start("logs", &error))?;
-    let count = queue.count();
+    let count = queue.counters();
     let handle = LogSpecification::parse(LEVELS)
         .map(Logger::with)
         .and_then(|logger| logger.log_to_writer(Box::new(queue)).start())
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -8,7 +8,7 @@
 const PROGRAM: Program = Program {
     name: "waxwing-gateway",
     version: env!("CARGO_PKG_VERSION"),
-    brief: "Usage: waxwing-gateway --config FILE [--check]
+    usage: "Usage: waxwing-gateway --config FILE [--check]
 
 Relays callers' requests to replicas of model engines and plain applications.
 
@@ -19,8 +19,8 @@
 The variable WAXWING_SETTINGS names the file where --config does not.
 SIGTERM and SIGINT stop it gracefully; SIGHUP reads the settings again.
 Logs go to standard output, one JSON object a line.",
-    page: "docs/GATEWAY.md",
-    variable: Some("WAXWING_SETTINGS"),
+    settings_page: "docs/GATEWAY.md",
+    settings_variable: Some("WAXWING_SETTINGS"),
 };
 
 fn main() -> ExitCode {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use logs::queue::Count;
+use logs::queue::LineCounters;
 use prometheus::Encoder;
 use prometheus::Error;
 use prometheus::Gauge;
@@ -50,7 +50,7 @@
     budget: GaugeVec,
     /// Log lines that were dropped since the queue was full.
     dropped: GenericGauge<AtomicU64>,
-    lines: Arc<Count>,
+    lines: Arc<LineCounters>,
     gaps: Histogram,
     waits: Histogram,
     requests: IntCounterVec,
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// If a name is wrong or taken.
-    pub fn new(lines: Arc<Count>) -> Result<Self, Error> {
+    pub fn new(lines: Arc<LineCounters>) -> Result<Self, Error> {
         let registry = Registry::new();
         let gauge = |name: &str, help: &str| {
             let gauge = GenericGauge::<AtomicU64>::new(full(name), help)?;
--- a/crates/gateway/tests/gateway/list_confirmation.rs
+++ b/crates/gateway/tests/gateway/list_confirmation.rs
@@ -11,7 +11,7 @@
 use gateway::metrics::Metrics;
 use gateway::settings::Settings;
 use gateway::shared::Shared;
-use logs::queue::Count;
+use logs::queue::LineCounters;
 use platform::replica;
 use relay::replica::Snapshot;
 use relay::replica::Source;
@@ -35,7 +35,7 @@
         "instance: {ip}\ndata_centre: here\nlisten: {{{}}}\nstore: \"{ip}:1\"\nretry: {{ratio: 0.2, slack: 50, window_s: 10}}\ngrace_s: 8\n",
         listen.join(", ")
     );
-    let metrics = Metrics::new(Arc::new(Count::default())).unwrap();
+    let metrics = Metrics::new(Arc::new(LineCounters::default())).unwrap();
     Rc::new(Shared::new(Settings::parse(&settings).unwrap(), metrics))
 }
 
--- a/crates/gateway/tests/suspend.rs
+++ b/crates/gateway/tests/suspend.rs
@@ -27,7 +27,7 @@
 use gateway::settings::Settings;
 use gateway::shared::Shared;
 use gateway::store::Store;
-use logs::queue::Count;
+use logs::queue::LineCounters;
 use prometheus::IntCounterVec;
 use prometheus::Opts;
 use serde_json::json;
@@ -111,7 +111,7 @@
         "instance: {ip}\ndata_centre: here\nlisten: {{{}}}\nstore: \"{ip}:1\"\nretry: {{ratio: 0.2, slack: 50, window_s: 10}}\ngrace_s: 8\n",
         listen.join(", ")
     );
-    let metrics = Metrics::new(Arc::new(Count::default())).unwrap();
+    let metrics = Metrics::new(Arc::new(LineCounters::default())).unwrap();
     Rc::new(Shared::new(Settings::parse(&settings).unwrap(), metrics))
 }
 
--- a/crates/launch/src/cli.rs
+++ b/crates/launch/src/cli.rs
@@ -53,12 +53,17 @@
 
 /// The help text.
 pub fn help(program: &Program) -> String {
-    options().usage(program.brief)
+    options().usage(program.usage)
 }
 
 fn path(program: &Program, matches: &Matches) -> Result<PathBuf, Error> {
     let named = matches.opt_str("config").map(PathBuf::from);
-    let variable = || program.variable.and_then(env::var_os).map(PathBuf::from);
+    let variable = || {
+        program
+            .settings_variable
+            .and_then(env::var_os)
+            .map(PathBuf::from)
+    };
     named.or_else(variable).ok_or_else(|| Error::Usage {
         cause: "`--config FILE` is missing".to_owned(),
     })
--- a/crates/launch/src/error.rs
+++ b/crates/launch/src/error.rs
@@ -60,13 +60,17 @@
     }
 
     /// What to try with `program`.
-    pub fn advice(&self, program: &Program) -> String {
-        let Program { name, page, .. } = program;
+    pub fn hint(&self, program: &Program) -> String {
+        let Program {
+            name,
+            settings_page,
+            ..
+        } = program;
         match self {
             Self::Usage { .. } => format!("`{name} --help`"),
             Self::Read { .. } => "check that the file exists and may be read".to_owned(),
             Self::Settings { .. } => format!(
-                "correct the field, then `{name} --config FILE --check`; {page} lists the fields"
+                "correct the field, then `{name} --config FILE --check`; {settings_page} lists the fields"
             ),
             Self::Listen { .. } => "take an address of this machine with a free port".to_owned(),
             Self::Start { .. } => {
--- a/crates/launch/src/lib.rs
+++ b/crates/launch/src/lib.rs
@@ -24,11 +24,11 @@
     /// Its version.
     pub version: &'static str,
     /// What it is for, with examples; the first part of the help text.
-    pub brief: &'static str,
+    pub usage: &'static str,
     /// The page that lists its settings.
-    pub page: &'static str,
+    pub settings_page: &'static str,
     /// Variable that names the settings file where the command line does not.
-    pub variable: Option<&'static str>,
+    pub settings_variable: Option<&'static str>,
 }
 
 /// Runs `program` as the command line asks: `read` reads and checks the settings, `run` runs with
@@ -39,7 +39,7 @@
     run: impl Fn(S, &Path) -> Result<(), Error>,
 ) -> ExitCode {
     let args = env::args().skip(1).collect::<Vec<_>>();
-    match carry_out(program, &args, read, run) {
+    match execute(program, &args, read, run) {
         Ok(()) => ExitCode::Success,
         Err(error) => {
             output::print_error(program, &error);
@@ -48,7 +48,7 @@
     }
 }
 
-fn carry_out<S>(
+fn execute<S>(
     program: &Program,
     args: &[String],
     read: impl Fn(&Path) -> Result<S, Error>,
--- a/crates/launch/src/output.rs
+++ b/crates/launch/src/output.rs
@@ -14,6 +14,6 @@
 
 /// Prints `error` on standard error: the program, what was wrong, and what to try.
 pub fn print_error(program: &Program, error: &Error) {
-    let advice = error.advice(program);
-    let _ = writeln!(io::stderr(), "{}: {error}\n  try: {advice}", program.name);
+    let hint = error.hint(program);
+    let _ = writeln!(io::stderr(), "{}: {error}\n  try: {hint}", program.name);
 }
--- a/crates/launch/tests/cli.rs
+++ b/crates/launch/tests/cli.rs
@@ -12,9 +12,9 @@
 const PROGRAM: Program = Program {
     name: "sample",
     version: "1.2.3",
-    brief: "Usage: sample --config FILE",
-    page: "docs/SAMPLE.md",
-    variable: None,
+    usage: "Usage: sample --config FILE",
+    settings_page: "docs/SAMPLE.md",
+    settings_variable: None,
 };
 
 fn parse(args: &[&str]) -> Result<Command, Error> {
@@ -41,7 +41,7 @@
     let error = parse(args).unwrap_err();
     assert!(error.to_string().contains(cause), "{error}");
     assert_eq!(error.exit_code(), ExitCode::Usage);
-    assert_eq!(error.advice(&PROGRAM), "`sample --help`");
+    assert_eq!(error.hint(&PROGRAM), "`sample --help`");
 }
 
 #[test]
@@ -55,11 +55,11 @@
         error.to_string(),
         "settings file a.yaml, line 7: grace_s: missing"
     );
-    assert!(error.advice(&PROGRAM).contains("docs/SAMPLE.md"));
+    assert!(error.hint(&PROGRAM).contains("docs/SAMPLE.md"));
     assert_eq!(error.exit_code().code(), 3);
 }
 
 #[test]
 fn the_help_text_begins_with_the_brief() {
-    assert!(cli::help(&PROGRAM).starts_with(PROGRAM.brief));
+    assert!(cli::help(&PROGRAM).starts_with(PROGRAM.usage));
 }
--- a/crates/logs/src/line.rs
+++ b/crates/logs/src/line.rs
@@ -18,7 +18,7 @@
     write_with(to, now, record, Map::new())
 }
 
-/// The same, with `more` fields.
+/// The same, with `extra` fields.
 ///
 /// # Errors
 /// Those of `to`.
@@ -26,9 +26,9 @@
     to: &mut dyn Write,
     now: &mut DeferredNow,
     record: &Record<'_>,
-    more: Map<String, Value>,
+    extra: Map<String, Value>,
 ) -> io::Result<()> {
-    let mut fields = Fields(more);
+    let mut fields = Fields(extra);
     fields.put("time", now.format_rfc3339().into());
     fields.put("level", record.level().as_str().into());
     fields.put("target", record.target().into());
--- a/crates/logs/src/queue.rs
+++ b/crates/logs/src/queue.rs
@@ -23,38 +23,39 @@
 const MAX_LINES: usize = 4_096;
 
 /// Pause between two looks whether all lines are written.
-const SETTLE_PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Takes lines without ever blocking; lines that find it full are dropped and counted.
 #[derive(Debug)]
 pub struct Queue {
     lines: SyncSender<Vec<u8>>,
-    count: Arc<Count>,
+    counters: Arc<LineCounters>,
     instance: String,
     run: String,
     start: Instant,
 }
 
-/// Lines taken, written and dropped so far.
+/// Lines queued, written and dropped so far.
 #[derive(Debug, Default)]
-pub struct Count {
-    taken: AtomicU64,
+pub struct LineCounters {
+    queued: AtomicU64,
     written: AtomicU64,
     dropped: AtomicU64,
 }
 
-impl Count {
+impl LineCounters {
     /// Lines that found the queue full.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until all lines taken are written, for `limit` at most; for the end of a program.
-    pub fn settle(&self, limit: Duration) {
+    /// Waits until all lines queued are written, for `limit` at most; for the end of a program.
+    pub fn wait_until_written(&self, limit: Duration) {
         let end = Instant::now() + limit;
-        let open = || self.written.load(Ordering::Relaxed) < self.taken.load(Ordering::Relaxed);
-        while open() && Instant::now() < end {
-            thread::sleep(SETTLE_PAUSE);
+        let is_waiting =
+            || self.written.load(Ordering::Relaxed) < self.queued.load(Ordering::Relaxed);
+        while is_waiting() && Instant::now() < end {
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
@@ -66,15 +67,15 @@
     /// # Errors
     /// If the thread cannot be started.
     pub fn new(to: Box<dyn Write + Send>, instance: String, run: String) -> io::Result<Self> {
-        let (lines, waiting) = mpsc::sync_channel(MAX_LINES);
-        let count = Arc::new(Count::default());
-        let counted = Arc::clone(&count);
+        let (lines, receiver) = mpsc::sync_channel(MAX_LINES);
+        let counters = Arc::new(LineCounters::default());
+        let thread_counters = Arc::clone(&counters);
         thread::Builder::new()
             .name("logs".to_owned())
-            .spawn(move || drain(&waiting, to, &counted))?;
+            .spawn(move || write_lines(&receiver, to, &thread_counters))?;
         Ok(Self {
             lines,
-            count,
+            counters,
             instance,
             run,
             start: Instant::now(),
@@ -82,24 +83,24 @@
     }
 
     /// The counts of lines, shared with the queue.
-    pub fn count(&self) -> Arc<Count> {
-        Arc::clone(&self.count)
+    pub fn counters(&self) -> Arc<LineCounters> {
+        Arc::clone(&self.counters)
     }
 }
 
 impl LogWriter for Queue {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
         let mut text = Vec::with_capacity(256);
-        let mut more = Map::new();
-        more.insert("instance".to_owned(), self.instance.as_str().into());
-        more.insert("run".to_owned(), self.run.as_str().into());
+        let mut extra = Map::new();
+        extra.insert("instance".to_owned(), self.instance.as_str().into());
+        extra.insert("run".to_owned(), self.run.as_str().into());
         let up_ms = self.start.elapsed().as_millis() as u64;
-        more.insert("up_ms".to_owned(), up_ms.into());
-        line::write_with(&mut text, now, record, more)?;
+        extra.insert("up_ms".to_owned(), up_ms.into());
+        line::write_with(&mut text, now, record, extra)?;
         text.push(b'\n');
         let counter = match self.lines.try_send(text) {
-            Ok(()) => &self.count.taken,
-            Err(_) => &self.count.dropped,
+            Ok(()) => &self.counters.queued,
+            Err(_) => &self.counters.dropped,
         };
         counter.fetch_add(1, Ordering::Relaxed);
         Ok(())
@@ -111,18 +112,22 @@
 }
 
 /// Writes lines until the queue is gone; tells of dropped ones as soon as there is room again.
-fn drain(waiting: &Receiver<Vec<u8>>, mut to: Box<dyn Write + Send>, count: &Count) {
-    let mut told = 0;
-    while let Ok(mut text) = waiting.recv() {
-        let dropped = count.dropped();
-        if dropped > told {
-            let lost = dropped - told;
-            let notice = format!("{{\"text\":\"log lines dropped\",\"count\":{lost}}}\n");
+fn write_lines(
+    receiver: &Receiver<Vec<u8>>,
+    mut to: Box<dyn Write + Send>,
+    counters: &LineCounters,
+) {
+    let mut reported = 0;
+    while let Ok(mut text) = receiver.recv() {
+        let dropped = counters.dropped();
+        if dropped > reported {
+            let newly_dropped = dropped - reported;
+            let notice = format!("{{\"text\":\"log lines dropped\",\"count\":{newly_dropped}}}\n");
             text.extend_from_slice(notice.as_bytes());
-            told = dropped;
+            reported = dropped;
         }
         // Nobody reads any more: the lines have nowhere to go, and the daemon goes on.
         let _ = to.write_all(&text).and_then(|()| to.flush());
-        count.written.fetch_add(1, Ordering::Relaxed);
+        counters.written.fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -69,7 +69,7 @@
     /// # Errors
     ///
     /// See [`Error`].
-    pub async fn rows(&self, prefix: &str) -> Result<Vec<Row>, Error> {
+    pub async fn read_rows(&self, prefix: &str) -> Result<Vec<Row>, Error> {
         let path = format!("/v1/rows?{}", query("prefix", prefix));
         let answer = self.get(Step::Rows, &path).await?;
         Ok(self.read::<Rows>(Step::Rows, &answer)?.rows)
@@ -80,7 +80,7 @@
     /// # Errors
     ///
     /// See [`Error`].
-    pub async fn list(&self, asker: &str) -> Result<List, Error> {
+    pub async fn read_list(&self, asker: &str) -> Result<List, Error> {
         let path = format!("/v1/list?{}", query("for", asker));
         let answer = self.get(Step::List, &path).await?;
         self.read(Step::List, &answer)
@@ -91,15 +91,15 @@
     /// # Errors
     ///
     /// See [`Error`].
-    pub async fn fetch(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
+    pub async fn get_object(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         let path = format!("/v1/objects/{name}");
         let answer = self
-            .send(Step::Fetch, Method::GET, &path, Vec::new())
+            .send(Step::GetObject, Method::GET, &path, Vec::new())
             .await?;
         match answer.status {
             StatusCode::OK => Ok(Some(answer.body.to_vec())),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(self.refused(Step::Fetch, status)),
+            status => Err(self.refused(Step::GetObject, status)),
         }
     }
 
@@ -108,12 +108,14 @@
     /// # Errors
     ///
     /// See [`Error`]; only a write that ended as lost or malformed may have taken effect.
-    pub async fn keep(&self, name: &str, bytes: Vec<u8>) -> Result<(), Error> {
+    pub async fn put_object(&self, name: &str, bytes: Vec<u8>) -> Result<(), Error> {
         let path = format!("/v1/objects/{name}");
-        let answer = self.send(Step::Keep, Method::PUT, &path, bytes).await?;
+        let answer = self
+            .send(Step::PutObject, Method::PUT, &path, bytes)
+            .await?;
         match answer.status {
             StatusCode::OK => Ok(()),
-            status => Err(self.refused(Step::Keep, status)),
+            status => Err(self.refused(Step::PutObject, status)),
         }
     }
 
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -12,9 +12,9 @@
     /// A read of the list.
     List,
     /// A read of an object.
-    Fetch,
+    GetObject,
     /// A write of an object.
-    Keep,
+    PutObject,
 }
 
 impl fmt::Display for Step {
@@ -23,8 +23,8 @@
             Self::Txn => "transaction",
             Self::Rows => "read of rows",
             Self::List => "read of the list",
-            Self::Fetch => "read of an object",
-            Self::Keep => "write of an object",
+            Self::GetObject => "read of an object",
+            Self::PutObject => "write of an object",
         })
     }
 }
--- a/crates/store/tests/error.rs
+++ b/crates/store/tests/error.rs
@@ -78,7 +78,7 @@
 async fn silence_loses_the_answer() {
     let listener = TcpListener::bind(ANY).await.unwrap();
     let client = Client::new(listener.local_addr().unwrap(), TIMEOUT);
-    let error = client.rows("k").await.unwrap_err();
+    let error = client.read_rows("k").await.unwrap_err();
     assert!(
         matches!(
             error,
--- a/crates/store/tests/second_answers.rs
+++ b/crates/store/tests/second_answers.rs
@@ -73,10 +73,10 @@
 #[tokio::test]
 async fn an_object_is_fetched_with_its_own_bytes() {
     let client = client().await;
-    client.keep("a", b"of a".to_vec()).await.unwrap();
-    client.keep("b", b"of b".to_vec()).await.unwrap();
+    client.put_object("a", b"of a".to_vec()).await.unwrap();
+    client.put_object("b", b"of b".to_vec()).await.unwrap();
     for name in ["a", "b"] {
-        let found = client.fetch(name).await.unwrap();
+        let found = client.get_object(name).await.unwrap();
         assert_eq!(found, Some(format!("of {name}").into_bytes()));
     }
 }
