--- a/crates/table/src/diff.rs
+++ b/crates/table/src/diff.rs
@@ -1,4 +1,4 @@
-//! Readable differences for operators.
+//! Describes differences between tables as text for operators.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use crate::limits::KEY_COLUMNS;
 use crate::row::Row;
 
-/// What changes from `a` to `b`, one line each.
+/// The changes from `a` to `b`, one per line.
 ///
-/// `+ key: columns` for a new row, `- key` for a removed one, `~ key: column old -> new` for a
-/// changed one; then `+ drain …` and `- drain …`.
+/// `+ key: columns` is a new row, `- key` a removed row and `~ key: column old -> new` a changed
+/// row; `+ drain …` and `- drain …` lines follow.
 pub fn lines(a: &Table, b: &Table) -> Vec<String> {
     let mut pairs: BTreeMap<_, Pair<'_>> = BTreeMap::new();
     for row in &a.rows {
@@ -22,12 +22,12 @@
     lines.extend(
         b.drains
             .difference(&a.drains)
-            .map(|mark| format!("+ drain {mark}")),
+            .map(|target| format!("+ drain {target}")),
     );
     lines.extend(
         a.drains
             .difference(&b.drains)
-            .map(|mark| format!("- drain {mark}")),
+            .map(|target| format!("- drain {target}")),
     );
     lines
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The columns of `row` besides its key, as `column=value`.
+/// The columns of `row` other than its key, as `column=value`.
 pub fn describe(row: &Row) -> String {
     let columns = row.columns().into_iter().skip(KEY_COLUMNS);
     let columns: Vec<String> = columns
--- a/crates/table/src/drain.rs
+++ b/crates/table/src/drain.rs
@@ -1,11 +1,11 @@
-//! Marks on instances and replicas that are to drain.
+//! Instances and replicas that are marked to drain.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is marked to drain; it takes no new work and finishes what is in progress.
+/// An instance or replica marked to drain: it accepts no new work and finishes its current work.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainTarget {
@@ -16,7 +16,7 @@
 }
 
 impl DrainTarget {
-    /// `instance` or `replica`, as written in keys of the store.
+    /// `instance` or `replica`, as used in store keys.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Instance(_) => "instance",
@@ -24,14 +24,14 @@
         }
     }
 
-    /// The name of what is marked.
+    /// The name of the instance or replica.
     pub fn name(&self) -> &str {
         match self {
             Self::Instance(name) | Self::Replica(name) => name,
         }
     }
 
-    /// The mark for a `kind` as written in keys of the store.
+    /// The target named `name` of a `kind` as used in store keys; `None` if `kind` is unknown.
     pub fn from_kind(kind: &str, name: &str) -> Option<Self> {
         match kind {
             "instance" => Some(Self::Instance(name.to_owned())),
--- a/crates/table/src/edit.rs
+++ b/crates/table/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of the table and conflicts between racing operators.
+//! Edits of the table and conflicts between concurrent edits.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -15,41 +15,41 @@
 use crate::row::Row;
 use crate::row::is_name;
 
-/// The longest note, in bytes.
+/// Maximum length of a note, in bytes.
 pub const MAX_NOTE: usize = 1024;
 
-/// One change of an edit.
+/// A change within an edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
     /// Adds or replaces a row.
     Put {
-        /// The wanted row.
+        /// The new row.
         row: Row,
-        /// The row that the operator saw; `None` if there was none.
+        /// The row that the operator read; `None` if it did not exist.
         base: Option<Row>,
     },
     /// Removes a row.
     Remove {
-        /// The row that the operator saw; its key names the row to remove.
+        /// The row that the operator read; its key identifies the row to remove.
         base: Row,
     },
     /// Marks an instance or replica to drain.
     Drain(DrainTarget),
-    /// Takes the mark away.
+    /// Removes the mark from an instance or replica.
     Undrain(DrainTarget),
 }
 
-/// A set of changes that an operator makes at once.
+/// A set of changes that are applied together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Unique; an edit whose acknowledgement was lost is recognised by it.
+    /// Unique id; a repeated edit whose acknowledgement was lost is recognised by it.
     pub id: String,
     /// The changes, each row key and each mark at most once.
     pub changes: Vec<Change>,
-    /// Why the edit is made.
+    /// The operator's reason for the edit.
     pub note: String,
-    /// Who makes it.
+    /// The operator who makes the edit.
     pub operator: String,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The edit that turns the rows of `base` into `wanted` and leaves the marks alone.
+    /// The edit that changes the rows of `base` into `wanted`; drain marks stay as they are.
     pub fn between(id: &str, operator: &str, base: &Table, wanted: &[Row]) -> Self {
         let mut edit = Self::new(id, operator);
         let keys: BTreeSet<_> = wanted.iter().map(Row::key_parts).collect();
@@ -93,23 +93,23 @@
         self
     }
 
-    /// The same edit with one more change.
+    /// The same edit with `change` appended.
     #[must_use]
     pub fn with_change(mut self, change: Change) -> Self {
         self.changes.push(change);
         self
     }
 
-    /// Checks the edit by itself: its texts, its rows, and that nothing is changed twice.
+    /// Checks the texts and rows of the edit, and that it changes no key or mark twice.
     ///
     /// # Errors
     ///
-    /// Every fault found.
+    /// All problems found.
     pub fn check(&self) -> Result<(), Report> {
         let mut errors = Vec::new();
         let texts = [("id", &self.id), ("operator", &self.operator)];
         let texts = texts.into_iter().filter(|(_, text)| !is_name(text));
-        errors.extend(texts.map(|(name, text)| bad_text(name, text)));
+        errors.extend(texts.map(|(name, text)| invalid_name(name, text)));
         if self.note.len() > MAX_NOTE {
             errors.push(Error::TooLong {
                 bytes: self.note.len(),
@@ -134,13 +134,13 @@
         Report::check(errors)
     }
 
-    /// The table after the edit, one generation further.
+    /// The table after the edit, with the next generation.
     ///
-    /// A row that already is as wanted is no conflict, whoever made it so.
+    /// A row that already has the wanted value is not a conflict, regardless of who wrote it.
     ///
     /// # Errors
     ///
-    /// A conflict, with every row that differs from what the operator saw.
+    /// A conflict that lists every row that differs from the one that the operator read.
     pub fn apply(&self, table: &Table) -> Result<Table, Conflict> {
         let rows: Vec<RowConflict> = self
             .changes
@@ -163,11 +163,11 @@
 }
 
 impl Change {
-    /// What is changed: a row key or a mark.
+    /// The row key or drain mark that is changed.
     pub fn key(&self) -> String {
         match self {
             Self::Put { row, .. } | Self::Remove { base: row } => row.key(),
-            Self::Drain(mark) | Self::Undrain(mark) => mark.to_string(),
+            Self::Drain(target) | Self::Undrain(target) => target.to_string(),
         }
     }
 
@@ -177,11 +177,11 @@
                 row,
                 base: Some(base),
             } if row.key_parts() != base.key_parts() => {
-                vec![bad_text("base", &base.key())]
+                vec![invalid_name("base", &base.key())]
             }
             Self::Put { row, .. } => row.check(),
-            Self::Drain(mark) | Self::Undrain(mark) if !is_name(mark.name()) => {
-                vec![bad_text(mark.kind(), mark.name())]
+            Self::Drain(target) | Self::Undrain(target) if !is_name(target.name()) => {
+                vec![invalid_name(target.kind(), target.name())]
             }
             Self::Remove { .. } | Self::Drain(_) | Self::Undrain(_) => Vec::new(),
         }
@@ -215,33 +215,33 @@
                 }
             }
             Self::Remove { base } => table.rows.retain(|row| row.key_parts() != base.key_parts()),
-            Self::Drain(mark) => {
-                table.drains.insert(mark.clone());
+            Self::Drain(target) => {
+                table.drains.insert(target.clone());
             }
-            Self::Undrain(mark) => {
-                table.drains.remove(mark);
+            Self::Undrain(target) => {
+                table.drains.remove(target);
             }
         }
     }
 }
 
-fn bad_text(field: &str, value: &str) -> Error {
+fn invalid_name(field: &str, value: &str) -> Error {
     Error::InvalidName {
         location: Location::new("", field),
         value: value.to_owned(),
     }
 }
 
-/// A row that is no longer as the operator saw it.
+/// A row that has changed since the operator read it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowConflict {
     /// `service/class/pool`.
     pub key: String,
-    /// What the operator saw.
+    /// The row that the operator read.
     pub base: Option<Row>,
-    /// What the table holds now.
+    /// The row in the table now.
     pub current: Option<Row>,
-    /// What the operator wants.
+    /// The row that the operator wants.
     pub wanted: Option<Row>,
 }
 
@@ -253,12 +253,20 @@
             current,
             wanted,
         } = self;
-        write!(f, "{key}: now {}", against(base.as_ref(), current.as_ref()))?;
-        write!(f, "; wanted {}", against(base.as_ref(), wanted.as_ref()))
+        write!(
+            f,
+            "{key}: now {}",
+            describe_change(base.as_ref(), current.as_ref())
+        )?;
+        write!(
+            f,
+            "; wanted {}",
+            describe_change(base.as_ref(), wanted.as_ref())
+        )
     }
 }
 
-fn against(base: Option<&Row>, row: Option<&Row>) -> String {
+fn describe_change(base: Option<&Row>, row: Option<&Row>) -> String {
     match (base, row) {
         (_, None) => "absent".to_owned(),
         (None, Some(row)) => diff::describe(row),
@@ -267,12 +275,12 @@
     }
 }
 
-/// An edit that would overwrite another operator's.
+/// An edit that would overwrite another edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Conflict {
-    /// The generation that was found.
+    /// The generation of the table with which the edit conflicts.
     pub generation: u64,
-    /// The rows in conflict, never empty.
+    /// The conflicting rows, never empty.
     pub rows: Vec<RowConflict>,
 }
 
--- a/crates/table/src/error.rs
+++ b/crates/table/src/error.rs
@@ -1,24 +1,24 @@
-//! What is wrong with a table, and what to try.
+//! Errors in a table or an edit, each with a suggested correction.
 
 use std::fmt;
 
 use crate::Table;
 use crate::limits::MAX_NAME_BYTES;
 
-/// Where a fault stands.
+/// Location of an error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Location {
-    /// The line of the file, counted from 1; `None` if the rows come from no file or can't be
-    /// told apart in it by lines.
+    /// The line of the file, counted from 1; `None` if the rows are not read from a file or do not
+    /// start on separate lines.
     pub line: Option<usize>,
-    /// The row, as `service/class/pool`; empty if it is not known.
+    /// The row, as `service/class/pool`; empty if unknown.
     pub row: String,
-    /// The column; empty if the fault is in no single column.
+    /// The column; empty if the error is not in a single column.
     pub field: String,
 }
 
 impl Location {
-    /// The column `field` of the row `row`, in no file.
+    /// The column `field` of the row `row`, without a line.
     pub fn new(row: &str, field: &str) -> Self {
         Self {
             line: None,
@@ -48,75 +48,75 @@
     }
 }
 
-/// One fault.
+/// An error in a table or an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// The file is no YAML list of rows, or a column is unknown or of the wrong type.
+    /// The file is not a YAML list of rows, or a column is unknown or of the wrong type.
     Syntax {
-        /// Where it stands.
+        /// Location of the error.
         location: Location,
-        /// What the parser found.
+        /// Message of the parser.
         found: String,
     },
     /// A column that has no default is missing.
     MissingColumn {
-        /// Where it should stand.
+        /// Location of the row, and the column.
         location: Location,
     },
-    /// A number outside the values that its column may take.
+    /// A number outside the range of its column.
     OutOfRange {
-        /// Where it stands.
+        /// Location of the number.
         location: Location,
         /// The number found.
         value: i64,
-        /// The least value allowed.
+        /// The smallest allowed value.
         min: i64,
-        /// The greatest value allowed.
+        /// The largest allowed value.
         max: i64,
     },
-    /// A name with characters that are not allowed, or of a wrong length.
+    /// A name that is empty, too long or contains characters that are not allowed.
     InvalidName {
-        /// Where it stands.
+        /// Location of the name.
         location: Location,
         /// The text found.
         value: String,
     },
-    /// Two columns of a row that can't both hold.
+    /// Two columns of a row that contradict each other.
     Contradiction {
-        /// Where the smaller one stands.
+        /// Location of the column whose value is too small.
         location: Location,
-        /// Its value.
+        /// The value of that column.
         value: i64,
-        /// The column that it must not be below.
+        /// The column whose value is the lower bound.
         other: &'static str,
-        /// The value of that column.
+        /// The value of the other column.
         bound: i64,
     },
-    /// A key that stands twice.
+    /// A key that occurs more than once.
     DuplicateKey {
-        /// Where the second one stands.
+        /// Location of the second occurrence.
         location: Location,
-        /// The line of the first one.
+        /// The line of the first occurrence.
         first: Option<usize>,
     },
-    /// More rows than a table may have.
+    /// More rows than allowed in a table.
     TooManyRows {
-        /// The number of rows found.
+        /// The number of rows.
         rows: usize,
     },
-    /// A file longer than is read.
+    /// A file or note longer than allowed.
     TooLong {
-        /// The length found, in bytes.
+        /// The length, in bytes.
         bytes: usize,
-        /// The longest that is read, in bytes.
+        /// The maximum length, in bytes.
         max: usize,
     },
-    /// An edit without any change.
+    /// An edit without changes.
     NoChanges,
 }
 
 impl Error {
-    /// The same fault at `line` of a file.
+    /// The same error at `line` of a file.
     #[must_use]
     pub fn with_line(mut self, line: Option<usize>) -> Self {
         match &mut self {
@@ -131,7 +131,7 @@
         self
     }
 
-    /// Where the fault stands, if it stands at one location.
+    /// The location of the error, if it has a single one.
     pub fn location(&self) -> Option<&Location> {
         match self {
             Self::Syntax { location, .. }
@@ -184,14 +184,14 @@
             } => {
                 write!(
                     f,
-                    "{location}: the key stands on line {first} already; keep one of the two"
+                    "{location}: the key already occurs on line {first}; remove one of the two"
                 )
             }
             Self::DuplicateKey {
                 location,
                 first: None,
             } => {
-                write!(f, "{location}: the key stands twice; keep one of the two")
+                write!(f, "{location}: the key occurs twice; remove one of the two")
             }
             Self::TooManyRows { rows } => {
                 write!(f, "table: {rows} rows; use at most {}", Table::MAX_ROWS)
@@ -199,17 +199,17 @@
             Self::TooLong { bytes, max } => {
                 write!(f, "file: {bytes} bytes; use at most {max}")
             }
-            Self::NoChanges => write!(f, "edit: no change; nothing is left to apply"),
+            Self::NoChanges => write!(f, "edit: it contains no changes"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// All faults of a file or an edit, never empty.
+/// All errors of a file or an edit, never empty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// The faults, in file order.
+    /// The errors, in file order.
     pub errors: Vec<Error>,
 }
 
@@ -218,7 +218,7 @@
     ///
     /// # Errors
     ///
-    /// The report of `errors`.
+    /// The report of `errors`, if there are any.
     pub fn check(errors: Vec<Error>) -> Result<(), Self> {
         if errors.is_empty() {
             Ok(())
--- a/crates/table/src/file.rs
+++ b/crates/table/src/file.rs
@@ -1,7 +1,7 @@
-//! The file form: a YAML list of rows.
+//! Reads and writes table files: a YAML list of rows.
 //!
-//! `service`, `class` and `pool` are required. Every other column may be left out and takes its
-//! default (`row::DEFAULT_*`; `max_wait_ms` is raised to `ttft_ms` where that is longer).
+//! `service`, `class` and `pool` are required. Every other column may be omitted and takes its
+//! default (`limits::DEFAULT_*`; `max_wait_ms` is raised to `ttft_ms` if that is longer).
 //! Unknown columns are refused.
 
 use std::collections::BTreeMap;
@@ -19,10 +19,10 @@
 use crate::row::Row;
 use crate::row::is_name;
 
-/// The longest file that is read, in bytes.
+/// Maximum length of a file, in bytes.
 pub const MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// The columns as written; numbers are wide enough to hold what is out of range.
+/// The columns as written; the number type is wide enough to hold values that are out of range.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Columns {
@@ -52,8 +52,8 @@
         )
     }
 
-    /// The faults that the typed row could not hold.
-    fn faults(&self) -> Vec<Error> {
+    /// The errors that cannot be represented in a [`Row`].
+    fn check(&self) -> Vec<Error> {
         let key = self.key();
         let texts = [
             ("service", &self.service),
@@ -83,24 +83,24 @@
         ]
     }
 
-    /// The typed row; every number has been found in range.
-    fn row(self) -> Row {
-        let long = |value: Option<i64>, default: u32| value.map_or(default, |value| value as u32);
-        let short = |value: Option<i64>, default: u8| value.map_or(default, |value| value as u8);
-        let ttft_ms = long(self.ttft_ms, limits::DEFAULT_TTFT_MS);
+    /// Converts to a [`Row`]; all numbers must have been checked to be in range.
+    fn into_row(self) -> Row {
+        let u32_or = |value: Option<i64>, default: u32| value.map_or(default, |value| value as u32);
+        let u8_or = |value: Option<i64>, default: u8| value.map_or(default, |value| value as u8);
+        let ttft_ms = u32_or(self.ttft_ms, limits::DEFAULT_TTFT_MS);
         Row {
             service: self.service.unwrap_or_default(),
             class: self.class.unwrap_or_default(),
             pool: self.pool.unwrap_or_default(),
-            share: long(self.share, limits::DEFAULT_SHARE),
-            priority: short(self.priority, limits::DEFAULT_PRIORITY),
+            share: u32_or(self.share, limits::DEFAULT_SHARE),
+            priority: u8_or(self.priority, limits::DEFAULT_PRIORITY),
             ttft_ms,
-            tbt_ms: long(self.tbt_ms, limits::DEFAULT_TBT_MS),
-            max_wait_ms: long(self.max_wait_ms, limits::DEFAULT_MAX_WAIT_MS.max(ttft_ms)),
-            prefill_ceiling: long(self.prefill_ceiling, limits::DEFAULT_PREFILL_CEILING),
-            decode_ceiling: long(self.decode_ceiling, limits::DEFAULT_DECODE_CEILING),
-            retry_percent: short(self.retry_percent, limits::DEFAULT_RETRY_PERCENT),
-            waste_percent: short(self.waste_percent, limits::DEFAULT_WASTE_PERCENT),
+            tbt_ms: u32_or(self.tbt_ms, limits::DEFAULT_TBT_MS),
+            max_wait_ms: u32_or(self.max_wait_ms, limits::DEFAULT_MAX_WAIT_MS.max(ttft_ms)),
+            prefill_ceiling: u32_or(self.prefill_ceiling, limits::DEFAULT_PREFILL_CEILING),
+            decode_ceiling: u32_or(self.decode_ceiling, limits::DEFAULT_DECODE_CEILING),
+            retry_percent: u8_or(self.retry_percent, limits::DEFAULT_RETRY_PERCENT),
+            waste_percent: u8_or(self.waste_percent, limits::DEFAULT_WASTE_PERCENT),
             repeatable: self.repeatable.unwrap_or(true),
         }
     }
@@ -110,7 +110,7 @@
 ///
 /// # Errors
 ///
-/// Every fault found, with its line and column where they can be told.
+/// All errors found, with line and column where they can be determined.
 pub fn parse(text: &str) -> Result<Vec<Row>, Report> {
     if text.len() > MAX_BYTES {
         return Err(Error::TooLong {
@@ -132,10 +132,10 @@
     let mut rows = Vec::with_capacity(columns.len());
     let mut seen = BTreeMap::new();
     for (index, columns) in columns.into_iter().enumerate() {
-        let faults = columns.faults();
-        let row = faults.is_empty().then(|| columns.row());
-        let faults = faults.into_iter().chain(row.iter().flat_map(Row::check));
-        errors.extend(faults.map(|fault| lines.locate(index, fault)));
+        let invalid = columns.check();
+        let row = invalid.is_empty().then(|| columns.into_row());
+        let found = invalid.into_iter().chain(row.iter().flat_map(Row::check));
+        errors.extend(found.map(|error| lines.locate(index, error)));
         let Some(row) = row else { continue };
         match seen.insert(row.key(), index) {
             Some(first) => {
@@ -152,7 +152,7 @@
     Ok(Table::new(0, rows).rows)
 }
 
-/// Writes `rows` in the file form, every column spelt out.
+/// Formats `rows` as YAML, with every column written.
 pub fn to_yaml(rows: &[Row]) -> String {
     if rows.is_empty() {
         return "[]\n".to_owned();
@@ -163,10 +163,10 @@
 fn row_to_yaml(row: &Row) -> String {
     let columns = row.columns();
     let lines = columns.iter().enumerate().map(|(index, column)| {
-        let lead = if index == 0 { "- " } else { "  " };
-        // Names may look like numbers or booleans to YAML, so the key columns are quoted.
+        let prefix = if index == 0 { "- " } else { "  " };
+        // Key columns are quoted because YAML could read a name as a number or a boolean.
         let quote = if index < KEY_COLUMNS { "\"" } else { "" };
-        format!("{lead}{}: {quote}{}{quote}\n", column.name, column.value)
+        format!("{prefix}{}: {quote}{}{quote}\n", column.name, column.value)
     });
     lines.collect()
 }
@@ -180,17 +180,17 @@
     Error::Syntax { location, found }
 }
 
-/// The column in a path of the parser, such as `.[0].tbt_ms`.
+/// The column in a parser path such as `.[0].tbt_ms`.
 fn column(path: &str) -> Option<&str> {
     let (row, field) = path.rsplit_once('.')?;
     (row.ends_with(']') && is_name(field)).then_some(field)
 }
 
-/// Finds rows and columns in a file written in block style.
+/// Finds the lines of rows and columns in a file in block style.
 #[derive(Debug)]
 struct Lines<'a> {
     text: Vec<&'a str>,
-    /// Index of the first line of each row; empty if rows can't be told apart by lines.
+    /// Index of the first line of each row; empty if rows do not start on separate lines.
     starts: Vec<usize>,
 }
 
@@ -217,17 +217,17 @@
         self.starts.get(index).map(|start| start + 1)
     }
 
-    /// Adds the line of the fault's column, or else of the row.
-    fn locate(&self, index: usize, fault: Error) -> Error {
+    /// Sets the line of `error` to that of its column, or else of the row.
+    fn locate(&self, index: usize, error: Error) -> Error {
         let Some(&start) = self.starts.get(index) else {
-            return fault;
+            return error;
         };
         let end = self
             .starts
             .get(index + 1)
             .copied()
             .unwrap_or(self.text.len());
-        let field = fault
+        let field = error
             .location()
             .map_or(String::new(), |location| format!("{}:", location.field));
         let is_field = |line: &&str| {
@@ -237,6 +237,6 @@
                 .starts_with(&field)
         };
         let offset = self.text[start..end].iter().position(is_field);
-        fault.with_line(Some(start + offset.unwrap_or(0) + 1))
+        error.with_line(Some(start + offset.unwrap_or(0) + 1))
     }
 }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,9 +1,10 @@
 //! The operators' table: rows, checks, edits and generations.
 //!
-//! Operators drive the router by this table alone. The crate is pure: it reads no clock, file or
-//! socket. It holds the rows and their checks ([`row`], [`mod@file`], [`error`]), edits and their
-//! conflicts ([`edit`], [`diff`]), the form in which the platform's transactional service keeps
-//! the table ([`storage`]), and what a daemon may decide by ([`view`]).
+//! The table is the only control that operators have over the router. The crate is pure: it reads
+//! no clock, file or socket. It contains the rows and their checks ([`row`], [`mod@file`],
+//! [`error`]), edits and their conflicts ([`edit`], [`diff`]), the representation of the table in
+//! the platform's store ([`storage`], [`transaction`]), and the table held by a daemon, with its
+//! freshness ([`view`]).
 
 pub mod diff;
 pub mod drain;
@@ -27,19 +28,19 @@
 /// One generation of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Table {
-    /// Counts the accepted edits; zero before the first one.
+    /// Number of accepted edits; zero before the first one.
     pub generation: u64,
-    /// The rows, ordered by service, class and pool, each key once.
+    /// The rows, ordered by service, class and pool; keys are unique.
     pub rows: Vec<Row>,
-    /// The instances and replicas that are marked to drain.
+    /// The instances and replicas marked to drain.
     pub drains: BTreeSet<DrainTarget>,
 }
 
 impl Table {
-    /// The most rows that a table may have.
+    /// Maximum number of rows in a table.
     pub const MAX_ROWS: usize = 4096;
 
-    /// The table of `generation` with `rows`, which it orders by key.
+    /// A table of `generation` with `rows`, which are sorted by key.
     pub fn new(generation: u64, mut rows: Vec<Row>) -> Self {
         rows.sort_by(|a, b| a.key_parts().cmp(&b.key_parts()));
         Self {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The same table with the marks `drains`.
+    /// The same table with the drain marks `drains`.
     #[must_use]
     pub fn with_drains(mut self, drains: BTreeSet<DrainTarget>) -> Self {
         self.drains = drains;
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -1,4 +1,4 @@
-//! Rows of the table and the checks on one row.
+//! Rows of the table and the checks of a single row.
 
 use std::fmt;
 
@@ -26,13 +26,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// The service that callers name.
+    /// The service that callers request.
     pub service: String,
     /// The caller class.
     pub class: String,
-    /// The pool of replicas that serves the calls.
+    /// The pool of replicas that serve the calls.
     pub pool: String,
-    /// Weight against the other rows of the pool, at least 1.
+    /// Weight relative to the other rows of the pool, at least 1.
     pub share: u32,
     /// 0 (served first) to 9.
     pub priority: u8,
@@ -42,20 +42,20 @@
     pub tbt_ms: u32,
     /// How long a request may wait before it is refused, in milliseconds; at least `ttft_ms`.
     pub max_wait_ms: u32,
-    /// Prefills at once over all daemons.
+    /// Maximum number of concurrent prefills over all daemons.
     pub prefill_ceiling: u32,
-    /// Decodes at once over all daemons; for plain services, calls at once.
+    /// Maximum number of concurrent decodes over all daemons; for plain services, of calls.
     pub decode_ceiling: u32,
-    /// Retries allowed, in percent of the requests accepted.
+    /// Allowed retries, in percent of the accepted requests.
     pub retry_percent: u8,
-    /// How strongly wasted prefill weighs against goodput, in percent.
+    /// Weight of wasted prefill relative to goodput, in percent.
     pub waste_percent: u8,
-    /// Whether calls may be repeated; `false` makes every call of the service non-repeatable.
+    /// Whether calls may be repeated; `false` makes every call of the service not repeatable.
     pub repeatable: bool,
 }
 
 impl Row {
-    /// The row for `service`, `class` and `pool` with the default of every other column.
+    /// A row for `service`, `class` and `pool` with defaults in all other columns.
     pub fn new(service: &str, class: &str, pool: &str) -> Self {
         Self {
             service: service.to_owned(),
@@ -84,12 +84,12 @@
         format!("{}/{}/{}", self.service, self.class, self.pool)
     }
 
-    /// The key columns, in the order by which rows are sorted.
+    /// The key columns, in sort order.
     pub fn key_parts(&self) -> (&str, &str, &str) {
         (&self.service, &self.class, &self.pool)
     }
 
-    /// Every column with its value as text, in file order.
+    /// All columns with their values as text, in file order.
     pub fn columns(&self) -> Vec<Column> {
         let column = |name, value: &dyn fmt::Display| Column {
             name,
@@ -112,7 +112,7 @@
         ]
     }
 
-    /// Everything that is wrong with the row; empty if it may be put into a table.
+    /// All errors of the row; empty if it is valid.
     pub fn check(&self) -> Vec<Error> {
         let mut errors = Vec::new();
         let key = self.key();
@@ -158,16 +158,16 @@
     }
 }
 
-/// A column of a row with its value as text.
+/// A column and its value as text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Column {
-    /// The name of the column.
+    /// Name of the column.
     pub name: &'static str,
-    /// Its value.
+    /// Value as text.
     pub value: String,
 }
 
-/// The values that a numeric column may take.
+/// Allowed values of a numeric column.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Range {
     field: &'static str,
@@ -180,7 +180,7 @@
         Self { field, min, max }
     }
 
-    /// The error for `value` in the row `key`, if it lies outside.
+    /// The error for `value` in the row `key` if it is out of range.
     pub(crate) fn check(self, key: &str, value: i64) -> Option<Error> {
         let outside = value < self.min || value > self.max;
         outside.then(|| Error::OutOfRange {
@@ -202,7 +202,7 @@
 pub(crate) const RETRY_PERCENT: Range = Range::new("retry_percent", 0, 100);
 pub(crate) const WASTE_PERCENT: Range = Range::new("waste_percent", 0, 100);
 
-/// Whether `text` may stand in a key: 1 to [`MAX_NAME_BYTES`] of ASCII letters, digits, `-`, `_`, `.`.
+/// Whether `text` is valid in a key: 1 to [`MAX_NAME_BYTES`] ASCII letters, digits, `-`, `_`, `.`.
 pub fn is_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
--- a/crates/table/src/storage.rs
+++ b/crates/table/src/storage.rs
@@ -1,19 +1,19 @@
-//! How the platform's transactional service keeps the table.
+//! Representation of the table in the platform's store.
 //!
 //! | key | value |
 //! | --- | --- |
 //! | `table/generation` | the generation, in decimal |
 //! | `table/row/<service>/<class>/<pool>` | the row, JSON |
 //! | `table/drain/<instance or replica>/<name>` | `{}` |
-//! | `table/edit/<generation, 12 digits>` | the [`History`] record, JSON |
-//! | `table/edit-id/<id>` | the generation that the edit made, in decimal |
+//! | `table/edit/<generation, 12 digits>` | the history record of the edit, JSON |
+//! | `table/edit-id/<id>` | the generation that the edit created, in decimal |
 //!
 //! Every edit requires the version of `table/generation`, so that edits are serialised and each
-//! raises the generation by exactly one; of two racing ones the later has to be planned again
-//! from what it then reads. It also requires `table/edit-id/<id>` to be absent, so that an edit
-//! whose acknowledgement was lost can't be applied twice, and the version of each row that it
-//! changes. The table must be read in one transaction over [`SCAN_PREFIXES`]; separate reads could mix
-//! two generations.
+//! raises the generation by exactly one; of two concurrent edits the later one must be planned
+//! again from a new read. An edit also requires `table/edit-id/<id>` to be absent, so that it
+//! cannot be applied twice if its acknowledgement was lost, and the version of each row that it
+//! changes. The table must be read in one transaction over [`SCAN_PREFIXES`]; separate reads could
+//! mix two generations.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,17 +25,17 @@
 use crate::error::Report;
 use crate::row::Row;
 
-/// The key of the generation.
+/// Key of the generation.
 pub const GENERATION_KEY: &str = "table/generation";
-/// The prefix of the rows.
+/// Key prefix of the rows.
 pub const ROW_PREFIX: &str = "table/row/";
-/// The prefix of the marks.
+/// Key prefix of the drain marks.
 pub const DRAIN_PREFIX: &str = "table/drain/";
-/// The prefix of the history.
+/// Key prefix of the history records.
 pub const EDIT_PREFIX: &str = "table/edit/";
-/// The prefix of the ids of edits.
+/// Key prefix of the ids of applied edits.
 pub const EDIT_ID_PREFIX: &str = "table/edit-id/";
-/// The prefixes to scan, in one transaction, to read the whole table.
+/// Prefixes that must be scanned in one transaction to read the whole table.
 pub const SCAN_PREFIXES: [&str; 3] = [GENERATION_KEY, ROW_PREFIX, DRAIN_PREFIX];
 
 /// A row of the store.
@@ -45,12 +45,12 @@
     pub key: String,
     /// The value.
     pub value: String,
-    /// The version; 0 stands for an absent key.
+    /// The version; 0 if the key is absent.
     pub version: u64,
 }
 
 impl Record {
-    /// The record of `key`.
+    /// A record of `key`.
     pub fn new(key: &str, value: &str, version: u64) -> Self {
         Self {
             key: key.to_owned(),
@@ -71,19 +71,19 @@
     }
 }
 
-/// Why records can't be read or an edit can't be planned.
+/// Error of reading records or planning an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// A record that can't be read.
+    /// A record cannot be read.
     Corrupt {
-        /// Its key.
+        /// The key of the record.
         key: String,
-        /// What is wrong with it.
+        /// What is wrong with its value or key.
         reason: String,
     },
-    /// The edit, or the table after it, is not valid.
+    /// The edit, or the resulting table, is not valid.
     Invalid(Report),
-    /// The edit would overwrite another operator's.
+    /// The edit would overwrite another edit.
     Conflict(Conflict),
 }
 
@@ -111,14 +111,14 @@
     }
 }
 
-/// The key of the row.
+/// The key of `row`.
 pub fn row_key(row: &Row) -> String {
     format!("{ROW_PREFIX}{}", row.key())
 }
 
-/// The key of the mark.
-pub fn drain_key(mark: &DrainTarget) -> String {
-    format!("{DRAIN_PREFIX}{}/{}", mark.kind(), mark.name())
+/// The key of the drain mark of `target`.
+pub fn drain_key(target: &DrainTarget) -> String {
+    format!("{DRAIN_PREFIX}{}/{}", target.kind(), target.name())
 }
 
 /// The key of the history record of `generation`.
@@ -126,16 +126,17 @@
     format!("{EDIT_PREFIX}{generation:012}")
 }
 
-/// The key that tells whether the edit `id` has been applied.
+/// The key that exists if the edit `id` has been applied.
 pub fn edit_id_key(id: &str) -> String {
     format!("{EDIT_ID_PREFIX}{id}")
 }
 
-/// Reads the table from the records of one transaction over [`SCAN_PREFIXES`]; other keys are passed over.
+/// Reads the table from the records of one transaction over [`SCAN_PREFIXES`]; other keys are
+/// ignored.
 ///
 /// # Errors
 ///
-/// The first record that can't be read.
+/// The first record that cannot be read.
 pub fn read_table(records: &[Record]) -> Result<(Table, Versions), Error> {
     let mut rows = Vec::new();
     let mut drains = BTreeSet::new();
@@ -149,7 +150,7 @@
         } else if key.starts_with(ROW_PREFIX) {
             rows.push(row(record)?);
         } else if let Some(rest) = key.strip_prefix(DRAIN_PREFIX) {
-            drains.insert(mark(record, rest)?);
+            drains.insert(drain_target(record, rest)?);
         }
     }
     Ok((Table::new(generation, rows).with_drains(drains), versions))
@@ -166,15 +167,15 @@
     let row: Row =
         serde_json::from_str(&record.value).map_err(|error| corrupt(record, &error.to_string()))?;
     if row_key(&row) != record.key {
-        return Err(corrupt(record, "the row has another key"));
+        return Err(corrupt(record, "the key does not match the row"));
     }
     Ok(row)
 }
 
-fn mark(record: &Record, rest: &str) -> Result<DrainTarget, Error> {
+fn drain_target(record: &Record, rest: &str) -> Result<DrainTarget, Error> {
     let parts = rest.split_once('/');
-    let mark = parts.and_then(|(kind, name)| DrainTarget::from_kind(kind, name));
-    mark.ok_or_else(|| corrupt(record, "neither an instance nor a replica"))
+    let target = parts.and_then(|(kind, name)| DrainTarget::from_kind(kind, name));
+    target.ok_or_else(|| corrupt(record, "the key names neither an instance nor a replica"))
 }
 
 pub(crate) fn corrupt(record: &Record, reason: &str) -> Error {
--- a/crates/table/src/transaction.rs
+++ b/crates/table/src/transaction.rs
@@ -1,4 +1,4 @@
-//! Planning an edit as a transaction of the store.
+//! Plans an edit as a transaction of the store.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -18,7 +18,7 @@
 use crate::storage::read_table;
 use crate::storage::row_key;
 
-/// A key that must be at a version for the transaction to commit.
+/// A version that a key must have for the transaction to commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Requirement {
     /// The key.
@@ -27,7 +27,7 @@
     pub version: u64,
 }
 
-/// A write of the transaction.
+/// A write in a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
     /// The key.
@@ -39,40 +39,41 @@
 /// The transaction that applies an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transaction {
-    /// What must hold for it to commit.
+    /// Versions required for the commit.
     pub require: Vec<Requirement>,
-    /// What it writes.
+    /// Keys to write or delete.
     pub write: Vec<Write>,
-    /// The table after it has committed.
+    /// The table after the commit.
     pub table: Table,
 }
 
-/// What is to be done about an edit.
+/// How to proceed with an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Commit this transaction; if it fails, read again and plan again.
+    /// Commit this transaction; if it conflicts, read the table and plan again.
     Commit(Transaction),
-    /// Nothing: the edit has been applied and made this generation.
+    /// Do nothing: the edit was already applied and created this generation.
     Applied(u64),
 }
 
-/// The record that an edit leaves behind.
+/// The history record of an applied edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
-    /// The generation that the edit made.
+    /// The generation that the edit created.
     pub generation: u64,
-    /// When it was planned, in seconds of the Unix clock.
+    /// When the edit was planned, in Unix seconds.
     pub unix_seconds: u64,
-    /// The edit, with its operator and note.
+    /// The edit, including its operator and note.
     pub edit: Edit,
 }
 
-/// Plans `edit` against the records of one transaction that scanned [`storage::SCAN_PREFIXES`](crate::storage::SCAN_PREFIXES) and read
-/// [`edit_id_key`](crate::storage::edit_id_key). `unix_seconds` goes into the history record.
+/// Plans `edit` against the records of one transaction that scanned
+/// [`SCAN_PREFIXES`](crate::storage::SCAN_PREFIXES) and read
+/// [`edit_id_key`](crate::storage::edit_id_key). `unix_seconds` is stored in the history record.
 ///
 /// # Errors
 ///
-/// A record that can't be read, an edit that is not valid, or a conflict.
+/// If a record cannot be read, the edit is not valid, or it conflicts with another edit.
 pub fn plan_edit(edit: &Edit, records: &[Record], unix_seconds: u64) -> Result<Decision, Error> {
     edit.check()?;
     let id_key = edit_id_key(&edit.id);
@@ -96,7 +97,7 @@
         edit: edit.clone(),
     };
     let generation = table.generation.to_string();
-    let mut write: Vec<Write> = edit.changes.iter().map(change).collect();
+    let mut write: Vec<Write> = edit.changes.iter().map(write_for).collect();
     let mut keys: Vec<String> = write.iter().map(|write| write.key.clone()).collect();
     write.push(put(GENERATION_KEY.to_owned(), generation.clone()));
     write.push(put(edit_key(table.generation), json(&history)));
@@ -118,21 +119,21 @@
 ///
 /// # Errors
 ///
-/// The record, if it can't be read.
+/// If the record cannot be read.
 pub fn read_history(record: &Record) -> Result<History, Error> {
     serde_json::from_str(&record.value).map_err(|error| corrupt(record, &error.to_string()))
 }
 
-fn change(change: &Change) -> Write {
+fn write_for(change: &Change) -> Write {
     match change {
         Change::Put { row, .. } => put(row_key(row), json(row)),
         Change::Remove { base } => Write {
             key: row_key(base),
             value: None,
         },
-        Change::Drain(mark) => put(drain_key(mark), "{}".to_owned()),
-        Change::Undrain(mark) => Write {
-            key: drain_key(mark),
+        Change::Drain(target) => put(drain_key(target), "{}".to_owned()),
+        Change::Undrain(target) => Write {
+            key: drain_key(target),
             value: None,
         },
     }
--- a/crates/table/tests/edit.rs
+++ b/crates/table/tests/edit.rs
@@ -1,4 +1,4 @@
-//! Edits, conflicts and the store form.
+//! Edits, conflicts and the representation in the store.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 use table::transaction::Decision;
 use table::transaction::Transaction;
 
-/// A store of versioned rows with the platform's transactions.
+/// A store of versioned records with the platform's transactions.
 #[derive(Debug, Default, Clone)]
 struct Store {
     rows: BTreeMap<String, Record>,
@@ -41,9 +41,9 @@
             .collect()
     }
 
-    fn commit(&mut self, plan: &Transaction) -> bool {
+    fn commit(&mut self, transaction: &Transaction) -> bool {
         let version = |key: &str| self.rows.get(key).map_or(0, |row| row.version);
-        if plan
+        if transaction
             .require
             .iter()
             .any(|required| version(&required.key) != required.version)
@@ -51,7 +51,7 @@
             return false;
         }
         self.clock += 1;
-        for write in &plan.write {
+        for write in &transaction.write {
             match &write.value {
                 Some(value) => {
                     let record = Record::new(&write.key, value, self.clock);
@@ -72,9 +72,9 @@
     fn apply(&mut self, edit: &Edit) -> Result<u64, storage::Error> {
         match table::transaction::plan_edit(edit, &self.read(&edit.id), 1_790_000_000)? {
             Decision::Applied(generation) => Ok(generation),
-            Decision::Commit(plan) => {
-                assert!(self.commit(&plan));
-                Ok(plan.table.generation)
+            Decision::Commit(transaction) => {
+                assert!(self.commit(&transaction));
+                Ok(transaction.table.generation)
             }
         }
     }
@@ -90,9 +90,9 @@
     Edit::new(id, "ana").with_change(Change::Put { row, base })
 }
 
-fn plan(edit: &Edit, store: &Store) -> Transaction {
+fn transaction(edit: &Edit, store: &Store) -> Transaction {
     match table::transaction::plan_edit(edit, &store.read(&edit.id), 7) {
-        Ok(Decision::Commit(plan)) => plan,
+        Ok(Decision::Commit(transaction)) => transaction,
         other => panic!("{other:?}"),
     }
 }
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_repeated_edit_is_recognised() {
+fn a_repeated_edit_is_not_applied_again() {
     let mut store = Store::default();
     let edit = put("e1", None, row("drafts", 1));
     assert_eq!(store.apply(&edit), Ok(1));
@@ -121,7 +121,7 @@
     assert_eq!(
         store.apply(&edit),
         Ok(1),
-        "the generation that it made then"
+        "the generation that the first attempt created"
     );
     assert_eq!(store.table(), before);
 }
@@ -130,28 +130,28 @@
 fn an_edit_planned_twice_commits_once() {
     let mut store = Store::default();
     let edit = put("e1", None, row("drafts", 1));
-    let first = plan(&edit, &store);
-    let second = plan(&edit, &store);
+    let first = transaction(&edit, &store);
+    let second = transaction(&edit, &store);
     assert!(store.commit(&first));
     assert!(
         !store.commit(&second),
-        "its acknowledgement was lost and it was sent again"
+        "the edit was sent again after its acknowledgement was lost"
     );
     assert_eq!(store.apply(&edit), Ok(1));
 }
 
 #[test]
-fn of_two_edits_of_a_row_the_later_gets_both_values() {
+fn the_second_edit_of_a_row_gets_a_conflict_with_both_values() {
     let mut store = Store::default();
     store
         .apply(&put("e0", None, row("drafts", 1)))
         .expect("applied");
-    let ana = put("e1", Some(row("drafts", 1)), row("drafts", 5));
-    let iva = put("e2", Some(row("drafts", 1)), row("drafts", 9));
-    let late = plan(&iva, &store);
-    assert_eq!(store.apply(&ana), Ok(2));
-    assert!(!store.commit(&late));
-    let conflict = match store.apply(&iva) {
+    let first_edit = put("e1", Some(row("drafts", 1)), row("drafts", 5));
+    let second_edit = put("e2", Some(row("drafts", 1)), row("drafts", 9));
+    let second_transaction = transaction(&second_edit, &store);
+    assert_eq!(store.apply(&first_edit), Ok(2));
+    assert!(!store.commit(&second_transaction));
+    let conflict = match store.apply(&second_edit) {
         Err(storage::Error::Conflict(conflict)) => conflict,
         other => panic!("{other:?}"),
     };
@@ -169,19 +169,22 @@
 }
 
 #[test]
-fn racing_edits_of_two_rows_both_apply() {
+fn concurrent_edits_of_two_rows_both_apply() {
     let mut store = Store::default();
-    let ana = plan(&put("e1", None, row("drafts", 1)), &store);
-    let iva = put("e2", None, row("lorries", 1));
-    let late = plan(&iva, &store);
-    assert!(store.commit(&ana));
-    assert!(!store.commit(&late), "the generation has moved");
-    assert_eq!(store.apply(&iva), Ok(2));
+    let first_edit = transaction(&put("e1", None, row("drafts", 1)), &store);
+    let second_edit = put("e2", None, row("lorries", 1));
+    let second_transaction = transaction(&second_edit, &store);
+    assert!(store.commit(&first_edit));
+    assert!(
+        !store.commit(&second_transaction),
+        "the generation has changed"
+    );
+    assert_eq!(store.apply(&second_edit), Ok(2));
     assert_eq!(store.table().rows, [row("drafts", 1), row("lorries", 1)]);
 }
 
 #[test]
-fn a_removed_row_conflicts_with_its_change() {
+fn changing_a_removed_row_is_a_conflict() {
     let mut store = Store::default();
     store
         .apply(&put("e0", None, row("drafts", 1)))
@@ -196,7 +199,7 @@
 }
 
 #[test]
-fn two_operators_who_want_the_same_do_not_conflict() {
+fn identical_edits_do_not_conflict() {
     let mut store = Store::default();
     store
         .apply(&put("e1", None, row("drafts", 4)))
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn marks_are_kept_in_the_store() {
+fn drain_marks_are_stored() {
     let mut store = Store::default();
     let replica = DrainTarget::Replica("draft-3".to_owned());
     let instance = DrainTarget::Instance("entry-1".to_owned());
@@ -225,7 +228,7 @@
 }
 
 #[test]
-fn the_history_tells_who_did_what_and_why() {
+fn the_history_contains_the_edit_with_its_note() {
     let mut store = Store::default();
     let edit = put("e1", None, row("drafts", 1)).with_note("harvest");
     store.apply(&edit).expect("applied");
@@ -240,13 +243,13 @@
 }
 
 #[test]
-fn a_plan_requires_what_it_was_made_from() {
+fn a_transaction_requires_the_versions_it_was_planned_from() {
     let mut store = Store::default();
     store
         .apply(&put("e1", None, row("drafts", 1)))
         .expect("applied");
-    let plan = plan(&put("e2", Some(row("drafts", 1)), row("drafts", 2)), &store);
-    let required: BTreeMap<_, _> = plan
+    let transaction = transaction(&put("e2", Some(row("drafts", 1)), row("drafts", 2)), &store);
+    let required: BTreeMap<_, _> = transaction
         .require
         .iter()
         .map(|required| (required.key.as_str(), required.version))
@@ -276,12 +279,12 @@
         refused(&put("e 1", None, row("a", 1)))[0],
         error::Error::InvalidName { .. }
     ));
-    let twice = put("e1", None, row("a", 1)).with_change(Change::Put {
+    let duplicate = put("e1", None, row("a", 1)).with_change(Change::Put {
         row: row("a", 2),
         base: None,
     });
     assert!(matches!(
-        refused(&twice)[0],
+        refused(&duplicate)[0],
         error::Error::DuplicateKey { .. }
     ));
     let other_key = put("e1", Some(row("b", 1)), row("a", 1));
@@ -289,16 +292,16 @@
         refused(&other_key)[0],
         error::Error::InvalidName { .. }
     ));
-    let mark =
+    let drain =
         Edit::new("e1", "ana").with_change(Change::Drain(DrainTarget::Replica("a/b".to_owned())));
     assert!(matches!(
-        refused(&mark)[0],
+        refused(&drain)[0],
         error::Error::InvalidName { .. }
     ));
 }
 
 #[test]
-fn a_table_may_not_outgrow_its_limit() {
+fn a_table_may_not_exceed_its_maximum_size() {
     let rows = (0..Table::MAX_ROWS).map(|index| row(&format!("s{index}"), 1));
     let table = Table::new(3, rows.collect());
     let mut records = vec![Record::new(storage::GENERATION_KEY, "3", 3)];
@@ -328,7 +331,7 @@
 }
 
 #[test]
-fn absent_records_are_no_rows() {
+fn absent_records_are_ignored() {
     let records = [Record::new("table/generation", "", 0)];
     assert_eq!(
         storage::read_table(&records).map(|read| read.0),
@@ -337,7 +340,7 @@
 }
 
 #[test]
-fn differences_are_told_by_column() {
+fn differences_are_described_by_column() {
     let a = Table::new(1, vec![row("a", 1), row("b", 1)]);
     let b = Table::new(2, vec![row("b", 7), row("c", 1)])
         .with_drains([DrainTarget::Replica("draft-3".to_owned())].into());
@@ -356,7 +359,7 @@
 
 proptest! {
     #[test]
-    fn the_edit_between_two_tables_leads_from_one_to_the_other(
+    fn the_edit_between_two_tables_changes_one_into_the_other(
         a in proptest::collection::btree_map("[a-d]", 1_u32..4, 0..4),
         b in proptest::collection::btree_map("[a-d]", 1_u32..4, 0..4),
     ) {
@@ -372,11 +375,11 @@
     }
 
     #[test]
-    fn no_update_is_lost_among_racing_operators(
+    fn no_update_is_lost_with_concurrent_edits(
         races in proptest::collection::vec((0_usize..3, 1_u32..100, 0_usize..3), 1..30),
     ) {
-        // Each operator plans from what it read some edits ago; every commit is either refused or
-        // made on the very values that the operator saw.
+        // Each operator plans from a table that may be several edits old; every commit is either
+        // refused or based on the current values.
         let mut store = Store::default();
         let mut views = [Table::default(), Table::default(), Table::default()];
         for (number, (operator, share, service)) in races.into_iter().enumerate() {
--- a/crates/table/tests/file.rs
+++ b/crates/table/tests/file.rs
@@ -1,4 +1,4 @@
-//! The file form and its checks.
+//! Table files and their checks.
 
 use proptest::prelude::Strategy;
 use proptest::prelude::any;
@@ -31,7 +31,7 @@
 ";
 
 fn error(text: &str) -> Error {
-    let report = file::parse(text).expect_err("a fault");
+    let report = file::parse(text).expect_err("an error");
     report.errors[0].clone()
 }
 
@@ -62,13 +62,13 @@
 }
 
 #[test]
-fn the_default_wait_is_never_below_the_target() {
+fn the_default_wait_is_at_least_the_target() {
     let rows = file::parse("- {service: a, class: b, pool: c, ttft_ms: 60000}").expect("valid");
     assert_eq!(rows[0].max_wait_ms, 60_000);
 }
 
 #[test]
-fn an_empty_list_is_a_table() {
+fn an_empty_list_is_valid() {
     assert_eq!(file::parse("[]"), Ok(Vec::new()));
     assert_eq!(file::to_yaml(&[]), "[]\n");
 }
@@ -85,7 +85,7 @@
 #[case("decode_ceiling: 99999999999", "decode_ceiling", 99_999_999_999)]
 #[case("retry_percent: 101", "retry_percent", 101)]
 #[case("waste_percent: 300", "waste_percent", 300)]
-fn a_number_out_of_range_is_placed(#[case] line: &str, #[case] field: &str, #[case] found: i64) {
+fn a_number_out_of_range_is_located(#[case] line: &str, #[case] field: &str, #[case] found: i64) {
     let text = format!("{KRMIVA}- service: stock\n  class: agents\n  pool: ordering\n  {line}\n");
     match error(&text) {
         Error::OutOfRange {
@@ -104,11 +104,11 @@
 }
 
 #[test]
-fn a_wait_below_the_target_contradicts_it() {
+fn a_wait_below_the_target_is_a_contradiction() {
     let text = KRMIVA.replace("max_wait_ms: 8000", "max_wait_ms: 1000");
-    let fault = error(&text);
+    let invalid = error(&text);
     assert!(matches!(
-        fault,
+        invalid,
         Error::Contradiction {
             other: "ttft_ms",
             bound: 1900,
@@ -116,7 +116,7 @@
         }
     ));
     assert_eq!(
-        fault.to_string(),
+        invalid.to_string(),
         "line 8, row drafts/farmers/drafting-9b, column max_wait_ms: 1000 is below ttft_ms \
          (1900); raise it to 1900 or lower ttft_ms"
     );
@@ -125,10 +125,10 @@
 #[test]
 fn a_duplicate_key_names_both_lines() {
     let text = format!("{KRMIVA}- pool: ordering\n  class: farmers\n  service: lorries\n");
-    let fault = error(&text);
+    let invalid = error(&text);
     let location = Location::new("lorries/farmers/ordering", "").with_line(Some(16));
     assert_eq!(
-        fault,
+        invalid,
         Error::DuplicateKey {
             location,
             first: Some(10)
@@ -165,11 +165,11 @@
 #[case("čvarci")]
 #[case("aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa")]
 #[case("''")]
-fn a_key_that_is_not_a_name_is_refused(#[case] class: &str) {
+fn an_invalid_name_is_refused(#[case] class: &str) {
     let text = KRMIVA.replacen("class: farmers", &format!("class: {class}"), 1);
     match error(&text) {
         Error::InvalidName { location, .. } => {
-            assert_eq!((location.line, &*location.field), (Some(2), "class"))
+            assert_eq!((location.line, &*location.field), (Some(2), "class"));
         }
         other => panic!("{other:?}"),
     }
@@ -183,11 +183,11 @@
 }
 
 #[test]
-fn all_faults_are_reported_at_once() {
+fn all_errors_are_reported_at_once() {
     let text = KRMIVA
         .replace("share: 3", "share: 0")
         .replace("priority: 0", "priority: 11");
-    let report = file::parse(&text).expect_err("faults");
+    let report = file::parse(&text).expect_err("errors");
     let lines: Vec<_> = report
         .errors
         .iter()
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn faults_in_flow_style_are_placed_by_row() {
+fn errors_in_flow_style_are_located_by_row() {
     match error("[{service: a, class: b, pool: c, share: 0}]") {
         Error::OutOfRange { location, .. } => assert_eq!(location, Location::new("a/b/c", "share")),
         other => panic!("{other:?}"),
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_file_that_is_too_long_is_refused() {
+fn too_long_a_file_is_refused() {
     let text = " ".repeat(file::MAX_BYTES + 1);
     assert!(matches!(error(&text), Error::TooLong { .. }));
 }
@@ -264,12 +264,12 @@
 
 proptest! {
     #[test]
-    fn what_is_printed_is_read_back(rows in rows()) {
+    fn formatted_rows_parse_to_the_same_rows(rows in rows()) {
         prop_assert_eq!(file::parse(&file::to_yaml(&rows)), Ok(rows));
     }
 
     #[test]
-    fn no_text_makes_the_parser_panic(text in "[ -~\n]{0,200}") {
+    fn arbitrary_text_does_not_panic(text in "[ -~\n]{0,200}") {
         let _ = file::parse(&text);
     }
 }
--- a/crates/table/tests/view.rs
+++ b/crates/table/tests/view.rs
@@ -1,4 +1,4 @@
-//! What a daemon may decide by.
+//! Freshness of the table held by a daemon.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     Table::new(generation, Vec::new())
 }
 
-/// A view that holds `number`.
+/// A view that holds generation `number`.
 fn holding(number: u64) -> View {
     let mut view = View::new(LEASE);
     assert_eq!(view.offer(at(0), generation(number)), OfferResult::Accepted);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_lower_generation_is_never_taken() {
+fn a_lower_generation_is_never_accepted() {
     let mut view = holding(3);
     assert_eq!(view.offer(at(1), generation(2)), OfferResult::Older);
     assert_eq!(view.offer(at(1), generation(3)), OfferResult::Same);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_read_of_the_store_lasts_for_a_lease_from_the_read() {
+fn a_store_read_confirms_for_one_lease_from_the_read() {
     let mut view = holding(3);
     view.record_store_read(at(0), Duration::from_secs(1));
     assert!(view.is_fresh(at(2_999)));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn contact_with_a_majority_counts_and_with_half_does_not() {
+fn contact_with_a_majority_confirms_and_with_half_does_not() {
     let mut view = holding(3);
     view.record_contact(at(0), 4, 8);
     assert!(!view.is_fresh(at(0)));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn in_an_outage_of_the_store_contact_keeps_a_daemon_going() {
+fn contact_keeps_a_table_fresh_in_an_outage_of_the_store() {
     let mut view = holding(3);
     view.record_store_read(at(0), Duration::ZERO);
     for second in 1..3_600 {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn cut_off_from_both_a_daemon_stops_within_the_lease() {
+fn without_store_and_majority_a_table_expires_within_the_lease() {
     let mut view = holding(3);
     view.record_store_read(at(0), Duration::ZERO);
     view.record_contact(at(1_000), 9, 9);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_daemon_that_is_behind_catches_up_or_stops() {
+fn a_known_higher_generation_blocks_confirmation() {
     let mut view = holding(3);
     view.record_store_read(at(0), Duration::ZERO);
     view.record_generation(4);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn after_a_restart_a_stale_read_does_not_hide_a_newer_generation() {
+fn a_stale_read_after_a_restart_does_not_hide_a_newer_generation() {
     let mut view = View::new(LEASE);
     view.record_generation(12);
     assert_eq!(view.offer(at(0), generation(10)), OfferResult::Accepted);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_paused_daemon_is_not_fresh_when_it_wakes() {
+fn a_table_is_not_fresh_after_a_pause() {
     let mut view = holding(3);
     view.record_contact(at(0), 9, 9);
     assert!(!view.is_fresh(at(60_000)));
@@ -136,18 +136,18 @@
 #[derive(Debug, Clone)]
 enum Event {
     Offer(u64),
-    Announce(u64),
-    Vouch(u64),
-    Contact(usize),
+    Generation(u64),
+    StoreRead(u64),
+    PeerContact(usize),
     Wait(u64),
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
     let event = prop_oneof![
         (0_u64..10).prop_map(Event::Offer),
-        (0_u64..10).prop_map(Event::Announce),
-        (0_u64..9_000).prop_map(Event::Vouch),
-        (1_usize..=9).prop_map(Event::Contact),
+        (0_u64..10).prop_map(Event::Generation),
+        (0_u64..9_000).prop_map(Event::StoreRead),
+        (1_usize..=9).prop_map(Event::PeerContact),
         (0_u64..3_000).prop_map(Event::Wait),
         Just(Event::Wait(0)),
     ];
@@ -156,31 +156,31 @@
 
 proptest! {
     #[test]
-    fn generations_never_go_down_and_freshness_has_a_source(events in events()) {
+    fn generations_never_decrease_and_freshness_has_a_source(events in events()) {
         let mut view = View::new(LEASE);
         let mut now = at(0);
         let mut held = 0;
-        let mut source: Option<Time> = None;
+        let mut last_source: Option<Time> = None;
         for event in events {
             match event {
                 Event::Offer(number) => {
                     view.offer(now, generation(number));
                 }
-                Event::Announce(number) => view.record_generation(number),
-                Event::Vouch(age) => {
+                Event::Generation(number) => view.record_generation(number),
+                Event::StoreRead(age) => {
                     let age = Duration::from_millis(age);
                     view.record_store_read(now, age);
-                    source = source.max(Some(now - age));
+                    last_source = last_source.max(Some(now - age));
                 }
-                Event::Contact(heard) => {
-                    view.record_contact(now, heard, 9);
-                    source = if heard > 4 { Some(now) } else { source };
+                Event::PeerContact(in_contact) => {
+                    view.record_contact(now, in_contact, 9);
+                    last_source = if in_contact > 4 { Some(now) } else { last_source };
                 }
                 Event::Wait(ms) => now = now + Duration::from_millis(ms),
             }
             prop_assert!(view.generation() >= held);
             held = view.generation();
-            let allowed = source.is_some_and(|source| now.since(source) < LEASE);
+            let allowed = last_source.is_some_and(|last_source| now.since(last_source) < LEASE);
             prop_assert!(!view.is_fresh(now) || allowed);
         }
     }
