--- a/crates/call/src/direct.rs
+++ b/crates/call/src/direct.rs
@@ -1,11 +1,11 @@
-//! Requests that each take a fresh connection.
+//! Requests on a new connection each.
 //!
-//! Two failures rule kept connections out. An answer that does not name its request is known by
-//! its place on the connection alone, so a late second answer to one request would count as the
-//! answer to the next. And a call that must run at most once may be neither sent twice nor sent on
-//! a connection that the peer is about to close, where nobody can tell whether it arrived.
+//! Connections are not reused, for two reasons. An answer without a request id is matched by its
+//! position on the connection alone, so a late second answer to one request would be taken for the
+//! answer to the next. A call that must run at most once may be neither sent twice nor sent on a
+//! connection that the peer is about to close, where it is unknown whether the call arrived.
 //!
-//! One TCP connection, one request, on `hyper`'s connection layer, which reports a failed connect apart from a failed
+//! Uses the connection layer of `hyper`, which reports a failed connect separately from a failed
 //! exchange.
 
 use std::net::SocketAddr;
@@ -33,13 +33,13 @@
 /// Timeouts of one exchange.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
-    /// Longest wait for the connection.
+    /// Maximum time to connect.
     pub connect: Duration,
-    /// Longest wait for the head of the answer.
+    /// Maximum time from sending the request to the head of the answer.
     pub head: Duration,
 }
 
-/// Closes the connection when dropped, whatever it still carries.
+/// Closes the connection when dropped, even if data is still in transit.
 #[derive(Debug)]
 pub struct ConnectionGuard(AbortHandle);
 
@@ -49,23 +49,23 @@
     }
 }
 
-/// The head of an answer, and the body as long as the guard lives.
+/// Head and unread body of an answer; the body can be read while the guard exists.
 #[derive(Debug)]
 pub struct Answer {
     /// Status and headers.
     pub head: http::response::Parts,
-    /// The body, to be read yet.
+    /// The unread body.
     pub body: Incoming,
-    /// Keeps the connection open.
+    /// Closes the connection when dropped.
     pub guard: ConnectionGuard,
 }
 
 impl Answer {
-    /// Reads the whole body, at most `limit` bytes, and closes the connection.
+    /// Reads the whole body, of at most `limit` bytes, and closes the connection.
     ///
     /// # Errors
     ///
-    /// [`Error::Lost`] if it does not end in `timeout`, breaks off or is longer.
+    /// [`Error::Lost`] if the body does not end within `timeout`, is truncated or is longer.
     pub async fn collect<S>(
         self,
         step: S,
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::NotSent`] if no connection was made, and [`Error::Lost`] if no head of an answer came.
+/// [`Error::NotSent`] if connecting failed, and [`Error::Lost`] if no answer head was received.
 pub async fn send<S: Copy>(
     step: S,
     peer: SocketAddr,
@@ -109,7 +109,7 @@
         .await
         .map_err(|_| not_sent("connecting timed out".to_owned()))?
         .map_err(|e| not_sent(e.to_string()))?;
-    // The handshake of HTTP/1 sets up state and sends nothing.
+    // The HTTP/1 handshake only initialises state; it sends nothing.
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|e| not_sent(e.to_string()))?;
@@ -123,12 +123,13 @@
     Ok(Answer { head, body, guard })
 }
 
-/// Sends a request once to `peer` and reads its whole answer, of at most `limit` bytes; `timeout` spans all of it. Half
-/// of it is for connecting, so that a peer that cannot be reached is told from one that does not answer.
+/// Sends a request once to `peer` and reads its whole answer, of at most `limit` bytes, within
+/// `timeout`. Connecting may take half of `timeout`, so that an unreachable peer is distinguished
+/// from one that does not answer.
 ///
 /// # Errors
 ///
-/// Those of [`send`] and [`Answer::collect`].
+/// Those of [`send`] and [`Answer::collect`]; [`Error::Lost`] on timeout.
 pub async fn exchange<S: Copy>(
     step: S,
     peer: SocketAddr,
--- a/crates/call/src/error.rs
+++ b/crates/call/src/error.rs
@@ -1,14 +1,14 @@
-//! How a call to a peer failed, and whether it may have taken effect.
+//! Errors of calls to a peer, which show whether the call may have taken effect.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 
-/// A failed call, with the step (the call, `S`) and the peer at which it failed.
+/// A failed call, with the kind of call (`S`) and the peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error<S> {
-    /// No connection was made: no byte of the call can have arrived.
+    /// Connecting failed: the call was not sent.
     NotSent {
         /// The call.
         step: S,
@@ -17,7 +17,7 @@
         /// What went wrong.
         cause: String,
     },
-    /// The call may have arrived, and its effect is not known.
+    /// The call may have arrived; whether it took effect is unknown.
     Lost {
         /// The call.
         step: S,
@@ -37,7 +37,7 @@
         /// Body of the answer.
         body: Bytes,
     },
-    /// The peer answered, and its answer cannot be read.
+    /// The peer's answer cannot be read.
     Malformed {
         /// The call.
         step: S,
@@ -68,7 +68,7 @@
                 step, peer, status, ..
             } => write!(f, "{step} was refused by {peer} with status {status}"),
             Self::Malformed { step, peer, cause } => {
-                write!(f, "{step}: unreadable answer of {peer}: {cause}")
+                write!(f, "{step}: unreadable answer from {peer}: {cause}")
             }
         }
     }
--- a/crates/call/src/lib.rs
+++ b/crates/call/src/lib.rs
@@ -1,4 +1,4 @@
-//! Calls to a peer over HTTP: one connection each, and errors that tell whether the call may have
+//! HTTP calls to a peer: a connection for each, and errors that show whether the call may have
 //! taken effect.
 
 pub mod direct;
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,8 +1,8 @@
-//! The client.
+//! Client of the platform's store.
 //!
-//! Answers do not name their call, so each call takes a connection of its own: on a kept one a
-//! late second answer would be taken for the answer to the next call. Whatever is not surely a
-//! failed connect counts as [`Error::Lost`].
+//! Answers contain no request id, so each call uses a new connection: on a reused one, a late
+//! second answer would be taken for the answer to the next call. A failure that may have occurred
+//! after the connection was established is [`Error::Lost`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,10 +21,10 @@
 use crate::txn::Row;
 use crate::txn::Txn;
 
-/// Largest body of an answer, in bytes.
-const BODY: usize = 64 << 20;
+/// Maximum length of an answer's body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// An answer as it came.
+/// An answer that is not parsed yet.
 #[derive(Debug)]
 struct Answer {
     status: StatusCode,
@@ -44,12 +44,12 @@
 }
 
 impl Client {
-    /// A client of the platform at `peer` that gives each call up after `timeout`.
+    /// A client of the platform at `peer`; each call times out after `timeout`.
     pub const fn new(peer: SocketAddr, timeout: Duration) -> Self {
         Self { peer, timeout }
     }
 
-    /// Carries out a transaction.
+    /// Executes a transaction.
     ///
     /// # Errors
     ///
@@ -60,7 +60,7 @@
         match answer.status {
             StatusCode::OK => Ok(Reply::Committed(self.read::<Rows>(step, &answer)?.rows)),
             StatusCode::CONFLICT => Ok(Reply::Conflict(self.read::<Rows>(step, &answer)?.rows)),
-            status => Err(self.refused(step, status)),
+            status => Err(self.status_error(step, status)),
         }
     }
 
@@ -75,13 +75,13 @@
         Ok(self.read::<Rows>(Step::Rows, &answer)?.rows)
     }
 
-    /// Reads the list as it is shown to `asker`.
+    /// Reads the list that the platform returns to `requester`.
     ///
     /// # Errors
     ///
     /// See [`Error`].
-    pub async fn read_list(&self, asker: &str) -> Result<List, Error> {
-        let path = format!("/v1/list?{}", query("for", asker));
+    pub async fn read_list(&self, requester: &str) -> Result<List, Error> {
+        let path = format!("/v1/list?{}", query("for", requester));
         let answer = self.get(Step::List, &path).await?;
         self.read(Step::List, &answer)
     }
@@ -99,7 +99,7 @@
         match answer.status {
             StatusCode::OK => Ok(Some(answer.body.to_vec())),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(self.refused(Step::GetObject, status)),
+            status => Err(self.status_error(Step::GetObject, status)),
         }
     }
 
@@ -115,7 +115,7 @@
             .await?;
         match answer.status {
             StatusCode::OK => Ok(()),
-            status => Err(self.refused(Step::PutObject, status)),
+            status => Err(self.status_error(Step::PutObject, status)),
         }
     }
 
@@ -123,7 +123,7 @@
         let answer = self.send(step, Method::GET, path, Vec::new()).await?;
         match answer.status {
             StatusCode::OK => Ok(answer),
-            status => Err(self.refused(step, status)),
+            status => Err(self.status_error(step, status)),
         }
     }
 
@@ -135,7 +135,8 @@
         body: Vec<u8>,
     ) -> Result<Answer, Error> {
         let request = (method, path, body);
-        let (status, body) = direct::exchange(step, self.peer, self.timeout, BODY, request).await?;
+        let (status, body) =
+            direct::exchange(step, self.peer, self.timeout, MAX_BODY_BYTES, request).await?;
         Ok(Answer { status, body })
     }
 
@@ -147,8 +148,9 @@
         })
     }
 
-    /// What an error status means: a server that failed may have carried the call out before.
-    fn refused(&self, step: Step, status: StatusCode) -> Error {
+    /// The error for a status. A server error other than 503 counts as lost: the call may have
+    /// taken effect before the server failed.
+    fn status_error(&self, step: Step, status: StatusCode) -> Error {
         match status {
             StatusCode::SERVICE_UNAVAILABLE => {}
             status if status.is_server_error() => return self.lost(step, status.to_string()),
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,13 +1,13 @@
-//! Why a call to the platform failed.
+//! Errors of calls to the platform's store.
 
 use std::fmt;
 
-/// The call that failed.
+/// The kind of call that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// A transaction.
     Txn,
-    /// A read of rows, which may be stale.
+    /// A read of rows.
     Rows,
     /// A read of the list.
     List,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client for the platform's table service, object store and lists.
 //!
-//! The client sends each request once and never again by itself. Whether a failed transaction may
-//! have taken effect is told by [`error::Error`].
+//! The client sends each request once and never retries. [`error::Error`] distinguishes whether a
+//! failed transaction may have taken effect.
 
 pub mod client;
 pub mod error;
--- a/crates/store/src/list.rs
+++ b/crates/store/src/list.rs
@@ -1,11 +1,11 @@
-//! The platform's list of instances and replicas, which lags.
+//! The platform's list of instances and replicas, which may be stale.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The list.
+/// The list of instances and replicas.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
     /// Entry instances.
@@ -21,11 +21,11 @@
     pub name: String,
     /// Data centre.
     pub data_centre: String,
-    /// Where other instances connect.
+    /// Address for other instances.
     pub peer: SocketAddr,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller: SocketAddr,
-    /// Whether it is to be used.
+    /// Whether the instance accepts new work.
     pub state: State,
 }
 
@@ -36,31 +36,31 @@
     pub name: String,
     /// Data centre.
     pub data_centre: String,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// The model or plain application that it serves.
+    /// Model or plain application that it serves.
     pub service: String,
-    /// What it does.
+    /// Kind of work that it runs.
     pub role: Role,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it refuses outdated fencing tokens.
     pub fences: bool,
-    /// Whether it is to be used.
+    /// Whether the replica accepts new work.
     pub state: State,
 }
 
-/// Whether an instance or replica is to be used.
+/// Whether an instance or replica accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// In use.
     Live,
-    /// To get no new work.
+    /// Leaving: it gets no new work.
     Leaving,
 }
 
-/// What a replica does.
+/// Kind of work that a replica runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
--- a/crates/store/src/txn.rs
+++ b/crates/store/src/txn.rs
@@ -1,4 +1,4 @@
-//! Transactions on rows.
+//! Transactions on rows of the store.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,16 +14,16 @@
     pub version: u64,
 }
 
-/// A version that a row must have for a transaction to commit.
+/// A row version required for a transaction to commit.
 #[derive(Debug, Clone, Serialize)]
 pub struct Requirement {
     /// Key.
     pub key: String,
-    /// Version; 0 demands that the row be absent.
+    /// Version; 0 requires that the row is absent.
     pub version: u64,
 }
 
-/// A row to be written.
+/// A row to write or delete.
 #[derive(Debug, Clone, Serialize)]
 pub struct Write {
     /// Key.
@@ -32,26 +32,26 @@
     pub value: Option<String>,
 }
 
-/// A transaction: it commits as a whole if each requirement holds, and reads after its writes.
+/// A transaction: commits atomically if all requirements hold, and reads after its writes.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Txn {
-    /// What must hold.
+    /// Requirements for the commit.
     pub require: Vec<Requirement>,
-    /// What is written.
+    /// Rows to write or delete.
     pub write: Vec<Write>,
     /// Keys to read.
     pub read: Vec<String>,
-    /// Prefixes whose rows are read.
+    /// Key prefixes of the rows to read.
     pub scan: Vec<String>,
 }
 
 impl Txn {
-    /// A transaction that does nothing yet.
+    /// An empty transaction.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Demands that the row `key` have `version`; 0 demands that it be absent.
+    /// Requires that the row `key` has `version`; 0 requires that it is absent.
     #[must_use]
     pub fn with_requirement(mut self, key: &str, version: u64) -> Self {
         self.require.push(Requirement {
@@ -86,11 +86,11 @@
     }
 }
 
-/// How a transaction ended.
+/// Result of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// It took effect; the rows that were read, in the order of `read` and `scan`.
+    /// It took effect; contains the rows read, in the order of `read` and `scan`.
     Committed(Vec<Row>),
-    /// It had no effect; the present rows of the requirements that failed.
+    /// It had no effect; contains the current rows of the requirements that failed.
     Conflict(Vec<Row>),
 }
--- a/crates/store/tests/error.rs
+++ b/crates/store/tests/error.rs
@@ -1,4 +1,4 @@
-//! What a failed call tells about its effect.
+//! Errors of failed calls, which show whether the call may have taken effect.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -17,8 +17,8 @@
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A peer that reads a request and answers with `answer`, then closes.
-async fn peer_with(answer: &'static str) -> SocketAddr {
+/// Starts a peer that reads a request, answers with `answer` and closes the connection.
+async fn start_peer(answer: &'static str) -> SocketAddr {
     let listener = TcpListener::bind(ANY).await.unwrap();
     let peer = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -38,7 +38,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_refused_connection_sent_nothing() {
+async fn a_refused_connection_is_not_sent() {
     let listener = TcpListener::bind(ANY).await.unwrap();
     let peer = listener.local_addr().unwrap();
     drop(listener);
@@ -46,8 +46,10 @@
     assert!(!error.is_uncertain());
     match error {
         Error::NotSent {
-            step, peer: told, ..
-        } => assert_eq!((step, told), (Step::Txn, peer)),
+            step,
+            peer: failed_peer,
+            ..
+        } => assert_eq!((step, failed_peer), (Step::Txn, peer)),
         error => panic!("{error:?}"),
     }
 }
@@ -60,8 +62,8 @@
 #[case::too_many("HTTP/1.1 429 Slow\r\nContent-Length: 0\r\n\r\n", "refused")]
 #[case::garbage("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", "malformed")]
 #[tokio::test]
-async fn an_answer_decides_the_error(#[case] answer: &'static str, #[case] kind: &str) {
-    let peer = peer_with(answer).await;
+async fn the_answer_determines_the_error(#[case] answer: &'static str, #[case] kind: &str) {
+    let peer = start_peer(answer).await;
     let error = Client::new(peer, TIMEOUT).txn(&txn()).await.unwrap_err();
     let found = match &error {
         Error::NotSent { .. } => "not sent",
@@ -75,7 +77,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn silence_loses_the_answer() {
+async fn a_timeout_is_lost() {
     let listener = TcpListener::bind(ANY).await.unwrap();
     let client = Client::new(listener.local_addr().unwrap(), TIMEOUT);
     let error = client.read_rows("k").await.unwrap_err();
--- a/crates/store/tests/second_answers.rs
+++ b/crates/store/tests/second_answers.rs
@@ -1,9 +1,9 @@
-//! Second answers of the platform that come late.
+//! Late duplicate answers of the platform.
 //!
-//! The platform's service may answer a call twice, the second time after the next call had gone
-//! out on the same connection. A client that takes whatever comes next there is told that a
-//! transaction committed which did not, and reads the row of one key for that of another: one
-//! caller would get the recorded answer of another's request.
+//! The platform may answer a call twice, the second time after the next call was sent on the same
+//! connection. A client that takes it for the answer to the next call reports a transaction as
+//! committed that was not, or reads the row of another key: a caller would receive the recorded
+//! answer to another caller's request.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -24,7 +24,7 @@
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A client of a platform whose every answer comes twice.
+/// A client of a platform that sends every answer twice.
 async fn client() -> Client {
     let target = platform::start(&Settings::default(), ANY).await.unwrap();
     let route = Route { port: 0, target };
@@ -47,7 +47,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_key_is_read_with_its_own_value() {
+async fn a_read_returns_the_value_of_its_key() {
     let client = client().await;
     for (key, text) in [("key/a", "answer to a"), ("key/b", "answer to b")] {
         let write = Txn::new().with_write(key, Some(text)).with_read(key);
@@ -58,7 +58,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_refused_transaction_does_not_count_as_committed() {
+async fn a_conflicting_transaction_is_not_reported_as_committed() {
     let client = client().await;
     let create = Txn::new()
         .with_requirement("claim", 0)
@@ -71,7 +71,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_object_is_fetched_with_its_own_bytes() {
+async fn a_read_returns_the_bytes_of_its_object() {
     let client = client().await;
     client.put_object("a", b"of a".to_vec()).await.unwrap();
     client.put_object("b", b"of b".to_vec()).await.unwrap();
