--- a/crates/launch/src/cli.rs
+++ b/crates/launch/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of a daemon.
+//! Parses the command line of a daemon.
 
 use std::env;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use crate::Program;
 use crate::error::Error;
 
-/// What the command line asks for.
+/// Command given on the command line.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command {
     /// Run the daemon.
@@ -28,10 +28,10 @@
     Version,
 }
 
-/// Reads the arguments that follow the program name.
+/// Parses the arguments that follow the program name.
 ///
 /// # Errors
-/// `Usage` if they do not make a command.
+/// [`Error::Usage`] if the arguments are not a valid command.
 pub fn parse(program: &Program, args: &[String]) -> Result<Command, Error> {
     let matches = options().parse(args).map_err(|error| Error::Usage {
         cause: error.to_string(),
@@ -43,10 +43,10 @@
             cause: format!("unexpected argument `{}`", m.free[0]),
         }),
         m if m.opt_present("check") => Ok(Command::Check {
-            path: path(program, m)?,
+            path: settings_path(program, m)?,
         }),
         m => Ok(Command::Run {
-            path: path(program, m)?,
+            path: settings_path(program, m)?,
         }),
     }
 }
@@ -56,15 +56,15 @@
     options().usage(program.usage)
 }
 
-fn path(program: &Program, matches: &Matches) -> Result<PathBuf, Error> {
-    let named = matches.opt_str("config").map(PathBuf::from);
+fn settings_path(program: &Program, matches: &Matches) -> Result<PathBuf, Error> {
+    let option = matches.opt_str("config").map(PathBuf::from);
     let variable = || {
         program
             .settings_variable
             .and_then(env::var_os)
             .map(PathBuf::from)
     };
-    named.or_else(variable).ok_or_else(|| Error::Usage {
+    option.or_else(variable).ok_or_else(|| Error::Usage {
         cause: "`--config FILE` is missing".to_owned(),
     })
 }
--- a/crates/launch/src/error.rs
+++ b/crates/launch/src/error.rs
@@ -8,50 +8,50 @@
 use crate::Program;
 use crate::exit_codes::ExitCode;
 
-/// Why the daemon cannot start or go on.
+/// An error that prevents the daemon from starting or running.
 #[derive(Debug)]
 pub enum Error {
-    /// Reading the command line.
+    /// The command line is invalid.
     Usage {
-        /// What is wrong with it.
+        /// What is wrong with the command line.
         cause: String,
     },
-    /// Opening the settings file.
+    /// The settings file cannot be read.
     Read {
         /// The file.
         path: PathBuf,
         /// What the system said.
         cause: io::Error,
     },
-    /// Reading the settings.
+    /// The settings are invalid.
     Settings {
         /// The file.
         path: PathBuf,
-        /// Line of the fault, counted from 1; 0 if it has none.
+        /// Line of the error, counted from 1; 0 if unknown.
         line: usize,
-        /// What is wrong, with the field.
+        /// The field, and what is wrong with it.
         cause: String,
     },
-    /// Listening on an address.
+    /// Listening on an address failed.
     Listen {
-        /// Which of the settings' addresses.
+        /// Name of the address in the settings.
         step: &'static str,
         /// The address.
         address: SocketAddr,
         /// What the system said.
         cause: io::Error,
     },
-    /// Starting a part of the daemon.
+    /// A part of the daemon failed to start.
     Start {
-        /// Which part.
+        /// Name of the part.
         step: &'static str,
-        /// What went wrong.
+        /// Cause of the failure.
         cause: String,
     },
 }
 
 impl Error {
-    /// Makes `Start` of what went wrong while `step` was started.
+    /// [`Error::Start`] for a failure to start `step`.
     pub fn start(step: &'static str, cause: &impl ToString) -> Self {
         Self::Start {
             step,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// What to try with `program`.
+    /// A hint for correcting the error, for users of `program`.
     pub fn hint(&self, program: &Program) -> String {
         let Program {
             name,
@@ -68,11 +68,11 @@
         } = program;
         match self {
             Self::Usage { .. } => format!("`{name} --help`"),
-            Self::Read { .. } => "check that the file exists and may be read".to_owned(),
+            Self::Read { .. } => "check that the file exists and is readable".to_owned(),
             Self::Settings { .. } => format!(
                 "correct the field, then `{name} --config FILE --check`; {settings_page} lists the fields"
             ),
-            Self::Listen { .. } => "take an address of this machine with a free port".to_owned(),
+            Self::Listen { .. } => "use an address of this machine with a free port".to_owned(),
             Self::Start { .. } => {
                 "check the limits of the process (open files, threads)".to_owned()
             }
--- a/crates/launch/src/exit_codes.rs
+++ b/crates/launch/src/exit_codes.rs
@@ -2,23 +2,23 @@
 
 use std::process;
 
-/// How the process ended.
+/// Result of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCode {
-    /// It did what was asked, including a planned stop.
+    /// The command succeeded, including a planned stop.
     Success,
-    /// It failed while running.
+    /// The daemon failed to start or while running.
     Failure,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage,
-    /// The settings are wrong.
+    /// The settings cannot be read or are invalid.
     Settings,
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     Listen,
 }
 
 impl ExitCode {
-    /// The number that the operating system is told.
+    /// The exit status passed to the operating system.
     pub const fn code(self) -> u8 {
         match self {
             Self::Success => 0,
--- a/crates/launch/src/lib.rs
+++ b/crates/launch/src/lib.rs
@@ -1,7 +1,6 @@
-//! How a daemon starts and what it tells people: command line, errors that end it, exit codes.
+//! Startup of a daemon: command line, fatal errors and exit codes.
 //!
-//! Each daemon describes itself by a [`Program`] and passes in how it checks its settings and how
-//! it runs.
+//! Each daemon provides a [`Program`] and functions that read its settings and run it.
 
 pub mod cli;
 pub mod error;
@@ -16,23 +15,23 @@
 use crate::error::Error;
 use crate::exit_codes::ExitCode;
 
-/// A daemon's description of itself.
+/// Description of a daemon.
 #[derive(Debug, Clone, Copy)]
 pub struct Program {
     /// Name of the program.
     pub name: &'static str,
-    /// Its version.
+    /// Version of the program.
     pub version: &'static str,
-    /// What it is for, with examples; the first part of the help text.
+    /// Purpose and examples; the first part of the help text.
     pub usage: &'static str,
-    /// The page that lists its settings.
+    /// Documentation page that lists the settings.
     pub settings_page: &'static str,
-    /// Variable that names the settings file where the command line does not.
+    /// Environment variable with the path of the settings file, used if the command line has none.
     pub settings_variable: Option<&'static str>,
 }
 
-/// Runs `program` as the command line asks: `read` reads and checks the settings, `run` runs with
-/// them until the daemon stops.
+/// Executes the command line of `program`: `read` reads and checks the settings, `run` runs the
+/// daemon with them until it stops.
 pub fn run<S>(
     program: &Program,
     read: impl Fn(&Path) -> Result<S, Error>,
--- a/crates/launch/src/listen.rs
+++ b/crates/launch/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listening on the addresses of the settings.
+//! Listens on the addresses in the settings.
 
 use std::net::SocketAddr;
 
@@ -6,10 +6,10 @@
 
 use crate::error::Error;
 
-/// Listens on `address`, which the settings call `step`.
+/// Listens on `address`; `step` is its name in the settings.
 ///
 /// # Errors
-/// `Listen` if the address cannot be listened on.
+/// [`Error::Listen`] if listening fails.
 pub async fn bind(step: &'static str, address: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(address)
         .await
--- a/crates/launch/src/output.rs
+++ b/crates/launch/src/output.rs
@@ -1,4 +1,4 @@
-//! What a daemon prints for people.
+//! Output of a daemon to the terminal.
 
 use std::io;
 use std::io::Write;
@@ -8,11 +8,11 @@
 
 /// Prints `text` on standard output.
 pub fn print(text: &str) {
-    // A closed standard output leaves nobody to tell.
+    // If standard output is closed, there is no one to report the error to.
     let _ = writeln!(io::stdout(), "{text}");
 }
 
-/// Prints `error` on standard error: the program, what was wrong, and what to try.
+/// Prints `error` on standard error, with the program's name and a hint.
 pub fn print_error(program: &Program, error: &Error) {
     let hint = error.hint(program);
     let _ = writeln!(io::stderr(), "{}: {error}\n  try: {hint}", program.name);
--- a/crates/launch/tests/cli.rs
+++ b/crates/launch/tests/cli.rs
@@ -28,7 +28,7 @@
 #[case(&["--config", "a.yaml"], Command::Run { path: PathBuf::from("a.yaml") })]
 #[case(&["-c", "a.yaml", "--check"], Command::Check { path: PathBuf::from("a.yaml") })]
 #[case(&["--help", "--config", "a.yaml"], Command::Help)]
-fn a_proper_command_line(#[case] args: &[&str], #[case] expected: Command) {
+fn a_valid_command_line(#[case] args: &[&str], #[case] expected: Command) {
     assert_eq!(parse(args).unwrap(), expected);
 }
 
@@ -37,7 +37,7 @@
 #[case(&["--check"], "`--config FILE` is missing")]
 #[case(&["--config", "a.yaml", "more"], "unexpected argument `more`")]
 #[case(&["--wrong"], "wrong")]
-fn an_improper_command_line(#[case] args: &[&str], #[case] cause: &str) {
+fn an_invalid_command_line(#[case] args: &[&str], #[case] cause: &str) {
     let error = parse(args).unwrap_err();
     assert!(error.to_string().contains(cause), "{error}");
     assert_eq!(error.exit_code(), ExitCode::Usage);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_fault_of_the_settings_names_file_line_and_page() {
+fn an_error_in_the_settings_names_file_line_and_page() {
     let error = Error::Settings {
         path: PathBuf::from("a.yaml"),
         line: 7,
@@ -60,6 +60,6 @@
 }
 
 #[test]
-fn the_help_text_begins_with_the_brief() {
+fn the_help_text_begins_with_the_usage() {
     assert!(cli::help(&PROGRAM).starts_with(PROGRAM.usage));
 }
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -1,7 +1,7 @@
-//! Log lines: one JSON object a line.
+//! Log lines: one JSON object per line.
 //!
-//! [`queue::Queue`] hands lines to a thread of its own, so that a reader of standard output that
-//! stops reading delays no request.
+//! [`queue::Queue`] passes lines to a separate thread, so that requests are not delayed if the
+//! reader of standard output stops reading.
 
 pub mod line;
 pub mod queue;
--- a/crates/logs/src/line.rs
+++ b/crates/logs/src/line.rs
@@ -1,4 +1,4 @@
-//! The form of a line.
+//! Formats a log line.
 
 use std::io;
 use std::io::Write;
@@ -10,7 +10,7 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// Writes `record` as a JSON object with `time`, `level`, `target`, `text` and its own fields.
+/// Writes `record` as a JSON object with `time`, `level`, `target`, `text` and its key-values.
 ///
 /// # Errors
 /// Those of `to`.
@@ -18,7 +18,7 @@
     write_with(to, now, record, Map::new())
 }
 
-/// The same, with `extra` fields.
+/// As [`write`], with the fields `extra`.
 ///
 /// # Errors
 /// Those of `to`.
@@ -33,7 +33,7 @@
     fields.put("level", record.level().as_str().into());
     fields.put("target", record.target().into());
     fields.put("text", record.args().to_string().into());
-    // `Fields` never refuses a value.
+    // `Fields` never returns an error.
     let _ = record.key_values().visit(&mut fields);
     serde_json::to_writer(to, &fields.0).map_err(io::Error::from)
 }
--- a/crates/logs/src/queue.rs
+++ b/crates/logs/src/queue.rs
@@ -1,4 +1,4 @@
-//! A bounded queue between those who log and the thread that writes.
+//! A bounded queue between logging threads and the thread that writes the lines.
 
 use std::io;
 use std::io::Write;
@@ -19,13 +19,13 @@
 
 use crate::line;
 
-/// Lines that wait at most; about 1 MB at 250 bytes a line.
+/// Maximum number of queued lines; about 1 MB at 250 bytes per line.
 const MAX_LINES: usize = 4_096;
 
-/// Pause between two looks whether all lines are written.
+/// Interval between checks whether all lines are written.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Takes lines without ever blocking; lines that find it full are dropped and counted.
+/// Accepts lines without blocking; if it is full, lines are dropped and counted.
 #[derive(Debug)]
 pub struct Queue {
     lines: SyncSender<Vec<u8>>,
@@ -35,7 +35,7 @@
     start: Instant,
 }
 
-/// Lines queued, written and dropped so far.
+/// Numbers of lines queued, written and dropped so far.
 #[derive(Debug, Default)]
 pub struct LineCounters {
     queued: AtomicU64,
@@ -44,12 +44,12 @@
 }
 
 impl LineCounters {
-    /// Lines that found the queue full.
+    /// Number of lines dropped because the queue was full.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until all lines queued are written, for `limit` at most; for the end of a program.
+    /// Waits until all queued lines are written, for at most `limit`; called before a program ends.
     pub fn wait_until_written(&self, limit: Duration) {
         let end = Instant::now() + limit;
         let is_waiting =
@@ -61,8 +61,8 @@
 }
 
 impl Queue {
-    /// A queue whose lines a new thread writes to `to`; each tells the name of the `instance`, the
-    /// `run` of its process, and the time since the start on a clock that does not jump.
+    /// A queue whose lines a new thread writes to `to`. Each line contains the name of the
+    /// `instance`, the `run` of its process, and the time since the start on a monotonic clock.
     ///
     /// # Errors
     /// If the thread cannot be started.
@@ -82,7 +82,7 @@
         })
     }
 
-    /// The counts of lines, shared with the queue.
+    /// The counters, shared with the queue.
     pub fn counters(&self) -> Arc<LineCounters> {
         Arc::clone(&self.counters)
     }
@@ -111,7 +111,7 @@
     }
 }
 
-/// Writes lines until the queue is gone; tells of dropped ones as soon as there is room again.
+/// Writes lines until the queue is dropped; reports dropped lines with the next line written.
 fn write_lines(
     receiver: &Receiver<Vec<u8>>,
     mut to: Box<dyn Write + Send>,
@@ -126,7 +126,7 @@
             text.extend_from_slice(notice.as_bytes());
             reported = dropped;
         }
-        // Nobody reads any more: the lines have nowhere to go, and the daemon goes on.
+        // The output was closed by its reader: lines are discarded and the daemon continues.
         let _ = to.write_all(&text).and_then(|()| to.flush());
         counters.written.fetch_add(1, Ordering::Relaxed);
     }
