--- /dev/null
+++ b/crates/relay/src/pool/prefill.rs
@@ -0,0 +1,109 @@
+//! Prefill queues: pending prompts, expected durations, and which prompts decode replicas prefill
+//! themselves.
+
+use std::time::Duration;
+
+use ident::Time;
+
+use crate::claims::Claims;
+use crate::claims::PrefillBacklog;
+use crate::pool::Pool;
+use crate::replica::Stage;
+use crate::server::Key;
+use crate::server::Server;
+
+/// Fraction of the objective up to which a prefill may last without prompts being left to decode
+/// replicas. An idle replica takes a quarter of the objective.
+const SLOW_FROM: f64 = 0.7;
+/// Fraction of the objective from which as few prompts as possible go to the prefill replica.
+const SLOW_TO: f64 = 1.0;
+/// Weight of the newest prefill in the mean of a service's replicas.
+const PACE_WEIGHT: f64 = 0.05;
+/// Maximum share of prompts left to decode replicas; the rest shows when the prefill replica is
+/// faster again.
+const MAX_DECODE_PREFILL_SHARE: f64 = 0.85;
+
+impl Pool {
+    /// Tokens that `key` has yet to prefill, as far as known.
+    pub fn queued_tokens(&self, key: Key) -> u64 {
+        self.servers.get(key).map_or(0, Server::queued_tokens)
+    }
+
+    /// Records that `key` took `took` to prefill `tokens`, including the prompts queued before.
+    pub fn record_prefill(&mut self, now: Time, key: Key, took: Duration, tokens: u64) {
+        let Some(server) = self.servers.get_mut(key) else {
+            return;
+        };
+        let seconds = took.as_secs_f64() / tokens.max(1) as f64;
+        server.record_prefill(now, seconds);
+        let mean = self.prefill_paces.entry(server.replica.service.clone());
+        let mean = mean.or_insert(seconds);
+        *mean += PACE_WEIGHT * (seconds - *mean);
+    }
+
+    /// Expected time for `key` to prefill a prompt of `tokens` after its queue; `None` before the
+    /// first measurement.
+    pub fn estimate_prefill_time(&self, now: Time, key: Key, tokens: u64) -> Option<Duration> {
+        let server = self.servers.get(key)?;
+        let service_pace = self.prefill_paces.get(&server.replica.service).copied();
+        let pace = server.prefill_pace(now).or(service_pace)?;
+        Some(Duration::from_secs_f64(
+            pace * (server.queued_tokens() + tokens) as f64,
+        ))
+    }
+
+    /// Updates the pending prefills of other daemons.
+    pub fn update_pending_prefills(&mut self, now: Time, claims: &Claims) {
+        let pending = claims.pending_prefills(now);
+        let tokens_of = |hash| {
+            pending
+                .as_ref()
+                .map(|all| all.get(&hash).copied().unwrap_or(0))
+        };
+        for server in self.servers.values_mut() {
+            if server.replica.stage == Some(Stage::Prefill) {
+                server.peer_prefill_tokens = tokens_of(server.hash);
+            }
+        }
+    }
+
+    /// Pending prefills of this daemon, by replica.
+    pub fn prefill_backlogs(&self) -> impl Iterator<Item = PrefillBacklog> + '_ {
+        let servers = self.servers.values();
+        let busy = servers
+            .filter(|server| server.replica.stage == Some(Stage::Prefill) && server.tokens > 0);
+        busy.map(|server| PrefillBacklog {
+            replica: server.hash,
+            tokens: server.tokens.min(u64::from(u32::MAX)) as u32,
+        })
+    }
+
+    /// Whether `decode` may prefill a prompt itself. A decode replica generates almost no tokens
+    /// during a prefill, so each one pauses all of its streams; two in a row are a long pause.
+    pub fn may_prefill(&self, decode: Key) -> bool {
+        let server = self.servers.get(decode);
+        server.is_none_or(|server| server.prefills == 0 || server.known_runs <= 1)
+    }
+
+    /// Share of the prompts of `tokens` that a decode replica should prefill itself, because the
+    /// prefill replica `key` takes long compared with `objective`.
+    pub fn decode_prefill_share(
+        &self,
+        now: Time,
+        key: Key,
+        tokens: u64,
+        objective: Duration,
+    ) -> f64 {
+        let Some(server) = self.servers.get(key) else {
+            return 0.0;
+        };
+        let prefill = self
+            .estimate_prefill_time(now, key, tokens)
+            .unwrap_or_default();
+        let fraction = prefill.as_secs_f64() / objective.as_secs_f64().max(f64::EPSILON);
+        let share = (fraction - SLOW_FROM) / (SLOW_TO - SLOW_FROM);
+        share
+            .max(server.failure_share(now))
+            .clamp(0.0, MAX_DECODE_PREFILL_SHARE)
+    }
+}
