--- a/crates/gateway/src/asides.rs
+++ b/crates/gateway/src/auxiliary.rs
@@ -1,4 +1,4 @@
-//! The servers beside the one for requests: addresses, readiness, metrics.
+//! Handlers of the servers for addresses, readiness and metrics.
 
 use std::rc::Rc;
 
@@ -12,49 +12,49 @@
 use platform::directory;
 
 use crate::body::Body;
-use crate::own;
+use crate::responses;
 use crate::shared::Shared;
 
-/// Seconds that callers keep an address answer; short, so that they leave a stopping or failed
-/// daemon soon.
+/// Seconds for which callers cache the addresses; short, so that they soon leave a stopping or
+/// failed daemon.
 const ADDRESSES_TTL_S: u64 = 1;
 
-/// Answers a caller that asks for addresses.
+/// Returns the addresses of the instances to a caller.
 pub fn addresses(shared: &Rc<Shared>, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() != directory::ADDRESSES_PATH {
-        return own::answer(StatusCode::NOT_FOUND, "", "not found\n");
+        return responses::answer(StatusCode::NOT_FOUND, "", "not found\n");
     }
     let near = request.uri().query().and_then(directory::data_centre);
     let open = shared.members.borrow().open();
-    let told = relay::directory::select_addresses(&open, near, shared.breadth());
-    if told.is_empty() {
-        return own::answer(
+    let endpoints = relay::directory::select_addresses(&open, near, shared.breadth());
+    if endpoints.is_empty() {
+        return responses::answer(
             StatusCode::SERVICE_UNAVAILABLE,
             "",
             "no instance is known to be ready\n",
         );
     }
-    let body = directory::answer_body(told, ADDRESSES_TTL_S);
-    whole(body, "application/json")
+    let body = directory::answer_body(endpoints, ADDRESSES_TTL_S);
+    full_response(body, "application/json")
 }
 
-/// Answers the platform's question whether this daemon is ready.
+/// Returns to the platform whether this daemon is ready.
 pub fn readiness(shared: &Rc<Shared>, request: &Request<Incoming>) -> Response<Body> {
     match request.uri().path() == directory::READY_PATH {
-        true if shared.is_ready() => own::answer(StatusCode::OK, "", "ready\n"),
-        true => own::answer(StatusCode::SERVICE_UNAVAILABLE, "", "not ready\n"),
-        false => own::answer(StatusCode::NOT_FOUND, "", "not found\n"),
+        true if shared.is_ready() => responses::answer(StatusCode::OK, "", "ready\n"),
+        true => responses::answer(StatusCode::SERVICE_UNAVAILABLE, "", "not ready\n"),
+        false => responses::answer(StatusCode::NOT_FOUND, "", "not found\n"),
     }
 }
 
-/// Answers a scraper of metrics.
+/// Returns the metrics.
 pub fn metrics(shared: &Rc<Shared>) -> Response<Body> {
     shared.refresh_metrics();
     match shared.metrics.text() {
-        Ok(text) => whole(text, "text/plain; version=0.0.4"),
+        Ok(text) => full_response(text, "text/plain; version=0.0.4"),
         Err(error) => {
             log::warn!(kind = "metrics", cause = error.to_string(); "metrics could not be written");
-            own::answer(
+            responses::answer(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "",
                 "metrics could not be written\n",
@@ -63,7 +63,7 @@
     }
 }
 
-fn whole(body: Vec<u8>, kind: &'static str) -> Response<Body> {
+fn full_response(body: Vec<u8>, kind: &'static str) -> Response<Body> {
     let mut response = Response::new(Body::whole(Bytes::from(body)));
     let kind = HeaderValue::from_static(kind);
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
--- /dev/null
+++ b/crates/gateway/src/connections.rs
@@ -0,0 +1,331 @@
+//! Pooled connections to replicas and to the store.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use boottime::Instant;
+use boottime::timer::timeout;
+use bytes::Bytes;
+use http::Request;
+use http::Response;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::client::conn::http1;
+use hyper::client::conn::http1::SendRequest;
+use hyper_util::rt::TokioIo;
+use platform::reply::Head;
+use platform::reply::RequestMatch;
+use socket2::SockRef;
+use tokio::net::TcpStream;
+use tokio::task::AbortHandle;
+
+/// Time to open a connection; a round trip takes a few milliseconds, and a machine without power
+/// never answers.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time for the first of two attempts to connect: a control call has 150 ms in total, and a round
+/// trip takes a few.
+const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Time after which the system drops a connection with unacknowledged bytes.
+const UNCONFIRMED_TIMEOUT: Duration = Duration::from_secs(3);
+/// Idle connections kept per address; a daemon rarely has more requests at one replica.
+const MAX_IDLE: usize = 4;
+/// Idle time after which a connection is closed if the replica states no keep-alive time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Fraction of the replica's keep-alive time after which a connection is not reused, so that no
+/// request meets the replica's close.
+const IDLE_FRACTION: f64 = 0.6;
+/// Time after a duplicate answer during which connections to the replica are used only once. It may
+/// answer twice again, and a duplicate on a reused connection fails the next request.
+const SINGLE_USE_TIME: Duration = Duration::from_secs(10);
+
+/// Why an exchange ended without the head of an answer.
+#[derive(Debug)]
+pub enum Failure {
+    /// Nothing listens at the address; no byte of the request was sent.
+    Refused {
+        /// Error of the system.
+        cause: String,
+    },
+    /// Connecting failed for another reason; no byte of the request was sent.
+    Unreachable {
+        /// What went wrong.
+        cause: String,
+    },
+    /// The connection ended before a byte of the request was sent.
+    NotSent {
+        /// What went wrong.
+        cause: String,
+    },
+    /// The request was sent and may have run.
+    Lost {
+        /// What went wrong.
+        cause: String,
+    },
+}
+
+/// An open connection; closed when dropped.
+#[derive(Debug)]
+pub struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    task: DriverTask,
+    address: SocketAddr,
+    /// Exchanges so far.
+    exchanges: u32,
+    idle_since: Instant,
+    keep: Duration,
+}
+
+/// Aborts the task that drives a connection, which closes the connection.
+#[derive(Debug)]
+struct DriverTask(AbortHandle);
+
+impl Drop for DriverTask {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
+
+/// Idle connections by address.
+#[derive(Debug, Default)]
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
+    /// When a request was last answered twice, by address.
+    duplicate_answer_at: RefCell<HashMap<SocketAddr, Instant>>,
+}
+
+impl ConnectionPool {
+    /// An empty pool.
+    pub fn new() -> Self {
+        Self::default()
+    }
+
+    /// Sends `request` to `to` and returns the head of the answer. Opens a new connection if
+    /// `force_new` is set or none is idle.
+    ///
+    /// # Errors
+    /// [`Failure`], which states whether the request was sent.
+    pub async fn send(
+        &self,
+        to: SocketAddr,
+        request: Request<Full<Bytes>>,
+        force_new: bool,
+    ) -> Result<(Response<Incoming>, Connection), Failure> {
+        let mut request = request;
+        while let Some(connection) = (!force_new).then(|| self.take_idle(to)).flatten() {
+            match try_exchange(connection, request).await {
+                Err(ExchangeError::Unsent {
+                    request: unsent, ..
+                }) => request = *unsent,
+                Err(ExchangeError::Lost(failure)) => return Err(failure),
+                Ok(answer) => return Ok(answer),
+            }
+        }
+        exchange(connect(to).await?, request).await
+    }
+
+    /// Keeps `connection` for reuse, unless the replica recently answered twice. `keep_alive_s` is
+    /// the time that the replica stated.
+    pub fn keep(&self, mut connection: Connection, keep_alive_s: Option<u64>) {
+        connection.keep = keep_alive_s.map_or(IDLE_TIMEOUT, |seconds| {
+            Duration::from_secs(seconds).mul_f64(IDLE_FRACTION)
+        });
+        connection.idle_since = Instant::now();
+        if self.is_single_use(connection.address) {
+            return;
+        }
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(connection.address).or_default();
+        connections.push(connection);
+        if connections.len() > MAX_IDLE {
+            connections.remove(0);
+        }
+    }
+
+    /// Keeps `connection` after a complete answer with this head, unless the replica closes it or
+    /// did not name the request: without an id, a late duplicate looks like the next answer.
+    pub fn keep_after(&self, head: &Head, connection: Connection) {
+        if head.request_match == RequestMatch::Same && !head.closes {
+            self.keep(connection, head.keep_alive_s);
+        }
+    }
+
+    /// Closes the idle connections to `address`: after one stalled, the others may have stalled
+    /// too, and each would cost a call its time limit.
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.idle.borrow_mut().remove(&address);
+    }
+
+    /// Records a duplicate answer from `address`, and closes the idle connections to it.
+    pub fn record_duplicate_answer(&self, address: SocketAddr) {
+        let now = Instant::now();
+        self.duplicate_answer_at.borrow_mut().insert(address, now);
+        self.close_idle(address);
+    }
+
+    fn is_single_use(&self, address: SocketAddr) -> bool {
+        let duplicate_at = self.duplicate_answer_at.borrow();
+        let duplicate_at = duplicate_at.get(&address);
+        duplicate_at.is_some_and(|duplicate_at| duplicate_at.elapsed() < SINGLE_USE_TIME)
+    }
+
+    /// Closes connections that were idle for too long, and forgets old duplicate answers.
+    pub fn close_expired(&self) {
+        let mut duplicate_at = self.duplicate_answer_at.borrow_mut();
+        duplicate_at.retain(|_, at| at.elapsed() < SINGLE_USE_TIME);
+        let mut idle = self.idle.borrow_mut();
+        for connections in idle.values_mut() {
+            connections.retain(Connection::is_usable);
+        }
+        idle.retain(|_, connections| !connections.is_empty());
+    }
+
+    fn take_idle(&self, to: SocketAddr) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&to)?;
+        connections.retain(Connection::is_usable);
+        connections.pop()
+    }
+}
+
+impl Connection {
+    /// Address of the peer.
+    pub const fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Number of exchanges before the last one.
+    pub const fn exchanges_before(&self) -> u32 {
+        self.exchanges.saturating_sub(1)
+    }
+
+    /// Whether an answer for `subject` can belong to the last exchange. Replicas may answer twice,
+    /// the second time late: after an earlier exchange, only the request id tells the answers
+    /// apart.
+    pub const fn may_match(&self, subject: RequestMatch) -> bool {
+        match subject {
+            RequestMatch::Same => true,
+            RequestMatch::Other => false,
+            RequestMatch::Unnamed => self.exchanges_before() == 0,
+        }
+    }
+
+    fn is_usable(&self) -> bool {
+        let open = !self.task.0.is_finished() && !self.sender.is_closed();
+        open && self.sender.is_ready() && self.idle_since.elapsed() < self.keep
+    }
+}
+
+/// Opens a connection to `to`, with a second attempt if the first one is slow: the system
+/// retransmits a lost SYN only after a second.
+///
+/// # Errors
+/// `Refused` or `Unreachable`.
+pub async fn connect_with_retry(to: SocketAddr) -> Result<Connection, Failure> {
+    match timeout(FIRST_CONNECT_TIMEOUT, connect(to)).await {
+        Ok(connected) => connected,
+        Err(_) => connect(to).await,
+    }
+}
+
+/// Sends `request` on the new `connection` and returns the head of the answer.
+///
+/// # Errors
+/// `NotSent` or `Lost`.
+pub async fn exchange(
+    connection: Connection,
+    request: Request<Full<Bytes>>,
+) -> Result<(Response<Incoming>, Connection), Failure> {
+    try_exchange(connection, request)
+        .await
+        .map_err(|attempt| match attempt {
+            ExchangeError::Unsent { cause, .. } => Failure::NotSent { cause },
+            ExchangeError::Lost(failure) => failure,
+        })
+}
+
+/// Why sending on one connection failed.
+enum ExchangeError {
+    /// The connection ended before a byte of the request was sent.
+    Unsent {
+        /// Can be sent again on another connection.
+        request: Box<Request<Full<Bytes>>>,
+        cause: String,
+    },
+    /// The request was sent.
+    Lost(Failure),
+}
+
+async fn try_exchange(
+    mut connection: Connection,
+    request: Request<Full<Bytes>>,
+) -> Result<(Response<Incoming>, Connection), ExchangeError> {
+    match connection.sender.try_send_request(request).await {
+        Ok(answer) => {
+            connection.exchanges = connection.exchanges.saturating_add(1);
+            Ok((answer, connection))
+        }
+        Err(mut error) => {
+            let request = error.take_message();
+            let cause = error.error().to_string();
+            Err(match request {
+                Some(request) => ExchangeError::Unsent {
+                    request: Box::new(request),
+                    cause,
+                },
+                None => ExchangeError::Lost(Failure::Lost { cause }),
+            })
+        }
+    }
+}
+
+/// Opens a connection to `to`.
+///
+/// # Errors
+/// `Refused` or `Unreachable`.
+pub async fn connect(to: SocketAddr) -> Result<Connection, Failure> {
+    let socket = match timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await {
+        Ok(Ok(socket)) => socket,
+        Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
+            return Err(Failure::Refused {
+                cause: error.to_string(),
+            });
+        }
+        Ok(Err(error)) => return Err(unreachable(&error)),
+        Err(elapsed) => return Err(unreachable(&elapsed)),
+    };
+    configure_socket(&socket).map_err(|error| unreachable(&error))?;
+    let (sender, connection) = http1::handshake(TokioIo::new(socket))
+        .await
+        .map_err(|error| unreachable(&error))?;
+    let task = tokio::task::spawn_local(async move {
+        if let Err(error) = connection.await {
+            log::debug!(peer = to.to_string(), cause = error.to_string(); "connection ended");
+        }
+    });
+    Ok(Connection {
+        sender,
+        task: DriverTask(task.abort_handle()),
+        address: to,
+        exchanges: 0,
+        idle_since: Instant::now(),
+        keep: IDLE_TIMEOUT,
+    })
+}
+
+/// Sets the options of a socket that carries requests.
+///
+/// # Errors
+/// Errors of the system.
+pub fn configure_socket(socket: &TcpStream) -> io::Result<()> {
+    socket.set_nodelay(true)?;
+    SockRef::from(socket).set_tcp_user_timeout(Some(UNCONFIRMED_TIMEOUT))
+}
+
+fn unreachable(cause: &impl ToString) -> Failure {
+    Failure::Unreachable {
+        cause: cause.to_string(),
+    }
+}
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/control.rs
@@ -1,5 +1,5 @@
-//! Short calls of replicas that are no requests of callers. Their answers name nothing, so that only a connection of
-//! its own tells to which call an answer belongs.
+//! Control calls of this daemon to replicas, such as reservations, moves and reports. Their answers
+//! carry no request id, so each call uses its own connection.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -18,36 +18,36 @@
 use platform::engine::Report;
 use relay::server::Key;
 
-use crate::links;
-use crate::links::Failure;
+use crate::connections;
+use crate::connections::Failure;
 use crate::shared::Shared;
 
-/// Time for the answer; replicas answer such calls without waiting for a slot.
+/// Time for an answer; replicas answer control calls without waiting for a slot.
 const TIMEOUT: Duration = Duration::from_millis(150);
-/// Bytes of an answer at most.
-const MAX_ANSWER: usize = 64 * 1024;
+/// Largest answer in bytes.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// One call.
+/// One control call.
 #[derive(Debug)]
 pub struct Call {
-    /// Where the replica is.
+    /// Address of the replica.
     pub to: SocketAddr,
-    /// Id of the replica that is meant.
+    /// Id of the addressed replica.
     pub replica: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Path of the request.
     pub path: String,
-    /// JSON; may be empty.
+    /// JSON body; may be empty.
     pub body: Vec<u8>,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
 }
 
@@ -56,17 +56,18 @@
 pub enum Error {
     /// Nothing listens at the address.
     Refused,
-    /// There is no connection for another reason.
+    /// Connecting failed for another reason.
     Unreachable {
         /// What went wrong.
         cause: String,
     },
-    /// The connection ended, or its bytes were no HTTP, before an answer came; the call may have been carried out.
+    /// The connection ended, or its bytes were not HTTP, before the answer; the call may have been
+    /// carried out.
     Closed {
         /// What went wrong.
         cause: String,
     },
-    /// There is no whole answer in time; the call may have been carried out.
+    /// No complete answer arrived in time; the call may have been carried out.
     Unanswered {
         /// What went wrong.
         cause: String,
@@ -76,9 +77,11 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused => write!(f, "asking: connection refused"),
+            Self::Refused => write!(f, "control call: connection refused"),
             Self::Unreachable { cause } => write!(f, "connecting: {cause}"),
-            Self::Closed { cause } | Self::Unanswered { cause } => write!(f, "asking: {cause}"),
+            Self::Closed { cause } | Self::Unanswered { cause } => {
+                write!(f, "control call: {cause}")
+            }
         }
     }
 }
@@ -92,7 +95,7 @@
     }
 }
 
-/// Makes `call` and gives the answer.
+/// Makes `call` and returns the answer.
 ///
 /// # Errors
 /// [`Error`].
@@ -109,17 +112,18 @@
     match timeout(TIMEOUT, exchange(call.to, request)).await {
         Ok(answer) => answer,
         Err(_) => {
-            shared.links.forget(call.to);
+            shared.connections.close_idle(call.to);
             Err(unanswered(&"no answer in time"))
         }
     }
 }
 
-/// Sends `request` on a connection of its own, which closes with the answer: on one that was used before, the second
-/// answer to another exchange would be taken for it, and a second answer to this one would cost the next request.
+/// Sends `request` on a new connection that is closed after the answer. On a reused one, a
+/// duplicate answer to an earlier exchange would be mistaken for this answer, and a duplicate of
+/// this one would fail the next request.
 async fn exchange(to: SocketAddr, request: Request<Full<Bytes>>) -> Result<Answer, Error> {
-    let sent = match links::connect_twice(to).await {
-        Ok(link) => links::exchange(link, request).await,
+    let sent = match connections::connect_with_retry(to).await {
+        Ok(connection) => connections::exchange(connection, request).await,
         Err(failure) => Err(failure),
     };
     // Held until the body is read: dropping it closes the connection.
@@ -129,7 +133,9 @@
         Failure::NotSent { cause } | Failure::Lost { cause } => Error::Closed { cause },
     })?;
     let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await;
+    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
+        .collect()
+        .await;
     let body = body.map_err(|error| unanswered(&error))?.to_bytes();
     Ok(Answer { status, body })
 }
@@ -140,28 +146,29 @@
     }
 }
 
-/// What a question to a replica tells.
+/// Result of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// It is there.
+    /// The replica answers.
     Here,
-    /// Its process ended.
+    /// The process of the replica ended.
     Ended,
-    /// It takes connections and closes them without an answer: it has too many, or ends at this moment.
+    /// The replica accepts connections and closes them without an answer: it has too many, or
+    /// is about to exit.
     Closing,
-    /// Nothing; it does not answer.
+    /// The replica does not answer.
     Unknown,
 }
 
-/// Whether the replica `key` is at work as far as a question tells: it answers, or takes no more connections.
-pub async fn answers(shared: &Shared, key: Key) -> bool {
-    let presence = presence(shared, key).await;
+/// Whether the replica `key` seems to be running: it answers a probe, or closes its connection.
+pub async fn is_responsive(shared: &Shared, key: Key) -> bool {
+    let presence = probe(shared, key).await;
     matches!(presence, Presence::Here | Presence::Closing)
 }
 
-/// Asks whether the replica `key` is there. Another one at its address, and one that has started again under
-/// its id, tell that it ended.
-pub async fn presence(shared: &Shared, key: Key) -> Presence {
+/// Probes the replica `key`. Another replica at its address, and a restart under the same id, mean
+/// that it ended.
+pub async fn probe(shared: &Shared, key: Key) -> Presence {
     let replica = shared.pool.borrow().get(key).map(|s| s.replica.clone());
     let Some(replica) = replica else {
         return Presence::Ended;
@@ -177,18 +184,18 @@
         Ok(answer) if answer.status == StatusCode::OK => {
             let report = Report::read(&answer.body).ok();
             shared.note_birth(key, report.and_then(|report| report.birth));
-            present(shared, key)
+            presence_after_report(shared, key)
         }
         Ok(answer) if answer.status == StatusCode::MISDIRECTED_REQUEST => Presence::Ended,
         Err(Error::Refused) => Presence::Ended,
-        // It answers, though not as it should.
+        // The answer is an error, but the replica is running.
         Ok(_) => Presence::Here,
         Err(Error::Closed { .. }) => Presence::Closing,
         Err(Error::Unreachable { .. } | Error::Unanswered { .. }) => Presence::Unknown,
     }
 }
 
-fn present(shared: &Shared, key: Key) -> Presence {
+fn presence_after_report(shared: &Shared, key: Key) -> Presence {
     if shared.pool.borrow().has_restarted(key) {
         return Presence::Ended;
     }
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -1,4 +1,4 @@
-//! Reading a prompt at a prefill replica.
+//! Prefills prompts at prefill replicas.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,33 +14,34 @@
 use relay::replica::Stage;
 use relay::server::Key;
 
-use crate::ask;
+use crate::control;
 use crate::job::Job;
 use crate::limit;
 use crate::send;
 use crate::shared::Shared;
 
-/// Part of the objective for reading the prompt elsewhere; what is left is enough for the decode
-/// replica to read it itself, at half the speed.
-const PREFILL_PART: f64 = 0.45;
-/// Times the objective that a replica which is at work is waited for.
-const PREFILL_MOST: f64 = 2.0;
-/// Part of the objective that a replica has at least, however long ago the request came: a read takes a
-/// quarter of it, and the prompt of a stream that is resumed is read long after the objective.
-const PREFILL_LEAST: f64 = 0.3;
+/// Fraction of the objective allowed for a remote prefill. The rest is enough for the decode
+/// replica to prefill the prompt itself at half the speed.
+const SOFT_LIMIT_FRACTION: f64 = 0.45;
+/// Multiple of the objective after which a responsive replica is no longer waited for.
+const HARD_LIMIT_FACTOR: f64 = 2.0;
+/// Fraction of the objective that a replica always gets, regardless of the age of the request. A
+/// prefill takes a quarter of the objective, and a resumed stream needs one long after its
+/// objective.
+const MIN_TIME_FRACTION: f64 = 0.3;
 /// Replicas that a prompt is sent to at most.
-const MAX_READS: usize = 2;
-/// Bytes of the answer to a prefill at most.
-const MAX_PREFILL_ANSWER: usize = 16 * 1024;
+const MAX_PREFILLS: usize = 2;
+/// Largest answer to a prefill in bytes.
+const MAX_PREFILL_ANSWER_BYTES: usize = 16 * 1024;
 
-/// Has the prompt read by a prefill replica, in the data centre of the decode replica `decode` if one
-/// is idle there: a KV cache is thousands of times as large as prompt and answer, and its transfer
-/// between data centres takes twice as long and costs more. If the read fails, the decode replica is
-/// to read the prompt.
+/// Prefills the prompt at a prefill replica, preferably an idle one in the data centre of the
+/// decode replica `decode`: a KV cache is thousands of times as large as prompt and answer, and its
+/// transfer between data centres takes twice as long and costs more. If this fails, the decode
+/// replica prefills the prompt.
 ///
-/// A read that failed counts as an arrival, so that the send after it is a retry: `None` if the
-/// budget has none left.
-pub async fn read(
+/// A failed prefill counts as an arrival, so the next send is a retry: `None` if the retry budget
+/// is exhausted.
+pub async fn prefill_remotely(
     shared: &Rc<Shared>,
     job: &Job,
     decode: Key,
@@ -49,31 +50,37 @@
     let near = shared.data_centre_of(decode);
     let mut tried = Vec::new();
     let mut failed = false;
-    while tried.len() < MAX_READS {
+    while tried.len() < MAX_PREFILLS {
         let choose = || shared.choose_near(&job.service, Some(Stage::Prefill), &tried, near);
         let chosen = limit::choose_admitted(shared, choose).await;
         let Some(key) = chosen else { break };
-        // Where too few replicas read prompts, a part is left to the decode replicas, and the rest is
-        // read in time.
+        // With too few prefill replicas, the decode replicas take a share of the prompts, so that
+        // the rest is prefilled in time.
         let may_read = shared.may_read(decode);
         let objective = job.route.objective;
-        if may_read && rand::random::<f64>() < shared.own_reads(key, job.prompt(), objective) {
+        if may_read && rand::random::<f64>() < shared.own_reads(key, job.prompt_tokens(), objective)
+        {
             break;
         }
-        // The first read is no retry; that of a stream which is resumed is one.
+        // The first prefill is not a retry; that of a resumed stream is one.
         let Some(permit) = shared.permit(job, Work::Read) else {
             break;
         };
         tried.push(key);
-        match timeout_at(job.deadline, patiently(shared, job, key, permit)).await {
-            Ok(Ok(read)) => return Some(decode_task(read, last_event)),
+        match timeout_at(
+            job.deadline,
+            prefill_with_extension(shared, job, key, permit),
+        )
+        .await
+        {
+            Ok(Ok(prefilled)) => return Some(decode_task(prefilled, last_event)),
             Ok(Err(Outcome::NotSent)) => continue,
-            // The send that follows is withheld as well, and tells what comes of it.
+            // The send that follows is withheld too, and determines the response.
             Ok(Err(Outcome::Quarantined | Outcome::Denied)) => break,
             Ok(Err(_)) => {}
             Err(_) => {
-                let cause = "the prompt was not read in time";
-                send::note(shared, job, key, Outcome::Lost, cause, 0);
+                let cause = "the prefill did not finish in time";
+                send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
             }
         }
         if !shared.allow(job, Work::Read) {
@@ -82,23 +89,23 @@
         failed = true;
     }
     if failed {
-        // It pays for the read that failed, so that no other one may use it.
-        let _spent = job.permit(Work::Read);
+        // This permit pays for the failed prefill and must not be used for another send.
+        let _spent = job.take_permit(Work::Read);
     }
-    Some(own_read(last_event))
+    Some(local_prefill_task(last_event))
 }
 
-/// The task of a decode replica that reads the prompt itself.
-pub const fn own_read(last_event: Option<u64>) -> Task {
+/// The task for a decode replica that prefills the prompt itself.
+pub const fn local_prefill_task(last_event: Option<u64>) -> Task {
     match last_event {
         Some(last_event) => Task::Resume { last_event },
         None => Task::Answer,
     }
 }
 
-/// The task of a decode replica for which the prompt was read.
-fn decode_task(read: Read, last_event: Option<u64>) -> Task {
-    let Read { address, handle } = read;
+/// The task for a decode replica that fetches the KV cache of a prefilled prompt.
+fn decode_task(prefilled: PrefilledPrompt, last_event: Option<u64>) -> Task {
+    let PrefilledPrompt { address, handle } = prefilled;
     match last_event {
         Some(last_event) => Task::Continue {
             address,
@@ -109,48 +116,49 @@
     }
 }
 
-/// A prompt that was read.
-struct Read {
+/// A prefilled prompt.
+struct PrefilledPrompt {
     address: SocketAddr,
     handle: String,
 }
 
-/// Has the prompt read; a replica that is late but answers a question is waited for, since a read
-/// that is given up is read in vain.
-async fn patiently(
+/// Prefills the prompt at `key`. After the soft limit, a replica that is still responsive gets
+/// until the hard limit, because abandoning a prefill wastes it.
+async fn prefill_with_extension(
     shared: &Rc<Shared>,
     job: &Job,
     key: Key,
     permit: Permit,
-) -> Result<Read, Outcome> {
+) -> Result<PrefilledPrompt, Outcome> {
     let objective = job.route.objective;
-    let soonest = Instant::now() + objective.mul_f64(PREFILL_LEAST);
-    let late = (job.arrived + objective.mul_f64(PREFILL_PART)).max(soonest);
-    let last = (job.arrived + objective.mul_f64(PREFILL_MOST)).max(soonest + objective);
-    let mut read = std::pin::pin!(read_prompt(shared, job, key, permit));
-    if let Ok(read) = timeout_at(late, &mut read).await {
-        return read;
+    let guaranteed_until = Instant::now() + objective.mul_f64(MIN_TIME_FRACTION);
+    let soft_limit = (job.arrived + objective.mul_f64(SOFT_LIMIT_FRACTION)).max(guaranteed_until);
+    let hard_limit =
+        (job.arrived + objective.mul_f64(HARD_LIMIT_FACTOR)).max(guaranteed_until + objective);
+    let mut prefill = std::pin::pin!(prefill_at(shared, job, key, permit));
+    if let Ok(prefilled) = timeout_at(soft_limit, &mut prefill).await {
+        return prefilled;
     }
-    if !ask::answers(shared, key).await {
+    if !control::is_responsive(shared, key).await {
         shared.note_silent(key);
-        let cause = "the prompt is not read, and the replica does not answer";
-        send::note(shared, job, key, Outcome::Lost, cause, 0);
+        let cause = "the prefill is not finished, and the replica does not answer";
+        send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
         return Err(Outcome::Lost);
     }
-    if let Ok(read) = timeout_at(last, read).await {
-        return read;
+    if let Ok(prefilled) = timeout_at(hard_limit, prefill).await {
+        return prefilled;
     }
-    let cause = "the prompt was not read in time";
-    send::note(shared, job, key, Outcome::Lost, cause, 0);
+    let cause = "the prefill did not finish in time";
+    send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
     Err(Outcome::Lost)
 }
 
-async fn read_prompt(
+async fn prefill_at(
     shared: &Rc<Shared>,
     job: &Job,
     key: Key,
     permit: Permit,
-) -> Result<Read, Outcome> {
+) -> Result<PrefilledPrompt, Outcome> {
     let address = shared
         .pool
         .borrow()
@@ -158,14 +166,14 @@
         .map(|server| server.replica.address)
         .ok_or(Outcome::NotSent)?;
     let begun = Instant::now();
-    let before = shared.pool.borrow().queued_tokens(key);
+    let queued_before = shared.pool.borrow().queued_tokens(key);
     let reply = send::send(shared, job, key, Task::Prefill, None, permit).await?;
-    let exchanges_before = reply.link.exchanges_before();
-    let read = send::whole(shared, reply, MAX_PREFILL_ANSWER).await;
-    let body = match read {
+    let exchanges_before = reply.connection.exchanges_before();
+    let answer = send::read_whole(shared, reply, MAX_PREFILL_ANSWER_BYTES).await;
+    let body = match answer {
         Ok((head, _, body)) if head.status == StatusCode::OK => body,
         Ok((head, ..)) => {
-            send::note(
+            send::record_failure(
                 shared,
                 job,
                 key,
@@ -176,25 +184,25 @@
             return Err(Outcome::Failed);
         }
         Err(outcome) => {
-            send::note(shared, job, key, outcome, "its answer broke off", 0);
+            send::record_failure(shared, job, key, outcome, "the answer was cut off", 0);
             return Err(outcome);
         }
     };
     match Prefill::read(&body) {
         Ok(prefill) => {
-            send::note_success(shared, key);
+            send::record_success(shared, key);
             shared.note_birth(key, prefill.birth);
-            let prompt = job.prompt();
-            shared.note_read(key, begun.elapsed(), before + prompt);
+            let prompt = job.prompt_tokens();
+            shared.note_read(key, begun.elapsed(), queued_before + prompt);
             shared.note_pace(key, begun.elapsed(), prompt as f64);
-            log::info!(kind = "read", request = job.call.id, ms = job.age().as_millis() as u64, cache = prefill.handle, exchanges_before = exchanges_before; "the prompt is read");
-            Ok(Read {
+            log::info!(kind = "read", request = job.call.id, ms = job.age().as_millis() as u64, cache = prefill.handle, exchanges_before = exchanges_before; "the prompt is prefilled");
+            Ok(PrefilledPrompt {
                 address,
                 handle: prefill.handle,
             })
         }
         Err(error) => {
-            send::note(shared, job, key, Outcome::Lost, &error.to_string(), 200);
+            send::record_failure(shared, job, key, Outcome::Lost, &error.to_string(), 200);
             Err(Outcome::Lost)
         }
     }
--- a/crates/gateway/src/quota/charge.rs
+++ b/crates/gateway/src/quota/charge.rs
@@ -1,4 +1,4 @@
-//! What a request takes from its customer's quota.
+//! Units that a request takes from its customer's quota.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
 use customer::keeper::Purpose;
 use customer::local_budget::SpendId;
 
-use crate::quota::asking;
+use crate::quota::client;
 use crate::quotas::Demand;
 use crate::shared::Shared;
 
-/// Least time for which the keeper is asked first, once it told that nothing was left.
-const STRICT: Duration = Duration::from_millis(500);
+/// Minimum time for which the keeper is asked first after it reported an exhausted quota.
+const MIN_ASK_FIRST_PERIOD: Duration = Duration::from_millis(500);
 
-/// Units of a customer that a request uses; given back if this is dropped and the request did not run.
+/// Units charged for a request; refunded if this is dropped and the request did not run.
 #[derive(Debug)]
 pub struct Charge {
     shared: Rc<Shared>,
@@ -25,17 +25,17 @@
     ran: Cell<bool>,
 }
 
-/// Where units were taken from.
+/// Where the units were taken from.
 #[derive(Debug, Clone, Copy)]
 pub enum Source {
-    /// The bucket of the daemon that listens there; of this one if `None`.
+    /// The bucket of the daemon at this address, or of this one if `None`.
     Keeper(Option<SocketAddr>),
-    /// The own pocket.
-    Pocket(SpendId),
+    /// The local budget of this daemon.
+    LocalBudget(SpendId),
 }
 
 impl Charge {
-    /// What was taken from `source` for `demand`.
+    /// A charge for `demand` against `source`.
     pub fn new(shared: &Rc<Shared>, demand: Demand, source: Source) -> Self {
         Self {
             shared: Rc::clone(shared),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Notes whether the request may have run; tells what was noted before.
+    /// Records whether the request may have run; returns the previous value.
     pub fn set_ran(&self, ran: bool) -> bool {
         self.ran.replace(ran)
     }
@@ -56,16 +56,16 @@
         match (self.source, self.ran.get()) {
             (Source::Keeper(_), true) => {}
             (Source::Keeper(keeper), false) => {
-                asking::give_back(&self.shared, keeper, self.demand);
+                client::refund(&self.shared, keeper, self.demand);
             }
-            (Source::Pocket(number), false) => {
+            (Source::LocalBudget(number), false) => {
                 self.shared
                     .quotas
                     .borrow_mut()
                     .pocket(self.demand.subject)
                     .settle(number);
             }
-            (Source::Pocket(number), true) => {
+            (Source::LocalBudget(number), true) => {
                 let shared = Rc::clone(&self.shared);
                 tokio::task::spawn_local(report(shared, self.demand, number));
             }
@@ -73,20 +73,20 @@
     }
 }
 
-/// Has a request counted that ran unasked.
+/// Reports a request that ran without asking the keeper.
 async fn report(shared: Rc<Shared>, demand: Demand, number: SpendId) {
-    let heard = asking::ask(&shared, demand, Purpose::Ran).await;
-    let decision = heard.map(|heard| heard.told.decision);
+    let reply = client::ask(&shared, demand, Purpose::Ran).await;
+    let decision = reply.map(|reply| reply.answer.decision);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
-    let pocket = quotas.pocket(demand.subject);
+    let budget = quotas.pocket(demand.subject);
     match decision {
-        Some(Decision::Counted) => pocket.settle(number),
+        Some(Decision::Counted) => budget.settle(number),
         Some(Decision::Overdrawn { free_ms }) => {
             let free_in = Duration::from_millis(free_ms.into());
-            pocket.ask_keeper_first(now, free_in.max(STRICT));
+            budget.ask_keeper_first(now, free_in.max(MIN_ASK_FIRST_PERIOD));
         }
-        // It counts against the pocket until it leaves the window.
+        // It counts against the local budget until it leaves the window.
         _ => {}
     }
 }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one replica.
+//! Sends a request to one replica and classifies the result.
 
 use std::rc::Rc;
 
@@ -18,31 +18,31 @@
 use relay::permit::Work;
 use relay::server::Key;
 
-use crate::guard::Claim;
+use crate::connections::Connection;
+use crate::connections::Failure;
+use crate::guard::InFlight;
 use crate::job::Job;
-use crate::links::Failure;
-use crate::links::Link;
 use crate::shared::Shared;
 
-/// The head of a replica's genuine answer, with what is needed to read the rest.
+/// The head of a replica's genuine answer, and what is needed to read the rest.
 #[derive(Debug)]
 pub struct Reply {
-    /// What the head says.
+    /// The parsed head.
     pub head: Head,
-    /// Its headers and its body, not read yet.
+    /// Headers and unread body.
     pub response: Response<Incoming>,
-    /// The connection; closed if this is dropped.
-    pub link: Link,
-    /// The replica.
-    pub claim: Claim,
+    /// The connection; closed when this is dropped.
+    pub connection: Connection,
+    /// Counts the request at the replica.
+    pub guard: InFlight,
 }
 
-/// Sends `job` to the replica `key`, which is to do `task`, and reads the head of the answer. The permit
-/// goes back to the job if no byte of the request left. What waited for a place or a retry meanwhile is quarantined
-/// here, if replicas ended under the same request.
+/// Sends `job` to the replica `key` for `task` and reads the head of the answer. The permit returns
+/// to the job if no byte of the request was sent. A request that was quarantined while it waited
+/// for a placement or a retry is withheld here.
 ///
 /// # Errors
-/// How the send ended, if not in a genuine answer.
+/// How the send ended, if not with a genuine answer.
 pub async fn send(
     shared: &Rc<Shared>,
     job: &Job,
@@ -60,19 +60,20 @@
     } else if shared.is_denied(job) {
         Err(Outcome::Denied)
     } else {
-        counted(job, work, send_once(shared, job, key, task, reservation)).await
+        with_charge(job, work, send_once(shared, job, key, task, reservation)).await
     };
     if matches!(
         sent,
         Err(Outcome::NotSent | Outcome::Quarantined | Outcome::Denied)
     ) {
-        job.allowance.borrow_mut().put(work, permit);
+        job.permits.borrow_mut().put(work, permit);
     }
     sent
 }
 
-/// Awaits a send of `job`, and notes whether it may have run: only then it counts against its customer's quota.
-async fn counted(
+/// Awaits a send of `job` and records whether it may have run: only then does it count against its
+/// customer's quota.
+async fn with_charge(
     job: &Job,
     work: Work,
     sent: impl Future<Output = Result<Reply, Outcome>>,
@@ -96,10 +97,10 @@
     reservation: Option<&str>,
 ) -> Result<Reply, Outcome> {
     let tokens = match task {
-        Task::Prefill => job.prompt(),
-        _ => job.tokens(),
+        Task::Prefill => job.prompt_tokens(),
+        _ => job.expected_tokens(),
     };
-    let claim = Claim::new(shared, key, tokens, task == Task::Prefill);
+    let guard = InFlight::new(shared, key, tokens, task == Task::Prefill);
     let now = shared.clock.now();
     let target = shared.pool.borrow().get(key).map(|server| {
         let replica = &server.replica;
@@ -110,31 +111,36 @@
         Some((target, true)) => target,
         Some((_, false)) => {
             let cause = "the replica is draining or no longer listed";
-            note(shared, job, key, Outcome::NotSent, cause, 0);
+            record_failure(shared, job, key, Outcome::NotSent, cause, 0);
             return Err(Outcome::NotSent);
         }
         None => return Err(Outcome::NotSent),
     };
     let (prompt, output) = job.call.tokens.unwrap_or_default();
-    log::info!(kind = "send", request = job.call.id, content = job.fingerprint.to_string(), replica = id, task = word(&task), cache = cache(&task), in_flight = in_flight, prompt = prompt, output = output, replicas = shared.replicas_version(), reserved = reservation.is_some(), plan = job.plan, left_ms = job.left().as_millis() as u64; "sending");
+    log::info!(kind = "send", request = job.call.id, content = job.fingerprint.to_string(), replica = id, task = task_name(&task), cache = cache_handle(&task), in_flight = in_flight, prompt = prompt, output = output, replicas = shared.replicas_version(), reserved = reservation.is_some(), plan = job.plan, left_ms = job.time_left().as_millis() as u64; "sending");
     let prefill = task == Task::Prefill;
     let decode = matches!(task, Task::Decode { .. });
     let begun = Instant::now();
-    let request = job.request(&id, task, reservation).map_err(|error| {
-        log::error!(kind = "send", request = job.call.id, cause = error.to_string(); "a request cannot be built");
+    let request = job.build_request(&id, task, reservation).map_err(|error| {
+        log::error!(kind = "send", request = job.call.id, cause = error.to_string(); "cannot build a request");
         Outcome::NotSent
     })?;
-    // A new connection, since a request that may run once must not be lost to a late second answer, and since the second
-    // answer to an earlier send of this request to the replica has the same id.
-    let is_first = job.is_first_send(key);
-    let fresh = !is_first || !(prefill || job.route.mode.repeatable());
-    let (response, link) = match shared.links.send(address, request, fresh).await {
+    // Use a new connection if the request must not run twice, since a late duplicate answer would
+    // lose it, and for a second send to the same replica, since a duplicate answer to the first one
+    // carries the same id.
+    let is_first = job.record_first_send(key);
+    let needs_new_connection = !is_first || !(prefill || job.route.mode.repeatable());
+    let (response, connection) = match shared
+        .connections
+        .send(address, request, needs_new_connection)
+        .await
+    {
         Ok(answer) => answer,
-        Err(failure) => return Err(failed(shared, job, key, &failure)),
+        Err(failure) => return Err(record_exchange_failure(shared, job, key, &failure)),
     };
     let head = Head::read(&job.call.id, response.status(), response.headers());
-    if !link.may_answer(head.request_match) {
-        return Err(foreign(shared, job, key, &head, &link));
+    if !connection.may_match(head.request_match) {
+        return Err(record_foreign_answer(shared, job, key, &head, &connection));
     }
     if let Some(load) = head.load {
         shared
@@ -149,12 +155,12 @@
     if head.limit.is_some() || head.genuine {
         shared.note_limit(key, head.limit);
     }
-    if let Some((outcome, cause)) = fault(&head, prefill) {
+    if let Some((outcome, cause)) = invalid_reason(&head, prefill) {
         let load = head
             .load
             .map_or((0, 0), |load| (load.running, load.waiting));
         let cause = format!("{cause}; running {}, waiting {}", load.0, load.1);
-        note(shared, job, key, outcome, &cause, head.status.as_u16());
+        record_failure(shared, job, key, outcome, &cause, head.status.as_u16());
         return Err(outcome);
     }
     if decode {
@@ -163,39 +169,58 @@
     Ok(Reply {
         head,
         response,
-        link,
-        claim,
+        connection,
+        guard,
     })
 }
 
-/// Notes that the answer is, or may be, another request's; this one may run all the same.
-fn foreign(shared: &Shared, job: &Job, key: Key, head: &Head, link: &Link) -> Outcome {
+/// Records an answer that belongs, or may belong, to another request. This request may have run
+/// nevertheless.
+fn record_foreign_answer(
+    shared: &Shared,
+    job: &Job,
+    key: Key,
+    head: &Head,
+    connection: &Connection,
+) -> Outcome {
     shared.metrics.foreign_answers.inc();
-    shared.links.note_second_answer(link.address());
+    shared
+        .connections
+        .record_duplicate_answer(connection.address());
     let whose = match head.request_match {
         RequestMatch::Unnamed => "the answer names no request",
         _ => "the answer is another request's",
     };
-    let cause = format!("{whose}; exchanges before: {}", link.exchanges_before());
+    let cause = format!(
+        "{whose}; exchanges before: {}",
+        connection.exchanges_before()
+    );
     let outcome = Outcome::Lost;
-    note(shared, job, key, outcome, &cause, head.status.as_u16());
+    record_failure(shared, job, key, outcome, &cause, head.status.as_u16());
     outcome
 }
 
-/// Why an answer with this head is none to the request; `None` if it is one.
-fn fault(head: &Head, prefill: bool) -> Option<(Outcome, &'static str)> {
+/// Why an answer with this head is not valid for the request; `None` if it is.
+fn invalid_reason(head: &Head, prefill: bool) -> Option<(Outcome, &'static str)> {
     match head {
         head if head.other_replica => Some((Outcome::NotRun, "another replica has its address")),
-        head if head.not_run => Some((Outcome::NotRun, "it did not run the request")),
-        // The answer to a prefill is for this daemon and bears no signature.
+        head if head.not_run => Some((Outcome::NotRun, "the replica did not run the request")),
+        // The answer to a prefill is meant for this daemon and is not signed.
         head if prefill && head.status == StatusCode::OK => None,
-        head if !head.genuine => Some((Outcome::Lost, "its answer is not genuine")),
+        head if !head.genuine => Some((Outcome::Lost, "the answer is not genuine")),
         _ => None,
     }
 }
 
-/// Notes that a send to `key` ended in `outcome`.
-pub fn note(shared: &Shared, job: &Job, key: Key, outcome: Outcome, cause: &str, status: u16) {
+/// Records that a send to `key` failed with `outcome`.
+pub fn record_failure(
+    shared: &Shared,
+    job: &Job,
+    key: Key,
+    outcome: Outcome,
+    cause: &str,
+    status: u16,
+) {
     if outcome == Outcome::Lost {
         shared.inquire(job.fingerprint, key);
     }
@@ -214,41 +239,41 @@
     log::info!(kind = "failure", request = job.call.id, content = job.fingerprint.to_string(), replica = replica, outcome = format!("{outcome:?}"), status = status, cause = cause; "a send failed");
 }
 
-/// Notes that a send to `key` ended well.
-pub fn note_success(shared: &Shared, key: Key) {
+/// Records that a send to `key` succeeded.
+pub fn record_success(shared: &Shared, key: Key) {
     let now = shared.clock.now();
     shared.pool.borrow_mut().record_result(now, key, false);
     shared.metrics.send("answered");
 }
 
-/// Reads the rest of a whole answer, and keeps the connection for another request. An answer without a length is whole
-/// where its connection ends without a reset.
+/// Reads the rest of an answer and keeps the connection for reuse. An answer without a length is
+/// complete if its connection closes without a reset.
 ///
 /// # Errors
-/// `Lost` if it breaks off or is longer than `most` bytes.
-pub async fn whole(
+/// `Lost` if the answer is cut off or longer than `max_bytes`.
+pub async fn read_whole(
     shared: &Shared,
     reply: Reply,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<(Head, HeaderMap, Bytes), Outcome> {
     let Reply {
         head,
         response,
-        link,
-        claim,
+        connection,
+        guard,
     } = reply;
     let (parts, body) = response.into_parts();
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => {
-            shared.links.keep_after(&head, link);
-            drop(claim);
+            shared.connections.keep_after(&head, connection);
+            drop(guard);
             Ok((head, parts.headers, body.to_bytes()))
         }
         Err(_) => Err(Outcome::Lost),
     }
 }
 
-fn failed(shared: &Shared, job: &Job, key: Key, failure: &Failure) -> Outcome {
+fn record_exchange_failure(shared: &Shared, job: &Job, key: Key, failure: &Failure) -> Outcome {
     let (outcome, cause) = match failure {
         Failure::Refused { cause } | Failure::Unreachable { cause } => {
             (Outcome::NotSent, format!("connecting: {cause}"))
@@ -256,19 +281,19 @@
         Failure::NotSent { cause } => (Outcome::NotSent, format!("sending: {cause}")),
         Failure::Lost { cause } => (Outcome::Lost, cause.clone()),
     };
-    note(shared, job, key, outcome, &cause, 0);
+    record_failure(shared, job, key, outcome, &cause, 0);
     outcome
 }
 
-/// Name of the KV cache, or of the moved memory, that `task` goes on from; empty if there is none.
-fn cache(task: &Task) -> &str {
+/// Handle of the KV cache that `task` continues from; empty if there is none.
+fn cache_handle(task: &Task) -> &str {
     match task {
         Task::Decode { handle, .. } | Task::Continue { handle, .. } => handle,
         Task::Answer | Task::Prefill | Task::Resume { .. } => "",
     }
 }
 
-const fn word(task: &Task) -> &'static str {
+const fn task_name(task: &Task) -> &'static str {
     match task {
         Task::Answer => "answer",
         Task::Prefill => "prefill",
