--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -50,7 +50,7 @@
     job.response_started.set(true);
     let (parts, body) = mpsc::channel(MAX_BUFFERED_PARTS);
     let mut response = Response::new(Body::parts(body));
-    *response.headers_mut() = reply::headers(opened.reply.response.headers());
+    *response.headers_mut() = reply::caller_headers(opened.reply.response.headers());
     let forwarder = Forwarder {
         shared: Rc::clone(shared),
         job,
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -107,7 +107,7 @@
 fn decode_task(prefilled: PrefilledPrompt, last_event: Option<u64>) -> Task {
     let PrefilledPrompt { address, handle } = prefilled;
     match last_event {
-        Some(last_event) => Task::GoOn {
+        Some(last_event) => Task::Continue {
             address,
             handle,
             last_event,
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,20 +1,20 @@
-//! Why a call to the platform failed.
+//! Errors of calls to the platform's store.
 
 use std::fmt;
 
-/// The call that failed.
+/// The kind of call that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// A transaction.
     Txn,
-    /// A read of rows, which may be stale.
+    /// A read of rows.
     Rows,
     /// A read of the list.
     List,
     /// A read of an object.
-    Fetch,
+    GetObject,
     /// A write of an object.
-    Keep,
+    PutObject,
 }
 
 impl fmt::Display for Step {
@@ -23,8 +23,8 @@
             Self::Txn => "transaction",
             Self::Rows => "read of rows",
             Self::List => "read of the list",
-            Self::Fetch => "read of an object",
-            Self::Keep => "write of an object",
+            Self::GetObject => "read of an object",
+            Self::PutObject => "write of an object",
         })
     }
 }
--- a/crates/table/src/drain.rs
+++ b/crates/table/src/drain.rs
@@ -1,22 +1,22 @@
-//! Marks on instances and replicas that are to drain.
+//! Instances and replicas that are marked to drain.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is marked to drain; it takes no new work and finishes what is in progress.
+/// An instance or replica marked to drain: it accepts no new work and finishes its current work.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Mark {
+pub enum DrainTarget {
     /// An entry instance, by its name in the platform's list.
     Instance(String),
     /// A replica, by its name in the platform's list.
     Replica(String),
 }
 
-impl Mark {
-    /// `instance` or `replica`, as written in keys of the store.
+impl DrainTarget {
+    /// `instance` or `replica`, as used in store keys.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Instance(_) => "instance",
@@ -24,15 +24,15 @@
         }
     }
 
-    /// The name of what is marked.
+    /// The name of the instance or replica.
     pub fn name(&self) -> &str {
         match self {
             Self::Instance(name) | Self::Replica(name) => name,
         }
     }
 
-    /// The mark for a `kind` as written in keys of the store.
-    pub fn with_kind(kind: &str, name: &str) -> Option<Self> {
+    /// The target named `name` of a `kind` as used in store keys; `None` if `kind` is unknown.
+    pub fn from_kind(kind: &str, name: &str) -> Option<Self> {
         match kind {
             "instance" => Some(Self::Instance(name.to_owned())),
             "replica" => Some(Self::Replica(name.to_owned())),
@@ -41,7 +41,7 @@
     }
 }
 
-impl fmt::Display for Mark {
+impl fmt::Display for DrainTarget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.kind(), self.name())
     }
