--- a/crates/gateway/src/asides.rs
+++ b/crates/gateway/src/asides.rs
@@ -25,7 +25,7 @@
         return own::answer(StatusCode::NOT_FOUND, "", "not found\n");
     }
     let near = request.uri().query().and_then(directory::data_centre);
-    let open = shared.members.borrow().open();
+    let open = shared.members.borrow().advertised();
     let told = relay::directory::answer(&open, near, shared.breadth());
     if told.is_empty() {
         return own::answer(
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -201,7 +201,7 @@
     text: &'static str,
 ) -> Response<Body> {
     shared.metrics.request("rejected");
-    if let Some(omitted) = shared.may_log() {
+    if let Some(omitted) = shared.may_log_rejection() {
         log::info!(kind = "end", request = id, outcome = "rejected", omitted = omitted, status = status.as_u16(), cause = cause; "request rejected");
     }
     own::answer(status, id, text)
@@ -210,7 +210,7 @@
 /// Answers that this daemon does not take the request now.
 fn put_off(shared: &Shared, id: &str, come_back: Duration, cause: &'static str) -> Response<Body> {
     shared.metrics.request("refused");
-    if let Some(omitted) = shared.may_log() {
+    if let Some(omitted) = shared.may_log_rejection() {
         log::info!(kind = "end", request = id, outcome = "refused", status = 503, omitted = omitted, cause = cause; "request refused");
     }
     own::refuse(id, come_back, "not now; the request has not run\n")
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -30,7 +30,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-use crate::card::Card;
+use crate::instance_info::InstanceInfo;
 use crate::shared::Shared;
 
 /// Time for one question, the connection included.
@@ -69,7 +69,7 @@
     /// Time since the teller's replicas were read from the store.
     replicas_age: Duration,
     /// The instances, if the asker knows fewer.
-    cards: Vec<Card>,
+    cards: Vec<InstanceInfo>,
     /// Requests under which replicas ended, as the teller knows.
     quarantine: Vec<Record>,
 }
@@ -104,24 +104,24 @@
 pub async fn follow(shared: Rc<Shared>) {
     loop {
         sleep(PERIOD).await;
-        if shared.plan_version() > 0 && shared.store_silence() < STORE_SILENCE {
+        if shared.plan_version() > 0 && shared.time_since_store_answer() < STORE_SILENCE {
             continue;
         }
-        let mut peers = shared.members.borrow().peers();
+        let mut peers = shared.members.borrow().peer_addresses();
         peers.extend(shared.settings().seed_peers());
         if let Some(peer) = peers.choose(&mut rand::rng()) {
-            ask(&shared, *peer).await;
+            fetch_newer(&shared, *peer).await;
         }
     }
 }
 
 /// Asks the daemon at `peer` for what is newer there; `false` if it does not answer.
-pub async fn ask(shared: &Shared, peer: SocketAddr) -> bool {
+pub async fn fetch_newer(shared: &Shared, peer: SocketAddr) -> bool {
     let ask = Ask {
         plan: shared.plan_version(),
         replicas: shared.replicas_version(),
         digest: shared.pool.borrow().digest(),
-        instances: shared.members.borrow().known() as u32,
+        instances: shared.members.borrow().known_count() as u32,
         quarantine: shared.quarantine.borrow().suspects(),
         all_records: !shared.has_all_records(),
     };
@@ -149,13 +149,13 @@
     for card in &told.cards {
         shared.members.borrow_mut().learn(now, card);
     }
-    shared.take_records("peer", &told.quarantine);
+    shared.merge_records("peer", &told.quarantine);
     shared.note_all_records();
     if let Some(plan) = told.plan {
-        shared.take_plan("peer", plan);
+        shared.apply_plan("peer", plan);
     }
     if let Some(replicas) = told.replicas {
-        shared.take_replicas(Source::Peer, asked_at - told.replicas_age, &replicas);
+        shared.apply_replicas(Source::Peer, asked_at - told.replicas_age, &replicas);
     }
 }
 
@@ -211,7 +211,7 @@
 }
 
 fn shared_view(shared: &Shared, ask: &Ask) -> Tell {
-    let mut records = shared.take_records("peer", &ask.quarantine);
+    let mut records = shared.merge_records("peer", &ask.quarantine);
     let quarantine = shared.quarantine.borrow();
     records.extend(if ask.all_records {
         quarantine.all()
@@ -219,7 +219,7 @@
         quarantine.suspects()
     });
     let members = shared.members.borrow();
-    let knows_more = members.known() as u32 > ask.instances;
+    let knows_more = members.known_count() as u32 > ask.instances;
     Tell {
         plan: shared
             .plan()
--- a/crates/gateway/src/flow/next.rs
+++ b/crates/gateway/src/flow/next.rs
@@ -32,7 +32,7 @@
     /// Stops the run at `from` so that it can go on at `to`; `None` if it goes on where it is.
     pub(super) async fn stop(&mut self, from: Key, to: Key) -> Option<Stopped> {
         let request = &self.job.call.id;
-        let granted = self.shared.allow(&self.job, Work::Run);
+        let granted = self.shared.ensure_permit(&self.job, Work::Run);
         let outcome = if granted {
             mover::stop(&self.shared, request, from, to).await
         } else {
@@ -67,7 +67,7 @@
             return None;
         };
         for key in &stopped.places {
-            let Some(permit) = self.shared.permit(&self.job, Work::Run) else {
+            let Some(permit) = self.shared.take_permit(&self.job, Work::Run) else {
                 break;
             };
             let task = Task::GoOn {
@@ -113,7 +113,7 @@
     /// A place at another replica, while the present one is silent; none if no retry is left to go
     /// there.
     pub(super) async fn other_place(&self) -> Option<Place> {
-        if !self.shared.may_allow(&self.job) {
+        if !self.shared.can_retry(&self.job) {
             return None;
         }
         let find = place::find_now(&self.shared, &self.job, &self.tried, self.made());
@@ -127,7 +127,7 @@
     pub(super) async fn resume(&mut self, place: Option<Place>) -> Option<Reply> {
         let last_event = self.splitter.resume(self.job.call.last_event).ok()?;
         let (shared, job) = (&self.shared, &self.job);
-        let in_budget = || shared.allow(job, Work::Run);
+        let in_budget = || shared.ensure_permit(job, Work::Run);
         let next = self.attempt.after(Sent::Lost, in_budget);
         if next != Next::Retry {
             return None;
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -19,10 +19,10 @@
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
 
-use crate::card::Card;
 use crate::exchange;
-use crate::members::Send;
-use crate::news::News;
+use crate::instance_info::InstanceInfo;
+use crate::members::Outgoing;
+use crate::poller_status::PollerStatus;
 use crate::quota::keeping;
 use crate::quotas;
 use crate::shared::Shared;
@@ -44,7 +44,7 @@
 /// One datagram.
 #[derive(Debug, Serialize, Deserialize)]
 struct Datagram {
-    from: Card,
+    from: InstanceInfo,
     /// Version of the sender's plan; 0 if it has none.
     plan: u64,
     /// Whether the sender is overloaded.
@@ -61,7 +61,7 @@
     Member {
         message: Message,
         /// Another instance's card.
-        hint: Option<Card>,
+        hint: Option<InstanceInfo>,
     },
     /// Asks the reader of the store for this data centre for news.
     Question {
@@ -74,7 +74,7 @@
     News {
         /// The number of the question.
         number: u32,
-        news: News,
+        news: PollerStatus,
     },
     /// What the sender's runs at decode replicas hold.
     Claims(Told),
@@ -90,7 +90,7 @@
 /// If the socket cannot be opened.
 pub async fn run(shared: Rc<Shared>) -> io::Result<()> {
     let socket = UdpSocket::bind(shared.settings().listen.peers).await?;
-    let socket = shared.datagrams.get_or_init(|| socket);
+    let socket = shared.gossip_socket.get_or_init(|| socket);
     let mut buffer = vec![0; 64 * 1024];
     let mut next = Time::ZERO;
     loop {
@@ -115,22 +115,26 @@
         log::info!(kind = "member", member = name, state = format!("{:?}", member.state); "a member changed");
     }
     for send in sends {
-        let Send { to, message, hint } = send;
+        let Outgoing { to, message, hint } = send;
         transmit(shared, to, Content::Member { message, hint }).await;
     }
     next
 }
 
 /// Asks the daemon at `peer` for news, whose age counts from the question on; `None` if it does not answer in time.
-pub async fn question(shared: &Shared, peer: SocketAddr, patience: Duration) -> Option<News> {
+pub async fn request_status(
+    shared: &Shared,
+    peer: SocketAddr,
+    patience: Duration,
+) -> Option<PollerStatus> {
     let begun = Instant::now();
     let number = rand::random();
     let (answer, answered) = oneshot::channel();
-    shared.questions.borrow_mut().insert(number, answer);
+    shared.status_requests.borrow_mut().insert(number, answer);
     let digest = shared.pool.borrow().digest();
     transmit(shared, peer, Content::Question { number, digest }).await;
     let news = timeout(patience, answered).await;
-    shared.questions.borrow_mut().remove(&number);
+    shared.status_requests.borrow_mut().remove(&number);
     let news = news.ok()?.ok()?;
     // The answer may have waited here while the machine was suspended.
     let news = news.older_by(begun.elapsed());
@@ -143,25 +147,25 @@
 }
 
 /// Tells the daemon at `peer` what this one's runs hold.
-pub async fn tell(shared: &Shared, peer: SocketAddr, told: Told) {
+pub async fn send_claims(shared: &Shared, peer: SocketAddr, told: Told) {
     transmit(shared, peer, Content::Claims(told)).await;
 }
 
 /// Tells the daemon at `peer` of `records`.
-pub async fn tell_records(shared: &Shared, peer: SocketAddr, records: &[Record]) {
+pub async fn send_records(shared: &Shared, peer: SocketAddr, records: &[Record]) {
     for some in records.chunks(MAX_RECORDS) {
         transmit(shared, peer, Content::Quarantine(some.to_vec())).await;
     }
 }
 
 /// Tells the daemon at `peer` of a customer's quota.
-pub async fn tell_quota(shared: &Shared, peer: SocketAddr, message: quotas::Message) {
+pub async fn send_quota(shared: &Shared, peer: SocketAddr, message: quotas::Message) {
     transmit(shared, peer, Content::Quota(message)).await;
 }
 
 async fn transmit(shared: &Shared, to: SocketAddr, content: Content) {
     let datagram = Datagram {
-        from: shared.own_card(),
+        from: shared.own_info(),
         plan: shared.plan_version(),
         overloaded: shared.is_overloaded(),
         quarantine: shared.quarantine.borrow().digest(),
@@ -178,7 +182,7 @@
     if bytes.len() > MAX_DATAGRAM {
         log::debug!(kind = "gossip", bytes = bytes.len(); "a datagram is large");
     }
-    let socket = shared.datagrams.get();
+    let socket = shared.gossip_socket.get();
     let socket = socket.ok_or_else(|| io::Error::other("the socket is not open yet"))?;
     socket.send_to(&bytes, to).await?;
     Ok(())
@@ -194,8 +198,8 @@
         }
     };
     let sender = &datagram.from;
-    if datagram.overloaded && sender.data_centre == shared.own_card().data_centre {
-        shared.heard_overload();
+    if datagram.overloaded && sender.data_centre == shared.own_info().data_centre {
+        shared.note_overloaded_peer();
     }
     match datagram.content {
         Content::Member { message, hint } => {
@@ -206,18 +210,18 @@
             members.receive(shared.clock.now(), sender, &message);
         }
         Content::Question { number, digest } => {
-            let news = shared.news(digest);
+            let news = shared.poller_status(digest);
             transmit(shared, sender.peers, Content::News { number, news }).await;
         }
         Content::News { number, news } => {
-            if let Some(answer) = shared.questions.borrow_mut().remove(&number) {
+            if let Some(answer) = shared.status_requests.borrow_mut().remove(&number) {
                 // The question may have timed out just now.
                 let _ = answer.send(news);
             }
         }
         Content::Quarantine(records) => {
-            let served = shared.take_records("peer", &records);
-            tell_records(shared, sender.peers, &served).await;
+            let served = shared.merge_records("peer", &records);
+            send_records(shared, sender.peers, &served).await;
         }
         Content::Quota(quotas::Message::Ask { number, ask, limit }) => {
             if let Some(answer) = keeping::answer(shared, number, ask, limit) {
@@ -253,15 +257,15 @@
 
 /// Asks `peer` for its plan, unless the store tells it first.
 fn ask_for_plan(shared: Rc<Shared>, version: u64, peer: SocketAddr) {
-    if !shared.begin_asking(version) {
+    if !shared.begin_plan_fetch(version) {
         return;
     }
     tokio::task::spawn_local(async move {
         sleep(PLAN_PATIENCE).await;
         if shared.plan_version() < version {
-            exchange::ask(&shared, peer).await;
+            exchange::fetch_newer(&shared, peer).await;
         }
-        shared.end_asking();
+        shared.end_plan_fetch();
     });
 }
 
@@ -273,7 +277,7 @@
     tokio::task::spawn_local(async move {
         sleep(RECORDS_PATIENCE).await;
         if shared.quarantine.borrow().digest() != digest {
-            exchange::ask(&shared, peer).await;
+            exchange::fetch_newer(&shared, peer).await;
             sleep(RECORDS_PAUSE).await;
         }
         shared.end_comparing();
--- a/crates/gateway/src/guard.rs
+++ b/crates/gateway/src/guard.rs
@@ -15,7 +15,7 @@
 impl Open {
     /// Counts one more request in progress.
     pub fn new(shared: &Rc<Shared>) -> Self {
-        shared.set_open(shared.open() + 1);
+        shared.set_open_requests(shared.open_requests() + 1);
         Self {
             shared: Rc::clone(shared),
         }
@@ -24,7 +24,8 @@
 
 impl Drop for Open {
     fn drop(&mut self) {
-        self.shared.set_open(self.shared.open() - 1);
+        self.shared
+            .set_open_requests(self.shared.open_requests() - 1);
     }
 }
 
--- a/crates/gateway/src/card.rs
+++ b/crates/gateway/src/instance_info.rs
@@ -9,7 +9,7 @@
 
 /// Name and addresses of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
+pub struct InstanceInfo {
     /// Its name.
     pub name: String,
     /// Its data centre.
@@ -22,7 +22,7 @@
     pub capacity: u32,
 }
 
-impl Card {
+impl InstanceInfo {
     /// The key of the instance.
     pub fn instance(&self) -> Instance {
         Instance::new(&self.name)
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -91,7 +91,7 @@
             service,
             owner,
         } = target;
-        let returned = shared.has_returned(&route, &service, call.patience);
+        let returned = shared.was_refused_before(&route, &service, call.patience);
         let patience = call.patience.unwrap_or(route.timeout).min(route.timeout);
         Self {
             call,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,13 +8,12 @@
 pub mod ask;
 pub mod body;
 pub mod callers;
-pub mod card;
 pub mod clock;
 pub mod exchange;
 pub mod flow;
 pub mod gossip;
 pub mod guard;
-pub mod inquiries;
+pub mod instance_info;
 pub mod job;
 pub mod limit;
 pub mod links;
@@ -22,13 +21,14 @@
 pub mod members;
 pub mod metrics;
 pub mod mover;
-pub mod news;
 pub mod outbox;
 pub mod own;
 pub mod phase;
 pub mod place;
 pub mod plain;
+pub mod poller_status;
 pub mod prefill;
+pub mod probes;
 pub mod quarantine;
 pub mod quota;
 pub mod quotas;
@@ -155,9 +155,9 @@
     spawn_local(watch::instances::follow(Rc::clone(&shared)));
     spawn_local(stages::run(Rc::clone(&shared)));
     spawn_local(track::run(Rc::clone(&shared)));
-    spawn_local(quarantine::inquiry::run(Rc::clone(&shared)));
-    spawn_local(quarantine::tell::run(Rc::clone(&shared)));
-    spawn_local(quarantine::kept::run(Rc::clone(&shared)));
+    spawn_local(quarantine::probe::run(Rc::clone(&shared)));
+    spawn_local(quarantine::announce::run(Rc::clone(&shared)));
+    spawn_local(quarantine::storage::run(Rc::clone(&shared)));
     spawn_local(quarantine::sweep(Rc::clone(&shared)));
     // Nobody has records when all start together for the first time.
     if !settings.first_start {
@@ -194,7 +194,7 @@
         let slept = shared.clock.now().since(begun);
         shared.note_late(slept.saturating_sub(HOUSEKEEPING));
         if slept > PAUSED {
-            log::warn!(kind = "pause", ms = slept.as_millis() as u64, open = shared.open() as u64; "the process stood still");
+            log::warn!(kind = "pause", ms = slept.as_millis() as u64, open = shared.open_requests() as u64; "the process stood still");
         }
     }
 }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -21,7 +21,7 @@
 use rand::seq::SliceRandom;
 use relay::directory::Entry;
 
-use crate::card::Card;
+use crate::instance_info::InstanceInfo;
 
 /// Key by which the members of a data centre choose the one that reads the store for all.
 const POLLER: u64 = 1;
@@ -37,13 +37,13 @@
 /// The instances that this daemon knows.
 #[derive(Debug)]
 pub struct Members {
-    own: Card,
+    own: InstanceInfo,
     /// `None` until this daemon takes callers: to be a member is to be told to callers.
     fleet: Option<Fleet>,
     /// When the fleet counts alone; see [`SETTLING`].
     settled: bool,
     joined_at: Time,
-    cards: HashMap<Instance, Card>,
+    cards: HashMap<Instance, InstanceInfo>,
     listed: Vec<Listed>,
     /// Whether the store has told which instances there are.
     is_listed: bool,
@@ -57,18 +57,18 @@
 
 /// A datagram to send.
 #[derive(Debug)]
-pub struct Send {
+pub struct Outgoing {
     /// The receiver.
     pub to: SocketAddr,
     /// What it is told.
     pub message: Message,
     /// Another instance's card, taken in turn.
-    pub hint: Option<Card>,
+    pub hint: Option<InstanceInfo>,
 }
 
 impl Members {
     /// This instance alone, not yet a member.
-    pub fn new(own: Card) -> Self {
+    pub fn new(own: InstanceInfo) -> Self {
         Self {
             own,
             fleet: None,
@@ -84,7 +84,7 @@
     }
 
     /// This instance's card.
-    pub const fn own(&self) -> &Card {
+    pub const fn own(&self) -> &InstanceInfo {
         &self.own
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Takes the instances that the store lists.
-    pub fn list(&mut self, now: Time, cards: &[Card]) {
+    pub fn set_listed(&mut self, now: Time, cards: &[InstanceInfo]) {
         self.is_listed = true;
         self.listed = cards
             .iter()
@@ -133,7 +133,7 @@
     }
 
     /// Takes a card that another daemon told.
-    pub fn learn(&mut self, now: Time, card: &Card) {
+    pub fn learn(&mut self, now: Time, card: &InstanceInfo) {
         let instance = card.instance();
         if instance == self.own.instance() {
             return;
@@ -148,7 +148,7 @@
     }
 
     /// Takes a datagram in.
-    pub fn receive(&mut self, now: Time, from: &Card, message: &Message) {
+    pub fn receive(&mut self, now: Time, from: &InstanceInfo, message: &Message) {
         let known = self.listed.len();
         self.learn(now, from);
         let Some(fleet) = &mut self.fleet else { return };
@@ -159,7 +159,7 @@
     }
 
     /// Does what is due; gives the datagrams to send, what changed, and when to come back.
-    pub fn step(&mut self, now: Time) -> (Vec<Send>, Vec<Member>, Time) {
+    pub fn step(&mut self, now: Time) -> (Vec<Outgoing>, Vec<Member>, Time) {
         let Some(fleet) = &mut self.fleet else {
             return (Vec::new(), Vec::new(), Time::NEVER);
         };
@@ -182,7 +182,7 @@
                 }
             }
         }
-        self.most = self.most.max(self.count());
+        self.most = self.most.max(self.alive_count());
         (sends, changed, next)
     }
 
@@ -232,7 +232,7 @@
         let fleet = self.fleet.as_ref();
         let ranked = match fleet.filter(|_| self.settled) {
             Some(fleet) => owner::rank(key, fleet.serving().map(|member| member.instance), KEEPERS),
-            None => owner::rank(key, self.not_dead().map(Card::instance), KEEPERS),
+            None => owner::rank(key, self.not_dead().map(InstanceInfo::instance), KEEPERS),
         };
         let at = |instance| Some((instance, self.card(instance)?.peers));
         ranked.into_iter().filter_map(at).collect()
@@ -250,7 +250,7 @@
     }
 
     /// Instances that callers are told of: members that are neither leaving nor suspected.
-    pub fn open(&self) -> Vec<Entry> {
+    pub fn advertised(&self) -> Vec<Entry> {
         let Some(fleet) = &self.fleet else {
             return Vec::new();
         };
@@ -266,7 +266,7 @@
     }
 
     /// Whether this daemon is the one that is to act on `key`.
-    pub fn owns(&self, key: u64) -> bool {
+    pub fn is_owner(&self, key: u64) -> bool {
         let owner = self.fleet.as_ref().and_then(|fleet| fleet.owner(key));
         owner == Some(self.own.instance())
     }
@@ -287,13 +287,13 @@
                 let near = self
                     .not_dead()
                     .filter(|card| card.data_centre == data_centre);
-                owner::choose(POLLER, near.map(Card::instance))
+                owner::choose(POLLER, near.map(InstanceInfo::instance))
             }
         }
     }
 
     /// The instances that are listed and not known to be dead, this one among them.
-    fn not_dead(&self) -> impl Iterator<Item = &Card> {
+    fn not_dead(&self) -> impl Iterator<Item = &InstanceInfo> {
         let all = std::iter::once(&self.own).chain(self.cards.values());
         all.filter(|card| !self.is_dead(card.instance()))
     }
@@ -305,7 +305,7 @@
     }
 
     /// Where a daemon of this data centre listens, drawn anew each time; `None` if no other is known.
-    pub fn neighbour(&self) -> Option<SocketAddr> {
+    pub fn random_local_peer(&self) -> Option<SocketAddr> {
         let near = self.own.data_centre;
         let others = self.cards.values();
         let others = others.filter(|card| card.data_centre == near);
@@ -313,14 +313,14 @@
     }
 
     /// Instances of this data centre, this one among them.
-    pub fn near_count(&self) -> usize {
+    pub fn local_count(&self) -> usize {
         let near = self.own.data_centre;
         let others = self.cards.values();
         1 + others.filter(|card| card.data_centre == near).count()
     }
 
     /// Peer addresses of the daemons that read the store for other data centres, in random order.
-    pub fn distant_pollers(&self) -> Vec<SocketAddr> {
+    pub fn remote_pollers(&self) -> Vec<SocketAddr> {
         let near = self.own.data_centre;
         let mut distant: Vec<Zone> = self.cards.values().map(|card| card.data_centre).collect();
         distant.retain(|zone| *zone != near);
@@ -333,42 +333,42 @@
     }
 
     /// Where the daemon of `instance` listens for others, if it is known.
-    pub fn peer(&self, instance: Instance) -> Option<SocketAddr> {
+    pub fn peer_address(&self, instance: Instance) -> Option<SocketAddr> {
         self.cards.get(&instance).map(|card| card.peers)
     }
 
     /// Where daemons of other known instances listen.
-    pub fn peers(&self) -> Vec<SocketAddr> {
+    pub fn peer_addresses(&self) -> Vec<SocketAddr> {
         self.cards.values().map(|card| card.peers).collect()
     }
 
     /// How many instances are known, this one among them.
-    pub fn known(&self) -> usize {
+    pub fn known_count(&self) -> usize {
         1 + self.cards.len()
     }
 
     /// Cards of all instances known, this one's first.
-    pub fn cards(&self) -> Vec<Card> {
+    pub fn cards(&self) -> Vec<InstanceInfo> {
         let own = std::iter::once(&self.own);
         own.chain(self.cards.values()).cloned().collect()
     }
 
     /// Members in reach, this one among them.
-    pub fn count(&self) -> usize {
+    pub fn alive_count(&self) -> usize {
         self.fleet.as_ref().map_or(1, |fleet| fleet.alive().count())
     }
 
-    fn card(&self, instance: Instance) -> Option<&Card> {
+    fn card(&self, instance: Instance) -> Option<&InstanceInfo> {
         if instance == self.own.instance() {
             return Some(&self.own);
         }
         self.cards.get(&instance)
     }
 
-    fn address(&self, to: Instance, message: Message) -> Option<Send> {
+    fn address(&self, to: Instance, message: Message) -> Option<Outgoing> {
         let card = self.cards.get(&to)?;
         let hint = self.cards.values().choose(&mut rand::rng());
-        Some(Send {
+        Some(Outgoing {
             to: card.peers,
             message,
             hint: hint.filter(|hint| hint.name != card.name).cloned(),
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -128,7 +128,7 @@
             return None;
         }
         // Another round is due when a run ends here, or others told of theirs.
-        let _ = timeout(ROUND_PAUSE, shared.room.notified()).await;
+        let _ = timeout(ROUND_PAUSE, shared.capacity_changed.notified()).await;
     }
 }
 
@@ -168,7 +168,7 @@
     let tokens = size.prompt + (expected as u64).max(made);
     let mut asked = tried.to_vec();
     for _ in 0..ROUND {
-        let choose = || shared.choose_room(&job.service, &asked, ask);
+        let choose = || shared.choose_decode(&job.service, &asked, ask);
         let key = limit::choose_admitted(shared, choose).await?;
         asked.push(key);
         let track = Track::new(shared, &job.service, key, size, engine.event_tokens);
@@ -185,7 +185,7 @@
             Asked::NoRoom => shared.pool.borrow_mut().full(shared.clock.now(), key),
             Asked::Failed(cause) => {
                 shared.pool.borrow_mut().note(shared.clock.now(), key, true);
-                shared.note_silent(key);
+                shared.note_unresponsive(key);
                 log::info!(kind = "reserve", request = job.call.id, cause = cause; "a replica did not answer");
             }
         }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -103,7 +103,7 @@
 }
 
 fn after(shared: &Shared, job: &Job, attempt: &mut Attempt, outcome: Outcome) -> Next {
-    attempt.after(outcome, || shared.allow(job, Work::Run))
+    attempt.after(outcome, || shared.ensure_permit(job, Work::Run))
 }
 
 /// How one send ended.
@@ -170,9 +170,9 @@
         && shared
             .choose(&job.service, None, tried)
             .is_some_and(|other| !shared.is_limited(other))
-        && shared.allow(job, Work::Run);
+        && shared.ensure_permit(job, Work::Run);
     if leaves {
-        shared.forget_links(key);
+        shared.close_idle_links(key);
         let cause = "no answer for too long";
         send::note(shared, job, key, Outcome::Lost, cause, 0);
     }
@@ -285,7 +285,7 @@
 ) -> Response<Body> {
     match shared.quarantined_for(job.fingerprint) {
         Some(left) => refuse_quarantined(job, left),
-        None if shared.is_denied(job) => finish(job, "rejected", own::denied, DENIED),
+        None if shared.is_revoked(job) => finish(job, "rejected", own::denied, DENIED),
         None => refuse_with(job, come_back, cause, REFUSED_TEXT),
     }
 }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/poller_status.rs
@@ -8,13 +8,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// News are of use up to this age; a replica that leaves must get nothing 2 s later, and the daemon
+/// A status is of use up to this age; a replica that leaves must get nothing 2 s later, and the daemon
 /// that asks learns of it one period later.
 const MAX_AGE: Duration = Duration::from_secs(1);
 
 /// How the teller's knowledge compares with the asker's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct PollerStatus {
     /// Version of the teller's plan; 0 if it has none.
     pub plan: u64,
     /// Version of the store at which the teller's replicas stand.
@@ -29,7 +29,7 @@
     pub overloaded: bool,
 }
 
-impl News {
+impl PollerStatus {
     /// The news of a daemon with this `plan`, whose `replicas` were read `age` ago.
     pub const fn new(
         plan: u64,
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -61,7 +61,7 @@
             break;
         }
         // The first read is no retry; that of a stream which is resumed is one.
-        let Some(permit) = shared.permit(job, Work::Read) else {
+        let Some(permit) = shared.take_permit(job, Work::Read) else {
             break;
         };
         tried.push(key);
@@ -76,7 +76,7 @@
                 send::note(shared, job, key, Outcome::Lost, cause, 0);
             }
         }
-        if !shared.allow(job, Work::Read) {
+        if !shared.ensure_permit(job, Work::Read) {
             return None;
         }
         failed = true;
@@ -132,7 +132,7 @@
         return read;
     }
     if !ask::answers(shared, key).await {
-        shared.note_silent(key);
+        shared.note_unresponsive(key);
         let cause = "the prompt is not read, and the replica does not answer";
         send::note(shared, job, key, Outcome::Lost, cause, 0);
         return Err(Outcome::Lost);
--- a/crates/gateway/src/inquiries.rs
+++ b/crates/gateway/src/probes.rs
@@ -11,7 +11,7 @@
 
 /// What is being found out.
 #[derive(Debug, Default)]
-pub struct Inquiries {
+pub struct Probes {
     /// Requests that each lost replica was at work on.
     open: RefCell<HashMap<Key, HashSet<Fingerprint>>>,
     /// Lost replicas that are not asked yet, with their hashes.
@@ -20,7 +20,7 @@
     closed: Notify,
 }
 
-impl Inquiries {
+impl Probes {
     /// None.
     pub fn new() -> Self {
         Self::default()
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,8 +1,8 @@
 //! Finding out whether replicas ended while at work on a request, telling the other daemons, and keeping it in the store.
 
-pub mod inquiry;
-pub mod kept;
-pub mod tell;
+pub mod announce;
+pub mod probe;
+pub mod storage;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,9 +38,9 @@
         if shared.has_all_records() {
             return;
         }
-        let peers = shared.members.borrow().peers();
+        let peers = shared.members.borrow().peer_addresses();
         if let Some(peer) = peers.choose(&mut rand::rng()) {
-            exchange::ask(&shared, *peer).await;
+            exchange::fetch_newer(&shared, *peer).await;
         }
         sleep(LOOK_AGAIN).await;
     }
--- a/crates/gateway/src/quarantine/tell.rs
+++ b/crates/gateway/src/quarantine/announce.rs
@@ -48,13 +48,13 @@
 pub async fn run(shared: Rc<Shared>) {
     let mut tellings: Vec<Telling> = Vec::new();
     loop {
-        for fingerprint in shared.untold.take() {
+        for fingerprint in shared.unannounced.take() {
             tellings.retain(|telling| telling.fingerprint != fingerprint);
             tellings.push(Telling::new(fingerprint));
         }
         let records = take_due(&shared, &mut tellings);
         tell(&shared, &records).await;
-        let added = shared.untold.added();
+        let added = shared.unannounced.added();
         match tellings.iter().filter_map(Telling::due).min() {
             // Whichever is first: something new, or the next round.
             Some(due) => {
@@ -89,8 +89,8 @@
     if records.is_empty() {
         return;
     }
-    let peers = shared.members.borrow().peers();
+    let peers = shared.members.borrow().peer_addresses();
     for peer in peers {
-        gossip::tell_records(shared, peer, records).await;
+        gossip::send_records(shared, peer, records).await;
     }
 }
--- a/crates/gateway/src/quarantine/inquiry.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -31,10 +31,10 @@
 /// Has each lost replica asked whether it is there, forever.
 pub async fn run(shared: Rc<Shared>) {
     loop {
-        for (key, replica) in shared.inquiries.take_new() {
+        for (key, replica) in shared.probes.take_new() {
             tokio::task::spawn_local(find_out(Rc::clone(&shared), key, replica));
         }
-        shared.inquiries.opened().await;
+        shared.probes.opened().await;
     }
 }
 
@@ -42,12 +42,12 @@
 async fn find_out(shared: Rc<Shared>, key: Key, replica: u64) {
     let begun = Instant::now();
     let presence = ask_for_presence(&shared, key).await;
-    for fingerprint in shared.inquiries.take_requests(key) {
+    for fingerprint in shared.probes.take_requests(key) {
         if presence != Presence::Here {
             shared.note_end(fingerprint, replica);
         }
     }
-    shared.inquiries.close();
+    shared.probes.close();
     log::info!(kind = "inquiry", replica = format!("{replica:016x}"), presence = format!("{presence:?}"), ms = begun.elapsed().as_millis() as u64; "a replica was lost while at work");
 }
 
@@ -73,7 +73,7 @@
     pub async fn may_send(&self, fingerprint: Fingerprint) -> bool {
         let decided = async {
             loop {
-                let closed = self.inquiries.closed();
+                let closed = self.probes.closed();
                 if self.quarantined_for(fingerprint).is_some() {
                     return false;
                 }
@@ -90,7 +90,7 @@
     fn is_in_question(&self, fingerprint: Fingerprint) -> bool {
         let quarantine = self.quarantine.borrow();
         let ends = quarantine.get(fingerprint).map_or(0, |r| r.ends.len());
-        ends + self.inquiries.count(fingerprint) >= LIMIT
+        ends + self.probes.count(fingerprint) >= LIMIT
             && !quarantine.was_served_lately(clock::unix(), fingerprint)
     }
 }
--- a/crates/gateway/src/quarantine/kept.rs
+++ b/crates/gateway/src/quarantine/storage.rs
@@ -36,10 +36,10 @@
     let mut unkept = HashSet::new();
     loop {
         if unkept.is_empty() {
-            shared.unkept.added().await;
+            shared.unstored.added().await;
             sleep(GATHER).await;
         }
-        unkept.extend(shared.unkept.take());
+        unkept.extend(shared.unstored.take());
         let rows: Vec<Edit> = unkept.iter().flat_map(|f| rows(&shared, *f)).collect();
         let mut kept = true;
         for some in rows.chunks(MAX_ROWS) {
@@ -93,7 +93,7 @@
     for row in &rows {
         match read(row) {
             Some(record) if record.expires() > now => {
-                shared.take_records("store", &[record]);
+                shared.merge_records("store", &[record]);
             }
             _ => over.push(Edit::Remove {
                 key: row.key.clone(),
--- a/crates/gateway/src/quota/asking.rs
+++ b/crates/gateway/src/quota/asking.rs
@@ -42,7 +42,7 @@
     pub fn name(&self, shared: &Shared) -> String {
         match self.keeper {
             Some(keeper) => keeper.ip().to_string(),
-            None => shared.own_card().name,
+            None => shared.own_info().name,
         }
     }
 }
@@ -68,7 +68,7 @@
 /// Window and size of a pocket.
 fn pocket(shared: &Shared, limit: Limit) -> (Duration, f64) {
     let tolerance = shared.settings().quota_tolerance();
-    let daemons = shared.members.borrow().known();
+    let daemons = shared.members.borrow().known_count();
     (tolerance.window, tolerance.pocket(limit, daemons))
 }
 
@@ -79,7 +79,7 @@
         // Only the keeper may grant requests to a replica.
         keepers.truncate(1);
     }
-    let own = shared.own_card().instance();
+    let own = shared.own_info().instance();
     for (instance, address) in keepers {
         let heard = if instance == own {
             Some(Heard {
@@ -109,7 +109,7 @@
     };
     let shared = Rc::clone(shared);
     let message = keeping::giving_back(demand);
-    tokio::task::spawn_local(async move { gossip::tell_quota(&shared, keeper, message).await });
+    tokio::task::spawn_local(async move { gossip::send_quota(&shared, keeper, message).await });
 }
 
 /// Asks the daemon at `to`; `None` if it does not answer in time, or did not just now.
@@ -124,8 +124,8 @@
     let number = rand::random_range(UNANSWERED + 1..=u32::MAX);
     {
         let mut quotas = shared.quotas.borrow_mut();
-        quotas.silent.retain(|_, until| *until > now);
-        if quotas.silent.contains_key(&to) {
+        quotas.unresponsive.retain(|_, until| *until > now);
+        if quotas.unresponsive.contains_key(&to) {
             return None;
         }
         quotas
@@ -144,12 +144,12 @@
         ask: demand.ask(purpose),
         limit: demand.limit,
     };
-    gossip::tell_quota(shared, to, message).await;
+    gossip::send_quota(shared, to, message).await;
     match timeout(PATIENCE, answered).await {
         Ok(told) => told.ok(),
         Err(_) => {
             let until = shared.clock.now() + SILENCE;
-            shared.quotas.borrow_mut().silent.insert(to, until);
+            shared.quotas.borrow_mut().unresponsive.insert(to, until);
             log::info!(kind = "quota", peer = to.to_string(), ms = PATIENCE.as_millis() as u64; "a daemon that keeps quotas does not answer");
             None
         }
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -25,7 +25,7 @@
     /// Questions to other daemons, by number.
     pub pending: HashMap<u32, Pending>,
     /// Daemons that did not answer, and until when they are not asked.
-    pub silent: HashMap<SocketAddr, Time>,
+    pub unresponsive: HashMap<SocketAddr, Time>,
 }
 
 /// What daemons tell each other of quotas.
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -43,11 +43,11 @@
         }
         settings if settings.needs_restart(&before) => {
             log::warn!(kind = "reload"; "instance, data_centre, listen and store take effect at the next start; the rest is in force");
-            shared.take_settings(settings.with_fixed_of(&before));
+            shared.apply_settings(settings.with_fixed_of(&before));
         }
         settings => {
             log::info!(kind = "reload"; "settings in force");
-            shared.take_settings(settings);
+            shared.apply_settings(settings);
         }
     }
 }
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -85,7 +85,7 @@
             }
             Err(outcome) => outcome,
         };
-        match attempt.after(outcome, || shared.allow(job, Work::Run)) {
+        match attempt.after(outcome, || shared.ensure_permit(job, Work::Run)) {
             Next::Retry => {}
             next => return Err(next),
         }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -57,7 +57,7 @@
     };
     let sent = if !shared.may_send(job.fingerprint).await {
         Err(Outcome::Quarantined)
-    } else if shared.is_denied(job) {
+    } else if shared.is_revoked(job) {
         Err(Outcome::Denied)
     } else {
         counted(job, work, send_once(shared, job, key, task, reservation)).await
@@ -194,7 +194,7 @@
 /// Notes that a send to `key` ended in `outcome`.
 pub fn note(shared: &Shared, job: &Job, key: Key, outcome: Outcome, cause: &str, status: u16) {
     if outcome == Outcome::Lost {
-        shared.inquire(job.fingerprint, key);
+        shared.probe_lost(job.fingerprint, key);
     }
     let now = shared.clock.now();
     let mut pool = shared.pool.borrow_mut();
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -34,14 +34,14 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-use crate::card::Card;
 use crate::clock::Clock;
-use crate::inquiries::Inquiries;
+use crate::instance_info::InstanceInfo;
 use crate::links::Links;
 use crate::members::Members;
 use crate::metrics::Metrics;
-use crate::news::News;
 use crate::outbox::Outbox;
+use crate::poller_status::PollerStatus;
+use crate::probes::Probes;
 use crate::quotas::Quotas;
 use crate::settings::Settings;
 use crate::store::Store;
@@ -53,7 +53,7 @@
 /// Time before the end of the grace at which a stopping daemon ends, whatever is in progress. The last log
 /// lines take up to 250 ms of it, and a busy processor of a tenth of a core the rest: with 300 ms in all, a
 /// daemon with one stream left was killed 0.26 s after its last line.
-pub const RESERVE: Duration = Duration::from_millis(700);
+pub const STOP_MARGIN: Duration = Duration::from_millis(700);
 /// Lines about rejected requests in a second at most; a caller that sends nothing but improper
 /// requests must not fill the logs.
 const MAX_REJECTED_LINES: u64 = 50;
@@ -87,23 +87,23 @@
     /// Quotas of customers.
     pub quotas: RefCell<Quotas>,
     /// Lost replicas that are being asked whether they are there.
-    pub inquiries: Inquiries,
+    pub probes: Probes,
     /// Requests of whose records the other daemons are to be told.
-    pub untold: Outbox,
+    pub unannounced: Outbox,
     /// Requests whose records the store is to keep.
-    pub unkept: Outbox,
+    pub unstored: Outbox,
     /// By run, where it is to go on.
-    pub orders: RefCell<HashMap<Id, watch::Sender<Option<Key>>>>,
+    pub move_targets: RefCell<HashMap<Id, watch::Sender<Option<Key>>>>,
     /// Generations that wait for a place.
-    pub line: RefCell<Line>,
+    pub queue: RefCell<Line>,
     /// A run of this daemon ended, or another generation's turn came.
-    pub room: Notify,
+    pub capacity_changed: Notify,
     /// A run began or moved, or a prompt is being read or was read.
     pub runs_changed: Notify,
     /// A replica started again under its id.
     pub restarts: Notify,
     /// Whether the other instances were read from the store.
-    pub listed: watch::Sender<bool>,
+    pub instances_listed: watch::Sender<bool>,
     /// Entries that could not be read, and were told in the log.
     unreadable: RefCell<HashSet<String>>,
     plan: RefCell<Option<Rc<Plan>>>,
@@ -116,11 +116,11 @@
     patiences: RefCell<HashMap<String, Patience>>,
     overload: RefCell<Overload>,
     near: Zone,
-    own: Card,
+    own: InstanceInfo,
     /// Socket for datagrams to other daemons, once it is open.
-    pub datagrams: OnceCell<UdpSocket>,
+    pub gossip_socket: OnceCell<UdpSocket>,
     /// Questions to the poller that wait for an answer.
-    pub questions: RefCell<HashMap<u32, oneshot::Sender<News>>>,
+    pub status_requests: RefCell<HashMap<u32, oneshot::Sender<PollerStatus>>>,
     /// When the replicas were last known to be up to date.
     replicas_heard: Cell<Time>,
     /// When the store last answered.
@@ -145,7 +145,7 @@
     /// The state of a daemon with `settings` that starts now.
     pub fn new(settings: Settings, metrics: Metrics) -> Self {
         let near = Zone::new(&settings.data_centre);
-        let own = Card {
+        let own = InstanceInfo {
             name: settings.instance.clone(),
             data_centre: near,
             callers: settings.listen.callers,
@@ -163,15 +163,15 @@
             claims: RefCell::new(Claims::new()),
             quarantine: RefCell::new(Quarantine::new()),
             quotas: RefCell::new(Quotas::new()),
-            inquiries: Inquiries::new(),
-            untold: Outbox::new(),
-            unkept: Outbox::new(),
-            orders: RefCell::new(HashMap::new()),
-            line: RefCell::new(Line::new()),
-            room: Notify::new(),
+            probes: Probes::new(),
+            unannounced: Outbox::new(),
+            unstored: Outbox::new(),
+            move_targets: RefCell::new(HashMap::new()),
+            queue: RefCell::new(Line::new()),
+            capacity_changed: Notify::new(),
             runs_changed: Notify::new(),
             restarts: Notify::new(),
-            listed: watch::Sender::new(false),
+            instances_listed: watch::Sender::new(false),
             unreadable: RefCell::new(HashSet::new()),
             plan: RefCell::new(None),
             named_customers: RefCell::new(HashSet::new()),
@@ -181,8 +181,8 @@
             overload: RefCell::new(Overload::new()),
             near,
             own,
-            datagrams: OnceCell::new(),
-            questions: RefCell::new(HashMap::new()),
+            gossip_socket: OnceCell::new(),
+            status_requests: RefCell::new(HashMap::new()),
             replicas_heard: Cell::new(Time::ZERO),
             store_heard: Cell::new(Time::ZERO),
             store_lost: Cell::new(false),
@@ -202,12 +202,12 @@
     }
 
     /// Puts `settings` in force.
-    pub fn take_settings(&self, settings: Settings) {
+    pub fn apply_settings(&self, settings: Settings) {
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
     /// The own card.
-    pub fn own_card(&self) -> Card {
+    pub fn own_info(&self) -> InstanceInfo {
         self.own.clone()
     }
 
@@ -221,7 +221,7 @@
         let now = self.clock.now();
         let members = self.members.borrow();
         let metrics = &self.metrics;
-        metrics.members.set(members.count() as u64);
+        metrics.members.set(members.alive_count() as u64);
         metrics.replicas_version.set(self.replicas_version());
         let quarantined = self.quarantine.borrow().quarantined();
         metrics.quarantined.set(quarantined as u64);
@@ -234,7 +234,7 @@
 
     /// Whether one more line about a rejected request may be logged in this second; tells how many
     /// were left out in the last one.
-    pub fn may_log(&self) -> Option<u64> {
+    pub fn may_log_rejection(&self) -> Option<u64> {
         let second = self.clock.now().as_millis() / 1_000;
         let (last, count) = self.rejected.get();
         if last != second {
@@ -246,7 +246,7 @@
     }
 
     /// Whether the log is to tell that the entry `id` cannot be read: the first time, for so many entries.
-    pub fn is_new_unreadable(&self, id: &str) -> bool {
+    pub fn may_log_unreadable(&self, id: &str) -> bool {
         let mut told = self.unreadable.borrow_mut();
         told.len() < MAX_UNREADABLE && told.insert(id.to_owned())
     }
@@ -262,27 +262,27 @@
     }
 
     /// Notes that SIGTERM came.
-    pub fn stop(&self) {
+    pub fn begin_stop(&self) {
         self.stopping.set(Some(self.clock.now()));
     }
 
     /// Whether a request that may last for `longest` is taken; a stopping daemon takes none that it
     /// may have to cut.
-    pub fn takes(&self, longest: Duration) -> bool {
+    pub fn accepts(&self, longest: Duration) -> bool {
         let Some(since) = self.stopping.get() else {
             return true;
         };
         let elapsed = self.clock.now().since(since);
-        elapsed < TAKING || elapsed + longest < self.settings().grace().saturating_sub(RESERVE)
+        elapsed < TAKING || elapsed + longest < self.settings().grace().saturating_sub(STOP_MARGIN)
     }
 
     /// Requests in progress.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.get()
     }
 
     /// Counts the requests in progress anew.
-    pub fn set_open(&self, count: usize) {
+    pub fn set_open_requests(&self, count: usize) {
         self.open.set(count);
         self.metrics.open.set(count as u64);
     }
--- a/crates/gateway/src/shared/choice.rs
+++ b/crates/gateway/src/shared/choice.rs
@@ -46,7 +46,7 @@
 
     /// The decode replica to send a generation to, which asks for so much memory; `None` if none that
     /// was not tried has room.
-    pub fn choose_room(&self, service: &str, tried: &[Key], ask: Ask) -> Option<Key> {
+    pub fn choose_decode(&self, service: &str, tried: &[Key], ask: Ask) -> Option<Key> {
         let want = Want {
             service,
             stage: Some(Stage::Decode),
@@ -128,7 +128,7 @@
 
     /// When a caller of `service` may come back that found no room: about when the answers that
     /// are being made have ended, spread so that callers do not come back together.
-    pub fn come_back(&self, service: &str) -> Duration {
+    pub fn retry_after(&self, service: &str) -> Duration {
         let mean = self.answer_length(service);
         mean.mul_f64(rand::random_range(COME_BACK_FROM..COME_BACK_TO))
     }
@@ -141,7 +141,12 @@
 
     /// Whether a caller with this limit seems to have been refused before: its limit is shorter than that
     /// of others by the time after which it was told to come back.
-    pub fn has_returned(&self, route: &Route, service: &str, limit: Option<Duration>) -> bool {
+    pub fn was_refused_before(
+        &self,
+        route: &Route,
+        service: &str,
+        limit: Option<Duration>,
+    ) -> bool {
         let Some(limit) = limit.filter(|_| route.mode.streams()) else {
             return false;
         };
@@ -152,13 +157,13 @@
     }
 
     /// Notes that `key` did not answer a question, and has the other daemons told.
-    pub fn note_silent(&self, key: Key) {
+    pub fn note_unresponsive(&self, key: Key) {
         self.pool.borrow_mut().silent(self.clock.now(), key);
         self.runs_changed.notify_one();
     }
 
     /// Closes the idle connections to `key`, which had no answer in time.
-    pub fn forget_links(&self, key: Key) {
+    pub fn close_idle_links(&self, key: Key) {
         let address = self.pool.borrow().get(key).map(|s| s.replica.address);
         if let Some(address) = address {
             self.links.forget(address);
--- a/crates/gateway/src/shared/customers.rs
+++ b/crates/gateway/src/shared/customers.rs
@@ -45,7 +45,7 @@
 
     /// Whether `job` may no longer be sent to a replica: by the plan in force, its customer does not hold its API key any more.
     /// A stream that has begun goes on to its end, as it was accepted.
-    pub fn is_denied(&self, job: &Job) -> bool {
+    pub fn is_revoked(&self, job: &Job) -> bool {
         if job.answering.get() || self.plan_version() == job.plan {
             return false;
         }
--- a/crates/gateway/src/shared/knowledge.rs
+++ b/crates/gateway/src/shared/knowledge.rs
@@ -13,7 +13,7 @@
 use relay::replica::Update;
 use relay::server::Key;
 
-use crate::news::News;
+use crate::poller_status::PollerStatus;
 use crate::shared::Shared;
 use crate::store;
 
@@ -34,7 +34,7 @@
     }
 
     /// Puts `plan` in force, unless one as new is; `source` is where it came from.
-    pub fn take_plan(&self, source: &'static str, plan: Plan) {
+    pub fn apply_plan(&self, source: &'static str, plan: Plan) {
         let before = self.plan_version();
         if plan.version <= before {
             return;
@@ -67,7 +67,7 @@
     }
 
     /// Applies an update of the replicas that reflects the store as of `read_at`.
-    pub fn take_replicas(&self, source: Source, read_at: Time, update: &Update) {
+    pub fn apply_replicas(&self, source: Source, read_at: Time, update: &Update) {
         let version = update.version();
         let now = self.clock.now();
         let changes = self.pool.borrow_mut().take(now, source, update);
@@ -144,9 +144,9 @@
     }
 
     /// The news for a daemon whose replicas have the hash `digest`.
-    pub fn news(&self, digest: u64) -> News {
+    pub fn poller_status(&self, digest: u64) -> PollerStatus {
         let pool = self.pool.borrow();
-        News::new(
+        PollerStatus::new(
             self.plan_version(),
             pool.version(),
             pool.digest() == digest,
@@ -178,12 +178,12 @@
     }
 
     /// Time since the store last answered.
-    pub fn store_silence(&self) -> Duration {
+    pub fn time_since_store_answer(&self) -> Duration {
         self.clock.now().since(self.store_heard.get())
     }
 
     /// Begins to ask a peer for plan `version`; `false` if that is being done.
-    pub fn begin_asking(&self, version: u64) -> bool {
+    pub fn begin_plan_fetch(&self, version: u64) -> bool {
         if self.asking.get() >= version {
             return false;
         }
@@ -192,7 +192,7 @@
     }
 
     /// Ends it.
-    pub fn end_asking(&self) {
+    pub fn end_plan_fetch(&self) {
         self.asking.set(0);
     }
 }
--- a/crates/gateway/src/shared/overload.rs
+++ b/crates/gateway/src/shared/overload.rs
@@ -15,12 +15,12 @@
     }
 
     /// Notes that another instance of this data centre told that it is overloaded.
-    pub fn heard_overload(&self) {
+    pub fn note_overloaded_peer(&self) {
         self.change_overload(Overload::heard);
     }
 
     /// Notes that an instance heard of one of this data centre that is overloaded.
-    pub fn told_overload(&self) {
+    pub fn note_reported_overload(&self) {
         self.change_overload(Overload::told);
     }
 
--- a/crates/gateway/src/shared/quarantine.rs
+++ b/crates/gateway/src/shared/quarantine.rs
@@ -19,12 +19,12 @@
 
     /// Notes that the replica behind `key` was lost while at work on the request, and has it found out whether
     /// the replica ended.
-    pub fn inquire(&self, fingerprint: Fingerprint, key: Key) {
+    pub fn probe_lost(&self, fingerprint: Fingerprint, key: Key) {
         // One that leaves by plan breaks off what it has not finished.
         let Some(replica) = self.pool.borrow().missed(key) else {
             return;
         };
-        self.inquiries.open(key, replica, fingerprint);
+        self.probes.open(key, replica, fingerprint);
     }
 
     /// Notes that `replica` ended while at work on the request `fingerprint`, and has that told and kept.
@@ -37,9 +37,9 @@
         drop(quarantine);
         log::info!(kind = "suspect", content = fingerprint.to_string(), replica = format!("{replica:016x}"), ends = ends as u64, change = format!("{change:?}"); "a replica ended while at work on a request");
         if matches!(change, Change::Quarantined | Change::Other) {
-            self.untold.add(fingerprint);
+            self.unannounced.add(fingerprint);
             if is_suspect {
-                self.unkept.add(fingerprint);
+                self.unstored.add(fingerprint);
             }
         }
         self.log_change("own", fingerprint, change);
@@ -50,16 +50,16 @@
         let now = clock::unix();
         let record = self.quarantine.borrow_mut().note_served(now, fingerprint);
         let Some(record) = record else { return };
-        self.untold.add(fingerprint);
+        self.unannounced.add(fingerprint);
         if record.is_suspect() {
-            self.unkept.add(fingerprint);
+            self.unstored.add(fingerprint);
         }
         self.log_change("own", fingerprint, Change::Other);
     }
 
     /// Takes records that a peer or the store told; gives those of which the teller has to hear that the
     /// request was served.
-    pub fn take_records(&self, source: &'static str, records: &[Record]) -> Vec<Record> {
+    pub fn merge_records(&self, source: &'static str, records: &[Record]) -> Vec<Record> {
         let now = clock::unix();
         let mut served = Vec::new();
         for record in records {
@@ -70,7 +70,7 @@
                 served.extend(quarantine.get(record.fingerprint).cloned());
                 // The teller has written its ends to the store.
                 if record.is_suspect() {
-                    self.unkept.add(record.fingerprint);
+                    self.unstored.add(record.fingerprint);
                 }
             }
         }
--- a/crates/gateway/src/shared/retries.rs
+++ b/crates/gateway/src/shared/retries.rs
@@ -20,7 +20,7 @@
     }
 
     /// Whether `job` could be sent once more.
-    pub fn may_allow(&self, job: &Job) -> bool {
+    pub fn can_retry(&self, job: &Job) -> bool {
         if job.allowance.borrow().has(Work::Run) {
             return true;
         }
@@ -31,7 +31,7 @@
     }
 
     /// Sees to it that `job` holds a permit for `work`, out of the budget if it has none; whether it does.
-    pub fn allow(&self, job: &Job, work: Work) -> bool {
+    pub fn ensure_permit(&self, job: &Job, work: Work) -> bool {
         if job.allowance.borrow().has(work) {
             return true;
         }
@@ -52,7 +52,7 @@
     }
 
     /// The permit for `work` that `job` holds, or one out of the budget.
-    pub fn permit(&self, job: &Job, work: Work) -> Option<Permit> {
-        self.allow(job, work).then(|| job.permit(work))?
+    pub fn take_permit(&self, job: &Job, work: Work) -> Option<Permit> {
+        self.ensure_permit(job, work).then(|| job.permit(work))?
     }
 }
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -76,7 +76,7 @@
     let now = shared.clock.now();
     let counts = shared.pool.borrow().counts(now, service);
     let due = balance.due(now, counts, share);
-    let owns = shared.members.borrow().owns(Pool::new(service).0);
+    let owns = shared.members.borrow().is_owner(Pool::new(service).0);
     let Some(due) = due.filter(|_| owns) else {
         return;
     };
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -13,7 +13,7 @@
 use tokio::signal::unix::signal;
 
 use crate::reload;
-use crate::shared::RESERVE;
+use crate::shared::STOP_MARGIN;
 use crate::shared::Shared;
 use crate::watch::instances;
 
@@ -56,8 +56,8 @@
             _ = signals.hangup.recv() => reload::reload(shared, path),
         }
     }
-    log::info!(kind = "stop", open = shared.open() as u64; "stopping");
-    shared.stop();
+    log::info!(kind = "stop", open = shared.open_requests() as u64; "stopping");
+    shared.begin_stop();
     shared.members.borrow_mut().leave(shared.clock.now());
     let name = shared.settings().instance.clone();
     let begun = Instant::now();
@@ -65,12 +65,12 @@
     if let Ok(Err(error)) = unlisted {
         log::warn!(kind = "store", step = "leaving", cause = error.to_string(); "the own row could not be removed");
     }
-    let last = begun + shared.settings().grace().saturating_sub(RESERVE);
+    let last = begun + shared.settings().grace().saturating_sub(STOP_MARGIN);
     sleep_until((begun + LINGER).min(last)).await;
-    while shared.open() > 0 && Instant::now() < last {
+    while shared.open_requests() > 0 && Instant::now() < last {
         sleep(LOOK_AGAIN).await;
     }
-    log::info!(kind = "stop", open = shared.open() as u64; "stopped");
+    log::info!(kind = "stop", open = shared.open_requests() as u64; "stopped");
 }
 
 fn on(kind: SignalKind) -> Result<Signal, Error> {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -51,7 +51,7 @@
 }
 
 fn refuse(shared: &Shared, job: &mut Job, cause: &'static str) -> Response<Body> {
-    plain::refuse(shared, job, shared.come_back(&job.service), cause)
+    plain::refuse(shared, job, shared.retry_after(&job.service), cause)
 }
 
 /// Passes a replica's failure on.
--- a/crates/gateway/src/target.rs
+++ b/crates/gateway/src/target.rs
@@ -74,7 +74,7 @@
         denied,
         plan: plan.version,
     })?;
-    if !shared.takes(route.timeout) {
+    if !shared.accepts(route.timeout) {
         return Err(Error::Stopping);
     }
     let service = route.target(rand::random()).ok_or(Error::NoService)?;
--- a/crates/gateway/src/track.rs
+++ b/crates/gateway/src/track.rs
@@ -48,7 +48,7 @@
     ) -> Self {
         let id = shared.runs.borrow_mut().begin(service, server, size);
         let (order, orders) = watch::channel(None);
-        shared.orders.borrow_mut().insert(id, order);
+        shared.move_targets.borrow_mut().insert(id, order);
         shared.foresee(server);
         shared.runs_changed.notify_one();
         Self {
@@ -122,7 +122,7 @@
     fn drop(&mut self) {
         let now = self.shared.clock.now();
         let server = self.shared.runs.borrow().get(self.id).map(|run| run.server);
-        self.shared.orders.borrow_mut().remove(&self.id);
+        self.shared.move_targets.borrow_mut().remove(&self.id);
         let mut runs = self.shared.runs.borrow_mut();
         runs.end(now, self.id, self.complete);
         drop(runs);
@@ -130,7 +130,7 @@
             self.shared.foresee(server);
             // Generations that wait here go before those of other daemons, which are told later: the
             // room that one run leaves must not be taken by several.
-            self.shared.room.notify_waiters();
+            self.shared.capacity_changed.notify_waiters();
         }
     }
 }
@@ -174,13 +174,13 @@
             let engine = plan.services.get(service)?.engine?;
             let to = engine
                 .moves
-                .then(|| shared.choose_room(service, &[from], ask))??;
+                .then(|| shared.choose_decode(service, &[from], ask))??;
             // A move cannot wait for a limited replica to admit the request.
             (!shared.is_limited(to)).then_some(to)
         })
     };
     for Move { run, to } in moves {
-        if let Some(order) = shared.orders.borrow().get(&run) {
+        if let Some(order) = shared.move_targets.borrow().get(&run) {
             order.send_replace(Some(to));
         }
     }
@@ -191,19 +191,21 @@
     let due = teller.due(now, &shared.runs.borrow(), &shared.pool.borrow());
     let Some(told) = due else { return };
     for to in audience(shared) {
-        gossip::tell(shared, to, told.clone()).await;
+        gossip::send_claims(shared, to, told.clone()).await;
     }
 }
 
 /// The daemons that are told: those that have runs, and some others.
 fn audience(shared: &Shared) -> Vec<SocketAddr> {
     let members = shared.members.borrow();
-    let peers = members.peers();
+    let peers = members.peer_addresses();
     if peers.len() <= MAX_TOLD {
         return peers;
     }
     let claims = shared.claims.borrow();
-    let active = claims.active().filter_map(|peer| members.peer(peer));
+    let active = claims
+        .active()
+        .filter_map(|peer| members.peer_address(peer));
     let mut to: Vec<SocketAddr> = active.take(MAX_TOLD).collect();
     for drawn in peers.sample(&mut rand::rng(), DRAWN) {
         if !to.contains(drawn) {
--- a/crates/gateway/src/turn.rs
+++ b/crates/gateway/src/turn.rs
@@ -20,22 +20,22 @@
         Self {
             shared: Rc::clone(shared),
             service: service.to_owned(),
-            ticket: shared.line.borrow_mut().join(service, priority, late),
+            ticket: shared.queue.borrow_mut().join(service, priority, late),
         }
     }
 
     /// Whether it is this one's turn.
     pub fn is_now(&self) -> bool {
-        let line = self.shared.line.borrow();
+        let line = self.shared.queue.borrow();
         line.is_first(&self.service, self.ticket)
     }
 }
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        let mut line = self.shared.line.borrow_mut();
+        let mut line = self.shared.queue.borrow_mut();
         line.leave(&self.service, self.ticket);
         drop(line);
-        self.shared.room.notify_waiters();
+        self.shared.capacity_changed.notify_waiters();
     }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -159,7 +159,7 @@
 
 /// The phase of a daemon that waits until `patience` at most.
 fn phase(shared: &Shared, patience: Instant) -> Phase {
-    let instances = shared.members.borrow().near_count();
+    let instances = shared.members.borrow().local_count();
     match shared.replicas_version() {
         0 if instances <= DIRECT_READERS => Phase::StartsWithFew,
         0 if Instant::now() < patience => Phase::StartsWithMany,
@@ -169,7 +169,7 @@
 
 /// Waits until the other instances are known, since it follows from them who reads the store.
 async fn until_listed(shared: &Shared) {
-    let mut listed = shared.listed.subscribe();
+    let mut listed = shared.instances_listed.subscribe();
     let patience = if shared.settings().first_start {
         START_PATIENCE
     } else {
@@ -182,7 +182,7 @@
 /// The time until this daemon tries the store again that fails its reader: `period` where a data centre has
 /// few instances, and as much longer as there are more of them.
 fn seldom(shared: &Shared, period: Duration) -> Duration {
-    let instances = shared.members.borrow().near_count();
+    let instances = shared.members.borrow().local_count();
     let share = instances.max(DIRECT_READERS) as f64 / DIRECT_READERS as f64;
     period.mul_f64(share * rand::random_range(0.75..1.25))
 }
@@ -196,7 +196,7 @@
     let Some(near) = near else {
         return Heard::Silent;
     };
-    let distant = shared.members.borrow().distant_pollers();
+    let distant = shared.members.borrow().remote_pollers();
     let mut heard = Heard::Silent;
     for poller in std::iter::once(near).chain(distant) {
         match timeout_at(deadline, news(shared, poller)).await {
@@ -212,7 +212,7 @@
 /// Asks any daemon of this data centre. At a common start the one that reads the store would have to pass
 /// a list of 75 KB and more on to some sixty others through one link; each that has it passes it on.
 async fn ask_neighbour(shared: &Shared) {
-    let neighbour = shared.members.borrow().neighbour();
+    let neighbour = shared.members.borrow().random_local_peer();
     if let Some(neighbour) = neighbour {
         news(shared, neighbour).await;
     }
@@ -220,11 +220,11 @@
 
 /// Asks the daemon at `poller`.
 async fn news(shared: &Shared, poller: SocketAddr) -> Heard {
-    let Some(news) = gossip::question(shared, poller, NEWS_PATIENCE).await else {
+    let Some(news) = gossip::request_status(shared, poller, NEWS_PATIENCE).await else {
         return Heard::Silent;
     };
     if news.overloaded && Some(poller) == shared.members.borrow().poller() {
-        shared.told_overload();
+        shared.note_reported_overload();
     }
     match news {
         news if !news.is_fresh() => Heard::Stale,
@@ -232,7 +232,7 @@
             shared.confirm_replicas(news.replicas, news.age());
             Heard::Fresh
         }
-        _ if exchange::ask(shared, poller).await => Heard::Fresh,
+        _ if exchange::fetch_newer(shared, poller).await => Heard::Fresh,
         _ => Heard::Silent,
     }
 }
@@ -243,7 +243,7 @@
         Ok(update) => {
             shared.store_answered("replicas");
             let read_at = earliest_read_time(started_at, shared.clock.now(), &update);
-            shared.take_replicas(Source::Store, read_at, &update);
+            shared.apply_replicas(Source::Store, read_at, &update);
             true
         }
         Err(error) => {
@@ -307,7 +307,7 @@
                     log::error!(kind = "plan", version = read.plan.version, cause = problem; "a customer's row is not as it should be");
                 }
             }
-            shared.take_plan("store", read.plan);
+            shared.apply_plan("store", read.plan);
         }
         Err(error) => {
             log::error!(kind = "plan", cause = error.to_string(); "a plan cannot be read; the one in force stays");
--- a/crates/gateway/src/watch/instances.rs
+++ b/crates/gateway/src/watch/instances.rs
@@ -7,7 +7,7 @@
 use platform::store::Row;
 use platform::store::Rows;
 
-use crate::card::Card;
+use crate::instance_info::InstanceInfo;
 use crate::shared::Shared;
 use crate::watch::seldom;
 
@@ -34,7 +34,7 @@
             Ok(rows) => {
                 shared.store_answered("instances");
                 let registered = take_instances(&shared, &rows).await;
-                shared.listed.send_replace(true);
+                shared.instances_listed.send_replace(true);
                 match shared.members.borrow().poller() {
                     _ if !registered => RETRY,
                     Some(_) => DISTANT_PERIOD,
@@ -44,7 +44,7 @@
             Err(error) => {
                 shared.store_failed("instances", &error);
                 // Nobody waits for a list that does not come.
-                shared.listed.send_replace(true);
+                shared.instances_listed.send_replace(true);
                 seldom(&shared, RETRY)
             }
         };
@@ -55,11 +55,14 @@
 /// Takes the cards of the instances, and writes the own one if it is missing or old; whether the own
 /// one is as it should be.
 async fn take_instances(shared: &Shared, rows: &Rows) -> bool {
-    let read = |row: &Row| serde_json::from_slice::<Card>(row.value.as_deref()?).ok();
-    let cards: Vec<Card> = rows.rows.iter().filter_map(read).collect();
-    let own = shared.own_card();
+    let read = |row: &Row| serde_json::from_slice::<InstanceInfo>(row.value.as_deref()?).ok();
+    let cards: Vec<InstanceInfo> = rows.rows.iter().filter_map(read).collect();
+    let own = shared.own_info();
     let listed = cards.contains(&own);
-    shared.members.borrow_mut().list(shared.clock.now(), &cards);
+    shared
+        .members
+        .borrow_mut()
+        .set_listed(shared.clock.now(), &cards);
     if listed || shared.is_stopping() {
         return true;
     }
@@ -68,7 +71,7 @@
 
 /// Writes the own row; whether that succeeded.
 async fn register(shared: &Shared) -> bool {
-    let own = shared.own_card();
+    let own = shared.own_info();
     let value = match serde_json::to_vec(&own) {
         Ok(value) => value,
         Err(error) => {
--- a/crates/gateway/src/watch/rows.rs
+++ b/crates/gateway/src/watch/rows.rs
@@ -45,7 +45,7 @@
         // A request would come back to this daemon as one of a caller.
         Ok(replica) if replica.address.ip() == own => None,
         Ok(replica) => Some(replica),
-        Err(_) if !shared.is_new_unreadable(&row.key) => None,
+        Err(_) if !shared.may_log_unreadable(&row.key) => None,
         Err(error) => {
             log::warn!(kind = "replica", replica = row.key, cause = error.to_string(); "an entry cannot be read");
             None
--- a/crates/gateway/tests/gateway/late_news.rs
+++ b/crates/gateway/tests/gateway/late_news.rs
@@ -58,17 +58,17 @@
     tokio::task::spawn_local(gossip::run(Rc::clone(&asker)));
     tokio::task::spawn_local(gossip::run(shared(&teller)));
     let address = SocketAddr::new(teller.parse().unwrap(), PORT);
-    while gossip::question(&asker, address, PATIENCE / 100)
+    while gossip::request_status(&asker, address, PATIENCE / 100)
         .await
         .is_none()
     {}
     let change = async {
         if changes {
-            asker.take_replicas(Source::Peer, asker.clock.now(), &list());
+            asker.apply_replicas(Source::Peer, asker.clock.now(), &list());
         }
     };
     // The question is on its way before the list is taken.
-    let (news, ()) = tokio::join!(gossip::question(&asker, address, PATIENCE), change);
+    let (news, ()) = tokio::join!(gossip::request_status(&asker, address, PATIENCE), change);
     news.unwrap().same
 }
 
--- a/crates/gateway/tests/gateway/members.rs
+++ b/crates/gateway/tests/gateway/members.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use gateway::card::Card;
+use gateway::instance_info::InstanceInfo;
 use gateway::members::Members;
 use ident::Time;
 use ident::Zone;
 
-fn card(number: u8) -> Card {
-    Card {
+fn card(number: u8) -> InstanceInfo {
+    InstanceInfo {
         name: format!("entry-{number}"),
         data_centre: Zone::new("here"),
         callers: ([127, 0, 0, number], 1).into(),
@@ -22,14 +22,14 @@
     let mut members = Members::new(card(1));
     members.join(Time::ZERO, 1);
     assert!(!members.is_majority(Time::ZERO));
-    members.list(Time::ZERO, &[card(1)]);
+    members.set_listed(Time::ZERO, &[card(1)]);
     assert!(members.is_majority(Time::ZERO));
 }
 
 #[test]
 fn daemons_that_are_listed_and_not_met_count_against_the_majority() {
     let mut members = Members::new(card(1));
-    members.list(Time::ZERO, &[card(1), card(2), card(3)]);
+    members.set_listed(Time::ZERO, &[card(1), card(2), card(3)]);
     members.join(Time::ZERO, 1);
     // For some seconds they may be met yet.
     assert!(members.is_majority(Time::ZERO));
--- a/crates/gateway/tests/suspend.rs
+++ b/crates/gateway/tests/suspend.rs
@@ -134,9 +134,12 @@
     let shared = shared(&new_ip());
     let asking = async {
         tokio::task::spawn_local(gossip::run(Rc::clone(&shared)));
-        while gossip::question(&shared, peer, SUSPENDED).await.is_none() {}
+        while gossip::request_status(&shared, peer, SUSPENDED)
+            .await
+            .is_none()
+        {}
         let suspension = async { thread::sleep(LONG_SUSPENDED) };
-        tokio::join!(gossip::question(&shared, peer, SUSPENDED), suspension)
+        tokio::join!(gossip::request_status(&shared, peer, SUSPENDED), suspension)
     };
     let (news, ()) = LocalSet::new().run_until(asking).await;
     assert!(
