--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -34,7 +34,7 @@
 use crate::shared::Shared;
 
 /// Time for one question, the connection included.
-const ASK_TIMEOUT: Duration = Duration::from_millis(800);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 /// Bytes of a message at most; a plan of some thousand routes stays below.
 const MAX_MESSAGE: usize = 4 * 1024 * 1024;
 /// Time between two questions while the store is silent.
@@ -42,10 +42,10 @@
 /// Silence of the store from which on peers are asked.
 const STORE_SILENCE: Duration = Duration::from_millis(1_500);
 /// Connections served at once.
-const MAX_SERVED: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Ask {
+struct SyncRequest {
     /// Version of the asker's plan; 0 if it has none.
     plan: u64,
     /// Version of the store at which the asker's replicas stand.
@@ -61,7 +61,7 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Tell {
+struct SyncResponse {
     /// The plan, if it is newer than the asker's.
     plan: Option<Plan>,
     /// The replicas, if they are newer than the asker's.
@@ -76,17 +76,18 @@
 
 /// Answers other daemons, forever.
 pub async fn serve(shared: Rc<Shared>, listener: TcpListener) {
-    let served = Arc::new(Semaphore::new(MAX_SERVED));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(permit) = Arc::clone(&served).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&slots).acquire_owned().await else {
             return;
         };
         match listener.accept().await {
             Ok((socket, peer)) => {
                 let shared = Rc::clone(&shared);
                 tokio::task::spawn_local(async move {
-                    let told = timeout(ASK_TIMEOUT, tell(&shared, socket)).await;
-                    if let Ok(Err(error)) = told {
+                    let answered =
+                        timeout(REQUEST_TIMEOUT, serve_connection(&shared, socket)).await;
+                    if let Ok(Err(error)) = answered {
                         log::debug!(kind = "exchange", peer = peer.to_string(), cause = error.to_string(); "a question was not answered");
                     }
                     drop(permit);
@@ -101,7 +102,7 @@
 }
 
 /// Asks peers while the store is silent or no plan is known, forever.
-pub async fn follow(shared: Rc<Shared>) {
+pub async fn poll_peers(shared: Rc<Shared>) {
     loop {
         sleep(PERIOD).await;
         if shared.plan_version() > 0 && shared.time_since_store_answer() < STORE_SILENCE {
@@ -117,7 +118,7 @@
 
 /// Asks the daemon at `peer` for what is newer there; `false` if it does not answer.
 pub async fn fetch_newer(shared: &Shared, peer: SocketAddr) -> bool {
-    let ask = Ask {
+    let message = SyncRequest {
         plan: shared.plan_version(),
         replicas: shared.replicas_version(),
         digest: shared.pool.borrow().digest(),
@@ -126,11 +127,11 @@
         all_records: !shared.has_all_records(),
     };
     let begun = Instant::now();
-    let asked_at = shared.clock.now();
-    match timeout(ASK_TIMEOUT, question(peer, &ask)).await {
+    let sent_at = shared.clock.now();
+    match timeout(REQUEST_TIMEOUT, send_request(peer, &message)).await {
         // A list that came later was told before the machine was suspended.
-        Ok(Ok(told)) if begun.elapsed() <= ASK_TIMEOUT => {
-            take(shared, asked_at, told);
+        Ok(Ok(response)) if begun.elapsed() <= REQUEST_TIMEOUT => {
+            apply(shared, sent_at, response);
             return true;
         }
         Ok(Err(error)) => {
@@ -144,22 +145,22 @@
 }
 
 /// Applies the answer to a question that was sent at `asked_at`.
-fn take(shared: &Shared, asked_at: Time, told: Tell) {
+fn apply(shared: &Shared, sent_at: Time, response: SyncResponse) {
     let now = shared.clock.now();
-    for card in &told.cards {
-        shared.members.borrow_mut().learn(now, card);
+    for instance in &response.cards {
+        shared.members.borrow_mut().learn(now, instance);
     }
-    shared.merge_records("peer", &told.quarantine);
+    shared.merge_records("peer", &response.quarantine);
     shared.note_all_records();
-    if let Some(plan) = told.plan {
+    if let Some(plan) = response.plan {
         shared.apply_plan("peer", plan);
     }
-    if let Some(replicas) = told.replicas {
-        shared.apply_replicas(Source::Peer, asked_at - told.replicas_age, &replicas);
+    if let Some(replicas) = response.replicas {
+        shared.apply_replicas(Source::Peer, sent_at - response.replicas_age, &replicas);
     }
 }
 
-async fn question(peer: SocketAddr, ask: &Ask) -> io::Result<Tell> {
+async fn send_request(peer: SocketAddr, message: &SyncRequest) -> io::Result<SyncResponse> {
     let socket = TcpStream::connect(peer).await?;
     let (mut client, connection) = h2::client::handshake(socket)
         .await
@@ -175,15 +176,15 @@
     let (answer, mut body) = client
         .send_request(request, false)
         .map_err(io::Error::other)?;
-    body.send_data(encode(ask)?, true)
+    body.send_data(encode(message)?, true)
         .map_err(io::Error::other)?;
     let answer = answer.await.map_err(io::Error::other)?;
-    let told = decode(answer.into_body()).await;
+    let response = decode(answer.into_body()).await;
     driver.abort();
-    told
+    response
 }
 
-async fn tell(shared: &Shared, socket: TcpStream) -> io::Result<()> {
+async fn serve_connection(shared: &Shared, socket: TcpStream) -> io::Result<()> {
     let mut connection = h2::server::handshake(socket)
         .await
         .map_err(io::Error::other)?;
@@ -191,12 +192,12 @@
         let (request, mut respond) = request.map_err(io::Error::other)?;
         let body = request.into_body();
         let answer = async {
-            let ask: Ask = decode(body).await?;
-            let told = encode(&shared_view(shared, &ask))?;
+            let message: SyncRequest = decode(body).await?;
+            let encoded = encode(&response_to(shared, &message))?;
             let mut stream = respond
                 .send_response(Response::new(()), false)
                 .map_err(io::Error::other)?;
-            stream.send_data(told, true).map_err(io::Error::other)
+            stream.send_data(encoded, true).map_err(io::Error::other)
         };
         // The connection has to be driven for the body of the question to arrive.
         let mut answer = std::pin::pin!(answer);
@@ -210,25 +211,25 @@
     Ok(())
 }
 
-fn shared_view(shared: &Shared, ask: &Ask) -> Tell {
-    let mut records = shared.merge_records("peer", &ask.quarantine);
+fn response_to(shared: &Shared, request: &SyncRequest) -> SyncResponse {
+    let mut records = shared.merge_records("peer", &request.quarantine);
     let quarantine = shared.quarantine.borrow();
-    records.extend(if ask.all_records {
+    records.extend(if request.all_records {
         quarantine.all()
     } else {
         quarantine.suspects()
     });
     let members = shared.members.borrow();
-    let knows_more = members.known_count() as u32 > ask.instances;
-    Tell {
+    let knows_more = members.known_count() as u32 > request.instances;
+    SyncResponse {
         plan: shared
             .plan()
-            .filter(|plan| plan.version > ask.plan)
+            .filter(|plan| plan.version > request.plan)
             .map(|plan| (*plan).clone()),
-        replicas: shared.newer_replicas(ask.replicas, ask.digest),
+        replicas: shared.newer_replicas(request.replicas, request.digest),
         replicas_age: shared.replicas_age(),
         cards: if knows_more {
-            members.cards()
+            members.all_instances()
         } else {
             Vec::new()
         },
--- a/crates/gateway/src/flow.rs
+++ b/crates/gateway/src/flow.rs
@@ -167,7 +167,7 @@
     /// silent, is told in the log.
     fn note_gap(&self, key: Key, last: Instant) {
         let gap = last.elapsed();
-        self.shared.metrics.gap(gap.as_secs_f64());
+        self.shared.metrics.event_gap(gap.as_secs_f64());
         if self.started && gap > self.job.route.pause.unwrap_or(LONG_GAP) {
             let pool = self.shared.pool.borrow();
             let replica = pool.get(key).map_or("", |server| &server.replica.id);
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -32,12 +32,12 @@
 /// Longest sleep without a step.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
 /// Time that the store gets to tell a newer plan before the peer that has it is asked.
-const PLAN_PATIENCE: Duration = Duration::from_millis(300);
+const PLAN_DELAY: Duration = Duration::from_millis(300);
 
 /// Records of requests under which replicas ended, in one datagram: 75 bytes each, and 200 for its head.
 const MAX_RECORDS: usize = 12;
 /// Time that datagrams on their way get before a peer whose records differ is asked for them.
-const RECORDS_PATIENCE: Duration = Duration::from_millis(300);
+const RECORDS_DELAY: Duration = Duration::from_millis(300);
 /// Pause after such a question, so that many differences are made good by few.
 const RECORDS_PAUSE: Duration = Duration::from_millis(700);
 
@@ -114,9 +114,9 @@
         let name = shared.members.borrow().name(member.instance);
         log::info!(kind = "member", member = name, state = format!("{:?}", member.state); "a member changed");
     }
-    for send in sends {
-        let Outgoing { to, message, hint } = send;
-        transmit(shared, to, Content::Member { message, hint }).await;
+    for outgoing in sends {
+        let Outgoing { to, message, hint } = outgoing;
+        send(shared, to, Content::Member { message, hint }).await;
     }
     next
 }
@@ -125,45 +125,45 @@
 pub async fn request_status(
     shared: &Shared,
     peer: SocketAddr,
-    patience: Duration,
+    limit: Duration,
 ) -> Option<PollerStatus> {
     let begun = Instant::now();
     let number = rand::random();
     let (answer, answered) = oneshot::channel();
     shared.status_requests.borrow_mut().insert(number, answer);
     let digest = shared.pool.borrow().digest();
-    transmit(shared, peer, Content::Question { number, digest }).await;
-    let news = timeout(patience, answered).await;
+    send(shared, peer, Content::Question { number, digest }).await;
+    let news = timeout(limit, answered).await;
     shared.status_requests.borrow_mut().remove(&number);
     let news = news.ok()?.ok()?;
     // The answer may have waited here while the machine was suspended.
-    let news = news.older_by(begun.elapsed());
+    let news = news.aged_by(begun.elapsed());
     let is_unchanged = shared.pool.borrow().digest() == digest;
     Some(if is_unchanged {
         news
     } else {
-        news.of_another_list()
+        news.for_changed_list()
     })
 }
 
 /// Tells the daemon at `peer` what this one's runs hold.
 pub async fn send_claims(shared: &Shared, peer: SocketAddr, told: Told) {
-    transmit(shared, peer, Content::Claims(told)).await;
+    send(shared, peer, Content::Claims(told)).await;
 }
 
 /// Tells the daemon at `peer` of `records`.
 pub async fn send_records(shared: &Shared, peer: SocketAddr, records: &[Record]) {
-    for some in records.chunks(MAX_RECORDS) {
-        transmit(shared, peer, Content::Quarantine(some.to_vec())).await;
+    for chunk in records.chunks(MAX_RECORDS) {
+        send(shared, peer, Content::Quarantine(chunk.to_vec())).await;
     }
 }
 
 /// Tells the daemon at `peer` of a customer's quota.
 pub async fn send_quota(shared: &Shared, peer: SocketAddr, message: quotas::Message) {
-    transmit(shared, peer, Content::Quota(message)).await;
+    send(shared, peer, Content::Quota(message)).await;
 }
 
-async fn transmit(shared: &Shared, to: SocketAddr, content: Content) {
+async fn send(shared: &Shared, to: SocketAddr, content: Content) {
     let datagram = Datagram {
         from: shared.own_info(),
         plan: shared.plan_version(),
@@ -171,12 +171,12 @@
         quarantine: shared.quarantine.borrow().digest(),
         content,
     };
-    if let Err(error) = write(shared, to, &datagram).await {
+    if let Err(error) = send_datagram(shared, to, &datagram).await {
         log::debug!(kind = "gossip", peer = to.to_string(), cause = error.to_string(); "a datagram could not be sent");
     }
 }
 
-async fn write(shared: &Shared, to: SocketAddr, datagram: &Datagram) -> io::Result<()> {
+async fn send_datagram(shared: &Shared, to: SocketAddr, datagram: &Datagram) -> io::Result<()> {
     let bytes =
         bincode::serde::encode_to_vec(datagram, config::standard()).map_err(io::Error::other)?;
     if bytes.len() > MAX_DATAGRAM {
@@ -211,7 +211,7 @@
         }
         Content::Question { number, digest } => {
             let news = shared.poller_status(digest);
-            transmit(shared, sender.peers, Content::News { number, news }).await;
+            send(shared, sender.peers, Content::News { number, news }).await;
         }
         Content::News { number, news } => {
             if let Some(answer) = shared.status_requests.borrow_mut().remove(&number) {
@@ -225,12 +225,12 @@
         }
         Content::Quota(quotas::Message::Ask { number, ask, limit }) => {
             if let Some(answer) = keeping::answer(shared, number, ask, limit) {
-                transmit(shared, sender.peers, Content::Quota(answer)).await;
+                send(shared, sender.peers, Content::Quota(answer)).await;
             }
         }
         Content::Quota(quotas::Message::Told { number, told }) => {
             if let Some((to, message)) = keeping::take_answer(shared, number, told) {
-                transmit(shared, to, Content::Quota(message)).await;
+                send(shared, to, Content::Quota(message)).await;
             }
         }
         Content::Claims(told) => {
@@ -251,17 +251,17 @@
         compare_records(Rc::clone(shared), datagram.from.peers, datagram.quarantine);
     }
     if datagram.plan > shared.plan_version() {
-        ask_for_plan(Rc::clone(shared), datagram.plan, datagram.from.peers);
+        fetch_plan(Rc::clone(shared), datagram.plan, datagram.from.peers);
     }
 }
 
 /// Asks `peer` for its plan, unless the store tells it first.
-fn ask_for_plan(shared: Rc<Shared>, version: u64, peer: SocketAddr) {
+fn fetch_plan(shared: Rc<Shared>, version: u64, peer: SocketAddr) {
     if !shared.begin_plan_fetch(version) {
         return;
     }
     tokio::task::spawn_local(async move {
-        sleep(PLAN_PATIENCE).await;
+        sleep(PLAN_DELAY).await;
         if shared.plan_version() < version {
             exchange::fetch_newer(&shared, peer).await;
         }
@@ -275,7 +275,7 @@
         return;
     }
     tokio::task::spawn_local(async move {
-        sleep(RECORDS_PATIENCE).await;
+        sleep(RECORDS_DELAY).await;
         if shared.quarantine.borrow().digest() != digest {
             exchange::fetch_newer(&shared, peer).await;
             sleep(RECORDS_PAUSE).await;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -75,19 +75,19 @@
 /// What is logged: everything of this product, warnings of its libraries.
 const LEVELS: &str = "warn, gateway=info, waxwing_gateway=info";
 /// Bound of the numbers that tell the runs of an instance apart in its log lines.
-const MAX_RUN: u32 = 1 << 24;
+const MAX_RUN_ID: u32 = 1 << 24;
 /// Time between two looks after idle connections and readiness.
-const HOUSEKEEPING: Duration = Duration::from_millis(100);
+const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(100);
 /// Time that the last log lines of the process get; nobody may be reading them.
-const LAST_LINES: Duration = Duration::from_millis(200);
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 /// Pause between the last line and the end of the process, for collectors that read its output from
 /// time to time and drop what is left at its end: without it the line that it stopped was lost in 7
 /// of 7 stops.
 const COLLECTOR_PAUSE: Duration = Duration::from_millis(50);
 /// Sleep of the housekeeping from which on the process is said to have stood still.
-const PAUSED: Duration = Duration::from_secs(1);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 /// Bounds of the servers that callers send no requests to.
-const ASIDE: Bounds = Bounds {
+const AUXILIARY: Bounds = Bounds {
     header_bytes: 8 * 1024,
     header_timeout: Duration::from_secs(3),
     idle_timeout: Duration::from_secs(15),
@@ -99,14 +99,15 @@
 /// If it cannot start.
 pub fn run(settings: Settings, path: &Path) -> Result<(), Error> {
     let (_logs, lines) = start_logs(&settings.instance)?;
-    let metrics = Metrics::new(Arc::clone(&lines)).map_err(|error| start("metrics", &error))?;
+    let metrics =
+        Metrics::new(Arc::clone(&lines)).map_err(|error| start_error("metrics", &error))?;
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|error| start("runtime", &error))?;
+        .map_err(|error| start_error("runtime", &error))?;
     let shared = Rc::new(Shared::new(settings, metrics));
     let served = LocalSet::new().block_on(&runtime, serve(shared, path));
-    lines.settle(LAST_LINES);
+    lines.settle(LOG_FLUSH_TIMEOUT);
     std::thread::sleep(COLLECTOR_PAUSE);
     served
 }
@@ -123,51 +124,51 @@
     let metrics = bind("metrics", listen.metrics).await?;
     let peers = bind("peers", listen.peers).await?;
 
-    let own = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     let bounds = Rc::clone(&shared);
     spawn_local(listen::serve(
         callers,
-        move || bounds_of(&bounds),
-        move |request| callers::serve(Rc::clone(&own), request),
+        move || caller_bounds(&bounds),
+        move |request| callers::serve(Rc::clone(&state), request),
     ));
-    let own = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     spawn_local(listen::serve(
         addresses,
-        || ASIDE,
-        move |request| std::future::ready(asides::addresses(&own, &request)),
+        || AUXILIARY,
+        move |request| std::future::ready(asides::addresses(&state, &request)),
     ));
-    let own = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     spawn_local(listen::serve(
         readiness,
-        || ASIDE,
-        move |request| std::future::ready(asides::readiness(&own, &request)),
+        || AUXILIARY,
+        move |request| std::future::ready(asides::readiness(&state, &request)),
     ));
-    let own = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     spawn_local(listen::serve(
         metrics,
-        || ASIDE,
-        move |_| std::future::ready(asides::metrics(&own)),
+        || AUXILIARY,
+        move |_| std::future::ready(asides::metrics(&state)),
     ));
     spawn_local(exchange::serve(Rc::clone(&shared), peers));
-    spawn_local(exchange::follow(Rc::clone(&shared)));
-    spawn_local(watch::plan(Rc::clone(&shared)));
-    spawn_local(watch::replicas(Rc::clone(&shared)));
+    spawn_local(exchange::poll_peers(Rc::clone(&shared)));
+    spawn_local(watch::follow_plan(Rc::clone(&shared)));
+    spawn_local(watch::follow_replicas(Rc::clone(&shared)));
     spawn_local(watch::instances::follow(Rc::clone(&shared)));
     spawn_local(stages::run(Rc::clone(&shared)));
     spawn_local(track::run(Rc::clone(&shared)));
     spawn_local(quarantine::probe::run(Rc::clone(&shared)));
     spawn_local(quarantine::announce::run(Rc::clone(&shared)));
     spawn_local(quarantine::storage::run(Rc::clone(&shared)));
-    spawn_local(quarantine::sweep(Rc::clone(&shared)));
+    spawn_local(quarantine::remove_expired(Rc::clone(&shared)));
     // Nobody has records when all start together for the first time.
     if !settings.first_start {
-        spawn_local(quarantine::catch_up(Rc::clone(&shared)));
+        spawn_local(quarantine::fetch_records(Rc::clone(&shared)));
     }
     spawn_local(reload::follow(Rc::clone(&shared), path.to_owned()));
     spawn_local(housekeeping(Rc::clone(&shared)));
-    let own = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     spawn_local(async move {
-        if let Err(error) = gossip::run(own).await {
+        if let Err(error) = gossip::run(state).await {
             log::error!(kind = "gossip", cause = error.to_string(); "membership is off");
         }
     });
@@ -187,19 +188,19 @@
         }
         shared.links.sweep();
         let begun = shared.clock.now();
-        sleep(HOUSEKEEPING).await;
+        sleep(HOUSEKEEPING_PERIOD).await;
         if let Some(time) = suspensions.look() {
             log::warn!(kind = "suspended", ms = time.as_millis() as u64; "the machine was suspended");
         }
         let slept = shared.clock.now().since(begun);
-        shared.note_late(slept.saturating_sub(HOUSEKEEPING));
-        if slept > PAUSED {
+        shared.note_late(slept.saturating_sub(HOUSEKEEPING_PERIOD));
+        if slept > PAUSE_THRESHOLD {
             log::warn!(kind = "pause", ms = slept.as_millis() as u64, open = shared.open_requests() as u64; "the process stood still");
         }
     }
 }
 
-fn bounds_of(shared: &Shared) -> Bounds {
+fn caller_bounds(shared: &Shared) -> Bounds {
     let limits = shared
         .plan()
         .map_or_else(Limits::default, |plan| plan.limits);
@@ -212,18 +213,18 @@
 
 /// Starts the logs; gives their handle and the counts of lines.
 fn start_logs(instance: &str) -> Result<(LoggerHandle, Arc<Count>), Error> {
-    let run = format!("{:06x}", rand::random_range(0..MAX_RUN));
+    let run = format!("{:06x}", rand::random_range(0..MAX_RUN_ID));
     let queue = Queue::new(Box::new(io::stdout()), instance.to_owned(), run)
-        .map_err(|error| start("logs", &error))?;
+        .map_err(|error| start_error("logs", &error))?;
     let count = queue.count();
     let handle = LogSpecification::parse(LEVELS)
         .map(Logger::with)
         .and_then(|logger| logger.log_to_writer(Box::new(queue)).start())
-        .map_err(|error| start("logs", &error))?;
+        .map_err(|error| start_error("logs", &error))?;
     Ok((handle, count))
 }
 
-fn start(step: &'static str, cause: &impl ToString) -> Error {
+fn start_error(step: &'static str, cause: &impl ToString) -> Error {
     Error::Start {
         step,
         cause: cause.to_string(),
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -24,13 +24,13 @@
 use crate::instance_info::InstanceInfo;
 
 /// Key by which the members of a data centre choose the one that reads the store for all.
-const POLLER: u64 = 1;
+const POLLER_KEY: u64 = 1;
 /// Time after joining for which listed instances count that were not heard of yet: the members are met
 /// within a few seconds, and until then each newcomer would take itself for the one that reads the store.
-const SETTLING: Duration = Duration::from_secs(3);
+const SETTLING_TIME: Duration = Duration::from_secs(3);
 /// Time for which an instance that was lost may be at work out of reach. Later it counts as gone, or a fleet would lose its
 /// majority by replacements alone.
-const ABSENCE: Duration = Duration::from_mins(10);
+const ABSENCE_TIMEOUT: Duration = Duration::from_mins(10);
 /// Daemons that are asked in turn for what is kept at one of them.
 const KEEPERS: usize = 2;
 
@@ -41,9 +41,9 @@
     /// `None` until this daemon takes callers: to be a member is to be told to callers.
     fleet: Option<Fleet>,
     /// When the fleet counts alone; see [`SETTLING`].
-    settled: bool,
+    is_settled: bool,
     joined_at: Time,
-    cards: HashMap<Instance, InstanceInfo>,
+    others: HashMap<Instance, InstanceInfo>,
     listed: Vec<Listed>,
     /// Whether the store has told which instances there are.
     is_listed: bool,
@@ -52,7 +52,7 @@
     /// When a member last came or went, as far as this daemon knows.
     changed_at: Time,
     /// Most instances seen at once; bounds the share of what all may retry together.
-    most: usize,
+    max_alive: usize,
 }
 
 /// A datagram to send.
@@ -72,14 +72,14 @@
         Self {
             own,
             fleet: None,
-            settled: false,
+            is_settled: false,
             joined_at: Time::ZERO,
-            cards: HashMap::new(),
+            others: HashMap::new(),
             listed: Vec::new(),
             is_listed: false,
             absent: HashMap::new(),
             changed_at: Time::ZERO,
-            most: 1,
+            max_alive: 1,
         }
     }
 
@@ -100,14 +100,14 @@
         let me = Member::new(instance, incarnation, started, self.own.data_centre);
         let mut fleet = Fleet::new(me, Settings::new(), rand::random());
         fleet.set_list(now, &self.listed);
-        for instance in self.cards.keys() {
+        for instance in self.others.keys() {
             self.absent.entry(*instance).or_insert(now);
         }
         self.fleet = Some(fleet);
         self.joined_at = now;
         self.changed_at = now;
         // Members are heard of one after the other; until then the list says how many there are.
-        self.most = self.most.max(self.listed.len());
+        self.max_alive = self.max_alive.max(self.listed.len());
     }
 
     /// Tells others that this daemon takes no new callers.
@@ -118,14 +118,14 @@
     }
 
     /// Takes the instances that the store lists.
-    pub fn set_listed(&mut self, now: Time, cards: &[InstanceInfo]) {
+    pub fn set_listed(&mut self, now: Time, instances: &[InstanceInfo]) {
         self.is_listed = true;
-        self.listed = cards
+        self.listed = instances
             .iter()
-            .map(|card| Listed::new(card.instance(), card.data_centre))
+            .map(|info| Listed::new(info.instance(), info.data_centre))
             .collect();
-        for card in cards {
-            self.learn(now, card);
+        for info in instances {
+            self.learn(now, info);
         }
         if let Some(fleet) = &mut self.fleet {
             fleet.set_list(now, &self.listed);
@@ -133,17 +133,17 @@
     }
 
     /// Takes a card that another daemon told.
-    pub fn learn(&mut self, now: Time, card: &InstanceInfo) {
-        let instance = card.instance();
+    pub fn learn(&mut self, now: Time, info: &InstanceInfo) {
+        let instance = info.instance();
         if instance == self.own.instance() {
             return;
         }
-        if !self.cards.contains_key(&instance) {
+        if !self.others.contains_key(&instance) {
             self.absent.insert(instance, now);
         }
-        self.cards.insert(instance, card.clone());
+        self.others.insert(instance, info.clone());
         if !self.listed.iter().any(|entry| entry.instance == instance) {
-            self.listed.push(Listed::new(instance, card.data_centre));
+            self.listed.push(Listed::new(instance, info.data_centre));
         }
     }
 
@@ -163,7 +163,7 @@
         let Some(fleet) = &mut self.fleet else {
             return (Vec::new(), Vec::new(), Time::NEVER);
         };
-        self.settled |= now.since(self.joined_at) > SETTLING;
+        self.is_settled |= now.since(self.joined_at) > SETTLING_TIME;
         let mut outputs = Vec::new();
         let next = fleet.step(now, &mut outputs);
         if fleet.declared_dead() {
@@ -175,14 +175,14 @@
         let mut changed = Vec::new();
         for output in outputs {
             match output {
-                Output::Send { to, message } => sends.extend(self.address(to, message)),
+                Output::Send { to, message } => sends.extend(self.outgoing(to, message)),
                 Output::Changed { member, before } => {
                     self.note_absence(now, &member, before);
                     changed.push(member);
                 }
             }
         }
-        self.most = self.most.max(self.alive_count());
+        self.max_alive = self.max_alive.max(self.alive_count());
         (sends, changed, next)
     }
 
@@ -209,11 +209,11 @@
     /// Whether the members in reach are more than the instances that may be at work out of reach. Until the members are met,
     /// all that are known count as members; a daemon that knows of none does not take itself for the only one.
     pub fn is_majority(&self, now: Time) -> bool {
-        let knows_others = self.is_listed || !self.cards.is_empty();
+        let knows_others = self.is_listed || !self.others.is_empty();
         match &self.fleet {
             None => false,
             Some(_) if !knows_others => false,
-            Some(fleet) => !self.settled || fleet.alive().count() > self.absent(now, fleet),
+            Some(fleet) => !self.is_settled || fleet.alive().count() > self.absent(now, fleet),
         }
     }
 
@@ -222,7 +222,7 @@
         let in_reach: HashSet<Instance> = fleet.alive().map(|member| member.instance).collect();
         let absent = self.absent.iter().filter(|(instance, since)| {
             // Of a member in reach, the card may have come after the news of it.
-            now.since(**since) < ABSENCE && !in_reach.contains(*instance)
+            now.since(**since) < ABSENCE_TIMEOUT && !in_reach.contains(*instance)
         });
         absent.count()
     }
@@ -230,23 +230,23 @@
     /// The keeper of what is kept under `key`, and its deputy: instances with where they listen.
     pub fn keepers(&self, key: u64) -> Vec<(Instance, SocketAddr)> {
         let fleet = self.fleet.as_ref();
-        let ranked = match fleet.filter(|_| self.settled) {
+        let ranked = match fleet.filter(|_| self.is_settled) {
             Some(fleet) => owner::rank(key, fleet.serving().map(|member| member.instance), KEEPERS),
             None => owner::rank(key, self.not_dead().map(InstanceInfo::instance), KEEPERS),
         };
-        let at = |instance| Some((instance, self.card(instance)?.peers));
+        let at = |instance| Some((instance, self.info(instance)?.peers));
         ranked.into_iter().filter_map(at).collect()
     }
 
     /// Name of an instance, or its key where the name is not known.
     pub fn name(&self, instance: Instance) -> String {
-        let card = self.cards.get(&instance);
-        card.map_or_else(|| instance.to_string(), |card| card.name.clone())
+        let info = self.others.get(&instance);
+        info.map_or_else(|| instance.to_string(), |info| info.name.clone())
     }
 
     /// Instances that share what may be retried: the most that were members at once.
     pub const fn sharers(&self) -> usize {
-        self.most
+        self.max_alive
     }
 
     /// Instances that callers are told of: members that are neither leaving nor suspected.
@@ -256,11 +256,11 @@
         };
         let alive = fleet.alive().filter(|member| member.state == State::Alive);
         alive
-            .filter_map(|member| self.card(member.instance))
-            .map(|card| Entry {
-                data_centre: card.data_centre,
-                address: card.callers,
-                capacity: card.capacity,
+            .filter_map(|member| self.info(member.instance))
+            .map(|info| Entry {
+                data_centre: info.data_centre,
+                address: info.callers,
+                capacity: info.capacity,
             })
             .collect()
     }
@@ -274,28 +274,28 @@
     /// Where the daemon listens that reads the store for this data centre; `None` if that is this one.
     pub fn poller(&self) -> Option<SocketAddr> {
         let poller = self.poller_in(self.own.data_centre)?;
-        self.cards.get(&poller).map(|card| card.peers)
+        self.others.get(&poller).map(|info| info.peers)
     }
 
     /// The instance that reads the store for `data_centre`: among the members, or, until these are met,
     /// among all that are listed and not known to be dead.
     fn poller_in(&self, data_centre: Zone) -> Option<Instance> {
         let fleet = self.fleet.as_ref();
-        match fleet.filter(|_| self.settled) {
-            Some(fleet) => fleet.owner_in(data_centre, POLLER),
+        match fleet.filter(|_| self.is_settled) {
+            Some(fleet) => fleet.owner_in(data_centre, POLLER_KEY),
             None => {
-                let near = self
+                let local = self
                     .not_dead()
-                    .filter(|card| card.data_centre == data_centre);
-                owner::choose(POLLER, near.map(InstanceInfo::instance))
+                    .filter(|info| info.data_centre == data_centre);
+                owner::choose(POLLER_KEY, local.map(InstanceInfo::instance))
             }
         }
     }
 
     /// The instances that are listed and not known to be dead, this one among them.
     fn not_dead(&self) -> impl Iterator<Item = &InstanceInfo> {
-        let all = std::iter::once(&self.own).chain(self.cards.values());
-        all.filter(|card| !self.is_dead(card.instance()))
+        let all = std::iter::once(&self.own).chain(self.others.values());
+        all.filter(|info| !self.is_dead(info.instance()))
     }
 
     fn is_dead(&self, instance: Instance) -> bool {
@@ -306,51 +306,51 @@
 
     /// Where a daemon of this data centre listens, drawn anew each time; `None` if no other is known.
     pub fn random_local_peer(&self) -> Option<SocketAddr> {
-        let near = self.own.data_centre;
-        let others = self.cards.values();
-        let others = others.filter(|card| card.data_centre == near);
-        others.map(|card| card.peers).choose(&mut rand::rng())
+        let local = self.own.data_centre;
+        let others = self.others.values();
+        let others = others.filter(|info| info.data_centre == local);
+        others.map(|info| info.peers).choose(&mut rand::rng())
     }
 
     /// Instances of this data centre, this one among them.
     pub fn local_count(&self) -> usize {
-        let near = self.own.data_centre;
-        let others = self.cards.values();
-        1 + others.filter(|card| card.data_centre == near).count()
+        let local = self.own.data_centre;
+        let others = self.others.values();
+        1 + others.filter(|info| info.data_centre == local).count()
     }
 
     /// Peer addresses of the daemons that read the store for other data centres, in random order.
     pub fn remote_pollers(&self) -> Vec<SocketAddr> {
-        let near = self.own.data_centre;
-        let mut distant: Vec<Zone> = self.cards.values().map(|card| card.data_centre).collect();
-        distant.retain(|zone| *zone != near);
-        distant.sort_unstable();
-        distant.dedup();
-        distant.shuffle(&mut rand::rng());
-        let pollers = distant.into_iter().filter_map(|zone| self.poller_in(zone));
-        let cards = pollers.filter_map(|poller| self.cards.get(&poller));
-        cards.map(|card| card.peers).collect()
+        let local = self.own.data_centre;
+        let mut remote: Vec<Zone> = self.others.values().map(|info| info.data_centre).collect();
+        remote.retain(|zone| *zone != local);
+        remote.sort_unstable();
+        remote.dedup();
+        remote.shuffle(&mut rand::rng());
+        let pollers = remote.into_iter().filter_map(|zone| self.poller_in(zone));
+        let instances = pollers.filter_map(|poller| self.others.get(&poller));
+        instances.map(|info| info.peers).collect()
     }
 
     /// Where the daemon of `instance` listens for others, if it is known.
     pub fn peer_address(&self, instance: Instance) -> Option<SocketAddr> {
-        self.cards.get(&instance).map(|card| card.peers)
+        self.others.get(&instance).map(|info| info.peers)
     }
 
     /// Where daemons of other known instances listen.
     pub fn peer_addresses(&self) -> Vec<SocketAddr> {
-        self.cards.values().map(|card| card.peers).collect()
+        self.others.values().map(|info| info.peers).collect()
     }
 
     /// How many instances are known, this one among them.
     pub fn known_count(&self) -> usize {
-        1 + self.cards.len()
+        1 + self.others.len()
     }
 
     /// Cards of all instances known, this one's first.
-    pub fn cards(&self) -> Vec<InstanceInfo> {
+    pub fn all_instances(&self) -> Vec<InstanceInfo> {
         let own = std::iter::once(&self.own);
-        own.chain(self.cards.values()).cloned().collect()
+        own.chain(self.others.values()).cloned().collect()
     }
 
     /// Members in reach, this one among them.
@@ -358,20 +358,20 @@
         self.fleet.as_ref().map_or(1, |fleet| fleet.alive().count())
     }
 
-    fn card(&self, instance: Instance) -> Option<&InstanceInfo> {
+    fn info(&self, instance: Instance) -> Option<&InstanceInfo> {
         if instance == self.own.instance() {
             return Some(&self.own);
         }
-        self.cards.get(&instance)
+        self.others.get(&instance)
     }
 
-    fn address(&self, to: Instance, message: Message) -> Option<Outgoing> {
-        let card = self.cards.get(&to)?;
-        let hint = self.cards.values().choose(&mut rand::rng());
+    fn outgoing(&self, to: Instance, message: Message) -> Option<Outgoing> {
+        let info = self.others.get(&to)?;
+        let hint = self.others.values().choose(&mut rand::rng());
         Some(Outgoing {
-            to: card.peers,
+            to: info.peers,
             message,
-            hint: hint.filter(|hint| hint.name != card.name).cloned(),
+            hint: hint.filter(|hint| hint.name != info.name).cloned(),
         })
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -49,10 +49,10 @@
     /// Retries that are left, by service.
     budget: GaugeVec,
     /// Log lines that were dropped since the queue was full.
-    dropped: GenericGauge<AtomicU64>,
+    dropped_lines: GenericGauge<AtomicU64>,
     lines: Arc<Count>,
-    gaps: Histogram,
-    waits: Histogram,
+    event_gaps: Histogram,
+    place_waits: Histogram,
     requests: IntCounterVec,
     sends: IntCounterVec,
     retries: IntCounterVec,
@@ -69,31 +69,37 @@
     pub fn new(lines: Arc<Count>) -> Result<Self, Error> {
         let registry = Registry::new();
         let gauge = |name: &str, help: &str| {
-            let gauge = GenericGauge::<AtomicU64>::new(full(name), help)?;
+            let gauge = GenericGauge::<AtomicU64>::new(full_name(name), help)?;
             register(&registry, gauge)
         };
         let vector = |name: &str, help: &str, labels: &[&str]| {
-            let vector = IntCounterVec::new(Opts::new(full(name), help), labels)?;
+            let vector = IntCounterVec::new(Opts::new(full_name(name), help), labels)?;
             register(&registry, vector)
         };
         let latency = HistogramOpts::new(
-            full("request_seconds"),
+            full_name("request_seconds"),
             "Time from a request's head to its answer; for streams, to its first event",
         );
         let latency = HistogramVec::new(latency.buckets(LATENCIES.to_vec()), &["route"])?;
         let histogram = |name: &str, help: &str| {
-            let options = HistogramOpts::new(full(name), help).buckets(LATENCIES.to_vec());
+            let options = HistogramOpts::new(full_name(name), help).buckets(LATENCIES.to_vec());
             register(&registry, Histogram::with_opts(options)?)
         };
-        let age = Gauge::new(full("replicas_age_seconds"), "Age of the list of replicas")?;
-        let budget = Opts::new(full("retries_left"), "Retries left in the budget");
-        let failures = IntCounter::new(full("store_failures_total"), "Failed calls of the store")?;
-        let foreign = IntCounter::new(
-            full("foreign_answers_total"),
+        let age = Gauge::new(
+            full_name("replicas_age_seconds"),
+            "Age of the list of replicas",
+        )?;
+        let budget = Opts::new(full_name("retries_left"), "Retries left in the budget");
+        let failures = IntCounter::new(
+            full_name("store_failures_total"),
+            "Failed calls of the store",
+        )?;
+        let foreign_answers = IntCounter::new(
+            full_name("foreign_answers_total"),
             "Answers of replicas that were, or may have been, another request's",
         )?;
         Ok(Self {
-            foreign_answers: register(&registry, foreign)?,
+            foreign_answers: register(&registry, foreign_answers)?,
             plan_version: gauge("plan_version", "Version of the plan in force")?,
             open: gauge("open_requests", "Requests in progress")?,
             quarantined: gauge("quarantined", "Requests that are sent to no replica")?,
@@ -107,10 +113,10 @@
             replicas_version: gauge("replicas_version", "Store version of the replicas")?,
             replicas_age: register(&registry, age)?,
             budget: register(&registry, GaugeVec::new(budget, &["service"])?)?,
-            dropped: gauge("log_lines_dropped", "Log lines dropped since the start")?,
+            dropped_lines: gauge("log_lines_dropped", "Log lines dropped since the start")?,
             lines,
-            gaps: histogram("event_gap_seconds", "Time between two events of a stream")?,
-            waits: histogram("place_wait_seconds", "Wait for a place at a decode replica")?,
+            event_gaps: histogram("event_gap_seconds", "Time between two events of a stream")?,
+            place_waits: histogram("place_wait_seconds", "Wait for a place at a decode replica")?,
             requests: vector("requests_total", "Requests by outcome", &["outcome"])?,
             sends: vector("sends_total", "Sends to replicas by outcome", &["outcome"])?,
             retries: vector(
@@ -161,13 +167,13 @@
     }
 
     /// Notes the time between two events of a stream.
-    pub fn gap(&self, seconds: f64) {
-        self.gaps.observe(seconds);
+    pub fn event_gap(&self, seconds: f64) {
+        self.event_gaps.observe(seconds);
     }
 
     /// Notes how long a request waited for a place at a decode replica.
-    pub fn wait(&self, seconds: f64) {
-        self.waits.observe(seconds);
+    pub fn place_wait(&self, seconds: f64) {
+        self.place_waits.observe(seconds);
     }
 
     /// Sets the retries that are left.
@@ -180,14 +186,14 @@
     /// # Errors
     /// If a figure cannot be written.
     pub fn text(&self) -> Result<Vec<u8>, Error> {
-        self.dropped.set(self.lines.dropped());
+        self.dropped_lines.set(self.lines.dropped());
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
     }
 }
 
-fn full(name: &str) -> String {
+fn full_name(name: &str) -> String {
     format!("waxwing_gateway_{name}")
 }
 
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -117,7 +117,7 @@
             None
         };
         if let Some(place) = found {
-            shared.metrics.wait(begun.elapsed().as_secs_f64());
+            shared.metrics.place_wait(begun.elapsed().as_secs_f64());
             return Some(place);
         }
         rounds += 1;
--- a/crates/gateway/src/poller_status.rs
+++ b/crates/gateway/src/poller_status.rs
@@ -51,7 +51,7 @@
 
     /// The same, heard up to `time` after it was told.
     #[must_use]
-    pub const fn older_by(mut self, time: Duration) -> Self {
+    pub const fn aged_by(mut self, time: Duration) -> Self {
         self.age_ms = self.age_ms.saturating_add(time.as_millis() as u64);
         self
     }
@@ -59,7 +59,7 @@
     /// The same for an asker whose replicas are others by now than those it asked about: they are not confirmed, or
     /// changes between them and the teller's would never be asked for.
     #[must_use]
-    pub const fn of_another_list(mut self) -> Self {
+    pub const fn for_changed_list(mut self) -> Self {
         self.same = false;
         self
     }
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Default)]
 pub struct Probes {
     /// Requests that each lost replica was at work on.
-    open: RefCell<HashMap<Key, HashSet<Fingerprint>>>,
+    requests: RefCell<HashMap<Key, HashSet<Fingerprint>>>,
     /// Lost replicas that are not asked yet, with their hashes.
-    new: RefCell<Vec<(Key, u64)>>,
-    opened: Notify,
-    closed: Notify,
+    unstarted: RefCell<Vec<(Key, u64)>>,
+    added: Notify,
+    finished: Notify,
 }
 
 impl Probes {
@@ -27,49 +27,49 @@
     }
 
     /// Has it found out whether `replica`, behind `key`, ended while at work on the request.
-    pub fn open(&self, key: Key, replica: u64, fingerprint: Fingerprint) {
-        let mut open = self.open.borrow_mut();
-        let requests = open.entry(key).or_default();
+    pub fn add(&self, key: Key, replica: u64, fingerprint: Fingerprint) {
+        let mut lost = self.requests.borrow_mut();
+        let requests = lost.entry(key).or_default();
         if requests.is_empty() {
-            self.new.borrow_mut().push((key, replica));
-            self.opened.notify_one();
+            self.unstarted.borrow_mut().push((key, replica));
+            self.added.notify_one();
         }
         requests.insert(fingerprint);
     }
 
     /// Waits for a replica that is to be asked.
-    pub async fn opened(&self) {
-        self.opened.notified().await;
+    pub async fn added(&self) {
+        self.added.notified().await;
     }
 
     /// Replicas that are to be asked.
     pub fn take_new(&self) -> Vec<(Key, u64)> {
-        self.new.take()
+        self.unstarted.take()
     }
 
     /// Lost replicas that were at work on the request, and of which it is being found out whether they ended.
     pub fn count(&self, fingerprint: Fingerprint) -> usize {
-        let open = self.open.borrow();
-        let with = open
+        let lost = self.requests.borrow();
+        let matching = lost
             .values()
             .filter(|requests| requests.contains(&fingerprint));
-        with.count()
+        matching.count()
     }
 
     /// Gives the requests that the lost replica behind `key` was at work on, once it is asked no longer.
     pub fn take_requests(&self, key: Key) -> HashSet<Fingerprint> {
-        let requests = self.open.borrow_mut().remove(&key);
+        let requests = self.requests.borrow_mut().remove(&key);
         requests.unwrap_or_default()
     }
 
     /// Wakes what waits for a verdict.
-    pub fn close(&self) {
-        self.closed.notify_waiters();
+    pub fn notify_finished(&self) {
+        self.finished.notify_waiters();
     }
 
     /// Waits until it is found out what became of a replica. One that is found out after this call, and before
     /// the first poll, counts.
-    pub fn closed(&self) -> Notified<'_> {
-        self.closed.notified()
+    pub fn finished(&self) -> Notified<'_> {
+        self.finished.notified()
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -17,12 +17,12 @@
 /// Time between two looks for records whose time is over.
 const SWEEP_PERIOD: Duration = Duration::from_mins(1);
 /// Pause between two looks for a peer to ask at the start.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const PEER_PAUSE: Duration = Duration::from_millis(100);
 /// Such looks at most; a daemon that is alone has nobody to ask.
 const MAX_TRIES: u32 = 30;
 
 /// Forgets records whose time is over, forever.
-pub async fn sweep(shared: Rc<Shared>) {
+pub async fn remove_expired(shared: Rc<Shared>) {
     loop {
         shared.quarantine.borrow_mut().sweep(clock::unix());
         sleep(SWEEP_PERIOD).await;
@@ -30,9 +30,9 @@
 }
 
 /// Asks a peer for all records once this daemon has started; the store has only those that nearly quarantine a request.
-pub async fn catch_up(shared: Rc<Shared>) {
+pub async fn fetch_records(shared: Rc<Shared>) {
     while !shared.is_ready() {
-        sleep(LOOK_AGAIN).await;
+        sleep(PEER_PAUSE).await;
     }
     for _ in 0..MAX_TRIES {
         if shared.has_all_records() {
@@ -42,6 +42,6 @@
         if let Some(peer) = peers.choose(&mut rand::rng()) {
             exchange::fetch_newer(&shared, *peer).await;
         }
-        sleep(LOOK_AGAIN).await;
+        sleep(PEER_PAUSE).await;
     }
 }
--- a/crates/gateway/src/quarantine/announce.rs
+++ b/crates/gateway/src/quarantine/announce.rs
@@ -22,40 +22,40 @@
 
 /// A record that is to be told.
 #[derive(Debug, Clone, Copy)]
-struct Telling {
+struct Announcement {
     fingerprint: Fingerprint,
-    begun: Instant,
+    started: Instant,
     /// Rounds in which it was told.
-    told: usize,
+    rounds: usize,
 }
 
-impl Telling {
+impl Announcement {
     fn new(fingerprint: Fingerprint) -> Self {
         Self {
             fingerprint,
-            begun: Instant::now(),
-            told: 0,
+            started: Instant::now(),
+            rounds: 0,
         }
     }
 
     /// When it is told next; `None` if that is over.
     fn due(&self) -> Option<Instant> {
-        ROUNDS.get(self.told).map(|delay| self.begun + *delay)
+        ROUNDS.get(self.rounds).map(|delay| self.started + *delay)
     }
 }
 
 /// Tells all peers of what this daemon notes, forever.
 pub async fn run(shared: Rc<Shared>) {
-    let mut tellings: Vec<Telling> = Vec::new();
+    let mut announcements: Vec<Announcement> = Vec::new();
     loop {
         for fingerprint in shared.unannounced.take() {
-            tellings.retain(|telling| telling.fingerprint != fingerprint);
-            tellings.push(Telling::new(fingerprint));
+            announcements.retain(|announcement| announcement.fingerprint != fingerprint);
+            announcements.push(Announcement::new(fingerprint));
         }
-        let records = take_due(&shared, &mut tellings);
-        tell(&shared, &records).await;
+        let records = take_due(&shared, &mut announcements);
+        send(&shared, &records).await;
         let added = shared.unannounced.added();
-        match tellings.iter().filter_map(Telling::due).min() {
+        match announcements.iter().filter_map(Announcement::due).min() {
             // Whichever is first: something new, or the next round.
             Some(due) => {
                 let _ = timeout_at(due, added).await;
@@ -66,26 +66,26 @@
 }
 
 /// The records that are due, each of which is one round further then.
-fn take_due(shared: &Shared, tellings: &mut Vec<Telling>) -> Vec<Record> {
+fn take_due(shared: &Shared, announcements: &mut Vec<Announcement>) -> Vec<Record> {
     let now = Instant::now();
     let quarantine = shared.quarantine.borrow();
     let mut records = Vec::new();
-    for telling in tellings.iter_mut() {
-        if telling.due().is_none_or(|due| due > now) {
+    for announcement in announcements.iter_mut() {
+        if announcement.due().is_none_or(|due| due > now) {
             continue;
         }
-        let record = quarantine.get(telling.fingerprint);
-        let single = record.is_some_and(|record| record.ends.len() == 1);
-        if telling.told == 0 || !single {
+        let record = quarantine.get(announcement.fingerprint);
+        let has_one_end = record.is_some_and(|record| record.ends.len() == 1);
+        if announcement.rounds == 0 || !has_one_end {
             records.extend(record.cloned());
         }
-        telling.told += 1;
+        announcement.rounds += 1;
     }
-    tellings.retain(|telling| telling.due().is_some());
+    announcements.retain(|announcement| announcement.due().is_some());
     records
 }
 
-async fn tell(shared: &Shared, records: &[Record]) {
+async fn send(shared: &Shared, records: &[Record]) {
     if records.is_empty() {
         return;
     }
--- a/crates/gateway/src/quarantine/storage.rs
+++ b/crates/gateway/src/quarantine/storage.rs
@@ -24,36 +24,36 @@
 const PAUSE: Duration = Duration::from_millis(700);
 /// Time in which what many callers lose at once is gathered for one write, and peers tell that a request was
 /// served elsewhere.
-const GATHER: Duration = Duration::from_millis(200);
+const BATCH_DELAY: Duration = Duration::from_millis(200);
 /// Rows in one transaction at most.
 const MAX_ROWS: usize = 100;
 
 /// Reads the records once, then writes those that this daemon notes, forever.
 pub async fn run(shared: Rc<Shared>) {
-    while !restore(&shared).await {
+    while !load(&shared).await {
         sleep(PAUSE).await;
     }
-    let mut unkept = HashSet::new();
+    let mut unstored = HashSet::new();
     loop {
-        if unkept.is_empty() {
+        if unstored.is_empty() {
             shared.unstored.added().await;
-            sleep(GATHER).await;
+            sleep(BATCH_DELAY).await;
         }
-        unkept.extend(shared.unstored.take());
-        let rows: Vec<Edit> = unkept.iter().flat_map(|f| rows(&shared, *f)).collect();
-        let mut kept = true;
-        for some in rows.chunks(MAX_ROWS) {
-            kept &= write(&shared, some).await;
+        unstored.extend(shared.unstored.take());
+        let rows: Vec<Edit> = unstored.iter().flat_map(|f| rows_of(&shared, *f)).collect();
+        let mut stored = true;
+        for chunk in rows.chunks(MAX_ROWS) {
+            stored &= write(&shared, chunk).await;
         }
-        if kept {
-            unkept.clear();
+        if stored {
+            unstored.clear();
         } else {
             sleep(PAUSE).await;
         }
     }
 }
 
-fn rows(shared: &Shared, fingerprint: Fingerprint) -> Vec<Edit> {
+fn rows_of(shared: &Shared, fingerprint: Fingerprint) -> Vec<Edit> {
     let quarantine = shared.quarantine.borrow();
     let Some(record) = quarantine.get(fingerprint) else {
         return Vec::new();
@@ -79,7 +79,7 @@
 }
 
 /// Takes the rows of the store, and removes those whose time is over; whether the store answered.
-async fn restore(shared: &Shared) -> bool {
+async fn load(shared: &Shared) -> bool {
     let rows = match shared.store.read(TABLE).await {
         Ok(rows) => rows.rows,
         Err(error) => {
@@ -89,26 +89,26 @@
     };
     shared.store_answered("quarantine");
     let now = clock::unix();
-    let mut over = Vec::new();
+    let mut expired = Vec::new();
     for row in &rows {
-        match read(row) {
+        match parse_row(row) {
             Some(record) if record.expires() > now => {
                 shared.merge_records("store", &[record]);
             }
-            _ => over.push(Edit::Remove {
+            _ => expired.push(Edit::Remove {
                 key: row.key.clone(),
             }),
         }
     }
-    for some in over.chunks(MAX_ROWS) {
+    for chunk in expired.chunks(MAX_ROWS) {
         // What stays is removed by the next daemon that starts.
-        write(shared, some).await;
+        write(shared, chunk).await;
     }
     true
 }
 
 /// The record that one row tells; `None` if it cannot be read.
-fn read(row: &Row) -> Option<Record> {
+fn parse_row(row: &Row) -> Option<Record> {
     let (fingerprint, name) = row.key.split_once('.')?;
     let fingerprint = Fingerprint(u64::from_str_radix(fingerprint, 16).ok()?);
     let at = std::str::from_utf8(row.value.as_deref()?).ok()?;
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -43,7 +43,7 @@
         }
         settings if settings.needs_restart(&before) => {
             log::warn!(kind = "reload"; "instance, data_centre, listen and store take effect at the next start; the rest is in force");
-            shared.apply_settings(settings.with_fixed_of(&before));
+            shared.apply_settings(settings.with_fixed_fields_of(&before));
         }
         settings => {
             log::info!(kind = "reload"; "settings in force");
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -180,7 +180,7 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        let figures = [
+        let values = [
             ("grace_s", self.grace_s),
             ("retry.ratio", self.retry.ratio),
             ("retry.slack", self.retry.slack),
@@ -195,10 +195,10 @@
             ("quota.excess", self.quota.excess),
             ("quota.slack", self.quota.slack),
         ];
-        let wrong = |(_, figure): &(&str, f64)| !figure.is_finite() || *figure < 0.0;
-        match figures.into_iter().find(wrong) {
-            Some((field, figure)) => Err(format!(
-                "{field}: {figure} is not allowed; write a number from 0 up"
+        let wrong = |(_, value): &(&str, f64)| !value.is_finite() || *value < 0.0;
+        match values.into_iter().find(wrong) {
+            Some((field, value)) => Err(format!(
+                "{field}: {value} is not allowed; write a number from 0 up"
             )),
             None if self.instance.is_empty() => Err("instance: must not be empty".to_owned()),
             None if self.retry.window_s == 0.0 => {
@@ -226,7 +226,7 @@
 
     /// The same with those fields as in `before`.
     #[must_use]
-    pub fn with_fixed_of(self, before: &Self) -> Self {
+    pub fn with_fixed_fields_of(self, before: &Self) -> Self {
         Self {
             instance: before.instance.clone(),
             data_centre: before.data_centre.clone(),
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -2,10 +2,10 @@
 
 mod choice;
 mod customers;
-mod knowledge;
 mod overload;
 mod quarantine;
 mod retries;
+mod store_state;
 
 use std::cell::Cell;
 use std::cell::OnceCell;
@@ -48,7 +48,7 @@
 
 /// Time after SIGTERM in which any request is taken; callers may hold an old address answer for
 /// so long. After it, only those that are over by the end of the grace.
-const TAKING: Duration = Duration::from_millis(2_700);
+const FULL_SERVICE: Duration = Duration::from_millis(2_700);
 
 /// Time before the end of the grace at which a stopping daemon ends, whatever is in progress. The last log
 /// lines take up to 250 ms of it, and a busy processor of a tenth of a core the rest: with 300 ms in all, a
@@ -105,49 +105,49 @@
     /// Whether the other instances were read from the store.
     pub instances_listed: watch::Sender<bool>,
     /// Entries that could not be read, and were told in the log.
-    unreadable: RefCell<HashSet<String>>,
+    logged_unreadable: RefCell<HashSet<String>>,
     plan: RefCell<Option<Rc<Plan>>>,
     /// Customers that have figures of their own in the metrics.
-    named_customers: RefCell<HashSet<String>>,
+    labelled_customers: RefCell<HashSet<String>>,
     budgets: RefCell<HashMap<String, Budget>>,
     /// Mean time of a decode replica for an answer, by service.
-    lengths: RefCell<HashMap<String, Duration>>,
+    answer_times: RefCell<HashMap<String, Duration>>,
     /// How long callers wait, by route.
     patiences: RefCell<HashMap<String, Patience>>,
     overload: RefCell<Overload>,
-    near: Zone,
+    data_centre: Zone,
     own: InstanceInfo,
     /// Socket for datagrams to other daemons, once it is open.
     pub gossip_socket: OnceCell<UdpSocket>,
     /// Questions to the poller that wait for an answer.
     pub status_requests: RefCell<HashMap<u32, oneshot::Sender<PollerStatus>>>,
     /// When the replicas were last known to be up to date.
-    replicas_heard: Cell<Time>,
+    replicas_current_at: Cell<Time>,
     /// When the store last answered.
-    store_heard: Cell<Time>,
+    store_answered_at: Cell<Time>,
     /// Whether the store's last call failed.
-    store_lost: Cell<bool>,
+    store_failing: Cell<bool>,
     /// When SIGTERM came.
-    stopping: Cell<Option<Time>>,
+    stopping_since: Cell<Option<Time>>,
     /// Requests in progress.
-    open: Cell<usize>,
+    open_requests: Cell<usize>,
     /// Version of the plan that a peer is being asked for.
-    asking: Cell<u64>,
+    plan_being_fetched: Cell<u64>,
     /// Whether records of the quarantine are being compared with a peer.
-    comparing: Cell<bool>,
+    is_comparing: Cell<bool>,
     /// Whether a peer has told all of its records of the quarantine since the start.
-    all_records: Cell<bool>,
+    has_all_records: Cell<bool>,
     /// The present second, and the rejected requests in it.
-    rejected: Cell<(u64, u64)>,
+    rejections: Cell<(u64, u64)>,
 }
 
 impl Shared {
     /// The state of a daemon with `settings` that starts now.
     pub fn new(settings: Settings, metrics: Metrics) -> Self {
-        let near = Zone::new(&settings.data_centre);
+        let data_centre = Zone::new(&settings.data_centre);
         let own = InstanceInfo {
             name: settings.instance.clone(),
-            data_centre: near,
+            data_centre,
             callers: settings.listen.callers,
             peers: settings.listen.peers,
             capacity: settings.processor.capacity(),
@@ -172,26 +172,26 @@
             runs_changed: Notify::new(),
             restarts: Notify::new(),
             instances_listed: watch::Sender::new(false),
-            unreadable: RefCell::new(HashSet::new()),
+            logged_unreadable: RefCell::new(HashSet::new()),
             plan: RefCell::new(None),
-            named_customers: RefCell::new(HashSet::new()),
+            labelled_customers: RefCell::new(HashSet::new()),
             budgets: RefCell::new(HashMap::new()),
-            lengths: RefCell::new(HashMap::new()),
+            answer_times: RefCell::new(HashMap::new()),
             patiences: RefCell::new(HashMap::new()),
             overload: RefCell::new(Overload::new()),
-            near,
+            data_centre,
             own,
             gossip_socket: OnceCell::new(),
             status_requests: RefCell::new(HashMap::new()),
-            replicas_heard: Cell::new(Time::ZERO),
-            store_heard: Cell::new(Time::ZERO),
-            store_lost: Cell::new(false),
-            stopping: Cell::new(None),
-            open: Cell::new(0),
-            asking: Cell::new(0),
-            comparing: Cell::new(false),
-            all_records: Cell::new(false),
-            rejected: Cell::new((0, 0)),
+            replicas_current_at: Cell::new(Time::ZERO),
+            store_answered_at: Cell::new(Time::ZERO),
+            store_failing: Cell::new(false),
+            stopping_since: Cell::new(None),
+            open_requests: Cell::new(0),
+            plan_being_fetched: Cell::new(0),
+            is_comparing: Cell::new(false),
+            has_all_records: Cell::new(false),
+            rejections: Cell::new((0, 0)),
             settings: RefCell::new(Rc::new(settings)),
         }
     }
@@ -227,7 +227,7 @@
         metrics.quarantined.set(quarantined as u64);
         metrics.replicas_age.set(self.replicas_age().as_secs_f64());
         for (service, budget) in self.budgets.borrow_mut().iter_mut() {
-            let left = budget.left(now, &self.rule(), members.sharers());
+            let left = budget.left(now, &self.retry_rule(), members.sharers());
             metrics.retries_left(service, left);
         }
     }
@@ -236,19 +236,19 @@
     /// were left out in the last one.
     pub fn may_log_rejection(&self) -> Option<u64> {
         let second = self.clock.now().as_millis() / 1_000;
-        let (last, count) = self.rejected.get();
+        let (last, count) = self.rejections.get();
         if last != second {
-            self.rejected.set((second, 1));
+            self.rejections.set((second, 1));
             return Some(count.saturating_sub(MAX_REJECTED_LINES));
         }
-        self.rejected.set((second, count + 1));
+        self.rejections.set((second, count + 1));
         (count < MAX_REJECTED_LINES).then_some(0)
     }
 
     /// Whether the log is to tell that the entry `id` cannot be read: the first time, for so many entries.
     pub fn may_log_unreadable(&self, id: &str) -> bool {
-        let mut told = self.unreadable.borrow_mut();
-        told.len() < MAX_UNREADABLE && told.insert(id.to_owned())
+        let mut logged = self.logged_unreadable.borrow_mut();
+        logged.len() < MAX_UNREADABLE && logged.insert(id.to_owned())
     }
 
     /// Whether callers are taken: a plan is known and the daemon is not stopping.
@@ -258,32 +258,33 @@
 
     /// Whether the daemon is stopping.
     pub fn is_stopping(&self) -> bool {
-        self.stopping.get().is_some()
+        self.stopping_since.get().is_some()
     }
 
     /// Notes that SIGTERM came.
     pub fn begin_stop(&self) {
-        self.stopping.set(Some(self.clock.now()));
+        self.stopping_since.set(Some(self.clock.now()));
     }
 
     /// Whether a request that may last for `longest` is taken; a stopping daemon takes none that it
     /// may have to cut.
     pub fn accepts(&self, longest: Duration) -> bool {
-        let Some(since) = self.stopping.get() else {
+        let Some(since) = self.stopping_since.get() else {
             return true;
         };
         let elapsed = self.clock.now().since(since);
-        elapsed < TAKING || elapsed + longest < self.settings().grace().saturating_sub(STOP_MARGIN)
+        elapsed < FULL_SERVICE
+            || elapsed + longest < self.settings().grace().saturating_sub(STOP_MARGIN)
     }
 
     /// Requests in progress.
     pub fn open_requests(&self) -> usize {
-        self.open.get()
+        self.open_requests.get()
     }
 
     /// Counts the requests in progress anew.
     pub fn set_open_requests(&self, count: usize) {
-        self.open.set(count);
+        self.open_requests.set(count);
         self.metrics.open.set(count as u64);
     }
 }
--- a/crates/gateway/src/shared/choice.rs
+++ b/crates/gateway/src/shared/choice.rs
@@ -12,17 +12,17 @@
 use crate::shared::Shared;
 
 /// Time of a decode replica for an answer until one was seen: some hundred tokens of 8 ms.
-const ANSWER_LENGTH: Duration = Duration::from_secs(3);
+const DEFAULT_ANSWER_TIME: Duration = Duration::from_secs(3);
 /// Times the mean answer after which callers that were refused may come back: the least, and the most.
-const COME_BACK_FROM: f64 = 0.75;
-const COME_BACK_TO: f64 = 1.25;
+const MIN_RETRY_FACTOR: f64 = 0.75;
+const MAX_RETRY_FACTOR: f64 = 1.25;
 /// Weight of the newest answer in the mean.
-const LENGTH_STEP: f64 = 0.1;
+const ANSWER_TIME_WEIGHT: f64 = 0.1;
 
 impl Shared {
     /// The replica to send a request to; `None` if there is none that was not tried.
     pub fn choose(&self, service: &str, stage: Option<Stage>, tried: &[Key]) -> Option<Key> {
-        self.choose_near(service, stage, tried, self.near)
+        self.choose_near(service, stage, tried, self.data_centre)
     }
 
     /// The same, preferring replicas of the data centre `near`.
@@ -51,7 +51,7 @@
             service,
             stage: Some(Stage::Decode),
             tried,
-            near: self.near,
+            near: self.data_centre,
             ask: Some(ask),
         };
         let pool = self.pool.borrow();
@@ -85,7 +85,7 @@
     pub fn data_centre_of(&self, key: Key) -> Zone {
         let pool = self.pool.borrow();
         pool.get(key)
-            .map_or(self.near, |server| server.replica.data_centre)
+            .map_or(self.data_centre, |server| server.replica.data_centre)
     }
 
     /// Whether the decode replica `key` may read a prompt itself.
@@ -121,22 +121,24 @@
 
     /// Notes how long a decode replica was at work on an answer of `service`.
     pub fn note_answer(&self, service: &str, took: Duration) {
-        let mut lengths = self.lengths.borrow_mut();
-        let mean = lengths.entry(service.to_owned()).or_insert(ANSWER_LENGTH);
-        *mean = mean.mul_f64(1.0 - LENGTH_STEP) + took.mul_f64(LENGTH_STEP);
+        let mut times = self.answer_times.borrow_mut();
+        let mean = times
+            .entry(service.to_owned())
+            .or_insert(DEFAULT_ANSWER_TIME);
+        *mean = mean.mul_f64(1.0 - ANSWER_TIME_WEIGHT) + took.mul_f64(ANSWER_TIME_WEIGHT);
     }
 
     /// When a caller of `service` may come back that found no room: about when the answers that
     /// are being made have ended, spread so that callers do not come back together.
     pub fn retry_after(&self, service: &str) -> Duration {
-        let mean = self.answer_length(service);
-        mean.mul_f64(rand::random_range(COME_BACK_FROM..COME_BACK_TO))
+        let mean = self.answer_time(service);
+        mean.mul_f64(rand::random_range(MIN_RETRY_FACTOR..MAX_RETRY_FACTOR))
     }
 
     /// Mean time of a decode replica for an answer of `service`.
-    pub fn answer_length(&self, service: &str) -> Duration {
-        let lengths = self.lengths.borrow();
-        lengths.get(service).copied().unwrap_or(ANSWER_LENGTH)
+    pub fn answer_time(&self, service: &str) -> Duration {
+        let times = self.answer_times.borrow();
+        times.get(service).copied().unwrap_or(DEFAULT_ANSWER_TIME)
     }
 
     /// Whether a caller with this limit seems to have been refused before: its limit is shorter than that
@@ -152,7 +154,7 @@
         };
         let mut patiences = self.patiences.borrow_mut();
         let patience = patiences.entry(route.name.clone()).or_default();
-        let least = self.answer_length(service).mul_f64(COME_BACK_FROM);
+        let least = self.answer_time(service).mul_f64(MIN_RETRY_FACTOR);
         patience.waited(limit) >= least.max(route.objective)
     }
 
--- a/crates/gateway/src/shared/customers.rs
+++ b/crates/gateway/src/shared/customers.rs
@@ -9,17 +9,17 @@
 use crate::target::Owner;
 
 /// Customers that have figures of their own in the metrics, at most: those with the largest quotas.
-const MAX_NAMED: usize = 24;
+const MAX_LABELLED: usize = 24;
 /// What the metrics call all others.
 const OTHERS: &str = "others";
 
 impl Shared {
     /// Gives the largest of `customers` figures of their own in the metrics, while there is room.
-    pub(super) fn name_customers(&self, customers: &List) {
-        let mut named = self.named_customers.borrow_mut();
-        for customer in customers.largest(MAX_NAMED) {
-            if named.len() < MAX_NAMED {
-                named.insert(customer.name.clone());
+    pub(super) fn label_customers(&self, customers: &List) {
+        let mut labelled = self.labelled_customers.borrow_mut();
+        for customer in customers.largest(MAX_LABELLED) {
+            if labelled.len() < MAX_LABELLED {
+                labelled.insert(customer.name.clone());
             }
         }
     }
@@ -29,8 +29,8 @@
         if customer.is_empty() {
             return;
         }
-        let is_named = self.named_customers.borrow().contains(customer);
-        let name = if is_named { customer } else { OTHERS };
+        let is_labelled = self.labelled_customers.borrow().contains(customer);
+        let name = if is_labelled { customer } else { OTHERS };
         self.metrics.customer(name, outcome);
     }
 
--- a/crates/gateway/src/shared/overload.rs
+++ b/crates/gateway/src/shared/overload.rs
@@ -11,20 +11,20 @@
 impl Shared {
     /// Notes that a timer of this daemon came `late`.
     pub fn note_late(&self, late: Duration) {
-        self.change_overload(|overload, now| overload.note(now, late));
+        self.update_overload(|overload, now| overload.note(now, late));
     }
 
     /// Notes that another instance of this data centre told that it is overloaded.
     pub fn note_overloaded_peer(&self) {
-        self.change_overload(Overload::heard);
+        self.update_overload(Overload::heard);
     }
 
     /// Notes that an instance heard of one of this data centre that is overloaded.
     pub fn note_reported_overload(&self) {
-        self.change_overload(Overload::told);
+        self.update_overload(Overload::told);
     }
 
-    fn change_overload(&self, change: impl FnOnce(&mut Overload, Time)) {
+    fn update_overload(&self, change: impl FnOnce(&mut Overload, Time)) {
         let now = self.clock.now();
         let mut overload = self.overload.borrow_mut();
         let before = overload.spreads(now);
--- a/crates/gateway/src/shared/quarantine.rs
+++ b/crates/gateway/src/shared/quarantine.rs
@@ -24,7 +24,7 @@
         let Some(replica) = self.pool.borrow().missed(key) else {
             return;
         };
-        self.probes.open(key, replica, fingerprint);
+        self.probes.add(key, replica, fingerprint);
     }
 
     /// Notes that `replica` ended while at work on the request `fingerprint`, and has that told and kept.
@@ -79,22 +79,22 @@
 
     /// Whether a peer has told all of its records since this daemon started.
     pub fn has_all_records(&self) -> bool {
-        self.all_records.get()
+        self.has_all_records.get()
     }
 
     /// Notes that a peer has.
     pub fn note_all_records(&self) {
-        self.all_records.set(true);
+        self.has_all_records.set(true);
     }
 
     /// Begins to compare records with a peer; `false` if that is being done with another.
     pub fn begin_comparing(&self) -> bool {
-        !self.comparing.replace(true)
+        !self.is_comparing.replace(true)
     }
 
     /// Ends it.
     pub fn end_comparing(&self) {
-        self.comparing.set(false);
+        self.is_comparing.set(false);
     }
 
     fn log_change(&self, source: &'static str, fingerprint: Fingerprint, change: Change) {
--- a/crates/gateway/src/shared/retries.rs
+++ b/crates/gateway/src/shared/retries.rs
@@ -8,7 +8,7 @@
 use crate::shared::Shared;
 
 impl Shared {
-    pub(super) fn rule(&self) -> Rule {
+    pub(super) fn retry_rule(&self) -> Rule {
         self.settings.borrow().retry_rule()
     }
 
@@ -16,7 +16,7 @@
     pub fn count_request(&self, service: &str) {
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.to_owned()).or_default();
-        budget.request(self.clock.now(), &self.rule());
+        budget.request(self.clock.now(), &self.retry_rule());
     }
 
     /// Whether `job` could be sent once more.
@@ -27,7 +27,7 @@
         let sharers = self.members.borrow().sharers();
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(job.service.clone()).or_default();
-        budget.left(self.clock.now(), &self.rule(), sharers) >= 1.0
+        budget.left(self.clock.now(), &self.retry_rule(), sharers) >= 1.0
     }
 
     /// Sees to it that `job` holds a permit for `work`, out of the budget if it has none; whether it does.
@@ -40,8 +40,8 @@
         let now = self.clock.now();
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_default();
-        let left = budget.left(now, &self.rule(), sharers);
-        let permit = budget.take(now, &self.rule(), sharers);
+        let left = budget.left(now, &self.retry_rule(), sharers);
+        let permit = budget.take(now, &self.retry_rule(), sharers);
         let granted = permit.is_some();
         self.metrics.retries(service, granted);
         log::info!(kind = "retry", request = job.call.id, service = service, work = format!("{work:?}"), granted = granted, left = format!("{left:.1}"), sharers = sharers as u64; "a retry was asked of the budget");
--- a/crates/gateway/src/shared/knowledge.rs
+++ b/crates/gateway/src/shared/store_state.rs
@@ -60,7 +60,7 @@
         self.quotas.borrow_mut().retain(is_known);
         drop(pool);
         if let Some(customers) = customers {
-            self.name_customers(customers);
+            self.label_customers(customers);
         }
         self.metrics.plan_version.set(plan.version);
         *self.plan.borrow_mut() = Some(Rc::new(plan));
@@ -76,28 +76,28 @@
             return;
         };
         self.note_replicas_read(read_at);
-        self.tell_changes(source.name(), &changes);
+        self.log_changes(source.name(), &changes);
     }
 
     /// Takes from an answer of `key` when its replica started.
     pub fn note_birth(&self, key: Key, birth: Option<Birth>) {
         let now = self.clock.now();
         let changes = self.pool.borrow_mut().answered(now, key, birth);
-        self.tell_changes("answer", &changes);
+        self.log_changes("answer", &changes);
     }
 
-    fn tell_changes(&self, source: &'static str, changes: &[Change]) {
+    fn log_changes(&self, source: &'static str, changes: &[Change]) {
         let version = self.replicas_version();
         for change in changes {
             log::info!(kind = "replica", replica = change.id, belief = format!("{:?}", change.now), version = version, source = source; "a replica changed");
             if change.now == Belief::Restarted {
-                self.forget_earlier(&change.id);
+                self.drop_earlier_incarnation(&change.id);
             }
         }
     }
 
     /// Ends what began at an earlier incarnation of the replica `id`: it will send nothing more.
-    fn forget_earlier(&self, id: &str) {
+    fn drop_earlier_incarnation(&self, id: &str) {
         let address = self.pool.borrow().address(id);
         if let Some(address) = address {
             self.links.forget(address);
@@ -108,11 +108,11 @@
     /// Waits until the replica behind `key` has started again; forever if it does not.
     pub async fn restarted(&self, key: Key) {
         loop {
-            let told = self.restarts.notified();
+            let restarted = self.restarts.notified();
             if self.pool.borrow().has_restarted(key) {
                 return;
             }
-            told.await;
+            restarted.await;
         }
     }
 
@@ -129,18 +129,19 @@
         self.pool.borrow_mut().confirm(now, version);
         let read = now - age;
         self.note_replicas_read(read);
-        self.store_heard.set(self.store_heard.get().max(read));
+        self.store_answered_at
+            .set(self.store_answered_at.get().max(read));
     }
 
     /// Advances the time at which the replicas were last known to be current; never moves it back.
     fn note_replicas_read(&self, read_at: Time) {
-        self.replicas_heard
-            .set(self.replicas_heard.get().max(read_at));
+        self.replicas_current_at
+            .set(self.replicas_current_at.get().max(read_at));
     }
 
     /// Time since the replicas were up to date.
     pub fn replicas_age(&self) -> Duration {
-        self.clock.now().since(self.replicas_heard.get())
+        self.clock.now().since(self.replicas_current_at.get())
     }
 
     /// The news for a daemon whose replicas have the hash `digest`.
@@ -151,7 +152,7 @@
             pool.version(),
             pool.digest() == digest,
             self.replicas_age(),
-            self.store_lost.get(),
+            self.store_failing.get(),
             self.overload.borrow().is_near(self.clock.now()),
         )
     }
@@ -163,8 +164,8 @@
 
     /// Notes that the store answered.
     pub fn store_answered(&self, step: &'static str) {
-        self.store_heard.set(self.clock.now());
-        if self.store_lost.replace(false) {
+        self.store_answered_at.set(self.clock.now());
+        if self.store_failing.replace(false) {
             log::info!(kind = "store", step = step; "the store answers again");
         }
     }
@@ -172,27 +173,27 @@
     /// Notes that a call of the store failed.
     pub fn store_failed(&self, step: &'static str, error: &store::Error) {
         self.metrics.store_failures.inc();
-        if !self.store_lost.replace(true) {
+        if !self.store_failing.replace(true) {
             log::warn!(kind = "store", step = step, cause = error.to_string(); "the store does not answer");
         }
     }
 
     /// Time since the store last answered.
     pub fn time_since_store_answer(&self) -> Duration {
-        self.clock.now().since(self.store_heard.get())
+        self.clock.now().since(self.store_answered_at.get())
     }
 
     /// Begins to ask a peer for plan `version`; `false` if that is being done.
     pub fn begin_plan_fetch(&self, version: u64) -> bool {
-        if self.asking.get() >= version {
+        if self.plan_being_fetched.get() >= version {
             return false;
         }
-        self.asking.set(version);
+        self.plan_being_fetched.set(version);
         true
     }
 
     /// Ends it.
     pub fn end_plan_fetch(&self) {
-        self.asking.set(0);
+        self.plan_being_fetched.set(0);
     }
 }
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -38,15 +38,15 @@
 const PERIOD: Duration = Duration::from_millis(500);
 /// Time after an order in which no other daemon gives one: orders without an answer are carried out
 /// up to 12 s later, and holders must not take turns within 3 s.
-const TERM: Duration = Duration::from_secs(16);
+const CLAIM_DURATION: Duration = Duration::from_secs(16);
 /// Time after the write of the row in which the order may be given.
-const FRESH: Duration = Duration::from_millis(400);
+const MAX_CLAIM_AGE: Duration = Duration::from_millis(400);
 /// Engines that are passed over in one round because they are busy or silent.
-const MAX_BUSY: usize = 3;
+const MAX_SKIPPED: usize = 3;
 
 /// Who gave the last order for a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Term {
+struct Claim {
     holder: String,
     /// The store's clock, in milliseconds.
     at_ms: u64,
@@ -67,26 +67,26 @@
         for (service, engine) in engines {
             let balance = balances.entry(service.clone());
             let balance = balance.or_insert_with(|| Balance::new(engine.stage_change));
-            look(&shared, service, balance, share).await;
+            rebalance(&shared, service, balance, share).await;
         }
     }
 }
 
-async fn look(shared: &Shared, service: &str, balance: &mut Balance, share: f64) {
+async fn rebalance(shared: &Shared, service: &str, balance: &mut Balance, share: f64) {
     let now = shared.clock.now();
     let counts = shared.pool.borrow().counts(now, service);
     let due = balance.due(now, counts, share);
-    let owns = shared.members.borrow().is_owner(Pool::new(service).0);
-    let Some(due) = due.filter(|_| owns) else {
+    let is_owner = shared.members.borrow().is_owner(Pool::new(service).0);
+    let Some(due) = due.filter(|_| is_owner) else {
         return;
     };
-    let orders = prepare(shared, service, due).await;
+    let orders = select_orders(shared, service, due).await;
     let claimed = if orders.is_empty() {
         Err("no engine can take an order".to_owned())
     } else {
         claim(shared, service).await
     };
-    let (fence, written) = match claimed {
+    let (fence, claimed_at) = match claimed {
         Ok(claimed) => claimed,
         Err(cause) => {
             balance.failed();
@@ -94,16 +94,16 @@
             return;
         }
     };
-    let mut given = false;
+    let mut sent = false;
     for order in orders {
         let replica = order.replica.id.clone();
-        let outcome = match written.elapsed() {
-            age if age > FRESH => Err("the claim is too old".to_owned()),
-            _ => give(shared, order, due.stage, fence).await,
+        let outcome = match claimed_at.elapsed() {
+            age if age > MAX_CLAIM_AGE => Err("the claim is too old".to_owned()),
+            _ => send_order(shared, order, due.stage, fence).await,
         };
         match outcome {
             Ok(status) => {
-                given = true;
+                sent = true;
                 log::info!(kind = "order", replica = replica, stage = format!("{:?}", due.stage), prefill = counts.prefill as u64, decode = counts.decode as u64, status = status.as_u16(); "ordered a change of stage");
             }
             Err(cause) => {
@@ -111,7 +111,7 @@
             }
         }
     }
-    if given {
+    if sent {
         balance.ordered(now);
     } else {
         balance.failed();
@@ -123,31 +123,31 @@
 struct Order {
     replica: Replica,
     /// Orders that the engine has taken so far.
-    taken: u64,
+    accepted: u64,
 }
 
 /// Orders to the least loaded replicas of the other stage that carry none out at present.
-async fn prepare(shared: &Shared, service: &str, due: Due) -> Vec<Order> {
+async fn select_orders(shared: &Shared, service: &str, due: Due) -> Vec<Order> {
     let from = match due.stage {
         Stage::Prefill => Stage::Decode,
         Stage::Decode => Stage::Prefill,
     };
-    let mut asked: Vec<Key> = Vec::new();
+    let mut tried: Vec<Key> = Vec::new();
     let mut orders = Vec::new();
-    while orders.len() < due.count && asked.len() < due.count + MAX_BUSY {
-        let Some(key) = shared.choose(service, Some(from), &asked) else {
+    while orders.len() < due.count && tried.len() < due.count + MAX_SKIPPED {
+        let Some(key) = shared.choose(service, Some(from), &tried) else {
             break;
         };
-        asked.push(key);
+        tried.push(key);
         let replica = shared.pool.borrow().get(key).map(|s| s.replica.clone());
         let Some(replica) = replica else { continue };
-        match report(shared, &replica).await {
+        match fetch_report(shared, &replica).await {
             Ok(report) if report.busy => {}
             // What it counted is of another incarnation than the one that is listed.
             Ok(report) if replica.compare(report.birth) != Ordering::Equal => {}
             Ok(report) => orders.push(Order {
                 replica,
-                taken: report.orders,
+                accepted: report.orders,
             }),
             Err(cause) => {
                 log::info!(kind = "order", replica = replica.id, cause = cause; "an engine did not tell its state");
@@ -157,7 +157,7 @@
     orders
 }
 
-async fn report(shared: &Shared, replica: &Replica) -> Result<Report, String> {
+async fn fetch_report(shared: &Shared, replica: &Replica) -> Result<Report, String> {
     let call = Call {
         to: replica.address,
         replica: replica.id.clone(),
@@ -170,7 +170,7 @@
     Report::read(&answer.body).map_err(|error| error.to_string())
 }
 
-async fn give(
+async fn send_order(
     shared: &Shared,
     order: Order,
     stage: Stage,
@@ -182,7 +182,7 @@
         replica: order.replica.id,
         method: Method::POST,
         path: engine::ORDER_PATH.to_owned(),
-        body: engine::stage_body(stage, holder, fence, order.taken),
+        body: engine::stage_body(stage, holder, fence, order.accepted),
     };
     let called = ask::call(shared, call).await;
     let answer = called.map_err(|error| error.to_string())?;
@@ -196,29 +196,29 @@
         .store
         .read(ORDERS)
         .await
-        .map_err(|error| text(&error))?;
+        .map_err(|error| cause(&error))?;
     let held = rows.rows.iter().find(|row| row.key == service);
     let value = held.and_then(|row| row.value.as_deref());
-    let term = value.and_then(|value| serde_json::from_slice::<Term>(value).ok());
+    let claim = value.and_then(|value| serde_json::from_slice::<Claim>(value).ok());
     let holder = &shared.settings().instance;
-    if term.is_some_and(|term| term.holder != *holder && !is_over(&term, &rows)) {
+    if claim.is_some_and(|claim| claim.holder != *holder && !has_expired(&claim, &rows)) {
         return Err("another daemon gave the last order".to_owned());
     }
-    let own = Term {
+    let own = Claim {
         holder: holder.clone(),
         at_ms: rows.now_ms,
     };
     let value = serde_json::to_vec(&own).map_err(|error| error.to_string())?;
     let version = held.map_or(0, |row| row.version);
-    let begun = Instant::now();
+    let started = Instant::now();
     let swapped = shared.store.swap(ORDERS, service, &value, version).await;
-    Ok((swapped.map_err(|error| text(&error))?, begun))
+    Ok((swapped.map_err(|error| cause(&error))?, started))
 }
 
-fn is_over(term: &Term, rows: &Rows) -> bool {
-    rows.now_ms.saturating_sub(term.at_ms) > TERM.as_millis() as u64
+fn has_expired(claim: &Claim, rows: &Rows) -> bool {
+    rows.now_ms.saturating_sub(claim.at_ms) > CLAIM_DURATION.as_millis() as u64
 }
 
-fn text(error: &Error) -> String {
+fn cause(error: &Error) -> String {
     error.to_string()
 }
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -21,7 +21,7 @@
 /// the time that answers are to be kept, and some to spare.
 const LINGER: Duration = Duration::from_millis(3_300);
 /// Pause between two looks whether requests are in progress.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const CHECK_PAUSE: Duration = Duration::from_millis(50);
 /// Time for taking the own row out of the store.
 const UNLIST_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -40,9 +40,9 @@
     /// If signals cannot be received.
     pub fn new() -> Result<Self, Error> {
         Ok(Self {
-            terminate: on(SignalKind::terminate())?,
-            interrupt: on(SignalKind::interrupt())?,
-            hangup: on(SignalKind::hangup())?,
+            terminate: subscribe(SignalKind::terminate())?,
+            interrupt: subscribe(SignalKind::interrupt())?,
+            hangup: subscribe(SignalKind::hangup())?,
         })
     }
 }
@@ -60,20 +60,20 @@
     shared.begin_stop();
     shared.members.borrow_mut().leave(shared.clock.now());
     let name = shared.settings().instance.clone();
-    let begun = Instant::now();
+    let started = Instant::now();
     let unlisted = timeout(UNLIST_TIMEOUT, shared.store.remove(instances::TABLE, &name)).await;
     if let Ok(Err(error)) = unlisted {
         log::warn!(kind = "store", step = "leaving", cause = error.to_string(); "the own row could not be removed");
     }
-    let last = begun + shared.settings().grace().saturating_sub(STOP_MARGIN);
-    sleep_until((begun + LINGER).min(last)).await;
-    while shared.open_requests() > 0 && Instant::now() < last {
-        sleep(LOOK_AGAIN).await;
+    let deadline = started + shared.settings().grace().saturating_sub(STOP_MARGIN);
+    sleep_until((started + LINGER).min(deadline)).await;
+    while shared.open_requests() > 0 && Instant::now() < deadline {
+        sleep(CHECK_PAUSE).await;
     }
     log::info!(kind = "stop", open = shared.open_requests() as u64; "stopped");
 }
 
-fn on(kind: SignalKind) -> Result<Signal, Error> {
+fn subscribe(kind: SignalKind) -> Result<Signal, Error> {
     signal(kind).map_err(|error| Error::Start {
         step: "signals",
         cause: error.to_string(),
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -88,7 +88,7 @@
     calls: IntCounterVec,
     /// Told when a call had no answer in time, so that watches on connections of the same age do
     /// not wait for their own limit.
-    silence: Notify,
+    timeouts: Notify,
 }
 
 impl Store {
@@ -98,7 +98,7 @@
             address,
             links: Rc::new(Links::new()),
             calls,
-            silence: Notify::new(),
+            timeouts: Notify::new(),
         }
     }
 
@@ -128,7 +128,7 @@
         let path = store::watch_path(table, version, wait.as_millis() as u64);
         let body = tokio::select! {
             body = self.get("watching", path, CALL_TIMEOUT + wait) => body?,
-            () = self.silence.notified() => return Err(Error::GivenUp),
+            () = self.timeouts.notified() => return Err(Error::GivenUp),
         };
         Rows::read(table, &body).map_err(Error::Garbled)
     }
@@ -182,7 +182,7 @@
 
     /// Opens the connection of a later call while nobody waits for it. It also falls silent together with those of
     /// watches: the later call then has no answer, and the watches are given up.
-    fn open_ahead(&self) {
+    fn preconnect(&self) {
         let (address, links) = (self.address, Rc::clone(&self.links));
         tokio::task::spawn_local(async move {
             match links::connect(address).await {
@@ -207,14 +207,14 @@
 
     async fn get(&self, step: &'static str, path: String, limit: Duration) -> Result<Bytes, Error> {
         loop {
-            let begun = Instant::now();
+            let started = Instant::now();
             let request = Request::builder().method(Method::GET).uri(&path);
             let body = self.call(step, request, Bytes::new(), limit).await?;
             // An answer that waited while the machine was suspended tells what was so before.
-            if begun.elapsed() <= limit {
+            if started.elapsed() <= limit {
                 return Ok(body);
             }
-            log::info!(kind = "store", step = step, ms = begun.elapsed().as_millis() as u64; "an answer is old; asking again");
+            log::info!(kind = "store", step = step, ms = started.elapsed().as_millis() as u64; "an answer is old; asking again");
         }
     }
 
@@ -242,13 +242,13 @@
         let request = request
             .header(header::HOST, self.address.to_string())
             .body(Full::new(body))
-            .map_err(|error| silent(step, &error))?;
+            .map_err(|error| no_answer(step, &error))?;
         match timeout(limit, self.exchange(step, request)).await {
             Ok(answer) => answer,
             Err(elapsed) => {
                 self.links.forget(self.address);
-                self.silence.notify_waiters();
-                Err(silent(step, &elapsed))
+                self.timeouts.notify_waiters();
+                Err(no_answer(step, &elapsed))
             }
         }
     }
@@ -281,10 +281,13 @@
             | Failure::NotSent { cause }
             | Failure::Lost { cause } => Error::Silent { step, cause },
         })?;
-        self.open_ahead();
+        self.preconnect();
         let status = answer.status();
         let body = Limited::new(answer.into_body(), MAX_ANSWER);
-        let body = body.collect().await.map_err(|error| silent(step, &error))?;
+        let body = body
+            .collect()
+            .await
+            .map_err(|error| no_answer(step, &error))?;
         match status {
             StatusCode::OK => Ok(body.to_bytes()),
             StatusCode::GONE => Err(Error::Compacted),
@@ -294,7 +297,7 @@
     }
 }
 
-fn silent(step: &'static str, cause: &impl ToString) -> Error {
+fn no_answer(step: &'static str, cause: &impl ToString) -> Error {
     Error::Silent {
         step,
         cause: cause.to_string(),
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -39,17 +39,17 @@
 const REPLICAS_PAUSE: Duration = Duration::from_millis(300);
 /// Time that the daemon which reads the store gets for an answer; a round trip takes some
 /// milliseconds.
-const NEWS_PATIENCE: Duration = Duration::from_millis(120);
+const POLLER_TIMEOUT: Duration = Duration::from_millis(120);
 /// Total time for asking the daemons that read the store, after which this daemon reads it itself.
 /// Together with the maximum age of news and the pause before ([`REPLICAS_PERIOD`]), this keeps the
 /// list well below an age of 2 s, after which a replica that leaves must get no requests.
-const READERS_TIMEOUT: Duration = Duration::from_millis(300);
+const POLLERS_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time after a start for which a daemon waits for the one that reads the store, before it reads plan and
 /// replicas itself: at a common start of 295 instances, 3,500 calls fell when each read them all.
-const START_PATIENCE: Duration = Duration::from_millis(1_500);
+const START_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time after a later start for which the list of instances is waited for: the store answers in some
 /// milliseconds, or its tables do not all answer.
-const LIST_PATIENCE: Duration = Duration::from_millis(100);
+const LIST_TIMEOUT: Duration = Duration::from_millis(100);
 /// Pause between two questions to that one meanwhile.
 const START_PAUSE: Duration = Duration::from_millis(60);
 /// Daemons of a data centre that try the store themselves in one period while it fails their reader. More
@@ -62,20 +62,20 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(350);
 
 /// Follows the plan, forever.
-pub async fn plan(shared: Rc<Shared>) {
+pub async fn follow_plan(shared: Rc<Shared>) {
     let mut version = None;
-    until_listed(&shared).await;
+    wait_for_instances(&shared).await;
     loop {
         if shared.members.borrow().poller().is_some() {
             version = None;
             sleep(REPLICAS_PERIOD).await;
             continue;
         }
-        let told = match version {
+        let read = match version {
             None => shared.store.read(plan::TABLE).await,
             Some(version) => shared.store.watch(plan::TABLE, version, PLAN_WAIT).await,
         };
-        match told {
+        match read {
             Ok(rows) => {
                 shared.store_answered("plan");
                 version = Some(rows.version);
@@ -97,7 +97,7 @@
 
 /// What a daemon that reads the store had to say.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Heard {
+enum PollerState {
     /// It is up to date, and now this daemon is, too.
     Fresh,
     /// The store fails it.
@@ -108,80 +108,80 @@
 
 /// Keeps the replicas up to date, forever: from the daemon that reads the store for this data
 /// centre, from one that does for another, or from the store.
-pub async fn replicas(shared: Rc<Shared>) {
-    let patience = Instant::now() + START_PATIENCE;
+pub async fn follow_replicas(shared: Rc<Shared>) {
+    let start_deadline = Instant::now() + START_TIMEOUT;
     let mut next_direct = Instant::now();
-    until_listed(&shared).await;
+    wait_for_instances(&shared).await;
     loop {
-        let reads_for_others = shared.members.borrow().poller().is_none();
-        let phase = phase(&shared, patience);
-        let heard = match phase {
-            Phase::StartsWithFew => Heard::Silent,
-            Phase::StartsWithMany => ask_readers(&shared, START_PATIENCE).await,
-            Phase::Steady => ask_readers(&shared, READERS_TIMEOUT).await,
+        let is_poller = shared.members.borrow().poller().is_none();
+        let phase = start_phase(&shared, start_deadline);
+        let poller_state = match phase {
+            StartPhase::FewInstances => PollerState::Silent,
+            StartPhase::ManyInstances => refresh_from_pollers(&shared, START_TIMEOUT).await,
+            StartPhase::Steady => refresh_from_pollers(&shared, POLLERS_TIMEOUT).await,
         };
-        if phase == Phase::StartsWithMany && heard != Heard::Fresh && !reads_for_others {
-            ask_neighbour(&shared).await;
+        if phase == StartPhase::ManyInstances && poller_state != PollerState::Fresh && !is_poller {
+            refresh_from_local_peer(&shared).await;
             sleep(START_PAUSE.mul_f64(rand::random_range(0.5..1.5))).await;
             continue;
         }
-        let direct = match heard {
-            Heard::Fresh => false,
-            Heard::Stale => Instant::now() >= next_direct,
-            Heard::Silent => true,
+        let reads_store = match poller_state {
+            PollerState::Fresh => false,
+            PollerState::Stale => Instant::now() >= next_direct,
+            PollerState::Silent => true,
         };
-        let is_read = direct && read_replicas(&shared).await;
-        if direct && !reads_for_others {
+        let is_read = reads_store && read_replicas(&shared).await;
+        if reads_store && !is_poller {
             read_plan(&shared).await;
-            next_direct = Instant::now() + seldom(&shared, DIRECT_PERIOD);
+            next_direct = Instant::now() + scaled_period(&shared, DIRECT_PERIOD);
         }
-        let usual = match heard {
-            Heard::Fresh => REPLICAS_PERIOD,
-            _ if is_read && reads_for_others => REPLICAS_PAUSE,
+        let pause = match poller_state {
+            PollerState::Fresh => REPLICAS_PERIOD,
+            _ if is_read && is_poller => REPLICAS_PAUSE,
             _ if is_read => REPLICAS_PERIOD,
             _ => RETRY_PAUSE,
         };
-        sleep(usual).await;
+        sleep(pause).await;
     }
 }
 
 /// Where this daemon stands after its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Phase {
+enum StartPhase {
     /// It knows no replicas, and its data centre has few instances: their calls of the store cost less than
     /// their callers' waiting would.
-    StartsWithFew,
+    FewInstances,
     /// It knows no replicas, and many instances may be starting with it.
-    StartsWithMany,
+    ManyInstances,
     /// It knows the replicas, or has waited for long enough.
     Steady,
 }
 
 /// The phase of a daemon that waits until `patience` at most.
-fn phase(shared: &Shared, patience: Instant) -> Phase {
+fn start_phase(shared: &Shared, start_deadline: Instant) -> StartPhase {
     let instances = shared.members.borrow().local_count();
     match shared.replicas_version() {
-        0 if instances <= DIRECT_READERS => Phase::StartsWithFew,
-        0 if Instant::now() < patience => Phase::StartsWithMany,
-        _ => Phase::Steady,
+        0 if instances <= DIRECT_READERS => StartPhase::FewInstances,
+        0 if Instant::now() < start_deadline => StartPhase::ManyInstances,
+        _ => StartPhase::Steady,
     }
 }
 
 /// Waits until the other instances are known, since it follows from them who reads the store.
-async fn until_listed(shared: &Shared) {
+async fn wait_for_instances(shared: &Shared) {
     let mut listed = shared.instances_listed.subscribe();
-    let patience = if shared.settings().first_start {
-        START_PATIENCE
+    let limit = if shared.settings().first_start {
+        START_TIMEOUT
     } else {
-        LIST_PATIENCE
+        LIST_TIMEOUT
     };
     // Without the list, each daemon is on its own.
-    let _ = timeout(patience, listed.wait_for(|listed| *listed)).await;
+    let _ = timeout(limit, listed.wait_for(|listed| *listed)).await;
 }
 
 /// The time until this daemon tries the store again that fails its reader: `period` where a data centre has
 /// few instances, and as much longer as there are more of them.
-fn seldom(shared: &Shared, period: Duration) -> Duration {
+fn scaled_period(shared: &Shared, period: Duration) -> Duration {
     let instances = shared.members.borrow().local_count();
     let share = instances.max(DIRECT_READERS) as f64 / DIRECT_READERS as f64;
     period.mul_f64(share * rand::random_range(0.75..1.25))
@@ -190,56 +190,56 @@
 /// Asks the daemons that read the store, starting with the one for this data centre, until one is
 /// up to date or `limit` has passed. Returns `Silent` if none answers or if this daemon reads the
 /// store for others.
-async fn ask_readers(shared: &Shared, limit: Duration) -> Heard {
+async fn refresh_from_pollers(shared: &Shared, limit: Duration) -> PollerState {
     let deadline = Instant::now() + limit;
-    let near = shared.members.borrow().poller();
-    let Some(near) = near else {
-        return Heard::Silent;
+    let local = shared.members.borrow().poller();
+    let Some(local) = local else {
+        return PollerState::Silent;
     };
-    let distant = shared.members.borrow().remote_pollers();
-    let mut heard = Heard::Silent;
-    for poller in std::iter::once(near).chain(distant) {
-        match timeout_at(deadline, news(shared, poller)).await {
-            Ok(Heard::Fresh) => return Heard::Fresh,
-            Ok(Heard::Stale) => heard = Heard::Stale,
-            Ok(Heard::Silent) => {}
+    let remote = shared.members.borrow().remote_pollers();
+    let mut poller_state = PollerState::Silent;
+    for poller in std::iter::once(local).chain(remote) {
+        match timeout_at(deadline, refresh_from(shared, poller)).await {
+            Ok(PollerState::Fresh) => return PollerState::Fresh,
+            Ok(PollerState::Stale) => poller_state = PollerState::Stale,
+            Ok(PollerState::Silent) => {}
             Err(_) => break,
         }
     }
-    heard
+    poller_state
 }
 
 /// Asks any daemon of this data centre. At a common start the one that reads the store would have to pass
 /// a list of 75 KB and more on to some sixty others through one link; each that has it passes it on.
-async fn ask_neighbour(shared: &Shared) {
-    let neighbour = shared.members.borrow().random_local_peer();
-    if let Some(neighbour) = neighbour {
-        news(shared, neighbour).await;
+async fn refresh_from_local_peer(shared: &Shared) {
+    let peer = shared.members.borrow().random_local_peer();
+    if let Some(peer) = peer {
+        refresh_from(shared, peer).await;
     }
 }
 
 /// Asks the daemon at `poller`.
-async fn news(shared: &Shared, poller: SocketAddr) -> Heard {
-    let Some(news) = gossip::request_status(shared, poller, NEWS_PATIENCE).await else {
-        return Heard::Silent;
+async fn refresh_from(shared: &Shared, poller: SocketAddr) -> PollerState {
+    let Some(status) = gossip::request_status(shared, poller, POLLER_TIMEOUT).await else {
+        return PollerState::Silent;
     };
-    if news.overloaded && Some(poller) == shared.members.borrow().poller() {
+    if status.overloaded && Some(poller) == shared.members.borrow().poller() {
         shared.note_reported_overload();
     }
-    match news {
-        news if !news.is_fresh() => Heard::Stale,
-        news if news.same && news.plan <= shared.plan_version() => {
-            shared.confirm_replicas(news.replicas, news.age());
-            Heard::Fresh
+    match status {
+        status if !status.is_fresh() => PollerState::Stale,
+        status if status.same && status.plan <= shared.plan_version() => {
+            shared.confirm_replicas(status.replicas, status.age());
+            PollerState::Fresh
         }
-        _ if exchange::fetch_newer(shared, poller).await => Heard::Fresh,
-        _ => Heard::Silent,
+        _ if exchange::fetch_newer(shared, poller).await => PollerState::Fresh,
+        _ => PollerState::Silent,
     }
 }
 
 async fn read_replicas(shared: &Shared) -> bool {
     let started_at = shared.clock.now();
-    match replicas_news(shared).await {
+    match fetch_replicas(shared).await {
         Ok(update) => {
             shared.store_answered("replicas");
             let read_at = earliest_read_time(started_at, shared.clock.now(), &update);
@@ -267,20 +267,20 @@
 }
 
 /// What changed of the replicas, or all of them where that is not known.
-async fn replicas_news(shared: &Shared) -> Result<Update, Error> {
+async fn fetch_replicas(shared: &Shared) -> Result<Update, Error> {
     let since = shared.replicas_version();
     if since == 0 {
-        return all_replicas(shared).await;
+        return fetch_all_replicas(shared).await;
     }
     let watched = shared.store.watch(replica::TABLE, since, REPLICAS_WAIT);
     match watched.await {
         Ok(rows) => Ok(Update::Changed(rows::delta(shared, since, &rows))),
-        Err(Error::Compacted) => all_replicas(shared).await,
+        Err(Error::Compacted) => fetch_all_replicas(shared).await,
         Err(error) => Err(error),
     }
 }
 
-async fn all_replicas(shared: &Shared) -> Result<Update, Error> {
+async fn fetch_all_replicas(shared: &Shared) -> Result<Update, Error> {
     let rows = shared.store.read(replica::TABLE).await?;
     Ok(Update::All(rows::snapshot(shared, &rows)))
 }
--- a/crates/gateway/src/watch/instances.rs
+++ b/crates/gateway/src/watch/instances.rs
@@ -9,13 +9,13 @@
 
 use crate::instance_info::InstanceInfo;
 use crate::shared::Shared;
-use crate::watch::seldom;
+use crate::watch::scaled_period;
 
 /// Time between two readings of the instances by the daemon that reads the store for its data
 /// centre; gossip is the faster source.
 const PERIOD: Duration = Duration::from_secs(6);
 /// The same for the other daemons, which hear of new instances from it.
-const DISTANT_PERIOD: Duration = Duration::from_mins(2);
+const OTHERS_PERIOD: Duration = Duration::from_mins(2);
 /// Pause between writing the own row and reading those of the others when the whole system starts for
 /// the first time; instances start within 300 ms of each other.
 const FIRST_START_PAUSE: Duration = Duration::from_millis(450);
@@ -37,7 +37,7 @@
                 shared.instances_listed.send_replace(true);
                 match shared.members.borrow().poller() {
                     _ if !registered => RETRY,
-                    Some(_) => DISTANT_PERIOD,
+                    Some(_) => OTHERS_PERIOD,
                     None => PERIOD,
                 }
             }
@@ -45,7 +45,7 @@
                 shared.store_failed("instances", &error);
                 // Nobody waits for a list that does not come.
                 shared.instances_listed.send_replace(true);
-                seldom(&shared, RETRY)
+                scaled_period(&shared, RETRY)
             }
         };
         sleep(pause).await;
@@ -56,13 +56,13 @@
 /// one is as it should be.
 async fn take_instances(shared: &Shared, rows: &Rows) -> bool {
     let read = |row: &Row| serde_json::from_slice::<InstanceInfo>(row.value.as_deref()?).ok();
-    let cards: Vec<InstanceInfo> = rows.rows.iter().filter_map(read).collect();
+    let instances: Vec<InstanceInfo> = rows.rows.iter().filter_map(read).collect();
     let own = shared.own_info();
-    let listed = cards.contains(&own);
+    let listed = instances.contains(&own);
     shared
         .members
         .borrow_mut()
-        .set_listed(shared.clock.now(), &cards);
+        .set_listed(shared.clock.now(), &instances);
     if listed || shared.is_stopping() {
         return true;
     }
