--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,6 +1,6 @@
-//! What daemons tell each other while the store does not: plan, replicas, instances.
+//! Exchange of plan, replicas, instances and quarantine records between daemons, for when the store is silent.
 //!
-//! One `h2` stream a question; question and answer are `bincode`.
+//! Each request is one `h2` stream; requests and responses are encoded with `bincode`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -33,48 +33,48 @@
 use crate::instance_info::InstanceInfo;
 use crate::shared::Shared;
 
-/// Time for one question, the connection included.
+/// Timeout of one request, including the connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// Bytes of a message at most; a plan of some thousand routes stays below.
+/// Maximum size of a message in bytes; a plan of some thousand routes stays below.
 const MAX_MESSAGE: usize = 4 * 1024 * 1024;
-/// Time between two questions while the store is silent.
+/// Interval between requests while the store is silent.
 const PERIOD: Duration = Duration::from_millis(700);
-/// Silence of the store from which on peers are asked.
+/// Time without an answer of the store after which peers are asked.
 const STORE_SILENCE: Duration = Duration::from_millis(1_500);
-/// Connections served at once.
+/// Maximum number of connections served at once.
 const MAX_CONNECTIONS: usize = 64;
 
 #[derive(Debug, Serialize, Deserialize)]
 struct SyncRequest {
-    /// Version of the asker's plan; 0 if it has none.
+    /// Version of the requester's plan; 0 if it has none.
     plan: u64,
-    /// Version of the store at which the asker's replicas stand.
+    /// Store version of the requester's replicas.
     replicas: u64,
-    /// Hash of the asker's replicas.
+    /// Hash of the requester's replicas.
     digest: u64,
-    /// Instances that the asker knows.
+    /// Number of instances that the requester knows.
     instances: u32,
-    /// Requests under which replicas ended, as the asker knows.
+    /// The requester's records of suspect requests.
     quarantine: Vec<Record>,
-    /// Whether the asker has to be told of all of these, and not of the suspect ones alone.
+    /// Whether the response has to contain all quarantine records instead of the suspect ones only.
     all_records: bool,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 struct SyncResponse {
-    /// The plan, if it is newer than the asker's.
+    /// The plan, if it is newer than the requester's.
     plan: Option<Plan>,
-    /// The replicas, if they are newer than the asker's.
+    /// The replicas, if they are newer than the requester's.
     replicas: Option<Update>,
-    /// Time since the teller's replicas were read from the store.
+    /// Time since the responder's replicas were read from the store.
     replicas_age: Duration,
-    /// The instances, if the asker knows fewer.
+    /// The instances, if the requester knows fewer.
     cards: Vec<InstanceInfo>,
-    /// Requests under which replicas ended, as the teller knows.
+    /// The responder's quarantine records.
     quarantine: Vec<Record>,
 }
 
-/// Answers other daemons, forever.
+/// Answers requests of other daemons, forever.
 pub async fn serve(shared: Rc<Shared>, listener: TcpListener) {
     let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -88,20 +88,20 @@
                     let answered =
                         timeout(REQUEST_TIMEOUT, serve_connection(&shared, socket)).await;
                     if let Ok(Err(error)) = answered {
-                        log::debug!(kind = "exchange", peer = peer.to_string(), cause = error.to_string(); "a question was not answered");
+                        log::debug!(kind = "exchange", peer = peer.to_string(), cause = error.to_string(); "a request was not answered");
                     }
                     drop(permit);
                 });
             }
             Err(error) => {
-                log::warn!(kind = "exchange", cause = error.to_string(); "a connection could not be accepted");
+                log::warn!(kind = "exchange", cause = error.to_string(); "failed to accept a connection");
                 sleep(PERIOD).await;
             }
         }
     }
 }
 
-/// Asks peers while the store is silent or no plan is known, forever.
+/// Fetches newer state from random peers while the store is silent or no plan is known, forever.
 pub async fn poll_peers(shared: Rc<Shared>) {
     loop {
         sleep(PERIOD).await;
@@ -116,7 +116,7 @@
     }
 }
 
-/// Asks the daemon at `peer` for what is newer there; `false` if it does not answer.
+/// Fetches and applies what is newer at the daemon at `peer`; `false` if it does not answer.
 pub async fn fetch_newer(shared: &Shared, peer: SocketAddr) -> bool {
     let message = SyncRequest {
         plan: shared.plan_version(),
@@ -126,11 +126,11 @@
         quarantine: shared.quarantine.borrow().suspects(),
         all_records: !shared.has_all_records(),
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let sent_at = shared.clock.now();
-    match timeout(REQUEST_TIMEOUT, send_request(peer, &message)).await {
-        // A list that came later was told before the machine was suspended.
-        Ok(Ok(response)) if begun.elapsed() <= REQUEST_TIMEOUT => {
+    match timeout(REQUEST_TIMEOUT, request_update(peer, &message)).await {
+        // A response that arrives later was sent before the machine was suspended.
+        Ok(Ok(response)) if started.elapsed() <= REQUEST_TIMEOUT => {
             apply(shared, sent_at, response);
             return true;
         }
@@ -144,7 +144,7 @@
     false
 }
 
-/// Applies the answer to a question that was sent at `asked_at`.
+/// Applies the response to a request that was sent at `sent_at`.
 fn apply(shared: &Shared, sent_at: Time, response: SyncResponse) {
     let now = shared.clock.now();
     for instance in &response.cards {
@@ -160,14 +160,14 @@
     }
 }
 
-async fn send_request(peer: SocketAddr, message: &SyncRequest) -> io::Result<SyncResponse> {
+async fn request_update(peer: SocketAddr, message: &SyncRequest) -> io::Result<SyncResponse> {
     let socket = TcpStream::connect(peer).await?;
     let (mut client, connection) = h2::client::handshake(socket)
         .await
         .map_err(io::Error::other)?;
     let driver = tokio::task::spawn_local(async move {
         if let Err(error) = connection.await {
-            log::debug!(kind = "exchange", cause = error.to_string(); "connection ended");
+            log::debug!(kind = "exchange", cause = error.to_string(); "connection to a peer ended");
         }
     });
     let request = Request::post(format!("http://{peer}/"))
@@ -199,7 +199,7 @@
                 .map_err(io::Error::other)?;
             stream.send_data(encoded, true).map_err(io::Error::other)
         };
-        // The connection has to be driven for the body of the question to arrive.
+        // The body of the request arrives only while the connection is polled.
         let mut answer = std::pin::pin!(answer);
         tokio::select! {
             done = &mut answer => done?,
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,4 +1,7 @@
-//! Datagrams between daemons: membership, and which plan the sender has.
+//! Datagrams between daemons: membership, status of the poller, claims, quarantine records and quotas.
+//!
+//! Each datagram also carries the version of the sender's plan and a hash of its quarantine records, from which the
+//! receiver sees whether it has to fetch newer ones.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,18 +30,18 @@
 use crate::quotas;
 use crate::shared::Shared;
 
-/// Largest datagram that is sent; below the usual packet size, so that none is cut into parts.
+/// Size in bytes above which a datagram is logged; larger ones exceed the usual packet size and are fragmented.
 const MAX_DATAGRAM: usize = 1_400;
-/// Longest sleep without a step.
+/// Maximum sleep between two membership steps.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
-/// Time that the store gets to tell a newer plan before the peer that has it is asked.
+/// Time to wait for a newer plan from the store before it is fetched from a peer.
 const PLAN_DELAY: Duration = Duration::from_millis(300);
 
-/// Records of requests under which replicas ended, in one datagram: 75 bytes each, and 200 for its head.
+/// Maximum number of quarantine records in one datagram: 75 bytes each, and 200 for its head.
 const MAX_RECORDS: usize = 12;
-/// Time that datagrams on their way get before a peer whose records differ is asked for them.
+/// Time to wait for datagrams in flight before differing records are fetched from a peer.
 const RECORDS_DELAY: Duration = Duration::from_millis(300);
-/// Pause after such a question, so that many differences are made good by few.
+/// Pause after such a fetch, so that one fetch covers many differences.
 const RECORDS_PAUSE: Duration = Duration::from_millis(700);
 
 /// One datagram.
@@ -49,38 +52,38 @@
     plan: u64,
     /// Whether the sender is overloaded.
     overloaded: bool,
-    /// Hash of the sender's records of requests under which replicas ended.
+    /// Hash of the sender's quarantine records.
     quarantine: u64,
     content: Content,
 }
 
-/// What a datagram is for.
+/// Content of a datagram.
 #[derive(Debug, Serialize, Deserialize)]
 enum Content {
-    /// Membership.
+    /// Membership protocol.
     Member {
         message: Message,
-        /// Another instance's card.
+        /// Info of another instance.
         hint: Option<InstanceInfo>,
     },
-    /// Asks the reader of the store for this data centre for news.
+    /// Asks another daemon how current its plan and replicas are.
     Question {
         /// Repeated in the answer.
         number: u32,
         /// Hash of the sender's replicas.
         digest: u64,
     },
-    /// The answer.
+    /// Reply to `Question`.
     News {
         /// The number of the question.
         number: u32,
         news: PollerStatus,
     },
-    /// What the sender's runs at decode replicas hold.
+    /// What the sender's runs hold at decode replicas.
     Claims(Told),
-    /// Requests under which replicas ended.
+    /// Records of requests under which replicas ended.
     Quarantine(Vec<Record>),
-    /// What customers use of their quotas.
+    /// Use of customers' quotas.
     Quota(quotas::Message),
 }
 
@@ -99,7 +102,7 @@
         tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => receive(&shared, &buffer[..length], from).await,
-                Err(error) => log::debug!(kind = "gossip", cause = error.to_string(); "a datagram could not be received"),
+                Err(error) => log::debug!(kind = "gossip", cause = error.to_string(); "failed to receive a datagram"),
             },
             () = sleep_until(due.min(latest)) => {}
         }
@@ -121,44 +124,44 @@
     next
 }
 
-/// Asks the daemon at `peer` for news, whose age counts from the question on; `None` if it does not answer in time.
+/// Requests the status of the daemon at `peer`, whose age counts from the request on; `None` if it does not answer in time.
 pub async fn request_status(
     shared: &Shared,
     peer: SocketAddr,
     limit: Duration,
 ) -> Option<PollerStatus> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let number = rand::random();
     let (answer, answered) = oneshot::channel();
     shared.status_requests.borrow_mut().insert(number, answer);
     let digest = shared.pool.borrow().digest();
     send(shared, peer, Content::Question { number, digest }).await;
-    let news = timeout(limit, answered).await;
+    let reply = timeout(limit, answered).await;
     shared.status_requests.borrow_mut().remove(&number);
-    let news = news.ok()?.ok()?;
-    // The answer may have waited here while the machine was suspended.
-    let news = news.aged_by(begun.elapsed());
+    let status = reply.ok()?.ok()?;
+    // The reply may have waited unread while the machine was suspended.
+    let status = status.aged_by(started.elapsed());
     let is_unchanged = shared.pool.borrow().digest() == digest;
     Some(if is_unchanged {
-        news
+        status
     } else {
-        news.for_changed_list()
+        status.for_changed_list()
     })
 }
 
-/// Tells the daemon at `peer` what this one's runs hold.
+/// Sends to the daemon at `peer` what this one's runs hold.
 pub async fn send_claims(shared: &Shared, peer: SocketAddr, told: Told) {
     send(shared, peer, Content::Claims(told)).await;
 }
 
-/// Tells the daemon at `peer` of `records`.
+/// Sends `records` to the daemon at `peer`, in as many datagrams as needed.
 pub async fn send_records(shared: &Shared, peer: SocketAddr, records: &[Record]) {
     for chunk in records.chunks(MAX_RECORDS) {
         send(shared, peer, Content::Quarantine(chunk.to_vec())).await;
     }
 }
 
-/// Tells the daemon at `peer` of a customer's quota.
+/// Sends a message about a customer's quota to the daemon at `peer`.
 pub async fn send_quota(shared: &Shared, peer: SocketAddr, message: quotas::Message) {
     send(shared, peer, Content::Quota(message)).await;
 }
@@ -172,7 +175,7 @@
         content,
     };
     if let Err(error) = send_datagram(shared, to, &datagram).await {
-        log::debug!(kind = "gossip", peer = to.to_string(), cause = error.to_string(); "a datagram could not be sent");
+        log::debug!(kind = "gossip", peer = to.to_string(), cause = error.to_string(); "failed to send a datagram");
     }
 }
 
@@ -180,7 +183,7 @@
     let bytes =
         bincode::serde::encode_to_vec(datagram, config::standard()).map_err(io::Error::other)?;
     if bytes.len() > MAX_DATAGRAM {
-        log::debug!(kind = "gossip", bytes = bytes.len(); "a datagram is large");
+        log::debug!(kind = "gossip", bytes = bytes.len(); "a datagram is large and may be fragmented");
     }
     let socket = shared.gossip_socket.get();
     let socket = socket.ok_or_else(|| io::Error::other("the socket is not open yet"))?;
@@ -215,7 +218,7 @@
         }
         Content::News { number, news } => {
             if let Some(answer) = shared.status_requests.borrow_mut().remove(&number) {
-                // The question may have timed out just now.
+                // The request may have timed out just now.
                 let _ = answer.send(news);
             }
         }
@@ -255,7 +258,7 @@
     }
 }
 
-/// Asks `peer` for its plan, unless the store tells it first.
+/// Fetches plan `version` from `peer`, unless the store delivers it first.
 fn fetch_plan(shared: Rc<Shared>, version: u64, peer: SocketAddr) {
     if !shared.begin_plan_fetch(version) {
         return;
@@ -269,7 +272,7 @@
     });
 }
 
-/// Compares records with `peer`, whose hash of them is `digest`, once what is on its way has come.
+/// Fetches the records of `peer` if their hash `digest` still differs from the own one after [`RECORDS_DELAY`].
 fn compare_records(shared: Rc<Shared>, peer: SocketAddr, digest: u64) {
     if !shared.begin_comparing() {
         return;
--- a/crates/gateway/src/instance_info.rs
+++ b/crates/gateway/src/instance_info.rs
@@ -1,4 +1,4 @@
-//! How an instance makes itself known to others.
+//! Name and addresses of an instance, as it publishes them to others.
 
 use std::net::SocketAddr;
 
@@ -10,20 +10,20 @@
 /// Name and addresses of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceInfo {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Its data centre.
+    /// Data centre it runs in.
     pub data_centre: Zone,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where other daemons reach it, by TCP and UDP.
+    /// Address for other daemons, TCP and UDP.
     pub peers: SocketAddr,
-    /// What its processor can do, in thousandths of a core.
+    /// Processor capacity, in thousandths of a core.
     pub capacity: u32,
 }
 
 impl InstanceInfo {
-    /// The key of the instance.
+    /// Key of the instance, derived from its name.
     pub fn instance(&self) -> Instance {
         Instance::new(&self.name)
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon that relays callers' requests on the users' platform.
+//! The gateway daemon: relays callers' requests to replicas on the users' platform.
 //!
-//! Decisions are made by the `relay` crate, names and formats of the platform are translated by the
-//! `platform` crate; here are sockets, timers, settings, logs and metrics. One thread does all work
-//! but the writing of log lines.
+//! The `relay` crate makes the decisions, the `platform` crate translates names and formats of the
+//! platform; this crate holds sockets, timers, settings, logs and metrics. All work but the writing of
+//! log lines is done on one thread.
 
 pub mod asides;
 pub mod ask;
@@ -72,21 +72,20 @@
 use crate::shared::Shared;
 use crate::stop::Signals;
 
-/// What is logged: everything of this product, warnings of its libraries.
+/// Log levels: everything of this product, warnings of its libraries.
 const LEVELS: &str = "warn, gateway=info, waxwing_gateway=info";
-/// Bound of the numbers that tell the runs of an instance apart in its log lines.
+/// Upper bound of the random numbers that identify a run of an instance in its log lines.
 const MAX_RUN_ID: u32 = 1 << 24;
-/// Time between two looks after idle connections and readiness.
+/// Interval between checks of idle connections and readiness.
 const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(100);
-/// Time that the last log lines of the process get; nobody may be reading them.
+/// Timeout for writing the last log lines; the reader of the output may be gone.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause between the last line and the end of the process, for collectors that read its output from
-/// time to time and drop what is left at its end: without it the line that it stopped was lost in 7
-/// of 7 stops.
+/// Pause between the last log line and the end of the process. Collectors that poll the output drop what is
+/// unread when the process ends: without the pause the line "stopped" was lost in 7 of 7 stops.
 const COLLECTOR_PAUSE: Duration = Duration::from_millis(50);
-/// Sleep of the housekeeping from which on the process is said to have stood still.
+/// Duration of a housekeeping sleep above which a pause of the process is logged.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// Bounds of the servers that callers send no requests to.
+/// Limits of the servers for addresses, readiness and metrics.
 const AUXILIARY: Bounds = Bounds {
     header_bytes: 8 * 1024,
     header_timeout: Duration::from_secs(3),
@@ -113,7 +112,7 @@
 }
 
 async fn serve(shared: Rc<Shared>, path: &Path) -> Result<(), Error> {
-    // Before anything that takes time: a signal that comes earlier ends the process.
+    // First, since a signal that arrives before its handler is installed kills the process.
     let signals = Signals::new()?;
     let settings = shared.settings();
     log::info!(kind = "start", data_centre = settings.data_centre, version = env!("CARGO_PKG_VERSION"); "starting");
@@ -160,7 +159,7 @@
     spawn_local(quarantine::announce::run(Rc::clone(&shared)));
     spawn_local(quarantine::storage::run(Rc::clone(&shared)));
     spawn_local(quarantine::remove_expired(Rc::clone(&shared)));
-    // Nobody has records when all start together for the first time.
+    // At the first start of the whole system no peer has records.
     if !settings.first_start {
         spawn_local(quarantine::fetch_records(Rc::clone(&shared)));
     }
@@ -169,14 +168,14 @@
     let state = Rc::clone(&shared);
     spawn_local(async move {
         if let Err(error) = gossip::run(state).await {
-            log::error!(kind = "gossip", cause = error.to_string(); "membership is off");
+            log::error!(kind = "gossip", cause = error.to_string(); "failed to open the socket for gossip; membership is off");
         }
     });
     stop::wait(&shared, path, signals).await;
     Ok(())
 }
 
-/// Becomes a member once ready, and closes connections that were idle for too long.
+/// Joins the fleet once ready, closes idle connections, and logs pauses and suspensions of the process.
 async fn housekeeping(shared: Rc<Shared>) {
     let mut suspensions = Watch::new();
     loop {
@@ -187,12 +186,12 @@
             log::info!(kind = "ready", plan = shared.plan_version(); "taking callers");
         }
         shared.links.sweep();
-        let begun = shared.clock.now();
+        let started = shared.clock.now();
         sleep(HOUSEKEEPING_PERIOD).await;
         if let Some(time) = suspensions.look() {
             log::warn!(kind = "suspended", ms = time.as_millis() as u64; "the machine was suspended");
         }
-        let slept = shared.clock.now().since(begun);
+        let slept = shared.clock.now().since(started);
         shared.note_late(slept.saturating_sub(HOUSEKEEPING_PERIOD));
         if slept > PAUSE_THRESHOLD {
             log::warn!(kind = "pause", ms = slept.as_millis() as u64, open = shared.open_requests() as u64; "the process stood still");
@@ -211,7 +210,7 @@
     }
 }
 
-/// Starts the logs; gives their handle and the counts of lines.
+/// Starts logging; returns the logger's handle and the line counters.
 fn start_logs(instance: &str) -> Result<(LoggerHandle, Arc<Count>), Error> {
     let run = format!("{:06x}", rand::random_range(0..MAX_RUN_ID));
     let queue = Queue::new(Box::new(io::stdout()), instance.to_owned(), run)
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! `waxwing-gateway`, the daemon on the users' platform.
+//! `waxwing-gateway`, the gateway daemon for the users' platform.
 
 use std::process::ExitCode;
 
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,4 +1,4 @@
-//! The other instances: who is there, and where.
+//! The known instances: which are members, and their addresses.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -23,51 +23,51 @@
 
 use crate::instance_info::InstanceInfo;
 
-/// Key by which the members of a data centre choose the one that reads the store for all.
+/// Key whose owner among the members of a data centre is its poller, the one that reads the store for all.
 const POLLER_KEY: u64 = 1;
-/// Time after joining for which listed instances count that were not heard of yet: the members are met
-/// within a few seconds, and until then each newcomer would take itself for the one that reads the store.
+/// Time after joining during which all listed instances count as members. Members are discovered within a few
+/// seconds; until then each newcomer would take itself for the poller.
 const SETTLING_TIME: Duration = Duration::from_secs(3);
-/// Time for which an instance that was lost may be at work out of reach. Later it counts as gone, or a fleet would lose its
-/// majority by replacements alone.
+/// Time for which an unreachable instance is assumed to be running. Later it counts as gone, or replacing instances
+/// would be enough to lose the majority.
 const ABSENCE_TIMEOUT: Duration = Duration::from_mins(10);
-/// Daemons that are asked in turn for what is kept at one of them.
+/// Number of daemons that may keep a key: the keeper and its deputy.
 const KEEPERS: usize = 2;
 
 /// The instances that this daemon knows.
 #[derive(Debug)]
 pub struct Members {
     own: InstanceInfo,
-    /// `None` until this daemon takes callers: to be a member is to be told to callers.
+    /// `None` until this daemon accepts callers, since members are advertised to them.
     fleet: Option<Fleet>,
-    /// When the fleet counts alone; see [`SETTLING`].
+    /// Whether only members count; see [`SETTLING_TIME`].
     is_settled: bool,
     joined_at: Time,
     others: HashMap<Instance, InstanceInfo>,
     listed: Vec<Listed>,
-    /// Whether the store has told which instances there are.
+    /// Whether the list of instances was read from the store.
     is_listed: bool,
-    /// Since when instances are known that are not members in reach, of those that did not leave.
+    /// Instances that are not reachable members and did not leave, with the time since when.
     absent: HashMap<Instance, Time>,
-    /// When a member last came or went, as far as this daemon knows.
+    /// Time of the last known change of the membership.
     changed_at: Time,
-    /// Most instances seen at once; bounds the share of what all may retry together.
+    /// Largest number of instances seen at once; divides the retry budget that all share.
     max_alive: usize,
 }
 
 /// A datagram to send.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// The receiver.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// What it is told.
+    /// Membership message.
     pub message: Message,
-    /// Another instance's card, taken in turn.
+    /// Info of a random other instance.
     pub hint: Option<InstanceInfo>,
 }
 
 impl Members {
-    /// This instance alone, not yet a member.
+    /// Knows this instance only, which is not yet a member.
     pub fn new(own: InstanceInfo) -> Self {
         Self {
             own,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// This instance's card.
+    /// Info of this instance.
     pub const fn own(&self) -> &InstanceInfo {
         &self.own
     }
@@ -93,7 +93,7 @@
         self.fleet.is_some()
     }
 
-    /// Becomes a member; `started` orders the runs of this instance.
+    /// Joins the fleet; `started` orders the runs of this instance.
     pub fn join(&mut self, now: Time, started: u64) {
         let incarnation = Incarnation(rand::random());
         let instance = self.own.instance();
@@ -106,18 +106,18 @@
         self.fleet = Some(fleet);
         self.joined_at = now;
         self.changed_at = now;
-        // Members are heard of one after the other; until then the list says how many there are.
+        // Members are discovered one by one; until then the list gives their number.
         self.max_alive = self.max_alive.max(self.listed.len());
     }
 
-    /// Tells others that this daemon takes no new callers.
+    /// Announces that this daemon accepts no new callers.
     pub fn leave(&mut self, now: Time) {
         if let Some(fleet) = &mut self.fleet {
             fleet.leave(now);
         }
     }
 
-    /// Takes the instances that the store lists.
+    /// Sets the instances that the store lists.
     pub fn set_listed(&mut self, now: Time, instances: &[InstanceInfo]) {
         self.is_listed = true;
         self.listed = instances
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes a card that another daemon told.
+    /// Adds or updates an instance.
     pub fn learn(&mut self, now: Time, info: &InstanceInfo) {
         let instance = info.instance();
         if instance == self.own.instance() {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes a datagram in.
+    /// Handles a membership message of the instance `from`.
     pub fn receive(&mut self, now: Time, from: &InstanceInfo, message: &Message) {
         let known = self.listed.len();
         self.learn(now, from);
@@ -158,7 +158,7 @@
         fleet.receive(now, from.instance(), message);
     }
 
-    /// Does what is due; gives the datagrams to send, what changed, and when to come back.
+    /// Runs the due steps; returns the datagrams to send, the members that changed, and the time of the next step.
     pub fn step(&mut self, now: Time) -> (Vec<Outgoing>, Vec<Member>, Time) {
         let Some(fleet) = &mut self.fleet else {
             return (Vec::new(), Vec::new(), Time::NEVER);
@@ -186,11 +186,11 @@
         (sends, changed, next)
     }
 
-    /// Notes whether `member` is in reach.
+    /// Records whether `member` is reachable.
     fn note_absence(&mut self, now: Time, member: &Member, before: Option<State>) {
         self.changed_at = now;
         match member.state {
-            // One that leaves by itself is not on the other side of a cut.
+            // A member that leaves on purpose is not on the other side of a network partition.
             State::Alive | State::Leaving => {
                 self.absent.remove(&member.instance);
             }
@@ -201,13 +201,13 @@
         }
     }
 
-    /// When a member last came or went, as far as this daemon knows.
+    /// Time of the last known change of the membership.
     pub const fn changed_at(&self) -> Time {
         self.changed_at
     }
 
-    /// Whether the members in reach are more than the instances that may be at work out of reach. Until the members are met,
-    /// all that are known count as members; a daemon that knows of none does not take itself for the only one.
+    /// Whether the reachable members outnumber the instances that may be running out of reach. For [`SETTLING_TIME`]
+    /// after joining, all known instances count as members. A daemon that knows of no other is not a majority.
     pub fn is_majority(&self, now: Time) -> bool {
         let knows_others = self.is_listed || !self.others.is_empty();
         match &self.fleet {
@@ -217,17 +217,17 @@
         }
     }
 
-    /// Instances out of reach that may be at work.
+    /// Number of unreachable instances that may be running.
     fn absent(&self, now: Time, fleet: &Fleet) -> usize {
         let in_reach: HashSet<Instance> = fleet.alive().map(|member| member.instance).collect();
         let absent = self.absent.iter().filter(|(instance, since)| {
-            // Of a member in reach, the card may have come after the news of it.
+            // The info of a reachable member may have arrived after its membership record.
             now.since(**since) < ABSENCE_TIMEOUT && !in_reach.contains(*instance)
         });
         absent.count()
     }
 
-    /// The keeper of what is kept under `key`, and its deputy: instances with where they listen.
+    /// The keeper of `key` and its deputy, with their addresses for peers.
     pub fn keepers(&self, key: u64) -> Vec<(Instance, SocketAddr)> {
         let fleet = self.fleet.as_ref();
         let ranked = match fleet.filter(|_| self.is_settled) {
@@ -238,18 +238,18 @@
         ranked.into_iter().filter_map(at).collect()
     }
 
-    /// Name of an instance, or its key where the name is not known.
+    /// Name of an instance, or its key if the name is not known.
     pub fn name(&self, instance: Instance) -> String {
         let info = self.others.get(&instance);
         info.map_or_else(|| instance.to_string(), |info| info.name.clone())
     }
 
-    /// Instances that share what may be retried: the most that were members at once.
+    /// Number of instances that share the retry budget: the largest number of members seen at once.
     pub const fn sharers(&self) -> usize {
         self.max_alive
     }
 
-    /// Instances that callers are told of: members that are neither leaving nor suspected.
+    /// Instances that are advertised to callers: members that are neither leaving nor suspected.
     pub fn advertised(&self) -> Vec<Entry> {
         let Some(fleet) = &self.fleet else {
             return Vec::new();
@@ -265,20 +265,20 @@
             .collect()
     }
 
-    /// Whether this daemon is the one that is to act on `key`.
+    /// Whether this daemon owns `key`.
     pub fn is_owner(&self, key: u64) -> bool {
         let owner = self.fleet.as_ref().and_then(|fleet| fleet.owner(key));
         owner == Some(self.own.instance())
     }
 
-    /// Where the daemon listens that reads the store for this data centre; `None` if that is this one.
+    /// Peer address of this data centre's poller; `None` if that is this daemon.
     pub fn poller(&self) -> Option<SocketAddr> {
         let poller = self.poller_in(self.own.data_centre)?;
         self.others.get(&poller).map(|info| info.peers)
     }
 
-    /// The instance that reads the store for `data_centre`: among the members, or, until these are met,
-    /// among all that are listed and not known to be dead.
+    /// The poller of `data_centre`: chosen among the members, or, for [`SETTLING_TIME`] after joining, among all
+    /// listed instances that are not known to be dead.
     fn poller_in(&self, data_centre: Zone) -> Option<Instance> {
         let fleet = self.fleet.as_ref();
         match fleet.filter(|_| self.is_settled) {
@@ -292,7 +292,7 @@
         }
     }
 
-    /// The instances that are listed and not known to be dead, this one among them.
+    /// Instances that are not known to be dead, including this one.
     fn not_dead(&self) -> impl Iterator<Item = &InstanceInfo> {
         let all = std::iter::once(&self.own).chain(self.others.values());
         all.filter(|info| !self.is_dead(info.instance()))
@@ -304,7 +304,7 @@
         member.is_some_and(|member| member.state == State::Dead)
     }
 
-    /// Where a daemon of this data centre listens, drawn anew each time; `None` if no other is known.
+    /// Peer address of a random other daemon of this data centre; `None` if no other is known.
     pub fn random_local_peer(&self) -> Option<SocketAddr> {
         let local = self.own.data_centre;
         let others = self.others.values();
@@ -312,14 +312,14 @@
         others.map(|info| info.peers).choose(&mut rand::rng())
     }
 
-    /// Instances of this data centre, this one among them.
+    /// Number of known instances of this data centre, including this one.
     pub fn local_count(&self) -> usize {
         let local = self.own.data_centre;
         let others = self.others.values();
         1 + others.filter(|info| info.data_centre == local).count()
     }
 
-    /// Peer addresses of the daemons that read the store for other data centres, in random order.
+    /// Peer addresses of the pollers of other data centres, in random order.
     pub fn remote_pollers(&self) -> Vec<SocketAddr> {
         let local = self.own.data_centre;
         let mut remote: Vec<Zone> = self.others.values().map(|info| info.data_centre).collect();
@@ -332,28 +332,28 @@
         instances.map(|info| info.peers).collect()
     }
 
-    /// Where the daemon of `instance` listens for others, if it is known.
+    /// Peer address of `instance`, if it is known.
     pub fn peer_address(&self, instance: Instance) -> Option<SocketAddr> {
         self.others.get(&instance).map(|info| info.peers)
     }
 
-    /// Where daemons of other known instances listen.
+    /// Peer addresses of all other known instances.
     pub fn peer_addresses(&self) -> Vec<SocketAddr> {
         self.others.values().map(|info| info.peers).collect()
     }
 
-    /// How many instances are known, this one among them.
+    /// Number of known instances, including this one.
     pub fn known_count(&self) -> usize {
         1 + self.others.len()
     }
 
-    /// Cards of all instances known, this one's first.
+    /// Infos of all known instances, this one first.
     pub fn all_instances(&self) -> Vec<InstanceInfo> {
         let own = std::iter::once(&self.own);
         own.chain(self.others.values()).cloned().collect()
     }
 
-    /// Members in reach, this one among them.
+    /// Number of reachable members, including this one.
     pub fn alive_count(&self) -> usize {
         self.fleet.as_ref().map_or(1, |fleet| fleet.alive().count())
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, served as text.
+//! Metrics of the daemon, exported in the Prometheus text format.
 
 use std::sync::Arc;
 
@@ -19,12 +19,12 @@
 use prometheus::core::Collector;
 use prometheus::core::GenericGauge;
 
-/// Upper bounds of latencies, in seconds; the objectives lie between 0.15 and 2 s.
+/// Upper bounds of the latency buckets, in seconds; the objectives lie between 0.15 and 2 s.
 const LATENCIES: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 0.9, 1.5, 3.0, 6.0, 14.0,
 ];
 
-/// All figures of the daemon.
+/// All metrics of the daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -32,23 +32,23 @@
     pub plan_version: GenericGauge<AtomicU64>,
     /// Requests in progress.
     pub open: GenericGauge<AtomicU64>,
-    /// Requests that are sent to no replica, since replicas ended under them.
+    /// Quarantined requests, which are sent to no replica because replicas ended under them.
     pub quarantined: GenericGauge<AtomicU64>,
-    /// Answers of replicas that were, or may have been, another request's.
+    /// Answers of replicas that belonged, or may have belonged, to another request.
     pub foreign_answers: IntCounter,
     /// Calls of the store that failed.
     pub store_failures: IntCounter,
     /// Calls of the store, by step and table.
     pub store_calls: IntCounterVec,
-    /// Members in reach, this daemon among them.
+    /// Reachable members, including this daemon.
     pub members: GenericGauge<AtomicU64>,
-    /// Version of the store at which the replicas stand.
+    /// Store version of the list of replicas.
     pub replicas_version: GenericGauge<AtomicU64>,
-    /// Seconds since the replicas were up to date.
+    /// Seconds since the replicas were last known to be up to date.
     pub replicas_age: Gauge,
-    /// Retries that are left, by service.
+    /// Retries left in the budget, by service.
     budget: GaugeVec,
-    /// Log lines that were dropped since the queue was full.
+    /// Log lines dropped because the queue was full.
     dropped_lines: GenericGauge<AtomicU64>,
     lines: Arc<Count>,
     event_gaps: Histogram,
@@ -62,10 +62,10 @@
 }
 
 impl Metrics {
-    /// All at zero; `lines` counts log lines.
+    /// Creates and registers all metrics; `lines` counts log lines.
     ///
     /// # Errors
-    /// If a name is wrong or taken.
+    /// If a name is invalid or already registered.
     pub fn new(lines: Arc<Count>) -> Result<Self, Error> {
         let registry = Registry::new();
         let gauge = |name: &str, help: &str| {
@@ -78,7 +78,7 @@
         };
         let latency = HistogramOpts::new(
             full_name("request_seconds"),
-            "Time from a request's head to its answer; for streams, to its first event",
+            "Time from the head of a request to its answer; for streams, to the first event",
         );
         let latency = HistogramVec::new(latency.buckets(LATENCIES.to_vec()), &["route"])?;
         let histogram = |name: &str, help: &str| {
@@ -96,40 +96,40 @@
         )?;
         let foreign_answers = IntCounter::new(
             full_name("foreign_answers_total"),
-            "Answers of replicas that were, or may have been, another request's",
+            "Answers of replicas that belonged, or may have belonged, to another request",
         )?;
         Ok(Self {
             foreign_answers: register(&registry, foreign_answers)?,
             plan_version: gauge("plan_version", "Version of the plan in force")?,
             open: gauge("open_requests", "Requests in progress")?,
-            quarantined: gauge("quarantined", "Requests that are sent to no replica")?,
+            quarantined: gauge("quarantined", "Quarantined requests, sent to no replica")?,
             store_calls: vector(
                 "store_calls_total",
                 "Calls of the store by step and table",
                 &["step", "table"],
             )?,
             store_failures: register(&registry, failures)?,
-            members: gauge("members", "Members in reach")?,
+            members: gauge("members", "Reachable members")?,
             replicas_version: gauge("replicas_version", "Store version of the replicas")?,
             replicas_age: register(&registry, age)?,
             budget: register(&registry, GaugeVec::new(budget, &["service"])?)?,
             dropped_lines: gauge("log_lines_dropped", "Log lines dropped since the start")?,
             lines,
             event_gaps: histogram("event_gap_seconds", "Time between two events of a stream")?,
-            place_waits: histogram("place_wait_seconds", "Wait for a place at a decode replica")?,
+            place_waits: histogram("place_wait_seconds", "Wait for a decode replica")?,
             requests: vector("requests_total", "Requests by outcome", &["outcome"])?,
             sends: vector("sends_total", "Sends to replicas by outcome", &["outcome"])?,
             retries: vector(
                 "retries_total",
-                "Retries by service and whether the budget had one",
+                "Retries by service and whether the budget granted them",
                 &["service", "granted"],
             )?,
             customers: vector(
                 "customer_requests_total",
-                "Requests by customer and outcome; the customers with small quotas are others",
+                "Requests by customer and outcome; customers with small quotas count as others",
                 &["customer", "outcome"],
             )?,
-            moves: vector("moves_total", "Runs that were to move", &["outcome"])?,
+            moves: vector("moves_total", "Migrations of runs by outcome", &["outcome"])?,
             latency: register(&registry, latency)?,
             registry,
         })
@@ -150,41 +150,41 @@
         self.sends.with_label_values(&[outcome]).inc();
     }
 
-    /// Counts a retry that was asked of the budget.
+    /// Counts a retry requested from the budget.
     pub fn retries(&self, service: &str, granted: bool) {
         let granted = if granted { "yes" } else { "no" };
         self.retries.with_label_values(&[service, granted]).inc();
     }
 
-    /// Counts a run that was to go on elsewhere, and whether it did.
+    /// Counts a migration of a run that ended with `outcome`.
     pub fn moved(&self, outcome: &str) {
         self.moves.with_label_values(&[outcome]).inc();
     }
 
-    /// Notes the time to an answer.
+    /// Records the time to an answer.
     pub fn latency(&self, route: &str, seconds: f64) {
         self.latency.with_label_values(&[route]).observe(seconds);
     }
 
-    /// Notes the time between two events of a stream.
+    /// Records the time between two events of a stream.
     pub fn event_gap(&self, seconds: f64) {
         self.event_gaps.observe(seconds);
     }
 
-    /// Notes how long a request waited for a place at a decode replica.
+    /// Records how long a request waited for a decode replica.
     pub fn place_wait(&self, seconds: f64) {
         self.place_waits.observe(seconds);
     }
 
-    /// Sets the retries that are left.
+    /// Sets the retries left in the budget of `service`.
     pub fn retries_left(&self, service: &str, left: f64) {
         self.budget.with_label_values(&[service]).set(left);
     }
 
-    /// All figures as text.
+    /// All metrics in the text format.
     ///
     /// # Errors
-    /// If a figure cannot be written.
+    /// If a metric cannot be encoded.
     pub fn text(&self) -> Result<Vec<u8>, Error> {
         self.dropped_lines.set(self.lines.dropped());
         let mut text = Vec::new();
--- a/crates/gateway/src/outbox.rs
+++ b/crates/gateway/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Requests whose records other daemons are to be told, or the store is to keep.
+//! Requests whose quarantine records have to be sent to other daemons or written to the store.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -6,7 +6,7 @@
 use relay::fingerprint::Fingerprint;
 use tokio::sync::Notify;
 
-/// Requests that wait for one purpose, each once.
+/// Set of requests that waits for one consumer.
 #[derive(Debug, Default)]
 pub struct Outbox {
     requests: RefCell<HashSet<Fingerprint>>,
@@ -14,12 +14,12 @@
 }
 
 impl Outbox {
-    /// Nothing waits.
+    /// An empty outbox.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a request.
+    /// Adds a request and wakes the consumer.
     pub fn add(&self, fingerprint: Fingerprint) {
         self.requests.borrow_mut().insert(fingerprint);
         self.added.notify_one();
@@ -30,7 +30,7 @@
         self.added.notified().await;
     }
 
-    /// Takes all of them.
+    /// Takes all requests out.
     pub fn take(&self) -> HashSet<Fingerprint> {
         self.requests.take()
     }
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -1,4 +1,4 @@
-//! Lost replicas of which it is being found out whether they ended.
+//! Probes in progress that find out whether lost replicas ended.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,24 +9,24 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-/// What is being found out.
+/// Lost replicas that are being probed, and the requests they were at work on.
 #[derive(Debug, Default)]
 pub struct Probes {
-    /// Requests that each lost replica was at work on.
+    /// Requests that were in progress at each lost replica.
     requests: RefCell<HashMap<Key, HashSet<Fingerprint>>>,
-    /// Lost replicas that are not asked yet, with their hashes.
+    /// Lost replicas whose probe has not started, with their hashes.
     unstarted: RefCell<Vec<(Key, u64)>>,
     added: Notify,
     finished: Notify,
 }
 
 impl Probes {
-    /// None.
+    /// No probes.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Has it found out whether `replica`, behind `key`, ended while at work on the request.
+    /// Adds the request to the probe of `replica`, behind `key`; requests a probe if none is in progress.
     pub fn add(&self, key: Key, replica: u64, fingerprint: Fingerprint) {
         let mut lost = self.requests.borrow_mut();
         let requests = lost.entry(key).or_default();
@@ -37,17 +37,17 @@
         requests.insert(fingerprint);
     }
 
-    /// Waits for a replica that is to be asked.
+    /// Waits until a probe is requested.
     pub async fn added(&self) {
         self.added.notified().await;
     }
 
-    /// Replicas that are to be asked.
+    /// Takes the replicas whose probe has to start.
     pub fn take_new(&self) -> Vec<(Key, u64)> {
         self.unstarted.take()
     }
 
-    /// Lost replicas that were at work on the request, and of which it is being found out whether they ended.
+    /// Number of replicas being probed that were at work on the request.
     pub fn count(&self, fingerprint: Fingerprint) -> usize {
         let lost = self.requests.borrow();
         let matching = lost
@@ -56,19 +56,18 @@
         matching.count()
     }
 
-    /// Gives the requests that the lost replica behind `key` was at work on, once it is asked no longer.
+    /// Ends the probe of the replica behind `key` and returns the requests it was at work on.
     pub fn take_requests(&self, key: Key) -> HashSet<Fingerprint> {
         let requests = self.requests.borrow_mut().remove(&key);
         requests.unwrap_or_default()
     }
 
-    /// Wakes what waits for a verdict.
+    /// Wakes the tasks that wait for a probe to finish.
     pub fn notify_finished(&self) {
         self.finished.notify_waiters();
     }
 
-    /// Waits until it is found out what became of a replica. One that is found out after this call, and before
-    /// the first poll, counts.
+    /// Waits until a probe finishes. A probe that finishes between this call and the first poll counts.
     pub fn finished(&self) -> Notified<'_> {
         self.finished.notified()
     }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Finding out whether replicas ended while at work on a request, telling the other daemons, and keeping it in the store.
+//! Finds out whether replicas ended while at work on a request, announces it to other daemons and stores it.
 
 pub mod announce;
 pub mod probe;
@@ -14,14 +14,14 @@
 use crate::exchange;
 use crate::shared::Shared;
 
-/// Time between two looks for records whose time is over.
+/// Interval between removals of expired records.
 const SWEEP_PERIOD: Duration = Duration::from_mins(1);
-/// Pause between two looks for a peer to ask at the start.
+/// Pause between attempts to fetch the records at the start.
 const PEER_PAUSE: Duration = Duration::from_millis(100);
-/// Such looks at most; a daemon that is alone has nobody to ask.
+/// Maximum number of attempts; a daemon that is alone has no peer.
 const MAX_TRIES: u32 = 30;
 
-/// Forgets records whose time is over, forever.
+/// Removes expired records, forever.
 pub async fn remove_expired(shared: Rc<Shared>) {
     loop {
         shared.quarantine.borrow_mut().sweep(clock::unix());
@@ -29,7 +29,7 @@
     }
 }
 
-/// Asks a peer for all records once this daemon has started; the store has only those that nearly quarantine a request.
+/// Fetches all records from a peer once this daemon is ready; the store has only those of suspect requests.
 pub async fn fetch_records(shared: Rc<Shared>) {
     while !shared.is_ready() {
         sleep(PEER_PAUSE).await;
--- a/crates/gateway/src/quarantine/announce.rs
+++ b/crates/gateway/src/quarantine/announce.rs
@@ -1,4 +1,4 @@
-//! Telling the other daemons of requests under which replicas ended.
+//! Announces to the other daemons requests under which replicas ended.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 use crate::gossip;
 use crate::shared::Shared;
 
-/// When a record is told, counted from the end of the replica: datagrams may be lost, and a request that comes
-/// again some seconds later must meet daemons that know of it. One with a single end is told in the first round
-/// alone: when many replicas end together, thousands of sound requests have one.
+/// When a record is sent, counted from when it was added: datagrams may be lost, and all daemons must know
+/// of a request that is retried some seconds later. A record with a single end is sent in the first round only:
+/// when many replicas end together, thousands of harmless requests have one.
 const ROUNDS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(250),
     Duration::from_secs(1),
 ];
 
-/// A record that is to be told.
+/// A record that has to be sent.
 #[derive(Debug, Clone, Copy)]
 struct Announcement {
     fingerprint: Fingerprint,
     started: Instant,
-    /// Rounds in which it was told.
+    /// Completed rounds.
     rounds: usize,
 }
 
@@ -38,13 +38,13 @@
         }
     }
 
-    /// When it is told next; `None` if that is over.
+    /// Time of the next round; `None` after the last.
     fn due(&self) -> Option<Instant> {
         ROUNDS.get(self.rounds).map(|delay| self.started + *delay)
     }
 }
 
-/// Tells all peers of what this daemon notes, forever.
+/// Sends the records that this daemon adds to all peers, forever.
 pub async fn run(shared: Rc<Shared>) {
     let mut announcements: Vec<Announcement> = Vec::new();
     loop {
@@ -56,7 +56,7 @@
         send(&shared, &records).await;
         let added = shared.unannounced.added();
         match announcements.iter().filter_map(Announcement::due).min() {
-            // Whichever is first: something new, or the next round.
+            // Until a request is added or the next round is due.
             Some(due) => {
                 let _ = timeout_at(due, added).await;
             }
@@ -65,7 +65,7 @@
     }
 }
 
-/// The records that are due, each of which is one round further then.
+/// Takes the records that are due and advances each by one round.
 fn take_due(shared: &Shared, announcements: &mut Vec<Announcement>) -> Vec<Record> {
     let now = Instant::now();
     let quarantine = shared.quarantine.borrow();
--- a/crates/gateway/src/quarantine/probe.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -1,4 +1,4 @@
-//! Replicas that were lost while at work: whether each of them ended.
+//! Probes replicas that were lost while at work, to find out whether they ended.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,20 +15,20 @@
 use crate::clock;
 use crate::shared::Shared;
 
-/// Pause between two questions to a replica that does not answer.
+/// Pause between two probes of a replica that does not answer.
 const PROBE_PAUSE: Duration = Duration::from_millis(300);
-/// Questions without an answer from which on a replica counts as ended, about a second after its answer broke off:
-/// who sends the request again must know by then, and the list would tell up to 3.6 s after the end. Counted, since
-/// time passes without a question where this process is stopped or its machine suspended.
+/// Unanswered probes after which a replica counts as ended, about a second after its answer broke off: a retry of the
+/// request must see it by then, and the list shows the end up to 3.6 s later. Probes are counted instead of time
+/// because time also passes while this process is stopped or its machine suspended.
 const MAX_UNANSWERED: usize = 3;
-/// Questions in all. Their pauses take 3.9 s, longer than the 3.6 s after which a replica that ended is no longer listed;
-/// one that still closes connections then is there.
+/// Maximum number of probes. Their pauses take 3.9 s, longer than the 3.6 s after which an ended replica is no longer
+/// listed; one that still closes connections then is alive.
 const MAX_PROBES: usize = 14;
-/// Time that a request waits for what is being found out, before it is sent again: a replica that is there
-/// answers within some milliseconds, and a port that is closed refuses as soon.
+/// Maximum time that a request waits for probes before it is sent again: a live replica answers within some
+/// milliseconds, and a closed port refuses as fast.
 const MAX_WAIT: Duration = Duration::from_millis(400);
 
-/// Has each lost replica asked whether it is there, forever.
+/// Starts a probe of each lost replica, forever.
 pub async fn run(shared: Rc<Shared>) {
     loop {
         for (key, replica) in shared.probes.take_new() {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Finds out whether `replica`, behind `key`, ended.
+/// Probes `replica`, behind `key`, and records its end if it has ended.
 async fn probe(shared: Rc<Shared>, key: Key, replica: u64) {
     let started = Instant::now();
     let presence = probe_presence(&shared, key).await;
@@ -68,8 +68,8 @@
 }
 
 impl Shared {
-    /// Whether the request may be sent to a replica. Waits for a short time where replicas that were lost with
-    /// it may have ended, and would quarantine it together with those that have.
+    /// Whether the request may be sent to a replica. Waits up to [`MAX_WAIT`] while the outcome of probes may
+    /// quarantine it.
     pub async fn may_send(&self, fingerprint: Fingerprint) -> bool {
         let decision = async {
             loop {
@@ -86,7 +86,7 @@
         timeout(MAX_WAIT, decision).await.unwrap_or(false)
     }
 
-    /// Whether the replicas that were lost with the request would quarantine it if all of them have ended.
+    /// Whether the request would be quarantined if all replicas being probed have ended.
     fn may_become_quarantined(&self, fingerprint: Fingerprint) -> bool {
         let quarantine = self.quarantine.borrow();
         let ends = quarantine.get(fingerprint).map_or(0, |r| r.ends.len());
--- a/crates/gateway/src/quarantine/storage.rs
+++ b/crates/gateway/src/quarantine/storage.rs
@@ -1,4 +1,4 @@
-//! Records in the store, for daemons that start when nobody is left who could tell them.
+//! Quarantine records in the store, for daemons that start when no peer has them.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -15,20 +15,20 @@
 use crate::clock;
 use crate::shared::Shared;
 
-/// Table with a row for each ended replica of each suspect request, and one for the time at which such a
-/// request was served. Rows are written once and by any daemon, so that no writer undoes another one's.
+/// Table with one row for each ended replica of each suspect request, and one for the time at which such a
+/// request was served. Any daemon writes a row once, so that no writer overwrites another's.
 pub const TABLE: &str = "quarantine";
-/// What the key of the row with the time of service ends with.
+/// Suffix of the key of the row with the time of service.
 const SERVED: &str = "served";
 /// Pause after a failed call.
 const PAUSE: Duration = Duration::from_millis(700);
-/// Time in which what many callers lose at once is gathered for one write, and peers tell that a request was
-/// served elsewhere.
+/// Delay before a write, so that losses of many callers share it and peers can report that a request was served
+/// elsewhere.
 const BATCH_DELAY: Duration = Duration::from_millis(200);
-/// Rows in one transaction at most.
+/// Maximum number of rows in one transaction.
 const MAX_ROWS: usize = 100;
 
-/// Reads the records once, then writes those that this daemon notes, forever.
+/// Loads the records once, then writes those that this daemon adds, forever.
 pub async fn run(shared: Rc<Shared>) {
     while !load(&shared).await {
         sleep(PAUSE).await;
@@ -78,7 +78,7 @@
     }
 }
 
-/// Takes the rows of the store, and removes those whose time is over; whether the store answered.
+/// Merges the stored records and removes expired or unreadable rows; returns whether the store answered.
 async fn load(shared: &Shared) -> bool {
     let rows = match shared.store.read(TABLE).await {
         Ok(rows) => rows.rows,
@@ -101,13 +101,13 @@
         }
     }
     for chunk in expired.chunks(MAX_ROWS) {
-        // What stays is removed by the next daemon that starts.
+        // After a failure the next daemon that starts removes the rest.
         write(shared, chunk).await;
     }
     true
 }
 
-/// The record that one row tells; `None` if it cannot be read.
+/// Parses the record in one row; `None` if it is malformed.
 fn parse_row(row: &Row) -> Option<Record> {
     let (fingerprint, name) = row.key.split_once('.')?;
     let fingerprint = Fingerprint(u64::from_str_radix(fingerprint, 16).ok()?);
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of quotas, and what daemons tell each other of them.
+//! State of customers' quotas, and the messages about them between daemons.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,42 +15,42 @@
 use serde::Serialize;
 use tokio::sync::oneshot;
 
-/// What this daemon knows of quotas.
+/// Quota state of this daemon.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    /// The buckets that it keeps.
+    /// Token buckets that this daemon keeps.
     pub keeper: Keeper,
-    /// What it admitted unasked.
+    /// Local budgets: what this daemon admitted without asking the keeper.
     pub pockets: HashMap<Subject, Pocket>,
-    /// Questions to other daemons, by number.
+    /// Pending questions to other daemons, by number.
     pub pending: HashMap<u32, Pending>,
-    /// Daemons that did not answer, and until when they are not asked.
+    /// Daemons that did not answer, with the time until which they are not asked.
     pub unresponsive: HashMap<SocketAddr, Time>,
 }
 
-/// What daemons tell each other of quotas.
+/// Message about a quota between daemons.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub enum Message {
-    /// A question.
+    /// A request to the keeper.
     Ask {
-        /// Repeated in the answer.
+        /// Repeated in the reply.
         number: u32,
-        /// What is asked.
+        /// Content of the request.
         ask: Ask,
-        /// The limit as known to the asker.
+        /// The limit as known to the sender.
         limit: Limit,
     },
-    /// Its answer.
+    /// The reply.
     Told {
-        /// Number of the question.
+        /// Number of the request.
         number: u32,
-        /// What is told.
+        /// Content of the reply.
         told: Told,
     },
 }
 
 impl Quotas {
-    /// Nothing known.
+    /// Creates an empty state.
     pub fn new() -> Self {
         Self::default()
     }
@@ -61,25 +61,25 @@
         self.pockets.retain(|subject, _| is_known(*subject));
     }
 
-    /// What was admitted unasked for `subject`.
+    /// The local budget of `subject`.
     pub fn pocket(&mut self, subject: Subject) -> &mut Pocket {
         self.pockets.entry(subject).or_default()
     }
 }
 
-/// What a request asks of a limit.
+/// Units that a request needs from a limit.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand {
     /// What the limit applies to.
     pub subject: Subject,
     /// The customer's quota in the plan that the request was admitted under, or the limit set by the replica.
     pub limit: Limit,
-    /// What the request counts.
+    /// Units that the request counts.
     pub units: f64,
 }
 
 impl Demand {
-    /// The question to the keeper.
+    /// Creates the request to the keeper.
     pub const fn ask(self, purpose: Purpose) -> Ask {
         Ask {
             subject: self.subject,
@@ -89,15 +89,15 @@
     }
 }
 
-/// A question that is on its way.
+/// A request to a keeper that waits for its reply.
 #[derive(Debug)]
 pub struct Pending {
-    /// Where the daemon listens that was asked.
+    /// Address of the daemon it was sent to.
     pub to: SocketAddr,
-    /// What the request asks.
+    /// What is demanded.
     pub demand: Demand,
-    /// When it was sent.
+    /// Time it was sent.
     pub sent: Time,
-    /// Who waits for the answer.
+    /// Receives the reply.
     pub answer: oneshot::Sender<Told>,
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the settings again: at SIGHUP, and when the file has changed.
+//! Reloads the settings at SIGHUP and when their file has changed.
 
 use std::fs;
 use std::path::Path;
@@ -11,10 +11,10 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// Time between two looks at the file, which may change without a signal.
+/// Interval between checks of the file, which may change without a signal.
 const PERIOD: Duration = Duration::from_secs(3);
 
-/// Follows the file at `path`, forever.
+/// Watches the file at `path`, forever.
 pub async fn follow(shared: Rc<Shared>, path: PathBuf) {
     let mut seen = fs::read(&path).ok();
     loop {
@@ -27,22 +27,22 @@
     }
 }
 
-/// Reads the settings again. What binds sockets and names stays that of the start.
+/// Reloads the settings. Those that sockets and names depend on keep their values from the start.
 pub fn reload(shared: &Shared, path: &Path) {
     let settings = match Settings::read(path) {
         Ok(settings) => settings,
         Err(error) => {
-            log::error!(kind = "reload", cause = error.to_string(); "settings cannot be read; those in force stay");
+            log::error!(kind = "reload", cause = error.to_string(); "settings cannot be read; the current ones stay in force");
             return;
         }
     };
     let before = shared.settings();
     match settings {
         settings if settings == *before => {
-            log::info!(kind = "reload"; "settings read again; nothing changed");
+            log::info!(kind = "reload"; "settings reloaded; nothing changed");
         }
         settings if settings.needs_restart(&before) => {
-            log::warn!(kind = "reload"; "instance, data_centre, listen and store take effect at the next start; the rest is in force");
+            log::warn!(kind = "reload"; "instance, data_centre, listen and store take effect at the next start; the other settings are in force");
             shared.apply_settings(settings.with_fixed_fields_of(&before));
         }
         settings => {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, checked before anything starts.
+//! Settings of the daemon, validated before it starts.
 
 use std::fs;
 use std::net::IpAddr;
@@ -23,15 +23,15 @@
     pub listen: Listen,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Addresses of instances to start from, of which only the IP counts; may be stale.
+    /// Addresses of instances to contact first; only the IP is used, and they may be outdated.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time, so that the store lists no instances yet.
+    /// Whether the whole system starts for the first time and the store lists no instances yet.
     #[serde(default)]
     pub first_start: bool,
-    /// What all instances together may retry.
+    /// Retry budget of all instances together.
     pub retry: Retry,
-    /// Part of the replicas of a model that are to read prompts; absent, none changes its stage.
+    /// Fraction of a model's replicas that should prefill; if absent, no replica changes its stage.
     #[serde(default)]
     pub prefill_share: Option<f64>,
     /// Seconds from SIGTERM until the process is killed.
@@ -39,24 +39,24 @@
     /// The processor of this instance.
     #[serde(default)]
     pub processor: Processor,
-    /// How generations get places at decode replicas.
+    /// How generations are placed at decode replicas.
     #[serde(default)]
     pub placing: Placing,
-    /// What is tolerated beyond the quotas of customers.
+    /// Tolerance beyond the quotas of customers.
     #[serde(default)]
     pub quota: Quota,
 }
 
-/// What is tolerated beyond the quotas of customers, over all instances together. It is used only where instances do not know of
-/// each other.
+/// Tolerance beyond the quotas of customers, over all instances together. It is used only when instances do not
+/// know of each other.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Quota {
-    /// Seconds over which a quota is judged.
+    /// Seconds over which use of a quota is measured.
     pub window_s: f64,
-    /// Part of what a quota allows in that time.
+    /// Tolerated excess, as a fraction of what the quota allows in that time.
     pub excess: f64,
-    /// Units, as the quota counts them, besides.
+    /// Additional tolerated units, as the quota counts them.
     pub slack: f64,
 }
 
@@ -70,19 +70,19 @@
     }
 }
 
-/// How generations get places at decode replicas.
+/// How generations are placed at decode replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Placing {
-    /// Part of the tokens that the caller expects for which memory is reserved, beside the prompt.
+    /// Fraction of the expected output tokens for which KV-cache memory is reserved in addition to the prompt.
     pub reserve: f64,
-    /// Standard deviations of the forecast that the memory has to last for.
+    /// Safety margin of the memory forecast, in standard deviations.
     pub spreads: f64,
-    /// Part of the memory that new generations leave free.
+    /// Fraction of the memory that new generations leave free.
     pub spare: f64,
-    /// Part of the objective for which a generation waits for a place.
+    /// Fraction of the latency objective for which a generation waits for a decode replica.
     pub wait: f64,
-    /// Whether runs are moved before the memory of their replica ends.
+    /// Whether runs are migrated before the memory of their replica is full.
     pub moves: bool,
 }
 
@@ -102,9 +102,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Processor {
-    /// Part of the cores' time that the daemon may use.
+    /// Fraction of the cores' time that the daemon may use.
     pub share: f64,
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
 }
 
@@ -118,21 +118,21 @@
 }
 
 impl Processor {
-    /// What it can do, in thousandths of a core.
+    /// Capacity in thousandths of a core.
     pub fn capacity(&self) -> u32 {
         (self.share * self.cores * 1_000.0) as u32
     }
 }
 
-/// Where a daemon listens.
+/// Addresses a daemon listens on.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
     /// For requests of callers.
     pub callers: SocketAddr,
-    /// For callers that ask for addresses.
+    /// For callers that look up addresses.
     pub addresses: SocketAddr,
-    /// For the platform's question whether it is ready.
+    /// For the platform's readiness checks.
     pub readiness: SocketAddr,
     /// For scrapers of metrics.
     pub metrics: SocketAddr,
@@ -140,13 +140,13 @@
     pub peers: SocketAddr,
 }
 
-/// What all instances together may retry, per service.
+/// Retry budget of all instances together, per service.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retry {
-    /// Retries for each request of callers.
+    /// Retries per request of callers.
     pub ratio: f64,
-    /// Retries besides.
+    /// Additional retries.
     pub slack: f64,
     /// Seconds over which both are counted.
     pub window_s: f64,
@@ -156,7 +156,7 @@
     /// Reads and checks the settings file at `path`.
     ///
     /// # Errors
-    /// `Read` if it cannot be opened, `Settings` with the field if it is wrong.
+    /// `Read` if the file cannot be read, `Settings` with the field if a value is invalid.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let text = fs::read_to_string(path).map_err(|cause| Error::Read {
             path: path.to_owned(),
@@ -172,7 +172,7 @@
     /// Reads and checks settings.
     ///
     /// # Errors
-    /// What is wrong, with the field.
+    /// The invalid field and what is wrong with it.
     pub fn parse(text: &str) -> Result<Self, String> {
         let settings: Self = serde_norway::from_str(text).map_err(|error| error.to_string())?;
         settings.check()?;
@@ -198,20 +198,20 @@
         let wrong = |(_, value): &(&str, f64)| !value.is_finite() || *value < 0.0;
         match values.into_iter().find(wrong) {
             Some((field, value)) => Err(format!(
-                "{field}: {value} is not allowed; write a number from 0 up"
+                "{field}: {value} is not allowed; must be a number of at least 0"
             )),
             None if self.instance.is_empty() => Err("instance: must not be empty".to_owned()),
-            None if self.retry.window_s == 0.0 => {
-                Err("retry.window_s: 0 is not allowed; write a span in seconds".to_owned())
-            }
-            None if self.quota.window_s == 0.0 => {
-                Err("quota.window_s: 0 is not allowed; write a span in seconds".to_owned())
-            }
+            None if self.retry.window_s == 0.0 => Err(
+                "retry.window_s: 0 is not allowed; must be a number of seconds above 0".to_owned(),
+            ),
+            None if self.quota.window_s == 0.0 => Err(
+                "quota.window_s: 0 is not allowed; must be a number of seconds above 0".to_owned(),
+            ),
             None => Ok(()),
         }
     }
 
-    /// Whether fields differ from `before` that take effect at a start only.
+    /// Whether fields that take effect only at a start differ from `before`.
     pub fn needs_restart(&self, before: &Self) -> bool {
         let fixed = |settings: &Self| {
             (
@@ -224,7 +224,7 @@
         fixed(self) != fixed(before)
     }
 
-    /// The same with those fields as in `before`.
+    /// Copies the fields that take effect only at a start from `before`.
     #[must_use]
     pub fn with_fixed_fields_of(self, before: &Self) -> Self {
         Self {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// The bound on retries.
+    /// Parameters of the retry budgets.
     pub fn retry_rule(&self) -> Rule {
         Rule {
             ratio: self.retry.ratio,
@@ -245,7 +245,7 @@
         }
     }
 
-    /// What is tolerated beyond the quotas of customers.
+    /// Tolerance beyond the quotas of customers.
     pub fn quota_tolerance(&self) -> Tolerance {
         Tolerance {
             window: Duration::from_secs_f64(self.quota.window_s),
@@ -259,7 +259,7 @@
         Duration::from_secs_f64(self.grace_s)
     }
 
-    /// Where the daemons of the instances to start from listen for others.
+    /// Peer addresses of the seeds, without this instance.
     pub fn seed_peers(&self) -> Vec<SocketAddr> {
         let own: IpAddr = self.listen.peers.ip();
         let others = self.seeds.iter().filter(|seed| seed.ip() != own);
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of the daemon share.
+//! State that the tasks of the daemon share.
 
 mod choice;
 mod customers;
@@ -46,18 +46,18 @@
 use crate::settings::Settings;
 use crate::store::Store;
 
-/// Time after SIGTERM in which any request is taken; callers may hold an old address answer for
-/// so long. After it, only those that are over by the end of the grace.
+/// Time after SIGTERM during which every request is accepted, since callers may use an earlier address answer
+/// for that long. Later, only requests are accepted that can complete within the grace period.
 const FULL_SERVICE: Duration = Duration::from_millis(2_700);
 
-/// Time before the end of the grace at which a stopping daemon ends, whatever is in progress. The last log
-/// lines take up to 250 ms of it, and a busy processor of a tenth of a core the rest: with 300 ms in all, a
-/// daemon with one stream left was killed 0.26 s after its last line.
+/// Time before the end of the grace period at which a stopping daemon exits, whatever is in progress. The last
+/// log lines take up to 250 ms; the rest covers a busy processor of a tenth of a core: with 300 ms in all, a
+/// daemon with one open stream was killed 0.26 s after its last line.
 pub const STOP_MARGIN: Duration = Duration::from_millis(700);
-/// Lines about rejected requests in a second at most; a caller that sends nothing but improper
+/// Maximum log lines per second about rejected requests; a caller that sends only malformed
 /// requests must not fill the logs.
 const MAX_REJECTED_LINES: u64 = 50;
-/// Entries of replicas that are told in the log as unreadable, each once; another program that fills the
+/// Maximum number of unreadable replica entries that are logged, each once; another program that fills the
 /// table must not fill the logs.
 const MAX_UNREADABLE: usize = 100;
 
@@ -66,7 +66,7 @@
 pub struct Shared {
     /// Settings in force.
     settings: RefCell<Rc<Settings>>,
-    /// Its clock.
+    /// Clock of the daemon.
     pub clock: Clock,
     /// Client of the store.
     pub store: Store,
@@ -80,46 +80,46 @@
     pub metrics: Metrics,
     /// Runs of this daemon at decode replicas.
     pub runs: RefCell<Runs>,
-    /// What other daemons told of theirs.
+    /// Runs that other daemons report.
     pub claims: RefCell<Claims>,
     /// Requests under which replicas ended.
     pub quarantine: RefCell<Quarantine>,
     /// Quotas of customers.
     pub quotas: RefCell<Quotas>,
-    /// Lost replicas that are being asked whether they are there.
+    /// Lost replicas that are being probed.
     pub probes: Probes,
-    /// Requests of whose records the other daemons are to be told.
+    /// Requests whose quarantine records have to be sent to the other daemons.
     pub unannounced: Outbox,
-    /// Requests whose records the store is to keep.
+    /// Requests whose quarantine records have to be written to the store.
     pub unstored: Outbox,
-    /// By run, where it is to go on.
+    /// Replica to which a run has to move, by run.
     pub move_targets: RefCell<HashMap<Id, watch::Sender<Option<Key>>>>,
-    /// Generations that wait for a place.
+    /// Generations that wait for a decode replica.
     pub queue: RefCell<Line>,
-    /// A run of this daemon ended, or another generation's turn came.
+    /// Notified when a run of this daemon ended or the queue advanced.
     pub capacity_changed: Notify,
-    /// A run began or moved, or a prompt is being read or was read.
+    /// Notified when a run began or moved, or a prefill began or ended.
     pub runs_changed: Notify,
-    /// A replica started again under its id.
+    /// Notified when a replica restarted under its id.
     pub restarts: Notify,
-    /// Whether the other instances were read from the store.
+    /// Whether the first reading of the instances from the store has ended.
     pub instances_listed: watch::Sender<bool>,
-    /// Entries that could not be read, and were told in the log.
+    /// Unreadable entries that have been logged.
     logged_unreadable: RefCell<HashSet<String>>,
     plan: RefCell<Option<Rc<Plan>>>,
-    /// Customers that have figures of their own in the metrics.
+    /// Customers with a label of their own in the metrics.
     labelled_customers: RefCell<HashSet<String>>,
     budgets: RefCell<HashMap<String, Budget>>,
-    /// Mean time of a decode replica for an answer, by service.
+    /// Mean time that a decode replica takes for an answer, by service.
     answer_times: RefCell<HashMap<String, Duration>>,
-    /// How long callers wait, by route.
+    /// Time limits of callers, by route.
     patiences: RefCell<HashMap<String, Patience>>,
     overload: RefCell<Overload>,
     data_centre: Zone,
     own: InstanceInfo,
     /// Socket for datagrams to other daemons, once it is open.
     pub gossip_socket: OnceCell<UdpSocket>,
-    /// Questions to the poller that wait for an answer.
+    /// Status requests that wait for an answer, by number.
     pub status_requests: RefCell<HashMap<u32, oneshot::Sender<PollerStatus>>>,
     /// When the replicas were last known to be up to date.
     replicas_current_at: Cell<Time>,
@@ -127,22 +127,22 @@
     store_answered_at: Cell<Time>,
     /// Whether the store's last call failed.
     store_failing: Cell<bool>,
-    /// When SIGTERM came.
+    /// When SIGTERM arrived.
     stopping_since: Cell<Option<Time>>,
     /// Requests in progress.
     open_requests: Cell<usize>,
-    /// Version of the plan that a peer is being asked for.
+    /// Version of the plan that is being fetched from a peer; 0 if none is.
     plan_being_fetched: Cell<u64>,
     /// Whether records of the quarantine are being compared with a peer.
     is_comparing: Cell<bool>,
-    /// Whether a peer has told all of its records of the quarantine since the start.
+    /// Whether a peer has sent all of its quarantine records since the start.
     has_all_records: Cell<bool>,
-    /// The present second, and the rejected requests in it.
+    /// The second of the last rejected request, and the number of rejections in it.
     rejections: Cell<(u64, u64)>,
 }
 
 impl Shared {
-    /// The state of a daemon with `settings` that starts now.
+    /// Creates the state of a daemon that starts with `settings`.
     pub fn new(settings: Settings, metrics: Metrics) -> Self {
         let data_centre = Zone::new(&settings.data_centre);
         let own = InstanceInfo {
@@ -206,17 +206,17 @@
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// The own card.
+    /// Name and addresses of this instance.
     pub fn own_info(&self) -> InstanceInfo {
         self.own.clone()
     }
 
-    /// Where this daemon is.
+    /// IP address of this daemon.
     pub const fn own_ip(&self) -> IpAddr {
         self.own.peers.ip()
     }
 
-    /// Brings up to date the figures that are read at a scrape.
+    /// Updates the gauges that are computed at a scrape.
     pub fn refresh_metrics(&self) {
         let now = self.clock.now();
         let members = self.members.borrow();
@@ -232,8 +232,8 @@
         }
     }
 
-    /// Whether one more line about a rejected request may be logged in this second; tells how many
-    /// were left out in the last one.
+    /// Returns `Some` if another rejected request may be logged in this second, with the number of lines
+    /// omitted in the second before.
     pub fn may_log_rejection(&self) -> Option<u64> {
         let second = self.clock.now().as_millis() / 1_000;
         let (last, count) = self.rejections.get();
@@ -245,13 +245,13 @@
         (count < MAX_REJECTED_LINES).then_some(0)
     }
 
-    /// Whether the log is to tell that the entry `id` cannot be read: the first time, for so many entries.
+    /// Whether to log that the entry `id` is unreadable: once per entry, up to [`MAX_UNREADABLE`] entries.
     pub fn may_log_unreadable(&self, id: &str) -> bool {
         let mut logged = self.logged_unreadable.borrow_mut();
         logged.len() < MAX_UNREADABLE && logged.insert(id.to_owned())
     }
 
-    /// Whether callers are taken: a plan is known and the daemon is not stopping.
+    /// Whether callers are accepted: a plan and replicas are known and the daemon is not stopping.
     pub fn is_ready(&self) -> bool {
         self.plan_version() > 0 && !self.pool.borrow().is_empty() && !self.is_stopping()
     }
@@ -261,13 +261,13 @@
         self.stopping_since.get().is_some()
     }
 
-    /// Notes that SIGTERM came.
+    /// Records that SIGTERM arrived.
     pub fn begin_stop(&self) {
         self.stopping_since.set(Some(self.clock.now()));
     }
 
-    /// Whether a request that may last for `longest` is taken; a stopping daemon takes none that it
-    /// may have to cut.
+    /// Whether a request that may last for `longest` is accepted; a stopping daemon accepts none that it
+    /// might have to cut off.
     pub fn accepts(&self, longest: Duration) -> bool {
         let Some(since) = self.stopping_since.get() else {
             return true;
@@ -282,7 +282,7 @@
         self.open_requests.get()
     }
 
-    /// Counts the requests in progress anew.
+    /// Sets the number of requests in progress.
     pub fn set_open_requests(&self, count: usize) {
         self.open_requests.set(count);
         self.metrics.open.set(count as u64);
--- a/crates/gateway/src/shared/choice.rs
+++ b/crates/gateway/src/shared/choice.rs
@@ -1,4 +1,4 @@
-//! Choosing replicas, and what is learnt of them.
+//! Choosing replicas, and recording what their answers show.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
 
 use crate::shared::Shared;
 
-/// Time of a decode replica for an answer until one was seen: some hundred tokens of 8 ms.
+/// Assumed time of a decode replica for an answer before the first one: some hundred tokens of 8 ms.
 const DEFAULT_ANSWER_TIME: Duration = Duration::from_secs(3);
-/// Times the mean answer after which callers that were refused may come back: the least, and the most.
+/// Range of the factors by which the mean answer time is multiplied for the retry time of refused callers.
 const MIN_RETRY_FACTOR: f64 = 0.75;
 const MAX_RETRY_FACTOR: f64 = 1.25;
-/// Weight of the newest answer in the mean.
+/// Weight of the newest answer in the moving average.
 const ANSWER_TIME_WEIGHT: f64 = 0.1;
 
 impl Shared {
-    /// The replica to send a request to; `None` if there is none that was not tried.
+    /// Chooses the replica to send a request to; `None` if no untried one is available.
     pub fn choose(&self, service: &str, stage: Option<Stage>, tried: &[Key]) -> Option<Key> {
         self.choose_near(service, stage, tried, self.data_centre)
     }
 
-    /// The same, preferring replicas of the data centre `near`.
+    /// Like [`Self::choose`], but prefers replicas of the data centre `near`.
     pub fn choose_near(
         &self,
         service: &str,
@@ -44,8 +44,8 @@
         pool.choose(self.clock.now(), &want, rand::random)
     }
 
-    /// The decode replica to send a generation to, which asks for so much memory; `None` if none that
-    /// was not tried has room.
+    /// Chooses the decode replica for a generation that needs the memory `ask`; `None` if no untried one has
+    /// room.
     pub fn choose_decode(&self, service: &str, tried: &[Key], ask: Ask) -> Option<Key> {
         let want = Want {
             service,
@@ -88,38 +88,39 @@
             .map_or(self.data_centre, |server| server.replica.data_centre)
     }
 
-    /// Whether the decode replica `key` may read a prompt itself.
+    /// Whether the decode replica `key` may run a prefill itself.
     pub fn may_read(&self, key: Key) -> bool {
         self.pool.borrow().may_read(key)
     }
 
-    /// Part of the prompts that decode replicas are to read, since `key` is slow or fails.
+    /// Fraction of the prompts that decode replicas have to prefill because the prefill replica `key` is slow
+    /// or fails.
     pub fn own_reads(&self, key: Key, tokens: u64, objective: Duration) -> f64 {
         let pool = self.pool.borrow();
         pool.own_reads(self.clock.now(), key, tokens, objective)
     }
 
-    /// Time until a prompt of `tokens` of `service` is read at the replica that is best for it; `None` if
-    /// that is not known.
+    /// Time until a prompt of `tokens` for `service` is prefilled at the best replica; `None` if that is not
+    /// known.
     pub fn read_time(&self, service: &str, tokens: u64) -> Option<Duration> {
         let key = self.choose(service, Some(Stage::Prefill), &[])?;
         let pool = self.pool.borrow();
         pool.read_time(self.clock.now(), key, tokens)
     }
 
-    /// Notes that `key` took `took` to read `tokens`, those that waited before them included.
+    /// Records that `key` took `took` to prefill `tokens`, including those queued ahead.
     pub fn note_read(&self, key: Key, took: Duration, tokens: u64) {
         let now = self.clock.now();
         self.pool.borrow_mut().note_read(now, key, took, tokens);
     }
 
-    /// Notes that `key` took `took` for `units` of work.
+    /// Records that `key` took `took` for `units` of work.
     pub fn note_pace(&self, key: Key, took: Duration, units: f64) {
         let now = self.clock.now();
         self.pool.borrow_mut().note_pace(now, key, took, units);
     }
 
-    /// Notes how long a decode replica was at work on an answer of `service`.
+    /// Records how long a decode replica worked on an answer of `service`.
     pub fn note_answer(&self, service: &str, took: Duration) {
         let mut times = self.answer_times.borrow_mut();
         let mean = times
@@ -128,21 +129,21 @@
         *mean = mean.mul_f64(1.0 - ANSWER_TIME_WEIGHT) + took.mul_f64(ANSWER_TIME_WEIGHT);
     }
 
-    /// When a caller of `service` may come back that found no room: about when the answers that
-    /// are being made have ended, spread so that callers do not come back together.
+    /// Time after which a caller of `service` that found no room may retry: about when the answers in progress
+    /// have ended, randomized so that callers do not retry together.
     pub fn retry_after(&self, service: &str) -> Duration {
         let mean = self.answer_time(service);
         mean.mul_f64(rand::random_range(MIN_RETRY_FACTOR..MAX_RETRY_FACTOR))
     }
 
-    /// Mean time of a decode replica for an answer of `service`.
+    /// Mean time that a decode replica takes for an answer of `service`.
     pub fn answer_time(&self, service: &str) -> Duration {
         let times = self.answer_times.borrow();
         times.get(service).copied().unwrap_or(DEFAULT_ANSWER_TIME)
     }
 
-    /// Whether a caller with this limit seems to have been refused before: its limit is shorter than that
-    /// of others by the time after which it was told to come back.
+    /// Whether a caller with this time limit was probably refused before: its limit is shorter than that of
+    /// others by at least the time after which refused callers retry.
     pub fn was_refused_before(
         &self,
         route: &Route,
@@ -158,13 +159,13 @@
         patience.waited(limit) >= least.max(route.objective)
     }
 
-    /// Notes that `key` did not answer a question, and has the other daemons told.
+    /// Records that `key` did not answer a control call, and triggers a report to the other daemons.
     pub fn note_unresponsive(&self, key: Key) {
         self.pool.borrow_mut().silent(self.clock.now(), key);
         self.runs_changed.notify_one();
     }
 
-    /// Closes the idle connections to `key`, which had no answer in time.
+    /// Closes the idle connections to `key`, which did not answer in time.
     pub fn close_idle_links(&self, key: Key) {
         let address = self.pool.borrow().get(key).map(|s| s.replica.address);
         if let Some(address) = address {
--- a/crates/gateway/src/shared/customers.rs
+++ b/crates/gateway/src/shared/customers.rs
@@ -1,4 +1,4 @@
-//! Whose requests are.
+//! Customers: their labels in metrics, their quotas, and whether their API keys are valid.
 
 use customer::list::List;
 use customer::quota::Limit;
@@ -8,13 +8,13 @@
 use crate::shared::Shared;
 use crate::target::Owner;
 
-/// Customers that have figures of their own in the metrics, at most: those with the largest quotas.
+/// Maximum number of customers with a label of their own in the metrics: those with the largest quotas.
 const MAX_LABELLED: usize = 24;
-/// What the metrics call all others.
+/// Label of all other customers.
 const OTHERS: &str = "others";
 
 impl Shared {
-    /// Gives the largest of `customers` figures of their own in the metrics, while there is room.
+    /// Gives the customers with the largest quotas a label of their own in the metrics, up to [`MAX_LABELLED`].
     pub(super) fn label_customers(&self, customers: &List) {
         let mut labelled = self.labelled_customers.borrow_mut();
         for customer in customers.largest(MAX_LABELLED) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Counts a request of `customer` that ended with `outcome`; one that is nobody's is not counted.
+    /// Counts a request of `customer` that ended with `outcome`; requests without a customer are not counted.
     pub fn count_customer(&self, customer: &str, outcome: &str) {
         if customer.is_empty() {
             return;
@@ -43,8 +43,8 @@
         plan.customers.as_ref()?.get(customer)?.limit
     }
 
-    /// Whether `job` may no longer be sent to a replica: by the plan in force, its customer does not hold its API key any more.
-    /// A stream that has begun goes on to its end, as it was accepted.
+    /// Whether `job` may no longer be sent to a replica because the plan in force has withdrawn its API key from its customer.
+    /// A stream that has begun continues to its end.
     pub fn is_revoked(&self, job: &Job) -> bool {
         if job.answering.get() || self.plan_version() == job.plan {
             return false;
--- a/crates/gateway/src/shared/overload.rs
+++ b/crates/gateway/src/shared/overload.rs
@@ -1,4 +1,4 @@
-//! Whether instances of this data centre are overloaded, and which ones callers are told of.
+//! Overload of instances of this data centre, and which instances are advertised to callers.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use crate::shared::Shared;
 
 impl Shared {
-    /// Notes that a timer of this daemon came `late`.
+    /// Records that a timer of this daemon fired `late`.
     pub fn note_late(&self, late: Duration) {
         self.update_overload(|overload, now| overload.note(now, late));
     }
 
-    /// Notes that another instance of this data centre told that it is overloaded.
+    /// Records that another instance of this data centre reports its own overload.
     pub fn note_overloaded_peer(&self) {
         self.update_overload(Overload::heard);
     }
 
-    /// Notes that an instance heard of one of this data centre that is overloaded.
+    /// Records that the poller reports an overloaded instance of this data centre.
     pub fn note_reported_overload(&self) {
         self.update_overload(Overload::told);
     }
@@ -30,7 +30,7 @@
         let before = overload.spreads(now);
         change(&mut overload, now);
         if overload.spreads(now) && !before {
-            log::info!(kind = "overload", own = overload.is_own(); "an instance is overloaded; callers are told of all instances of the data centre");
+            log::info!(kind = "overload", own = overload.is_own(); "an instance is overloaded; all instances of the data centre are advertised");
         }
     }
 
@@ -39,7 +39,7 @@
         self.overload.borrow().is_own()
     }
 
-    /// Which instances callers are told of.
+    /// Which instances are advertised to callers.
     pub fn breadth(&self) -> Breadth {
         let spreads = self.overload.borrow().spreads(self.clock.now());
         if spreads {
--- a/crates/gateway/src/shared/quarantine.rs
+++ b/crates/gateway/src/shared/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which replicas ended: what this daemon notes, and what it is told.
+//! Quarantine records of requests under which replicas ended: own observations and received ones.
 
 use std::time::Duration;
 
@@ -11,23 +11,24 @@
 use crate::shared::Shared;
 
 impl Shared {
-    /// Time for which the request is sent to no replica; `None` if it may be sent.
+    /// Remaining time for which the request is quarantined; `None` if it may be sent.
     pub fn quarantined_for(&self, fingerprint: Fingerprint) -> Option<Duration> {
         let quarantine = self.quarantine.borrow();
         quarantine.quarantined_for(clock::unix(), fingerprint)
     }
 
-    /// Notes that the replica behind `key` was lost while at work on the request, and has it found out whether
-    /// the replica ended.
+    /// Starts a probe of the replica behind `key`, which was lost while at work on the request, to find out
+    /// whether it ended.
     pub fn probe_lost(&self, fingerprint: Fingerprint, key: Key) {
-        // One that leaves by plan breaks off what it has not finished.
+        // A draining replica cuts off unfinished requests when it leaves.
         let Some(replica) = self.pool.borrow().missed(key) else {
             return;
         };
         self.probes.add(key, replica, fingerprint);
     }
 
-    /// Notes that `replica` ended while at work on the request `fingerprint`, and has that told and kept.
+    /// Records that `replica` ended while at work on the request `fingerprint`; queues the record for peers and
+    /// the store.
     pub fn note_end(&self, fingerprint: Fingerprint, replica: u64) {
         let now = clock::unix();
         let mut quarantine = self.quarantine.borrow_mut();
@@ -45,7 +46,7 @@
         self.log_change("own", fingerprint, change);
     }
 
-    /// Notes that a replica served the request.
+    /// Records that a replica served the request.
     pub fn note_served(&self, fingerprint: Fingerprint) {
         let now = clock::unix();
         let record = self.quarantine.borrow_mut().note_served(now, fingerprint);
@@ -57,8 +58,8 @@
         self.log_change("own", fingerprint, Change::Other);
     }
 
-    /// Takes records that a peer or the store told; gives those of which the teller has to hear that the
-    /// request was served.
+    /// Merges records from a peer or the store; returns the records of requests that were served meanwhile, which
+    /// the sender has to receive.
     pub fn merge_records(&self, source: &'static str, records: &[Record]) -> Vec<Record> {
         let now = clock::unix();
         let mut served = Vec::new();
@@ -68,7 +69,7 @@
             if change == Change::Served {
                 let quarantine = self.quarantine.borrow();
                 served.extend(quarantine.get(record.fingerprint).cloned());
-                // The teller has written its ends to the store.
+                // The sender has written the ends to the store.
                 if record.is_suspect() {
                     self.unstored.add(record.fingerprint);
                 }
@@ -77,22 +78,22 @@
         served
     }
 
-    /// Whether a peer has told all of its records since this daemon started.
+    /// Whether a peer has sent all of its records since this daemon started.
     pub fn has_all_records(&self) -> bool {
         self.has_all_records.get()
     }
 
-    /// Notes that a peer has.
+    /// Records that a peer has sent all of its records.
     pub fn note_all_records(&self) {
         self.has_all_records.set(true);
     }
 
-    /// Begins to compare records with a peer; `false` if that is being done with another.
+    /// Begins a comparison of records with a peer; `false` if another one is in progress.
     pub fn begin_comparing(&self) -> bool {
         !self.is_comparing.replace(true)
     }
 
-    /// Ends it.
+    /// Records that the comparison has ended.
     pub fn end_comparing(&self) {
         self.is_comparing.set(false);
     }
@@ -100,7 +101,7 @@
     fn log_change(&self, source: &'static str, fingerprint: Fingerprint, change: Change) {
         if change == Change::Quarantined {
             let quarantined = self.quarantine.borrow().quarantined();
-            log::warn!(kind = "quarantine", content = fingerprint.to_string(), source = source, quarantined = quarantined as u64; "replicas ended under a request; it is sent to none any more");
+            log::warn!(kind = "quarantine", content = fingerprint.to_string(), source = source, quarantined = quarantined as u64; "replicas ended under a request; it is quarantined");
         }
     }
 }
--- a/crates/gateway/src/shared/retries.rs
+++ b/crates/gateway/src/shared/retries.rs
@@ -1,4 +1,4 @@
-//! Budgets of retries, by service.
+//! Retry budgets, one per service.
 
 use relay::budget::Rule;
 use relay::permit::Permit;
@@ -12,14 +12,14 @@
         self.settings.borrow().retry_rule()
     }
 
-    /// Counts a request for `service` in its budget of retries.
+    /// Counts a request for `service` in its retry budget.
     pub fn count_request(&self, service: &str) {
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.to_owned()).or_default();
         budget.request(self.clock.now(), &self.retry_rule());
     }
 
-    /// Whether `job` could be sent once more.
+    /// Whether `job` holds a permit for another run or the budget could grant one.
     pub fn can_retry(&self, job: &Job) -> bool {
         if job.allowance.borrow().has(Work::Run) {
             return true;
@@ -30,7 +30,7 @@
         budget.left(self.clock.now(), &self.retry_rule(), sharers) >= 1.0
     }
 
-    /// Sees to it that `job` holds a permit for `work`, out of the budget if it has none; whether it does.
+    /// Takes a permit for `work` from the budget if `job` holds none; returns whether it holds one.
     pub fn ensure_permit(&self, job: &Job, work: Work) -> bool {
         if job.allowance.borrow().has(work) {
             return true;
@@ -44,14 +44,14 @@
         let permit = budget.take(now, &self.retry_rule(), sharers);
         let granted = permit.is_some();
         self.metrics.retries(service, granted);
-        log::info!(kind = "retry", request = job.call.id, service = service, work = format!("{work:?}"), granted = granted, left = format!("{left:.1}"), sharers = sharers as u64; "a retry was asked of the budget");
+        log::info!(kind = "retry", request = job.call.id, service = service, work = format!("{work:?}"), granted = granted, left = format!("{left:.1}"), sharers = sharers as u64; "requested a retry from the budget");
         if let Some(permit) = permit {
             job.allowance.borrow_mut().put(work, permit);
         }
         granted
     }
 
-    /// The permit for `work` that `job` holds, or one out of the budget.
+    /// Takes the permit for `work` from `job`, which gets one from the budget if it holds none.
     pub fn take_permit(&self, job: &Job, work: Work) -> Option<Permit> {
         self.ensure_permit(job, work).then(|| job.permit(work))?
     }
--- a/crates/gateway/src/shared/store_state.rs
+++ b/crates/gateway/src/shared/store_state.rs
@@ -1,4 +1,4 @@
-//! Plan, replicas and store: what this daemon knows and how old it is.
+//! Plan, replicas and reachability of the store, with the age of each.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,12 +28,12 @@
         self.plan.borrow().as_ref().map_or(0, |plan| plan.version)
     }
 
-    /// Version of the store at which the replicas stand.
+    /// Store version of the list of replicas.
     pub fn replicas_version(&self) -> u64 {
         self.pool.borrow().version()
     }
 
-    /// Puts `plan` in force, unless one as new is; `source` is where it came from.
+    /// Puts `plan` in force if it is newer than the current one; `source` says where it came from.
     pub fn apply_plan(&self, source: &'static str, plan: Plan) {
         let before = self.plan_version();
         if plan.version <= before {
@@ -72,14 +72,14 @@
         let now = self.clock.now();
         let changes = self.pool.borrow_mut().take(now, source, update);
         let Some(changes) = changes else {
-            log::info!(kind = "replicas", version = version, source = source.name(); "older news of the replicas are ignored");
+            log::info!(kind = "replicas", version = version, source = source.name(); "ignored an outdated list of replicas");
             return;
         };
         self.note_replicas_read(read_at);
         self.log_changes(source.name(), &changes);
     }
 
-    /// Takes from an answer of `key` when its replica started.
+    /// Records the start time of the replica behind `key`, taken from one of its answers.
     pub fn note_birth(&self, key: Key, birth: Option<Birth>) {
         let now = self.clock.now();
         let changes = self.pool.borrow_mut().answered(now, key, birth);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Ends what began at an earlier incarnation of the replica `id`: it will send nothing more.
+    /// Closes the connections to an earlier incarnation of the replica `id`, which will send nothing more.
     fn drop_earlier_incarnation(&self, id: &str) {
         let address = self.pool.borrow().address(id);
         if let Some(address) = address {
@@ -105,7 +105,7 @@
         self.restarts.notify_waiters();
     }
 
-    /// Waits until the replica behind `key` has started again; forever if it does not.
+    /// Waits until the replica behind `key` has restarted; forever if it does not.
     pub async fn restarted(&self, key: Key) {
         loop {
             let restarted = self.restarts.notified();
@@ -116,14 +116,13 @@
         }
     }
 
-    /// What a peer is told whose replicas stand at `version` and have the hash `digest`.
+    /// The update for a peer whose list of replicas has `version` and the hash `digest`; `None` if it needs none.
     pub fn newer_replicas(&self, version: u64, digest: u64) -> Option<Update> {
         let pool = self.pool.borrow();
         pool.newer(self.clock.now(), version, digest)
     }
 
-    /// Notes that the replicas are the same as those that a peer has from `version`, which was read
-    /// `age` ago.
+    /// Records that the replicas equal those that a peer read at store version `version`, `age` ago.
     pub fn confirm_replicas(&self, version: u64, age: Duration) {
         let now = self.clock.now();
         self.pool.borrow_mut().confirm(now, version);
@@ -133,18 +132,18 @@
             .set(self.store_answered_at.get().max(read));
     }
 
-    /// Advances the time at which the replicas were last known to be current; never moves it back.
+    /// Advances the time at which the replicas were last known to be current; never sets it back.
     fn note_replicas_read(&self, read_at: Time) {
         self.replicas_current_at
             .set(self.replicas_current_at.get().max(read_at));
     }
 
-    /// Time since the replicas were up to date.
+    /// Time since the replicas were last known to be up to date.
     pub fn replicas_age(&self) -> Duration {
         self.clock.now().since(self.replicas_current_at.get())
     }
 
-    /// The news for a daemon whose replicas have the hash `digest`.
+    /// The reply to a status request of a daemon whose replicas have the hash `digest`.
     pub fn poller_status(&self, digest: u64) -> PollerStatus {
         let pool = self.pool.borrow();
         PollerStatus::new(
@@ -157,12 +156,12 @@
         )
     }
 
-    /// Notes that the replicas could not be read.
+    /// Records that the replicas could not be read.
     pub fn note_outage(&self) {
         self.pool.borrow_mut().note_outage(self.clock.now());
     }
 
-    /// Notes that the store answered.
+    /// Records that the store answered.
     pub fn store_answered(&self, step: &'static str) {
         self.store_answered_at.set(self.clock.now());
         if self.store_failing.replace(false) {
@@ -170,7 +169,7 @@
         }
     }
 
-    /// Notes that a call of the store failed.
+    /// Records that a call of the store failed.
     pub fn store_failed(&self, step: &'static str, error: &store::Error) {
         self.metrics.store_failures.inc();
         if !self.store_failing.replace(true) {
@@ -183,7 +182,7 @@
         self.clock.now().since(self.store_answered_at.get())
     }
 
-    /// Begins to ask a peer for plan `version`; `false` if that is being done.
+    /// Begins fetching plan `version` from a peer; `false` if that version or a newer one is being fetched.
     pub fn begin_plan_fetch(&self, version: u64) -> bool {
         if self.plan_being_fetched.get() >= version {
             return false;
@@ -192,7 +191,7 @@
         true
     }
 
-    /// Ends it.
+    /// Records that the fetch has ended.
     pub fn end_plan_fetch(&self) {
         self.plan_being_fetched.set(0);
     }
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -1,10 +1,10 @@
-//! Orders to engines to change their stage.
+//! Orders engines to change their stage.
 //!
-//! Engines do not all check fencing tokens, and an order without an answer may be carried out many
-//! seconds later. So at most one daemon gives orders for a service in any [`TERM`], by the store's
-//! clock: before an order it writes a row under a condition, and the version of the row is the
-//! fencing token. An order is given only within [`FRESH`] of that write, so that a daemon that was
-//! frozen meanwhile gives none.
+//! Not all engines check fencing tokens, and an order without an answer may be carried out many
+//! seconds later. So at most one daemon sends orders for a service in any [`CLAIM_DURATION`], by the
+//! store's clock: it first claims the service with a conditional write of a row, whose version is the
+//! fencing token. An order is sent only within [`MAX_CLAIM_AGE`] of that write, so that a daemon that
+//! was frozen meanwhile sends none.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -32,27 +32,27 @@
 use crate::shared::Shared;
 use crate::store::Error;
 
-/// Table with one row for each service, which tells who gave the last order and when.
+/// Table with one row for each service: the instance that sent the last order and when.
 const ORDERS: &str = "orders";
-/// Time between two looks at the division.
+/// Interval between checks of the numbers of prefill and decode replicas.
 const PERIOD: Duration = Duration::from_millis(500);
-/// Time after an order in which no other daemon gives one: orders without an answer are carried out
-/// up to 12 s later, and holders must not take turns within 3 s.
+/// Time after a claim during which no other daemon sends orders: orders without an answer are carried out
+/// up to 12 s later, and the claim must not change hands within 3 s.
 const CLAIM_DURATION: Duration = Duration::from_secs(16);
-/// Time after the write of the row in which the order may be given.
+/// Time after the write of the row during which orders may be sent.
 const MAX_CLAIM_AGE: Duration = Duration::from_millis(400);
-/// Engines that are passed over in one round because they are busy or silent.
+/// Maximum number of engines skipped in one round because they are busy or do not answer.
 const MAX_SKIPPED: usize = 3;
 
-/// Who gave the last order for a service.
+/// The last claim to send orders for a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Claim {
     holder: String,
-    /// The store's clock, in milliseconds.
+    /// Time of the claim by the store's clock, in milliseconds.
     at_ms: u64,
 }
 
-/// Watches the division of each model's replicas, forever.
+/// Keeps the share of prefill replicas of each model, forever.
 pub async fn run(shared: Rc<Shared>) {
     let mut balances: HashMap<String, Balance> = HashMap::new();
     loop {
@@ -82,7 +82,7 @@
     };
     let orders = select_orders(shared, service, due).await;
     let claimed = if orders.is_empty() {
-        Err("no engine can take an order".to_owned())
+        Err("no engine is available for an order".to_owned())
     } else {
         claim(shared, service).await
     };
@@ -90,7 +90,7 @@
         Ok(claimed) => claimed,
         Err(cause) => {
             balance.failed();
-            log::warn!(kind = "order", service = service, stage = format!("{:?}", due.stage), cause = cause; "no order is given");
+            log::warn!(kind = "order", service = service, stage = format!("{:?}", due.stage), cause = cause; "no order was sent");
             return;
         }
     };
@@ -107,7 +107,7 @@
                 log::info!(kind = "order", replica = replica, stage = format!("{:?}", due.stage), prefill = counts.prefill as u64, decode = counts.decode as u64, status = status.as_u16(); "ordered a change of stage");
             }
             Err(cause) => {
-                log::warn!(kind = "order", replica = replica, stage = format!("{:?}", due.stage), cause = cause; "no order was given, or its outcome is unknown");
+                log::warn!(kind = "order", replica = replica, stage = format!("{:?}", due.stage), cause = cause; "no order was sent, or its outcome is unknown");
             }
         }
     }
@@ -118,15 +118,15 @@
     }
 }
 
-/// An order that can be given.
+/// An order that can be sent.
 #[derive(Debug)]
 struct Order {
     replica: Replica,
-    /// Orders that the engine has taken so far.
+    /// Number of orders that the engine has accepted so far.
     accepted: u64,
 }
 
-/// Orders to the least loaded replicas of the other stage that carry none out at present.
+/// Selects the least loaded replicas of the other stage that carry out no order at present.
 async fn select_orders(shared: &Shared, service: &str, due: Due) -> Vec<Order> {
     let from = match due.stage {
         Stage::Prefill => Stage::Decode,
@@ -143,14 +143,14 @@
         let Some(replica) = replica else { continue };
         match fetch_report(shared, &replica).await {
             Ok(report) if report.busy => {}
-            // What it counted is of another incarnation than the one that is listed.
+            // The report is from another incarnation than the listed one.
             Ok(report) if replica.compare(report.birth) != Ordering::Equal => {}
             Ok(report) => orders.push(Order {
                 replica,
                 accepted: report.orders,
             }),
             Err(cause) => {
-                log::info!(kind = "order", replica = replica.id, cause = cause; "an engine did not tell its state");
+                log::info!(kind = "order", replica = replica.id, cause = cause; "an engine did not report its state");
             }
         }
     }
@@ -189,8 +189,8 @@
     Ok(answer.status)
 }
 
-/// Becomes the one that gives orders for `service`; gives the fencing token and the time at which
-/// the write was begun.
+/// Claims the right to send orders for `service`; returns the fencing token and the time at which
+/// the write began.
 async fn claim(shared: &Shared, service: &str) -> Result<(u64, Instant), String> {
     let rows = shared
         .store
@@ -202,7 +202,7 @@
     let claim = value.and_then(|value| serde_json::from_slice::<Claim>(value).ok());
     let holder = &shared.settings().instance;
     if claim.is_some_and(|claim| claim.holder != *holder && !has_expired(&claim, &rows)) {
-        return Err("another daemon gave the last order".to_owned());
+        return Err("another daemon holds the claim".to_owned());
     }
     let own = Claim {
         holder: holder.clone(),
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! Signals, and a graceful stop.
+//! Signal handling and graceful stop.
 
 use std::path::Path;
 use std::time::Duration;
@@ -17,15 +17,15 @@
 use crate::shared::Shared;
 use crate::watch::instances;
 
-/// Time for which a stopping daemon stays for callers that keep an old address answer: three times
-/// the time that answers are to be kept, and some to spare.
+/// Minimum time that a stopping daemon stays up for callers with a cached address answer: three times the
+/// time that answers may be cached, plus a reserve.
 const LINGER: Duration = Duration::from_millis(3_300);
-/// Pause between two looks whether requests are in progress.
+/// Pause between checks whether requests are in progress.
 const CHECK_PAUSE: Duration = Duration::from_millis(50);
-/// Time for taking the own row out of the store.
+/// Timeout for removing the own row from the store.
 const UNLIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The signals that the daemon takes.
+/// Signals that the daemon handles.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -34,20 +34,20 @@
 }
 
 impl Signals {
-    /// Takes signals from now on; before that each of them ends the process.
+    /// Installs the signal handlers; before that, each signal ends the process.
     ///
     /// # Errors
-    /// If signals cannot be received.
+    /// If a handler cannot be installed.
     pub fn new() -> Result<Self, Error> {
         Ok(Self {
-            terminate: subscribe(SignalKind::terminate())?,
-            interrupt: subscribe(SignalKind::interrupt())?,
-            hangup: subscribe(SignalKind::hangup())?,
+            terminate: listen_for(SignalKind::terminate())?,
+            interrupt: listen_for(SignalKind::interrupt())?,
+            hangup: listen_for(SignalKind::hangup())?,
         })
     }
 }
 
-/// Waits for a signal that ends the daemon, and until it has ended gracefully.
+/// Waits for a terminating signal, then stops the daemon gracefully. Reloads the settings on SIGHUP.
 pub async fn wait(shared: &Shared, path: &Path, mut signals: Signals) {
     loop {
         tokio::select! {
@@ -63,7 +63,7 @@
     let started = Instant::now();
     let unlisted = timeout(UNLIST_TIMEOUT, shared.store.remove(instances::TABLE, &name)).await;
     if let Ok(Err(error)) = unlisted {
-        log::warn!(kind = "store", step = "leaving", cause = error.to_string(); "the own row could not be removed");
+        log::warn!(kind = "store", step = "leaving", cause = error.to_string(); "failed to remove the own row");
     }
     let deadline = started + shared.settings().grace().saturating_sub(STOP_MARGIN);
     sleep_until((started + LINGER).min(deadline)).await;
@@ -73,7 +73,7 @@
     log::info!(kind = "stop", open = shared.open_requests() as u64; "stopped");
 }
 
-fn subscribe(kind: SignalKind) -> Result<Signal, Error> {
+fn listen_for(kind: SignalKind) -> Result<Signal, Error> {
     signal(kind).map_err(|error| Error::Start {
         step: "signals",
         cause: error.to_string(),
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -29,37 +29,37 @@
 use crate::links::Link;
 use crate::links::Links;
 
-/// Bytes of an answer at most; the store's own limit is 1 MB of rows, which base64 makes a third
+/// Maximum size of an answer in bytes; the store limits rows to 1 MB, which base64 makes a third
 /// larger.
 const MAX_ANSWER: usize = 4 * 1024 * 1024;
-/// Time for an answer, besides the time that a watch waits. The store answers in some
-/// milliseconds; a slow one is still of use below this.
+/// Timeout of an answer, in addition to the waiting time of a watch. The store answers in some
+/// milliseconds; a slow one is still usable below this.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Why a call failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// The store cannot be reached or did not answer in time.
+    /// The store is unreachable or did not answer in time.
     Silent {
-        /// What was called.
+        /// The failed step.
         step: &'static str,
-        /// What went wrong.
+        /// Cause of the failure.
         cause: String,
     },
-    /// The store refused.
+    /// The store refused the call.
     Refused {
-        /// What was called.
+        /// The refused step.
         step: &'static str,
-        /// Its answer.
+        /// Status of the answer.
         status: StatusCode,
     },
-    /// A watch was given up since another call had no answer in time.
+    /// A watch was abandoned because another call had no answer in time.
     GivenUp,
-    /// The history that a watch asked for is gone.
+    /// The history that a watch needs has been compacted.
     Compacted,
-    /// A row was not at the version that a write asked for.
+    /// A row did not have the version that a conditional write requires.
     Conflict,
-    /// The answer cannot be read.
+    /// The answer cannot be parsed.
     Garbled(platform::error::Error),
 }
 
@@ -69,8 +69,8 @@
             Self::Silent { step, cause } => write!(f, "store, {step}: {cause}"),
             Self::Refused { step, status } => write!(f, "store, {step}: status {status}"),
             Self::GivenUp => write!(f, "store, watching: another call had no answer in time"),
-            Self::Compacted => write!(f, "store, watching: the history is gone"),
-            Self::Conflict => write!(f, "store, claiming: another daemon was faster"),
+            Self::Compacted => write!(f, "store, watching: the history has been compacted"),
+            Self::Conflict => write!(f, "store, claiming: another daemon has changed the row"),
             Self::Garbled(error) => write!(f, "store, answer: {error}"),
         }
     }
@@ -78,21 +78,21 @@
 
 impl std::error::Error for Error {}
 
-/// Calls the store, each time over a connection that carried no call before: an answer names no call, so that a late
-/// second answer to an earlier one could not be told from the answer to the present one.
+/// Client of the store that makes each call over an unused connection. Answers do not name their call, so a late
+/// second answer to an earlier call would be taken for the answer to the current one.
 #[derive(Debug)]
 pub struct Store {
     address: SocketAddr,
-    /// Connections for later calls.
+    /// Connections opened for later calls.
     links: Rc<Links>,
     calls: IntCounterVec,
-    /// Told when a call had no answer in time, so that watches on connections of the same age do
-    /// not wait for their own limit.
+    /// Notified when a call timed out, so that watches on connections of the same age do not wait for
+    /// their own timeout.
     timeouts: Notify,
 }
 
 impl Store {
-    /// A client of the store at `address`; `calls` counts its calls by step and table.
+    /// Creates a client of the store at `address`; `calls` counts its calls by step and table.
     pub fn new(address: SocketAddr, calls: IntCounterVec) -> Self {
         Self {
             address,
@@ -118,11 +118,11 @@
     }
 
     /// Waits up to `wait` for rows of `table` that changed after `version`. Ends early when another
-    /// call has no answer in time: open connections may fall silent without an end, and a watch on
-    /// one of them would miss changes until its own limit.
+    /// call times out: open connections may hang without being closed, and a watch on one of them would
+    /// miss changes until its own timeout.
     ///
     /// # Errors
-    /// [`Error`]; `Compacted` and `GivenUp` if the rows have to be read anew.
+    /// [`Error`]; `Compacted` and `GivenUp` if all rows have to be read again.
     pub async fn watch(&self, table: &str, version: u64, wait: Duration) -> Result<Rows, Error> {
         self.count("watching", table);
         let path = store::watch_path(table, version, wait.as_millis() as u64);
@@ -133,20 +133,21 @@
         Rows::read(table, &body).map_err(Error::Garbled)
     }
 
-    /// Writes one row, whatever it holds.
+    /// Writes one row unconditionally.
     ///
     /// # Errors
-    /// [`Error`]; the row may be written all the same.
+    /// [`Error`]; the row may have been written nevertheless.
     pub async fn write(&self, table: &str, key: &str, value: &[u8]) -> Result<(), Error> {
         let body = store::write_body(table, key, value);
         self.transact("writing", table, body).await?;
         Ok(())
     }
 
-    /// Writes one row if it is still at `version` (0 if it does not exist); gives its new version.
+    /// Writes one row if it still has `version` (0 if it does not exist); returns its new version.
     ///
     /// # Errors
-    /// [`Error`]; `Conflict` if it is not. After any other error it may be written all the same.
+    /// [`Error`]; `Conflict` if it has another version. After any other error it may have been written
+    /// nevertheless.
     pub async fn swap(
         &self,
         table: &str,
@@ -163,32 +164,32 @@
     /// Removes one row.
     ///
     /// # Errors
-    /// [`Error`]; the row may be removed all the same.
+    /// [`Error`]; the row may have been removed nevertheless.
     pub async fn remove(&self, table: &str, key: &str) -> Result<(), Error> {
         let body = store::remove_body(table, key);
         self.transact("removing", table, body).await?;
         Ok(())
     }
 
-    /// Makes `edits` in one transaction, whatever the rows hold.
+    /// Applies `edits` unconditionally in one transaction.
     ///
     /// # Errors
-    /// [`Error`]; the edits may be made all the same.
+    /// [`Error`]; the edits may have been applied nevertheless.
     pub async fn edit(&self, table: &str, edits: &[Edit]) -> Result<(), Error> {
         let body = store::edit_body(table, edits);
         self.transact("editing", table, body).await?;
         Ok(())
     }
 
-    /// Opens the connection of a later call while nobody waits for it. It also falls silent together with those of
-    /// watches: the later call then has no answer, and the watches are given up.
+    /// Opens a connection for a later call in the background. If it hangs together with connections of watches, the
+    /// later call times out and the watches are abandoned.
     fn preconnect(&self) {
         let (address, links) = (self.address, Rc::clone(&self.links));
         tokio::task::spawn_local(async move {
             match links::connect(address).await {
                 Ok(link) => links.keep(link, None),
                 Err(failure) => {
-                    log::debug!(kind = "store", cause = format!("{failure:?}"); "no connection was opened ahead");
+                    log::debug!(kind = "store", cause = format!("{failure:?}"); "failed to open a connection for a later call");
                 }
             }
         });
@@ -210,11 +211,11 @@
             let started = Instant::now();
             let request = Request::builder().method(Method::GET).uri(&path);
             let body = self.call(step, request, Bytes::new(), limit).await?;
-            // An answer that waited while the machine was suspended tells what was so before.
+            // An answer that waited while the machine was suspended is outdated.
             if started.elapsed() <= limit {
                 return Ok(body);
             }
-            log::info!(kind = "store", step = step, ms = started.elapsed().as_millis() as u64; "an answer is old; asking again");
+            log::info!(kind = "store", step = step, ms = started.elapsed().as_millis() as u64; "an answer is outdated; calling again");
         }
     }
 
@@ -253,8 +254,8 @@
         }
     }
 
-    /// Sends `request`, and once more if it could not connect in time or the connection ended unused: each call needs a
-    /// new connection, and the system sends a lost packet that opens one again only after a second.
+    /// Sends `request`, and retries once if the connection could not be opened in time or ended unused: each call
+    /// needs a new connection, and the system retransmits a lost SYN packet only after a second.
     async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -274,7 +275,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Bytes, Error> {
         let sent = self.send(request).await;
-        // Held until the body is read: dropping it closes the connection.
+        // The link is held until the body is read; dropping it closes the connection.
         let (answer, _link) = sent.map_err(|failure| match failure {
             Failure::Refused { cause }
             | Failure::Unreachable { cause }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -1,4 +1,4 @@
-//! What the store tells: the plan, the replicas and the other instances.
+//! Keeps the plan, the replicas and the list of instances up to date from the store or from peers.
 
 pub mod instances;
 mod rows;
@@ -23,45 +23,42 @@
 use crate::shared::Shared;
 use crate::store::Error;
 
-/// How long one watch of the plan waits. Short, so that a watch that hangs on a dead connection is
-/// over well before an edit has to be in force (2 s and more).
+/// Waiting time of one watch of the plan. Short, so that a watch on a dead connection ends well before
+/// an edit has to be in force (2 s and more).
 const PLAN_WAIT: Duration = Duration::from_millis(2_500);
-/// Pause after a plan was read, so that edits in quick succession are read together.
+/// Pause after reading a plan, so that edits in quick succession are read together.
 const PLAN_PAUSE: Duration = Duration::from_millis(150);
-/// Time between two questions to the daemon that reads the store; a replica that leaves must get
-/// nothing 2 s later.
+/// Interval between requests to the poller; a leaving replica must get no requests 2 s later.
 const REPLICAS_PERIOD: Duration = Duration::from_millis(450);
-/// How long one watch of the replicas waits; an answer proves that the list is up to date, and the
-/// others take news of up to a second's age.
+/// Waiting time of one watch of the replicas; an answer proves that the list is up to date, and other
+/// daemons accept a status of up to a second's age.
 const REPLICAS_WAIT: Duration = Duration::from_millis(350);
-/// Pause of the daemon that reads the store between two watches, so that changes in quick succession
-/// are read together.
+/// Pause of the poller between two watches, so that changes in quick succession are read together.
 const REPLICAS_PAUSE: Duration = Duration::from_millis(300);
-/// Time that the daemon which reads the store gets for an answer; a round trip takes some
-/// milliseconds.
+/// Timeout of a status request to a poller; a round trip takes some milliseconds.
 const POLLER_TIMEOUT: Duration = Duration::from_millis(120);
-/// Total time for asking the daemons that read the store, after which this daemon reads it itself.
-/// Together with the maximum age of news and the pause before ([`REPLICAS_PERIOD`]), this keeps the
-/// list well below an age of 2 s, after which a replica that leaves must get no requests.
+/// Total timeout of requests to pollers, after which this daemon reads the store itself. Together with
+/// the maximum age of a status and the pause before ([`REPLICAS_PERIOD`]), it keeps the list well below
+/// an age of 2 s, after which a leaving replica must get no requests.
 const POLLERS_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time after a start for which a daemon waits for the one that reads the store, before it reads plan and
-/// replicas itself: at a common start of 295 instances, 3,500 calls fell when each read them all.
+/// Time after a start for which a daemon waits for the poller before it reads plan and replicas itself:
+/// when 295 instances started together and each read them all, that took 3,500 calls.
 const START_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time after a later start for which the list of instances is waited for: the store answers in some
-/// milliseconds, or its tables do not all answer.
+/// Timeout of waiting for the list of instances, other than at the first start of the whole system: the store answers
+/// in some milliseconds, or some of its tables do not answer at all.
 const LIST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Pause between two questions to that one meanwhile.
+/// Mean pause between requests to the poller during [`START_TIMEOUT`].
 const START_PAUSE: Duration = Duration::from_millis(60);
-/// Daemons of a data centre that try the store themselves in one period while it fails their reader. More
-/// would not notice sooner that it serves one of them, and each call is paid for.
+/// Daemons of a data centre that call the store themselves in one period while it fails their poller. More
+/// would not find sooner that it answers one of them, and each call is paid for.
 const DIRECT_READERS: usize = 8;
-/// Time between two readings of the store by a daemon that others read for, while the store fails
-/// those: often enough to notice that it serves this one alone.
+/// Interval between own readings of the store by a daemon whose poller the store fails: short enough to find
+/// that the store answers only this daemon.
 const DIRECT_PERIOD: Duration = Duration::from_millis(600);
 /// Pause after a failed call, so that a store in trouble is not pressed further.
 const RETRY_PAUSE: Duration = Duration::from_millis(350);
 
-/// Follows the plan, forever.
+/// Keeps the plan up to date from the store while this daemon is the poller, forever.
 pub async fn follow_plan(shared: Rc<Shared>) {
     let mut version = None;
     wait_for_instances(&shared).await;
@@ -83,7 +80,7 @@
                 sleep(PLAN_PAUSE).await;
             }
             Err(error @ (Error::Compacted | Error::GivenUp)) => {
-                log::info!(kind = "store", step = "plan", cause = error.to_string(); "reading the plan anew");
+                log::info!(kind = "store", step = "plan", cause = error.to_string(); "reading the whole plan again");
                 version = None;
             }
             Err(error) => {
@@ -95,19 +92,19 @@
     }
 }
 
-/// What a daemon that reads the store had to say.
+/// Result of a request to a poller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PollerState {
-    /// It is up to date, and now this daemon is, too.
+    /// The poller is up to date, and this daemon has its state.
     Fresh,
-    /// The store fails it.
+    /// The poller is not up to date because the store fails it.
     Stale,
-    /// It did not answer.
+    /// The poller did not answer.
     Silent,
 }
 
-/// Keeps the replicas up to date, forever: from the daemon that reads the store for this data
-/// centre, from one that does for another, or from the store.
+/// Keeps the replicas up to date, forever: from the poller of this data centre, from that of another
+/// one, or from the store.
 pub async fn follow_replicas(shared: Rc<Shared>) {
     let start_deadline = Instant::now() + START_TIMEOUT;
     let mut next_direct = Instant::now();
@@ -145,19 +142,19 @@
     }
 }
 
-/// Where this daemon stands after its start.
+/// Phase of this daemon after its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StartPhase {
-    /// It knows no replicas, and its data centre has few instances: their calls of the store cost less than
-    /// their callers' waiting would.
+    /// No replicas are known and the data centre has few instances: their calls of the store cost less than
+    /// making callers wait.
     FewInstances,
-    /// It knows no replicas, and many instances may be starting with it.
+    /// No replicas are known and many instances may be starting together.
     ManyInstances,
-    /// It knows the replicas, or has waited for long enough.
+    /// Replicas are known, or the start timeout has passed.
     Steady,
 }
 
-/// The phase of a daemon that waits until `patience` at most.
+/// The phase of a daemon whose start timeout ends at `start_deadline`.
 fn start_phase(shared: &Shared, start_deadline: Instant) -> StartPhase {
     let instances = shared.members.borrow().local_count();
     match shared.replicas_version() {
@@ -167,7 +164,7 @@
     }
 }
 
-/// Waits until the other instances are known, since it follows from them who reads the store.
+/// Waits until the instances are listed, since the poller is chosen among them.
 async fn wait_for_instances(shared: &Shared) {
     let mut listed = shared.instances_listed.subscribe();
     let limit = if shared.settings().first_start {
@@ -175,21 +172,20 @@
     } else {
         LIST_TIMEOUT
     };
-    // Without the list, each daemon is on its own.
+    // Without the list, this daemon is its own poller.
     let _ = timeout(limit, listed.wait_for(|listed| *listed)).await;
 }
 
-/// The time until this daemon tries the store again that fails its reader: `period` where a data centre has
-/// few instances, and as much longer as there are more of them.
+/// Randomized time until this daemon calls a failing store again: about `period` if the data centre has up to
+/// [`DIRECT_READERS`] instances, and proportionally longer if it has more.
 fn scaled_period(shared: &Shared, period: Duration) -> Duration {
     let instances = shared.members.borrow().local_count();
     let share = instances.max(DIRECT_READERS) as f64 / DIRECT_READERS as f64;
     period.mul_f64(share * rand::random_range(0.75..1.25))
 }
 
-/// Asks the daemons that read the store, starting with the one for this data centre, until one is
-/// up to date or `limit` has passed. Returns `Silent` if none answers or if this daemon reads the
-/// store for others.
+/// Asks the pollers, starting with that of this data centre, until one is up to date or `limit` has
+/// passed. Returns `Silent` if none answers or if this daemon is the poller.
 async fn refresh_from_pollers(shared: &Shared, limit: Duration) -> PollerState {
     let deadline = Instant::now() + limit;
     let local = shared.members.borrow().poller();
@@ -209,8 +205,8 @@
     poller_state
 }
 
-/// Asks any daemon of this data centre. At a common start the one that reads the store would have to pass
-/// a list of 75 KB and more on to some sixty others through one link; each that has it passes it on.
+/// Asks a random daemon of this data centre. At a common start the poller would have to send a list of 75 KB
+/// and more to some sixty daemons over one link, so each daemon that has it passes it on.
 async fn refresh_from_local_peer(shared: &Shared) {
     let peer = shared.members.borrow().random_local_peer();
     if let Some(peer) = peer {
@@ -218,7 +214,7 @@
     }
 }
 
-/// Asks the daemon at `poller`.
+/// Requests the status of the daemon at `poller` and fetches what is newer there.
 async fn refresh_from(shared: &Shared, poller: SocketAddr) -> PollerState {
     let Some(status) = gossip::request_status(shared, poller, POLLER_TIMEOUT).await else {
         return PollerState::Silent;
@@ -266,7 +262,7 @@
     }
 }
 
-/// What changed of the replicas, or all of them where that is not known.
+/// Reads the changes of the replicas from the store, or all replicas if the changes are not known.
 async fn fetch_replicas(shared: &Shared) -> Result<Update, Error> {
     let since = shared.replicas_version();
     if since == 0 {
@@ -304,13 +300,13 @@
         Ok(read) => {
             if read.plan.version > shared.plan_version() {
                 for problem in &read.problems {
-                    log::error!(kind = "plan", version = read.plan.version, cause = problem; "a customer's row is not as it should be");
+                    log::error!(kind = "plan", version = read.plan.version, cause = problem; "a customer's row is invalid");
                 }
             }
             shared.apply_plan("store", read.plan);
         }
         Err(error) => {
-            log::error!(kind = "plan", cause = error.to_string(); "a plan cannot be read; the one in force stays");
+            log::error!(kind = "plan", cause = error.to_string(); "a plan cannot be read; the current one stays in force");
         }
     }
 }
--- a/crates/gateway/src/watch/instances.rs
+++ b/crates/gateway/src/watch/instances.rs
@@ -1,4 +1,4 @@
-//! The other instances, as the store lists them.
+//! Registers this instance in the store and reads the list of all instances.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,20 +11,19 @@
 use crate::shared::Shared;
 use crate::watch::scaled_period;
 
-/// Time between two readings of the instances by the daemon that reads the store for its data
-/// centre; gossip is the faster source.
+/// Interval between readings of the instances by the poller; gossip is the faster source.
 const PERIOD: Duration = Duration::from_secs(6);
-/// The same for the other daemons, which hear of new instances from it.
+/// The same for other daemons, which learn of new instances from the poller.
 const OTHERS_PERIOD: Duration = Duration::from_mins(2);
-/// Pause between writing the own row and reading those of the others when the whole system starts for
-/// the first time; instances start within 300 ms of each other.
+/// Pause between writing the own row and reading all rows when the whole system starts for the first
+/// time; instances start within 300 ms of each other.
 const FIRST_START_PAUSE: Duration = Duration::from_millis(450);
-/// Time between two readings of the instances while the store fails; peers tell of each other.
+/// Interval between readings of the instances while the store fails; peers exchange them as well.
 const RETRY: Duration = Duration::from_secs(2);
-/// Table in which every instance has a row with its card.
+/// Table with one row for each instance, holding its info.
 pub const TABLE: &str = "instances";
 
-/// Keeps the own row among the instances and reads those of the others, forever.
+/// Keeps the own row in the table and reads those of the other instances, forever.
 pub async fn follow(shared: Rc<Shared>) {
     if shared.settings().first_start && register(&shared).await {
         sleep(FIRST_START_PAUSE).await;
@@ -43,7 +42,7 @@
             }
             Err(error) => {
                 shared.store_failed("instances", &error);
-                // Nobody waits for a list that does not come.
+                // Tasks that wait for the list must continue without it.
                 shared.instances_listed.send_replace(true);
                 scaled_period(&shared, RETRY)
             }
@@ -52,8 +51,8 @@
     }
 }
 
-/// Takes the cards of the instances, and writes the own one if it is missing or old; whether the own
-/// one is as it should be.
+/// Applies the list of instances and writes the own row if it is missing or outdated; returns whether the own
+/// row is up to date.
 async fn take_instances(shared: &Shared, rows: &Rows) -> bool {
     let read = |row: &Row| serde_json::from_slice::<InstanceInfo>(row.value.as_deref()?).ok();
     let instances: Vec<InstanceInfo> = rows.rows.iter().filter_map(read).collect();
@@ -69,13 +68,13 @@
     register(shared).await
 }
 
-/// Writes the own row; whether that succeeded.
+/// Writes the own row; returns whether that succeeded.
 async fn register(shared: &Shared) -> bool {
     let own = shared.own_info();
     let value = match serde_json::to_vec(&own) {
         Ok(value) => value,
         Err(error) => {
-            log::error!(kind = "store", step = "registering", cause = error.to_string(); "the own row cannot be written");
+            log::error!(kind = "store", step = "registering", cause = error.to_string(); "cannot encode the own row");
             return false;
         }
     };
--- a/crates/gateway/src/watch/rows.rs
+++ b/crates/gateway/src/watch/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the store with entries of replicas.
+//! Converts rows of the store to replicas.
 
 use std::net::IpAddr;
 
@@ -11,7 +11,7 @@
 
 use crate::shared::Shared;
 
-/// All replicas that `rows` name.
+/// All replicas in `rows`.
 pub fn snapshot(shared: &Shared, rows: &Rows) -> Snapshot {
     let own = shared.own_ip();
     let replicas = rows.rows.iter();
@@ -23,7 +23,7 @@
     }
 }
 
-/// The changes in `rows`; an entry that cannot be read is as good as none.
+/// The changes in `rows`; an unreadable entry counts as removed.
 pub fn delta(shared: &Shared, since: u64, rows: &Rows) -> Delta {
     let mut delta = Delta {
         since,
@@ -42,12 +42,12 @@
 
 fn read_replica(shared: &Shared, own: IpAddr, row: &Row) -> Option<Replica> {
     match replica::read(&row.key, row.value.as_deref()?) {
-        // A request would come back to this daemon as one of a caller.
+        // Requests to an entry with this daemon's own address would return to it as requests of a caller.
         Ok(replica) if replica.address.ip() == own => None,
         Ok(replica) => Some(replica),
         Err(_) if !shared.may_log_unreadable(&row.key) => None,
         Err(error) => {
-            log::warn!(kind = "replica", replica = row.key, cause = error.to_string(); "an entry cannot be read");
+            log::warn!(kind = "replica", replica = row.key, cause = error.to_string(); "an entry of a replica cannot be read");
             None
         }
     }
--- a/crates/gateway/tests/gateway/lifecycle.rs
+++ b/crates/gateway/tests/gateway/lifecycle.rs
@@ -74,7 +74,10 @@
     fs::write(site.daemon.settings(), "instance: [").unwrap();
     site.daemon.signal(Signal::HUP);
     until("it is told", || {
-        !site.daemon.logged("those in force stay").is_empty()
+        !site
+            .daemon
+            .logged("the current ones stay in force")
+            .is_empty()
     });
     assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
 }
--- a/crates/gateway/tests/gateway/second_calls.rs
+++ b/crates/gateway/tests/gateway/second_calls.rs
@@ -371,6 +371,6 @@
         given.starts_with(&logged),
         "{given:?}, in the log {logged:?}"
     );
-    let unread = site.daemon.logged("an engine did not tell its state");
+    let unread = site.daemon.logged("an engine did not report its state");
     assert!(unread.is_empty(), "{unread:?}");
 }
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -99,7 +99,8 @@
             in_force && !site.daemon.logged(&replica).is_empty()
         });
     }
-    let foreign = ["cannot be read", "older news"].map(|text| site.daemon.logged(text));
+    let foreign =
+        ["cannot be read", "ignored an outdated list"].map(|text| site.daemon.logged(text));
     assert!(foreign.concat().is_empty(), "{foreign:?}");
 }
 
