--- a/crates/gateway/src/asides.rs
+++ b/crates/gateway/src/asides.rs
@@ -26,7 +26,7 @@
     }
     let near = request.uri().query().and_then(directory::data_centre);
     let open = shared.members.borrow().advertised();
-    let told = relay::directory::answer(&open, near, shared.breadth());
+    let told = relay::directory::answer(&open, near, shared.advertised_scope());
     if told.is_empty() {
         return own::answer(
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -176,7 +176,7 @@
     match call(shared, report).await {
         Ok(answer) if answer.status == StatusCode::OK => {
             let report = Report::read(&answer.body).ok();
-            shared.note_birth(key, report.and_then(|report| report.birth));
+            shared.update_birth(key, report.and_then(|report| report.birth));
             present(shared, key)
         }
         Ok(answer) if answer.status == StatusCode::MISDIRECTED_REQUEST => Presence::Ended,
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -202,7 +202,7 @@
     };
     let sender = &datagram.from;
     if datagram.overloaded && sender.data_centre == shared.own_info().data_centre {
-        shared.note_overloaded_peer();
+        shared.record_overload_report();
     }
     match datagram.content {
         Content::Member { message, hint } => {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -192,7 +192,7 @@
             log::warn!(kind = "suspended", ms = time.as_millis() as u64; "the machine was suspended");
         }
         let slept = shared.clock.now().since(started);
-        shared.note_late(slept.saturating_sub(HOUSEKEEPING_PERIOD));
+        shared.record_delay(slept.saturating_sub(HOUSEKEEPING_PERIOD));
         if slept > PAUSE_THRESHOLD {
             log::warn!(kind = "pause", ms = slept.as_millis() as u64, open = shared.open_requests() as u64; "the process stood still");
         }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -219,10 +219,10 @@
 
     /// Number of unreachable instances that may be running.
     fn absent(&self, now: Time, fleet: &Fleet) -> usize {
-        let in_reach: HashSet<Instance> = fleet.alive().map(|member| member.instance).collect();
+        let reachable: HashSet<Instance> = fleet.alive().map(|member| member.instance).collect();
         let absent = self.absent.iter().filter(|(instance, since)| {
             // The info of a reachable member may have arrived after its membership record.
-            now.since(**since) < ABSENCE_TIMEOUT && !in_reach.contains(*instance)
+            now.since(**since) < ABSENCE_TIMEOUT && !reachable.contains(*instance)
         });
         absent.count()
     }
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -122,7 +122,7 @@
         }
         rounds += 1;
         if Instant::now() + ROUND_PAUSE > until {
-            let read = shared.read_time(&job.service, job.prompt());
+            let read = shared.estimate_prefill_time(&job.service, job.prompt());
             let read_ms = read.unwrap_or_default().as_millis() as u64;
             log::info!(kind = "reserve", request = job.call.id, class = format!("{kind:?}"), rounds = rounds, tokens = job.tokens(), read_ms = read_ms; "no decode replica has room");
             return None;
@@ -157,7 +157,7 @@
 ) -> Option<Place> {
     let placing = shared.settings().placing;
     let size = job.size(made);
-    let read = shared.read_time(&job.service, size.prompt);
+    let read = shared.estimate_prefill_time(&job.service, size.prompt);
     let idle = kind.idle_part(job.route.objective, job.age(), read.unwrap_or_default());
     let ask = Ask {
         curve: shared.runs.borrow().ask(&job.service, size),
@@ -239,7 +239,7 @@
         Err(error) => Asked::Failed(error.to_string()),
         Ok(answer) if answer.status == StatusCode::OK => match Reservation::read(&answer.body) {
             Ok(reservation) => {
-                shared.note_birth(key, reservation.birth);
+                shared.update_birth(key, reservation.birth);
                 Asked::Room(Reserved {
                     shared: Rc::clone(shared),
                     address: replica.address,
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -214,7 +214,7 @@
     let reply = send::send(shared, job, key, Task::Answer, None, permit).await?;
     match send::whole(shared, reply, MAX_ANSWER).await {
         Ok((head, headers, body)) => {
-            shared.note_pace(key, begun.elapsed(), 1.0);
+            shared.record_work(key, begun.elapsed(), 1.0);
             Ok(Answer {
                 status: head.status,
                 headers,
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -55,9 +55,11 @@
         let Some(key) = chosen else { break };
         // Where too few replicas read prompts, a part is left to the decode replicas, and the rest is
         // read in time.
-        let may_read = shared.may_read(decode);
+        let may_read = shared.may_prefill(decode);
         let objective = job.route.objective;
-        if may_read && rand::random::<f64>() < shared.own_reads(key, job.prompt(), objective) {
+        if may_read
+            && rand::random::<f64>() < shared.decode_prefill_share(key, job.prompt(), objective)
+        {
             break;
         }
         // The first read is no retry; that of a stream which is resumed is one.
@@ -183,10 +185,10 @@
     match Prefill::read(&body) {
         Ok(prefill) => {
             send::note_success(shared, key);
-            shared.note_birth(key, prefill.birth);
+            shared.update_birth(key, prefill.birth);
             let prompt = job.prompt();
-            shared.note_read(key, begun.elapsed(), before + prompt);
-            shared.note_pace(key, begun.elapsed(), prompt as f64);
+            shared.record_prefill(key, begun.elapsed(), before + prompt);
+            shared.record_work(key, begun.elapsed(), prompt as f64);
             log::info!(kind = "read", request = job.call.id, ms = job.age().as_millis() as u64, cache = prefill.handle, exchanges_before = exchanges_before; "the prompt is read");
             Ok(Read {
                 address,
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -155,7 +155,7 @@
         return Err(outcome);
     }
     if decode {
-        shared.note_pace(key, begun.elapsed(), 1.0);
+        shared.record_work(key, begun.elapsed(), 1.0);
     }
     Ok(Reply {
         head,
--- a/crates/gateway/src/shared/choice.rs
+++ b/crates/gateway/src/shared/choice.rs
@@ -89,33 +89,33 @@
     }
 
     /// Whether the decode replica `key` may run a prefill itself.
-    pub fn may_read(&self, key: Key) -> bool {
+    pub fn may_prefill(&self, key: Key) -> bool {
         self.pool.borrow().may_read(key)
     }
 
     /// Fraction of the prompts that decode replicas have to prefill because the prefill replica `key` is slow
     /// or fails.
-    pub fn own_reads(&self, key: Key, tokens: u64, objective: Duration) -> f64 {
+    pub fn decode_prefill_share(&self, key: Key, tokens: u64, objective: Duration) -> f64 {
         let pool = self.pool.borrow();
         pool.own_reads(self.clock.now(), key, tokens, objective)
     }
 
     /// Time until a prompt of `tokens` for `service` is prefilled at the best replica; `None` if that is not
     /// known.
-    pub fn read_time(&self, service: &str, tokens: u64) -> Option<Duration> {
+    pub fn estimate_prefill_time(&self, service: &str, tokens: u64) -> Option<Duration> {
         let key = self.choose(service, Some(Stage::Prefill), &[])?;
         let pool = self.pool.borrow();
         pool.read_time(self.clock.now(), key, tokens)
     }
 
     /// Records that `key` took `took` to prefill `tokens`, including those queued ahead.
-    pub fn note_read(&self, key: Key, took: Duration, tokens: u64) {
+    pub fn record_prefill(&self, key: Key, took: Duration, tokens: u64) {
         let now = self.clock.now();
         self.pool.borrow_mut().note_read(now, key, took, tokens);
     }
 
     /// Records that `key` took `took` for `units` of work.
-    pub fn note_pace(&self, key: Key, took: Duration, units: f64) {
+    pub fn record_work(&self, key: Key, took: Duration, units: f64) {
         let now = self.clock.now();
         self.pool.borrow_mut().note_pace(now, key, took, units);
     }
--- a/crates/gateway/src/shared/overload.rs
+++ b/crates/gateway/src/shared/overload.rs
@@ -10,17 +10,17 @@
 
 impl Shared {
     /// Records that a timer of this daemon fired `late`.
-    pub fn note_late(&self, late: Duration) {
+    pub fn record_delay(&self, late: Duration) {
         self.update_overload(|overload, now| overload.note(now, late));
     }
 
     /// Records that another instance of this data centre reports its own overload.
-    pub fn note_overloaded_peer(&self) {
+    pub fn record_overload_report(&self) {
         self.update_overload(Overload::heard);
     }
 
     /// Records that the poller reports an overloaded instance of this data centre.
-    pub fn note_reported_overload(&self) {
+    pub fn record_relayed_report(&self) {
         self.update_overload(Overload::told);
     }
 
@@ -40,7 +40,7 @@
     }
 
     /// Which instances are advertised to callers.
-    pub fn breadth(&self) -> Breadth {
+    pub fn advertised_scope(&self) -> Breadth {
         let spreads = self.overload.borrow().spreads(self.clock.now());
         if spreads {
             Breadth::All
--- a/crates/gateway/src/shared/store_state.rs
+++ b/crates/gateway/src/shared/store_state.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records the start time of the replica behind `key`, taken from one of its answers.
-    pub fn note_birth(&self, key: Key, birth: Option<Birth>) {
+    pub fn update_birth(&self, key: Key, birth: Option<Birth>) {
         let now = self.clock.now();
         let changes = self.pool.borrow_mut().answered(now, key, birth);
         self.log_changes("answer", &changes);
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -54,7 +54,7 @@
 
 /// Keeps the share of prefill replicas of each model, forever.
 pub async fn run(shared: Rc<Shared>) {
-    let mut balances: HashMap<String, Balance> = HashMap::new();
+    let mut balancers: HashMap<String, Balance> = HashMap::new();
     loop {
         sleep(PERIOD).await;
         let share = shared.settings().prefill_share;
@@ -65,17 +65,17 @@
         let services = plan.services.iter();
         let engines = services.filter_map(|(name, service)| Some((name, service.engine?)));
         for (service, engine) in engines {
-            let balance = balances.entry(service.clone());
-            let balance = balance.or_insert_with(|| Balance::new(engine.stage_change));
-            rebalance(&shared, service, balance, share).await;
+            let balancer = balancers.entry(service.clone());
+            let balancer = balancer.or_insert_with(|| Balance::new(engine.stage_change));
+            rebalance(&shared, service, balancer, share).await;
         }
     }
 }
 
-async fn rebalance(shared: &Shared, service: &str, balance: &mut Balance, share: f64) {
+async fn rebalance(shared: &Shared, service: &str, balancer: &mut Balance, share: f64) {
     let now = shared.clock.now();
     let counts = shared.pool.borrow().counts(now, service);
-    let due = balance.due(now, counts, share);
+    let due = balancer.due(now, counts, share);
     let is_owner = shared.members.borrow().is_owner(Pool::new(service).0);
     let Some(due) = due.filter(|_| is_owner) else {
         return;
@@ -89,7 +89,7 @@
     let (fence, claimed_at) = match claimed {
         Ok(claimed) => claimed,
         Err(cause) => {
-            balance.failed();
+            balancer.failed();
             log::warn!(kind = "order", service = service, stage = format!("{:?}", due.stage), cause = cause; "no order was sent");
             return;
         }
@@ -112,9 +112,9 @@
         }
     }
     if sent {
-        balance.ordered(now);
+        balancer.ordered(now);
     } else {
-        balance.failed();
+        balancer.failed();
     }
 }
 
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -49,13 +49,13 @@
 const LIST_TIMEOUT: Duration = Duration::from_millis(100);
 /// Mean pause between requests to the poller during [`START_TIMEOUT`].
 const START_PAUSE: Duration = Duration::from_millis(60);
-/// Daemons of a data centre that call the store themselves in one period while it fails their poller. More
+/// Number of daemons of a data centre that call the store in one period while it fails their poller. More
 /// would not find sooner that it answers one of them, and each call is paid for.
 const DIRECT_READERS: usize = 8;
 /// Interval between own readings of the store by a daemon whose poller the store fails: short enough to find
 /// that the store answers only this daemon.
 const DIRECT_PERIOD: Duration = Duration::from_millis(600);
-/// Pause after a failed call, so that a store in trouble is not pressed further.
+/// Pause after a failed call, to keep the load on a failing store low.
 const RETRY_PAUSE: Duration = Duration::from_millis(350);
 
 /// Keeps the plan up to date from the store while this daemon is the poller, forever.
@@ -76,7 +76,7 @@
             Ok(rows) => {
                 shared.store_answered("plan");
                 version = Some(rows.version);
-                take_plan(&shared, &rows);
+                apply_stored_plan(&shared, &rows);
                 sleep(PLAN_PAUSE).await;
             }
             Err(error @ (Error::Compacted | Error::GivenUp)) => {
@@ -97,7 +97,7 @@
 enum PollerState {
     /// The poller is up to date, and this daemon has its state.
     Fresh,
-    /// The poller is not up to date because the store fails it.
+    /// The poller is not up to date, since the store fails it.
     Stale,
     /// The poller did not answer.
     Silent,
@@ -172,7 +172,7 @@
     } else {
         LIST_TIMEOUT
     };
-    // Without the list, this daemon is its own poller.
+    // Without the list, a daemon that knows of no other is its own poller.
     let _ = timeout(limit, listed.wait_for(|listed| *listed)).await;
 }
 
@@ -220,7 +220,7 @@
         return PollerState::Silent;
     };
     if status.overloaded && Some(poller) == shared.members.borrow().poller() {
-        shared.note_reported_overload();
+        shared.record_relayed_report();
     }
     match status {
         status if !status.is_fresh() => PollerState::Stale,
@@ -285,13 +285,13 @@
     match shared.store.read(plan::TABLE).await {
         Ok(rows) => {
             shared.store_answered("plan");
-            take_plan(shared, &rows);
+            apply_stored_plan(shared, &rows);
         }
         Err(error) => shared.store_failed("plan", &error),
     }
 }
 
-fn take_plan(shared: &Shared, rows: &Rows) {
+fn apply_stored_plan(shared: &Shared, rows: &Rows) {
     let newest = rows.rows.iter().rev().find(|row| row.key == plan::KEY);
     let Some(value) = newest.and_then(|row| row.value.as_deref()) else {
         return;
--- a/crates/gateway/src/watch/instances.rs
+++ b/crates/gateway/src/watch/instances.rs
@@ -32,7 +32,7 @@
         let pause = match shared.store.read(TABLE).await {
             Ok(rows) => {
                 shared.store_answered("instances");
-                let registered = take_instances(&shared, &rows).await;
+                let registered = apply_instances(&shared, &rows).await;
                 shared.instances_listed.send_replace(true);
                 match shared.members.borrow().poller() {
                     _ if !registered => RETRY,
@@ -53,7 +53,7 @@
 
 /// Applies the list of instances and writes the own row if it is missing or outdated; returns whether the own
 /// row is up to date.
-async fn take_instances(shared: &Shared, rows: &Rows) -> bool {
+async fn apply_instances(shared: &Shared, rows: &Rows) -> bool {
     let read = |row: &Row| serde_json::from_slice::<InstanceInfo>(row.value.as_deref()?).ok();
     let instances: Vec<InstanceInfo> = rows.rows.iter().filter_map(read).collect();
     let own = shared.own_info();
