--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -15,7 +15,7 @@
 use boottime::timer::timeout;
 use fleet::Message;
 use ident::Time;
-use relay::claims::Told;
+use relay::claims::ClaimUpdate;
 use relay::quarantine::Record;
 use serde::Deserialize;
 use serde::Serialize;
@@ -80,7 +80,7 @@
         news: PollerStatus,
     },
     /// What the sender's runs hold at decode replicas.
-    Claims(Told),
+    Claims(ClaimUpdate),
     /// Records of requests under which replicas ended.
     Quarantine(Vec<Record>),
     /// Use of customers' quotas.
@@ -150,7 +150,7 @@
 }
 
 /// Sends to the daemon at `peer` what this one's runs hold.
-pub async fn send_claims(shared: &Shared, peer: SocketAddr, told: Told) {
+pub async fn send_claims(shared: &Shared, peer: SocketAddr, told: ClaimUpdate) {
     send(shared, peer, Content::Claims(told)).await;
 }
 
@@ -241,12 +241,18 @@
             let peer = sender.instance();
             let reads = told.all || !told.readings.is_empty();
             if !told.silent.is_empty() {
-                shared.pool.borrow_mut().hear_silent(now, &told.silent);
+                shared
+                    .pool
+                    .borrow_mut()
+                    .apply_silent_report(now, &told.silent);
             }
             let mut claims = shared.claims.borrow_mut();
-            claims.take(now, peer, told);
+            claims.apply(now, peer, told);
             if reads {
-                shared.pool.borrow_mut().take_readings(now, &claims);
+                shared
+                    .pool
+                    .borrow_mut()
+                    .update_pending_prefills(now, &claims);
             }
         }
     }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -20,8 +20,8 @@
 use platform::caller::Hop;
 use platform::caller::Task;
 use relay::fingerprint::Fingerprint;
-use relay::permit::Allowance;
 use relay::permit::Permit;
+use relay::permit::RequestPermits;
 use relay::permit::Work;
 use relay::plan::Caller;
 use relay::plan::Route;
@@ -67,7 +67,7 @@
     /// What it takes from its customer's quota.
     pub charge: Option<Charge>,
     /// Leave for sends to replicas.
-    pub allowance: RefCell<Allowance>,
+    pub allowance: RefCell<RequestPermits>,
     /// Replicas that it was sent to.
     sent_to: RefCell<HashSet<Key>>,
     shared: Rc<Shared>,
@@ -109,7 +109,7 @@
             returned,
             answering: Cell::new(false),
             charge: None,
-            allowance: RefCell::new(Allowance::new()),
+            allowance: RefCell::new(RequestPermits::new()),
             sent_to: RefCell::default(),
             shared: Rc::clone(shared),
             done: false,
@@ -196,15 +196,15 @@
         size.prompt + size.estimate
     }
 
-    /// What the generation asks of a decode replica, after `made` tokens were made.
-    pub fn size(&self, made: u64) -> Size {
-        let (prompt, most) = self.call.tokens.unwrap_or_default();
-        let estimate = self.call.expected_output.unwrap_or(most / 2);
+    /// What the generation asks of a decode replica, after `generated` tokens were generated.
+    pub fn size(&self, generated: u64) -> Size {
+        let (prompt, max_tokens) = self.call.tokens.unwrap_or_default();
+        let estimate = self.call.expected_output.unwrap_or(max_tokens / 2);
         Size {
             prompt,
-            estimate: estimate.min(most),
-            most,
-            made,
+            estimate: estimate.min(max_tokens),
+            max_tokens,
+            generated,
         }
     }
 
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -19,7 +19,7 @@
 use ident::Zone;
 use rand::seq::IteratorRandom;
 use rand::seq::SliceRandom;
-use relay::directory::Entry;
+use relay::directory::Endpoint;
 
 use crate::instance_info::InstanceInfo;
 
@@ -167,7 +167,7 @@
         let mut outputs = Vec::new();
         let next = fleet.step(now, &mut outputs);
         if fleet.declared_dead() {
-            let started = fleet.me().started + 1;
+            let started = fleet.local_member().started + 1;
             self.join(now, started);
             return (Vec::new(), Vec::new(), now);
         }
@@ -250,14 +250,14 @@
     }
 
     /// Instances that are advertised to callers: members that are neither leaving nor suspected.
-    pub fn advertised(&self) -> Vec<Entry> {
+    pub fn advertised(&self) -> Vec<Endpoint> {
         let Some(fleet) = &self.fleet else {
             return Vec::new();
         };
         let alive = fleet.alive().filter(|member| member.state == State::Alive);
         alive
             .filter_map(|member| self.info(member.instance))
-            .map(|info| Entry {
+            .map(|info| Endpoint {
                 data_centre: info.data_centre,
                 address: info.callers,
                 capacity: info.capacity,
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -18,17 +18,17 @@
 
 use ident::Time;
 use ident::Zone;
-use relay::budget::Budget;
+use relay::budget::RetryBudget;
 use relay::claims::Claims;
-use relay::line::Line;
 use relay::overload::Overload;
 use relay::plan::Plan;
 use relay::pool::Pool;
 use relay::quarantine::Quarantine;
-use relay::runs::Id;
+use relay::runs::RunId;
 use relay::runs::Runs;
 use relay::server::Key;
-use relay::timing::Patience;
+use relay::timing::CallerTimeouts;
+use relay::wait_queue::WaitQueue;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
@@ -93,9 +93,9 @@
     /// Requests whose quarantine records have to be written to the store.
     pub unstored: Outbox,
     /// Replica to which a run has to move, by run.
-    pub move_targets: RefCell<HashMap<Id, watch::Sender<Option<Key>>>>,
+    pub move_targets: RefCell<HashMap<RunId, watch::Sender<Option<Key>>>>,
     /// Generations that wait for a decode replica.
-    pub queue: RefCell<Line>,
+    pub queue: RefCell<WaitQueue>,
     /// Notified when a run of this daemon ended or the queue advanced.
     pub capacity_changed: Notify,
     /// Notified when a run began or moved, or a prefill began or ended.
@@ -109,11 +109,11 @@
     plan: RefCell<Option<Rc<Plan>>>,
     /// Customers with a label of their own in the metrics.
     labelled_customers: RefCell<HashSet<String>>,
-    budgets: RefCell<HashMap<String, Budget>>,
+    budgets: RefCell<HashMap<String, RetryBudget>>,
     /// Mean time that a decode replica takes for an answer, by service.
     answer_times: RefCell<HashMap<String, Duration>>,
     /// Time limits of callers, by route.
-    patiences: RefCell<HashMap<String, Patience>>,
+    patiences: RefCell<HashMap<String, CallerTimeouts>>,
     overload: RefCell<Overload>,
     data_centre: Zone,
     own: InstanceInfo,
@@ -167,7 +167,7 @@
             unannounced: Outbox::new(),
             unstored: Outbox::new(),
             move_targets: RefCell::new(HashMap::new()),
-            queue: RefCell::new(Line::new()),
+            queue: RefCell::new(WaitQueue::new()),
             capacity_changed: Notify::new(),
             runs_changed: Notify::new(),
             restarts: Notify::new(),
@@ -227,7 +227,7 @@
         metrics.quarantined.set(quarantined as u64);
         metrics.replicas_age.set(self.replicas_age().as_secs_f64());
         for (service, budget) in self.budgets.borrow_mut().iter_mut() {
-            let left = budget.left(now, &self.retry_rule(), members.sharers());
+            let left = budget.remaining(now, &self.retry_rule(), members.sharers());
             metrics.retries_left(service, left);
         }
     }
--- a/crates/gateway/src/shared/choice.rs
+++ b/crates/gateway/src/shared/choice.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use ident::Zone;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
 use relay::plan::Route;
 use relay::replica::Stage;
-use relay::score::Want;
+use relay::score::Criteria;
 use relay::server::Key;
 
 use crate::shared::Shared;
@@ -25,20 +25,20 @@
         self.choose_near(service, stage, tried, self.data_centre)
     }
 
-    /// Like [`Self::choose`], but prefers replicas of the data centre `near`.
+    /// Like [`Self::choose`], but prefers replicas of `data_centre`.
     pub fn choose_near(
         &self,
         service: &str,
         stage: Option<Stage>,
         tried: &[Key],
-        near: Zone,
+        data_centre: Zone,
     ) -> Option<Key> {
-        let want = Want {
+        let want = Criteria {
             service,
             stage,
             tried,
-            near,
-            ask: None,
+            data_centre,
+            demand: None,
         };
         let pool = self.pool.borrow();
         pool.choose(self.clock.now(), &want, rand::random)
@@ -46,13 +46,13 @@
 
     /// Chooses the decode replica for a generation that needs the memory `ask`; `None` if no untried one has
     /// room.
-    pub fn choose_decode(&self, service: &str, tried: &[Key], ask: Ask) -> Option<Key> {
-        let want = Want {
+    pub fn choose_decode(&self, service: &str, tried: &[Key], ask: MemoryDemand) -> Option<Key> {
+        let want = Criteria {
             service,
             stage: Some(Stage::Decode),
             tried,
-            near: self.data_centre,
-            ask: Some(ask),
+            data_centre: self.data_centre,
+            demand: Some(ask),
         };
         let pool = self.pool.borrow();
         pool.choose(self.clock.now(), &want, rand::random)
@@ -90,14 +90,14 @@
 
     /// Whether the decode replica `key` may run a prefill itself.
     pub fn may_prefill(&self, key: Key) -> bool {
-        self.pool.borrow().may_read(key)
+        self.pool.borrow().may_prefill(key)
     }
 
     /// Fraction of the prompts that decode replicas have to prefill because the prefill replica `key` is slow
     /// or fails.
     pub fn decode_prefill_share(&self, key: Key, tokens: u64, objective: Duration) -> f64 {
         let pool = self.pool.borrow();
-        pool.own_reads(self.clock.now(), key, tokens, objective)
+        pool.decode_prefill_share(self.clock.now(), key, tokens, objective)
     }
 
     /// Time until a prompt of `tokens` for `service` is prefilled at the best replica; `None` if that is not
@@ -105,19 +105,21 @@
     pub fn estimate_prefill_time(&self, service: &str, tokens: u64) -> Option<Duration> {
         let key = self.choose(service, Some(Stage::Prefill), &[])?;
         let pool = self.pool.borrow();
-        pool.read_time(self.clock.now(), key, tokens)
+        pool.estimate_prefill_time(self.clock.now(), key, tokens)
     }
 
     /// Records that `key` took `took` to prefill `tokens`, including those queued ahead.
     pub fn record_prefill(&self, key: Key, took: Duration, tokens: u64) {
         let now = self.clock.now();
-        self.pool.borrow_mut().note_read(now, key, took, tokens);
+        self.pool
+            .borrow_mut()
+            .record_prefill(now, key, took, tokens);
     }
 
     /// Records that `key` took `took` for `units` of work.
     pub fn record_work(&self, key: Key, took: Duration, units: f64) {
         let now = self.clock.now();
-        self.pool.borrow_mut().note_pace(now, key, took, units);
+        self.pool.borrow_mut().record_work(now, key, took, units);
     }
 
     /// Records how long a decode replica worked on an answer of `service`.
@@ -156,12 +158,14 @@
         let mut patiences = self.patiences.borrow_mut();
         let patience = patiences.entry(route.name.clone()).or_default();
         let least = self.answer_time(service).mul_f64(MIN_RETRY_FACTOR);
-        patience.waited(limit) >= least.max(route.objective)
+        patience.estimate_waited(limit) >= least.max(route.objective)
     }
 
     /// Records that `key` did not answer a control call, and triggers a report to the other daemons.
     pub fn note_unresponsive(&self, key: Key) {
-        self.pool.borrow_mut().silent(self.clock.now(), key);
+        self.pool
+            .borrow_mut()
+            .record_no_answer(self.clock.now(), key);
         self.runs_changed.notify_one();
     }
 
--- a/crates/gateway/src/shared/customers.rs
+++ b/crates/gateway/src/shared/customers.rs
@@ -1,6 +1,6 @@
 //! Customers: their labels in metrics, their quotas, and whether their API keys are valid.
 
-use customer::list::List;
+use customer::list::CustomerList;
 use customer::quota::Limit;
 use customer::subject::Subject;
 
@@ -15,7 +15,7 @@
 
 impl Shared {
     /// Gives the customers with the largest quotas a label of their own in the metrics, up to [`MAX_LABELLED`].
-    pub(super) fn label_customers(&self, customers: &List) {
+    pub(super) fn label_customers(&self, customers: &CustomerList) {
         let mut labelled = self.labelled_customers.borrow_mut();
         for customer in customers.largest(MAX_LABELLED) {
             if labelled.len() < MAX_LABELLED {
--- a/crates/gateway/src/shared/quarantine.rs
+++ b/crates/gateway/src/shared/quarantine.rs
@@ -21,7 +21,7 @@
     /// whether it ended.
     pub fn probe_lost(&self, fingerprint: Fingerprint, key: Key) {
         // A draining replica cuts off unfinished requests when it leaves.
-        let Some(replica) = self.pool.borrow().missed(key) else {
+        let Some(replica) = self.pool.borrow().unplanned_loss(key) else {
             return;
         };
         self.probes.add(key, replica, fingerprint);
@@ -64,7 +64,7 @@
         let now = clock::unix();
         let mut served = Vec::new();
         for record in records {
-            let change = self.quarantine.borrow_mut().take(now, record);
+            let change = self.quarantine.borrow_mut().merge(now, record);
             self.log_change(source, record.fingerprint, change);
             if change == Change::Served {
                 let quarantine = self.quarantine.borrow();
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -19,8 +19,8 @@
 use platform::engine;
 use platform::engine::Report;
 use platform::store::Rows;
-use relay::balance::Balance;
-use relay::balance::Due;
+use relay::balance::Rebalance;
+use relay::balance::StageBalancer;
 use relay::replica::Replica;
 use relay::replica::Stage;
 use relay::server::Key;
@@ -54,7 +54,7 @@
 
 /// Keeps the share of prefill replicas of each model, forever.
 pub async fn run(shared: Rc<Shared>) {
-    let mut balancers: HashMap<String, Balance> = HashMap::new();
+    let mut balancers: HashMap<String, StageBalancer> = HashMap::new();
     loop {
         sleep(PERIOD).await;
         let share = shared.settings().prefill_share;
@@ -66,15 +66,15 @@
         let engines = services.filter_map(|(name, service)| Some((name, service.engine?)));
         for (service, engine) in engines {
             let balancer = balancers.entry(service.clone());
-            let balancer = balancer.or_insert_with(|| Balance::new(engine.stage_change));
+            let balancer = balancer.or_insert_with(|| StageBalancer::new(engine.stage_change));
             rebalance(&shared, service, balancer, share).await;
         }
     }
 }
 
-async fn rebalance(shared: &Shared, service: &str, balancer: &mut Balance, share: f64) {
+async fn rebalance(shared: &Shared, service: &str, balancer: &mut StageBalancer, share: f64) {
     let now = shared.clock.now();
-    let counts = shared.pool.borrow().counts(now, service);
+    let counts = shared.pool.borrow().stage_counts(now, service);
     let due = balancer.due(now, counts, share);
     let is_owner = shared.members.borrow().is_owner(Pool::new(service).0);
     let Some(due) = due.filter(|_| is_owner) else {
@@ -89,7 +89,7 @@
     let (fence, claimed_at) = match claimed {
         Ok(claimed) => claimed,
         Err(cause) => {
-            balancer.failed();
+            balancer.order_failed();
             log::warn!(kind = "order", service = service, stage = format!("{:?}", due.stage), cause = cause; "no order was sent");
             return;
         }
@@ -112,9 +112,9 @@
         }
     }
     if sent {
-        balancer.ordered(now);
+        balancer.order_sent(now);
     } else {
-        balancer.failed();
+        balancer.order_failed();
     }
 }
 
@@ -127,7 +127,7 @@
 }
 
 /// Selects the least loaded replicas of the other stage that carry out no order at present.
-async fn select_orders(shared: &Shared, service: &str, due: Due) -> Vec<Order> {
+async fn select_orders(shared: &Shared, service: &str, due: Rebalance) -> Vec<Order> {
     let from = match due.stage {
         Stage::Prefill => Stage::Decode,
         Stage::Decode => Stage::Prefill,
@@ -144,7 +144,7 @@
         match fetch_report(shared, &replica).await {
             Ok(report) if report.busy => {}
             // The report is from another incarnation than the listed one.
-            Ok(report) if replica.compare(report.birth) != Ordering::Equal => {}
+            Ok(report) if replica.compare_incarnation(report.birth) != Ordering::Equal => {}
             Ok(report) => orders.push(Order {
                 replica,
                 accepted: report.orders,
--- a/crates/relay/src/pool/list.rs
+++ b/crates/relay/src/pool/list.rs
@@ -6,8 +6,6 @@
 
 use ident::Time;
 
-use crate::belief::Belief;
-use crate::belief::Change;
 use crate::pool::Pool;
 use crate::replica::Delta;
 use crate::replica::Lapsing;
@@ -15,6 +13,8 @@
 use crate::replica::Snapshot;
 use crate::replica::Source;
 use crate::replica::Update;
+use crate::replica_state::ReplicaState;
+use crate::replica_state::StateChange;
 use crate::server::Key;
 use crate::server::Server;
 
@@ -26,9 +26,9 @@
     /// What a peer is told whose list is of the version `since` and has the hash `digest`; `None` if
     /// there is nothing to tell. Where lists of one version differ, a peer that is told nothing would
     /// go on with its own until the next change.
-    pub fn newer(&self, now: Time, since: u64, digest: u64) -> Option<Update> {
+    pub fn update_for_peer(&self, now: Time, since: u64, digest: u64) -> Option<Update> {
         match self.version {
-            version if version > since => Some(self.update(now, since)),
+            version if version > since => Some(self.update_since(now, since)),
             version if version == since && digest != self.digest() => {
                 Some(Update::All(self.snapshot(now)))
             }
@@ -37,7 +37,7 @@
     }
 
     /// What a peer is told whose list is of the version `since`: what changed, if that is known.
-    pub fn update(&self, now: Time, since: u64) -> Update {
+    pub fn update_since(&self, now: Time, since: u64) -> Update {
         if since < self.gone.since {
             return Update::All(self.snapshot(now));
         }
@@ -80,7 +80,12 @@
 
     /// Takes news; `None` if they are older than what was taken before, or change a version that is
     /// not reached yet.
-    pub fn take(&mut self, now: Time, source: Source, update: &Update) -> Option<Vec<Change>> {
+    pub fn apply_update(
+        &mut self,
+        now: Time,
+        source: Source,
+        update: &Update,
+    ) -> Option<Vec<StateChange>> {
         match update {
             Update::All(snapshot) => self.take_snapshot(now, source, snapshot),
             Update::Changed(delta) => self.take_delta(now, source, delta),
@@ -89,13 +94,13 @@
 
     /// Applies a snapshot read from the store. Returns `None` if it is older than the current
     /// version.
-    pub fn apply(&mut self, now: Time, snapshot: &Snapshot) -> Option<Vec<Change>> {
+    pub fn apply(&mut self, now: Time, snapshot: &Snapshot) -> Option<Vec<StateChange>> {
         self.take_snapshot(now, Source::Store, snapshot)
     }
 
     /// Applies a delta read from the store. Returns `None` if it is older than the current version,
     /// or if its base version has not been reached yet.
-    pub fn apply_delta(&mut self, now: Time, delta: &Delta) -> Option<Vec<Change>> {
+    pub fn apply_delta(&mut self, now: Time, delta: &Delta) -> Option<Vec<StateChange>> {
         self.take_delta(now, Source::Store, delta)
     }
 
@@ -104,7 +109,7 @@
         now: Time,
         source: Source,
         snapshot: &Snapshot,
-    ) -> Option<Vec<Change>> {
+    ) -> Option<Vec<StateChange>> {
         if snapshot.version < self.version {
             return None;
         }
@@ -128,7 +133,7 @@
         Some(changes)
     }
 
-    fn take_delta(&mut self, now: Time, source: Source, delta: &Delta) -> Option<Vec<Change>> {
+    fn take_delta(&mut self, now: Time, source: Source, delta: &Delta) -> Option<Vec<StateChange>> {
         if delta.version < self.version || delta.since > self.version {
             return None;
         }
@@ -168,14 +173,19 @@
         self.digest.set(None);
     }
 
-    fn list(&mut self, now: Time, replica: &Replica, changes: &mut Vec<Change>) {
+    fn list(&mut self, now: Time, replica: &Replica, changes: &mut Vec<StateChange>) {
         let belief = if replica.draining {
-            Belief::Draining
+            ReplicaState::Draining
         } else {
-            Belief::Ready
+            ReplicaState::Ready
         };
         let known = self.by_id.get(&replica.id).copied();
-        let known = known.map(|key| (key, replica.compare(self.servers[key].replica.birth)));
+        let known = known.map(|key| {
+            (
+                key,
+                replica.compare_incarnation(self.servers[key].replica.birth),
+            )
+        });
         match known {
             // An entry of an earlier incarnation that came late.
             Some((_, Ordering::Less)) => return,
@@ -186,7 +196,7 @@
                 self.insert(now, replica);
             }
         }
-        changes.push(Change {
+        changes.push(StateChange {
             id: replica.id.clone(),
             now: belief,
         });
@@ -228,7 +238,7 @@
 
     /// Marks a replica as lapsing because a peer reported it. Ignored for a replica recorded as
     /// gone, since the outage may have affected only the peer.
-    fn lapse(&mut self, now: Time, lapsing: &Lapsing, changes: &mut Vec<Change>) {
+    fn lapse(&mut self, now: Time, lapsing: &Lapsing, changes: &mut Vec<StateChange>) {
         let id = &lapsing.replica.id;
         let key = match self.by_id.get(id) {
             Some(key) => *key,
@@ -236,12 +246,12 @@
             None => self.insert(now, &lapsing.replica),
         };
         let server = &mut self.servers[key];
-        let is_same = lapsing.replica.compare(server.replica.birth) == Ordering::Equal;
+        let is_same = lapsing.replica.compare_incarnation(server.replica.birth) == Ordering::Equal;
         if is_same && server.lapses.is_none() {
             server.lapses = Some(now + lapsing.left);
-            changes.push(Change {
+            changes.push(StateChange {
                 id: id.clone(),
-                now: Belief::Lapsed,
+                now: ReplicaState::Lapsed,
             });
         }
     }
@@ -255,7 +265,7 @@
         now: Time,
         source: Source,
         missing: impl Fn(&str) -> bool,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<StateChange>,
     ) {
         let outage = self.outage.filter(|_| source == Source::Store);
         let returns_until = outage.map(|outage| outage + LAPSE_GRACE);
@@ -269,9 +279,9 @@
                 (None, _) if !is_missing => {}
                 (None, Some(until)) if !server.replica.draining => {
                     server.lapses = Some(until);
-                    changes.push(Change {
+                    changes.push(StateChange {
                         id: id.to_owned(),
-                        now: Belief::Lapsed,
+                        now: ReplicaState::Lapsed,
                     });
                 }
                 _ => gone.push(key),
@@ -281,9 +291,9 @@
             if let Some(server) = self.servers.remove(key) {
                 self.by_id.remove(&server.replica.id);
                 self.gone.push(self.version, &server.replica.id);
-                changes.push(Change {
+                changes.push(StateChange {
                     id: server.replica.id,
-                    now: Belief::Gone,
+                    now: ReplicaState::Gone,
                 });
             }
         }
--- a/crates/relay/src/score.rs
+++ b/crates/relay/src/score.rs
@@ -3,7 +3,7 @@
 use ident::Time;
 use ident::Zone;
 
-use crate::admission::Ask;
+use crate::admission::MemoryDemand;
 use crate::replica::Stage;
 use crate::server::Key;
 use crate::server::Server;
@@ -35,7 +35,7 @@
 
 /// What a request asks of a replica.
 #[derive(Debug, Clone, Copy)]
-pub struct Want<'a> {
+pub struct Criteria<'a> {
     /// Name of the service.
     pub service: &'a str,
     /// Part in serving a model; `None` for a plain application.
@@ -43,12 +43,12 @@
     /// Replicas that it was sent to before.
     pub tried: &'a [Key],
     /// Data centre of this daemon.
-    pub near: Zone,
+    pub data_centre: Zone,
     /// What it asks of the memory of a decode replica, if that is to be looked at.
-    pub ask: Option<Ask>,
+    pub demand: Option<MemoryDemand>,
 }
 
-impl Want<'_> {
+impl Criteria<'_> {
     /// Whether `server` may be chosen.
     pub(crate) fn fits(&self, now: Time, key: Key, server: &Server) -> bool {
         server.usable(now)
@@ -60,7 +60,7 @@
 
     /// Whether `server`, whose engine holds `memory` tokens if that is known, has room.
     pub(crate) fn has_room(&self, now: Time, server: &Server, memory: Option<u64>) -> bool {
-        match (self.ask, memory) {
+        match (self.demand, memory) {
             (Some(ask), Some(memory)) => ask.fits(now, server, memory),
             _ => true,
         }
@@ -71,7 +71,7 @@
 /// and `draw` gives evenly distributed numbers in `0.0..1.0`.
 pub(crate) fn best(
     now: Time,
-    want: &Want<'_>,
+    want: &Criteria<'_>,
     candidates: &[(Key, &Server)],
     memory: Option<u64>,
     draw: impl Fn() -> f64,
@@ -86,8 +86,8 @@
 }
 
 /// What speaks against a replica besides its load and its pace.
-fn against(now: Time, want: &Want<'_>, server: &Server) -> f64 {
-    let near = server.replica.data_centre == want.near;
+fn against(now: Time, want: &Criteria<'_>, server: &Server) -> f64 {
+    let near = server.replica.data_centre == want.data_centre;
     let distance = if near { 0.0 } else { DISTANCE };
     let cold = if server.replica.cold { COLD } else { 0.0 };
     let full = match server.refusals(now) {
@@ -119,11 +119,11 @@
 }
 
 /// Part of the replica that is in use: of its memory for a decode replica, else of its places.
-fn used(now: Time, want: &Want<'_>, server: &Server, memory: Option<u64>) -> f64 {
+fn used(now: Time, want: &Criteria<'_>, server: &Server, memory: Option<u64>) -> f64 {
     let slots = f64::from(server.replica.slots.max(1));
     let load = server.load(now);
     let queued = server.unread.map(|_| server.queued() as f64 / USUAL_TOKENS);
-    match (server.replica.stage, memory, want.ask) {
+    match (server.replica.stage, memory, want.demand) {
         (Some(Stage::Prefill), ..) => queued.unwrap_or(load),
         (Some(Stage::Decode), Some(memory), Some(ask)) => ask.used(now, server, memory),
         (Some(Stage::Decode), Some(memory), None) => {
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -6,7 +6,7 @@
 use slotmap::new_key_type;
 
 use crate::claims;
-use crate::claims::Others;
+use crate::claims::PeerUsage;
 use crate::forecast::Curve;
 use crate::replica::Load;
 use crate::replica::Replica;
@@ -106,7 +106,7 @@
 impl Server {
     pub(crate) fn new(replica: Replica, changed: u64, now: Time) -> Self {
         Self {
-            hash: claims::hash(&replica.id, replica.birth),
+            hash: claims::incarnation_hash(&replica.id, replica.birth),
             replica,
             changed,
             in_flight: 0,
@@ -146,11 +146,11 @@
     }
 
     /// Takes what the runs of `others` will hold, in place of all that was known.
-    pub(crate) const fn expect(&mut self, others: Others) {
+    pub(crate) const fn expect(&mut self, others: PeerUsage) {
         self.forecast = others.curve;
         self.told_runs = others.runs;
         self.known_runs = others.runs;
-        self.reads = others.reads;
+        self.reads = others.prefills;
     }
 
     /// Adds a run of this daemon; `is_read` if the replica reads its prompt.
--- a/crates/relay/tests/admission.rs
+++ b/crates/relay/tests/admission.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use ident::Time;
-use relay::admission::Ask;
+use relay::admission::MemoryDemand;
 use relay::claims::Claims;
 use relay::pool::Pool;
 use relay::replica::Load;
@@ -16,8 +16,8 @@
 const SIZE: Size = Size {
     prompt: 5_000,
     estimate: 4_000,
-    most: 8_000,
-    made: 0,
+    max_tokens: 8_000,
+    generated: 0,
 };
 
 fn pool(memory: u64) -> Pool {
@@ -27,7 +27,7 @@
     pool
 }
 
-fn choose(pool: &Pool, ask: Option<Ask>) -> Option<Key> {
+fn choose(pool: &Pool, ask: Option<MemoryDemand>) -> Option<Key> {
     let want = common::want("llm", Some(Stage::Decode), &[], ask);
     pool.choose(NOW, &want, || 0.0)
 }
@@ -38,8 +38,8 @@
     let mut runs = Runs::new();
     let mut count = 0;
     loop {
-        let ask = Ask {
-            curve: runs.ask("llm", SIZE),
+        let ask = MemoryDemand {
+            curve: runs.forecast("llm", SIZE),
             spreads,
             spare,
         };
@@ -47,7 +47,7 @@
             return count;
         };
         runs.begin("llm", key, SIZE);
-        pool.foresee(NOW, key, &runs, &Claims::new());
+        pool.update_forecast(NOW, key, &runs, &Claims::new());
         count += 1;
     }
 }
@@ -75,8 +75,8 @@
 fn runs_that_only_the_replica_tells_of_count() {
     let mut pool = pool(30_000);
     let key = choose(&pool, None).unwrap();
-    let ask = Ask {
-        curve: Runs::new().ask("llm", SIZE),
+    let ask = MemoryDemand {
+        curve: Runs::new().forecast("llm", SIZE),
         spreads: 0.0,
         spare: 0.0,
     };
@@ -85,6 +85,6 @@
         running: 6,
         waiting: 0,
     };
-    pool.told(NOW, key, load);
+    pool.record_load(NOW, key, load);
     assert!(choose(&pool, Some(ask)).is_none());
 }
--- a/crates/relay/tests/teller.rs
+++ b/crates/relay/tests/claim_publisher.rs
@@ -6,22 +6,22 @@
 
 use ident::Instance;
 use ident::Time;
+use relay::claim_publisher::ClaimPublisher;
+use relay::claims::ClaimUpdate;
 use relay::claims::Claims;
-use relay::claims::Told;
 use relay::pool::Pool;
 use relay::replica::Stage;
-use relay::runs::Id;
+use relay::runs::RunId;
 use relay::runs::Runs;
 use relay::runs::Size;
 use relay::server::Key;
-use relay::teller::Teller;
 
 const START: Time = Time::from_millis(100_000);
 const SIZE: Size = Size {
     prompt: 5_000,
     estimate: 400,
-    most: 1_000,
-    made: 0,
+    max_tokens: 1_000,
+    generated: 0,
 };
 /// Replicas, with a run each at the start.
 const REPLICAS: usize = 70;
@@ -30,7 +30,7 @@
     pool: Pool,
     keys: Vec<Key>,
     runs: Runs,
-    teller: Teller,
+    teller: ClaimPublisher,
 }
 
 impl World {
@@ -44,15 +44,15 @@
             pool,
             keys,
             runs: Runs::new(),
-            teller: Teller::new(),
+            teller: ClaimPublisher::new(),
         }
     }
 
-    fn begin(&mut self, replica: usize) -> Id {
+    fn begin(&mut self, replica: usize) -> RunId {
         self.runs.begin("llm", self.keys[replica], SIZE)
     }
 
-    fn due(&mut self, ms: u64) -> Option<Told> {
+    fn due(&mut self, ms: u64) -> Option<ClaimUpdate> {
         let now = START + Duration::from_millis(ms);
         self.teller.due(now, &self.runs, &self.pool)
     }
@@ -67,7 +67,7 @@
     pool.choose(START, &want, || 0.0)
 }
 
-fn changed(told: Option<Told>) -> usize {
+fn changed(told: Option<ClaimUpdate>) -> usize {
     let told = told.unwrap();
     assert!(!told.all);
     told.claims.len()
@@ -132,8 +132,8 @@
             world.begin(2);
         }
         let told = world.due(ms).unwrap();
-        claims.take(START, Instance(1), told);
+        claims.apply(START, Instance(1), told);
     }
-    let runs = |replica| claims.others(START, world.hash(replica)).runs;
+    let runs = |replica| claims.peer_usage(START, world.hash(replica)).runs;
     assert_eq!([runs(0), runs(1), runs(2)], [0, 1, 1]);
 }
--- a/crates/relay/tests/pool.rs
+++ b/crates/relay/tests/pool.rs
@@ -5,7 +5,6 @@
 use std::time::Duration;
 
 use ident::Time;
-use relay::belief::Belief;
 use relay::pool::Pool;
 use relay::replica::Delta;
 use relay::replica::Replica;
@@ -13,7 +12,8 @@
 use relay::replica::Source;
 use relay::replica::Stage;
 use relay::replica::Update;
-use relay::score::Want;
+use relay::replica_state::ReplicaState;
+use relay::score::Criteria;
 use relay::server::Key;
 use rstest::rstest;
 
@@ -29,7 +29,7 @@
     common::snapshot(version, ids.iter().map(|id| replica(id)).collect())
 }
 
-fn want(tried: &[Key]) -> Want<'_> {
+fn want(tried: &[Key]) -> Criteria<'_> {
     common::want("app", None, tried, None)
 }
 
@@ -57,7 +57,7 @@
     let mut leaving = snapshot(2, &["one"]);
     leaving.replicas[0].draining = true;
     let changes = pool.apply(START, &leaving).unwrap();
-    assert_eq!(changes[0].now, Belief::Draining);
+    assert_eq!(changes[0].now, ReplicaState::Draining);
     assert_eq!(chosen(&pool, START, &[]), None);
 }
 
@@ -83,7 +83,7 @@
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one"]));
     let changes = pool.apply(after(600), &snapshot(2, &[])).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(chosen(&pool, after(600), &[]), None);
 }
 
@@ -95,12 +95,12 @@
     pool.apply(BEFORE_OUTAGE, &snapshot(1, &["one"]));
     pool.note_outage(after(0));
     let changes = pool.apply(after(1_500), &snapshot(2, &[])).unwrap();
-    assert_eq!(changes[0].now, Belief::Lapsed);
+    assert_eq!(changes[0].now, ReplicaState::Lapsed);
     assert_eq!(chosen(&pool, after(1_600), &[]).as_deref(), Some("one"));
     // The bound holds between two readings of the list as well.
     assert_eq!(chosen(&pool, after(2_000), &[]), None);
     let changes = pool.apply(after(2_100), &snapshot(3, &[])).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    assert_eq!(changes[0].now, ReplicaState::Gone);
 }
 
 #[test]
@@ -139,7 +139,7 @@
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one"]));
     let key = pool.choose(START, &want(&[]), || 0.0).unwrap();
-    pool.replaced(key);
+    pool.mark_replaced(key);
     assert_eq!(chosen(&pool, START, &[]), None);
 }
 
@@ -148,7 +148,7 @@
     let mut pool = Pool::new();
     pool.apply(START, &snapshot(1, &["one", "two"]));
     let first = pool.choose(START, &want(&[]), || 0.0).unwrap();
-    pool.begin(first, 0);
+    pool.start_request(first, 0);
     let second = pool.choose(START, &want(&[]), || 0.0).unwrap();
     assert_ne!(first, second);
 }
@@ -160,7 +160,7 @@
     let failing = pool.choose(START, &want(&[]), || 0.0).unwrap();
     let id = pool.get(failing).unwrap().replica.id.clone();
     for _ in 0..3 {
-        pool.note(START, failing, true);
+        pool.record_result(START, failing, true);
     }
     assert_ne!(chosen(&pool, after(1_000), &[]), Some(id));
     assert!(pool.get(failing).unwrap().failure_share(after(30_000)) < 0.01);
@@ -172,7 +172,7 @@
     let mut list = snapshot(1, &["one"]);
     list.replicas[0].stage = Some(Stage::Prefill);
     pool.apply(START, &list);
-    let decode = Want {
+    let decode = Criteria {
         stage: Some(Stage::Decode),
         ..want(&[])
     };
@@ -180,7 +180,7 @@
 }
 
 fn told(reader: &Pool, since: u64) -> Delta {
-    match reader.update(after(5_000), since) {
+    match reader.update_since(after(5_000), since) {
         Update::Changed(delta) => delta,
         Update::All(_) => panic!("all are told"),
     }
@@ -199,7 +199,7 @@
     let mut asker = Pool::new();
     asker.apply(START, &snapshot(3, &["one", "two"]));
     asker
-        .take(after(600), Source::Peer, &Update::Changed(delta))
+        .apply_update(after(600), Source::Peer, &Update::Changed(delta))
         .unwrap();
     assert_eq!(asker.digest(), reader.digest());
     assert_eq!(asker.version(), 5);
@@ -210,8 +210,8 @@
 fn a_peer_from_before_the_first_list_is_told_all() {
     let mut reader = Pool::new();
     reader.apply(START, &snapshot(3, &["one"]));
-    assert!(matches!(reader.update(START, 2), Update::All(_)));
-    assert!(matches!(reader.update(START, 0), Update::All(_)));
+    assert!(matches!(reader.update_since(START, 2), Update::All(_)));
+    assert!(matches!(reader.update_since(START, 0), Update::All(_)));
 }
 
 #[test]
@@ -263,7 +263,7 @@
         ..Delta::default()
     };
     let changes = pool.apply_delta(after(3_500), &nothing).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(told(&pool, 5).gone, ["one"]);
 }
 
@@ -281,8 +281,10 @@
 fn a_peer_that_asks_between_the_end_of_a_lapse_and_the_next_reading_drops_the_replica() {
     let (reader, mut asker) = reader_past_a_lapse();
     let now = after(2_000);
-    let update = reader.newer(now, asker.version(), asker.digest()).unwrap();
-    asker.take(now, Source::Peer, &update);
+    let update = reader
+        .update_for_peer(now, asker.version(), asker.digest())
+        .unwrap();
+    asker.apply_update(now, Source::Peer, &update);
     assert_eq!(asker.replicas().count(), 1);
     assert_eq!(asker.digest(), reader.digest());
 }
@@ -293,10 +295,10 @@
     let mut asker = Pool::new();
     asker.apply(START, &snapshot(2, &["one", "two"]));
     let now = after(2_000);
-    let update = reader.newer(now, 2, asker.digest()).unwrap();
-    asker.take(now, Source::Peer, &update);
+    let update = reader.update_for_peer(now, 2, asker.digest()).unwrap();
+    asker.apply_update(now, Source::Peer, &update);
     assert_eq!(asker.digest(), reader.digest());
-    assert!(reader.newer(now, 2, asker.digest()).is_none());
+    assert!(reader.update_for_peer(now, 2, asker.digest()).is_none());
 }
 
 /// Guards against reusing a departed replica that a peer with an outage reports as lapsing.
@@ -309,11 +311,13 @@
     reader.note_outage(after(1_000));
     reader.apply(after(1_100), &snapshot(3, &["two"]));
     let updates = [
-        reader.update(after(1_200), 2),
+        reader.update_since(after(1_200), 2),
         Update::All(reader.snapshot(after(1_200))),
     ];
     for update in updates {
-        asker.take(after(1_200), Source::Peer, &update).unwrap();
+        asker
+            .apply_update(after(1_200), Source::Peer, &update)
+            .unwrap();
         assert_eq!(chosen(&asker, after(1_200), &[]).unwrap(), "two");
         assert_eq!(asker.replicas().count(), 1);
         let key = asker.choose(after(1_200), &want(&[]), || 0.0).unwrap();
@@ -338,15 +342,17 @@
     asker.note_outage(after(1_100));
     if is_lapsing {
         let changes = asker.apply(after(1_150), &snapshot(1, &[])).unwrap();
-        assert_eq!(changes[0].now, Belief::Lapsed);
+        assert_eq!(changes[0].now, ReplicaState::Lapsed);
     }
     let update = if is_snapshot {
         Update::All(reader.snapshot(after(1_200)))
     } else {
-        reader.update(after(1_200), 1)
+        reader.update_since(after(1_200), 1)
     };
-    let changes = asker.take(after(1_200), Source::Peer, &update).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    let changes = asker
+        .apply_update(after(1_200), Source::Peer, &update)
+        .unwrap();
+    assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(chosen(&asker, after(1_200), &[]), None);
 }
 
@@ -360,10 +366,12 @@
     reader.apply(BEFORE_OUTAGE, &snapshot(3, &["one"]));
     reader.note_outage(after(1_000));
     reader.apply(after(1_100), &snapshot(4, &[]));
-    let update = reader.update(after(1_200), 1);
-    let changes = asker.take(after(1_200), Source::Peer, &update).unwrap();
+    let update = reader.update_since(after(1_200), 1);
+    let changes = asker
+        .apply_update(after(1_200), Source::Peer, &update)
+        .unwrap();
     assert_eq!(changes.len(), 1);
-    assert_eq!(changes[0].now, Belief::Lapsed);
+    assert_eq!(changes[0].now, ReplicaState::Lapsed);
     assert_eq!(chosen(&asker, after(1_200), &[]).as_deref(), Some("one"));
 }
 
@@ -374,7 +382,7 @@
     pool.apply(START, &snapshot(1, &["one"]));
     pool.note_outage(after(1_200));
     let changes = pool.apply(after(1_600), &snapshot(2, &[])).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(chosen(&pool, after(1_600), &[]), None);
 }
 
@@ -391,14 +399,16 @@
     }
     reader.note_outage(after(800));
     let changes = reader.apply(after(1_000), &snapshot(2, &[])).unwrap();
-    assert_eq!(changes[0].now, Belief::Lapsed);
+    assert_eq!(changes[0].now, ReplicaState::Lapsed);
     let update = if is_snapshot {
         Update::All(reader.snapshot(after(1_000)))
     } else {
-        reader.update(after(1_000), 1)
+        reader.update_since(after(1_000), 1)
     };
-    let changes = asker.take(after(1_000), Source::Peer, &update).unwrap();
-    assert_eq!(changes[0].now, Belief::Gone);
+    let changes = asker
+        .apply_update(after(1_000), Source::Peer, &update)
+        .unwrap();
+    assert_eq!(changes[0].now, ReplicaState::Gone);
     assert_eq!(chosen(&asker, after(1_000), &[]), None);
 }
 
