--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -150,8 +150,8 @@
 }
 
 /// Sends to the daemon at `peer` what this one's runs hold.
-pub async fn send_claims(shared: &Shared, peer: SocketAddr, told: ClaimUpdate) {
-    send(shared, peer, Content::Claims(told)).await;
+pub async fn send_claims(shared: &Shared, peer: SocketAddr, update: ClaimUpdate) {
+    send(shared, peer, Content::Claims(update)).await;
 }
 
 /// Sends `records` to the daemon at `peer`, in as many datagrams as needed.
@@ -236,19 +236,19 @@
                 send(shared, to, Content::Quota(message)).await;
             }
         }
-        Content::Claims(told) => {
+        Content::Claims(update) => {
             let now = shared.clock.now();
             let peer = sender.instance();
-            let reads = told.all || !told.readings.is_empty();
-            if !told.silent.is_empty() {
+            let has_readings = update.all || !update.readings.is_empty();
+            if !update.silent.is_empty() {
                 shared
                     .pool
                     .borrow_mut()
-                    .apply_silent_report(now, &told.silent);
+                    .apply_silent_report(now, &update.silent);
             }
             let mut claims = shared.claims.borrow_mut();
-            claims.apply(now, peer, told);
-            if reads {
+            claims.apply(now, peer, update);
+            if has_readings {
                 shared
                     .pool
                     .borrow_mut()
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -97,8 +97,8 @@
     pub fn join(&mut self, now: Time, started: u64) {
         let incarnation = Incarnation(rand::random());
         let instance = self.own.instance();
-        let me = Member::new(instance, incarnation, started, self.own.data_centre);
-        let mut fleet = Fleet::new(me, Settings::new(), rand::random());
+        let local_member = Member::new(instance, incarnation, started, self.own.data_centre);
+        let mut fleet = Fleet::new(local_member, Settings::new(), rand::random());
         fleet.set_list(now, &self.listed);
         for instance in self.others.keys() {
             self.absent.entry(*instance).or_insert(now);
--- a/crates/gateway/src/quota/asking.rs
+++ b/crates/gateway/src/quota/asking.rs
@@ -52,7 +52,7 @@
     let (window, allowance) = pocket(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
-    let pocket = quotas.pocket(demand.subject);
+    let pocket = quotas.local_budget(demand.subject);
     pocket.spend(now, window, allowance, demand.units)
 }
 
@@ -61,7 +61,7 @@
     let (window, allowance) = pocket(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
-    let pocket = quotas.pocket(demand.subject);
+    let pocket = quotas.local_budget(demand.subject);
     pocket.overspend(now, window, allowance, demand.units)
 }
 
@@ -83,7 +83,7 @@
     for (instance, address) in keepers {
         let heard = if instance == own {
             Some(Heard {
-                told: keeping::decide(shared, &demand.ask(purpose), demand.limit),
+                told: keeping::decide(shared, &demand.request(purpose), demand.limit),
                 keeper: None,
             })
         } else {
@@ -102,7 +102,7 @@
 
 /// Gives back to the daemon at `keeper`, or this one, what a request that did not run has taken.
 pub fn give_back(shared: &Rc<Shared>, keeper: Option<SocketAddr>, demand: Demand) {
-    let ask = demand.ask(Purpose::GiveBack);
+    let ask = demand.request(Purpose::GiveBack);
     let Some(keeper) = keeper else {
         keeping::decide(shared, &ask, demand.limit);
         return;
@@ -141,7 +141,7 @@
     }
     let message = Message::Ask {
         number,
-        ask: demand.ask(purpose),
+        ask: demand.request(purpose),
         limit: demand.limit,
     };
     gossip::send_quota(shared, to, message).await;
--- a/crates/gateway/src/quota/charge.rs
+++ b/crates/gateway/src/quota/charge.rs
@@ -62,7 +62,7 @@
                 self.shared
                     .quotas
                     .borrow_mut()
-                    .pocket(self.demand.subject)
+                    .local_budget(self.demand.subject)
                     .settle(number);
             }
             (Source::Pocket(number), true) => {
@@ -79,7 +79,7 @@
     let decision = heard.map(|heard| heard.told.decision);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
-    let pocket = quotas.pocket(demand.subject);
+    let pocket = quotas.local_budget(demand.subject);
     match decision {
         Some(Decision::Counted) => pocket.settle(number),
         Some(Decision::Overdrawn { free_ms }) => {
--- a/crates/gateway/src/quota/keeping.rs
+++ b/crates/gateway/src/quota/keeping.rs
@@ -45,7 +45,7 @@
 pub const fn giving_back(demand: Demand) -> Message {
     Message::Ask {
         number: UNANSWERED,
-        ask: demand.ask(Purpose::GiveBack),
+        ask: demand.request(Purpose::GiveBack),
         limit: demand.limit,
     }
 }
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -21,7 +21,7 @@
     /// Token buckets that this daemon keeps.
     pub keeper: Keeper,
     /// Local budgets: what this daemon admitted without asking the keeper.
-    pub pockets: HashMap<Subject, LocalBudget>,
+    pub local_budgets: HashMap<Subject, LocalBudget>,
     /// Pending questions to other daemons, by number.
     pub pending: HashMap<u32, Pending>,
     /// Daemons that did not answer, with the time until which they are not asked.
@@ -58,12 +58,12 @@
     /// Removes the subjects for which `is_known` returns false.
     pub fn retain(&mut self, is_known: impl Fn(Subject) -> bool) {
         self.keeper.retain(&is_known);
-        self.pockets.retain(|subject, _| is_known(*subject));
+        self.local_budgets.retain(|subject, _| is_known(*subject));
     }
 
     /// The local budget of `subject`.
-    pub fn pocket(&mut self, subject: Subject) -> &mut LocalBudget {
-        self.pockets.entry(subject).or_default()
+    pub fn local_budget(&mut self, subject: Subject) -> &mut LocalBudget {
+        self.local_budgets.entry(subject).or_default()
     }
 }
 
@@ -80,7 +80,7 @@
 
 impl Demand {
     /// Creates the request to the keeper.
-    pub const fn ask(self, purpose: Purpose) -> QuotaRequest {
+    pub const fn request(self, purpose: Purpose) -> QuotaRequest {
         QuotaRequest {
             subject: self.subject,
             units: self.units,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -237,7 +237,7 @@
     }
 
     /// Parameters of the retry budgets.
-    pub fn retry_rule(&self) -> RetryPolicy {
+    pub fn retry_policy(&self) -> RetryPolicy {
         RetryPolicy {
             ratio: self.retry.ratio,
             slack: self.retry.slack,
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -113,7 +113,7 @@
     /// Mean time that a decode replica takes for an answer, by service.
     answer_times: RefCell<HashMap<String, Duration>>,
     /// Time limits of callers, by route.
-    patiences: RefCell<HashMap<String, CallerTimeouts>>,
+    caller_timeouts: RefCell<HashMap<String, CallerTimeouts>>,
     overload: RefCell<Overload>,
     data_centre: Zone,
     own: InstanceInfo,
@@ -177,7 +177,7 @@
             labelled_customers: RefCell::new(HashSet::new()),
             budgets: RefCell::new(HashMap::new()),
             answer_times: RefCell::new(HashMap::new()),
-            patiences: RefCell::new(HashMap::new()),
+            caller_timeouts: RefCell::new(HashMap::new()),
             overload: RefCell::new(Overload::new()),
             data_centre,
             own,
@@ -227,7 +227,7 @@
         metrics.quarantined.set(quarantined as u64);
         metrics.replicas_age.set(self.replicas_age().as_secs_f64());
         for (service, budget) in self.budgets.borrow_mut().iter_mut() {
-            let left = budget.remaining(now, &self.retry_rule(), members.sharers());
+            let left = budget.remaining(now, &self.retry_policy(), members.sharers());
             metrics.retries_left(service, left);
         }
     }
--- a/crates/gateway/src/shared/choice.rs
+++ b/crates/gateway/src/shared/choice.rs
@@ -33,7 +33,7 @@
         tried: &[Key],
         data_centre: Zone,
     ) -> Option<Key> {
-        let want = Criteria {
+        let criteria = Criteria {
             service,
             stage,
             tried,
@@ -41,21 +41,21 @@
             demand: None,
         };
         let pool = self.pool.borrow();
-        pool.choose(self.clock.now(), &want, rand::random)
+        pool.choose(self.clock.now(), &criteria, rand::random)
     }
 
-    /// Chooses the decode replica for a generation that needs the memory `ask`; `None` if no untried one has
+    /// Chooses the decode replica for a generation that needs the memory `demand`; `None` if no untried one has
     /// room.
-    pub fn choose_decode(&self, service: &str, tried: &[Key], ask: MemoryDemand) -> Option<Key> {
-        let want = Criteria {
+    pub fn choose_decode(&self, service: &str, tried: &[Key], demand: MemoryDemand) -> Option<Key> {
+        let criteria = Criteria {
             service,
             stage: Some(Stage::Decode),
             tried,
             data_centre: self.data_centre,
-            demand: Some(ask),
+            demand: Some(demand),
         };
         let pool = self.pool.borrow();
-        pool.choose(self.clock.now(), &want, rand::random)
+        pool.choose(self.clock.now(), &criteria, rand::random)
     }
 
     /// Records the request limit in an answer of `key`, and logs a change.
@@ -155,10 +155,10 @@
         let Some(limit) = limit.filter(|_| route.mode.streams()) else {
             return false;
         };
-        let mut patiences = self.patiences.borrow_mut();
-        let patience = patiences.entry(route.name.clone()).or_default();
+        let mut timeouts = self.caller_timeouts.borrow_mut();
+        let timeout = timeouts.entry(route.name.clone()).or_default();
         let least = self.answer_time(service).mul_f64(MIN_RETRY_FACTOR);
-        patience.estimate_waited(limit) >= least.max(route.objective)
+        timeout.estimate_waited(limit) >= least.max(route.objective)
     }
 
     /// Records that `key` did not answer a control call, and triggers a report to the other daemons.
--- a/crates/gateway/src/shared/overload.rs
+++ b/crates/gateway/src/shared/overload.rs
@@ -41,7 +41,7 @@
 
     /// Which instances are advertised to callers.
     pub fn advertised_scope(&self) -> Scope {
-        let spreads = self.overload.borrow().lists_all_instances(self.clock.now());
-        if spreads { Scope::All } else { Scope::Large }
+        let lists_all = self.overload.borrow().lists_all_instances(self.clock.now());
+        if lists_all { Scope::All } else { Scope::Large }
     }
 }
--- a/crates/gateway/src/shared/retries.rs
+++ b/crates/gateway/src/shared/retries.rs
@@ -8,15 +8,15 @@
 use crate::shared::Shared;
 
 impl Shared {
-    pub(super) fn retry_rule(&self) -> RetryPolicy {
-        self.settings.borrow().retry_rule()
+    pub(super) fn retry_policy(&self) -> RetryPolicy {
+        self.settings.borrow().retry_policy()
     }
 
     /// Counts a request for `service` in its retry budget.
     pub fn count_request(&self, service: &str) {
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.to_owned()).or_default();
-        budget.record_request(self.clock.now(), &self.retry_rule());
+        budget.record_request(self.clock.now(), &self.retry_policy());
     }
 
     /// Whether `job` holds a permit for another run or the budget could grant one.
@@ -27,7 +27,7 @@
         let sharers = self.members.borrow().sharers();
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(job.service.clone()).or_default();
-        budget.remaining(self.clock.now(), &self.retry_rule(), sharers) >= 1.0
+        budget.remaining(self.clock.now(), &self.retry_policy(), sharers) >= 1.0
     }
 
     /// Takes a permit for `work` from the budget if `job` holds none; returns whether it holds one.
@@ -40,8 +40,8 @@
         let now = self.clock.now();
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_default();
-        let left = budget.remaining(now, &self.retry_rule(), sharers);
-        let permit = budget.take(now, &self.retry_rule(), sharers);
+        let left = budget.remaining(now, &self.retry_policy(), sharers);
+        let permit = budget.take(now, &self.retry_policy(), sharers);
         let granted = permit.is_some();
         self.metrics.retries(service, granted);
         log::info!(kind = "retry", request = job.call.id, service = service, work = format!("{work:?}"), granted = granted, left = format!("{left:.1}"), sharers = sharers as u64; "requested a retry from the budget");
--- a/crates/gateway/src/shared/store_state.rs
+++ b/crates/gateway/src/shared/store_state.rs
@@ -48,8 +48,8 @@
             }
         }
         let is_route = |name: &String| plan.routes.iter().any(|route| route.name == *name);
-        let mut patiences = self.patiences.borrow_mut();
-        patiences.retain(|name, _| is_route(name));
+        let mut caller_timeouts = self.caller_timeouts.borrow_mut();
+        caller_timeouts.retain(|name, _| is_route(name));
         let customers = plan.customers.as_ref();
         let is_customer = |id| customers.is_some_and(|customers| customers.get(id).is_some());
         let pool = self.pool.borrow();
