--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -126,7 +126,7 @@
         self.arrived.elapsed()
     }
 
-    /// Takes the permit for a send, if one is held; see [`Shared::allow`].
+    /// Takes the permit for a send, if one is held; see [`Shared::ensure_permit`].
     pub fn permit(&self, work: Work) -> Option<Permit> {
         self.allowance.borrow_mut().take(work)
     }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -206,7 +206,7 @@
         self.changed_at
     }
 
-    /// Whether the reachable members outnumber the instances that may be running out of reach. For [`SETTLING_TIME`]
+    /// Whether the reachable members outnumber the instances that may be running out of reach. For `SETTLING_TIME`
     /// after joining, all known instances count as members. A daemon that knows of no other is not a majority.
     pub fn is_majority(&self, now: Time) -> bool {
         let knows_others = self.is_listed || !self.others.is_empty();
--- a/crates/gateway/src/quarantine/probe.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -68,7 +68,7 @@
 }
 
 impl Shared {
-    /// Whether the request may be sent to a replica. Waits up to [`MAX_WAIT`] while the outcome of probes may
+    /// Whether the request may be sent to a replica. Waits up to `MAX_WAIT` while the outcome of probes may
     /// quarantine it.
     pub async fn may_send(&self, fingerprint: Fingerprint) -> bool {
         let decision = async {
--- a/crates/gateway/src/quarantine/storage.rs
+++ b/crates/gateway/src/quarantine/storage.rs
@@ -16,8 +16,7 @@
 use crate::shared::Shared;
 
 /// Table with one row for each ended replica of each suspect request, and one for the time at which such a
-/// request was served. A row is written once, by any daemon, so that no
-/// writer overwrites another's.
+/// request was served. A row is written once, by any daemon, so that no writer overwrites another's.
 pub const TABLE: &str = "quarantine";
 /// Suffix of the key of the row with the time of service.
 const SERVED: &str = "served";
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -245,7 +245,7 @@
         (count < MAX_REJECTED_LINES).then_some(0)
     }
 
-    /// Whether to log that the entry `id` is unreadable: once per entry, up to [`MAX_UNREADABLE`] entries.
+    /// Whether to log that the entry `id` is unreadable: once per entry, up to `MAX_UNREADABLE` entries.
     pub fn may_log_unreadable(&self, id: &str) -> bool {
         let mut logged = self.logged_unreadable.borrow_mut();
         logged.len() < MAX_UNREADABLE && logged.insert(id.to_owned())
--- a/crates/gateway/src/shared/store_state.rs
+++ b/crates/gateway/src/shared/store_state.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Closes the connections to an earlier incarnation of the replica `id`, which will send nothing more.
+    /// Ends what is in progress at an earlier incarnation of the replica `id`, which will send nothing more.
     fn drop_earlier_incarnation(&self, id: &str) {
         let address = self.pool.borrow().address(id);
         if let Some(address) = address {
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -1,9 +1,9 @@
 //! Orders engines to change their stage.
 //!
 //! Not all engines check fencing tokens, and an order without an answer may be carried out many
-//! seconds later. So at most one daemon sends orders for a service in any [`CLAIM_DURATION`], by the
+//! seconds later. So at most one daemon sends orders for a service in any `CLAIM_DURATION`, by the
 //! store's clock: it first claims the service with a conditional write of a row, whose version is the
-//! fencing token. An order is sent only within [`MAX_CLAIM_AGE`] of that write, so that a daemon that
+//! fencing token. An order is sent only within `MAX_CLAIM_AGE` of that write, so that a daemon that
 //! was frozen meanwhile sends none.
 
 use std::cmp::Ordering;
