--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -22,7 +22,7 @@
     pub keeper: Keeper,
     /// Local budgets: what this daemon admitted without asking the keeper.
     pub local_budgets: HashMap<Subject, LocalBudget>,
-    /// Pending questions to other daemons, by number.
+    /// Pending requests to other daemons, by number.
     pub pending: HashMap<u32, Pending>,
     /// Daemons that did not answer, with the time until which they are not asked.
     pub unresponsive: HashMap<SocketAddr, Time>,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -80,7 +80,7 @@
     pub spreads: f64,
     /// Fraction of the memory that new generations leave free.
     pub spare: f64,
-    /// Fraction of the latency objective for which a generation waits for a decode replica.
+    /// Fraction of the objective for which a generation waits for a decode replica.
     pub wait: f64,
     /// Whether runs are migrated before the memory of their replica is full.
     pub moves: bool,
