--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -3,23 +3,23 @@
 use ident::Instance;
 use ident::Zone;
 
-/// One entry instance as the platform lists it; the list lags.
+/// One entry instance in the platform's list, which may be out of date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
     /// The instance.
     pub instance: Instance,
     /// Its data centre.
-    pub zone: Zone,
-    /// Whether the platform says that it is leaving.
+    pub data_centre: Zone,
+    /// Whether the platform lists it as leaving.
     pub leaving: bool,
 }
 
 impl Entry {
-    /// A live instance in `zone`.
-    pub const fn new(instance: Instance, zone: Zone) -> Self {
+    /// A live instance in `data_centre`.
+    pub const fn new(instance: Instance, data_centre: Zone) -> Self {
         Self {
             instance,
-            zone,
+            data_centre,
             leaving: false,
         }
     }
--- a/crates/gateway/tests/gateway/lifecycle.rs
+++ b/crates/gateway/tests/gateway/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, stop, reload, settings, metrics.
+//! Start and stop of the daemon, its settings, metrics and log.
 
 use std::fs;
 use std::process;
@@ -8,102 +8,110 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-use crate::common::daemon::until;
-use crate::common::replica::Act;
+use crate::common::daemon::wait_until;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
-use crate::common::replica::signed;
+use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::generate;
+use crate::site::start_generation;
 
 #[test]
-fn a_stop_finishes_what_is_in_progress() {
+fn a_stop_finishes_requests_in_progress() {
     let replica = Replica::start("i-1", |request| {
-        let answer = signed(request, 200, b"late");
-        Act::Slowly(vec![answer], Duration::from_millis(1_500))
+        let answer = signed_answer(request, 200, b"late");
+        Action::SendSlowly(vec![answer], Duration::from_millis(1_500))
     });
     let mut site = Site::start("stopped", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
-    caller.begin("POST /book/1", &crate::site::headers("a1"), b"");
-    until("the call arrives", || replica.seen().len() == 1);
+    caller.start_request("POST /book/1", &crate::site::headers("a1"), b"");
+    wait_until("the call arrives", || replica.requests().len() == 1);
     site.daemon.signal(Signal::TERM);
-    until("it is not ready", || site.daemon.readiness() == 503);
-    let told = caller.read();
+    wait_until("the daemon is not ready", || site.daemon.readiness() == 503);
+    let response = caller.read();
     assert_eq!(
-        (told.status(), told.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"late".as_slice())
     );
-    assert_eq!(told.header("connection"), Some("close"));
-    assert!(site.daemon.wait().success());
-    until("the end is logged", || {
+    assert_eq!(response.header("connection"), Some("close"));
+    assert!(site.daemon.wait_for_exit().success());
+    wait_until("the end is logged", || {
         !site.daemon.logged("stopped").is_empty()
     });
 }
 
-/// A stream that begins late after SIGTERM could be cut by the end of the grace.
+/// A stream accepted late after SIGTERM could be cut at the end of the grace period.
 #[test]
-fn a_stopping_daemon_takes_no_stream_that_it_may_have_to_cut() {
+fn a_stopping_daemon_accepts_no_stream_that_it_may_have_to_cut() {
     let decode = Replica::start("i-d", |request| {
         let rest = [events(2, 2), chunk(b"")].concat();
         let parts = vec![[stream_head(request), events(1, 1)].concat(), rest];
-        Act::Slowly(parts, Duration::from_millis(1_900))
+        Action::SendSlowly(parts, Duration::from_millis(1_900))
     });
     let mut site = Site::start("late-stream", &[(&decode, "llm", "decode")]);
-    let mut early = generate(&site.daemon, "/draft/1", "a1");
-    until("the request arrives", || decode.seen().len() == 1);
-    let mut slow = site.config_with_long_streams();
+    let mut early = start_generation(&site.daemon, "/draft/1", "a1");
+    wait_until("the request arrives", || decode.requests().len() == 1);
+    let mut slow = site.allow_long_streams();
     site.daemon.signal(Signal::TERM);
     std::thread::sleep(Duration::from_millis(2_900));
-    let late = slow.ask("POST /draft/1", &crate::site::headers("a2"), b"prompt");
+    let late = slow.send_and_read("POST /draft/1", &crate::site::headers("a2"), b"prompt");
     assert_eq!(late.status(), 503);
     assert!(late.header("retry-after").is_some());
-    assert!(early.read().whole);
-    assert!(site.daemon.wait().success());
+    assert!(early.read().complete);
+    assert!(site.daemon.wait_for_exit().success());
 }
 
 #[test]
-fn a_hangup_reads_the_settings_again_and_loses_nothing() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+fn sighup_reloads_the_settings_without_loss_of_requests() {
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start("reloaded", &[(&replica, "app", "")]);
     site.daemon.signal(Signal::HUP);
-    until("it is told", || {
+    wait_until("the reload is logged", || {
         !site.daemon.logged("nothing changed").is_empty()
     });
-    fs::write(site.daemon.settings(), "instance: [").unwrap();
+    fs::write(site.daemon.settings_path(), "instance: [").unwrap();
     site.daemon.signal(Signal::HUP);
-    until("it is told", || {
+    wait_until("the failed reload is logged", || {
         !site
             .daemon
             .logged("the current ones stay in force")
             .is_empty()
     });
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
 }
 
 #[test]
-fn metrics_and_log_lines_tell_of_a_request() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+fn a_request_appears_in_the_metrics_and_the_log() {
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start("measured", &[(&replica, "app", "")]);
-    site.ask("GET /read/1", "a-77");
+    site.send_and_read("GET /read/1", "a-77");
     let metrics = site.daemon.metrics();
     assert!(metrics.contains("waxwing_gateway_requests_total{outcome=\"answered\"} 1"));
     assert!(metrics.contains("waxwing_gateway_plan_version 1"));
-    until("it is logged", || site.daemon.logged("a-77").len() >= 2);
+    wait_until("the request is logged", || {
+        site.daemon.logged("a-77").len() >= 2
+    });
 }
 
-/// Nobody reads the daemon's standard output: lines are dropped and counted, and no request waits.
+/// When the daemon's standard output is not read, log lines are dropped and counted, and requests do not wait.
 #[test]
-fn requests_do_not_wait_for_logs_that_nobody_reads() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
-    let site = Site::start_unread("unread", &[(&replica, "app", "")]);
+fn requests_do_not_wait_for_unread_logs() {
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
+    let site = Site::start_with_unread_output("unread", &[(&replica, "app", "")]);
     let mut caller = site.daemon.caller();
     for number in 0..3_000 {
         let id = format!("{number:0>200}");
         assert_eq!(
             caller
-                .ask("GET /read/1", &crate::site::headers(&id), b"")
+                .send_and_read("GET /read/1", &crate::site::headers(&id), b"")
                 .status(),
             200
         );
@@ -123,43 +131,51 @@
 }
 
 #[test]
-fn improper_requests_do_not_fill_the_logs() {
+fn invalid_requests_do_not_fill_the_logs() {
     let site = Site::start("flooded", &[]);
-    until("it answers", || site.daemon.readiness() != 0);
-    let begun = std::time::Instant::now();
+    wait_until("the readiness endpoint answers", || {
+        site.daemon.readiness() != 0
+    });
+    let started = std::time::Instant::now();
     let mut caller = site.daemon.caller();
     for _ in 0..1_000 {
-        assert_eq!(caller.ask("GET /read/1", &[], b"").status(), 400);
+        assert_eq!(caller.send_and_read("GET /read/1", &[], b"").status(), 400);
     }
-    let seconds = begun.elapsed().as_secs() as usize + 2;
+    let seconds = started.elapsed().as_secs() as usize + 2;
     assert!(site.daemon.logged("rejected").len() <= 50 * seconds);
 }
 
 #[test]
-fn settings_that_change_without_a_signal_come_into_force() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 500, b"x")));
-    let other = Replica::start("i-2", |request| Act::Send(signed(request, 500, b"x")));
+fn changed_settings_come_into_force_without_a_signal() {
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 500, b"x"))
+    });
+    let other = Replica::start("i-2", |request| {
+        Action::Send(signed_answer(request, 500, b"x"))
+    });
     let site = Site::start("changed", &[(&replica, "app", ""), (&other, "app", "")]);
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 500);
-    assert_eq!(replica.seen().len() + other.seen().len(), 2);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 500);
+    assert_eq!(replica.requests().len() + other.requests().len(), 2);
     site.change_settings("ratio: 0.2, slack: 50", "ratio: 0.0, slack: 0");
-    // Without a budget a failure is not tried elsewhere.
-    assert_eq!(site.ask("GET /read/1", "a2").status(), 500);
-    assert_eq!(replica.seen().len() + other.seen().len(), 3);
+    // Without a retry budget a failed call is not retried.
+    assert_eq!(site.send_and_read("GET /read/1", "a2").status(), 500);
+    assert_eq!(replica.requests().len() + other.requests().len(), 3);
 }
 
 #[test]
-fn an_address_that_changes_waits_for_the_next_start() {
-    let replica = Replica::start("i-1", |request| Act::Send(signed(request, 200, b"x")));
+fn a_changed_data_centre_applies_at_the_next_start() {
+    let replica = Replica::start("i-1", |request| {
+        Action::Send(signed_answer(request, 200, b"x"))
+    });
     let site = Site::start("moved", &[(&replica, "app", "")]);
-    let text = fs::read_to_string(site.daemon.settings()).unwrap();
+    let text = fs::read_to_string(site.daemon.settings_path()).unwrap();
     let text = text.replace("data_centre: here", "data_centre: there");
-    fs::write(site.daemon.settings(), text).unwrap();
+    fs::write(site.daemon.settings_path(), text).unwrap();
     site.daemon.signal(Signal::HUP);
-    until("it is told", || {
+    wait_until("the postponed change is logged", || {
         !site.daemon.logged("at the next start").is_empty()
     });
-    assert_eq!(site.ask("GET /read/1", "a1").status(), 200);
+    assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
 }
 
 const GOOD: &str = r#"
@@ -183,9 +199,9 @@
     #[case] name: &str,
     #[case] text: &str,
     #[case] code: i32,
-    #[case] told: &str,
+    #[case] expected_error: &str,
 ) {
-    // Several runs of the tests may share the directory.
+    // Concurrent test runs may share the directory.
     let run = process::id();
     let path = format!("{}/check-{name}-{run}.yaml", env!("CARGO_TARGET_TMPDIR"));
     fs::write(&path, text).unwrap();
@@ -195,7 +211,7 @@
         .unwrap();
     let error = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(code), "{error}");
-    assert!(error.contains(told), "{error}");
+    assert!(error.contains(expected_error), "{error}");
     assert!(code == 0 || error.contains("try:"), "{error}");
 }
 
--- a/crates/gateway/tests/gateway/quarantine.rs
+++ b/crates/gateway/tests/gateway/quarantine.rs
@@ -1,8 +1,6 @@
-//! Callers sent one generation again and again, each attempt with an id of its own and most of them at another
-//! daemon, and each replica that began to run it ended within 0.12 s. No daemon remembered anything beyond one
-//! attempt, so each attempt had its prompt read and ended one replica more: nine within 14 s, six of them
-//! after three had ended under the same request. Each time the output of the daemons had one line
-//! `error reading a body from connection` for that request, and one for every other stream of the replica.
+//! Guards against a request under which every replica ends that runs it. Its callers send it again and again, with new
+//! ids and through different daemons; unless the daemons remember the replicas that ended and share what they saw, each
+//! attempt ends one more replica.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -19,81 +17,84 @@
 
 use crate::common::caller::Caller;
 use crate::common::daemon::Daemon;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
-use crate::common::replica::signed;
+use crate::common::replica::signed_answer;
 use crate::common::replica::stream_head;
 use crate::site::Site;
-use crate::site::ask;
-use crate::site::generate;
 use crate::site::headers;
+use crate::site::send_and_read;
+use crate::site::start_generation;
 
-/// Replicas that a request may end before no other one gets it.
-const ENDED: usize = 3;
-/// Time in which each daemon knows what another one saw; their messages take some milliseconds.
-const SETTLED: Duration = Duration::from_secs(6);
-/// Longer than a replica that does not answer is asked.
-const STOPPED: Duration = Duration::from_millis(1_500);
-/// Replicas of a test: enough for each attempt to find one.
-const REPLICAS: usize = 8;
+/// Replicas that may end under a request before it is quarantined.
+const QUARANTINE_THRESHOLD: usize = 3;
+/// Time in which each daemon learns what another one saw; their messages take some milliseconds.
+const PROPAGATION_TIME: Duration = Duration::from_secs(6);
+/// Longer than the probes of a replica that does not answer last.
+const DAEMON_PAUSE: Duration = Duration::from_millis(1_500);
+/// Replicas of a test; enough for each attempt to find one.
+const REPLICA_COUNT: usize = 8;
 
-/// Replicas that end when they begin to run a request for a path with `crash` in it, and serve all others. One that is resumed
-/// goes on after its last event: a run that begins with another event is left before its replica has ended.
-fn fragile(count: usize) -> Vec<Replica> {
+/// Replicas that end when they start a request whose path contains `crash`, and serve all others. The first event
+/// continues a resumed stream: with any other event the daemon would abort the run before its replica has ended.
+fn crashing_replicas(count: usize) -> Vec<Replica> {
     let script = |request: &Message| {
         if request.path().contains("crash") {
             let last = request.header("last-event-id");
             let next = last.map_or(0, |id| id.parse::<u64>().unwrap()) + 1;
-            return Act::Crash([stream_head(request), events(next, next)].concat());
+            return Action::Crash([stream_head(request), events(next, next)].concat());
         }
-        Act::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 2), chunk(b"")].concat())
     };
     let ids = (1..=count).map(|number| format!("i-{number}"));
     ids.map(|id| Replica::start(&id, script)).collect()
 }
 
-/// Applications that answer by `script`.
-fn applications(script: fn(&Message) -> Act) -> Vec<Replica> {
-    let ids = (1..=REPLICAS).map(|number| format!("i-{number}"));
+/// Application replicas that answer by `script`.
+fn applications(script: fn(&Message) -> Action) -> Vec<Replica> {
+    let ids = (1..=REPLICA_COUNT).map(|number| format!("i-{number}"));
     ids.map(|id| Replica::start(&id, script)).collect()
 }
 
-/// A daemon in front of applications.
-fn calls(name: &str, replicas: &[Replica]) -> Site {
+/// Starts a daemon in front of application replicas.
+fn start_call_site(name: &str, replicas: &[Replica]) -> Site {
     let listed: Vec<_> = replicas.iter().map(|r| (r, "app", "")).collect();
     Site::start(name, &listed)
 }
 
-fn site(name: &str, prefill: &Replica, decode: &[Replica]) -> Site {
-    Site::staged(name, prefill, &decode.iter().collect::<Vec<_>>())
+fn start_site(name: &str, prefill: &Replica, decode: &[Replica]) -> Site {
+    Site::start_with_prefill(name, prefill, &decode.iter().collect::<Vec<_>>())
 }
 
-fn runs(replicas: &[Replica]) -> usize {
-    replicas.iter().map(|replica| replica.seen().len()).sum()
+fn run_count(replicas: &[Replica]) -> usize {
+    replicas
+        .iter()
+        .map(|replica| replica.requests().len())
+        .sum()
 }
 
-/// Has `count` attempts with the request end one replica each.
-fn crash(daemon: &Daemon, count: usize) {
+/// Sends the request `count` times; each attempt ends one replica.
+fn crash_replicas(daemon: &Daemon, count: usize) {
     for number in 0..count {
-        let told = generate(daemon, "/draft/crash", &format!("c{number}")).read();
-        assert!(!told.whole);
+        let response = start_generation(daemon, "/draft/crash", &format!("c{number}")).read();
+        assert!(!response.complete);
     }
 }
 
-/// Whether `daemon` tells in its log that it sends the request to no replica any more.
-fn quarantines(daemon: &Daemon) -> bool {
+/// Whether `daemon` has logged that the request is in quarantine.
+fn is_quarantined_by(daemon: &Daemon) -> bool {
     !daemon.logged("\"kind\":\"quarantine\"").is_empty()
 }
 
-/// Waits until it does, for so long that what the daemons tell each other has come; whether the request is
-/// sent on all the same is for the test to see.
-fn until_quarantined(daemon: &Daemon) {
-    let end = Instant::now() + SETTLED;
-    while !quarantines(daemon) && Instant::now() < end {
+/// Waits for the quarantine for as long as messages between daemons may take; does not fail without it, since the tests
+/// check whether the request is still sent.
+fn wait_until_quarantined(daemon: &Daemon) {
+    let deadline = Instant::now() + PROPAGATION_TIME;
+    while !is_quarantined_by(daemon) && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -102,89 +103,105 @@
 #[case::once("/draft/crash")]
 #[case::resumable("/resume/crash")]
 fn a_request_that_ended_three_replicas_is_sent_to_none(#[case] path: &str) {
-    let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
-    let site = site(&path.replace('/', "-"), &prefill, &decode);
+    let (prefill, decode) = (
+        Replica::start_prefill("i-p"),
+        crashing_replicas(REPLICA_COUNT),
+    );
+    let site = start_site(&path.replace('/', "-"), &prefill, &decode);
     let mut answers = Vec::new();
-    for number in 0..ENDED {
-        // A resumable one ends two replicas an attempt, so that the third attempt is refused.
-        let told = generate(&site.daemon, path, &format!("c{number}")).read();
-        assert!(!told.whole || told.status() == 503);
+    for number in 0..QUARANTINE_THRESHOLD {
+        // A resumable request ends two replicas per attempt, so the third attempt is refused.
+        let response = start_generation(&site.daemon, path, &format!("c{number}")).read();
+        assert!(!response.complete || response.status() == 503);
     }
-    until_quarantined(&site.daemon);
-    for number in 0..ENDED {
-        let told = generate(&site.daemon, path, &format!("q{number}")).read();
-        assert!(String::from_utf8_lossy(&told.body).contains("replicas ended"));
-        answers.push((told.status(), told.header("retry-after").is_some()));
+    wait_until_quarantined(&site.daemon);
+    for number in 0..QUARANTINE_THRESHOLD {
+        let response = start_generation(&site.daemon, path, &format!("q{number}")).read();
+        assert!(String::from_utf8_lossy(&response.body).contains("replicas ended"));
+        answers.push((response.status(), response.header("retry-after").is_some()));
     }
-    assert_eq!(runs(&decode), ENDED);
-    assert_eq!(answers, [(503, true); ENDED]);
-    // Another request is served.
-    let told = generate(&site.daemon, "/draft/sound", "s1").read();
-    assert!(told.whole);
+    assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
+    assert_eq!(answers, [(503, true); QUARANTINE_THRESHOLD]);
+    // Other requests are served.
+    let response = start_generation(&site.daemon, "/draft/sound", "s1").read();
+    assert!(response.complete);
 }
 
-/// A call that nobody may repeat ends its replica as well; its caller may send it again.
+/// The daemon sends a call that is not repeatable only once, but its caller may send it again.
 #[test]
-fn a_request_that_ended_three_replicas_is_sent_to_none_if_it_is_a_call() {
-    let script = |_: &Message| Act::Crash(Vec::new());
+fn a_call_that_ended_three_replicas_is_sent_to_none() {
+    let script = |_: &Message| Action::Crash(Vec::new());
     let replicas = applications(script);
-    let site = calls("booked", &replicas);
-    for number in 0..ENDED {
-        let told = site.ask("POST /book/lorry", &format!("c{number}"));
-        assert_eq!(told.status(), 502);
+    let site = start_call_site("booked", &replicas);
+    for number in 0..QUARANTINE_THRESHOLD {
+        let response = site.send_and_read("POST /book/lorry", &format!("c{number}"));
+        assert_eq!(response.status(), 502);
     }
-    until_quarantined(&site.daemon);
-    assert_eq!(site.ask("POST /book/lorry", "q1").status(), 503);
-    assert_eq!(runs(&replicas), ENDED);
+    wait_until_quarantined(&site.daemon);
+    assert_eq!(site.send_and_read("POST /book/lorry", "q1").status(), 503);
+    assert_eq!(run_count(&replicas), QUARANTINE_THRESHOLD);
 }
 
 #[test]
-fn the_other_daemons_send_it_to_none_either() {
-    let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
-    let site = site("told", &prefill, &decode);
-    let others = [site.another("told-2", true), site.another("told-3", true)];
+fn a_quarantine_is_shared_with_the_other_daemons() {
+    let (prefill, decode) = (
+        Replica::start_prefill("i-p"),
+        crashing_replicas(REPLICA_COUNT),
+    );
+    let site = start_site("told", &prefill, &decode);
+    let others = [
+        site.start_another("told-2", true),
+        site.start_another("told-3", true),
+    ];
     for daemon in &others {
-        daemon.until_ready();
+        daemon.wait_until_ready();
     }
-    // Each of them sees a replica end, and none sees three.
-    crash(&site.daemon, 1);
-    crash(&others[0], 1);
-    crash(&others[1], 1);
+    // Each daemon sees one replica end, and none sees three.
+    crash_replicas(&site.daemon, 1);
+    crash_replicas(&others[0], 1);
+    crash_replicas(&others[1], 1);
     for daemon in others.iter().chain([&site.daemon]) {
-        until_quarantined(daemon);
-        generate(daemon, "/draft/crash", "q1").read();
+        wait_until_quarantined(daemon);
+        start_generation(daemon, "/draft/crash", "q1").read();
     }
-    assert_eq!(runs(&decode), ENDED);
+    assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
 }
 
 #[test]
-fn a_daemon_that_starts_later_sends_it_to_none() {
-    let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
-    let mut site = site("kept", &prefill, &decode);
-    crash(&site.daemon, ENDED);
-    until_quarantined(&site.daemon);
-    let end = Instant::now() + SETTLED;
-    while site.store.keys("quarantine").len() < ENDED && Instant::now() < end {
+fn a_daemon_that_starts_later_reads_the_quarantine_from_the_store() {
+    let (prefill, decode) = (
+        Replica::start_prefill("i-p"),
+        crashing_replicas(REPLICA_COUNT),
+    );
+    let mut site = start_site("kept", &prefill, &decode);
+    crash_replicas(&site.daemon, QUARANTINE_THRESHOLD);
+    wait_until_quarantined(&site.daemon);
+    let deadline = Instant::now() + PROPAGATION_TIME;
+    while site.store.keys("quarantine").len() < QUARANTINE_THRESHOLD && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
-    // Nobody is left who could tell.
+    // No running daemon knows of the quarantine any more.
     site.daemon.kill();
-    let next = site.another("kept-2", false);
-    next.until_ready();
-    until_quarantined(&next);
-    generate(&next, "/draft/crash", "q1").read();
-    assert_eq!(runs(&decode), ENDED);
+    let next = site.start_another("kept-2", false);
+    next.wait_until_ready();
+    wait_until_quarantined(&next);
+    start_generation(&next, "/draft/crash", "q1").read();
+    assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
 }
 
-/// Operators who have mended the engines write when: all daemons hear of it from the one that starts next.
+/// After repairing the engines, operators write the time to the store; the next daemon to start reads the row and sends
+/// it to the others.
 #[test]
 fn operators_lift_a_quarantine_by_a_row() {
-    let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
-    let site = site("lifted", &prefill, &decode);
-    crash(&site.daemon, ENDED);
-    until_quarantined(&site.daemon);
-    until("it is kept", || {
-        site.store.keys("quarantine").len() >= ENDED
+    let (prefill, decode) = (
+        Replica::start_prefill("i-p"),
+        crashing_replicas(REPLICA_COUNT),
+    );
+    let site = start_site("lifted", &prefill, &decode);
+    crash_replicas(&site.daemon, QUARANTINE_THRESHOLD);
+    wait_until_quarantined(&site.daemon);
+    wait_until("the quarantine is stored", || {
+        site.store.keys("quarantine").len() >= QUARANTINE_THRESHOLD
     });
     let keys = site.store.keys("quarantine");
     let (content, _) = keys[0].split_once('.').unwrap();
@@ -192,126 +209,137 @@
     let row = format!("{content}.served");
     site.store
         .put("quarantine", &row, &(now.as_millis() as u64).into());
-    let next = site.another("lifted-2", true);
-    next.until_ready();
+    let next = site.start_another("lifted-2", true);
+    next.wait_until_ready();
     for daemon in [&next, &site.daemon] {
-        until("it is sent again", || {
-            generate(daemon, "/draft/crash", "l1").read().status() != 503
+        wait_until("the request is sent again", || {
+            start_generation(daemon, "/draft/crash", "l1")
+                .read()
+                .status()
+                != 503
         });
     }
 }
 
-/// A replica that fails in its own way rejects what would end a sound one.
+/// A replica that fails a request for a reason of its own does not show that the request is harmless.
 #[test]
-fn a_request_that_a_replica_failed_was_not_served() {
+fn a_failed_answer_does_not_count_as_served() {
     let script = |request: &Message| match request.header("request-id") {
-        Some("f1") => Act::Send(signed(request, 500, b"failed")),
-        _ => Act::Crash(Vec::new()),
+        Some("f1") => Action::Send(signed_answer(request, 500, b"failed")),
+        _ => Action::Crash(Vec::new()),
     };
     let replicas = applications(script);
-    let site = calls("failed-first", &replicas);
-    assert_eq!(site.ask("POST /book/lorry", "f1").status(), 500);
-    for number in 0..ENDED {
-        let told = site.ask("POST /book/lorry", &format!("c{number}"));
-        assert_eq!(told.status(), 502);
+    let site = start_call_site("failed-first", &replicas);
+    assert_eq!(site.send_and_read("POST /book/lorry", "f1").status(), 500);
+    for number in 0..QUARANTINE_THRESHOLD {
+        let response = site.send_and_read("POST /book/lorry", &format!("c{number}"));
+        assert_eq!(response.status(), 502);
     }
-    until_quarantined(&site.daemon);
-    assert_eq!(site.ask("POST /book/lorry", "q1").status(), 503);
-    assert_eq!(runs(&replicas), 1 + ENDED);
+    wait_until_quarantined(&site.daemon);
+    assert_eq!(site.send_and_read("POST /book/lorry", "q1").status(), 503);
+    assert_eq!(run_count(&replicas), 1 + QUARANTINE_THRESHOLD);
 }
 
-/// A daemon that was cut off while the others were told has to hear of it afterwards, from any of them.
+/// A daemon that was disconnected when a quarantine was announced must get it later from any of the others.
 #[test]
-fn a_daemon_that_was_told_nothing_hears_of_it_from_its_peers() {
-    let (prefill, decode) = (Replica::prefill("i-p"), fragile(REPLICAS));
-    let site = site("unheard", &prefill, &decode);
-    crash(&site.daemon, ENDED);
-    until_quarantined(&site.daemon);
-    // What was told is over by now, and the next daemon learns nothing from the store.
+fn a_daemon_gets_an_earlier_quarantine_from_its_peers() {
+    let (prefill, decode) = (
+        Replica::start_prefill("i-p"),
+        crashing_replicas(REPLICA_COUNT),
+    );
+    let site = start_site("unheard", &prefill, &decode);
+    crash_replicas(&site.daemon, QUARANTINE_THRESHOLD);
+    wait_until_quarantined(&site.daemon);
+    // The announcements have ended by now, and without the rows the next daemon learns nothing from the store.
     thread::sleep(Duration::from_millis(1_500));
     for key in site.store.keys("quarantine") {
         site.store.remove("quarantine", &key);
     }
-    let next = site.another("unheard-2", true);
-    next.until_ready();
-    until_quarantined(&next);
-    generate(&next, "/draft/crash", "q1").read();
-    assert_eq!(runs(&decode), ENDED);
+    let next = site.start_another("unheard-2", true);
+    next.wait_until_ready();
+    wait_until_quarantined(&next);
+    start_generation(&next, "/draft/crash", "q1").read();
+    assert_eq!(run_count(&decode), QUARANTINE_THRESHOLD);
 }
 
-/// A replica that breaks off an answer and goes on has not ended.
+/// A replica that cuts an answer and keeps running has not ended.
 #[test]
-fn a_request_whose_answers_break_off_is_sent_again() {
+fn a_request_whose_answers_are_cut_is_not_quarantined() {
     let broken =
-        |request: &Message| Act::SendAndClose([stream_head(request), events(1, 1)].concat());
+        |request: &Message| Action::SendAndClose([stream_head(request), events(1, 1)].concat());
     let decode: Vec<Replica> = ["i-1", "i-2"].map(|id| Replica::start(id, broken)).into();
-    let prefill = Replica::prefill("i-p");
-    let site = site("cut", &prefill, &decode);
-    for number in 0..2 * ENDED {
-        let told = generate(&site.daemon, "/draft/cut", &format!("c{number}")).read();
-        assert_eq!(told.status(), 200);
-        // Long enough for the daemon to ask the replica whether it is there.
+    let prefill = Replica::start_prefill("i-p");
+    let site = start_site("cut", &prefill, &decode);
+    for number in 0..2 * QUARANTINE_THRESHOLD {
+        let response = start_generation(&site.daemon, "/draft/cut", &format!("c{number}")).read();
+        assert_eq!(response.status(), 200);
+        // Long enough for the daemon to probe the replica.
         thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(runs(&decode), 2 * ENDED);
+    assert_eq!(run_count(&decode), 2 * QUARANTINE_THRESHOLD);
 }
 
-/// A process that is stopped, or whose machine is suspended, while it asks a replica has asked for no longer than
-/// before, however late it is.
+/// Time in which the daemon is stopped or its machine is suspended must not count towards the probe of a replica.
 #[test]
-fn a_replica_has_not_ended_since_the_daemon_stood_still_while_it_asked() {
-    let replica = Replica::start("i-1", |_| Act::SendAndClose(Vec::new()));
-    let site = calls("asks-late", std::slice::from_ref(&replica));
+fn a_pause_of_the_daemon_during_a_probe_is_not_taken_for_the_end_of_the_replica() {
+    let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
+    let site = start_call_site("asks-late", std::slice::from_ref(&replica));
     let daemon = site.daemon.pid();
-    let asked = Arc::new(AtomicBool::new(false));
-    let own_asked = Arc::clone(&asked);
-    replica.set_reports(move || {
-        let again = own_asked.swap(true, Ordering::SeqCst);
+    let probed = Arc::new(AtomicBool::new(false));
+    let own_probed = Arc::clone(&probed);
+    replica.answer_reports_if(move || {
+        let again = own_probed.swap(true, Ordering::SeqCst);
         if !again {
             kill_process(daemon, Signal::STOP).unwrap();
         }
         again
     });
     let mut caller = site.daemon.caller();
-    caller.begin("POST /book/lorry", &headers("a1"), b"");
-    until("the replica is asked", || asked.load(Ordering::SeqCst));
-    thread::sleep(STOPPED);
+    caller.start_request("POST /book/lorry", &headers("a1"), b"");
+    wait_until("the replica is probed", || probed.load(Ordering::SeqCst));
+    thread::sleep(DAEMON_PAUSE);
     site.daemon.signal(Signal::CONT);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
-    until("it is found out", || !verdicts().is_empty());
+    wait_until("the result of the probe is logged", || {
+        !verdicts().is_empty()
+    });
     assert!(verdicts()[0].contains("\"presence\":\"Here\""));
 }
 
-/// Many callers ask the same at once, and replicas end for reasons of their own.
+/// Many callers send the same request at once, and replicas end for unrelated reasons.
 #[test]
-fn a_request_that_is_served_elsewhere_is_not_blamed_for_replicas_that_end() {
+fn a_request_that_is_served_elsewhere_is_not_quarantined_when_replicas_end() {
     let answers = |request: &Message| match request.header("request-id") {
-        Some(id) if id.starts_with('w') => Act::SendAndHang(Vec::new()),
-        _ => Act::Send(signed(request, 200, b"done")),
+        Some(id) if id.starts_with('w') => Action::SendAndHang(Vec::new()),
+        _ => Action::Send(signed_answer(request, 200, b"done")),
     };
-    let replicas: Vec<Replica> = (0..=ENDED)
+    let replicas: Vec<Replica> = (0..=QUARANTINE_THRESHOLD)
         .map(|number| Replica::start(&format!("i-{number}"), answers))
         .collect();
-    let site = calls("popular", &replicas);
-    assert_eq!(site.ask("GET /read/stock", "a1").status(), 200);
-    // As many as there are replicas, twice: each of these gets one.
+    let site = start_call_site("popular", &replicas);
+    assert_eq!(site.send_and_read("GET /read/stock", "a1").status(), 200);
+    // Twice as many requests as replicas, so that each replica gets one.
     let ids: Vec<String> = (0..2 * replicas.len()).map(|n| format!("w{n}")).collect();
     let mut waiting: Vec<Caller> = ids.iter().map(|_| site.daemon.caller()).collect();
     for (caller, id) in waiting.iter_mut().zip(&ids) {
-        caller.begin("GET /read/stock", &headers(id), b"");
+        caller.start_request("GET /read/stock", &headers(id), b"");
     }
     let hangs = |replica: &Replica| {
-        let seen = replica.seen();
-        seen.iter()
+        let received = replica.requests();
+        received
+            .iter()
             .any(|request| request.header("request-id") != Some("a1"))
     };
-    until("all are at work", || replicas.iter().all(hangs));
+    wait_until("all replicas run a request", || replicas.iter().all(hangs));
     for replica in replicas.iter().skip(1) {
         replica.crash();
     }
-    until("the daemon knows that they ended", || {
-        site.daemon.logged("\"presence\":\"Ended\"").len() >= ENDED
+    wait_until("the daemon has logged that they ended", || {
+        site.daemon.logged("\"presence\":\"Ended\"").len() >= QUARANTINE_THRESHOLD
     });
-    assert_eq!(ask(&site.daemon, "GET /read/stock", "a2").status(), 200);
-    assert!(!quarantines(&site.daemon));
+    assert_eq!(
+        send_and_read(&site.daemon, "GET /read/stock", "a2").status(),
+        200
+    );
+    assert!(!is_quarantined_by(&site.daemon));
 }
--- a/crates/gateway/tests/gateway/second_calls.rs
+++ b/crates/gateway/tests/gateway/second_calls.rs
@@ -1,8 +1,7 @@
-//! Replicas answered some calls twice, the second time late. The daemon's own calls of a replica shared the connections
-//! of requests, and their answers name nothing: the second answer to one call was taken for the answer to the next. Two
-//! generations were given one reservation, a run that was moved went on from the memory of another run, and a report
-//! told of a replica what an earlier one at its address had said. The log had no wrong line: each call had an answer of
-//! the right form.
+//! Guards against taking the second answer to one of the daemon's own calls of a replica for the answer to the next call.
+//! These answers do not name the call, so on a shared connection a late second answer goes unnoticed: two generations get
+//! the same reservation, a migrated run continues from the KV cache of another run, and a report is taken for that of a
+//! later replica at the same address. The log shows nothing wrong, since each answer has the right form.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -18,54 +17,55 @@
 use serde_json::json;
 
 use crate::common::caller::Caller;
-use crate::common::daemon::until;
+use crate::common::daemon::wait_until;
 use crate::common::http::Message;
 use crate::common::http::answer;
-use crate::common::replica::Act;
+use crate::common::replica::Action;
 use crate::common::replica::Replica;
 use crate::common::replica::chunk;
 use crate::common::replica::events;
 use crate::common::replica::stream_head;
 use crate::site::Site;
 use crate::site::config;
-use crate::site::generate;
 use crate::site::headers;
+use crate::site::start_generation;
 
-/// Generations that follow each other in a test.
+/// Generations that a test sends one after another.
 const GENERATIONS: usize = 6;
-/// Events of a run that is moved.
-const EVENTS: u64 = 40;
-/// Time between two of them.
-const PAUSE: Duration = Duration::from_millis(60);
-/// Time for a prompt; long enough for another generation to begin meanwhile.
-const READING: Duration = Duration::from_millis(300);
+/// Events of a run that is migrated.
+const EVENT_COUNT: u64 = 40;
+/// Time between two events.
+const EVENT_INTERVAL: Duration = Duration::from_millis(60);
+/// Time for a prefill; long enough for another generation to start meanwhile.
+const PREFILL_TIME: Duration = Duration::from_millis(300);
 
 fn id(request: &Message) -> &str {
     request.header("request-id").unwrap_or_default()
 }
 
-fn writer(name: &str) -> Replica {
+fn start_decode(name: &str) -> Replica {
     Replica::start(name, |request| {
-        Act::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
+        Action::Send([stream_head(request), events(1, 5), chunk(b"")].concat())
     })
 }
 
-/// The reservations that requests came with, in order.
+/// Reservations that requests to `decode` name, in order.
 fn reservations(decode: &Replica) -> Vec<String> {
-    let seen = decode.seen().into_iter();
-    seen.filter_map(|request| request.header("kv-hold").map(str::to_owned))
+    let received = decode.requests().into_iter();
+    received
+        .filter_map(|request| request.header("kv-hold").map(str::to_owned))
         .collect()
 }
 
 #[test]
 fn each_generation_has_a_reservation_of_its_own_where_reservations_are_answered_twice() {
     let prefill = Replica::start("i-p", |request| {
-        let told = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
+        let body = json!({"kv-handle": format!("k-{}", id(request)), "tokens": 1460, "version": 1});
         let headers = [("request-id", id(request))];
-        let told = answer(200, &headers, told.to_string().as_bytes());
-        Act::Slowly(vec![told], READING)
+        let bytes = answer(200, &headers, body.to_string().as_bytes());
+        Action::SendSlowly(vec![bytes], PREFILL_TIME)
     });
-    let decode = writer("i-d");
+    let decode = start_decode("i-d");
     let reserved = Arc::new(AtomicUsize::new(0));
     let own_reserved = Arc::clone(&reserved);
     decode.answer_twice_if(move |request| {
@@ -73,11 +73,15 @@
         own_reserved.fetch_add(usize::from(twice), Ordering::SeqCst);
         twice
     });
-    let site = Site::staged("reserved-twice", &prefill, &[&decode]);
+    let site = Site::start_with_prefill("reserved-twice", &prefill, &[&decode]);
     let mut callers = Vec::new();
     for number in 1..=3 {
-        callers.push(generate(&site.daemon, "/draft/1", &format!("a{number}")));
-        until("it has a reservation", || {
+        callers.push(start_generation(
+            &site.daemon,
+            "/draft/1",
+            &format!("a{number}"),
+        ));
+        wait_until("the generation has a reservation", || {
             reserved.load(Ordering::SeqCst) == number
         });
     }
@@ -90,9 +94,9 @@
     assert_eq!(distinct.len(), used.len(), "{used:?}");
 }
 
-/// The connection of a stream that was answered twice is kept; a reservation on it got the stream, and a replica that
-/// had room was passed over as silent. The second answer costs the stream that is sent next on it, and no other; a
-/// stream that may run once would be lost with it, and is sent on a connection of its own.
+/// Guards against a reservation on the connection of a stream that was answered twice: it would be answered by the stream,
+/// and a replica with room would count as silent. The second answer fails only the next stream on that connection; a
+/// stream that may run only once would be lost by this, so it is sent on a new connection.
 #[rstest]
 #[case("resumed-then-reserve", "/resume/1", 1)]
 #[case("draft-then-reserve", "/draft/1", 0)]
@@ -101,30 +105,34 @@
     #[case] path: &'static str,
     #[case] lost: usize,
 ) {
-    let decode = writer("i-d");
+    let decode = start_decode("i-d");
     decode.answer_twice_if(move |request| request.path() == path);
     let site = Site::start(name, &[(&decode, "llm", "decode")]);
     let is_lost = |number: &usize| {
-        let told = generate(&site.daemon, path, &format!("a{number}")).read();
-        !told.whole || told.status() != 200
+        let response = start_generation(&site.daemon, path, &format!("a{number}")).read();
+        !response.complete || response.status() != 200
     };
     assert_eq!((0..GENERATIONS).filter(is_lost).count(), lost);
     assert!(site.daemon.logged("a replica did not answer").is_empty());
 }
 
-/// A second answer to a reservation met the generation that went on with its connection.
+/// Guards against sending a generation on the connection of its reservation, where a second answer would fail it.
 #[test]
 fn no_generation_is_lost_where_reservations_are_answered_twice() {
-    let decode = writer("i-d");
+    let decode = start_decode("i-d");
     decode.answer_twice_if(|request| request.path() == "/api/hold-take");
     let site = Site::start("reserve-then-stream", &[(&decode, "llm", "decode")]);
     for number in 0..GENERATIONS {
-        let told = generate(&site.daemon, "/draft/1", &format!("a{number}")).read();
-        assert!(told.whole && told.status() == 200, "{}", told.line);
+        let response = start_generation(&site.daemon, "/draft/1", &format!("a{number}")).read();
+        assert!(
+            response.complete && response.status() == 200,
+            "{}",
+            response.line
+        );
     }
 }
 
-/// Each reservation needs a connection of its own, and so does a stream that may run once; the others share one.
+/// Each reservation and each stream that may run only once needs a new connection; other streams share one.
 #[rstest]
 #[case("connections", "/resume/1", GENERATIONS + 1)]
 #[case("new-connections", "/draft/1", 2 * GENERATIONS)]
@@ -133,51 +141,60 @@
     #[case] path: &str,
     #[case] connections: usize,
 ) {
-    let decode = writer("i-d");
+    let decode = start_decode("i-d");
     let site = Site::start(name, &[(&decode, "llm", "decode")]);
     for number in 0..GENERATIONS {
-        let told = generate(&site.daemon, path, &format!("a{number}")).read();
-        assert!(told.whole && told.status() == 200, "{}", told.line);
+        let response = start_generation(&site.daemon, path, &format!("a{number}")).read();
+        assert!(
+            response.complete && response.status() == 200,
+            "{}",
+            response.line
+        );
     }
-    assert_eq!(decode.connections(), connections);
+    assert_eq!(decode.connection_count(), connections);
 }
 
-/// The replica closes the connection of a reservation soon, and a request that met the close would be lost.
+/// The replica announces that it closes the connection of a reservation soon; a request sent on it could be lost.
 #[test]
-fn a_generation_does_not_go_on_with_a_connection_that_is_about_to_close() {
+fn a_generation_does_not_use_a_connection_that_is_about_to_close() {
     let prefill = Replica::start("i-p", |request| {
         let headers = [("request-id", id(request))];
-        let told = answer(
+        let bytes = answer(
             200,
             &headers,
             br#"{"kv-handle":"k1","tokens":1460,"version":1}"#,
         );
-        // Longer than six tenths of a second.
-        Act::Slowly(vec![told], 2 * READING + PAUSE)
+        // Longer than 0.6 s.
+        Action::SendSlowly(vec![bytes], 2 * PREFILL_TIME + EVENT_INTERVAL)
     });
-    let decode = writer("i-d");
-    decode.set_calls(|request| {
+    let decode = start_decode("i-d");
+    decode.set_call_handler(|request| {
         let reserves = request.path() == "/api/hold-take";
         reserves.then(|| answer(200, &[("keep-alive", "timeout=1")], br#"{"hold":"h1"}"#))
     });
-    let site = Site::staged("closes-soon", &prefill, &[&decode]);
-    let told = generate(&site.daemon, "/draft/1", "a1").read();
-    assert!(told.whole && told.status() == 200, "{}", told.line);
-    assert_eq!(decode.connections(), 2);
+    let site = Site::start_with_prefill("closes-soon", &prefill, &[&decode]);
+    let response = start_generation(&site.daemon, "/draft/1", "a1").read();
+    assert!(
+        response.complete && response.status() == 200,
+        "{}",
+        response.line
+    );
+    assert_eq!(decode.connection_count(), 2);
 }
 
-/// The parts of a stream that goes on after the event `after`.
+/// Parts of a stream that continues after the last event named in the request.
 fn parts(request: &Message) -> Vec<Vec<u8>> {
     let last = request.header("last-event-id");
     let after: u64 = last.map_or(0, |last| last.parse().unwrap());
     let mut parts = vec![stream_head(request)];
-    parts.extend((after + 1..=EVENTS).map(|id| events(id, id)));
+    parts.extend((after + 1..=EVENT_COUNT).map(|id| events(id, id)));
     parts.push(chunk(b""));
     parts
 }
 
-/// Makes events until it is asked to move a run, whose memory it names after the request.
-fn source() -> Replica {
+/// Starts a replica that streams events until it receives a move request for the run; it names the KV cache after the
+/// request.
+fn start_source() -> Replica {
     let stops: Arc<Mutex<HashMap<String, Arc<AtomicBool>>>> = Arc::default();
     Replica::start("i-1", move |request| match request.path() {
         "/api/kv-move" => {
@@ -186,112 +203,111 @@
             if let Some(stop) = stops.lock().unwrap().get(id) {
                 stop.store(true, Ordering::SeqCst);
             }
-            let told = json!({"kv-handle": format!("m-{id}"), "created": 5});
-            Act::Send(answer(200, &[], told.to_string().as_bytes()))
+            let body = json!({"kv-handle": format!("m-{id}"), "created": 5});
+            Action::Send(answer(200, &[], body.to_string().as_bytes()))
         }
-        path if path.starts_with("/api/") => Act::Send(answer(200, &[], b"{}")),
+        path if path.starts_with("/api/") => Action::Send(answer(200, &[], b"{}")),
         _ => {
             let stop = Arc::new(AtomicBool::new(false));
             let id = id(request).to_owned();
             stops.lock().unwrap().insert(id, Arc::clone(&stop));
-            Act::UntilStopped(parts(request), PAUSE, stop)
+            Action::SendUntilStopped(parts(request), EVENT_INTERVAL, stop)
         }
     })
 }
 
-/// Four generations at `source`, which holds their prompts and about half of what they make.
-fn four_runs(site: &Site, source: &Replica) -> Vec<Caller> {
+/// Starts four generations at `source`, which has KV cache memory for their prompts and about half of their output.
+fn start_four_runs(site: &Site, source: &Replica) -> Vec<Caller> {
     let mut small = config(2);
     let engine = &mut small["services"][1]["engine"];
     engine["kv-tokens"] = 12_000.into();
     engine["moves"] = true.into();
     engine["stride"] = 70.into();
     site.store.put("op", "config", &small);
-    until("the plan is in force", || {
+    wait_until("the plan is in force", || {
         let plans = site.daemon.logged("\"kind\":\"plan\"");
         plans.iter().any(|line| line.contains("\"version\":2"))
     });
-    let begun = |count| source.seen().len() == count;
+    let started = |count| source.requests().len() == count;
     let ids = 1..=4;
     ids.map(|number| {
-        let caller = generate(&site.daemon, "/draft/1", &format!("a{number}"));
-        until("it runs", || begun(number));
+        let caller = start_generation(&site.daemon, "/draft/1", &format!("a{number}"));
+        wait_until("the generation runs", || started(number));
         caller
     })
     .collect()
 }
 
 #[test]
-fn a_run_goes_on_from_its_own_memory_where_moves_are_answered_twice() {
-    let source = source();
+fn a_run_continues_from_its_own_kv_cache_where_moves_are_answered_twice() {
+    let source = start_source();
     source.answer_twice_if(|request| request.path() == "/api/kv-move");
-    let target = Replica::start("i-2", |request| Act::Slowly(parts(request), PAUSE));
+    let target = Replica::start("i-2", |request| {
+        Action::SendSlowly(parts(request), EVENT_INTERVAL)
+    });
     let site = Site::start("moved-twice", &[(&source, "llm", "decode")]);
-    let callers = four_runs(&site, &source);
+    let callers = start_four_runs(&site, &source);
     site.store
         .put("servers", &target.id, &target.row("llm", "decode"));
     for mut caller in callers {
-        assert!(caller.read().whole);
+        assert!(caller.read().complete);
     }
-    let moved: Vec<(String, String)> = target.seen().iter().filter_map(memory).collect();
+    let moved: Vec<(String, String)> = target.requests().iter().filter_map(kv_source).collect();
     assert!(moved.len() > 1, "{moved:?}");
     for (id, handle) in moved {
         assert_eq!(handle, format!("m-{id}"));
     }
 }
 
-/// The request, and the name of the memory that it goes on from.
-fn memory(request: &Message) -> Option<(String, String)> {
+/// The request id, and the KV cache that the request continues from.
+fn kv_source(request: &Message) -> Option<(String, String)> {
     let (_, handle) = request.header("kv-source")?.rsplit_once('/')?;
     Some((id(request).to_owned(), handle.to_owned()))
 }
 
-/// The replica that answers a report as `aimed`: another one's name is refused.
-fn report(request: &Message, aimed: &str) -> Option<Vec<u8>> {
+/// Answer to a report request by the replica `current_id`, which rejects requests for another id.
+fn report_answer(request: &Message, current_id: &str) -> Option<Vec<u8>> {
     if request.path() != "/api/report" {
         return None;
     }
     Some(match request.header("expect-instance") {
-        Some(meant) if meant == aimed => answer(200, &[], br#"{"busy":false,"seq":0}"#),
+        Some(expected) if expected == current_id => answer(200, &[], br#"{"busy":false,"seq":0}"#),
         _ => answer(421, &[], b""),
     })
 }
 
-/// A report told of the second replica at an address what had been asked about the first one, and the other way round:
-/// requests were quarantined for the ends of replicas that were there, and ends were overlooked.
+/// Guards against taking a report of one replica for that of another one at the same address: requests would be
+/// quarantined although their replicas are running, or the end of a replica would be missed.
 #[rstest]
 #[case::is_there("i-2", "Here")]
 #[case::is_gone("i-1", "Ended")]
-fn what_a_report_tells_is_of_the_replica_that_was_asked_about(
-    #[case] second: &str,
-    #[case] presence: &str,
-) {
-    let replica = Replica::start("i-1", |_| Act::SendAndClose(Vec::new()));
-    let gone = Arc::new(AtomicBool::new(second == "i-2"));
-    let own_gone = Arc::clone(&gone);
-    replica.set_calls(move |request| {
-        let there = if own_gone.load(Ordering::SeqCst) {
+fn a_report_is_taken_for_the_replica_that_was_probed(#[case] second: &str, #[case] presence: &str) {
+    let replica = Replica::start("i-1", |_| Action::SendAndClose(Vec::new()));
+    let replaced = Arc::new(AtomicBool::new(second == "i-2"));
+    let own_replaced = Arc::clone(&replaced);
+    replica.set_call_handler(move |request| {
+        let current_id = if own_replaced.load(Ordering::SeqCst) {
             "i-2"
         } else {
             "i-1"
         };
-        report(request, there)
+        report_answer(request, current_id)
     });
     replica.answer_twice_if(|request| request.path() == "/api/report");
     let site = Site::start(&format!("reported-{second}"), &[(&replica, "app", "")]);
     let verdicts = || site.daemon.logged("a replica was lost while at work");
-    assert_eq!(lose(&site, "c1"), 502);
-    until("the first one is asked about", || verdicts().len() == 1);
-    gone.store(true, Ordering::SeqCst);
+    assert_eq!(lose_call(&site, "c1"), 502);
+    wait_until("the first replica is probed", || verdicts().len() == 1);
+    replaced.store(true, Ordering::SeqCst);
     if second == "i-2" {
         site.store.remove("servers", "i-1");
         site.store.put("servers", "i-2", &replica.row("app", ""));
-        until("the second one is listed", || {
+        wait_until("the second replica is listed", || {
             !site.daemon.logged("\"replica\":\"i-2\"").is_empty()
         });
     }
-    assert_eq!(lose(&site, "c2"), 502);
-    until("the second one is asked about", || verdicts().len() == 2);
+    assert_eq!(lose_call(&site, "c2"), 502);
+    wait_until("the second replica is probed", || verdicts().len() == 2);
     assert!(
         verdicts()[1].contains(&format!("\"presence\":\"{presence}\"")),
         "{:?}",
@@ -299,30 +315,30 @@
     );
 }
 
-/// Sends a call whose replica breaks off, and gives the status that its caller sees.
-fn lose(site: &Site, id: &str) -> u16 {
+/// Sends a call whose replica closes the connection; returns the status that the caller gets.
+fn lose_call(site: &Site, id: &str) -> u16 {
     let mut caller = site.daemon.caller();
-    let told = caller.ask(&format!("POST /book/{id}"), &headers(id), b"");
-    told.status()
+    let response = caller.send_and_read(&format!("POST /book/{id}"), &headers(id), b"");
+    response.status()
 }
 
 /// Statuses with which engines answer orders, one after another.
 const STATUSES: [u16; 4] = [202, 409, 200, 412];
 
-/// An engine that notes how it answered each order.
-fn engine(name: &str) -> (Replica, Arc<Mutex<Vec<u16>>>) {
-    let given: Arc<Mutex<Vec<u16>>> = Arc::default();
-    let own_given = Arc::clone(&given);
+/// Starts an engine; also returns the statuses with which it has answered orders.
+fn start_engine(name: &str) -> (Replica, Arc<Mutex<Vec<u16>>>) {
+    let statuses: Arc<Mutex<Vec<u16>>> = Arc::default();
+    let own_statuses = Arc::clone(&statuses);
     let engine = Replica::start(name, move |_| {
-        let mut given = own_given.lock().unwrap();
-        let status = STATUSES[given.len() % STATUSES.len()];
-        given.push(status);
-        Act::Send(answer(status, &[], b""))
+        let mut statuses = own_statuses.lock().unwrap();
+        let status = STATUSES[statuses.len() % STATUSES.len()];
+        statuses.push(status);
+        Action::Send(answer(status, &[], b""))
     });
-    (engine, given)
+    (engine, statuses)
 }
 
-/// The statuses of orders to `engine` in the log of the daemon.
+/// Statuses of orders to `engine` in the log of the daemon.
 fn logged_orders(site: &Site, engine: &str) -> Vec<u16> {
     let lines = site.daemon.logged("ordered a change of stage");
     let lines = lines.iter().map(|line| {
@@ -335,25 +351,25 @@
         .collect()
 }
 
-/// An engine that always carries out an order of somebody else's.
-fn busy(name: &str) -> Replica {
-    let engine = writer(name);
-    engine.set_calls(|request| {
+/// Starts an engine that is always busy with another order.
+fn start_busy(name: &str) -> Replica {
+    let engine = start_decode(name);
+    engine.set_call_handler(|request| {
         let asked = request.path() == "/api/report";
         asked.then(|| answer(200, &[], br#"{"busy":true,"seq":0}"#))
     });
     engine
 }
 
-/// The second answer to a report was taken for the one to the order after it: an order that was refused counted as
-/// carried out. That to an order was taken for the next report.
+/// Guards against taking the second answer to a report for the answer to the order after it, by which a refused order
+/// counts as accepted, and the second answer to an order for the next report.
 #[rstest]
 #[case::reports("/api/report")]
 #[case::orders("/api/order")]
 fn an_order_has_its_own_answer_where_calls_are_answered_twice(#[case] path: &'static str) {
-    let (engine, given) = engine("i-0");
+    let (engine, statuses) = start_engine("i-0");
     engine.answer_twice_if(move |request| request.path() == path);
-    let others = ["i-1", "i-2", "i-3"].map(busy);
+    let others = ["i-1", "i-2", "i-3"].map(start_busy);
     let engines = others.iter().chain([&engine]);
     let listed: Vec<_> = engines.map(|engine| (engine, "llm", "prefill")).collect();
     let site = Site::start(&format!("ordered{}", path.replace('/', "-")), &listed);
@@ -361,15 +377,15 @@
     quick["services"][1]["engine"]["stage-switch-s"] = 0.1.into();
     site.store.put("op", "config", &quick);
     site.change_settings("grace_s: 8", "grace_s: 8\nprefill_share: 0.1");
-    until("several orders are given", || {
-        given.lock().unwrap().len() >= 3
+    wait_until("several orders are answered", || {
+        statuses.lock().unwrap().len() >= 3
     });
     let logged = logged_orders(&site, &engine.id);
-    let given = given.lock().unwrap().clone();
+    let statuses = statuses.lock().unwrap().clone();
     assert!(logged.len() > 1);
     assert!(
-        given.starts_with(&logged),
-        "{given:?}, in the log {logged:?}"
+        statuses.starts_with(&logged),
+        "{statuses:?}, in the log {logged:?}"
     );
     let unread = site.daemon.logged("an engine did not report its state");
     assert!(unread.is_empty(), "{unread:?}");
