--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,4 +1,5 @@
-//! Clocks of the daemon. The time of day may jump by seconds, so it is used only for intervals of a minute or more.
+//! Clocks of the daemon. The time of day may jump by seconds, so it is used only for intervals of a
+//! minute or more.
 
 use std::time::SystemTime;
 
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,4 +1,5 @@
-//! Exchange of plan, replicas, instances and quarantine records between daemons, for when the store is silent.
+//! Exchange of plan, replicas, instances and quarantine records between daemons, for when the store
+//! is silent.
 //!
 //! Each request is one `h2` stream; requests and responses are encoded with `bincode`.
 
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,7 +1,8 @@
-//! Datagrams between daemons: membership, status of the poller, claims, quarantine records and quotas.
+//! Datagrams between daemons: membership, status of the poller, claims, quarantine records and
+//! quotas.
 //!
-//! Each datagram also carries the version of the sender's plan and a hash of its quarantine records, from which the
-//! receiver sees whether it has to fetch newer ones.
+//! Each datagram also carries the version of the sender's plan and a hash of its quarantine
+//! records, from which the receiver sees whether it has to fetch newer ones.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,7 +31,8 @@
 use crate::quotas;
 use crate::shared::Shared;
 
-/// Size in bytes above which a datagram is logged; larger ones exceed the usual packet size and are fragmented.
+/// Size in bytes above which a datagram is logged; larger ones exceed the usual packet size and are
+/// fragmented.
 const MAX_DATAGRAM: usize = 1_400;
 /// Maximum sleep between two membership steps.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
@@ -124,7 +126,8 @@
     next
 }
 
-/// Requests the status of the daemon at `peer`, whose age counts from the request on; `None` if it does not answer in time.
+/// Requests the status of the daemon at `peer`, whose age counts from the request on; `None` if it
+/// does not answer in time.
 pub async fn request_status(
     shared: &Shared,
     peer: SocketAddr,
@@ -278,7 +281,8 @@
     });
 }
 
-/// Fetches the records of `peer` if their hash `digest` still differs from the own one after [`RECORDS_DELAY`].
+/// Fetches the records of `peer` if their hash `digest` still differs from the own one after
+/// [`RECORDS_DELAY`].
 fn compare_records(shared: Rc<Shared>, peer: SocketAddr, digest: u64) {
     if !shared.begin_comparing() {
         return;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! The gateway daemon: relays callers' requests to replicas on the users' platform.
 //!
 //! The `relay` crate makes the decisions, the `platform` crate translates names and formats of the
-//! platform; this crate holds sockets, timers, settings, logs and metrics. All work but the writing of
-//! log lines is done on one thread.
+//! platform; this crate holds sockets, timers, settings, logs and metrics. All work but the writing
+//! of log lines is done on one thread.
 
 pub mod asides;
 pub mod ask;
@@ -80,8 +80,9 @@
 const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(100);
 /// Timeout for writing the last log lines; the reader of the output may be gone.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause between the last log line and the end of the process. Collectors that poll the output drop what is
-/// unread when the process ends: without the pause the line "stopped" was lost in 7 of 7 stops.
+/// Pause between the last log line and the end of the process. Collectors that poll the output drop
+/// what is unread when the process ends: without the pause the line "stopped" was lost in 7 of 7
+/// stops.
 const COLLECTOR_PAUSE: Duration = Duration::from_millis(50);
 /// Duration of a housekeeping sleep above which a pause of the process is logged.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
@@ -175,7 +176,8 @@
     Ok(())
 }
 
-/// Joins the fleet once ready, closes idle connections, and logs pauses and suspensions of the process.
+/// Joins the fleet once ready, closes idle connections, and logs pauses and suspensions of the
+/// process.
 async fn housekeeping(shared: Rc<Shared>) {
     let mut suspensions = SuspendDetector::new();
     loop {
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -23,13 +23,14 @@
 
 use crate::instance_info::InstanceInfo;
 
-/// Key whose owner among the members of a data centre is its poller, the one that reads the store for all.
+/// Key whose owner among the members of a data centre is its poller, the one that reads the store
+/// for all.
 const POLLER_KEY: u64 = 1;
-/// Time after joining during which all listed instances count as members. Members are discovered within a few
-/// seconds; until then each newcomer would take itself for the poller.
+/// Time after joining during which all listed instances count as members. Members are discovered
+/// within a few seconds; until then each newcomer would take itself for the poller.
 const SETTLING_TIME: Duration = Duration::from_secs(3);
-/// Time for which an unreachable instance is assumed to be running. Later it counts as gone, or replacing instances
-/// would be enough to lose the majority.
+/// Time for which an unreachable instance is assumed to be running. Later it counts as gone, or
+/// replacing instances would be enough to lose the majority.
 const ABSENCE_TIMEOUT: Duration = Duration::from_mins(10);
 /// Number of daemons that may keep a key: the keeper and its deputy.
 const KEEPERS: usize = 2;
@@ -158,7 +159,8 @@
         fleet.receive(now, from.instance(), message);
     }
 
-    /// Runs the due steps; returns the datagrams to send, the members that changed, and the time of the next step.
+    /// Runs the due steps; returns the datagrams to send, the members that changed, and the time of
+    /// the next step.
     pub fn step(&mut self, now: Time) -> (Vec<Outgoing>, Vec<Member>, Time) {
         let Some(fleet) = &mut self.fleet else {
             return (Vec::new(), Vec::new(), Time::NEVER);
@@ -206,8 +208,9 @@
         self.changed_at
     }
 
-    /// Whether the reachable members outnumber the instances that may be running out of reach. For `SETTLING_TIME`
-    /// after joining, all known instances count as members. A daemon that knows of no other is not a majority.
+    /// Whether the reachable members outnumber the instances that may be running out of reach. For
+    /// `SETTLING_TIME` after joining, all known instances count as members. A daemon that knows of
+    /// no other is not a majority.
     pub fn is_majority(&self, now: Time) -> bool {
         let knows_others = self.is_listed || !self.others.is_empty();
         match &self.fleet {
@@ -277,8 +280,8 @@
         self.others.get(&poller).map(|info| info.peers)
     }
 
-    /// The poller of `data_centre`: chosen among the members, or, for [`SETTLING_TIME`] after joining, among all
-    /// listed instances that are not known to be dead.
+    /// The poller of `data_centre`: chosen among the members, or, for [`SETTLING_TIME`] after
+    /// joining, among all listed instances that are not known to be dead.
     fn poller_in(&self, data_centre: Zone) -> Option<Instance> {
         let fleet = self.fleet.as_ref();
         match fleet.filter(|_| self.is_settled) {
--- a/crates/gateway/src/poller_status.rs
+++ b/crates/gateway/src/poller_status.rs
@@ -8,8 +8,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Maximum age of a usable status: a leaving replica must get no requests 2 s later, and a requester
-/// notices only one period later.
+/// Maximum age of a usable status: a leaving replica must get no requests 2 s later, and a
+/// requester notices only one period later.
 const MAX_AGE: Duration = Duration::from_secs(1);
 
 /// How current the plan and replicas of a daemon are, compared with the requester's.
@@ -56,8 +56,8 @@
         self
     }
 
-    /// The status for a requester whose replicas have changed since its request. It must not confirm them: changes
-    /// between them and the sender's would never be requested.
+    /// The status for a requester whose replicas have changed since its request. It must not
+    /// confirm them: changes between them and the sender's would never be requested.
     #[must_use]
     pub const fn for_changed_list(mut self) -> Self {
         self.same = false;
--- a/crates/gateway/src/probes.rs
+++ b/crates/gateway/src/probes.rs
@@ -26,7 +26,8 @@
         Self::default()
     }
 
-    /// Adds the request to the probe of `replica`, behind `key`; requests a probe if none is in progress.
+    /// Adds the request to the probe of `replica`, behind `key`; requests a probe if none is in
+    /// progress.
     pub fn add(&self, key: Key, replica: u64, fingerprint: Fingerprint) {
         let mut lost = self.requests.borrow_mut();
         let requests = lost.entry(key).or_default();
@@ -67,7 +68,8 @@
         self.finished.notify_waiters();
     }
 
-    /// Waits until a probe finishes. A probe that finishes between this call and the first poll counts.
+    /// Waits until a probe finishes. A probe that finishes between this call and the first poll
+    /// counts.
     pub fn finished(&self) -> Notified<'_> {
         self.finished.notified()
     }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Finds out whether replicas ended while at work on a request, announces it to other daemons and stores it.
+//! Finds out whether replicas ended while at work on a request, announces it to other daemons and
+//! stores it.
 
 pub mod announce;
 pub mod probe;
@@ -29,7 +30,8 @@
     }
 }
 
-/// Fetches all records from a peer once this daemon is ready; the store has only those of suspect requests.
+/// Fetches all records from a peer once this daemon is ready; the store has only those of suspect
+/// requests.
 pub async fn fetch_records(shared: Rc<Shared>) {
     while !shared.is_ready() {
         sleep(PEER_PAUSE).await;
--- a/crates/gateway/src/quarantine/probe.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -17,15 +17,16 @@
 
 /// Pause between two probes of a replica that does not answer.
 const PROBE_PAUSE: Duration = Duration::from_millis(300);
-/// Unanswered probes after which a replica counts as ended, about a second after its answer broke off: a retry of the
-/// request must see it by then, and the list shows the end up to 3.6 s later. Probes are counted instead of time
-/// because time also passes while this process is stopped or its machine suspended.
+/// Unanswered probes after which a replica counts as ended, about a second after its answer broke
+/// off: a retry of the request must see it by then, and the list shows the end up to 3.6 s later.
+/// Probes are counted instead of time because time also passes while this process is stopped or its
+/// machine suspended.
 const MAX_UNANSWERED: usize = 3;
-/// Maximum number of probes. Their pauses take 3.9 s, longer than the 3.6 s after which an ended replica is no longer
-/// listed; one that still closes connections then is alive.
+/// Maximum number of probes. Their pauses take 3.9 s, longer than the 3.6 s after which an ended
+/// replica is no longer listed; one that still closes connections then is alive.
 const MAX_PROBES: usize = 14;
-/// Maximum time that a request waits for probes before it is sent again: a live replica answers within some
-/// milliseconds, and a closed port refuses as fast.
+/// Maximum time that a request waits for probes before it is sent again: a live replica answers
+/// within some milliseconds, and a closed port refuses as fast.
 const MAX_WAIT: Duration = Duration::from_millis(400);
 
 /// Starts a probe of each lost replica, forever.
@@ -68,8 +69,8 @@
 }
 
 impl Shared {
-    /// Whether the request may be sent to a replica. Waits up to `MAX_WAIT` while the outcome of probes may
-    /// quarantine it.
+    /// Whether the request may be sent to a replica. Waits up to `MAX_WAIT` while the outcome of
+    /// probes may quarantine it.
     pub async fn may_send(&self, fingerprint: Fingerprint) -> bool {
         let decision = async {
             loop {
--- a/crates/gateway/src/quarantine/storage.rs
+++ b/crates/gateway/src/quarantine/storage.rs
@@ -15,15 +15,16 @@
 use crate::clock;
 use crate::shared::Shared;
 
-/// Table with one row for each ended replica of each suspect request, and one for the time at which such a
-/// request was served. A row is written once, by any daemon, so that no writer overwrites another's.
+/// Table with one row for each ended replica of each suspect request, and one for the time at which
+/// such a request was served. A row is written once, by any daemon, so that no writer overwrites
+/// another's.
 pub const TABLE: &str = "quarantine";
 /// Suffix of the key of the row with the time of service.
 const SERVED: &str = "served";
 /// Pause after a failed call.
 const PAUSE: Duration = Duration::from_millis(700);
-/// Delay before a write, so that losses of many callers share it and peers can report that a request was served
-/// elsewhere.
+/// Delay before a write, so that losses of many callers share it and peers can report that a
+/// request was served elsewhere.
 const BATCH_DELAY: Duration = Duration::from_millis(200);
 /// Maximum number of rows in one transaction.
 const MAX_ROWS: usize = 100;
@@ -78,7 +79,8 @@
     }
 }
 
-/// Merges the stored records and removes expired or unreadable rows; returns whether the store answered.
+/// Merges the stored records and removes expired or unreadable rows; returns whether the store
+/// answered.
 async fn load(shared: &Shared) -> bool {
     let rows = match shared.store.read(TABLE).await {
         Ok(rows) => rows.rows,
--- a/crates/gateway/src/quotas.rs
+++ b/crates/gateway/src/quotas.rs
@@ -72,7 +72,8 @@
 pub struct Demand {
     /// What the limit applies to.
     pub subject: Subject,
-    /// The customer's quota in the plan that the request was admitted under, or the limit set by the replica.
+    /// The customer's quota in the plan that the request was admitted under, or the limit set by
+    /// the replica.
     pub limit: Limit,
     /// Units that the request counts.
     pub units: f64,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -47,8 +47,8 @@
     pub quota: Quota,
 }
 
-/// Tolerance beyond the quotas of customers, over all instances together. It is used only when instances do not
-/// know of each other.
+/// Tolerance beyond the quotas of customers, over all instances together. It is used only when
+/// instances do not know of each other.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Quota {
@@ -74,7 +74,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Placing {
-    /// Fraction of the expected output tokens for which KV-cache memory is reserved in addition to the prompt.
+    /// Fraction of the expected output tokens for which KV-cache memory is reserved in addition to
+    /// the prompt.
     pub reserve: f64,
     /// Safety margin of the memory forecast, in standard deviations.
     pub spreads: f64,
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -46,19 +46,20 @@
 use crate::settings::Settings;
 use crate::store::Store;
 
-/// Time after SIGTERM during which every request is accepted, since callers may use an earlier address answer
-/// for that long. Later, only requests are accepted that can complete within the grace period.
+/// Time after SIGTERM during which every request is accepted, since callers may use an earlier
+/// address answer for that long. Later, only requests are accepted that can complete within the
+/// grace period.
 const FULL_SERVICE: Duration = Duration::from_millis(2_700);
 
-/// Time before the end of the grace period at which a stopping daemon exits, whatever is in progress. The last
-/// log lines take up to 250 ms; the rest covers a busy processor of a tenth of a core: with 300 ms in all, a
-/// daemon with one open stream was killed 0.26 s after its last line.
+/// Time before the end of the grace period at which a stopping daemon exits, whatever is in
+/// progress. The last log lines take up to 250 ms; the rest covers a busy processor of a tenth of a
+/// core: with 300 ms in all, a daemon with one open stream was killed 0.26 s after its last line.
 pub const STOP_MARGIN: Duration = Duration::from_millis(700);
 /// Maximum log lines per second about rejected requests; a caller that sends only malformed
 /// requests must not fill the logs.
 const MAX_REJECTED_LINES: u64 = 50;
-/// Maximum number of unreadable replica entries that are logged, each once; another program that fills the
-/// table must not fill the logs.
+/// Maximum number of unreadable replica entries that are logged, each once; another program that
+/// fills the table must not fill the logs.
 const MAX_UNREADABLE: usize = 100;
 
 /// State of the daemon; one thread uses it.
@@ -232,8 +233,8 @@
         }
     }
 
-    /// Returns `Some` if another rejected request may be logged in this second, with the number of lines
-    /// omitted in the second before.
+    /// Returns `Some` if another rejected request may be logged in this second, with the number of
+    /// lines omitted in the second before.
     pub fn may_log_rejection(&self) -> Option<u64> {
         let second = self.clock.now().as_millis() / 1_000;
         let (last, count) = self.rejections.get();
@@ -245,7 +246,8 @@
         (count < MAX_REJECTED_LINES).then_some(0)
     }
 
-    /// Whether to log that the entry `id` is unreadable: once per entry, up to `MAX_UNREADABLE` entries.
+    /// Whether to log that the entry `id` is unreadable: once per entry, up to `MAX_UNREADABLE`
+    /// entries.
     pub fn may_log_unreadable(&self, id: &str) -> bool {
         let mut logged = self.logged_unreadable.borrow_mut();
         logged.len() < MAX_UNREADABLE && logged.insert(id.to_owned())
@@ -266,8 +268,8 @@
         self.stopping_since.set(Some(self.clock.now()));
     }
 
-    /// Whether a request that may last for `longest` is accepted; a stopping daemon accepts none that it
-    /// might have to cut off.
+    /// Whether a request that may last for `longest` is accepted; a stopping daemon accepts none
+    /// that it might have to cut off.
     pub fn accepts(&self, longest: Duration) -> bool {
         let Some(since) = self.stopping_since.get() else {
             return true;
--- a/crates/gateway/src/shared/choice.rs
+++ b/crates/gateway/src/shared/choice.rs
@@ -11,9 +11,11 @@
 
 use crate::shared::Shared;
 
-/// Assumed time of a decode replica for an answer before the first one: some hundred tokens of 8 ms.
+/// Assumed time of a decode replica for an answer before the first one: some hundred tokens of 8
+/// ms.
 const DEFAULT_ANSWER_TIME: Duration = Duration::from_secs(3);
-/// Range of the factors by which the mean answer time is multiplied for the retry time of refused callers.
+/// Range of the factors by which the mean answer time is multiplied for the retry time of refused
+/// callers.
 const MIN_RETRY_FACTOR: f64 = 0.75;
 const MAX_RETRY_FACTOR: f64 = 1.25;
 /// Weight of the newest answer in the moving average.
@@ -44,8 +46,8 @@
         pool.choose(self.clock.now(), &criteria, rand::random)
     }
 
-    /// Chooses the decode replica for a generation that needs the memory `demand`; `None` if no untried one has
-    /// room.
+    /// Chooses the decode replica for a generation that needs the memory `demand`; `None` if no
+    /// untried one has room.
     pub fn choose_decode(&self, service: &str, tried: &[Key], demand: MemoryDemand) -> Option<Key> {
         let criteria = Criteria {
             service,
@@ -75,7 +77,8 @@
         pool.get(key).is_some_and(|server| server.limit.is_some())
     }
 
-    /// Time until the first throttled replica of `service` may be chosen again; `None` if none is throttled.
+    /// Time until the first throttled replica of `service` may be chosen again; `None` if none is
+    /// throttled.
     pub fn throttle_remaining(&self, service: &str) -> Option<Duration> {
         let pool = self.pool.borrow();
         pool.throttle_remaining(self.clock.now(), service)
@@ -93,15 +96,15 @@
         self.pool.borrow().may_prefill(key)
     }
 
-    /// Fraction of the prompts that decode replicas have to prefill because the prefill replica `key` is slow
-    /// or fails.
+    /// Fraction of the prompts that decode replicas have to prefill because the prefill replica
+    /// `key` is slow or fails.
     pub fn decode_prefill_share(&self, key: Key, tokens: u64, objective: Duration) -> f64 {
         let pool = self.pool.borrow();
         pool.decode_prefill_share(self.clock.now(), key, tokens, objective)
     }
 
-    /// Time until a prompt of `tokens` for `service` is prefilled at the best replica; `None` if that is not
-    /// known.
+    /// Time until a prompt of `tokens` for `service` is prefilled at the best replica; `None` if
+    /// that is not known.
     pub fn estimate_prefill_time(&self, service: &str, tokens: u64) -> Option<Duration> {
         let key = self.choose(service, Some(Stage::Prefill), &[])?;
         let pool = self.pool.borrow();
@@ -131,8 +134,8 @@
         *mean = mean.mul_f64(1.0 - ANSWER_TIME_WEIGHT) + took.mul_f64(ANSWER_TIME_WEIGHT);
     }
 
-    /// Time after which a caller of `service` that found no room may retry: about when the answers in progress
-    /// have ended, randomized so that callers do not retry together.
+    /// Time after which a caller of `service` that found no room may retry: about when the answers
+    /// in progress have ended, randomized so that callers do not retry together.
     pub fn retry_after(&self, service: &str) -> Duration {
         let mean = self.answer_time(service);
         mean.mul_f64(rand::random_range(MIN_RETRY_FACTOR..MAX_RETRY_FACTOR))
@@ -144,8 +147,8 @@
         times.get(service).copied().unwrap_or(DEFAULT_ANSWER_TIME)
     }
 
-    /// Whether a caller with this time limit was probably refused before: its limit is shorter than that of
-    /// others by at least the time after which refused callers retry.
+    /// Whether a caller with this time limit was probably refused before: its limit is shorter than
+    /// that of others by at least the time after which refused callers retry.
     pub fn was_refused_before(
         &self,
         route: &Route,
@@ -161,7 +164,8 @@
         timeout.estimate_waited(limit) >= least.max(route.objective)
     }
 
-    /// Records that `key` did not answer a control call, and triggers a report to the other daemons.
+    /// Records that `key` did not answer a control call, and triggers a report to the other
+    /// daemons.
     pub fn note_unresponsive(&self, key: Key) {
         self.pool
             .borrow_mut()
--- a/crates/gateway/src/shared/customers.rs
+++ b/crates/gateway/src/shared/customers.rs
@@ -8,13 +8,15 @@
 use crate::shared::Shared;
 use crate::target::Owner;
 
-/// Maximum number of customers with a label of their own in the metrics: those with the largest quotas.
+/// Maximum number of customers with a label of their own in the metrics: those with the largest
+/// quotas.
 const MAX_LABELLED: usize = 24;
 /// Label of all other customers.
 const OTHERS: &str = "others";
 
 impl Shared {
-    /// Gives the customers with the largest quotas a label of their own in the metrics, up to [`MAX_LABELLED`].
+    /// Gives the customers with the largest quotas a label of their own in the metrics, up to
+    /// [`MAX_LABELLED`].
     pub(super) fn label_customers(&self, customers: &CustomerList) {
         let mut labelled = self.labelled_customers.borrow_mut();
         for customer in customers.largest(MAX_LABELLED) {
@@ -24,7 +26,8 @@
         }
     }
 
-    /// Counts a request of `customer` that ended with `outcome`; requests without a customer are not counted.
+    /// Counts a request of `customer` that ended with `outcome`; requests without a customer are
+    /// not counted.
     pub fn count_customer(&self, customer: &str, outcome: &str) {
         if customer.is_empty() {
             return;
@@ -43,8 +46,8 @@
         plan.customers.as_ref()?.get(customer)?.limit
     }
 
-    /// Whether `job` may no longer be sent to a replica because the plan in force has withdrawn its API key from its customer.
-    /// A stream that has begun continues to its end.
+    /// Whether `job` may no longer be sent to a replica because the plan in force has withdrawn its
+    /// API key from its customer. A stream that has begun continues to its end.
     pub fn is_revoked(&self, job: &Job) -> bool {
         if job.answering.get() || self.plan_version() == job.plan {
             return false;
--- a/crates/gateway/src/shared/quarantine.rs
+++ b/crates/gateway/src/shared/quarantine.rs
@@ -17,8 +17,8 @@
         quarantine.quarantined_for(clock::unix(), fingerprint)
     }
 
-    /// Starts a probe of the replica behind `key`, which was lost while at work on the request, to find out
-    /// whether it ended.
+    /// Starts a probe of the replica behind `key`, which was lost while at work on the request, to
+    /// find out whether it ended.
     pub fn probe_lost(&self, fingerprint: Fingerprint, key: Key) {
         // A draining replica cuts off unfinished requests when it leaves.
         let Some(replica) = self.pool.borrow().unplanned_loss(key) else {
@@ -27,8 +27,8 @@
         self.probes.add(key, replica, fingerprint);
     }
 
-    /// Records that `replica` ended while at work on the request `fingerprint`; queues the record for peers and
-    /// the store.
+    /// Records that `replica` ended while at work on the request `fingerprint`; queues the record
+    /// for peers and the store.
     pub fn note_end(&self, fingerprint: Fingerprint, replica: u64) {
         let now = clock::unix();
         let mut quarantine = self.quarantine.borrow_mut();
@@ -58,8 +58,8 @@
         self.log_change("own", fingerprint, Change::Other);
     }
 
-    /// Merges records from a peer or the store; returns the records of requests that were served meanwhile, which
-    /// the sender has to receive.
+    /// Merges records from a peer or the store; returns the records of requests that were served
+    /// meanwhile, which the sender has to receive.
     pub fn merge_records(&self, source: &'static str, records: &[Record]) -> Vec<Record> {
         let now = clock::unix();
         let mut served = Vec::new();
--- a/crates/gateway/src/shared/store_state.rs
+++ b/crates/gateway/src/shared/store_state.rs
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Ends what is in progress at an earlier incarnation of the replica `id`, which will send nothing more.
+    /// Ends what is in progress at an earlier incarnation of the replica `id`, which will send
+    /// nothing more.
     fn drop_earlier_incarnation(&self, id: &str) {
         let address = self.pool.borrow().address(id);
         if let Some(address) = address {
@@ -116,13 +117,15 @@
         }
     }
 
-    /// The update for a peer whose list of replicas has `version` and the hash `digest`; `None` if it needs none.
+    /// The update for a peer whose list of replicas has `version` and the hash `digest`; `None` if
+    /// it needs none.
     pub fn newer_replicas(&self, version: u64, digest: u64) -> Option<Update> {
         let pool = self.pool.borrow();
         pool.update_for_peer(self.clock.now(), version, digest)
     }
 
-    /// Records that the replicas equal those that a peer read at store version `version`, `age` ago.
+    /// Records that the replicas equal those that a peer read at store version `version`, `age`
+    /// ago.
     pub fn confirm_replicas(&self, version: u64, age: Duration) {
         let now = self.clock.now();
         self.pool.borrow_mut().confirm(now, version);
@@ -182,7 +185,8 @@
         self.clock.now().since(self.store_answered_at.get())
     }
 
-    /// Begins fetching plan `version` from a peer; `false` if that version or a newer one is being fetched.
+    /// Begins fetching plan `version` from a peer; `false` if that version or a newer one is being
+    /// fetched.
     pub fn begin_plan_fetch(&self, version: u64) -> bool {
         if self.plan_being_fetched.get() >= version {
             return false;
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -2,9 +2,9 @@
 //!
 //! Not all engines check fencing tokens, and an order without an answer may be carried out many
 //! seconds later. So at most one daemon sends orders for a service in any `CLAIM_DURATION`, by the
-//! store's clock: it first claims the service with a conditional write of a row, whose version is the
-//! fencing token. An order is sent only within `MAX_CLAIM_AGE` of that write, so that a daemon that
-//! was frozen meanwhile sends none.
+//! store's clock: it first claims the service with a conditional write of a row, whose version is
+//! the fencing token. An order is sent only within `MAX_CLAIM_AGE` of that write, so that a daemon
+//! that was frozen meanwhile sends none.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -36,8 +36,8 @@
 const ORDERS: &str = "orders";
 /// Interval between checks of the numbers of prefill and decode replicas.
 const PERIOD: Duration = Duration::from_millis(500);
-/// Time after a claim during which no other daemon sends orders: orders without an answer are carried out
-/// up to 12 s later, and the claim must not change hands within 3 s.
+/// Time after a claim during which no other daemon sends orders: orders without an answer are
+/// carried out up to 12 s later, and the claim must not change hands within 3 s.
 const CLAIM_DURATION: Duration = Duration::from_secs(16);
 /// Time after the write of the row during which orders may be sent.
 const MAX_CLAIM_AGE: Duration = Duration::from_millis(400);
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -17,8 +17,8 @@
 use crate::shared::Shared;
 use crate::watch::instances;
 
-/// Minimum time that a stopping daemon stays up for callers with a cached address answer: three times the
-/// time that answers may be cached, plus a reserve.
+/// Minimum time that a stopping daemon stays up for callers with a cached address answer: three
+/// times the time that answers may be cached, plus a reserve.
 const LINGER: Duration = Duration::from_millis(3_300);
 /// Pause between checks whether requests are in progress.
 const CHECK_PAUSE: Duration = Duration::from_millis(50);
@@ -47,7 +47,8 @@
     }
 }
 
-/// Waits for a terminating signal, then stops the daemon gracefully. Reloads the settings on SIGHUP.
+/// Waits for a terminating signal, then stops the daemon gracefully. Reloads the settings on
+/// SIGHUP.
 pub async fn wait(shared: &Shared, path: &Path, mut signals: Signals) {
     loop {
         tokio::select! {
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -78,16 +78,17 @@
 
 impl std::error::Error for Error {}
 
-/// Client of the store that makes each call over an unused connection. Answers do not name their call, so a late
-/// second answer to an earlier call would be taken for the answer to the current one.
+/// Client of the store that makes each call over an unused connection. Answers do not name their
+/// call, so a late second answer to an earlier call would be taken for the answer to the current
+/// one.
 #[derive(Debug)]
 pub struct Store {
     address: SocketAddr,
     /// Connections opened for later calls.
     links: Rc<Links>,
     calls: IntCounterVec,
-    /// Notified when a call timed out, so that watches on connections of the same age do not wait for
-    /// their own timeout.
+    /// Notified when a call timed out, so that watches on connections of the same age do not wait
+    /// for their own timeout.
     timeouts: Notify,
 }
 
@@ -118,8 +119,8 @@
     }
 
     /// Waits up to `wait` for rows of `table` that changed after `version`. Ends early when another
-    /// call times out: open connections may hang without being closed, and a watch on one of them would
-    /// miss changes until its own timeout.
+    /// call times out: open connections may hang without being closed, and a watch on one of them
+    /// would miss changes until its own timeout.
     ///
     /// # Errors
     /// [`Error`]; `Compacted` and `GivenUp` if all rows have to be read again.
@@ -146,8 +147,8 @@
     /// Writes one row if it still has `version` (0 if it does not exist); returns its new version.
     ///
     /// # Errors
-    /// [`Error`]; `Conflict` if it has another version. After any other error it may have been written
-    /// nevertheless.
+    /// [`Error`]; `Conflict` if it has another version. After any other error it may have been
+    /// written nevertheless.
     pub async fn swap(
         &self,
         table: &str,
@@ -181,8 +182,8 @@
         Ok(())
     }
 
-    /// Opens a connection for a later call in the background. If it hangs together with connections of watches, the
-    /// later call times out and the watches are abandoned.
+    /// Opens a connection for a later call in the background. If it hangs together with connections
+    /// of watches, the later call times out and the watches are abandoned.
     fn preconnect(&self) {
         let (address, links) = (self.address, Rc::clone(&self.links));
         tokio::task::spawn_local(async move {
@@ -254,8 +255,9 @@
         }
     }
 
-    /// Sends `request`, and retries once if the connection could not be opened in time or ended unused: each call
-    /// needs a new connection, and the system retransmits a lost SYN packet only after a second.
+    /// Sends `request`, and retries once if the connection could not be opened in time or ended
+    /// unused: each call needs a new connection, and the system retransmits a lost SYN packet only
+    /// after a second.
     async fn send(
         &self,
         request: Request<Full<Bytes>>,
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -23,37 +23,37 @@
 use crate::shared::Shared;
 use crate::store::Error;
 
-/// Waiting time of one watch of the plan. Short, so that a watch on a dead connection ends well before
-/// an edit has to be in force (2 s and more).
+/// Waiting time of one watch of the plan. Short, so that a watch on a dead connection ends well
+/// before an edit has to be in force (2 s and more).
 const PLAN_WAIT: Duration = Duration::from_millis(2_500);
 /// Pause after reading a plan, so that edits in quick succession are read together.
 const PLAN_PAUSE: Duration = Duration::from_millis(150);
 /// Interval between requests to the poller; a leaving replica must get no requests 2 s later.
 const REPLICAS_PERIOD: Duration = Duration::from_millis(450);
-/// Waiting time of one watch of the replicas; an answer proves that the list is up to date, and other
-/// daemons accept a status of up to a second's age.
+/// Waiting time of one watch of the replicas; an answer proves that the list is up to date, and
+/// other daemons accept a status of up to a second's age.
 const REPLICAS_WAIT: Duration = Duration::from_millis(350);
 /// Pause of the poller between two watches, so that changes in quick succession are read together.
 const REPLICAS_PAUSE: Duration = Duration::from_millis(300);
 /// Timeout of a status request to a poller; a round trip takes some milliseconds.
 const POLLER_TIMEOUT: Duration = Duration::from_millis(120);
-/// Total timeout of requests to pollers, after which this daemon reads the store itself. Together with
-/// the maximum age of a status and the pause before ([`REPLICAS_PERIOD`]), it keeps the list well below
-/// an age of 2 s, after which a leaving replica must get no requests.
+/// Total timeout of requests to pollers, after which this daemon reads the store itself. Together
+/// with the maximum age of a status and the pause before ([`REPLICAS_PERIOD`]), it keeps the list
+/// well below an age of 2 s, after which a leaving replica must get no requests.
 const POLLERS_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time after a start for which a daemon waits for the poller before it reads plan and replicas itself:
-/// when 295 instances started together and each read them all, that took 3,500 calls.
+/// Time after a start for which a daemon waits for the poller before it reads plan and replicas
+/// itself: when 295 instances started together and each read them all, that took 3,500 calls.
 const START_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Timeout of waiting for the list of instances, other than at the first start of the whole system: the store answers
-/// in some milliseconds, or some of its tables do not answer at all.
+/// Timeout of waiting for the list of instances, other than at the first start of the whole system:
+/// the store answers in some milliseconds, or some of its tables do not answer at all.
 const LIST_TIMEOUT: Duration = Duration::from_millis(100);
 /// Mean pause between requests to the poller during [`START_TIMEOUT`].
 const START_PAUSE: Duration = Duration::from_millis(60);
-/// Number of daemons of a data centre that call the store in one period while it fails their poller. More
-/// would not find sooner that it answers one of them, and each call is paid for.
+/// Number of daemons of a data centre that call the store in one period while it fails their
+/// poller. More would not find sooner that it answers one of them, and each call is paid for.
 const DIRECT_READERS: usize = 8;
-/// Interval between own readings of the store by a daemon whose poller the store fails: short enough to find
-/// that the store answers only this daemon.
+/// Interval between own readings of the store by a daemon whose poller the store fails: short
+/// enough to find that the store answers only this daemon.
 const DIRECT_PERIOD: Duration = Duration::from_millis(600);
 /// Pause after a failed call, to keep the load on a failing store low.
 const RETRY_PAUSE: Duration = Duration::from_millis(350);
@@ -103,8 +103,8 @@
     Silent,
 }
 
-/// Keeps the replicas up to date, forever: from the poller of this data centre, from that of another
-/// one, or from the store.
+/// Keeps the replicas up to date, forever: from the poller of this data centre, from that of
+/// another one, or from the store.
 pub async fn follow_replicas(shared: Rc<Shared>) {
     let start_deadline = Instant::now() + START_TIMEOUT;
     let mut next_direct = Instant::now();
@@ -145,8 +145,8 @@
 /// Phase of this daemon after its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StartPhase {
-    /// No replicas are known and the data centre has few instances: their calls of the store cost less than
-    /// making callers wait.
+    /// No replicas are known and the data centre has few instances: their calls of the store cost
+    /// less than making callers wait.
     FewInstances,
     /// No replicas are known and many instances may be starting together.
     ManyInstances,
@@ -176,8 +176,8 @@
     let _ = timeout(limit, listed.wait_for(|listed| *listed)).await;
 }
 
-/// Randomized time until this daemon calls a failing store again: about `period` if the data centre has up to
-/// [`DIRECT_READERS`] instances, and proportionally longer if it has more.
+/// Randomized time until this daemon calls a failing store again: about `period` if the data centre
+/// has up to [`DIRECT_READERS`] instances, and proportionally longer if it has more.
 fn scaled_period(shared: &Shared, period: Duration) -> Duration {
     let instances = shared.members.borrow().local_count();
     let share = instances.max(DIRECT_READERS) as f64 / DIRECT_READERS as f64;
@@ -205,8 +205,8 @@
     poller_state
 }
 
-/// Asks a random daemon of this data centre. At a common start the poller would have to send a list of 75 KB
-/// and more to some sixty daemons over one link, so each daemon that has it passes it on.
+/// Asks a random daemon of this data centre. At a common start the poller would have to send a list
+/// of 75 KB and more to some sixty daemons over one link, so each daemon that has it passes it on.
 async fn refresh_from_local_peer(shared: &Shared) {
     let peer = shared.members.borrow().random_local_peer();
     if let Some(peer) = peer {
--- a/crates/gateway/src/watch/instances.rs
+++ b/crates/gateway/src/watch/instances.rs
@@ -15,8 +15,8 @@
 const PERIOD: Duration = Duration::from_secs(6);
 /// The same for other daemons, which learn of new instances from the poller.
 const OTHERS_PERIOD: Duration = Duration::from_mins(2);
-/// Pause between writing the own row and reading all rows when the whole system starts for the first
-/// time; instances start within 300 ms of each other.
+/// Pause between writing the own row and reading all rows when the whole system starts for the
+/// first time; instances start within 300 ms of each other.
 const FIRST_START_PAUSE: Duration = Duration::from_millis(450);
 /// Interval between readings of the instances while the store fails; peers exchange them as well.
 const RETRY: Duration = Duration::from_secs(2);
@@ -51,8 +51,8 @@
     }
 }
 
-/// Applies the list of instances and writes the own row if it is missing or outdated; returns whether the own
-/// row is up to date.
+/// Applies the list of instances and writes the own row if it is missing or outdated; returns
+/// whether the own row is up to date.
 async fn apply_instances(shared: &Shared, rows: &Rows) -> bool {
     let read = |row: &Row| serde_json::from_slice::<InstanceInfo>(row.value.as_deref()?).ok();
     let instances: Vec<InstanceInfo> = rows.rows.iter().filter_map(read).collect();
--- a/crates/gateway/src/watch/rows.rs
+++ b/crates/gateway/src/watch/rows.rs
@@ -42,7 +42,8 @@
 
 fn read_replica(shared: &Shared, own: IpAddr, row: &Row) -> Option<Replica> {
     match replica::read(&row.key, row.value.as_deref()?) {
-        // Requests to an entry with this daemon's own address would return to it as requests of a caller.
+        // Requests to an entry with this daemon's own address would return to it as requests of a
+        // caller.
         Ok(replica) if replica.address.ip() == own => None,
         Ok(replica) => Some(replica),
         Err(_) if !shared.may_log_unreadable(&row.key) => None,
