--- a/crates/bench/src/world/backs.rs
+++ b/crates/bench/src/world/backs.rs
@@ -10,11 +10,11 @@
 use ident::Time;
 use node::action::Task;
 use node::event::Event;
-use node::event::Held;
+use node::event::HeldAttempt;
 use node::event::Inspection;
 use node::event::Piece;
 use node::event::Reply;
-use node::ids::Order;
+use node::ids::OrderId;
 use route::replica::Report;
 
 use crate::world::list;
@@ -38,7 +38,7 @@
 /// What a replica holds for an attempt, and when that is over.
 #[derive(Debug, Clone, Copy)]
 struct Work {
-    held: Held,
+    held: HeldAttempt,
     end: Time,
 }
 
@@ -54,11 +54,11 @@
     /// The state of `replica`.
     pub(super) fn inspect(&self, now: Time, replica: Replica) -> Inspection {
         let works = self.works.get(&replica).into_iter().flatten();
-        let held = |work: &Work| Held {
+        let held = |work: &Work| HeldAttempt {
             done: now >= work.end,
             ..work.held
         };
-        let works: Vec<Held> = works.map(|(_, work)| held(work)).collect();
+        let works: Vec<HeldAttempt> = works.map(|(_, work)| held(work)).collect();
         let running = works.iter().filter(|held| !held.done).count() as u32;
         Inspection {
             report: Report {
@@ -78,7 +78,7 @@
     pub(super) fn order(
         &mut self,
         now: Time,
-        order: Order,
+        order: OrderId,
         replica: Replica,
         handle: Handle,
         owner: Incarnation,
@@ -124,7 +124,7 @@
     }
 
     fn hold(&mut self, replica: Replica, handle: Handle, owner: Incarnation, end: Time) {
-        let held = Held {
+        let held = HeldAttempt {
             handle,
             owner,
             fence: 1,
@@ -136,7 +136,7 @@
 }
 
 /// The pieces of a stream: its first token, the others at once at their end, and the end.
-fn stream(order: Order, tokens: u32) -> Vec<(Duration, Event)> {
+fn stream(order: OrderId, tokens: u32) -> Vec<(Duration, Event)> {
     let run = |offset, count| Piece::Tokens {
         offset,
         count,
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the admin addresses.
+//! HTTP client for the admin interface of the instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 use volo_http::client::RequestBuilder;
 
 use crate::config::Config;
-use crate::error::Attempt;
 use crate::error::Error;
+use crate::error::FailedAttempt;
 
-/// Longest wait for a connection.
+/// Time limit for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for an answer; an edit waits for the store and for a majority of the instances.
+/// Time limit for an answer; an edit waits for the store and for a majority of the instances.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest part of an unexpected body that an error shows.
-const SHOWN_BYTES: usize = 300;
+/// Most characters of an unexpected body that an error shows.
+const MAX_EXCERPT_CHARS: usize = 300;
 
-/// The admin interface of all instances.
-pub struct Admin {
+/// Client for the admin addresses, with the credentials of one operator.
+pub struct AdminClient {
     client: Client,
     config: Config,
 }
 
-impl std::fmt::Debug for Admin {
+impl std::fmt::Debug for AdminClient {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Admin")
             .field("config", &self.config)
@@ -35,25 +35,26 @@
     }
 }
 
-/// An answer of one instance.
+/// Answer of one instance.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// What was asked.
+    /// Method and path of the request.
     pub step: String,
     /// Address of the instance.
     pub peer: String,
     /// Status code.
     pub status: StatusCode,
-    /// The body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// Reads the body.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// [`Error::Denied`] for an unknown operator, [`Error::Answer`] if the body is of another kind.
+    /// [`Error::Denied`] for an unknown operator, [`Error::UnexpectedAnswer`] if the body does not
+    /// parse.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, Error> {
         if matches!(
             self.status,
@@ -67,34 +68,34 @@
         serde_json::from_slice(&self.body).map_err(|_| self.unexpected())
     }
 
-    /// An error that shows the answer.
+    /// Error that shows the status and the beginning of the body.
     pub fn unexpected(&self) -> Error {
-        Error::Answer {
+        Error::UnexpectedAnswer {
             step: self.step.clone(),
             peer: self.peer.clone(),
             status: self.status.as_u16(),
-            body: self.shown(),
+            body: self.body_excerpt(),
         }
     }
 
-    /// The beginning of the body as text.
-    pub fn shown(&self) -> String {
+    /// Beginning of the body as text.
+    pub fn body_excerpt(&self) -> String {
         let text = String::from_utf8_lossy(&self.body);
-        text.chars().take(SHOWN_BYTES).collect()
+        text.chars().take(MAX_EXCERPT_CHARS).collect()
     }
 }
 
-impl Admin {
-    /// The interface as `config` names it.
+impl AdminClient {
+    /// Creates a client for the addresses and the operator of `config`.
     ///
     /// # Panics
     ///
-    /// If the client library refuses its fixed settings, which is a fault of this module.
+    /// If the HTTP library rejects the fixed settings, which is a bug in this module.
     pub fn new(config: Config) -> Self {
         let mut builder = Client::builder();
         builder.set_connect_timeout(CONNECT_TIMEOUT);
         builder.set_request_timeout(REQUEST_TIMEOUT);
-        // An edit must not be resent by the library on a stale connection.
+        // With idle connections, the library could resend an edit after a stale one fails.
         builder.set_max_idle_per_host(0);
         Self {
             client: builder.build().expect("fixed settings are valid"),
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The addresses, in the order in which they are tried.
+    /// Admin addresses, in the order in which they are tried.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.config.admins
     }
@@ -112,27 +113,27 @@
         &self.config.operator
     }
 
-    /// Asks one instance.
+    /// Sends a GET request to one instance.
     ///
     /// # Errors
     ///
-    /// What happened, if no whole answer came.
-    pub async fn get_at(&self, address: SocketAddr, path: &str) -> Result<Answer, Attempt> {
+    /// The cause, if no complete answer arrived.
+    pub async fn get_at(&self, address: SocketAddr, path: &str) -> Result<Answer, FailedAttempt> {
         let request = self.request(Method::GET, address, path);
         self.send(request, address, format!("GET {path}")).await
     }
 
-    /// Sends JSON to one instance.
+    /// Sends a POST request with a JSON body to one instance.
     ///
     /// # Errors
     ///
-    /// What happened, if no whole answer came.
+    /// The cause, if no complete answer arrived.
     pub async fn post_at(
         &self,
         address: SocketAddr,
         path: &str,
         body: String,
-    ) -> Result<Answer, Attempt> {
+    ) -> Result<Answer, FailedAttempt> {
         let request = self
             .request(Method::POST, address, path)
             .header("Content-Type", "application/json")
@@ -140,26 +141,26 @@
         self.send(request, address, format!("POST {path}")).await
     }
 
-    /// Asks the instances in turn until one gives an answer other than a failure of its own.
+    /// Sends a GET request to the instances in turn until one answers without a server error.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] if none does, and as [`Answer::parse`].
+    /// [`Error::Unreachable`] if none does, and the errors of [`Answer::parse`].
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        let mut tried = Vec::new();
+        let mut failures = Vec::new();
         for &address in self.addresses() {
             match self.get_at(address, path).await {
-                Ok(answer) if answer.status.is_server_error() => tried.push(Attempt {
+                Ok(answer) if answer.status.is_server_error() => failures.push(FailedAttempt {
                     peer: answer.peer.clone(),
-                    cause: format!("{} {}", answer.status, answer.shown()),
+                    cause: format!("{} {}", answer.status, answer.body_excerpt()),
                 }),
                 Ok(answer) => return answer.parse(),
-                Err(attempt) => tried.push(attempt),
+                Err(attempt) => failures.push(attempt),
             }
         }
         Err(Error::Unreachable {
             step: format!("GET {path}"),
-            tried,
+            failures,
         })
     }
 
@@ -175,17 +176,17 @@
         request: RequestBuilder<Client>,
         address: SocketAddr,
         step: String,
-    ) -> Result<Answer, Attempt> {
-        let failed = |cause: &dyn std::error::Error| Attempt {
+    ) -> Result<Answer, FailedAttempt> {
+        let to_failure = |cause: &dyn std::error::Error| FailedAttempt {
             peer: address.to_string(),
-            cause: chain(cause),
+            cause: error_chain(cause),
         };
-        let response = request.send().await.map_err(|cause| failed(&cause))?;
+        let response = request.send().await.map_err(|cause| to_failure(&cause))?;
         let (head, body) = response.into_parts();
         let read = tokio::time::timeout(REQUEST_TIMEOUT, body.into_vec()).await;
         let body = read
-            .map_err(|cause| failed(&cause))?
-            .map_err(|cause| failed(&cause))?;
+            .map_err(|cause| to_failure(&cause))?
+            .map_err(|cause| to_failure(&cause))?;
         Ok(Answer {
             step,
             peer: address.to_string(),
@@ -195,8 +196,8 @@
     }
 }
 
-/// An error with its causes in one line, each said once.
-fn chain(error: &dyn std::error::Error) -> String {
+/// Formats an error and its sources in one line, without repetitions.
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(inner) = cause {
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -27,7 +27,7 @@
 use crate::instance_info::InstanceInfo;
 use crate::members::Outgoing;
 use crate::poller_status::PollerStatus;
-use crate::quota::keeping;
+use crate::quota::keeper;
 use crate::quotas;
 use crate::shared::Shared;
 
@@ -230,12 +230,12 @@
             send_records(shared, sender.peers, &served).await;
         }
         Content::Quota(quotas::Message::Ask { number, ask, limit }) => {
-            if let Some(answer) = keeping::answer(shared, number, ask, limit) {
+            if let Some(answer) = keeper::answer(shared, number, ask, limit) {
                 send(shared, sender.peers, Content::Quota(answer)).await;
             }
         }
         Content::Quota(quotas::Message::Told { number, told }) => {
-            if let Some((to, message)) = keeping::take_answer(shared, number, told) {
+            if let Some((to, message)) = keeper::handle_answer(shared, number, told) {
                 send(shared, to, Content::Quota(message)).await;
             }
         }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! One request of a caller while it is served.
+//! A caller's request while it is served.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -33,45 +33,45 @@
 use crate::target::Owner;
 use crate::target::Target;
 
-/// A request that was read in full and found its route.
+/// A request that was read completely and has a route.
 #[derive(Debug)]
 pub struct Job {
-    /// What its headers say.
+    /// Parsed headers.
     pub call: Call,
-    /// What is the same for all attempts with this request.
+    /// Identifies the content of the request across attempts.
     pub fingerprint: Fingerprint,
-    /// Its route.
+    /// Route of the request.
     pub route: Route,
-    /// Version of the plan that the route is of.
+    /// Version of the plan that contains the route.
     pub plan: u64,
-    /// The service that is to serve it.
+    /// Service that serves the request.
     pub service: String,
-    /// Whose it is.
+    /// Who the request belongs to.
     pub owner: Owner,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Its headers.
+    /// Headers as received.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
-    /// When its head was read.
+    /// When the head was read.
     pub arrived: Instant,
     /// When the answer has to be complete.
     pub deadline: Instant,
-    /// Whether its caller was refused before and has come back, too late for the objective.
+    /// Whether this is a retry after a refusal, too late for the objective.
     pub returned: bool,
-    /// Whether the caller has got the head of a replica's answer.
-    pub answering: Cell<bool>,
-    /// What it takes from its customer's quota.
+    /// Whether the head of a replica's answer was sent to the caller.
+    pub response_started: Cell<bool>,
+    /// Units taken from the customer's quota.
     pub charge: Option<Charge>,
-    /// Leave for sends to replicas.
-    pub allowance: RefCell<RequestPermits>,
-    /// Replicas that it was sent to.
+    /// Permits for sends to replicas.
+    pub permits: RefCell<RequestPermits>,
+    /// Replicas that received the request.
     sent_to: RefCell<HashSet<Key>>,
     shared: Rc<Shared>,
-    done: bool,
+    end_recorded: bool,
 }
 
 impl Job {
@@ -107,17 +107,17 @@
             arrived,
             deadline: arrived + patience,
             returned,
-            answering: Cell::new(false),
+            response_started: Cell::new(false),
             charge: None,
-            allowance: RefCell::new(RequestPermits::new()),
+            permits: RefCell::new(RequestPermits::new()),
             sent_to: RefCell::default(),
             shared: Rc::clone(shared),
-            done: false,
+            end_recorded: false,
         }
     }
 
-    /// Time that is left.
-    pub fn left(&self) -> Duration {
+    /// Time until the deadline.
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -126,22 +126,22 @@
         self.arrived.elapsed()
     }
 
-    /// Takes the permit for a send, if one is held; see [`Shared::ensure_permit`].
-    pub fn permit(&self, work: Work) -> Option<Permit> {
-        self.allowance.borrow_mut().take(work)
+    /// Takes the permit for a send, if the job holds one; see [`Shared::ensure_permit`].
+    pub fn take_permit(&self, work: Work) -> Option<Permit> {
+        self.permits.borrow_mut().take(work)
     }
 
-    /// Notes a send to the replica `key`; whether it is the first one there. Callers give each of their attempts an id of
-    /// its own, so that sends of other jobs need not be known.
-    pub fn is_first_send(&self, key: Key) -> bool {
+    /// Records a send to the replica `key`; returns whether it is the first one there. Each attempt
+    /// of a caller has its own id, so sends of other jobs do not matter.
+    pub fn record_first_send(&self, key: Key) -> bool {
         self.sent_to.borrow_mut().insert(key)
     }
 
-    /// The request for `replica`, which is to do `task`.
+    /// Builds the request to `replica` for `task`.
     ///
     /// # Errors
-    /// If its parts make no request.
-    pub fn request(
+    /// If the parts do not form a valid request.
+    pub fn build_request(
         &self,
         replica: &str,
         task: Task,
@@ -149,7 +149,7 @@
     ) -> Result<Request<Full<Bytes>>, http::Error> {
         let hop = Hop {
             replica,
-            left: self.left(),
+            left: self.time_left(),
             task,
             reservation,
             priority: self.customer().and_then(|customer| customer.priority),
@@ -157,13 +157,13 @@
         };
         let mut request = Request::builder()
             .method(self.method.clone())
-            .uri(path(&self.uri))
+            .uri(path_and_query(&self.uri))
             .body(Full::new(self.body.clone()))?;
         *request.headers_mut() = caller::headers(&self.headers, &hop);
         Ok(request)
     }
 
-    /// The customer whose it is.
+    /// The customer that sent the request.
     pub fn customer(&self) -> Option<&Customer> {
         match &self.owner {
             Owner::Customer(customer, _) => Some(customer),
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Its rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub fn priority(&self) -> u8 {
         let own = self.customer().and_then(|customer| customer.priority);
         own.unwrap_or(self.route.priority)
@@ -185,32 +185,32 @@
         }
     }
 
-    /// Tokens of the prompt; 0 if the caller does not tell.
-    pub fn prompt(&self) -> u64 {
+    /// Tokens of the prompt; 0 if the caller does not state them.
+    pub fn prompt_tokens(&self) -> u64 {
         self.call.tokens.unwrap_or_default().0
     }
 
-    /// Tokens of the prompt and, as far as can be told, of the answer.
-    pub fn tokens(&self) -> u64 {
+    /// Tokens of the prompt and the expected output.
+    pub fn expected_tokens(&self) -> u64 {
         let size = self.size(0);
         size.prompt + size.estimate
     }
 
-    /// What the generation asks of a decode replica, after `generated` tokens were generated.
+    /// What the generation needs at a decode replica after `generated` tokens.
     pub fn size(&self, generated: u64) -> Size {
-        let (prompt, max_tokens) = self.call.tokens.unwrap_or_default();
-        let estimate = self.call.expected_output.unwrap_or(max_tokens / 2);
+        let (prompt, max_output) = self.call.tokens.unwrap_or_default();
+        let estimate = self.call.expected_output.unwrap_or(max_output / 2);
         Size {
             prompt,
-            estimate: estimate.min(max_tokens),
-            max_tokens,
+            estimate: estimate.min(max_output),
+            max_tokens: max_output,
             generated,
         }
     }
 
-    /// Notes how the request ended.
+    /// Records and logs how the request ended.
     pub fn end(&mut self, outcome: &'static str, status: u16, cause: &str) {
-        self.done = true;
+        self.end_recorded = true;
         let ms = self.age().as_millis() as u64;
         self.shared.metrics.request(outcome);
         let customer = self.customer().map_or("", |customer| &customer.name);
@@ -219,14 +219,15 @@
     }
 }
 
-/// Path and query of a request: what replicas are sent of its URI, and what tells it from others.
-pub fn path(uri: &Uri) -> &str {
+/// Path and query of a request: the part of the URI that replicas receive, and that is part of the
+/// fingerprint.
+pub fn path_and_query(uri: &Uri) -> &str {
     uri.path_and_query().map_or("/", PathAndQuery::as_str)
 }
 
 impl Drop for Job {
     fn drop(&mut self) {
-        if !self.done {
+        if !self.end_recorded {
             self.end("caller-left", 0, "the caller closed the connection");
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,27 +4,26 @@
 //! platform; this crate holds sockets, timers, settings, logs and metrics. All work but the writing
 //! of log lines is done on one thread.
 
-pub mod asides;
-pub mod ask;
+pub mod auxiliary;
 pub mod body;
 pub mod callers;
 pub mod clock;
+pub mod connections;
+pub mod control;
 pub mod exchange;
-pub mod flow;
+pub mod forward;
 pub mod gossip;
 pub mod guard;
 pub mod instance_info;
 pub mod job;
 pub mod limit;
-pub mod links;
 pub mod listen;
 pub mod members;
 pub mod metrics;
-pub mod mover;
+pub mod migration;
 pub mod outbox;
-pub mod own;
 pub mod phase;
-pub mod place;
+pub mod placement;
 pub mod plain;
 pub mod poller_status;
 pub mod prefill;
@@ -33,6 +32,8 @@
 pub mod quota;
 pub mod quotas;
 pub mod reload;
+pub mod responses;
+pub mod run_tracking;
 pub mod search;
 pub mod send;
 pub mod settings;
@@ -42,8 +43,7 @@
 pub mod store;
 pub mod stream;
 pub mod target;
-pub mod track;
-pub mod turn;
+pub mod wait_queue;
 pub mod watch;
 
 use std::io;
@@ -135,19 +135,19 @@
     spawn_local(listen::serve(
         addresses,
         || AUXILIARY,
-        move |request| std::future::ready(asides::addresses(&state, &request)),
+        move |request| std::future::ready(auxiliary::addresses(&state, &request)),
     ));
     let state = Rc::clone(&shared);
     spawn_local(listen::serve(
         readiness,
         || AUXILIARY,
-        move |request| std::future::ready(asides::readiness(&state, &request)),
+        move |request| std::future::ready(auxiliary::readiness(&state, &request)),
     ));
     let state = Rc::clone(&shared);
     spawn_local(listen::serve(
         metrics,
         || AUXILIARY,
-        move |_| std::future::ready(asides::metrics(&state)),
+        move |_| std::future::ready(auxiliary::metrics(&state)),
     ));
     spawn_local(exchange::serve(Rc::clone(&shared), peers));
     spawn_local(exchange::poll_peers(Rc::clone(&shared)));
@@ -155,7 +155,7 @@
     spawn_local(watch::follow_replicas(Rc::clone(&shared)));
     spawn_local(watch::instances::follow(Rc::clone(&shared)));
     spawn_local(stages::run(Rc::clone(&shared)));
-    spawn_local(track::run(Rc::clone(&shared)));
+    spawn_local(run_tracking::run(Rc::clone(&shared)));
     spawn_local(quarantine::probe::run(Rc::clone(&shared)));
     spawn_local(quarantine::announce::run(Rc::clone(&shared)));
     spawn_local(quarantine::storage::run(Rc::clone(&shared)));
@@ -187,7 +187,7 @@
             shared.members.borrow_mut().join(now, clock::unix().0);
             log::info!(kind = "ready", plan = shared.plan_version(); "taking callers");
         }
-        shared.links.sweep();
+        shared.connections.close_expired();
         let started = shared.clock.now();
         sleep(HOUSEKEEPING_PERIOD).await;
         if let Some(time) = suspensions.check() {
--- a/crates/gateway/src/quarantine/probe.rs
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -10,9 +10,9 @@
 use relay::quarantine::LIMIT;
 use relay::server::Key;
 
-use crate::ask;
-use crate::ask::Presence;
 use crate::clock;
+use crate::control;
+use crate::control::Presence;
 use crate::shared::Shared;
 
 /// Pause between two probes of a replica that does not answer.
@@ -55,7 +55,7 @@
 async fn probe_presence(shared: &Shared, key: Key) -> Presence {
     let mut unanswered = 0;
     for number in 1..=MAX_PROBES {
-        match ask::presence(shared, key).await {
+        match control::probe(shared, key).await {
             Presence::Unknown if unanswered + 1 == MAX_UNANSWERED => return Presence::Unknown,
             Presence::Unknown => unanswered += 1,
             Presence::Closing => {}
--- a/crates/gateway/src/track.rs
+++ b/crates/gateway/src/run_tracking.rs
@@ -1,4 +1,5 @@
-//! The runs of this daemon: followed while they last, told to other daemons, moved when it is time.
+//! Tracks the runs of this daemon at decode replicas, reports them to other daemons, and orders
+//! migrations.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,27 +19,27 @@
 use crate::gossip;
 use crate::shared::Shared;
 
-/// Time between two looks at the memory of the replicas; a move has to be begun some hundred
-/// milliseconds before the memory ends.
-const LOOK: Duration = Duration::from_millis(50);
-/// Daemons that are told at most, besides those drawn by chance: those that have runs.
-const MAX_TOLD: usize = 16;
-/// Daemons drawn by chance in each round, so that those with runs find each other.
-const DRAWN: usize = 2;
+/// Interval of the memory checks; a migration has to start some hundred milliseconds before the
+/// memory of a replica is full.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Daemons with runs that claims are sent to at most, besides the random ones.
+const MAX_ACTIVE_PEERS: usize = 16;
+/// Random daemons that claims are sent to in each round, so that daemons with runs find each other.
+const RANDOM_PEERS: usize = 2;
 
-/// A run that this daemon follows; over when this is dropped.
+/// A tracked run; it ends when this is dropped.
 #[derive(Debug)]
-pub struct Track {
+pub struct TrackedRun {
     shared: Rc<Shared>,
     id: RunId,
-    /// Tokens in one event.
+    /// Tokens per event.
     event_tokens: u64,
     orders: watch::Receiver<Option<Key>>,
     complete: bool,
 }
 
-impl Track {
-    /// Notes that a run of `size` gets a place at `server`.
+impl TrackedRun {
+    /// Records that a run of `size` starts at `server`.
     pub fn new(
         shared: &Rc<Shared>,
         service: &str,
@@ -49,7 +50,7 @@
         let id = shared.runs.borrow_mut().begin(service, server, size);
         let (order, orders) = watch::channel(None);
         shared.move_targets.borrow_mut().insert(id, order);
-        shared.foresee(server);
+        shared.update_forecast(server);
         shared.runs_changed.notify_one();
         Self {
             shared: Rc::clone(shared),
@@ -60,20 +61,20 @@
         }
     }
 
-    /// Its id among the runs.
+    /// Id of the run.
     pub const fn id(&self) -> RunId {
         self.id
     }
 
-    /// Notes that the replica reads the prompt itself.
-    pub fn reads(&self, server: Key) {
+    /// Records that the replica prefills the prompt itself.
+    pub fn note_local_prefill(&self, server: Key) {
         self.shared.runs.borrow_mut().mark_prefilling(self.id);
-        self.shared.foresee(server);
+        self.shared.update_forecast(server);
         self.shared.runs_changed.notify_one();
     }
 
-    /// Notes that `events` events came.
-    pub fn events(&self, events: u64) {
+    /// Records that `events` events arrived.
+    pub fn record_events(&self, events: u64) {
         let now = self.shared.clock.now();
         let tokens = events * self.event_tokens;
         self.shared
@@ -82,22 +83,23 @@
             .record_tokens(now, self.id, tokens);
     }
 
-    /// Notes that the run goes on at `server`.
-    pub fn moved(&mut self, server: Key) {
+    /// Records that the run continues at `server`.
+    pub fn record_move(&mut self, server: Key) {
         self.shared.runs.borrow_mut().record_move(self.id, server);
         self.orders.mark_unchanged();
-        self.shared.foresee(server);
+        self.shared.update_forecast(server);
         self.shared.runs_changed.notify_one();
     }
 
-    /// Leaves the run where it is for `pause`.
-    pub fn settle(&self, pause: Duration) {
+    /// Excludes the run from migrations for `pause`.
+    pub fn block_moves(&self, pause: Duration) {
         let until = self.shared.clock.now() + pause;
         self.shared.runs.borrow_mut().block_moves(self.id, until);
     }
 
-    /// Notes that the replica did not move the run: no other is moved from there for `pause`.
-    pub fn keep(&self, pause: Duration) {
+    /// Records that the replica did not migrate the run, and excludes its other runs from
+    /// migrations for `pause`.
+    pub fn block_moves_from_replica(&self, pause: Duration) {
         let until = self.shared.clock.now() + pause;
         self.shared
             .runs
@@ -105,13 +107,13 @@
             .block_moves_from_replica(self.id, until);
     }
 
-    /// Notes that the run ended with its last event.
-    pub const fn complete(&mut self) {
+    /// Records that the run sent its last event.
+    pub const fn mark_complete(&mut self) {
         self.complete = true;
     }
 
-    /// Waits until the run is to go on elsewhere.
-    pub async fn ordered(&mut self) -> Key {
+    /// Waits until the run has to continue at another replica, and returns that replica.
+    pub async fn next_order(&mut self) -> Key {
         loop {
             if self.orders.changed().await.is_err() {
                 std::future::pending::<()>().await;
@@ -124,7 +126,7 @@
     }
 }
 
-impl Drop for Track {
+impl Drop for TrackedRun {
     fn drop(&mut self) {
         let now = self.shared.clock.now();
         let server = self.shared.runs.borrow().get(self.id).map(|run| run.server);
@@ -133,17 +135,17 @@
         runs.end(now, self.id, self.complete);
         drop(runs);
         if let Some(server) = server {
-            self.shared.foresee(server);
-            // Generations that wait here go before those of other daemons, which are told later: the
-            // room that one run leaves must not be taken by several.
+            self.shared.update_forecast(server);
+            // Generations waiting here go first, and other daemons learn of the free room later:
+            // otherwise several generations would take the room of one run.
             self.shared.capacity_changed.notify_waiters();
         }
     }
 }
 
 impl Shared {
-    /// Brings what the runs at `server` will hold up to date.
-    pub fn foresee(&self, server: Key) {
+    /// Updates the memory forecast of `server`.
+    pub fn update_forecast(&self, server: Key) {
         let now = self.clock.now();
         let (runs, claims) = (self.runs.borrow(), self.claims.borrow());
         self.pool
@@ -152,23 +154,23 @@
     }
 }
 
-/// Looks after the runs, forever.
+/// Checks and publishes the runs forever.
 pub async fn run(shared: Rc<Shared>) {
-    let mut teller = ClaimPublisher::new();
-    let mut next_look = Instant::now();
+    let mut publisher = ClaimPublisher::new();
+    let mut next_check = Instant::now();
     loop {
         let changed = shared.runs_changed.notified();
-        // What changed is told at once; the rest has its time.
-        let _ = timeout_at(next_look, changed).await;
-        if Instant::now() >= next_look {
-            next_look = Instant::now() + LOOK;
-            look(&shared);
+        // Changes are published at once, everything else at the next check.
+        let _ = timeout_at(next_check, changed).await;
+        if Instant::now() >= next_check {
+            next_check = Instant::now() + CHECK_INTERVAL;
+            check_memory(&shared);
         }
-        tell(&shared, &mut teller).await;
+        publish_claims(&shared, &mut publisher).await;
     }
 }
 
-fn look(shared: &Shared) {
+fn check_memory(shared: &Shared) {
     let now = shared.clock.now();
     shared.claims.borrow_mut().remove_expired(now);
     let (runs, claims) = (shared.runs.borrow(), shared.claims.borrow());
@@ -186,7 +188,7 @@
             let to = engine
                 .moves
                 .then(|| shared.choose_decode(service, &[from], ask))??;
-            // A move cannot wait for a limited replica to admit the request.
+            // A migration cannot wait for a limited replica to admit the request.
             (!shared.is_limited(to)).then_some(to)
         })
     };
@@ -197,28 +199,28 @@
     }
 }
 
-async fn tell(shared: &Shared, teller: &mut ClaimPublisher) {
+async fn publish_claims(shared: &Shared, publisher: &mut ClaimPublisher) {
     let now = shared.clock.now();
-    let due = teller.due(now, &shared.runs.borrow(), &shared.pool.borrow());
-    let Some(told) = due else { return };
-    for to in audience(shared) {
-        gossip::send_claims(shared, to, told.clone()).await;
+    let due = publisher.due(now, &shared.runs.borrow(), &shared.pool.borrow());
+    let Some(update) = due else { return };
+    for to in claim_recipients(shared) {
+        gossip::send_claims(shared, to, update.clone()).await;
     }
 }
 
-/// The daemons that are told: those that have runs, and some others.
-fn audience(shared: &Shared) -> Vec<SocketAddr> {
+/// The daemons to send claims to: those with runs, and some random ones.
+fn claim_recipients(shared: &Shared) -> Vec<SocketAddr> {
     let members = shared.members.borrow();
     let peers = members.peer_addresses();
-    if peers.len() <= MAX_TOLD {
+    if peers.len() <= MAX_ACTIVE_PEERS {
         return peers;
     }
     let claims = shared.claims.borrow();
     let active = claims
         .active_peers()
         .filter_map(|peer| members.peer_address(peer));
-    let mut to: Vec<SocketAddr> = active.take(MAX_TOLD).collect();
-    for drawn in peers.sample(&mut rand::rng(), DRAWN) {
+    let mut to: Vec<SocketAddr> = active.take(MAX_ACTIVE_PEERS).collect();
+    for drawn in peers.sample(&mut rand::rng(), RANDOM_PEERS) {
         if !to.contains(drawn) {
             to.push(*drawn);
         }
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -1,4 +1,4 @@
-//! Finding a decode replica that answers a generation.
+//! Finds a decode replica that answers a generation.
 
 use std::rc::Rc;
 
@@ -9,79 +9,79 @@
 use relay::server::Key;
 
 use crate::job::Job;
-use crate::place;
-use crate::place::Place;
+use crate::placement;
+use crate::placement::Placement;
 use crate::prefill;
+use crate::run_tracking::TrackedRun;
 use crate::send;
 use crate::send::Reply;
 use crate::shared::Shared;
-use crate::track::Track;
 
-/// Where a request was sent, and what the next replica is to do.
+/// Where a request was sent, and what the next replica has to do.
 #[derive(Debug)]
 pub struct Search<'a> {
-    /// What was sent so far.
+    /// The sends so far.
     pub attempt: &'a mut Attempt,
-    /// Replicas that it was sent to.
+    /// Replicas that received the request.
     pub tried: &'a mut Vec<Key>,
-    /// A place that was found already.
-    pub place: Option<Place>,
-    /// Id of the event after which the stream goes on.
+    /// A placement that is already available.
+    pub placement: Option<Placement>,
+    /// Id of the event after which the stream continues.
     pub last_event: Option<u64>,
-    /// Tokens that were made before.
-    pub made: u64,
+    /// Tokens generated so far.
+    pub generated: u64,
 }
 
-/// A replica's answer, and the run there if it is followed.
+/// A replica's answer, and the run there if it is tracked.
 #[derive(Debug)]
 pub struct Opened {
-    /// The answer's head, with what is needed to read the rest.
+    /// The answer's head, and what is needed to read the rest.
     pub reply: Reply,
-    /// The run.
-    pub track: Option<Track>,
+    /// The run at the replica.
+    pub tracked_run: Option<TrackedRun>,
 }
 
-/// Finds a replica that answers.
+/// Sends the request to decode replicas until one answers.
 ///
 /// # Errors
-/// What to tell the caller.
+/// How to answer the caller instead.
 pub async fn open(shared: &Rc<Shared>, job: &Job, search: Search<'_>) -> Result<Opened, Next> {
     let Search {
         attempt,
         tried,
-        mut place,
+        mut placement,
         last_event,
-        made,
+        generated,
     } = search;
-    let mut own_read = None;
+    let mut local_prefill = None;
     loop {
-        let found = match place.take() {
-            Some(place) => Some(place),
-            None => place::find(shared, job, tried, made).await,
+        let found = match placement.take() {
+            Some(placement) => Some(placement),
+            None => placement::find(shared, job, tried, generated).await,
         };
-        let Some(place) = found else {
-            return Err(without_place(attempt));
+        let Some(placement) = found else {
+            return Err(next_without_placement(attempt));
         };
-        let key = place.key();
-        let task = match &own_read {
+        let key = placement.key();
+        let task = match &local_prefill {
             Some(task) => Task::clone(task),
-            None => prefill::read(shared, job, key, last_event)
+            None => prefill::prefill_remotely(shared, job, key, last_event)
                 .await
                 .ok_or(Next::Refuse)?,
         };
         if matches!(task, Task::Answer | Task::Resume { .. }) {
-            place.reads();
+            placement.note_local_prefill();
         }
-        let Some(permit) = job.permit(Work::Run) else {
-            return Err(without_place(attempt));
+        let Some(permit) = job.take_permit(Work::Run) else {
+            return Err(next_without_placement(attempt));
         };
         tried.push(key);
         attempt.record_send();
-        let sent = send::send(shared, job, key, task, place.reservation(), permit);
+        let sent = send::send(shared, job, key, task, placement.reservation(), permit);
         let outcome = match sent.await {
             Ok(reply) => {
-                let track = place.used();
-                return Ok(Opened { reply, track });
+                let tracked_run = placement.into_run();
+                return Ok(Opened { reply, tracked_run });
             }
             Err(outcome) => outcome,
         };
@@ -89,13 +89,13 @@
             Next::Retry => {}
             next => return Err(next),
         }
-        // The KV cache may be gone; the next replica reads the prompt itself.
-        own_read = Some(prefill::own_read(last_event));
+        // The KV cache may be lost, so the next replica prefills the prompt itself.
+        local_prefill = Some(prefill::local_prefill_task(last_event));
     }
 }
 
-/// What the caller is told when nothing more can be sent.
-const fn without_place(attempt: &Attempt) -> Next {
+/// How to answer the caller when no further send is possible.
+const fn next_without_placement(attempt: &Attempt) -> Next {
     if attempt.may_have_run() {
         Next::Unknown
     } else {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -35,8 +35,8 @@
 use tokio::sync::watch;
 
 use crate::clock::Clock;
+use crate::connections::ConnectionPool;
 use crate::instance_info::InstanceInfo;
-use crate::links::Links;
 use crate::members::Members;
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
@@ -72,7 +72,7 @@
     /// Client of the store.
     pub store: Store,
     /// Connections to replicas.
-    pub links: Links,
+    pub connections: ConnectionPool,
     /// The other instances.
     pub members: RefCell<Members>,
     /// The replicas.
@@ -156,7 +156,7 @@
         Self {
             clock: Clock::new(),
             store: Store::new(settings.store, metrics.store_calls.clone()),
-            links: Links::new(),
+            connections: ConnectionPool::new(),
             members: RefCell::new(Members::new(own.clone())),
             pool: RefCell::new(Pool::new()),
             metrics,
--- a/crates/gateway/src/shared/customers.rs
+++ b/crates/gateway/src/shared/customers.rs
@@ -49,7 +49,7 @@
     /// Whether `job` may no longer be sent to a replica because the plan in force has withdrawn its
     /// API key from its customer. A stream that has begun continues to its end.
     pub fn is_revoked(&self, job: &Job) -> bool {
-        if job.answering.get() || self.plan_version() == job.plan {
+        if job.response_started.get() || self.plan_version() == job.plan {
             return false;
         }
         let Some(plan) = self.plan() else {
--- a/crates/gateway/src/shared/retries.rs
+++ b/crates/gateway/src/shared/retries.rs
@@ -21,7 +21,7 @@
 
     /// Whether `job` holds a permit for another run or the budget could grant one.
     pub fn can_retry(&self, job: &Job) -> bool {
-        if job.allowance.borrow().has(Work::Run) {
+        if job.permits.borrow().has(Work::Run) {
             return true;
         }
         let sharers = self.members.borrow().sharers();
@@ -32,7 +32,7 @@
 
     /// Takes a permit for `work` from the budget if `job` holds none; returns whether it holds one.
     pub fn ensure_permit(&self, job: &Job, work: Work) -> bool {
-        if job.allowance.borrow().has(work) {
+        if job.permits.borrow().has(work) {
             return true;
         }
         let service = &job.service;
@@ -46,13 +46,14 @@
         self.metrics.retries(service, granted);
         log::info!(kind = "retry", request = job.call.id, service = service, work = format!("{work:?}"), granted = granted, left = format!("{left:.1}"), sharers = sharers as u64; "requested a retry from the budget");
         if let Some(permit) = permit {
-            job.allowance.borrow_mut().put(work, permit);
+            job.permits.borrow_mut().put(work, permit);
         }
         granted
     }
 
     /// Takes the permit for `work` from `job`, which gets one from the budget if it holds none.
     pub fn take_permit(&self, job: &Job, work: Work) -> Option<Permit> {
-        self.ensure_permit(job, work).then(|| job.permit(work))?
+        self.ensure_permit(job, work)
+            .then(|| job.take_permit(work))?
     }
 }
--- a/crates/gateway/src/shared/store_state.rs
+++ b/crates/gateway/src/shared/store_state.rs
@@ -101,7 +101,7 @@
     fn drop_earlier_incarnation(&self, id: &str) {
         let address = self.pool.borrow().address(id);
         if let Some(address) = address {
-            self.links.forget(address);
+            self.connections.close_idle(address);
         }
         self.restarts.notify_waiters();
     }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -24,10 +24,10 @@
 use prometheus::IntCounterVec;
 use tokio::sync::Notify;
 
-use crate::links;
-use crate::links::Failure;
-use crate::links::Link;
-use crate::links::Links;
+use crate::connections;
+use crate::connections::Connection;
+use crate::connections::ConnectionPool;
+use crate::connections::Failure;
 
 /// Maximum size of an answer in bytes; the store limits rows to 1 MB, which base64 makes a third
 /// larger.
@@ -85,7 +85,7 @@
 pub struct Store {
     address: SocketAddr,
     /// Connections opened for later calls.
-    links: Rc<Links>,
+    connections: Rc<ConnectionPool>,
     calls: IntCounterVec,
     /// Notified when a call timed out, so that watches on connections of the same age do not wait
     /// for their own timeout.
@@ -97,7 +97,7 @@
     pub fn new(address: SocketAddr, calls: IntCounterVec) -> Self {
         Self {
             address,
-            links: Rc::new(Links::new()),
+            connections: Rc::new(ConnectionPool::new()),
             calls,
             timeouts: Notify::new(),
         }
@@ -185,10 +185,10 @@
     /// Opens a connection for a later call in the background. If it hangs together with connections
     /// of watches, the later call times out and the watches are abandoned.
     fn preconnect(&self) {
-        let (address, links) = (self.address, Rc::clone(&self.links));
+        let (address, connections) = (self.address, Rc::clone(&self.connections));
         tokio::task::spawn_local(async move {
-            match links::connect(address).await {
-                Ok(link) => links.keep(link, None),
+            match connections::connect(address).await {
+                Ok(connection) => connections.keep(connection, None),
                 Err(failure) => {
                     log::debug!(kind = "store", cause = format!("{failure:?}"); "failed to open a connection for a later call");
                 }
@@ -248,7 +248,7 @@
         match timeout(limit, self.exchange(step, request)).await {
             Ok(answer) => answer,
             Err(elapsed) => {
-                self.links.forget(self.address);
+                self.connections.close_idle(self.address);
                 self.timeouts.notify_waiters();
                 Err(no_answer(step, &elapsed))
             }
@@ -261,11 +261,14 @@
     async fn send(
         &self,
         request: Request<Full<Bytes>>,
-    ) -> Result<(Response<Incoming>, Link), Failure> {
-        let sent = self.links.send(self.address, request.clone(), false).await;
+    ) -> Result<(Response<Incoming>, Connection), Failure> {
+        let sent = self
+            .connections
+            .send(self.address, request.clone(), false)
+            .await;
         match sent {
             Err(Failure::Unreachable { .. } | Failure::NotSent { .. }) => {
-                self.links.send(self.address, request, false).await
+                self.connections.send(self.address, request, false).await
             }
             sent => sent,
         }
--- /dev/null
+++ b/crates/gateway/tests/soak/cluster.rs
@@ -0,0 +1,302 @@
+//! Runs the store, the replicas and the daemons of one seed.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::PoisonError;
+use std::sync::atomic::AtomicBool;
+use std::sync::atomic::AtomicU64;
+use std::sync::atomic::Ordering;
+use std::thread;
+use std::time::Duration;
+use std::time::Instant;
+
+use serde_json::json;
+
+use crate::common::daemon::Daemon;
+use crate::common::daemon::new_ip;
+use crate::common::daemon::wait_until;
+use crate::common::replica::Action;
+use crate::common::replica::Replica;
+use crate::common::replica::stream_head;
+use crate::common::store;
+use crate::common::store::Store;
+use crate::customer;
+use crate::history::History;
+use crate::limit;
+use crate::proxy::ConnectionFault;
+use crate::proxy::Proxy;
+use crate::script;
+use crate::script::RandomSource;
+
+/// Number of daemons.
+pub const DAEMONS: usize = 3;
+/// Path of the request that ends each decode replica that runs it.
+pub const FATAL: &str = "/draft/fatal";
+/// Fraction of the ended replicas whose address refuses connections; the others accept and close them.
+const REFUSING_FRACTION: f64 = 0.7;
+/// Application replicas whose number is a multiple of this have a rate limit.
+const LIMITED_REPLICA_INTERVAL: u64 = 3;
+/// Time after a disturbance of a daemon in which new requests to it are excused from being answered in time.
+const DISTURBANCE_MARGIN: Duration = Duration::from_secs(3);
+
+/// An instance, which keeps its address when its process is replaced.
+#[derive(Debug)]
+pub struct Instance {
+    name: String,
+    ip: String,
+    /// Address for requests of callers.
+    pub callers: SocketAddr,
+    /// Proxy for its connections to the store.
+    pub store_proxy: Proxy,
+    /// Current process.
+    pub daemon: Mutex<Daemon>,
+    /// Times at which its process was started, paused, resumed, killed or stopped.
+    disturbances: Mutex<Vec<Instant>>,
+}
+
+/// A replica, the proxy in front of it, its service and its stage.
+type ReplicaEntry = (Replica, Proxy, &'static str, &'static str);
+
+/// Kills the daemons of a cluster when dropped, also after a panic while other threads still hold the cluster.
+pub struct KillOnDrop(pub Cluster);
+
+impl Drop for KillOnDrop {
+    fn drop(&mut self) {
+        self.0.stop_callers();
+        for instance in self.0.instances.iter() {
+            let mut daemon = instance
+                .daemon
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            daemon.kill();
+        }
+    }
+}
+
+/// All parts of one run.
+#[derive(Clone)]
+pub struct Cluster {
+    /// Observations of callers and replicas.
+    pub history: Arc<History>,
+    /// Store that all daemons read.
+    pub store: Store,
+    /// Instances that callers use.
+    pub instances: Arc<Vec<Instance>>,
+    /// Replicas that have neither ended nor begun to drain.
+    pub replicas: Arc<Mutex<Vec<ReplicaEntry>>>,
+    version: Arc<AtomicU64>,
+    callers_stopped: Arc<AtomicBool>,
+    replica_count: Arc<AtomicU64>,
+    seed: u64,
+    /// Whether second answers are the only fault of the run.
+    pub only_second_answers: bool,
+}
+
+impl Cluster {
+    /// Starts all parts and waits until the daemons are ready.
+    pub fn start(seed: u64, only_second_answers: bool) -> Self {
+        let (store, address) = Store::start("127.0.0.1");
+        let ips: Vec<String> = (0..DAEMONS).map(|_| new_ip()).collect();
+        let cluster = Self {
+            history: Arc::default(),
+            store,
+            instances: Arc::new(
+                ips.iter()
+                    .map(|ip| start_instance(ip, &ips, address, seed))
+                    .collect(),
+            ),
+            replicas: Arc::default(),
+            version: Arc::new(AtomicU64::new(0)),
+            callers_stopped: Arc::default(),
+            replica_count: Arc::default(),
+            seed,
+            only_second_answers,
+        };
+        cluster.change_config();
+        for (count, service, stage) in [(3, "app", ""), (2, "llm", "prefill"), (3, "llm", "decode")]
+        {
+            for _ in 0..count {
+                cluster.add_replica(service, stage);
+            }
+        }
+        for instance in cluster.instances.iter() {
+            instance.daemon.lock().unwrap().wait_until_ready();
+        }
+        cluster
+    }
+
+    /// Writes a configuration with a higher version and the same routes.
+    pub fn change_config(&self) {
+        let version = self.version.fetch_add(3, Ordering::SeqCst) + 3;
+        let mut config = store::config(version, 3_000, 600);
+        config["tenants"] = customer::config();
+        self.store.put("op", "config", &config);
+    }
+
+    /// Starts a replica behind a proxy and lists it in the store.
+    pub fn add_replica(&self, service: &'static str, stage: &'static str) {
+        let number = self.replica_count.fetch_add(1, Ordering::SeqCst);
+        let id = format!("i-{number}");
+        let random = RandomSource::new(self.seed * 977 + number, self.only_second_answers);
+        let second_answer_random = RandomSource::new(self.seed * 983 + number, false);
+        let cluster = self.clone();
+        let own_id = id.clone();
+        let is_limited = stage.is_empty() && number.is_multiple_of(LIMITED_REPLICA_INTERVAL);
+        let replica = Replica::start(&id, move |request| {
+            let (draw, malformed_draw) = random.draw();
+            if request.path() == FATAL {
+                cluster.history.record_fatal_send(stage == "decode");
+            }
+            cluster.history.check_arrival(request);
+            if stage == "decode" {
+                cluster
+                    .history
+                    .check_cache_and_reservation(&own_id, request);
+            }
+            if request.path() == FATAL && stage == "decode" {
+                cluster.end_replica(&own_id, draw);
+                return Action::Crash(stream_head(request));
+            }
+            let action =
+                script::choose_action(&cluster.history, stage, request, (draw, malformed_draw));
+            if !is_limited || request.path().starts_with("/api/") {
+                return action;
+            }
+            cluster.history.record_limited_arrival(&own_id);
+            limit::add_limit_header(action)
+        });
+        let history = Arc::clone(&self.history);
+        replica.set_second_answers(move |_| {
+            script::second_answer(second_answer_random.draw())
+                .inspect(|_| history.record_second_answer())
+        });
+        let proxy = Proxy::start(replica.address);
+        let mut row = replica.row(service, stage);
+        row["addr"] = json!(proxy.address);
+        self.store.put("servers", &id, &row);
+        let entry = (replica, proxy, service, stage);
+        self.replicas.lock().unwrap().push(entry);
+    }
+
+    /// Ends the replica `id`; `draw` decides whether its address then refuses connections or closes them. After 0.3 to
+    /// 1.3 s, another replica takes its place in the store.
+    fn end_replica(&self, id: &str, draw: f64) {
+        let mut replicas = self.replicas.lock().unwrap();
+        let index = replicas.iter().position(|(replica, ..)| replica.id == id);
+        let Some(index) = index else { return };
+        let (_, proxy, ..) = replicas.remove(index);
+        drop(replicas);
+        if draw < REFUSING_FRACTION {
+            proxy.stop();
+        }
+        let cluster = self.clone();
+        let id = id.to_owned();
+        thread::spawn(move || {
+            thread::sleep(Duration::from_secs_f64(0.3 + draw));
+            cluster.store.remove("servers", &id);
+            cluster.add_replica("llm", "decode");
+        });
+    }
+
+    /// Marks the replica at `index` as draining and adds another one.
+    pub fn replace_replica(&self, index: usize) {
+        let mut replicas = self.replicas.lock().unwrap();
+        if index >= replicas.len() {
+            return;
+        }
+        let (replica, proxy, service, stage) = replicas.remove(index);
+        let mut row = replica.row(service, stage);
+        row["addr"] = json!(proxy.address);
+        row["state"] = "draining".into();
+        // Under the lock, so that the row of an ended replica is not written again.
+        self.store.put("servers", &replica.id, &row);
+        drop(replicas);
+        self.add_replica(service, stage);
+    }
+
+    /// Ends the faults of the store and of all proxies.
+    pub fn clear_faults(&self) {
+        self.store.set_down(false);
+        for instance in self.instances.iter() {
+            instance.store_proxy.set_fault(ConnectionFault::None);
+        }
+        for (_, proxy, ..) in self.replicas.lock().unwrap().iter() {
+            proxy.set_fault(ConnectionFault::None);
+        }
+    }
+
+    /// Number of answers that the current processes rejected as another request's.
+    pub fn rejected_answers(&self) -> usize {
+        let instances = self.instances.iter();
+        let counts = instances.map(|instance| {
+            let daemon = instance.daemon.lock().unwrap();
+            daemon.logged("answer is another request's").len()
+        });
+        counts.sum()
+    }
+
+    /// Returns the disturbance times of each daemon, including its starts.
+    pub fn disturbances(&self) -> Vec<Vec<Instant>> {
+        let instances = self.instances.iter();
+        let times = instances.map(|instance| instance.disturbances.lock().unwrap().clone());
+        times.collect()
+    }
+
+    /// Stops the callers after their current request.
+    pub fn stop_callers(&self) {
+        self.callers_stopped.store(true, Ordering::SeqCst);
+    }
+
+    /// Whether callers have to stop.
+    pub fn callers_stopped(&self) -> bool {
+        self.callers_stopped.load(Ordering::SeqCst)
+    }
+}
+
+impl Instance {
+    /// Records that its process is started, paused, resumed, killed or stopped now.
+    pub fn record_disturbance(&self) {
+        self.disturbances.lock().unwrap().push(Instant::now());
+    }
+
+    /// Whether its process was disturbed after `start`, or less than `DISTURBANCE_MARGIN` before.
+    pub fn was_disturbed_since(&self, start: Instant) -> bool {
+        let disturbances = self.disturbances.lock().unwrap();
+        let last = disturbances.last();
+        last.is_some_and(|last| *last + DISTURBANCE_MARGIN > start)
+    }
+
+    /// Starts a new process at its address.
+    pub fn start(&self) -> Daemon {
+        let daemon = Daemon::start_with_settings(
+            &self.name,
+            &self.ip,
+            self.store_proxy.address,
+            &[],
+            &customer::settings(),
+        );
+        // Until it logs this, the process has not installed its signal handlers.
+        wait_until("the daemon starts", || {
+            !daemon.logged("starting").is_empty()
+        });
+        self.record_disturbance();
+        daemon
+    }
+}
+
+fn start_instance(ip: &str, ips: &[String], store: SocketAddr, seed: u64) -> Instance {
+    let store_proxy = Proxy::start(store);
+    let name = format!("soak-{seed}-{}", ip.rsplit('.').next().unwrap_or_default());
+    let seeds: Vec<&str> = ips.iter().map(String::as_str).collect();
+    let settings = format!("first_start: true\n{}", customer::settings());
+    let daemon = Daemon::start_with_settings(&name, ip, store_proxy.address, &seeds, &settings);
+    Instance {
+        callers: daemon.callers,
+        daemon: Mutex::new(daemon),
+        name,
+        ip: ip.to_owned(),
+        store_proxy,
+        disturbances: Mutex::new(vec![Instant::now()]),
+    }
+}
--- a/crates/gateway/tests/soak/proxy.rs
+++ b/crates/gateway/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that harms the connections that go through it.
+//! A loopback proxy that injects faults into the connections through it.
 
 use std::io::Read;
 use std::io::Write;
@@ -14,99 +14,106 @@
 
 use crate::common::http::Server;
 
-/// What happens to connections.
+/// Fault of the connections through a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Harm {
-    /// Nothing.
+pub enum ConnectionFault {
+    /// No fault.
     None,
-    /// Bytes take longer, both ways.
+    /// Delays bytes in both directions.
     Delay(Duration),
-    /// Connections are reset as soon as bytes come.
+    /// Resets connections as soon as bytes arrive.
     Reset,
-    /// Bytes wait until the harm is over, both ways.
-    Silence,
-    /// The same, on the way back only.
-    OneWay,
+    /// Holds bytes back in both directions until the fault ends.
+    Stall,
+    /// Holds back only bytes from the target.
+    StallReplies,
 }
 
 /// A proxy for one address.
 #[derive(Debug, Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    harm: Arc<Mutex<Harm>>,
+    fault: Arc<Mutex<ConnectionFault>>,
     server: Server,
 }
 
 impl Proxy {
-    /// A proxy for `target`.
+    /// Starts a proxy for `target`.
     pub fn start(target: SocketAddr) -> Self {
-        let harm = Arc::new(Mutex::new(Harm::None));
-        let shared = Arc::clone(&harm);
+        let fault = Arc::new(Mutex::new(ConnectionFault::None));
+        let shared = Arc::clone(&fault);
         let server = Server::start("127.0.0.1", move |socket| {
-            let Ok(other) = TcpStream::connect(target) else {
+            let Ok(target_socket) = TcpStream::connect(target) else {
                 return;
             };
-            let (Ok(from), Ok(to)) = (socket.try_clone(), other.try_clone()) else {
+            let (Ok(from), Ok(to)) = (socket.try_clone(), target_socket.try_clone()) else {
                 return;
             };
-            let harm = Arc::clone(&shared);
-            let back = thread::spawn(move || copy(other, from, &harm, true));
+            let fault = Arc::clone(&shared);
+            let replies = thread::spawn(move || forward(target_socket, from, &fault, true));
             if let Ok(socket) = socket.try_clone() {
-                copy(socket, to, &shared, false);
+                forward(socket, to, &shared, false);
             }
-            drop(back.join());
+            drop(replies.join());
         });
         let address = server.address;
         Self {
             address,
-            harm,
+            fault,
             server,
         }
     }
 
-    /// Closes its port, as the end of what is behind it does.
+    /// Closes its port and connections, as when the process behind it ends.
     pub fn stop(&self) {
         self.server.stop();
     }
 
-    /// Harms connections from now on.
-    pub fn set(&self, harm: Harm) {
-        *self.harm.lock().unwrap() = harm;
+    /// Applies `fault` to all connections from now on.
+    pub fn set_fault(&self, fault: ConnectionFault) {
+        *self.fault.lock().unwrap() = fault;
     }
 }
 
-fn copy(mut from: TcpStream, mut to: TcpStream, harm: &Mutex<Harm>, back: bool) {
+fn forward(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    fault: &Mutex<ConnectionFault>,
+    from_target: bool,
+) {
     let mut buffer = [0; 16 * 1024];
     while let Ok(count) = from.read(&mut buffer) {
-        if count == 0 || !pass(harm, back) {
+        if count == 0 || !apply_fault(fault, from_target) {
             break;
         }
         if to.write_all(&buffer[..count]).is_err() {
             break;
         }
     }
-    if *harm.lock().unwrap() == Harm::Reset {
-        // Closing with this set resets the connection.
+    if *fault.lock().unwrap() == ConnectionFault::Reset {
+        // With a linger time of zero, closing resets the connection.
         drop(SockRef::from(&to).set_linger(Some(Duration::ZERO)));
     }
     drop(to.shutdown(Shutdown::Both));
     drop(from.shutdown(Shutdown::Both));
 }
 
-/// Waits as the harm asks; `false` if the connection is to be reset.
-fn pass(harm: &Mutex<Harm>, back: bool) -> bool {
+/// Waits as the current fault requires; returns `false` if the connection has to be reset.
+fn apply_fault(fault: &Mutex<ConnectionFault>, from_target: bool) -> bool {
     loop {
-        let now = *harm.lock().unwrap();
-        match now {
-            Harm::None => return true,
-            Harm::Reset => return false,
-            Harm::Delay(span) => {
-                thread::sleep(span);
+        let current = *fault.lock().unwrap();
+        match current {
+            ConnectionFault::None => return true,
+            ConnectionFault::Reset => return false,
+            ConnectionFault::Delay(delay) => {
+                thread::sleep(delay);
                 return true;
             }
-            Harm::OneWay if !back => return true,
-            Harm::Silence | Harm::OneWay => thread::sleep(Duration::from_millis(20)),
+            ConnectionFault::StallReplies if !from_target => return true,
+            ConnectionFault::Stall | ConnectionFault::StallReplies => {
+                thread::sleep(Duration::from_millis(20));
+            }
         }
     }
 }
--- a/crates/ledger/src/order.rs
+++ b/crates/ledger/src/reassembly.rs
@@ -1,15 +1,15 @@
-//! Putting the pieces of a stream in order.
+//! Reassembles a token stream from runs that arrive out of order.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
 
-/// Most pieces kept while an earlier one is missing.
+/// Most runs stored while an earlier one is missing.
 pub const MAX_EARLY: usize = 64;
 
-/// A run of tokens.
+/// Consecutive tokens of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Run {
+pub struct TokenRun {
     /// Index of the first token.
     pub offset: u32,
     /// Number of tokens.
@@ -18,28 +18,28 @@
     pub text: Bytes,
 }
 
-/// What became of an arriving piece.
+/// How an arriving run was handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
-    /// It, and perhaps earlier arrivals after it, can be delivered.
+    /// It can be delivered, perhaps together with stored runs that follow it.
     Ready,
-    /// It is kept until what is before it arrives.
+    /// It is stored until the runs before it arrive.
     Early,
-    /// All of it was delivered before.
+    /// It had been delivered completely.
     Repeated,
-    /// It overlaps what was delivered, or too much waits: the stream must be read anew.
+    /// It overlaps delivered tokens, or too many runs are stored: the stream must be read again.
     Broken,
 }
 
-/// Delivers each token once and in order.
+/// Delivers each token exactly once and in order.
 #[derive(Debug, Clone, Default)]
-pub struct Sequence {
+pub struct Reassembler {
     delivered: u32,
-    early: BTreeMap<u32, Run>,
+    early: BTreeMap<u32, TokenRun>,
 }
 
-impl Sequence {
-    /// A sequence whose first `delivered` tokens the caller already has.
+impl Reassembler {
+    /// A reassembler for a stream whose first `delivered` tokens the caller already has.
     pub fn new(delivered: u32) -> Self {
         Self {
             delivered,
@@ -52,8 +52,8 @@
         self.delivered
     }
 
-    /// Takes a piece; what can be delivered now is appended to `out`.
-    pub fn arrive(&mut self, run: Run, out: &mut Vec<Run>) -> Arrival {
+    /// Accepts a run; runs that can be delivered now are appended to `out`.
+    pub fn push(&mut self, run: TokenRun, out: &mut Vec<TokenRun>) -> Arrival {
         let end = run.offset.saturating_add(run.count);
         if end <= self.delivered {
             return Arrival::Repeated;
@@ -62,20 +62,20 @@
             return Arrival::Broken;
         }
         if run.offset > self.delivered {
-            return self.keep(run);
+            return self.store_early(run);
         }
         self.delivered = end;
         out.push(run);
-        self.follow(out);
+        self.deliver_early(out);
         Arrival::Ready
     }
 
-    /// Forgets pieces that wait; the stream is read anew from `delivered`.
+    /// Drops stored runs, before the stream is read again from `delivered`.
     pub fn reset(&mut self) {
         self.early.clear();
     }
 
-    fn keep(&mut self, run: Run) -> Arrival {
+    fn store_early(&mut self, run: TokenRun) -> Arrival {
         if self.early.len() >= MAX_EARLY {
             return Arrival::Broken;
         }
@@ -83,7 +83,7 @@
         Arrival::Early
     }
 
-    fn follow(&mut self, out: &mut Vec<Run>) {
+    fn deliver_early(&mut self, out: &mut Vec<TokenRun>) {
         while let Some(run) = self.early.remove(&self.delivered) {
             self.delivered = self.delivered.saturating_add(run.count);
             out.push(run);
--- a/crates/node/src/endings.rs
+++ b/crates/node/src/endings.rs
@@ -1,68 +1,69 @@
-//! The end of a request: its caller, its key and its holds.
+//! Ends of requests: answer to the caller, record of the key and release of holds.
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use ledger::keys::Mark;
+use ledger::keys::KeyState;
 use route::phase::Phase;
 
 use crate::action::Action;
+use crate::action::CallerMessage;
 use crate::action::Count;
 use crate::action::Outcome;
 use crate::action::Reason;
-use crate::action::Tell;
 use crate::decision::Step;
 use crate::node::Node;
 use crate::open::End;
-use crate::open::OpenKey;
+use crate::open::OpenId;
 
 impl Node {
-    /// Ends a request without an answer, with the outcome that is true for it.
+    /// Ends a request without an answer, with its actual outcome.
     pub(crate) fn give_up(
         &mut self,
-        opened: OpenKey,
+        open_id: OpenId,
         reason: Reason,
         after: Duration,
         out: &mut Vec<Action>,
     ) {
-        let entry = &self.requests.open[opened];
+        let entry = &self.requests.open[open_id];
         let elsewhere = entry.is_keyed() && entry.repeatable && !self.may_decide();
         let outcome = match () {
             () if elsewhere => Outcome::Unknown,
-            () if !entry.is_touched() => Outcome::NotRun,
+            () if !entry.may_have_reached() => Outcome::NotRun,
             () if entry.repeatable => Outcome::Failed,
             () => Outcome::Unknown,
         };
         let refusal = Self::refusal(outcome, reason, after);
-        self.end(opened, &End::Refused(refusal), out);
+        self.end(open_id, &End::Refused(refusal), out);
     }
 
-    /// Counts the prefill work of an attempt that comes to nothing.
-    pub(crate) fn waste(&mut self, opened: OpenKey, out: &mut Vec<Action>) {
-        let computed = std::mem::take(&mut self.requests.open[opened].computed);
+    /// Counts the unused prefill work of an attempt as wasted.
+    pub(crate) fn count_wasted(&mut self, open_id: OpenId, out: &mut Vec<Action>) {
+        let computed = std::mem::take(&mut self.requests.open[open_id].computed);
         if computed > 0 {
             out.push(Action::Count(Count::Wasted(computed)));
         }
     }
 
-    /// Ends a request: tells its caller and all who asked, remembers its key, releases its holds.
-    pub(crate) fn end(&mut self, opened: OpenKey, end: &End, out: &mut Vec<Action>) {
+    /// Ends a request: answers its caller and waiting peers, records the outcome of its key and
+    /// releases its holds.
+    pub(crate) fn end(&mut self, open_id: OpenId, end: &End, out: &mut Vec<Action>) {
         let superseded = matches!(end, End::Superseded);
         match end {
             End::Streamed { tokens } => {
-                self.advance(opened, Phase::Finished { tokens: *tokens }, out);
+                self.report_phase(open_id, Phase::Finished { tokens: *tokens }, out);
             }
-            End::Answered { .. } => self.advance(opened, Phase::Finished { tokens: 0 }, out),
-            End::Refused(_) => self.advance(opened, Phase::Gone, out),
+            End::Answered { .. } => self.report_phase(open_id, Phase::Finished { tokens: 0 }, out),
+            End::Refused(_) => self.report_phase(open_id, Phase::Gone, out),
             End::Superseded => (),
         }
         if !matches!(end, End::Streamed { .. }) {
-            self.waste(opened, out);
+            self.count_wasted(open_id, out);
         }
-        self.remember_end(opened, end);
-        self.tell_askers(opened, end, out);
-        self.tell_end(opened, end, out);
-        let Some(entry) = self.requests.open.remove(opened) else {
+        self.record_key_outcome(open_id, end);
+        self.answer_waiting_peers(open_id, end, out);
+        self.send_end(open_id, end, out);
+        let Some(entry) = self.requests.open.remove(open_id) else {
             return;
         };
         self.requests.by_handle.remove(&entry.ticket.handle);
@@ -82,40 +83,42 @@
         }
     }
 
-    fn remember_end(&mut self, opened: OpenKey, end: &End) {
-        let entry = &self.requests.open[opened];
+    fn record_key_outcome(&mut self, open_id: OpenId, end: &End) {
+        let entry = &self.requests.open[open_id];
         let Some(key) = entry.key.clone() else {
             return;
         };
-        let token = self.token_of(opened);
-        let entry = &self.requests.open[opened];
+        let token = self.resume_token(open_id);
+        let entry = &self.requests.open[open_id];
         let now = self.unix_s();
-        let mark = match end {
+        let state = match end {
             End::Answered { status, body } => {
                 if !entry.repeatable {
                     self.requests.journal.push(&key, *status, body);
                 }
                 let kept = (body.len() <= ledger::keys::MAX_BODY).then(|| body.clone());
-                Some(Mark::Answered {
+                Some(KeyState::Answered {
                     status: *status,
                     body: kept,
                 })
             }
-            End::Streamed { .. } | End::Superseded => token.map(|token| Mark::Streamed { token }),
+            End::Streamed { .. } | End::Superseded => {
+                token.map(|token| KeyState::Streamed { token })
+            }
             End::Refused(refusal) => match refusal.outcome {
                 Outcome::NotRun => None,
-                Outcome::Unknown => Some(Mark::Unknown),
-                Outcome::Failed => Some(Mark::Failed),
+                Outcome::Unknown => Some(KeyState::Unknown),
+                Outcome::Failed => Some(KeyState::Failed),
             },
         };
-        match mark {
-            Some(mark) => self.requests.keys.mark(now, &key, mark),
+        match state {
+            Some(state) => self.requests.keys.set(now, &key, state),
             None => self.requests.keys.forget(&key),
         }
     }
 
-    fn tell_end(&mut self, opened: OpenKey, end: &End, out: &mut Vec<Action>) {
-        let entry = &self.requests.open[opened];
+    fn send_end(&mut self, open_id: OpenId, end: &End, out: &mut Vec<Action>) {
+        let entry = &self.requests.open[open_id];
         let label = entry.label();
         let call = entry.call;
         let (word, reason) = match end {
@@ -128,26 +131,29 @@
             End::Refused(refusal) => (refusal.outcome.word(), refusal.reason.word().to_owned()),
         };
         self.log(&label, Step::End, word, &reason, out);
-        let (count, tell) = match end {
+        let (count, message) = match end {
             End::Answered { status, body } => (
                 Some(Count::Answered),
-                Tell::Answer {
+                CallerMessage::Answer {
                     status: *status,
                     body: Bytes::clone(body),
                     repeated: false,
                 },
             ),
-            End::Streamed { tokens } => (Some(Count::Answered), Tell::Done { tokens: *tokens }),
-            End::Superseded => (None, Tell::Superseded),
+            End::Streamed { tokens } => (
+                Some(Count::Answered),
+                CallerMessage::Done { tokens: *tokens },
+            ),
+            End::Superseded => (None, CallerMessage::Superseded),
             End::Refused(refusal) => (
                 Some(Count::Refused(refusal.outcome)),
-                Tell::Refusal(refusal.clone()),
+                CallerMessage::Refusal(refusal.clone()),
             ),
         };
         out.extend(count.map(Action::Count));
         if matches!(end, End::Answered { .. } | End::Streamed { .. }) {
-            self.count_targets(opened, out);
+            self.count_targets(open_id, out);
         }
-        out.extend(call.map(|call| Action::Tell { call, tell }));
+        out.extend(call.map(|call| Action::SendToCaller { call, message }));
     }
 }
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeper.rs
@@ -1,7 +1,7 @@
-//! The keeper's work: one queue a pool.
+//! Keeper of pools: queues and places the requests of a pool.
 //!
-//! A pool's keeper is the live instance that rendezvous hashing names. It keeps soft state only: a
-//! new keeper learns what is placed from the owners, and what runs from the replicas.
+//! The keeper of a pool is the live instance selected by rendezvous hashing. Its state is soft: a
+//! new keeper gets placed requests from their owners and running work from the replicas.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use ident::Replica;
 use ident::Time;
 use rand::Rng;
-use route::cell::Cell;
-use route::cell::Hold;
 use route::phase::Phase;
 use route::replica::Member;
 use route::rule::Rule;
+use route::scheduler::Hold;
+use route::scheduler::Scheduler;
 use route::ticket::Ticket;
 use table::row::Row;
 use wire::Body;
@@ -25,19 +25,19 @@
 use crate::action::Action;
 use crate::decision::Step;
 use crate::event::Inspection;
-use crate::kept::Kept;
-use crate::kept::Placed;
+use crate::kept_pool::KeptPool;
+use crate::kept_pool::Placed;
 use crate::node::Node;
 
-/// Time in which a new keeper of a pool places nothing, so that owners can report first.
-const SETTLE: Duration = Duration::from_secs(1);
-/// Parts into which the inspections of a period are spread.
+/// Time during which a new keeper places nothing, so that owners can report first.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+/// Number of rounds over which the inspections of a period are spread.
 const INSPECT_PARTS: u64 = 5;
-/// Time without an answer to inspections after which a replica counts as lost.
-const SILENCE: Duration = Duration::from_millis(750);
+/// Time without an answer to inspections after which a replica is considered lost.
+const LOST_AFTER: Duration = Duration::from_millis(750);
 
 impl Node {
-    /// The keeper of `pool`; this daemon itself if every instance is leaving.
+    /// Returns the keeper of `pool`; this daemon if every instance is leaving.
     pub(crate) fn keeper_of(&self, pool: Pool) -> Instance {
         self.members
             .fleet
@@ -49,14 +49,14 @@
         self.keeper_of(pool) == self.settings.instance
     }
 
-    /// Follows changes of membership and list: begins and ends keeping, and tells new keepers what
-    /// this daemon has placed with them.
+    /// Updates the keepers after changes of membership and list, and reports this daemon's requests
+    /// to new keepers.
     pub(crate) fn reassign(&mut self, out: &mut Vec<Action>) {
         let mut pools: Vec<Pool> = self
             .replicas
-            .backends
+            .listed
             .values()
-            .map(|backend| backend.pool)
+            .map(|listed| listed.pool)
             .collect();
         pools.extend(self.requests.open.values().map(|entry| entry.pool));
         pools.sort_unstable();
@@ -64,12 +64,12 @@
         for pool in pools {
             let owner = self.keeper_of(pool);
             if self.pools.keepers.insert(pool, owner) != Some(owner) {
-                self.keeper_moved(pool, owner, out);
+                self.keeper_changed(pool, owner, out);
             }
         }
     }
 
-    fn keeper_moved(&mut self, pool: Pool, owner: Instance, out: &mut Vec<Action>) {
+    fn keeper_changed(&mut self, pool: Pool, owner: Instance, out: &mut Vec<Action>) {
         let name = self.tables.rows.pool_name(pool);
         self.log(
             &name,
@@ -79,68 +79,69 @@
             out,
         );
         if owner == self.settings.instance {
-            self.begin_keeping(pool, name);
+            self.start_keeping(pool, name);
         } else {
-            self.pools.cells.remove(&pool);
+            self.pools.kept.remove(&pool);
         }
         let mine = self.requests.open_where(|entry| entry.pool == pool);
-        for opened in mine {
-            if self.requests.open[opened].place.is_some() {
-                self.tell_keeper_adopted(opened, out);
+        for open_id in mine {
+            if self.requests.open[open_id].placement.is_some() {
+                self.notify_keeper(open_id, out);
             } else {
-                self.submit(opened, out);
+                self.submit(open_id, out);
             }
         }
     }
 
-    fn begin_keeping(&mut self, pool: Pool, name: String) {
-        let mut cell = Cell::new(route::settings::Settings::default(), self.rng.next_u64());
+    fn start_keeping(&mut self, pool: Pool, name: String) {
+        let mut scheduler =
+            Scheduler::new(route::settings::Settings::default(), self.rng.next_u64());
         let alone = self
             .members
             .fleet
             .alive()
             .all(|member| member.instance == self.settings.instance);
-        let settle = if alone { Duration::ZERO } else { SETTLE };
+        let settle = if alone { Duration::ZERO } else { SETTLE_TIME };
         if !alone {
-            cell.takeover(self.now);
+            scheduler.begin_takeover(self.now);
         }
-        let kept = Kept {
+        let kept = KeptPool {
             name,
-            cell,
+            scheduler,
             ready: self.now + settle,
             placed: BTreeMap::new(),
-            watches: BTreeMap::new(),
+            health: BTreeMap::new(),
             orphans: BTreeMap::new(),
             generation: 0,
         };
-        self.pools.cells.insert(pool, kept);
-        self.refresh_cell(pool);
+        self.pools.kept.insert(pool, kept);
+        self.refresh_scheduler(pool);
         self.timers.inspect = self.now;
-        self.timers.cells = self.now;
+        self.timers.schedulers = self.now;
     }
 
-    /// Puts list and table in force in every kept pool.
-    pub(crate) fn refresh_cells(&mut self) {
-        let pools: Vec<Pool> = self.pools.cells.keys().copied().collect();
+    /// Applies the list and the table to every kept pool.
+    pub(crate) fn refresh_schedulers(&mut self) {
+        let pools: Vec<Pool> = self.pools.kept.keys().copied().collect();
         for pool in pools {
-            self.refresh_cell(pool);
+            self.refresh_scheduler(pool);
         }
-        self.timers.cells = self.now;
+        self.timers.schedulers = self.now;
     }
 
-    fn refresh_cell(&mut self, pool: Pool) {
+    fn refresh_scheduler(&mut self, pool: Pool) {
         let now = self.now;
         let members: Vec<Member> = self
             .replicas
-            .backends
+            .listed
             .values()
-            .filter(|backend| backend.pool == pool)
-            .map(|backend| Member {
-                replica: backend.replica,
-                zone: backend.zone,
-                role: backend.role,
-                slots: backend.slots,
-                leaving: backend.leaving || self.is_drained(&backend.name),
+            .filter(|listed| listed.pool == pool)
+            .map(|listed| Member {
+                replica: listed.replica,
+                zone: listed.zone,
+                role: listed.role,
+                slots: listed.slots,
+                leaving: listed.leaving || self.is_drained(&listed.name),
             })
             .collect();
         let rules: Vec<Rule> = self
@@ -154,11 +155,11 @@
             .collect();
         let name = self.tables.rows.pool_name(pool);
         let generation = self.tables.view.generation();
-        if let Some(kept) = self.pools.cells.get_mut(&pool) {
+        if let Some(kept) = self.pools.kept.get_mut(&pool) {
             kept.name = name;
             kept.generation = generation;
-            kept.cell.set_members(now, &members);
-            kept.cell.set_rules(now, &rules);
+            kept.scheduler.set_members(now, &members);
+            kept.scheduler.set_rules(now, &rules);
         }
     }
 
@@ -169,11 +170,11 @@
             .is_some_and(|table| table.drains_replica(replica))
     }
 
-    /// An owner asks for a placement.
-    pub(crate) fn submitted(&mut self, from: Instance, ticket: Ticket) {
+    /// Queues an attempt for placement.
+    pub(crate) fn handle_submission(&mut self, from: Instance, ticket: Ticket) {
         let incarnation = self.incarnation_of(from);
         let now = self.now;
-        let Some(kept) = self.cell_of(ticket.row) else {
+        let Some(kept) = self.kept_pool_of(ticket.row) else {
             return;
         };
         let placed = Placed {
@@ -182,8 +183,8 @@
             since: now,
         };
         kept.placed.entry(ticket.handle).or_insert(placed);
-        kept.cell.submit(now, ticket);
-        self.timers.cells = now;
+        kept.scheduler.submit(now, ticket);
+        self.timers.schedulers = now;
     }
 
     fn incarnation_of(&self, instance: Instance) -> Incarnation {
@@ -191,38 +192,38 @@
         current.map_or(Incarnation(0), |member| member.incarnation)
     }
 
-    fn cell_of(&mut self, row: ident::Row) -> Option<&mut Kept> {
+    fn kept_pool_of(&mut self, row: ident::Row) -> Option<&mut KeptPool> {
         let pool = self.tables.rows.get(row)?.pool;
         if !self.is_keeper(pool) {
             return None;
         }
-        self.pools.cells.get_mut(&pool)
+        self.pools.kept.get_mut(&pool)
     }
 
-    /// An owner reports progress.
-    pub(crate) fn advanced(&mut self, handle: Handle, phase: Phase) {
+    /// Updates the phase of an attempt.
+    pub(crate) fn handle_progress(&mut self, handle: Handle, phase: Phase) {
         let now = self.now;
         let ended = matches!(phase, Phase::Finished { .. } | Phase::Gone);
         for kept in self
             .pools
-            .cells
+            .kept
             .values_mut()
             .filter(|kept| kept.placed.contains_key(&handle))
         {
-            kept.cell.advance(now, handle, phase);
+            kept.scheduler.advance(now, handle, phase);
             if ended {
-                kept.cell.advance(now, handle, Phase::Gone);
+                kept.scheduler.advance(now, handle, Phase::Gone);
                 kept.placed.remove(&handle);
             }
         }
-        self.timers.cells = now;
+        self.timers.schedulers = now;
     }
 
-    /// An owner tells of a placed request.
-    pub(crate) fn adopted(&mut self, from: Instance, hold: &Hold) {
+    /// Registers a placed request with its owner.
+    pub(crate) fn handle_adoption(&mut self, from: Instance, hold: &Hold) {
         let incarnation = self.incarnation_of(from);
         let now = self.now;
-        let Some(kept) = self.cell_of(hold.ticket.row) else {
+        let Some(kept) = self.kept_pool_of(hold.ticket.row) else {
             return;
         };
         let placed = Placed {
@@ -231,25 +232,25 @@
             since: now,
         };
         kept.placed.insert(hold.ticket.handle, placed);
-        kept.cell.adopt(now, hold);
-        self.timers.cells = now;
+        kept.scheduler.adopt(now, hold);
+        self.timers.schedulers = now;
     }
 
-    /// Lets every kept pool decide.
-    pub(crate) fn step_cells(&mut self, out: &mut Vec<Action>) {
+    /// Runs the scheduler of every kept pool and sends its verdicts.
+    pub(crate) fn run_schedulers(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let mut next = Time::NEVER;
         let mut verdicts = Vec::new();
         let may_decide = self.may_decide();
-        for kept in self.pools.cells.values_mut() {
+        for kept in self.pools.kept.values_mut() {
             if may_decide && now >= kept.ready {
-                kept.cell.settled(now);
-                next = next.min(kept.cell.step(now, &mut verdicts));
+                kept.scheduler.end_grace(now);
+                next = next.min(kept.scheduler.step(now, &mut verdicts));
             } else {
-                next = next.min(kept.ready.max(now + SETTLE));
+                next = next.min(kept.ready.max(now + SETTLE_TIME));
             }
         }
-        self.timers.cells = next;
+        self.timers.schedulers = next;
         for verdict in verdicts {
             self.send_verdict(verdict, out);
         }
@@ -260,7 +261,7 @@
         let refused = matches!(verdict.choice, route::verdict::Choice::Refused { .. });
         let kept = self
             .pools
-            .cells
+            .kept
             .values_mut()
             .find(|kept| kept.placed.contains_key(&handle));
         let Some(kept) = kept else {
@@ -275,30 +276,30 @@
         }
     }
 
-    /// Asks the replicas of the kept pools for their state, a part of them at a time.
+    /// Inspects one share of the replicas of the kept pools.
     pub(crate) fn inspect(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         self.timers.inspect = now + self.settings.inspect_every / INSPECT_PARTS as u32;
         self.replicas.inspect_part = (self.replicas.inspect_part + 1) % INSPECT_PARTS;
         if self.replicas.inspect_part == 0 {
-            self.recheck_suspects(out);
+            self.inspect_withheld(out);
         }
-        for backend in self.replicas.backends.values() {
-            let replica = backend.replica;
+        for listed in self.replicas.listed.values() {
+            let replica = listed.replica;
             if replica.0 % INSPECT_PARTS != self.replicas.inspect_part {
                 continue;
             }
-            let Some(kept) = self.pools.cells.get_mut(&backend.pool) else {
+            let Some(kept) = self.pools.kept.get_mut(&listed.pool) else {
                 continue;
             };
-            let watch = kept.watches.entry(replica).or_default();
-            let since = *watch.unanswered.get_or_insert(now);
-            if now >= since + SILENCE && !watch.lost {
-                watch.lost = true;
-                watch.after = 0;
-                kept.cell.lost(now, replica);
+            let health = kept.health.entry(replica).or_default();
+            let since = *health.unanswered.get_or_insert(now);
+            if now >= since + LOST_AFTER && !health.lost {
+                health.lost = true;
+                health.last_event = 0;
+                kept.scheduler.mark_lost(now, replica);
             }
-            let after = watch.after;
+            let after = health.last_event;
             out.push(Action::Inspect {
                 replica,
                 after,
@@ -307,42 +308,39 @@
         }
     }
 
-    /// A replica answered an inspection, or failed to. An answer to a question from before a pause
-    /// counts for nothing: the replica may have another reader or owner by now.
-    pub(crate) fn inspected(
+    /// Handles the result of an inspection. Results of inspections from before a pause are ignored,
+    /// because the replica may have another reader or owner since.
+    pub(crate) fn handle_inspection(
         &mut self,
         replica: Replica,
         asked: Time,
         state: Option<Inspection>,
         out: &mut Vec<Action>,
     ) {
-        let Some(inspection) = state.filter(|_| asked >= self.life.woke) else {
+        let Some(inspection) = state.filter(|_| asked >= self.lifecycle.pause_ended) else {
             return;
         };
         self.verify(replica, &inspection.works, out);
-        let pool = self
-            .replicas
-            .backends
-            .get(&replica)
-            .map(|backend| backend.pool);
-        if let Some(pool) = pool.filter(|pool| self.pools.cells.contains_key(pool)) {
-            self.take_report(pool, replica, &inspection);
+        let pool = self.replicas.listed.get(&replica).map(|listed| listed.pool);
+        if let Some(pool) = pool.filter(|pool| self.pools.kept.contains_key(pool)) {
+            self.apply_report(pool, replica, &inspection);
             self.sweep(pool, replica, &inspection.works, out);
         }
     }
 
-    fn take_report(&mut self, pool: Pool, replica: Replica, inspection: &Inspection) {
+    fn apply_report(&mut self, pool: Pool, replica: Replica, inspection: &Inspection) {
         let now = self.now;
-        let Some(kept) = self.pools.cells.get_mut(&pool) else {
+        let Some(kept) = self.pools.kept.get_mut(&pool) else {
             return;
         };
-        let watch = kept.watches.entry(replica).or_default();
-        watch.unanswered = None;
-        watch.lost = false;
+        let health = kept.health.entry(replica).or_default();
+        health.unanswered = None;
+        health.lost = false;
         let last = inspection.report.events.iter().map(|event| event.seq).max();
-        watch.after = last.unwrap_or(watch.after);
-        kept.cell.report(now, replica, &inspection.report);
-        self.timers.cells = now;
+        health.last_event = last.unwrap_or(health.last_event);
+        kept.scheduler
+            .apply_report(now, replica, &inspection.report);
+        self.timers.schedulers = now;
     }
 }
 
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -1,32 +1,31 @@
-//! Outcomes of non-repeatable calls, written to the store in batches.
+//! Writes outcomes of calls that are not repeatable to the store, in batches.
 //!
-//! The caller's answer does not wait for the record: a runner that dies in between leaves its keys
-//! with the truthful outcome *unknown*.
+//! The caller's answer does not wait for the write: if the runner dies in between, the outcome of
+//! the key is *unknown*.
 
 use std::time::Duration;
 
-use ledger::ids::Query;
+use ledger::ids::QueryId;
 
 use crate::action::Action;
-use crate::action::Ask;
-use crate::journal::Line;
+use crate::action::StoreRequest;
+use crate::journal::JournalEntry;
 use crate::node::Node;
 
-/// Time between two records while the fleet is small.
-const EVERY: Duration = Duration::from_millis(250);
-/// Time between two records for each member: it keeps the writes of the whole fleet under two
-/// hundred a second.
-const EVERY_PER_MEMBER: Duration = Duration::from_millis(5);
-/// Pause after a record failed.
-const RETRY: Duration = Duration::from_secs(1);
-/// Most outcomes in one row.
-const MAX_ROW: usize = 512;
+/// Interval between two writes in a small fleet.
+const RECORD_EVERY: Duration = Duration::from_millis(250);
+/// Interval between two writes per listed instance; limits the fleet to 200 writes a second.
+const RECORD_EVERY_PER_MEMBER: Duration = Duration::from_millis(5);
+/// Pause after a failed write.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum number of outcomes in one row.
+const MAX_ROW_OUTCOMES: usize = 512;
 
 impl Node {
-    /// Writes the waiting outcomes as one row.
-    pub(crate) fn record(&mut self, out: &mut Vec<Action>) {
+    /// Writes queued outcomes of one incarnation as one row.
+    pub(crate) fn write_outcomes(&mut self, out: &mut Vec<Action>) {
         let members = self.members.fleet.listed_count() as u32;
-        self.timers.record = self.now + EVERY.max(EVERY_PER_MEMBER * members);
+        self.timers.record = self.now + RECORD_EVERY.max(RECORD_EVERY_PER_MEMBER * members);
         if self.requests.journal.sent.is_some() {
             return;
         }
@@ -35,7 +34,7 @@
             .journal
             .waiting
             .front()
-            .map(|line| line.runner)
+            .map(|entry| entry.runner)
         else {
             return;
         };
@@ -44,27 +43,27 @@
             .journal
             .waiting
             .iter()
-            .take_while(|line| line.runner == runner)
+            .take_while(|entry| entry.runner == runner)
             .count();
-        let lines: Vec<Line> = self
+        let entries: Vec<JournalEntry> = self
             .requests
             .journal
             .waiting
-            .drain(..same.min(MAX_ROW))
+            .drain(..same.min(MAX_ROW_OUTCOMES))
             .collect();
         self.requests.journal.sequence += 1;
-        let query = self.query();
-        let ask = Ask::Record {
+        let query = self.new_query();
+        let request = StoreRequest::Record {
             incarnation: runner,
             sequence: self.requests.journal.sequence,
-            outcomes: lines.iter().map(|line| line.outcome.clone()).collect(),
+            outcomes: entries.iter().map(|entry| entry.outcome.clone()).collect(),
         };
-        self.requests.journal.sent = Some((query, lines));
-        out.push(Action::Query { query, ask });
+        self.requests.journal.sent = Some((query, entries));
+        out.push(Action::Query { query, request });
     }
 
-    /// Notes the end of a record; `false` if `query` is none.
-    pub(crate) fn recorded(&mut self, query: Query, done: bool) -> bool {
+    /// Handles the end of a write; returns `false` if `query` is not a write of outcomes.
+    pub(crate) fn outcomes_written(&mut self, query: QueryId, done: bool) -> bool {
         if self
             .requests
             .journal
@@ -75,9 +74,9 @@
             return false;
         }
         let failed = self.requests.journal.sent.take().filter(|_| !done);
-        for line in failed.into_iter().flat_map(|(_, lines)| lines).rev() {
-            self.requests.journal.waiting.push_front(line);
-            self.timers.record = self.now + RETRY;
+        for entry in failed.into_iter().flat_map(|(_, entries)| entries).rev() {
+            self.requests.journal.waiting.push_front(entry);
+            self.timers.record = self.now + RETRY_AFTER;
         }
         true
     }
--- a/crates/node/src/releases.rs
+++ b/crates/node/src/releases.rs
@@ -1,7 +1,7 @@
-//! Release of memory on replicas.
+//! Releases memory on replicas.
 
 use ledger::holds::HoldKey;
-use ledger::ids::Order;
+use ledger::ids::OrderId;
 
 use crate::action::Action;
 use crate::action::Task;
@@ -9,10 +9,10 @@
 use crate::event::Failure;
 use crate::http_status;
 use crate::node::Node;
-use crate::state::Purpose;
+use crate::state::OrderPurpose;
 
 impl Node {
-    /// Begins the release of a hold; its starting order is aborted first.
+    /// Starts the release of a hold after aborting the order that created it.
     pub(crate) fn release_hold(&mut self, hold: Option<HoldKey>, out: &mut Vec<Action>) {
         let now = self.now;
         let start = hold.and_then(|hold| self.requests.holds.release(now, hold));
@@ -22,7 +22,7 @@
     /// Sends the releases that are due.
     pub(crate) fn run_releases(&mut self, out: &mut Vec<Action>) {
         while let Some(cancel) = self.requests.holds.due(self.now) {
-            let order = self.order(Purpose::Cancel);
+            let order = self.new_order(OrderPurpose::Cancel);
             self.requests.holds.sent(cancel.hold, order);
             let handle = cancel.handle;
             let replica = self.replica_name(cancel.replica);
@@ -44,16 +44,16 @@
         }
     }
 
-    pub(crate) fn release_confirmed(&mut self, order: Order, _out: &mut Vec<Action>) {
+    pub(crate) fn release_confirmed(&mut self, order: OrderId, _out: &mut Vec<Action>) {
         self.requests.holds.confirmed(order);
     }
 
-    pub(crate) fn release_failed(&mut self, order: Order, failure: Failure) {
+    pub(crate) fn release_failed(&mut self, order: OrderId, failure: Failure) {
         match failure {
             Failure::Refused {
                 status: http_status::CONFLICT,
                 ..
-            } => self.requests.holds.overtaken(order),
+            } => self.requests.holds.superseded(order),
             _ => self.requests.holds.failed(self.now, order),
         }
     }
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -1,12 +1,12 @@
-//! Work that is due at points in time.
+//! Due times of periodic work.
 
 use ident::Time;
 
-/// When each kind of work is due next.
+/// Next due time of each kind of work.
 #[derive(Debug)]
 pub(crate) struct Timers {
     pub(crate) fleet: Time,
-    pub(crate) cells: Time,
+    pub(crate) schedulers: Time,
     pub(crate) inspect: Time,
     pub(crate) audit: Time,
     pub(crate) poll: Time,
@@ -17,11 +17,11 @@
 }
 
 impl Timers {
-    /// Everything is due at once.
+    /// Makes all work due at `now`.
     pub(crate) const fn new(now: Time) -> Self {
         Self {
             fleet: now,
-            cells: now,
+            schedulers: now,
             inspect: now,
             audit: now,
             poll: now,
@@ -32,10 +32,10 @@
         }
     }
 
-    /// When the first of them is due.
-    pub(crate) fn first(&self) -> Time {
+    /// Returns the earliest due time. Keepers are reassigned during housekeeping.
+    pub(crate) fn earliest(&self) -> Time {
         self.fleet
-            .min(self.cells)
+            .min(self.schedulers)
             .min(self.inspect)
             .min(self.audit)
             .min(self.poll)
--- a/crates/node/tests/one/mod.rs
+++ b/crates/node/tests/one/mod.rs
@@ -16,21 +16,21 @@
 use ident::Zone;
 use node::Node;
 use node::action::Action;
-use node::action::Ask;
+use node::action::CallerMessage;
+use node::action::StoreRequest;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::event::Failure;
-use node::event::Held;
+use node::event::HeldAttempt;
 use node::event::Inspection;
 use node::event::Piece;
 use node::event::Reply;
-use node::event::Stored;
-use node::ids::Call;
-use node::ids::Order;
-use node::list::Backend;
-use node::list::List;
-use node::list::Seat;
+use node::event::StoreReply;
+use node::ids::CallId;
+use node::ids::OrderId;
+use node::list::ListedInstance;
+use node::list::ListedReplica;
+use node::list::PlatformList;
 use node::request::Request;
 use node::request::Work;
 use node::settings::Settings;
@@ -52,8 +52,8 @@
 pub struct One {
     node: Node,
     now: Time,
-    pub orders: Vec<(Order, Task)>,
-    pub tells: Vec<(Call, Tell)>,
+    pub orders: Vec<(OrderId, Task)>,
+    pub tells: Vec<(CallId, CallerMessage)>,
     pub sent: Vec<(Instance, Body)>,
     /// Whether replicas answer inspections.
     pub inspected: bool,
@@ -106,12 +106,16 @@
     fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Order { order, task, .. } => self.orders.push((order, task)),
-            Action::Tell { call, tell } => self.tells.push((call, tell)),
+            Action::SendToCaller { call, message } => self.tells.push((call, message)),
             Action::Send { to, frame } => self.sent.push((to, frame.body)),
             Action::Fault { cause } => panic!("fault: {cause}"),
-            Action::Query { query, ask } => {
-                let outcome = if self.stored { answer(&ask) } else { failed() };
-                return Some(Event::Stored { query, outcome });
+            Action::Query { query, request } => {
+                let outcome = if self.stored {
+                    answer(&request)
+                } else {
+                    failed()
+                };
+                return Some(Event::StoreReplied { query, outcome });
             }
             Action::Inspect { replica, asked, .. } if self.inspected => {
                 let state = Some(idle());
@@ -130,20 +134,20 @@
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            let wake = self.node.wake().max(self.now + PACE).min(end);
+            let wake = self.node.next_wake().max(self.now + PACE).min(end);
             self.now = wake - PACE;
             self.feed(Event::Tick);
         }
     }
 
     /// The last order that is not a cancel.
-    pub fn last(&self) -> (Order, Task) {
-        let is_work = |(_, task): &&(Order, Task)| !matches!(task, Task::Cancel);
+    pub fn last(&self) -> (OrderId, Task) {
+        let is_work = |(_, task): &&(OrderId, Task)| !matches!(task, Task::Cancel);
         let found = self.orders.iter().rev().find(is_work);
         found.cloned().expect("an order was put out")
     }
 
-    pub fn arrive(&mut self, call: Call) {
+    pub fn arrive(&mut self, call: CallId) {
         let request = request();
         self.feed(Event::Arrived { call, request });
         self.run(Duration::from_millis(100));
@@ -164,7 +168,7 @@
     /// Answers `inspections`: each replica holds the stream told last, with this core as its reader
     /// and `fence`.
     pub fn answer_inspections(&mut self, inspections: Vec<(Replica, Time)>, fence: u64) {
-        let held = Held {
+        let held = HeldAttempt {
             handle: self.handle(),
             owner: INCARNATION,
             fence,
@@ -185,7 +189,7 @@
 
     fn handle(&self) -> Handle {
         let mut heads = self.tells.iter().rev().filter_map(|(_, tell)| match tell {
-            Tell::Head { handle, .. } => Some(*handle),
+            CallerMessage::Head { handle, .. } => Some(*handle),
             _ => None,
         });
         heads.next().expect("a head was told")
@@ -216,7 +220,7 @@
     }
 
     /// Lets the prefill that was ordered last end well; the decode order that follows.
-    pub fn prefill(&mut self) -> (Order, Task) {
+    pub fn prefill(&mut self) -> (OrderId, Task) {
         let (order, task) = self.last();
         assert!(matches!(task, Task::Prefill { .. }), "{task:?}");
         let reply = Reply::Prefilled {
@@ -228,7 +232,7 @@
         self.last()
     }
 
-    pub fn stream(&mut self, order: Order, from: u32, count: u32) {
+    pub fn stream(&mut self, order: OrderId, from: u32, count: u32) {
         let tokens = Piece::Tokens {
             offset: from,
             count,
@@ -239,16 +243,16 @@
         }
     }
 
-    pub fn fail(&mut self, order: Order, failure: Failure) {
+    pub fn fail(&mut self, order: OrderId, failure: Failure) {
         self.feed(Event::Failed { order, failure });
         self.run(Duration::from_millis(200));
     }
 
     /// Offsets and counts of the tokens that `call` was told.
-    pub fn tokens(&self, call: Call) -> Vec<(u32, u32)> {
+    pub fn tokens(&self, call: CallId) -> Vec<(u32, u32)> {
         let told = self.tells.iter().filter(|(to, _)| *to == call);
         told.filter_map(|(_, tell)| match tell {
-            Tell::Tokens { offset, count, .. } => Some((*offset, *count)),
+            CallerMessage::Tokens { offset, count, .. } => Some((*offset, *count)),
             _ => None,
         })
         .collect()
@@ -257,25 +261,25 @@
     pub fn token(&self) -> String {
         let heads = self.tells.iter().rev();
         let mut tokens = heads.filter_map(|(_, tell)| match tell {
-            Tell::Head { token, .. } => Some(token.clone()),
+            CallerMessage::Head { token, .. } => Some(token.clone()),
             _ => None,
         });
         tokens.next().expect("a head was told")
     }
 }
 
-fn answer(ask: &Ask) -> Stored {
+fn answer(ask: &StoreRequest) -> StoreReply {
     match ask {
-        Ask::Generation => Stored::Generation { generation: 1 },
-        Ask::Table => Stored::Table(Box::new(table())),
-        Ask::Outcome { .. } => Stored::Outcome(None),
-        Ask::Record { .. } => Stored::Recorded,
-        Ask::Commit(_) => failed(),
+        StoreRequest::Generation => StoreReply::Generation { generation: 1 },
+        StoreRequest::Table => StoreReply::Table(Box::new(table())),
+        StoreRequest::Outcome { .. } => StoreReply::Outcome(None),
+        StoreRequest::Record { .. } => StoreReply::Recorded,
+        StoreRequest::Commit(_) => failed(),
     }
 }
 
-fn failed() -> Stored {
-    Stored::Failed {
+fn failed() -> StoreReply {
+    StoreReply::Failed {
         maybe: false,
         cause: "not answered here".to_owned(),
     }
@@ -322,8 +326,8 @@
     Table::new(1, vec![Row::new("ration", "default", "ration")])
 }
 
-fn list() -> List {
-    let backend = |name: &str, role| Backend {
+fn list() -> PlatformList {
+    let backend = |name: &str, role| ListedReplica {
         replica: Replica::new(name),
         name: name.to_owned(),
         zone: Zone::new(ZONE),
@@ -333,14 +337,14 @@
         fences: true,
         leaving: false,
     };
-    let seat = Seat {
+    let seat = ListedInstance {
         instance: Instance::new("entry-1"),
         name: "entry-1".to_owned(),
         zone: Zone::new(ZONE),
         caller: "127.0.0.1:7001".to_owned(),
         leaving: false,
     };
-    List {
+    PlatformList {
         instances: vec![seat],
         replicas: vec![
             backend("ration-p0", Role::Prefill),
--- a/crates/node/tests/world/engine.rs
+++ b/crates/node/tests/world/engine.rs
@@ -8,9 +8,9 @@
 use ident::Replica;
 use ident::Time;
 use node::event::Failure;
-use node::event::Held;
+use node::event::HeldAttempt;
 use node::event::Inspection;
-use node::ids::Order;
+use node::ids::OrderId;
 use route::replica::Report;
 use route::replica::Role;
 
@@ -30,7 +30,7 @@
     /// Its process, by number.
     pub run: u32,
     /// The order.
-    pub order: Order,
+    pub order: OrderId,
 }
 
 /// Where a work is.
@@ -179,7 +179,7 @@
             works: self.held(),
             events: Vec::new(),
         };
-        let works = self.works.iter().map(|(handle, work)| Held {
+        let works = self.works.iter().map(|(handle, work)| HeldAttempt {
             handle: *handle,
             owner: work.owner,
             fence: work.fence,
--- a/crates/node/tests/world/item.rs
+++ b/crates/node/tests/world/item.rs
@@ -4,12 +4,12 @@
 use ident::Incarnation;
 use ident::Replica;
 use ident::Time;
-use node::action::Ask;
+use node::action::CallerMessage;
+use node::action::StoreRequest;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
-use node::ids::Call;
-use node::ids::Query;
+use node::ids::CallId;
+use node::ids::QueryId;
 
 use super::engine::Ticket;
 
@@ -45,8 +45,8 @@
     Query {
         host: usize,
         run: u32,
-        query: Query,
-        ask: Ask,
+        query: QueryId,
+        ask: StoreRequest,
     },
     /// A replica is asked for its state.
     Inspect {
@@ -91,7 +91,7 @@
     pub fence: u64,
     pub task: Task,
     /// Whose body it carries, and under which connection.
-    pub origin: Option<(Call, usize)>,
+    pub origin: Option<(CallId, usize)>,
 }
 
 /// What a caller notices.
@@ -108,7 +108,7 @@
     /// Its connection reaches a daemon.
     Connect { host: usize, resume: Option<String> },
     /// Its connection said something.
-    Told { call: Call, tell: Tell },
+    Told { call: CallId, tell: CallerMessage },
     /// Its connection broke, or was never made.
-    Broken { call: Option<Call> },
+    Broken { call: Option<CallId> },
 }
--- a/crates/relay/tests/attempt.rs
+++ b/crates/relay/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! What follows a send that did not end in an answer.
+//! Next steps after a send without a usable answer.
 
 use relay::attempt::Attempt;
 use relay::attempt::Next;
@@ -10,25 +10,25 @@
 const ONE_WAY: Mode = Mode::Stream { resumable: false };
 
 #[rstest]
-// A request that has run is never refused as if it had not.
+// A request that may have run is never reported as not run.
 #[case(Mode::Once, 3, Outcome::Lost, true, Next::Unknown)]
 #[case(ONE_WAY, 3, Outcome::Lost, true, Next::Unknown)]
 #[case(Mode::Once, 3, Outcome::Failed, true, Next::Relay)]
-// One that has not run goes on, whatever its kind, while there is budget.
+// One that has not run is retried in any mode while there is budget.
 #[case(Mode::Once, 1, Outcome::NotRun, true, Next::Retry)]
 #[case(Mode::Once, 1, Outcome::NotRun, false, Next::Refuse)]
-// What never left costs no budget.
+// A send of which no byte left needs no budget.
 #[case(Mode::Once, 1, Outcome::NotSent, false, Next::Retry)]
-// One that ended replicas is sent to no other one, and has not run where this is its first send.
+// A quarantined request is not sent to another replica, and has not run if this is its first send.
 #[case(Mode::Idempotent, 2, Outcome::Quarantined, true, Next::Refuse)]
 #[case(Mode::Once, 1, Outcome::Quarantined, true, Next::Refuse)]
-// What may be repeated is, while attempts and budget last.
+// A repeatable request is retried while attempts and budget last.
 #[case(Mode::Idempotent, 2, Outcome::Lost, true, Next::Retry)]
 #[case(Mode::Idempotent, 2, Outcome::Lost, false, Next::Unknown)]
 #[case(Mode::Idempotent, 1, Outcome::Lost, true, Next::Unknown)]
 #[case(Mode::Idempotent, 1, Outcome::Failed, true, Next::Relay)]
 #[case(RESUMABLE, 2, Outcome::Lost, true, Next::Retry)]
-fn the_first_send(
+fn next_step_after_the_first_send(
     #[case] mode: Mode,
     #[case] max_runs: u32,
     #[case] outcome: Outcome,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_stays_so_when_the_next_replica_refuses() {
+fn a_request_that_may_have_run_is_unknown_when_the_next_replica_refuses() {
     let mut attempt = Attempt::new(Mode::Idempotent, 2);
     attempt.record_send();
     assert_eq!(attempt.next_step(Outcome::Lost, || true), Next::Retry);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_request_that_has_run_and_is_held_is_not_refused() {
+fn a_quarantined_request_that_may_have_run_is_unknown() {
     let mut attempt = Attempt::new(Mode::Idempotent, 3);
     attempt.record_send();
     assert_eq!(attempt.next_step(Outcome::Lost, || true), Next::Retry);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn no_more_replicas_run_it_than_the_route_allows() {
+fn a_request_runs_on_at_most_the_allowed_number_of_replicas() {
     let mut attempt = Attempt::new(Mode::Idempotent, 2);
     attempt.record_send();
     attempt.next_step(Outcome::Lost, || true);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn sends_that_do_not_arrive_end_as_well() {
+fn the_number_of_unsent_attempts_is_limited() {
     let mut attempt = Attempt::new(Mode::Once, 1);
     let mut sends = 0;
     loop {
@@ -90,7 +90,7 @@
 #[case(RESUMABLE, 2, true)]
 #[case(Mode::Once, 3, false)]
 #[case(ONE_WAY, 3, false)]
-fn a_request_moves_on_only_if_one_more_replica_may_run_it(
+fn a_request_fails_over_only_if_one_more_replica_may_run_it(
     #[case] mode: Mode,
     #[case] max_runs: u32,
     #[case] expected: bool,
--- a/crates/wire/tests/sample/mod.rs
+++ b/crates/wire/tests/sample/mod.rs
@@ -1,4 +1,4 @@
-//! One frame of each kind.
+//! Sample frames of each kind.
 
 use std::time::Duration;
 
@@ -12,31 +12,31 @@
 use ident::Replica;
 use ident::Row;
 use ident::Zone;
-use route::cell::Hold;
 use route::phase::Phase;
+use route::scheduler::Hold;
 use route::ticket::Ticket;
 use route::ticket::Work;
 use route::verdict::Choice;
+use route::verdict::DecisionDetails;
 use route::verdict::Reason;
 use route::verdict::Verdict;
-use route::verdict::Why;
 use table::Table;
 use wire::Body;
 use wire::Frame;
-use wire::News;
-use wire::Told;
+use wire::KeyStatus;
+use wire::TableStatus;
 
 const INCARNATION: Incarnation = Incarnation(u64::MAX);
 
-/// One frame of each kind, with each variant inside it.
+/// One frame of each kind, with each variant of its content.
 pub fn frames() -> Vec<Frame> {
-    let bodies = [gossip(), table(), placing(), keys()];
+    let bodies = [gossip(), table(), placement(), keys()];
     bodies.into_iter().flatten().map(frame).collect()
 }
 
-/// A frame with `length` bytes inside.
+/// A frame with a body of `length` bytes in its content.
 pub fn large(length: usize) -> Frame {
-    frame(told(Told::Answered {
+    frame(key_status(KeyStatus::Answered {
         status: 200,
         body: Some(Bytes::from(vec![b'x'; length])),
     }))
@@ -84,7 +84,7 @@
 
 fn table() -> Vec<Body> {
     let row = table::row::Row::new("ration", "default", "ration");
-    let news = News {
+    let news = TableStatus {
         generation: 7,
         store_age_ms: Some(300),
         settled: true,
@@ -93,7 +93,7 @@
     };
     vec![
         Body::News(news),
-        Body::News(News {
+        Body::News(TableStatus {
             store_age_ms: None,
             answer: false,
             ..news
@@ -108,7 +108,7 @@
     ]
 }
 
-fn placing() -> Vec<Body> {
+fn placement() -> Vec<Body> {
     let replica = Replica::new("ration-decode");
     let work = Work::Model {
         prompt_tokens: 4_000,
@@ -165,30 +165,30 @@
     Body::Verdict(Verdict {
         handle: handle(),
         choice,
-        why: Why::default(),
+        why: DecisionDetails::default(),
     })
 }
 
 fn keys() -> Vec<Body> {
     let replica = Replica::new("ration-decode");
     let key = Key::new("farm-17", "91c5b8f0aa31e2d4.6930b2f1.lorry-12");
-    let tolds = [
-        Told::NotSeen,
-        Told::InProgress,
-        Told::Streaming {
+    let statuses = [
+        KeyStatus::NotSeen,
+        KeyStatus::InProgress,
+        KeyStatus::Streaming {
             token: "sealed".to_owned(),
         },
-        Told::Answered {
+        KeyStatus::Answered {
             status: 200,
             body: None,
         },
-        Told::Answered {
+        KeyStatus::Answered {
             status: 503,
             body: Some(Bytes::from_static(b"lorry 12")),
         },
-        Told::Unknown,
-        Told::Failed,
-        Told::Expired,
+        KeyStatus::Unknown,
+        KeyStatus::Failed,
+        KeyStatus::Expired,
     ];
     let handles = vec![handle(); 3];
     let mut bodies = vec![
@@ -199,10 +199,10 @@
         },
         Body::Disowned { replica, handles },
     ];
-    bodies.extend(tolds.map(told));
+    bodies.extend(statuses.map(key_status));
     bodies
 }
 
-const fn told(told: Told) -> Body {
+const fn key_status(told: KeyStatus) -> Body {
     Body::Told { nonce: 5, told }
 }
