--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -210,7 +210,7 @@
     text: &'static str,
 ) -> Response<Body> {
     shared.metrics.request("rejected");
-    if let Some(omitted) = shared.may_log() {
+    if let Some(omitted) = shared.may_log_rejection() {
         log::info!(kind = "end", request = id, outcome = "rejected", omitted = omitted, status = status.as_u16(), cause = cause; "request rejected");
     }
     responses::answer(status, id, text)
@@ -219,7 +219,7 @@
 /// Refuses a request that this daemon cannot serve now.
 fn refuse(shared: &Shared, id: &str, retry_after: Duration, cause: &'static str) -> Response<Body> {
     shared.metrics.request("refused");
-    if let Some(omitted) = shared.may_log() {
+    if let Some(omitted) = shared.may_log_rejection() {
         log::info!(kind = "end", request = id, outcome = "refused", status = 503, omitted = omitted, cause = cause; "request refused");
     }
     responses::refuse(id, retry_after, "not now; the request has not run\n")
--- a/crates/gateway/src/card.rs
+++ b/crates/gateway/src/instance_info.rs
@@ -1,4 +1,4 @@
-//! How an instance makes itself known to others.
+//! Name and addresses of an instance, as it publishes them to others.
 
 use std::net::SocketAddr;
 
@@ -9,21 +9,21 @@
 
 /// Name and addresses of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
-    /// Its name.
+pub struct InstanceInfo {
+    /// Name of the instance.
     pub name: String,
-    /// Its data centre.
+    /// Data centre it runs in.
     pub data_centre: Zone,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where other daemons reach it, by TCP and UDP.
+    /// Address for other daemons, TCP and UDP.
     pub peers: SocketAddr,
-    /// What its processor can do, in thousandths of a core.
+    /// Processor capacity, in thousandths of a core.
     pub capacity: u32,
 }
 
-impl Card {
-    /// The key of the instance.
+impl InstanceInfo {
+    /// Key of the instance, derived from its name.
     pub fn instance(&self) -> Instance {
         Instance::new(&self.name)
     }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -91,7 +91,7 @@
             service,
             owner,
         } = target;
-        let returned = shared.has_returned(&route, &service, call.timeout);
+        let returned = shared.was_refused_before(&route, &service, call.timeout);
         let patience = call.timeout.unwrap_or(route.timeout).min(route.timeout);
         Self {
             call,
@@ -126,7 +126,7 @@
         self.arrived.elapsed()
     }
 
-    /// Takes the permit for a send, if the job holds one; see [`Shared::allow`].
+    /// Takes the permit for a send, if the job holds one; see [`Shared::ensure_permit`].
     pub fn take_permit(&self, work: Work) -> Option<Permit> {
         self.permits.borrow_mut().take(work)
     }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -122,18 +122,18 @@
             None
         };
         if let Some(placement) = found {
-            shared.metrics.wait(begun.elapsed().as_secs_f64());
+            shared.metrics.place_wait(begun.elapsed().as_secs_f64());
             return Some(placement);
         }
         rounds += 1;
         if Instant::now() + ROUND_PAUSE > until {
-            let prefill_time = shared.read_time(&job.service, job.prompt_tokens());
+            let prefill_time = shared.estimate_prefill_time(&job.service, job.prompt_tokens());
             let read_ms = prefill_time.unwrap_or_default().as_millis() as u64;
             log::info!(kind = "reserve", request = job.call.id, class = format!("{kind:?}"), rounds = rounds, tokens = job.expected_tokens(), read_ms = read_ms; "no decode replica has room");
             return None;
         }
         // Start another round early when a run ends here or peers report that theirs ended.
-        let _ = timeout(ROUND_PAUSE, shared.room.notified()).await;
+        let _ = timeout(ROUND_PAUSE, shared.capacity_changed.notified()).await;
     }
 }
 
@@ -167,7 +167,7 @@
 ) -> Option<Placement> {
     let placing = shared.settings().placing;
     let size = job.size(generated);
-    let prefill_time = shared.read_time(&job.service, size.prompt);
+    let prefill_time = shared.estimate_prefill_time(&job.service, size.prompt);
     let idle = kind.required_idle_share(
         job.route.objective,
         job.age(),
@@ -182,7 +182,7 @@
     let tokens = size.prompt + (expected as u64).max(generated);
     let mut asked = tried.to_vec();
     for _ in 0..REPLICAS_PER_ROUND {
-        let choose = || shared.choose_room(&job.service, &asked, memory_demand);
+        let choose = || shared.choose_decode(&job.service, &asked, memory_demand);
         let key = limit::choose_admitted(shared, choose).await?;
         asked.push(key);
         let tracked_run = TrackedRun::new(shared, &job.service, key, size, engine.event_tokens);
@@ -205,7 +205,7 @@
                     .pool
                     .borrow_mut()
                     .record_result(shared.clock.now(), key, true);
-                shared.note_silent(key);
+                shared.note_unresponsive(key);
                 log::info!(kind = "reserve", request = job.call.id, cause = cause; "a replica did not answer");
             }
         }
@@ -259,7 +259,7 @@
         Err(error) => ReserveOutcome::Failed(error.to_string()),
         Ok(answer) if answer.status == StatusCode::OK => match Reservation::read(&answer.body) {
             Ok(reservation) => {
-                shared.note_birth(key, reservation.birth);
+                shared.update_birth(key, reservation.birth);
                 ReserveOutcome::Granted(HeldReservation {
                     shared: Rc::clone(shared),
                     address: replica.address,
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -104,7 +104,7 @@
 }
 
 fn next_after(shared: &Shared, job: &Job, attempt: &mut Attempt, outcome: Outcome) -> Next {
-    attempt.next_step(outcome, || shared.allow(job, Work::Run))
+    attempt.next_step(outcome, || shared.ensure_permit(job, Work::Run))
 }
 
 /// Result of one send.
@@ -173,9 +173,9 @@
         && shared
             .choose(&job.service, None, tried)
             .is_some_and(|other| !shared.is_limited(other))
-        && shared.allow(job, Work::Run);
+        && shared.ensure_permit(job, Work::Run);
     if abandons {
-        shared.forget_links(key);
+        shared.close_idle_links(key);
         let cause = "the replica was silent for too long";
         send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
     }
@@ -216,7 +216,7 @@
     let reply = send::send(shared, job, key, Task::Answer, None, permit).await?;
     match send::read_whole(shared, reply, MAX_ANSWER_BYTES).await {
         Ok((head, headers, body)) => {
-            shared.note_pace(key, begun.elapsed(), 1.0);
+            shared.record_work(key, begun.elapsed(), 1.0);
             Ok(Answer {
                 status: head.status,
                 headers,
@@ -288,7 +288,7 @@
 ) -> Response<Body> {
     match shared.quarantined_for(job.fingerprint) {
         Some(remaining) => refuse_quarantined(job, remaining),
-        None if shared.is_denied(job) => finish(job, "rejected", responses::denied, DENIED_CAUSE),
+        None if shared.is_revoked(job) => finish(job, "rejected", responses::denied, DENIED_CAUSE),
         None => refuse_with(job, retry_after, cause, REFUSED_TEXT),
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,8 +1,9 @@
-//! Finding out whether replicas ended while at work on a request, telling the other daemons, and keeping it in the store.
+//! Finds out whether replicas ended while at work on a request, announces it to other daemons and
+//! stores it.
 
-pub mod inquiry;
-pub mod kept;
-pub mod tell;
+pub mod announce;
+pub mod probe;
+pub mod storage;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,34 +15,35 @@
 use crate::exchange;
 use crate::shared::Shared;
 
-/// Time between two looks for records whose time is over.
+/// Interval between removals of expired records.
 const SWEEP_PERIOD: Duration = Duration::from_mins(1);
-/// Pause between two looks for a peer to ask at the start.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
-/// Such looks at most; a daemon that is alone has nobody to ask.
+/// Pause between attempts to fetch the records at the start.
+const PEER_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum number of attempts; a daemon that is alone has no peer.
 const MAX_TRIES: u32 = 30;
 
-/// Forgets records whose time is over, forever.
-pub async fn sweep(shared: Rc<Shared>) {
+/// Removes expired records, forever.
+pub async fn remove_expired(shared: Rc<Shared>) {
     loop {
         shared.quarantine.borrow_mut().remove_expired(clock::unix());
         sleep(SWEEP_PERIOD).await;
     }
 }
 
-/// Asks a peer for all records once this daemon has started; the store has only those that nearly quarantine a request.
-pub async fn catch_up(shared: Rc<Shared>) {
+/// Fetches all records from a peer once this daemon is ready; the store has only those of suspect
+/// requests.
+pub async fn fetch_records(shared: Rc<Shared>) {
     while !shared.is_ready() {
-        sleep(LOOK_AGAIN).await;
+        sleep(PEER_PAUSE).await;
     }
     for _ in 0..MAX_TRIES {
         if shared.has_all_records() {
             return;
         }
-        let peers = shared.members.borrow().peers();
+        let peers = shared.members.borrow().peer_addresses();
         if let Some(peer) = peers.choose(&mut rand::rng()) {
-            exchange::ask(&shared, *peer).await;
+            exchange::fetch_newer(&shared, *peer).await;
         }
-        sleep(LOOK_AGAIN).await;
+        sleep(PEER_PAUSE).await;
     }
 }
--- a/crates/gateway/src/quarantine/kept.rs
+++ b/crates/gateway/src/quarantine/storage.rs
@@ -1,4 +1,4 @@
-//! Records in the store, for daemons that start when nobody is left who could tell them.
+//! Quarantine records in the store, for daemons that start when no peer has them.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -15,45 +15,46 @@
 use crate::clock;
 use crate::shared::Shared;
 
-/// Table with a row for each ended replica of each suspect request, and one for the time at which such a
-/// request was served. Rows are written once and by any daemon, so that no writer undoes another one's.
+/// Table with one row for each ended replica of each suspect request, and one for the time at which
+/// such a request was served. A row is written once, by any daemon, so that no writer overwrites
+/// another's.
 pub const TABLE: &str = "quarantine";
-/// What the key of the row with the time of service ends with.
+/// Suffix of the key of the row with the time of service.
 const SERVED: &str = "served";
 /// Pause after a failed call.
 const PAUSE: Duration = Duration::from_millis(700);
-/// Time in which what many callers lose at once is gathered for one write, and peers tell that a request was
-/// served elsewhere.
-const GATHER: Duration = Duration::from_millis(200);
-/// Rows in one transaction at most.
+/// Delay before a write, so that losses of many callers share it and peers can report that a
+/// request was served elsewhere.
+const BATCH_DELAY: Duration = Duration::from_millis(200);
+/// Maximum number of rows in one transaction.
 const MAX_ROWS: usize = 100;
 
-/// Reads the records once, then writes those that this daemon notes, forever.
+/// Loads the records once, then writes those that this daemon adds, forever.
 pub async fn run(shared: Rc<Shared>) {
-    while !restore(&shared).await {
+    while !load(&shared).await {
         sleep(PAUSE).await;
     }
-    let mut unkept = HashSet::new();
+    let mut unstored = HashSet::new();
     loop {
-        if unkept.is_empty() {
-            shared.unkept.added().await;
-            sleep(GATHER).await;
+        if unstored.is_empty() {
+            shared.unstored.added().await;
+            sleep(BATCH_DELAY).await;
         }
-        unkept.extend(shared.unkept.take());
-        let rows: Vec<Edit> = unkept.iter().flat_map(|f| rows(&shared, *f)).collect();
-        let mut kept = true;
-        for some in rows.chunks(MAX_ROWS) {
-            kept &= write(&shared, some).await;
+        unstored.extend(shared.unstored.take());
+        let rows: Vec<Edit> = unstored.iter().flat_map(|f| rows_of(&shared, *f)).collect();
+        let mut stored = true;
+        for chunk in rows.chunks(MAX_ROWS) {
+            stored &= write(&shared, chunk).await;
         }
-        if kept {
-            unkept.clear();
+        if stored {
+            unstored.clear();
         } else {
             sleep(PAUSE).await;
         }
     }
 }
 
-fn rows(shared: &Shared, fingerprint: Fingerprint) -> Vec<Edit> {
+fn rows_of(shared: &Shared, fingerprint: Fingerprint) -> Vec<Edit> {
     let quarantine = shared.quarantine.borrow();
     let Some(record) = quarantine.get(fingerprint) else {
         return Vec::new();
@@ -78,8 +79,9 @@
     }
 }
 
-/// Takes the rows of the store, and removes those whose time is over; whether the store answered.
-async fn restore(shared: &Shared) -> bool {
+/// Merges the stored records and removes expired or unreadable rows; returns whether the store
+/// answered.
+async fn load(shared: &Shared) -> bool {
     let rows = match shared.store.read(TABLE).await {
         Ok(rows) => rows.rows,
         Err(error) => {
@@ -89,26 +91,26 @@
     };
     shared.store_answered("quarantine");
     let now = clock::unix();
-    let mut over = Vec::new();
+    let mut expired = Vec::new();
     for row in &rows {
-        match read(row) {
+        match parse_row(row) {
             Some(record) if record.expires() > now => {
-                shared.take_records("store", &[record]);
+                shared.merge_records("store", &[record]);
             }
-            _ => over.push(Edit::Remove {
+            _ => expired.push(Edit::Remove {
                 key: row.key.clone(),
             }),
         }
     }
-    for some in over.chunks(MAX_ROWS) {
-        // What stays is removed by the next daemon that starts.
-        write(shared, some).await;
+    for chunk in expired.chunks(MAX_ROWS) {
+        // After a failure the next daemon that starts removes the rest.
+        write(shared, chunk).await;
     }
     true
 }
 
-/// The record that one row tells; `None` if it cannot be read.
-fn read(row: &Row) -> Option<Record> {
+/// Parses the record in one row; `None` if it is malformed.
+fn parse_row(row: &Row) -> Option<Record> {
     let (fingerprint, name) = row.key.split_once('.')?;
     let fingerprint = Fingerprint(u64::from_str_radix(fingerprint, 16).ok()?);
     let at = std::str::from_utf8(row.value.as_deref()?).ok()?;
--- a/crates/gateway/src/quota/client.rs
+++ b/crates/gateway/src/quota/client.rs
@@ -43,7 +43,7 @@
     pub fn keeper_name(&self, shared: &Shared) -> String {
         match self.keeper {
             Some(keeper) => keeper.ip().to_string(),
-            None => shared.own_card().name,
+            None => shared.own_info().name,
         }
     }
 }
@@ -53,7 +53,7 @@
     let (window, allowance) = local_budget(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
-    let budget = quotas.pocket(demand.subject);
+    let budget = quotas.local_budget(demand.subject);
     budget.spend(now, window, allowance, demand.units)
 }
 
@@ -62,14 +62,14 @@
     let (window, allowance) = local_budget(shared, demand.limit);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
-    let budget = quotas.pocket(demand.subject);
+    let budget = quotas.local_budget(demand.subject);
     budget.overspend(now, window, allowance, demand.units)
 }
 
 /// Window and size of a local budget.
 fn local_budget(shared: &Shared, limit: Limit) -> (Duration, f64) {
     let tolerance = shared.settings().quota_tolerance();
-    let daemons = shared.members.borrow().known();
+    let daemons = shared.members.borrow().known_count();
     (tolerance.window, tolerance.local_budget(limit, daemons))
 }
 
@@ -81,11 +81,11 @@
         // For a replica's limit, only the keeper may grant requests.
         keepers.truncate(1);
     }
-    let own = shared.own_card().instance();
+    let own = shared.own_info().instance();
     for (instance, address) in keepers {
         let reply = if instance == own {
             Some(KeeperReply {
-                answer: keeper::decide(shared, &demand.ask(purpose), demand.limit),
+                answer: keeper::decide(shared, &demand.request(purpose), demand.limit),
                 keeper: None,
             })
         } else {
@@ -104,14 +104,14 @@
 
 /// Refunds the units of a request that did not run to the daemon at `keeper`, or to this one.
 pub fn refund(shared: &Rc<Shared>, keeper: Option<SocketAddr>, demand: Demand) {
-    let ask = demand.ask(Purpose::GiveBack);
+    let ask = demand.request(Purpose::GiveBack);
     let Some(keeper) = keeper else {
         keeper::decide(shared, &ask, demand.limit);
         return;
     };
     let shared = Rc::clone(shared);
     let message = keeper::refund_message(demand);
-    tokio::task::spawn_local(async move { gossip::tell_quota(&shared, keeper, message).await });
+    tokio::task::spawn_local(async move { gossip::send_quota(&shared, keeper, message).await });
 }
 
 /// Asks the daemon at `to`; `None` if it does not answer in time, or failed to do so recently.
@@ -126,8 +126,8 @@
     let number = rand::random_range(NO_REPLY + 1..=u32::MAX);
     {
         let mut quotas = shared.quotas.borrow_mut();
-        quotas.silent.retain(|_, until| *until > now);
-        if quotas.silent.contains_key(&to) {
+        quotas.unresponsive.retain(|_, until| *until > now);
+        if quotas.unresponsive.contains_key(&to) {
             return None;
         }
         quotas
@@ -143,15 +143,15 @@
     }
     let message = Message::Ask {
         number,
-        ask: demand.ask(purpose),
+        ask: demand.request(purpose),
         limit: demand.limit,
     };
-    gossip::tell_quota(shared, to, message).await;
+    gossip::send_quota(shared, to, message).await;
     match timeout(ANSWER_TIMEOUT, answered).await {
         Ok(reply) => reply.ok(),
         Err(_) => {
             let until = shared.clock.now() + SILENT_PERIOD;
-            shared.quotas.borrow_mut().silent.insert(to, until);
+            shared.quotas.borrow_mut().unresponsive.insert(to, until);
             log::info!(kind = "quota", peer = to.to_string(), ms = ANSWER_TIMEOUT.as_millis() as u64; "a quota keeper does not answer");
             None
         }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -57,7 +57,7 @@
     };
     let sent = if !shared.may_send(job.fingerprint).await {
         Err(Outcome::Quarantined)
-    } else if shared.is_denied(job) {
+    } else if shared.is_revoked(job) {
         Err(Outcome::Denied)
     } else {
         with_charge(job, work, send_once(shared, job, key, task, reservation)).await
@@ -164,7 +164,7 @@
         return Err(outcome);
     }
     if decode {
-        shared.note_pace(key, begun.elapsed(), 1.0);
+        shared.record_work(key, begun.elapsed(), 1.0);
     }
     Ok(Reply {
         head,
@@ -222,7 +222,7 @@
     status: u16,
 ) {
     if outcome == Outcome::Lost {
-        shared.inquire(job.fingerprint, key);
+        shared.probe_lost(job.fingerprint, key);
     }
     let now = shared.clock.now();
     let mut pool = shared.pool.borrow_mut();
--- a/crates/gateway/src/shared/overload.rs
+++ b/crates/gateway/src/shared/overload.rs
@@ -1,4 +1,4 @@
-//! Whether instances of this data centre are overloaded, and which ones callers are told of.
+//! Overload of instances of this data centre, and which instances are advertised to callers.
 
 use std::time::Duration;
 
@@ -9,28 +9,28 @@
 use crate::shared::Shared;
 
 impl Shared {
-    /// Notes that a timer of this daemon came `late`.
-    pub fn note_late(&self, late: Duration) {
-        self.change_overload(|overload, now| overload.record_delay(now, late));
+    /// Records that a timer of this daemon fired `late`.
+    pub fn record_delay(&self, late: Duration) {
+        self.update_overload(|overload, now| overload.record_delay(now, late));
     }
 
-    /// Notes that another instance of this data centre told that it is overloaded.
-    pub fn heard_overload(&self) {
-        self.change_overload(Overload::record_report);
+    /// Records that another instance of this data centre reports its own overload.
+    pub fn record_overload_report(&self) {
+        self.update_overload(Overload::record_report);
     }
 
-    /// Notes that an instance heard of one of this data centre that is overloaded.
-    pub fn told_overload(&self) {
-        self.change_overload(Overload::record_relayed_report);
+    /// Records that the poller reports an overloaded instance of this data centre.
+    pub fn record_relayed_report(&self) {
+        self.update_overload(Overload::record_relayed_report);
     }
 
-    fn change_overload(&self, change: impl FnOnce(&mut Overload, Time)) {
+    fn update_overload(&self, change: impl FnOnce(&mut Overload, Time)) {
         let now = self.clock.now();
         let mut overload = self.overload.borrow_mut();
         let before = overload.lists_all_instances(now);
         change(&mut overload, now);
         if overload.lists_all_instances(now) && !before {
-            log::info!(kind = "overload", own = overload.is_local(); "an instance is overloaded; callers are told of all instances of the data centre");
+            log::info!(kind = "overload", own = overload.is_local(); "an instance is overloaded; all instances of the data centre are advertised");
         }
     }
 
@@ -39,9 +39,9 @@
         self.overload.borrow().is_local()
     }
 
-    /// Which instances callers are told of.
-    pub fn breadth(&self) -> Scope {
-        let spreads = self.overload.borrow().lists_all_instances(self.clock.now());
-        if spreads { Scope::All } else { Scope::Large }
+    /// Which instances are advertised to callers.
+    pub fn advertised_scope(&self) -> Scope {
+        let lists_all = self.overload.borrow().lists_all_instances(self.clock.now());
+        if lists_all { Scope::All } else { Scope::Large }
     }
 }
