--- a/crates/bench/src/world/act.rs
+++ b/crates/bench/src/world/act.rs
@@ -86,7 +86,7 @@
         CallerMessage::Done { .. } | CallerMessage::Answer { .. } => answers.done += 1,
         CallerMessage::Refusal(_) => answers.refused += 1,
         CallerMessage::Edit(Verdict::Accepted { .. } | Verdict::Repeated { .. }) => {
-            answers.accepted += 1
+            answers.accepted += 1;
         }
         CallerMessage::Edit(_) => answers.undecided += 1,
         _ => {}
--- a/crates/node/examples/drive.rs
+++ b/crates/node/examples/drive.rs
@@ -127,7 +127,7 @@
                 });
             }
             Action::SendToCaller { call, message } => {
-                println!("{call:?} receives {}", shown(&message))
+                println!("{call:?} receives {}", shown(&message));
             }
             Action::Log(decision) => println!(
                 "  {} {}: {} ({})",
--- a/crates/node/src/foreign_keys.rs
+++ b/crates/node/src/foreign_keys.rs
@@ -166,7 +166,7 @@
         };
         match outcome {
             StoreReply::Outcome(Some(recorded)) => {
-                self.answer_recorded(nonce, recorded.clone(), out)
+                self.answer_recorded(nonce, recorded.clone(), out);
             }
             _ => self.handle_no_record(nonce, out),
         }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -26,7 +26,7 @@
             Body::ListPull => self.send_list(from, out),
             Body::ListPush(copy) => self.use_peer_list(copy, out),
             Body::Announce { edit, generation } => {
-                self.handle_announcement(from, edit, generation, out)
+                self.handle_announcement(from, edit, generation, out);
             }
             Body::Noted { edit } => self.handle_noted(from, edit, out),
             Body::Submit(ticket) => self.handle_submission(from, *ticket),
--- a/crates/node/src/reattach.rs
+++ b/crates/node/src/reattach.rs
@@ -105,7 +105,7 @@
                 self.give_up(open_id, Reason::StreamLost, Duration::ZERO, out);
             }
             Failure::NotSent | Failure::Lost => {
-                self.refuse_unreachable_stream(open_id, failure, out)
+                self.refuse_unreachable_stream(open_id, failure, out);
             }
         }
     }
--- a/crates/node/src/verifying.rs
+++ b/crates/node/src/verifying.rs
@@ -81,7 +81,7 @@
         match held {
             Some(held) if held.fence > entry.fence => self.end(open_id, &End::Superseded, out),
             _ if entry.is_abandoned(now) => {
-                self.abandon(open_id, "the caller did not come back", out)
+                self.abandon(open_id, "the caller did not come back", out);
             }
             Some(held) if held.owner == mine => self.deliver_withheld(open_id, withheld, out),
             None if just_sent => entry.withheld = Some(withheld),
--- a/crates/node/tests/world/answers.rs
+++ b/crates/node/tests/world/answers.rs
@@ -86,7 +86,7 @@
             CallerMessage::Superseded => self.check_superseded(call, caller),
             CallerMessage::Answer { body, .. } => self.check_body(call, caller, body),
             CallerMessage::Refusal(refusal) => {
-                self.check_refusal(call, caller, is_request, refusal)
+                self.check_refusal(call, caller, is_request, refusal);
             }
             CallerMessage::Edit(_) => self.violate(format!("{call:?} is told of an edit")),
         }
--- a/crates/node/tests/world/visits.rs
+++ b/crates/node/tests/world/visits.rs
@@ -117,12 +117,12 @@
         let is_present = self.callers[caller].conn == Some(call);
         match tell {
             CallerMessage::Done { .. } | CallerMessage::Answer { .. } => {
-                self.end_caller(caller, State::Complete)
+                self.end_caller(caller, State::Complete);
             }
             _ if !is_present => (),
             CallerMessage::Head { token, .. } => self.callers[caller].token = Some(token),
             CallerMessage::Tokens { offset, count, .. } => {
-                self.callers[caller].had = offset + count
+                self.callers[caller].had = offset + count;
             }
             CallerMessage::Superseded => self.try_again(caller, 300),
             CallerMessage::Refusal(refusal) => self.refused(caller, call, &refusal),
