--- a/crates/node/src/edits.rs
+++ b/crates/node/src/edits.rs
@@ -20,9 +20,9 @@
 use crate::status::Rollout;
 
 /// Time within which a majority must confirm the generation of a committed edit.
-const NOTE_TIMEOUT: Duration = Duration::from_secs(3);
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time after which a generation is announced again to instances that have not confirmed it.
-const ANNOUNCE_AGAIN: Duration = Duration::from_millis(300);
+const REANNOUNCE_AFTER: Duration = Duration::from_millis(300);
 
 impl Node {
     /// Checks and commits an operator's edit.
@@ -44,7 +44,7 @@
             edit,
             commit: query,
             committed: None,
-            noted: BTreeSet::from([self.settings.instance]),
+            confirmed: BTreeSet::from([self.settings.instance]),
             since: self.now,
             announced: self.now,
         };
@@ -92,13 +92,13 @@
         let Some((generation, _)) = pending.committed else {
             return;
         };
-        let noted = pending.noted.clone();
+        let confirmed = pending.confirmed.clone();
         let rest: Vec<Instance> = self
             .members
             .fleet
             .members()
             .map(|member| member.instance)
-            .filter(|peer| !noted.contains(peer))
+            .filter(|peer| !confirmed.contains(peer))
             .collect();
         for peer in rest {
             self.send(
@@ -126,9 +126,9 @@
         }
     }
 
-    pub(crate) fn handle_noted(&mut self, from: Instance, edit: u64, out: &mut Vec<Action>) {
+    pub(crate) fn handle_confirmation(&mut self, from: Instance, edit: u64, out: &mut Vec<Action>) {
         if let Some(pending) = self.tables.sync.pending_edits.get_mut(&edit) {
-            pending.noted.insert(from);
+            pending.confirmed.insert(from);
             self.try_accept(edit, out);
         }
     }
@@ -141,12 +141,12 @@
         let listed = |instance: &&Instance| {
             **instance == self.settings.instance || self.members.listed.contains_key(*instance)
         };
-        let noted = pending.noted.iter().filter(listed).count();
+        let confirmed = pending.confirmed.iter().filter(listed).count();
         match pending.committed {
-            Some((generation, false)) if noted * 2 > known => {
+            Some((generation, false)) if confirmed * 2 > known => {
                 self.close_edit(number, Verdict::Accepted { generation }, out);
             }
-            Some((generation, true)) if noted * 2 > known => {
+            Some((generation, true)) if confirmed * 2 > known => {
                 self.close_edit(number, Verdict::Repeated { generation }, out);
             }
             _ => (),
@@ -160,8 +160,8 @@
         let mut late = Vec::new();
         for (number, pending) in &self.tables.sync.pending_edits {
             match pending.committed {
-                Some(_) if now >= pending.since + NOTE_TIMEOUT => late.push(*number),
-                Some(_) if now >= pending.announced + ANNOUNCE_AGAIN => again.push(*number),
+                Some(_) if now >= pending.since + CONFIRM_TIMEOUT => late.push(*number),
+                Some(_) if now >= pending.announced + REANNOUNCE_AFTER => again.push(*number),
                 _ => (),
             }
         }
--- a/crates/node/src/open.rs
+++ b/crates/node/src/open.rs
@@ -160,7 +160,7 @@
     /// Fencing number of this daemon as owner.
     pub fence: u64,
     /// Restores the order of tokens.
-    pub sequence: Reassembler,
+    pub reassembler: Reassembler,
     /// Whether it may have reached a replica.
     pub reach: Reach,
     /// Time at which the current attempt began to wait.
@@ -206,7 +206,7 @@
             prefill_hold: None,
             decode_hold: None,
             fence: 0,
-            sequence: Reassembler::new(0),
+            reassembler: Reassembler::new(0),
             reach: Reach::Untouched,
             queued_at: now,
             max_wait: Duration::ZERO,
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -84,7 +84,7 @@
             route::ticket::Work::Model { max_tokens, .. } => max_tokens,
             route::ticket::Work::Plain => 0,
         };
-        let offset = entry.sequence.delivered();
+        let offset = entry.reassembler.delivered();
         let priority = entry.priority;
         entry.order = Some(order);
         entry.record_order_sent(self.now);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -20,7 +20,7 @@
                 self.members.fleet.receive(self.now, from, &message);
                 self.timers.fleet = self.now;
             }
-            Body::News(news) => self.handle_news(from, news, out),
+            Body::News(status) => self.handle_table_status(from, status, out),
             Body::Pull => self.send_table(from, out),
             Body::Push(table) => self.apply_table(*table, out),
             Body::ListPull => self.send_list(from, out),
@@ -28,7 +28,7 @@
             Body::Announce { edit, generation } => {
                 self.handle_announcement(from, edit, generation, out);
             }
-            Body::Noted { edit } => self.handle_noted(from, edit, out),
+            Body::Noted { edit } => self.handle_confirmation(from, edit, out),
             Body::Submit(ticket) => self.handle_submission(from, *ticket),
             Body::Verdict(verdict) => self.handle_verdict(from, verdict, out),
             Body::Advance { handle, phase } => self.handle_progress(handle, phase),
--- a/crates/node/src/pending_edit.rs
+++ b/crates/node/src/pending_edit.rs
@@ -16,7 +16,7 @@
     pub(crate) commit: QueryId,
     /// After the commit: its generation, and whether an earlier try committed it.
     pub(crate) committed: Option<(u64, bool)>,
-    pub(crate) noted: BTreeSet<Instance>,
+    pub(crate) confirmed: BTreeSet<Instance>,
     pub(crate) since: Time,
     pub(crate) announced: Time,
 }
--- a/crates/node/src/proofs.rs
+++ b/crates/node/src/proofs.rs
@@ -12,10 +12,10 @@
 use crate::node::millis;
 use crate::table_sync::PeerTable;
 
-/// Interval between two rounds of news.
-const NEWS_EVERY: Duration = Duration::from_millis(250);
+/// Interval between two rounds of status messages.
+const STATUS_EVERY: Duration = Duration::from_millis(250);
 /// Number of peers asked per round while the store provides proofs.
-const NEWS_FANOUT: usize = 3;
+const STATUS_FANOUT: usize = 3;
 
 impl Node {
     /// Records that a linearizable read of the store, at or after `since`, showed nothing newer.
@@ -26,29 +26,29 @@
     }
 
     /// Exchanges table generations and the age of proofs with some peers.
-    pub(crate) fn send_news(&mut self, out: &mut Vec<Action>) {
-        self.timers.news = self.now + NEWS_EVERY;
+    pub(crate) fn send_table_status(&mut self, out: &mut Vec<Action>) {
+        self.timers.status = self.now + STATUS_EVERY;
         self.request_list(out);
-        let news = self.local_news(self.now.0.wrapping_add(self.incarnation().0), false);
-        for peer in self.random_peers(self.news_fanout()) {
-            self.send(peer, Body::News(news), out);
+        let status = self.local_status(self.now.0.wrapping_add(self.incarnation().0), false);
+        for peer in self.random_peers(self.status_fanout()) {
+            self.send(peer, Body::News(status), out);
         }
     }
 
     /// Returns the number of peers to ask per round: few while the store provides proofs; otherwise
     /// enough that a majority answers within the lease.
-    fn news_fanout(&self) -> usize {
+    fn status_fanout(&self) -> usize {
         let lease = self.settings.lease;
         let age = self.tables.sync.store_age(self.now);
         if age.is_some_and(|age| age * 2 < lease) {
-            return NEWS_FANOUT;
+            return STATUS_FANOUT;
         }
-        let rounds = (lease.as_millis() / 2 / NEWS_EVERY.as_millis()).max(1) as usize;
+        let rounds = (lease.as_millis() / 2 / STATUS_EVERY.as_millis()).max(1) as usize;
         let others = self.members.fleet.listed_count() / 2;
-        NEWS_FANOUT.max(others.div_ceil(rounds))
+        STATUS_FANOUT.max(others.div_ceil(rounds))
     }
 
-    fn local_news(&self, asked: u64, answer: bool) -> TableStatus {
+    fn local_status(&self, asked: u64, answer: bool) -> TableStatus {
         let age = self
             .tables
             .sync
@@ -63,39 +63,44 @@
         }
     }
 
-    pub(crate) fn handle_news(&mut self, from: Instance, news: TableStatus, out: &mut Vec<Action>) {
-        self.tables.view.announce(news.generation);
-        self.record_news(from, news);
+    pub(crate) fn handle_table_status(
+        &mut self,
+        from: Instance,
+        status: TableStatus,
+        out: &mut Vec<Action>,
+    ) {
+        self.tables.view.announce(status.generation);
+        self.record_status(from, status);
         if self.tables.view.behind() {
             self.send(from, Body::Pull, out);
         } else {
-            self.apply_proof(news);
+            self.apply_proof(status);
         }
-        if !news.answer {
-            let answer = self.local_news(news.asked, true);
+        if !status.answer {
+            let answer = self.local_status(status.asked, true);
             self.send(from, Body::News(answer), out);
         }
     }
 
-    /// Returns the time at which this run asked the question that `news` answers, if it did.
+    /// Returns the time at which this run asked the question that `status` answers, if it did.
     ///
     /// The clock of every run starts at zero, so a late answer to an earlier run could match a
     /// recent question. Timestamps in questions are therefore offset by the incarnation.
-    fn asked_at(&self, news: TableStatus) -> Option<Time> {
-        let asked = Time(news.asked.wrapping_sub(self.incarnation().0));
-        Some(asked).filter(|asked| news.answer && (self.started..=self.now).contains(asked))
+    fn asked_at(&self, status: TableStatus) -> Option<Time> {
+        let asked = Time(status.asked.wrapping_sub(self.incarnation().0));
+        Some(asked).filter(|asked| status.answer && (self.started..=self.now).contains(asked))
     }
 
-    fn record_news(&mut self, from: Instance, news: TableStatus) {
+    fn record_status(&mut self, from: Instance, status: TableStatus) {
         let before = self
             .tables
             .sync
             .peers
             .get(&from)
             .and_then(|peer| peer.settled);
-        let settled = before.max(self.asked_at(news).filter(|_| news.settled));
+        let settled = before.max(self.asked_at(status).filter(|_| status.settled));
         let peer = PeerTable {
-            generation: news.generation,
+            generation: status.generation,
             at: self.now,
             settled,
         };
@@ -103,13 +108,13 @@
     }
 
     /// Applies the proof in an answer: what its sender could prove when the question was sent.
-    fn apply_proof(&mut self, news: TableStatus) {
-        let Some(asked) = self.asked_at(news) else {
+    fn apply_proof(&mut self, status: TableStatus) {
+        let Some(asked) = self.asked_at(status) else {
             return;
         };
-        let age = news
+        let age = status
             .store_age_ms
-            .filter(|_| news.generation == self.tables.view.generation());
+            .filter(|_| status.generation == self.tables.view.generation());
         if let Some(age) = age {
             let proved = asked - Duration::from_millis(u64::from(age));
             self.tables.view.vouch(self.now, self.now.since(proved));
--- a/crates/node/src/reattach.rs
+++ b/crates/node/src/reattach.rs
@@ -52,7 +52,7 @@
             } if has_clock_skew(entry, fence) => {
                 entry.attach_failures += 1;
                 entry.fence = entry.fence.max(fence);
-                let offset = entry.sequence.delivered();
+                let offset = entry.reassembler.delivered();
                 self.attach(open_id, offset, out);
             }
             Failure::Refused {
@@ -85,7 +85,7 @@
             .requests
             .open_where(|entry| entry.reattach_at.is_some_and(|at| now >= at));
         for open_id in due {
-            let offset = self.requests.open[open_id].sequence.delivered();
+            let offset = self.requests.open[open_id].reassembler.delivered();
             self.attach(open_id, offset, out);
         }
     }
@@ -141,7 +141,7 @@
         entry.reattach_at = None;
         entry.record_order_sent(self.now);
         let (handle, fence) = (entry.handle(), entry.fence);
-        entry.sequence = Reassembler::new(offset);
+        entry.reassembler = Reassembler::new(offset);
         entry.withheld = None;
         match entry.decode_hold {
             Some(hold) => self.requests.holds.restart(hold, order, owner, fence),
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -71,7 +71,7 @@
             entry.ticket.avoid.remove(0);
         }
         entry.ticket.avoid.extend(failed);
-        continue_from(&mut entry.ticket.work, entry.sequence.delivered());
+        continue_from(&mut entry.ticket.work, entry.reassembler.delivered());
         entry.enter(Stage::Waiting, out);
         entry.placement = None;
         entry.phase = None;
@@ -80,7 +80,7 @@
         entry.queued_at = self.now;
         entry.attach_failures = 0;
         entry.reattach_at = None;
-        entry.sequence.reset();
+        entry.reassembler.reset();
         let holds = [entry.prefill_hold.take(), entry.decode_hold.take()];
         for hold in holds {
             self.release_hold(hold, out);
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -74,7 +74,7 @@
         entry.attach_failures = 0;
         entry.times.progress = now;
         let mut ready = Vec::new();
-        let arrival = entry.sequence.push(run, &mut ready);
+        let arrival = entry.reassembler.push(run, &mut ready);
         if arrival == Arrival::Ready {
             record_token_times(entry, now, out);
         }
@@ -89,13 +89,13 @@
             }));
         }
         if arrival == Arrival::Broken {
-            let offset = self.requests.open[open_id].sequence.delivered();
+            let offset = self.requests.open[open_id].reassembler.delivered();
             self.attach(open_id, offset, out);
         }
     }
 
     fn handle_stream_end(&mut self, open_id: OpenId, tokens: u32, out: &mut Vec<Action>) {
-        let delivered = self.requests.open[open_id].sequence.delivered();
+        let delivered = self.requests.open[open_id].reassembler.delivered();
         if delivered < tokens {
             self.attach(open_id, delivered, out);
         } else {
@@ -109,7 +109,7 @@
         let first = entry.times.first.unwrap_or(self.now);
         let ttft = first.since(entry.times.arrived).as_micros() as u64;
         let last = entry.times.last.unwrap_or(first);
-        let gaps = u64::from(entry.sequence.delivered().saturating_sub(1).max(1));
+        let gaps = u64::from(entry.reassembler.delivered().saturating_sub(1).max(1));
         let tbt = last.since(first).as_micros() as u64 / gaps;
         if entry.is_model() {
             out.push(Action::Count(Count::TokenGap {
--- a/crates/node/src/tables.rs
+++ b/crates/node/src/tables.rs
@@ -126,7 +126,7 @@
                 .is_some_and(|table| table.drains_instance(&self.settings.name));
             self.lifecycle.drained = marked.then(|| self.lifecycle.drained.unwrap_or(self.now));
             self.refresh_schedulers();
-            self.send_news(out);
+            self.send_table_status(out);
         }
     }
 
--- a/crates/node/src/takeovers.rs
+++ b/crates/node/src/takeovers.rs
@@ -116,13 +116,13 @@
         entry.times.disconnected = None;
         entry.head_sent = false;
         if entry.stage != Stage::Decode {
-            entry.sequence = Reassembler::new(offset);
+            entry.reassembler = Reassembler::new(offset);
             if entry.stage == Stage::Waiting {
                 continue_from(&mut entry.ticket.work, offset);
             }
             return;
         }
-        let in_place = entry.order.is_some() && entry.sequence.delivered() == offset;
+        let in_place = entry.order.is_some() && entry.reassembler.delivered() == offset;
         self.send_head(open_id, out);
         if !in_place {
             self.attach(open_id, offset, out);
@@ -180,7 +180,7 @@
             }),
             phase: Some(Phase::Decoding),
             fence: self.unix_ms().max(token.fence + TAKEOVER_STEP),
-            sequence: Reassembler::new(offset),
+            reassembler: Reassembler::new(offset),
             reach: Reach::Touched,
             targets,
             ..OpenRequest::new(call, &token.customer, token.pool, ticket, self.now)
--- a/crates/node/src/timer_tasks.rs
+++ b/crates/node/src/timer_tasks.rs
@@ -32,8 +32,8 @@
         if now >= self.timers.poll {
             self.poll(out);
         }
-        if now >= self.timers.news {
-            self.send_news(out);
+        if now >= self.timers.status {
+            self.send_table_status(out);
         }
         if now >= self.timers.inspect {
             self.inspect(out);
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -10,7 +10,7 @@
     pub(crate) inspect: Time,
     pub(crate) audit: Time,
     pub(crate) poll: Time,
-    pub(crate) news: Time,
+    pub(crate) status: Time,
     pub(crate) record: Time,
     pub(crate) housekeeping: Time,
     pub(crate) reassign: Time,
@@ -25,7 +25,7 @@
             inspect: now,
             audit: now,
             poll: now,
-            news: now,
+            status: now,
             record: now,
             housekeeping: now,
             reassign: now,
@@ -39,7 +39,7 @@
             .min(self.inspect)
             .min(self.audit)
             .min(self.poll)
-            .min(self.news)
+            .min(self.status)
             .min(self.record)
             .min(self.housekeeping)
     }
--- a/crates/node/src/verifying.rs
+++ b/crates/node/src/verifying.rs
@@ -86,7 +86,7 @@
             Some(held) if held.owner == mine => self.deliver_withheld(open_id, withheld, out),
             None if just_sent => entry.withheld = Some(withheld),
             Some(_) => {
-                let offset = entry.sequence.delivered();
+                let offset = entry.reassembler.delivered();
                 self.attach(open_id, offset, out);
                 self.notify_keeper(open_id, out);
             }
