--- a/crates/entry/src/callers/answer.rs
+++ b/crates/entry/src/callers/answer.rs
@@ -90,8 +90,8 @@
 /// A refusal as JSON.
 pub fn refusal_json(refusal: &Refusal) -> Value {
     json!({
-        "outcome": refusal.outcome.word(),
-        "reason": refusal.reason.word(),
+        "outcome": refusal.outcome.as_str(),
+        "reason": refusal.reason.as_str(),
         "retry_after_ms": refusal.retry_after_ms,
         "addresses": refusal.addresses,
     })
@@ -107,8 +107,8 @@
 
 fn rejected(result: Outcome, why: Reason, retry_after_ms: u64, cause: &str) -> Value {
     json!({
-        "outcome": result.word(),
-        "reason": why.word(),
+        "outcome": result.as_str(),
+        "reason": why.as_str(),
         "retry_after_ms": retry_after_ms,
         "addresses": [],
         "cause": cause,
@@ -118,7 +118,7 @@
 fn typed(status: StatusCode, result: Outcome, retry_after_ms: u64, body: &Value) -> Response<Body> {
     let mut answer = json(status, body);
     let headers = answer.headers_mut();
-    headers.insert(OUTCOME, HeaderValue::from_static(result.word()));
+    headers.insert(OUTCOME, HeaderValue::from_static(result.as_str()));
     if retry_after_ms > 0 {
         let seconds = retry_after_ms.div_ceil(1_000);
         headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
--- a/crates/entry/src/logs.rs
+++ b/crates/entry/src/logs.rs
@@ -57,12 +57,12 @@
         log::info!(
             kind = "decision",
             request = decision.request.as_str(),
-            step = decision.step.word(),
+            step = decision.step.as_str(),
             choice = decision.choice.as_str(),
             alternatives = decision.alternatives.as_str(),
             reason = decision.reason.as_str(),
             generation = decision.generation;
-            "{}", decision.step.word()
+            "{}", decision.step.as_str()
         );
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         if lines.len() == RECENT {
@@ -104,7 +104,7 @@
         "time": line.time,
         "kind": "decision",
         "request": decision.request,
-        "step": decision.step.word(),
+        "step": decision.step.as_str(),
         "choice": decision.choice,
         "alternatives": decision.alternatives,
         "reason": decision.reason,
--- a/crates/entry/src/metrics/mod.rs
+++ b/crates/entry/src/metrics/mod.rs
@@ -93,7 +93,7 @@
             Count::Good => self.good.inc(),
             Count::Answered => self.requests.with_label_values(&["answered"]).inc(),
             Count::Refused(outcome) => {
-                self.requests.with_label_values(&[outcome.word()]).inc();
+                self.requests.with_label_values(&[outcome.as_str()]).inc();
             }
             Count::Prefilled(tokens) => {
                 self.prefill_tokens
--- a/crates/node/examples/drive.rs
+++ b/crates/node/examples/drive.rs
@@ -131,7 +131,7 @@
             }
             Action::Log(decision) => println!(
                 "  {} {}: {} ({})",
-                decision.step.word(),
+                decision.step.as_str(),
                 decision.request,
                 decision.choice,
                 decision.reason
--- a/crates/node/src/decision.rs
+++ b/crates/node/src/decision.rs
@@ -46,7 +46,7 @@
 
 impl Step {
     /// Value of the decision's kind in log lines.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Admit => "admit",
             Self::Place => "place",
--- a/crates/node/src/endings.rs
+++ b/crates/node/src/endings.rs
@@ -128,7 +128,7 @@
                 "superseded",
                 "another connection reads the answer".to_owned(),
             ),
-            End::Refused(refusal) => (refusal.outcome.word(), refusal.reason.word().to_owned()),
+            End::Refused(refusal) => (refusal.outcome.as_str(), refusal.reason.as_str().to_owned()),
         };
         self.log(&label, Step::End, word, &reason, out);
         let (count, message) = match end {
--- a/crates/node/src/refusals.rs
+++ b/crates/node/src/refusals.rs
@@ -23,7 +23,7 @@
 
 impl Reason {
     /// Name in answers and log lines.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Invalid => "invalid",
             Self::NoRow => "no_row",
@@ -48,7 +48,7 @@
 
 impl Outcome {
     /// Name in answers and log lines.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
             Self::Unknown => "unknown",
@@ -124,8 +124,8 @@
         self.log(
             label,
             Step::Refuse,
-            refusal.outcome.word(),
-            refusal.reason.word(),
+            refusal.outcome.as_str(),
+            refusal.reason.as_str(),
             out,
         );
         out.push(Action::Count(Count::Refused(refusal.outcome)));
--- a/crates/node/tests/world/answers.rs
+++ b/crates/node/tests/world/answers.rs
@@ -165,7 +165,7 @@
         };
         let untrue = refusal.outcome == Outcome::NotRun && touched;
         if is_request && untrue {
-            let reason = refusal.reason.word();
+            let reason = refusal.reason.as_str();
             self.violate(format!(
                 "{call:?} of caller {caller} is told `not run` ({reason}), and a byte had reached a replica"
             ));
@@ -183,8 +183,8 @@
         CallerMessage::Tokens { offset, count, .. } => format!("{count} tokens from {offset}"),
         CallerMessage::Refusal(refusal) => format!(
             "{} {}, back in {} ms at {:?}",
-            refusal.outcome.word(),
-            refusal.reason.word(),
+            refusal.outcome.as_str(),
+            refusal.reason.as_str(),
             refusal.retry_after_ms,
             refusal.addresses
         ),
