--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -90,7 +90,7 @@
         match self.admit(call, key, request) {
             Ok(open_id) => {
                 if earlier.is_some() {
-                    self.requests.open[open_id].reach = Reach::Touched;
+                    self.requests.open[open_id].reach = Reach::MayHaveReached;
                 }
                 self.start(open_id, out);
             }
@@ -167,7 +167,7 @@
     /// a while, because callers may hold its address.
     pub(crate) fn is_closed(&self) -> bool {
         let span = self.settings.address_ttl * LEAVING_TTLS;
-        let since = self.lifecycle.leaving.or(self.lifecycle.drained);
+        let since = self.lifecycle.leaving.or(self.lifecycle.draining_since);
         since.is_some_and(|since| self.now >= since + span)
     }
 
--- a/crates/node/src/keeper.rs
+++ b/crates/node/src/keeper.rs
@@ -141,7 +141,7 @@
                 zone: listed.zone,
                 role: listed.role,
                 slots: listed.slots,
-                leaving: listed.leaving || self.is_drained(&listed.name),
+                leaving: listed.leaving || self.is_draining(&listed.name),
             })
             .collect();
         let rules: Vec<Rule> = self
@@ -163,7 +163,7 @@
         }
     }
 
-    fn is_drained(&self, replica: &str) -> bool {
+    fn is_draining(&self, replica: &str) -> bool {
         self.tables
             .view
             .table()
--- a/crates/node/src/open.rs
+++ b/crates/node/src/open.rs
@@ -71,11 +71,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
     /// No byte of it was sent.
-    Untouched,
+    Unsent,
     /// Its first order is in flight.
     Sent,
     /// A byte of it may have reached a replica.
-    Touched,
+    MayHaveReached,
 }
 
 /// Replicas of a placed request.
@@ -207,7 +207,7 @@
             decode_hold: None,
             fence: 0,
             reassembler: Reassembler::new(0),
-            reach: Reach::Untouched,
+            reach: Reach::Unsent,
             queued_at: now,
             max_wait: Duration::ZERO,
             head_sent: false,
@@ -230,7 +230,7 @@
     /// Records that an order is sent.
     pub fn record_order_sent(&mut self, now: Time) {
         self.times.progress = now;
-        if self.reach == Reach::Untouched {
+        if self.reach == Reach::Unsent {
             self.reach = Reach::Sent;
         }
     }
@@ -238,14 +238,14 @@
     /// Records the end of an order; `unsent` if no byte of it reached the replica.
     pub fn record_order_end(&mut self, unsent: bool) {
         self.reach = match self.reach {
-            Reach::Untouched | Reach::Sent if unsent => Reach::Untouched,
-            _ => Reach::Touched,
+            Reach::Unsent | Reach::Sent if unsent => Reach::Unsent,
+            _ => Reach::MayHaveReached,
         };
     }
 
     /// Returns whether a byte of it may have reached a replica.
     pub fn may_have_reached(&self) -> bool {
-        self.reach != Reach::Untouched
+        self.reach != Reach::Unsent
     }
 
     /// Changes the stage to `next`; a forbidden transition is reported as a fault and not made.
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -173,7 +173,7 @@
     /// Time since which the planned stop waits only for records and releases.
     pub(crate) idle_since: Option<Time>,
     /// Time since which the table marks this instance as draining.
-    pub(crate) drained: Option<Time>,
+    pub(crate) draining_since: Option<Time>,
 }
 
 impl Lifecycle {
@@ -184,7 +184,7 @@
             leaving: None,
             finished: false,
             idle_since: None,
-            drained: None,
+            draining_since: None,
         }
     }
 }
--- a/crates/node/src/tables.rs
+++ b/crates/node/src/tables.rs
@@ -124,7 +124,8 @@
                 .view
                 .table()
                 .is_some_and(|table| table.drains_instance(&self.settings.name));
-            self.lifecycle.drained = marked.then(|| self.lifecycle.drained.unwrap_or(self.now));
+            self.lifecycle.draining_since =
+                marked.then(|| self.lifecycle.draining_since.unwrap_or(self.now));
             self.refresh_schedulers();
             self.send_table_status(out);
         }
--- a/crates/node/src/takeovers.rs
+++ b/crates/node/src/takeovers.rs
@@ -181,7 +181,7 @@
             phase: Some(Phase::Decoding),
             fence: self.unix_ms().max(token.fence + TAKEOVER_STEP),
             reassembler: Reassembler::new(offset),
-            reach: Reach::Touched,
+            reach: Reach::MayHaveReached,
             targets,
             ..OpenRequest::new(call, &token.customer, token.pool, ticket, self.now)
         });
