--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -1,5 +1,5 @@
-//! Request limits that replicas set for all daemons together. Before each request to a limited replica, a daemon asks the
-//! keeper of the count.
+//! Enforces request limits that a replica sets for all daemons together. Before each request to a
+//! limited replica, a daemon asks the keeper of the count.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use relay::server::Key;
 use relay::server::Server;
 
-use crate::quota::asking;
+use crate::quota::client;
 use crate::quotas::Demand;
 use crate::shared::Shared;
 
@@ -43,8 +43,8 @@
         return true;
     };
     let purpose = Purpose::Run { patience_ms: 0 };
-    let heard = asking::ask(shared, demand, purpose).await;
-    let decision = heard.map(|heard| heard.told.decision);
+    let reply = client::ask(shared, demand, purpose).await;
+    let decision = reply.map(|reply| reply.answer.decision);
     let pause = match decision {
         Some(Decision::Granted { .. }) => return true,
         Some(Decision::Refused { come_back_ms }) => Duration::from_millis(come_back_ms.into()),
@@ -57,7 +57,7 @@
     false
 }
 
-/// What a request asks of the limit of `server`; `None` if the replica has no limit.
+/// The units that a request takes from the limit of `server`; `None` if the replica has no limit.
 fn demand(server: &Server) -> Option<Demand> {
     Some(Demand {
         subject: Subject::Replica(server.hash),
