--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -23,11 +23,11 @@
 /// Decisions that one measurement takes.
 const DECISIONS: u64 = 20_000;
 /// Time that a request stays.
-const STAY: Duration = Duration::from_secs(5);
+const REQUEST_DURATION: Duration = Duration::from_secs(5);
 /// Rows of the table.
 const ROWS: u64 = 40;
 /// Data centres.
-const ZONES: u64 = 11;
+const DATA_CENTRES: u64 = 11;
 /// Blocks of a prompt.
 const BLOCKS: u64 = 40;
 
@@ -41,28 +41,28 @@
     pub p99: f64,
 }
 
-/// Times decisions of a cell of `replicas` with `busy` requests in progress and `queued` waiting.
+/// Times decisions of a scheduler of `replicas` with `busy` requests in progress and `queued` waiting.
 ///
-/// With a queue the cell is full: each decision is a ticket that queues, an end that frees a slot,
+/// With a queue the scheduler is full: each decision is a ticket that queues, an end that frees a slot,
 /// and the step that grants it to another request.
 pub fn measure(replicas: u64, busy: u64, queued: u64) -> Timing {
-    let mut cell = cell(replicas, busy, queued > 0);
+    let mut scheduler = scheduler(replicas, busy, queued > 0);
     let mut now = Time::from_millis(1);
     let mut out = Vec::new();
     let mut live = std::collections::VecDeque::new();
     let mut next = 0;
-    let pause = STAY / busy as u32;
+    let pause = REQUEST_DURATION / busy as u32;
     while (live.len() as u64) < busy {
         now = now + pause;
-        place(&mut cell, now, next, &mut out, &mut live);
+        place(&mut scheduler, now, next, &mut out, &mut live);
         next += 1;
     }
     for _ in 0..queued {
-        cell.submit(now, ticket(next));
+        scheduler.submit(now, ticket(next));
         next += 1;
     }
-    cell.step(now, &mut out);
-    take(&mut cell, now, &mut out, &mut live);
+    scheduler.step(now, &mut out);
+    apply_verdicts(&mut scheduler, now, &mut out, &mut live);
     let mut samples = Vec::new();
     for _ in 0..DECISIONS {
         now = now + pause;
@@ -70,12 +70,12 @@
         let oldest = live.pop_front();
         let begin = Instant::now();
         if let Some(oldest) = oldest {
-            cell.advance(now, oldest, Phase::Finished { tokens: 200 });
+            scheduler.advance(now, oldest, Phase::Finished { tokens: 200 });
         }
-        cell.submit(now, ticket);
-        cell.step(now, &mut out);
+        scheduler.submit(now, ticket);
+        scheduler.step(now, &mut out);
         samples.push(begin.elapsed().as_secs_f64() * 1e6);
-        take(&mut cell, now, &mut out, &mut live);
+        apply_verdicts(&mut scheduler, now, &mut out, &mut live);
         next += 1;
     }
     samples.sort_by(f64::total_cmp);
@@ -87,19 +87,19 @@
 }
 
 fn place(
-    cell: &mut Scheduler,
+    scheduler: &mut Scheduler,
     now: Time,
     n: u64,
     out: &mut Vec<Verdict>,
     live: &mut std::collections::VecDeque<Handle>,
 ) {
-    cell.submit(now, ticket(n));
-    cell.step(now, out);
-    take(cell, now, out, live);
+    scheduler.submit(now, ticket(n));
+    scheduler.step(now, out);
+    apply_verdicts(scheduler, now, out, live);
 }
 
-fn take(
-    cell: &mut Scheduler,
+fn apply_verdicts(
+    scheduler: &mut Scheduler,
     now: Time,
     out: &mut Vec<Verdict>,
     live: &mut std::collections::VecDeque<Handle>,
@@ -110,8 +110,8 @@
                 computed: 4_000,
                 cached: 1_000,
             };
-            cell.advance(now, verdict.handle, phase);
-            cell.advance(now, verdict.handle, Phase::Decoding);
+            scheduler.advance(now, verdict.handle, phase);
+            scheduler.advance(now, verdict.handle, Phase::Decoding);
             live.push_back(verdict.handle);
         }
     }
@@ -121,10 +121,10 @@
     Row::from_parts("bench", &format!("c{}", n % ROWS), "pool")
 }
 
-fn cell(replicas: u64, busy: u64, full: bool) -> Scheduler {
-    let mut cell = Scheduler::new(Settings::new(), 1);
+fn scheduler(replicas: u64, busy: u64, full: bool) -> Scheduler {
+    let mut scheduler = Scheduler::new(Settings::new(), 1);
     let rules: Vec<Rule> = (0..ROWS).map(rule).collect();
-    cell.set_rules(Time::ZERO, &rules);
+    scheduler.set_rules(Time::ZERO, &rules);
     let prefills = replicas / 3;
     let each = busy / (replicas - prefills);
     let slots = if full {
@@ -135,7 +135,7 @@
     let members: Vec<Member> = (0..replicas)
         .map(|i| Member {
             replica: Replica::new(&format!("r{i}")),
-            zone: Zone::new(&format!("z{}", i % ZONES)),
+            zone: Zone::new(&format!("z{}", i % DATA_CENTRES)),
             role: if i < prefills {
                 Role::Prefill
             } else {
@@ -145,8 +145,8 @@
             leaving: false,
         })
         .collect();
-    cell.set_members(Time::ZERO, &members);
-    cell
+    scheduler.set_members(Time::ZERO, &members);
+    scheduler
 }
 
 fn rule(n: u64) -> Rule {
--- a/crates/lab/src/bin/decode.rs
+++ b/crates/lab/src/bin/decode.rs
@@ -4,12 +4,12 @@
 
 use getopts::Options;
 
-use lab::decode::figures::Figures;
 use lab::decode::run;
 use lab::decode::setup::LOADS;
 use lab::decode::setup::Load;
 use lab::decode::setup::Policy;
 use lab::decode::setup::Setup;
+use lab::decode::stats::Stats;
 
 /// Seeds of each row unless told otherwise.
 const SEEDS: u64 = 4;
@@ -66,7 +66,7 @@
 }
 
 fn row(fleet: &str, load: Load, policy: Policy, seeds: u64, setup: impl Fn(Load, Policy) -> Setup) {
-    let mut all = Figures::default();
+    let mut all = Stats::default();
     for seed in 1..=seeds {
         all.add(&run::run(setup(load, policy), seed));
     }
--- a/crates/lab/src/bin/quota.rs
+++ b/crates/lab/src/bin/quota.rs
@@ -8,8 +8,8 @@
 use lab::quota::load::Fault;
 use lab::quota::load::Load;
 use lab::quota::run;
-use lab::quota::run::Figures;
-use lab::quota::way::Way;
+use lab::quota::run::Stats;
+use lab::quota::scheme::Scheme;
 
 /// Seeds of each row unless told otherwise.
 const SEEDS: u64 = 8;
@@ -63,23 +63,25 @@
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     for load in loads() {
-        for way in [Way::Share, Way::Told, Way::Keeper] {
-            row(load, way, seeds);
+        for scheme in [Scheme::Share, Scheme::Told, Scheme::Keeper] {
+            row(load, scheme, seeds);
         }
     }
     Ok(())
 }
 
-fn row(load: Load, way: Way, seeds: u64) {
-    let all: Vec<Figures> = (0..seeds).map(|seed| run::play(way, load, seed)).collect();
-    let most = |of: fn(&Figures) -> f64| all.iter().map(of).fold(0.0, f64::max);
-    let mean = |of: fn(&Figures) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
+fn row(load: Load, scheme: Scheme, seeds: u64) {
+    let all: Vec<Stats> = (0..seeds)
+        .map(|seed| run::play(scheme, load, seed))
+        .collect();
+    let most = |of: fn(&Stats) -> f64| all.iter().map(of).fold(0.0, f64::max);
+    let mean = |of: fn(&Stats) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
     println!(
-        "| {} | {way:?} | {:.2} | {:.2} | {:.1} | {:.1} |",
+        "| {} | {scheme:?} | {:.2} | {:.2} | {:.1} | {:.1} |",
         load.name,
-        most(|figures| figures.worst),
-        most(|figures| figures.bound),
-        100.0 * mean(|figures| figures.lost),
-        mean(|figures| figures.messages)
+        most(|stats| stats.worst),
+        most(|stats| stats.bound),
+        100.0 * mean(|stats| stats.lost),
+        mean(|stats| stats.messages)
     );
 }
--- a/crates/lab/src/bin/site.rs
+++ b/crates/lab/src/bin/site.rs
@@ -6,12 +6,12 @@
 use getopts::Matches;
 use getopts::Options;
 
-use lab::site::figures::Figures;
 use lab::site::plot;
 use lab::site::plot::Line;
 use lab::site::run;
 use lab::site::setup::Choice;
 use lab::site::setup::Setup;
+use lab::site::stats::Stats;
 
 /// Seeds of each row unless told otherwise.
 const SEEDS: u64 = 3;
@@ -82,15 +82,15 @@
 
 fn points(daemons: usize, seeds: u64) -> Vec<(f64, f64)> {
     let point = |prefill: usize| {
-        let figures = row("krmiva", Setup::krmiva(daemons, prefill), seeds);
-        (prefill as f64, figures.in_time_share())
+        let stats = row("krmiva", Setup::krmiva(daemons, prefill), seeds);
+        (prefill as f64, stats.in_time_share())
     };
     PREFILL.into_iter().map(point).collect()
 }
 
-/// Plays `setup` with each seed and prints the figures of all of them together.
-fn row(fleet: &str, setup: Setup, seeds: u64) -> Figures {
-    let mut all = Figures::new();
+/// Plays `setup` with each seed and prints the stats of all of them together.
+fn row(fleet: &str, setup: Setup, seeds: u64) -> Stats {
+    let mut all = Stats::new();
     for seed in 1..=seeds {
         all.add(&run::run(setup, seed));
     }
--- a/crates/lab/src/decode.rs
+++ b/crates/lab/src/decode.rs
@@ -4,7 +4,7 @@
 //! generations wait, are placed, refused, moved and set aside. Equal seeds give equal runs.
 
 pub mod daemon;
-pub mod figures;
 pub mod replica;
 pub mod run;
 pub mod setup;
+pub mod stats;
--- a/crates/lab/src/decode/daemon.rs
+++ b/crates/lab/src/decode/daemon.rs
@@ -32,7 +32,7 @@
     /// Its own runs.
     pub runs: Runs,
     claims: Claims,
-    teller: ClaimPublisher,
+    publisher: ClaimPublisher,
 }
 
 impl Daemon {
@@ -51,13 +51,13 @@
             pool,
             runs: Runs::new(),
             claims: Claims::new(),
-            teller: ClaimPublisher::new(),
+            publisher: ClaimPublisher::new(),
         }
     }
 
     /// The replica behind `key`.
     pub fn replica(&self, key: Key) -> usize {
-        number(&self.pool, key)
+        replica_index(&self.pool, key)
     }
 
     /// The replica for a run of `size`; if `spreads` is given, one whose memory lasts so surely.
@@ -69,12 +69,12 @@
         spreads: Option<f64>,
         draw: impl Fn() -> f64,
     ) -> Option<Key> {
-        let ask = spreads.map(|spreads| MemoryDemand {
+        let demand = spreads.map(|spreads| MemoryDemand {
             curve: self.runs.forecast(SERVICE, size),
             spreads,
             spare: 0.0,
         });
-        self.pool.choose(now, &want(tried, ask), draw)
+        self.pool.choose(now, &criteria(tried, demand), draw)
     }
 
     /// Begins a run at `key`.
@@ -98,7 +98,7 @@
     }
 
     /// Looks at the memory of all replicas; gives the moves that are due.
-    pub fn look(&mut self, now: Time, moves: bool) -> Vec<Move> {
+    pub fn due_moves(&mut self, now: Time, moves: bool) -> Vec<Move> {
         self.claims.remove_expired(now);
         self.pool
             .update_all_forecasts(now, &self.runs, &self.claims);
@@ -106,23 +106,23 @@
             return Vec::new();
         }
         let pool = &self.pool;
-        migration::due_moves(now, pool, &self.runs, &self.claims, |_, from, ask| {
-            pool.choose(now, &want(&[from], Some(ask)), || 0.0)
+        migration::due_moves(now, pool, &self.runs, &self.claims, |_, from, demand| {
+            pool.choose(now, &criteria(&[from], Some(demand)), || 0.0)
         })
     }
 
     /// What the others are told, if it is time.
-    pub fn tell(&mut self, now: Time) -> Option<ClaimUpdate> {
-        self.teller.due(now, &self.runs, &self.pool)
+    pub fn due_claims(&mut self, now: Time) -> Option<ClaimUpdate> {
+        self.publisher.due(now, &self.runs, &self.pool)
     }
 
     /// Takes what the daemon `peer` told.
-    pub fn hear(&mut self, now: Time, peer: usize, told: ClaimUpdate) {
-        self.claims.apply(now, Instance(peer as u64), told);
+    pub fn receive_claims(&mut self, now: Time, peer: usize, update: ClaimUpdate) {
+        self.claims.apply(now, Instance(peer as u64), update);
     }
 }
 
-fn want(tried: &[Key], demand: Option<MemoryDemand>) -> Criteria<'_> {
+fn criteria(tried: &[Key], demand: Option<MemoryDemand>) -> Criteria<'_> {
     Criteria {
         service: SERVICE,
         stage: Some(Stage::Decode),
@@ -133,7 +133,7 @@
 }
 
 /// Ids of replicas are their numbers.
-fn number(pool: &Pool, key: Key) -> usize {
+fn replica_index(pool: &Pool, key: Key) -> usize {
     let server = pool.get(key);
     server.map_or(0, |server| server.replica.id.parse().unwrap_or_default())
 }
--- a/crates/lab/src/decode/run.rs
+++ b/crates/lab/src/decode/run.rs
@@ -13,34 +13,34 @@
 use relay::server::Key;
 
 use crate::decode::daemon::Daemon;
-use crate::decode::figures::Figures;
-use crate::decode::replica::Happened;
 use crate::decode::replica::Replica;
-use crate::decode::replica::Work;
+use crate::decode::replica::ReplicaEvent;
+use crate::decode::replica::Run;
+use crate::decode::setup::Distribution;
 use crate::decode::setup::Policy;
 use crate::decode::setup::Setup;
-use crate::decode::setup::Spread;
+use crate::decode::stats::Stats;
 
 /// Time that passes at once, in milliseconds; decisions are some tens of milliseconds apart.
 const TICK_MS: f64 = 2.0;
 /// Time between two looks of a daemon at the memory of the replicas, in milliseconds.
-const LOOK_MS: f64 = 50.0;
+const CHECK_INTERVAL_MS: f64 = 50.0;
 /// Time between two rounds of a generation that waits, in milliseconds.
-const ROUND_MS: f64 = 30.0;
+const ROUND_INTERVAL_MS: f64 = 30.0;
 /// Replicas asked in one round.
-const ROUND: usize = 3;
+const REPLICAS_PER_ROUND: usize = 3;
 /// Part of the objective for which a generation waits for a place.
-const WAIT_PART: f64 = 0.5;
+const WAIT_FRACTION: f64 = 0.5;
 /// Time to read a prompt besides the reading itself, queues included, in milliseconds.
-const READ_MS: f64 = 60.0;
-/// Mean time after which a refused caller comes back, in milliseconds; it is spread by a quarter.
-const COME_BACK_MS: f64 = 3_400.0;
+const PREFILL_OVERHEAD_MS: f64 = 60.0;
+/// Mean time after which a refused caller comes back, in milliseconds; it is sigma by a quarter.
+const RETRY_AFTER_MS: f64 = 3_400.0;
 /// Time that a move holds a stream up, in milliseconds.
-const MOVE_MS: f64 = 8.0;
+const MOVE_PAUSE_MS: f64 = 8.0;
 /// Prompts from which on a generation is among the largest tenth, as a part of the mean.
-const LARGE: f64 = 1.7;
+const LARGE_PROMPT: f64 = 1.7;
 /// Longest time after the last arrival, in milliseconds.
-const TAIL_MS: f64 = 30_000.0;
+const DRAIN_MS: f64 = 30_000.0;
 
 /// One generation of a caller.
 #[derive(Debug, Clone, Copy)]
@@ -53,45 +53,45 @@
     /// When the last event came.
     last: f64,
     late: bool,
-    came_back: bool,
+    retried: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum State {
     /// Looks for a place at `next`, and gives up at `until`.
-    Waits { next: f64, until: f64 },
+    Waiting { next: f64, until: f64 },
     /// Its prompt is read until then; `reserved` tokens are kept for it.
-    Reads {
+    Prefilling {
         until: f64,
         id: RunId,
         key: Key,
         reserved: f64,
     },
-    /// It is at work at a replica.
-    Runs { id: RunId },
+    /// It is at run at a replica.
+    Decoding { id: RunId },
     /// It is refused and comes back then.
-    Away { until: f64 },
+    BackingOff { until: f64 },
     /// It has ended.
-    Over,
+    Ended,
 }
 
 /// Claims on their way.
-type Mail = (f64, usize, ClaimUpdate);
+type ClaimsInTransit = (f64, usize, ClaimUpdate);
 
-struct World {
+struct Simulation {
     setup: Setup,
     random: RefCell<Pcg64Mcg>,
     daemons: Vec<Daemon>,
     replicas: Vec<Replica>,
     requests: Vec<Request>,
-    mail: Vec<Mail>,
-    figures: Figures,
+    in_transit: Vec<ClaimsInTransit>,
+    stats: Stats,
     now: f64,
 }
 
 /// Plays `setup` with the random numbers of `seed`.
-pub fn run(setup: Setup, seed: u64) -> Figures {
-    let mut world = World {
+pub fn run(setup: Setup, seed: u64) -> Stats {
+    let mut simulation = Simulation {
         setup,
         random: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
         daemons: (0..setup.daemons)
@@ -99,18 +99,19 @@
             .collect(),
         replicas: vec![Replica::new(setup.engine); setup.replicas],
         requests: Vec::new(),
-        mail: Vec::new(),
-        figures: Figures::default(),
+        in_transit: Vec::new(),
+        stats: Stats::default(),
         now: 0.0,
     };
-    while world.now < setup.length_ms || (world.is_busy() && world.now < setup.length_ms + TAIL_MS)
+    while simulation.now < setup.length_ms
+        || (simulation.is_busy() && simulation.now < setup.length_ms + DRAIN_MS)
     {
-        world.tick();
+        simulation.tick();
     }
-    world.figures
+    simulation.stats
 }
 
-impl World {
+impl Simulation {
     fn tick(&mut self) {
         self.now += TICK_MS;
         if self.now < self.setup.length_ms {
@@ -120,16 +121,16 @@
         for request in 0..self.requests.len() {
             self.advance(request);
         }
-        self.work();
-        if self.now % LOOK_MS < TICK_MS {
-            self.look();
+        self.step_replicas();
+        if self.now % CHECK_INTERVAL_MS < TICK_MS {
+            self.check_memory();
         }
-        self.tell();
+        self.send_claims();
     }
 
     fn is_busy(&self) -> bool {
         let mut requests = self.requests.iter();
-        requests.any(|request| !matches!(request.state, State::Over))
+        requests.any(|request| !matches!(request.state, State::Ended))
     }
 
     fn time(&self) -> Time {
@@ -141,9 +142,9 @@
     }
 
     /// Draws a size.
-    fn size(&self, spread: Spread) -> f64 {
-        let median = spread.mean / (spread.spread * spread.spread / 2.0).exp();
-        (median * (spread.spread * self.normal()).exp()).clamp(1.0, spread.most)
+    fn size(&self, sigma: Distribution) -> f64 {
+        let median = sigma.mean / (sigma.sigma * sigma.sigma / 2.0).exp();
+        (median * (sigma.sigma * self.normal()).exp()).clamp(1.0, sigma.max)
     }
 
     fn normal(&self) -> f64 {
@@ -157,10 +158,10 @@
             return;
         }
         let answer = self.size(self.setup.answer);
-        let estimate = answer * (self.setup.estimate * self.normal()).exp();
-        let most = self.setup.answer.most;
+        let estimate = answer * (self.setup.estimate_sigma * self.normal()).exp();
+        let most = self.setup.answer.max;
         let prompt = self.size(self.setup.prompt);
-        let wait = self.setup.objective_ms * WAIT_PART;
+        let wait = self.setup.objective_ms * WAIT_FRACTION;
         self.requests.push(Request {
             daemon: (self.draw() * self.setup.daemons as f64) as usize,
             size: Size {
@@ -171,35 +172,35 @@
             },
             total: (answer * length).min(most),
             arrived: self.now,
-            state: State::Waits {
+            state: State::Waiting {
                 next: self.now,
                 until: self.now + wait,
             },
             last: self.now,
             late: false,
-            came_back: false,
+            retried: false,
         });
-        self.figures.asked += 1;
-        self.figures.asked_of[self.size_class(self.requests.len() - 1)] += 1;
+        self.stats.offered += 1;
+        self.stats.offered_by_size[self.size_class(self.requests.len() - 1)] += 1;
     }
 
     fn size_class(&self, request: usize) -> usize {
         let prompt = self.requests[request].size.prompt as f64;
-        usize::from(prompt > self.setup.prompt.mean * LARGE)
+        usize::from(prompt > self.setup.prompt.mean * LARGE_PROMPT)
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let time = self.time();
-        let (due, rest) = std::mem::take(&mut self.mail)
+        let (due, rest) = std::mem::take(&mut self.in_transit)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.mail = rest;
-        let due: Vec<Mail> = due;
-        for (_, from, told) in due {
+        self.in_transit = rest;
+        let due: Vec<ClaimsInTransit> = due;
+        for (_, from, claims) in due {
             for (index, daemon) in self.daemons.iter_mut().enumerate() {
                 if index != from {
-                    daemon.hear(time, from, told.clone());
+                    daemon.receive_claims(time, from, claims.clone());
                 }
             }
         }
@@ -208,19 +209,19 @@
     fn advance(&mut self, request: usize) {
         let now = self.now;
         match self.requests[request].state {
-            State::Waits { next, until } if next <= now => self.look_for_place(request, until),
-            State::Away { until } if until <= now => {
-                let wait = self.setup.objective_ms * WAIT_PART;
+            State::Waiting { next, until } if next <= now => self.place(request, until),
+            State::BackingOff { until } if until <= now => {
+                let wait = self.setup.objective_ms * WAIT_FRACTION;
                 let daemon = (self.draw() * self.setup.daemons as f64) as usize;
                 let request = &mut self.requests[request];
                 request.daemon = daemon;
                 request.late = true;
-                request.state = State::Waits {
+                request.state = State::Waiting {
                     next: now,
                     until: now + wait,
                 };
             }
-            State::Reads {
+            State::Prefilling {
                 until,
                 id,
                 key,
@@ -233,15 +234,15 @@
                     ..
                 } = self.requests[request];
                 let replica = self.daemons[daemon].replica(key);
-                let work = Work::new(request, size.prompt as f64, total);
-                self.replicas[replica].begin(now, work, reserved);
-                self.requests[request].state = State::Runs { id };
+                let run = Run::new(request, size.prompt as f64, total);
+                self.replicas[replica].begin(now, run, reserved);
+                self.requests[request].state = State::Decoding { id };
             }
             _ => {}
         }
     }
 
-    fn look_for_place(&mut self, request: usize, until: f64) {
+    fn place(&mut self, request: usize, until: f64) {
         let Request { daemon, size, .. } = self.requests[request];
         let (spreads, tokens) = match self.setup.policy {
             Policy::Reserve => (None, (size.prompt + size.estimate) as f64),
@@ -249,15 +250,15 @@
         };
         let time = self.time();
         let mut tried = Vec::new();
-        for _ in 0..ROUND {
+        for _ in 0..REPLICAS_PER_ROUND {
             let found = self.daemons[daemon].choose(time, size, &tried, spreads, || self.draw());
             let Some(key) = found else { break };
             let replica = self.daemons[daemon].replica(key);
             if self.replicas[replica].reserve(tokens) {
                 let id = self.daemons[daemon].begin(time, key, size);
-                let read = size.prompt as f64 / self.setup.engine.read_tokens_ms;
-                self.requests[request].state = State::Reads {
-                    until: self.now + READ_MS + read,
+                let read = size.prompt as f64 / self.setup.engine.prefill_tokens_ms;
+                self.requests[request].state = State::Prefilling {
+                    until: self.now + PREFILL_OVERHEAD_MS + read,
                     id,
                     key,
                     reserved: tokens,
@@ -267,49 +268,47 @@
             tried.push(key);
             self.daemons[daemon].pool.record_full(time, key);
         }
-        let next = self.now + ROUND_MS;
+        let next = self.now + ROUND_INTERVAL_MS;
         self.requests[request].state = match self.requests[request] {
-            _ if next <= until => State::Waits { next, until },
-            Request {
-                came_back: true, ..
-            } => {
-                self.figures.refused += 1;
-                self.figures.refused_of[self.size_class(request)] += 1;
-                State::Over
+            _ if next <= until => State::Waiting { next, until },
+            Request { retried: true, .. } => {
+                self.stats.refused += 1;
+                self.stats.refused_by_size[self.size_class(request)] += 1;
+                State::Ended
             }
-            _ => State::Away {
-                until: self.now + COME_BACK_MS * (0.75 + self.draw() / 2.0),
+            _ => State::BackingOff {
+                until: self.now + RETRY_AFTER_MS * (0.75 + self.draw() / 2.0),
             },
         };
-        self.requests[request].came_back |=
-            matches!(self.requests[request].state, State::Away { .. });
+        self.requests[request].retried |=
+            matches!(self.requests[request].state, State::BackingOff { .. });
     }
 
-    /// Lets the replicas work.
-    fn work(&mut self) {
-        let mut happened = Vec::new();
+    /// Lets the replicas run.
+    fn step_replicas(&mut self) {
+        let mut out = Vec::new();
         for replica in &mut self.replicas {
-            replica.pass(self.now, TICK_MS, &mut happened);
+            replica.advance(self.now, TICK_MS, &mut out);
         }
-        for what in happened {
+        for what in out {
             match what {
-                Happened::SetAside(tokens) => {
-                    self.figures.set_aside += 1;
-                    self.figures.read_again += tokens;
+                ReplicaEvent::Preempted(tokens) => {
+                    self.stats.preempted += 1;
+                    self.stats.recomputed += tokens;
                 }
-                Happened::Made {
+                ReplicaEvent::Generated {
                     request,
                     events,
-                    over,
-                } => self.event(request, events, over),
+                    complete,
+                } => self.event(request, events, complete),
             }
         }
     }
 
-    fn event(&mut self, number: usize, events: u64, over: bool) {
+    fn event(&mut self, number: usize, events: u64, complete: bool) {
         let time = self.time();
         let request = &mut self.requests[number];
-        let State::Runs { id } = request.state else {
+        let State::Decoding { id } = request.state else {
             return;
         };
         let allowed = if events <= 1 && request.last <= request.arrived {
@@ -322,34 +321,34 @@
         let tokens = self.setup.engine.event_tokens;
         let daemon = &mut self.daemons[request.daemon];
         daemon.runs.record_tokens(time, id, tokens);
-        if over {
+        if complete {
             daemon.end(time, id, request.size, true);
-            request.state = State::Over;
+            request.state = State::Ended;
             if request.late {
-                self.figures.late += 1;
+                self.stats.late += 1;
             } else {
-                self.figures.in_time += 1;
+                self.stats.in_time += 1;
             }
         }
     }
 
     /// Lets each daemon look after its runs.
-    fn look(&mut self) {
+    fn check_memory(&mut self) {
         let moves = matches!(self.setup.policy, Policy::Forecast { moves: true, .. });
         let time = self.time();
         for daemon in 0..self.daemons.len() {
-            for Move { run, to } in self.daemons[daemon].look(time, moves) {
-                self.relocate(daemon, run, to);
+            for Move { run, to } in self.daemons[daemon].due_moves(time, moves) {
+                self.migrate(daemon, run, to);
             }
         }
     }
 
     /// Has the run `id` go on at `to`.
-    fn relocate(&mut self, daemon: usize, id: RunId, to: Key) {
-        let is_it =
-            |request: &Request| matches!(request.state, State::Runs { id: own } if own == id);
+    fn migrate(&mut self, daemon: usize, id: RunId, to: Key) {
+        let is_run =
+            |request: &Request| matches!(request.state, State::Decoding { id: own } if own == id);
         let mut requests = self.requests.iter();
-        let found = requests.position(|request| request.daemon == daemon && is_it(request));
+        let found = requests.position(|request| request.daemon == daemon && is_run(request));
         let from = self.daemons[daemon].runs.get(id).map(|entry| entry.server);
         let (Some(request), Some(from)) = (found, from) else {
             return;
@@ -360,20 +359,20 @@
         if !self.replicas[target].reserve(held) {
             return;
         }
-        if let Some(work) = self.replicas[source].stop(request) {
-            self.replicas[target].begin(self.now, work, held);
+        if let Some(run) = self.replicas[source].stop(request) {
+            self.replicas[target].begin(self.now, run, held);
             self.daemons[daemon].runs.record_move(id, to);
-            self.requests[request].last -= MOVE_MS;
-            self.figures.moved += 1;
+            self.requests[request].last -= MOVE_PAUSE_MS;
+            self.stats.moved += 1;
         }
     }
 
-    fn tell(&mut self) {
+    fn send_claims(&mut self) {
         let time = self.time();
         let at = self.now + self.setup.claim_ms;
         for (index, daemon) in self.daemons.iter_mut().enumerate() {
-            if let Some(told) = daemon.tell(time) {
-                self.mail.push((at, index, told));
+            if let Some(claims) = daemon.due_claims(time) {
+                self.in_transit.push((at, index, claims));
             }
         }
     }
--- a/crates/lab/src/decode/setup.rs
+++ b/crates/lab/src/decode/setup.rs
@@ -10,20 +10,20 @@
     /// Time that each request of the batch adds to a step, in milliseconds.
     pub step_slot_ms: f64,
     /// Prompt tokens that a prefill replica reads in a millisecond; a decode replica reads half as many.
-    pub read_tokens_ms: f64,
+    pub prefill_tokens_ms: f64,
     /// Tokens in one event.
     pub event_tokens: u64,
 }
 
-/// A size that is drawn: mean, spread of its logarithm, and the most that it may be.
+/// A size that is drawn: mean, sigma of its logarithm, and the most that it may be.
 #[derive(Debug, Clone, Copy)]
-pub struct Spread {
+pub struct Distribution {
     /// Mean.
     pub mean: f64,
     /// Standard deviation of the logarithm.
-    pub spread: f64,
+    pub sigma: f64,
     /// The most.
-    pub most: f64,
+    pub max: f64,
 }
 
 /// More or other requests for a while.
@@ -74,11 +74,11 @@
     /// Generations a second outside of bursts.
     pub rate: f64,
     /// Tokens of a prompt.
-    pub prompt: Spread,
+    pub prompt: Distribution,
     /// Tokens of an answer.
-    pub answer: Spread,
-    /// Spread of the logarithm of the callers' estimates round the true lengths.
-    pub estimate: f64,
+    pub answer: Distribution,
+    /// Distribution of the logarithm of the callers' estimates round the true lengths.
+    pub estimate_sigma: f64,
     /// Time for the first event, in milliseconds.
     pub objective_ms: f64,
     /// Longest pause between two events with which a stream is on time, in milliseconds.
@@ -152,21 +152,21 @@
                 memory: 102_942,
                 step_ms: 0.579,
                 step_slot_ms: 0.0191,
-                read_tokens_ms: 55.556,
+                prefill_tokens_ms: 55.556,
                 event_tokens: 64,
             },
             rate: 10.2,
-            prompt: Spread {
+            prompt: Distribution {
                 mean: 5_200.0,
-                spread: 0.5,
-                most: 11_000.0,
+                sigma: 0.5,
+                max: 11_000.0,
             },
-            answer: Spread {
+            answer: Distribution {
                 mean: 4_416.0,
-                spread: 0.5,
-                most: 8_320.0,
+                sigma: 0.5,
+                max: 8_320.0,
             },
-            estimate: 0.5,
+            estimate_sigma: 0.5,
             objective_ms: 900.0,
             pause_ms: 300.0,
             length_ms: 30_000.0,
@@ -187,10 +187,10 @@
                 event_tokens: 6,
                 ..doubling.engine
             },
-            answer: Spread {
+            answer: Distribution {
                 mean: 420.0,
-                spread: 0.5,
-                most: 1_020.0,
+                sigma: 0.5,
+                max: 1_020.0,
             },
             ..doubling
         }
--- a/crates/lab/src/decode/figures.rs
+++ b/crates/lab/src/decode/stats.rs
@@ -2,9 +2,9 @@
 
 /// Counts of one run.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Figures {
+pub struct Stats {
     /// Generations of callers, comebacks not counted.
-    pub asked: u64,
+    pub offered: u64,
     /// On time, from the first event to the last.
     pub in_time: u64,
     /// Complete, and late at the first event or by a pause.
@@ -12,54 +12,54 @@
     /// Refused twice.
     pub refused: u64,
     /// Set aside by their replica.
-    pub set_aside: u64,
+    pub preempted: u64,
     /// Moved to another replica.
     pub moved: u64,
     /// Tokens that were read again.
-    pub read_again: f64,
+    pub recomputed: f64,
     /// Refused, by size: the smaller nine tenths of prompts, and the largest tenth.
-    pub refused_of: [u64; 2],
+    pub refused_by_size: [u64; 2],
     /// Asked, by size.
-    pub asked_of: [u64; 2],
+    pub offered_by_size: [u64; 2],
 }
 
-impl Figures {
+impl Stats {
     /// Adds another run's.
     pub fn add(&mut self, other: &Self) {
-        self.asked += other.asked;
+        self.offered += other.offered;
         self.in_time += other.in_time;
         self.late += other.late;
         self.refused += other.refused;
-        self.set_aside += other.set_aside;
+        self.preempted += other.preempted;
         self.moved += other.moved;
-        self.read_again += other.read_again;
+        self.recomputed += other.recomputed;
         for size in 0..2 {
-            self.refused_of[size] += other.refused_of[size];
-            self.asked_of[size] += other.asked_of[size];
+            self.refused_by_size[size] += other.refused_by_size[size];
+            self.offered_by_size[size] += other.offered_by_size[size];
         }
     }
 
     /// Part of the generations that were on time.
     pub fn in_time_share(&self) -> f64 {
-        self.in_time as f64 / self.asked.max(1) as f64
+        self.in_time as f64 / self.offered.max(1) as f64
     }
 
     /// Part of the generations that were set aside.
-    pub fn set_aside_share(&self) -> f64 {
-        self.set_aside as f64 / self.asked.max(1) as f64
+    pub fn preempted_share(&self) -> f64 {
+        self.preempted as f64 / self.offered.max(1) as f64
     }
 
     /// One row of the table.
     pub fn row(&self) -> String {
-        let share = |count: u64| 100.0 * count as f64 / self.asked.max(1) as f64;
+        let share = |count: u64| 100.0 * count as f64 / self.offered.max(1) as f64;
         format!(
             "{:.1} | {:.1} | {:.1} | {:.1} | {:.1} | {:.0}",
             share(self.in_time),
             share(self.late),
             share(self.refused),
-            share(self.set_aside),
+            share(self.preempted),
             share(self.moved),
-            self.read_again / 1_000.0,
+            self.recomputed / 1_000.0,
         )
     }
 }
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -18,13 +18,13 @@
 /// Time between tokens of an empty batch, in seconds.
 const TOKEN_BASE: f64 = 0.014;
 /// Time between tokens for each request in the batch, in seconds.
-const TOKEN_EACH: f64 = 0.0006;
+const TOKEN_PER_REQUEST: f64 = 0.0006;
 /// Prefills that a replica queues.
 pub const MAX_QUEUE: usize = 8;
 /// Blocks that a replica's prefix cache holds.
 const CACHE_BLOCKS: usize = 3_200;
 /// Time for which a prefill result is kept.
-pub const KEEP: Duration = Duration::from_millis(800);
+pub const RESULT_RETENTION: Duration = Duration::from_millis(800);
 
 /// Names one attempt in a run.
 pub type Attempt = usize;
@@ -57,7 +57,7 @@
     /// Cache events with the time at which they become visible.
     pub events: VecDeque<(Time, CacheEvent)>,
     cache: HashMap<u64, u64>,
-    ages: BTreeMap<u64, u64>,
+    recency: BTreeMap<u64, u64>,
     clock: u64,
     seq: u64,
 }
@@ -79,7 +79,7 @@
             published: (0, 0, 0),
             events: VecDeque::new(),
             cache: HashMap::new(),
-            ages: BTreeMap::new(),
+            recency: BTreeMap::new(),
             clock: 0,
             seq: 0,
         }
@@ -109,14 +109,14 @@
     fn touch(&mut self, visible: Time, block: u64) {
         self.clock += 1;
         match self.cache.insert(block, self.clock) {
-            Some(old) => drop(self.ages.remove(&old)),
+            Some(old) => drop(self.recency.remove(&old)),
             None => self.publish(visible, block, true),
         }
-        self.ages.insert(self.clock, block);
+        self.recency.insert(self.clock, block);
         if self.cache.len() <= CACHE_BLOCKS {
             return;
         }
-        if let Some((_, oldest)) = self.ages.pop_first() {
+        if let Some((_, oldest)) = self.recency.pop_first() {
             self.cache.remove(&oldest);
             self.publish(visible, oldest, false);
         }
@@ -146,11 +146,11 @@
 
     /// Time of one decode step of the present batch.
     pub fn step_time(&self) -> Duration {
-        Duration::from_secs_f64(TOKEN_BASE + TOKEN_EACH * self.batch.len() as f64)
+        Duration::from_secs_f64(TOKEN_BASE + TOKEN_PER_REQUEST * self.batch.len() as f64)
     }
 
     /// Forgets an attempt wherever it is; false if it was not there.
-    pub fn drop_attempt(&mut self, attempt: Attempt) -> bool {
+    pub fn remove_attempt(&mut self, attempt: Attempt) -> bool {
         let before = self.queue.len() + self.held.len();
         self.queue.retain(|other| *other != attempt);
         self.held.retain(|other| *other != attempt);
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -6,11 +6,11 @@
 pub mod bench;
 pub mod decode;
 pub mod engine;
-pub mod figure;
 pub mod network;
 pub mod quota;
 pub mod rival;
+pub mod simulation;
 pub mod site;
+pub mod stats;
 pub mod summary;
 pub mod workload;
-pub mod world;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -11,12 +11,12 @@
 use lab::bench;
 use lab::rival;
 use lab::rival::Rival;
+use lab::simulation;
+use lab::simulation::Fault;
+use lab::simulation::Setup;
 use lab::summary;
 use lab::workload;
 use lab::workload::Workload;
-use lab::world;
-use lab::world::Fault;
-use lab::world::Setup;
 
 /// Runs at once.
 const THREADS: usize = 4;
@@ -209,7 +209,7 @@
                         seed: seed + 1,
                         ..setup.clone()
                     };
-                    let columns = summary::columns(&setup.workload, &world::run(&setup));
+                    let columns = summary::columns(&setup.workload, &simulation::run(&setup));
                     results.lock().expect("no panic")[seed as usize] = columns;
                 }
             });
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -12,13 +12,13 @@
 /// Tokens a second whose KV cache the link between two data centres carries.
 const LINK_RATE: f64 = 30_000.0;
 /// Rate that is left on a stalled link.
-const STALLED: f64 = 0.03;
+const STALLED_FRACTION: f64 = 0.03;
 
 /// The network of one run.
 #[derive(Debug)]
 pub struct Network {
-    far: Duration,
-    busy: HashMap<Path, Time>,
+    remote_delay: Duration,
+    busy_until: HashMap<Path, Time>,
     stalled: Option<(usize, usize)>,
 }
 
@@ -29,18 +29,18 @@
 }
 
 impl Network {
-    /// A network with delay `far` between data centres.
-    pub fn new(far: Duration) -> Self {
+    /// A network with delay `remote_delay` between data centres.
+    pub fn new(remote_delay: Duration) -> Self {
         Self {
-            far,
-            busy: HashMap::new(),
+            remote_delay,
+            busy_until: HashMap::new(),
             stalled: None,
         }
     }
 
     /// One-way delay between two data centres.
     pub fn delay(&self, a: usize, b: usize) -> Duration {
-        if a == b { LOCAL } else { self.far }
+        if a == b { LOCAL } else { self.remote_delay }
     }
 
     /// Stalls the link from the first to the second data centre, or heals it.
@@ -61,17 +61,17 @@
             return sent + LOCAL;
         }
         let rate = if self.stalled == Some(zones) {
-            LINK_RATE * STALLED
+            LINK_RATE * STALLED_FRACTION
         } else {
             LINK_RATE
         };
         let path = Path::Link(zones.0, zones.1);
         let carried = self.occupy(now, path, f64::from(tokens) / rate);
-        sent.max(carried) + self.far
+        sent.max(carried) + self.remote_delay
     }
 
     fn occupy(&mut self, now: Time, path: Path, seconds: f64) -> Time {
-        let free = self.busy.entry(path).or_insert(now);
+        let free = self.busy_until.entry(path).or_insert(now);
         *free = (*free).max(now) + Duration::from_secs_f64(seconds);
         *free
     }
--- a/crates/lab/src/quota.rs
+++ b/crates/lab/src/quota.rs
@@ -4,4 +4,4 @@
 
 pub mod load;
 pub mod run;
-pub mod way;
+pub mod scheme;
--- a/crates/lab/src/quota/load.rs
+++ b/crates/lab/src/quota/load.rs
@@ -9,7 +9,7 @@
 /// Length of a run.
 pub const LENGTH: Duration = Duration::from_secs(34);
 /// Time after which daemons notice who is in reach.
-pub const NOTICE: Duration = Duration::from_millis(1_500);
+pub const DETECTION: Duration = Duration::from_millis(1_500);
 
 /// A load pattern.
 #[derive(Debug, Clone, Copy)]
@@ -42,9 +42,9 @@
 }
 
 /// When the fault begins and ends.
-pub const FAULT: (Time, Time) = (Time::from_millis(10_000), Time::from_millis(18_000));
+pub const FAULT_SPAN: (Time, Time) = (Time::from_millis(10_000), Time::from_millis(18_000));
 /// Time for which killed daemons are gone.
-pub const DOWN: Duration = Duration::from_secs(1);
+pub const DOWNTIME: Duration = Duration::from_secs(1);
 
 impl Load {
     /// A customer of `rate` units a second before `daemons`, with the tolerance of the users' deployment.
@@ -72,36 +72,36 @@
     /// The quota at `now`.
     pub fn limit_at(&self, now: Time) -> Limit {
         match self.fault {
-            Fault::Lower(part) if now >= FAULT.0 => Limit {
-                rate: self.limit.rate * part,
-                burst: self.limit.burst * part,
+            Fault::Lower(fraction) if now >= FAULT_SPAN.0 => Limit {
+                rate: self.limit.rate * fraction,
+                burst: self.limit.burst * fraction,
             },
             _ => self.limit,
         }
     }
 
     /// Units that are sent in a second.
-    pub fn sent(&self) -> f64 {
+    pub fn demand_rate(&self) -> f64 {
         self.limit.rate * self.demand
     }
 
     /// Whether `daemon` is cut off at `now`.
     pub fn is_cut(&self, now: Time, daemon: usize) -> bool {
-        let Fault::Cut(part) = self.fault else {
+        let Fault::Cut(fraction) = self.fault else {
             return false;
         };
-        FAULT.0 <= now && now < FAULT.1 && self.is_hit(daemon, part)
+        FAULT_SPAN.0 <= now && now < FAULT_SPAN.1 && self.is_hit(daemon, fraction)
     }
 
     /// Whether `daemon` is gone at `now`.
     pub fn is_down(&self, now: Time, daemon: usize) -> bool {
-        let Fault::Kill(part) = self.fault else {
+        let Fault::Kill(fraction) = self.fault else {
             return false;
         };
-        FAULT.0 <= now && now < FAULT.0 + DOWN && self.is_hit(daemon, part)
+        FAULT_SPAN.0 <= now && now < FAULT_SPAN.0 + DOWNTIME && self.is_hit(daemon, fraction)
     }
 
-    fn is_hit(&self, daemon: usize, part: f64) -> bool {
-        (daemon as f64) < self.daemons as f64 * part
+    fn is_hit(&self, daemon: usize, fraction: f64) -> bool {
+        (daemon as f64) < self.daemons as f64 * fraction
     }
 }
--- a/crates/lab/src/quota/run.rs
+++ b/crates/lab/src/quota/run.rs
@@ -11,8 +11,8 @@
 
 use crate::quota::load::LENGTH;
 use crate::quota::load::Load;
-use crate::quota::way::Fleet;
-use crate::quota::way::Way;
+use crate::quota::scheme::Fleet;
+use crate::quota::scheme::Scheme;
 
 /// Length of a step.
 const STEP: Duration = Duration::from_millis(5);
@@ -23,7 +23,7 @@
 
 /// What came of it.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Figures {
+pub struct Stats {
     /// Most units in a window, in parts of what the quota allows there.
     pub worst: f64,
     /// The same in parts of what is tolerated.
@@ -34,27 +34,27 @@
     pub messages: f64,
 }
 
-/// Plays `load` with `way`.
-pub fn play(way: Way, load: Load, seed: u64) -> Figures {
+/// Plays `load` with `scheme`.
+pub fn play(scheme: Scheme, load: Load, seed: u64) -> Stats {
     let mut random = Pcg64::seed_from_u64(seed);
-    let mut fleet = Fleet::new(way, load);
+    let mut fleet = Fleet::new(scheme, load);
     let mut ideal = Bucket::new(Time::ZERO, load.limit.burst);
     let mut admitted: Vec<(Time, f64)> = Vec::new();
     let mut sums = (0.0, 0.0);
     let mean = GENERATIONS * UNITS[0] + (1.0 - GENERATIONS) * UNITS[1];
-    let a_step = load.sent() / mean * STEP.as_secs_f64();
+    let requests_per_step = load.demand_rate() / mean * STEP.as_secs_f64();
     let mut due = 0.0;
     let mut now = Time::ZERO;
     while now.since(Time::ZERO) < LENGTH {
         fleet.step(now);
         for daemon in 0..load.daemons {
-            let back = load.is_down(now - STEP, daemon) && !load.is_down(now, daemon);
-            if back {
+            let restarts = load.is_down(now - STEP, daemon) && !load.is_down(now, daemon);
+            if restarts {
                 fleet.restart(now, daemon);
             }
         }
         // Exponential pauses between requests.
-        due += a_step;
+        due += requests_per_step;
         while due > 0.0 {
             due += random.random::<f64>().max(f64::MIN_POSITIVE).ln();
             let daemon = random.random_range(0..load.daemons);
@@ -64,8 +64,8 @@
                 continue;
             }
             let patience = Duration::ZERO;
-            let would = ideal.take(now, load.limit_at(now), units, patience);
-            if matches!(would, Verdict::Granted { .. }) {
+            let ideal_verdict = ideal.take(now, load.limit_at(now), units, patience);
+            if matches!(ideal_verdict, Verdict::Granted { .. }) {
                 sums.0 += units;
             }
             if fleet.admits(now, daemon, units) {
@@ -77,7 +77,7 @@
     }
     let seconds = LENGTH.as_secs_f64() * load.daemons as f64;
     let (worst, bound) = worst(&load, &admitted);
-    Figures {
+    Stats {
         worst,
         bound,
         lost: (1.0 - sums.1 / sums.0).max(0.0),
--- a/crates/lab/src/quota/way.rs
+++ b/crates/lab/src/quota/scheme.rs
@@ -16,48 +16,48 @@
 use customer::subject::Subject;
 use ident::Time;
 
+use crate::quota::load::DETECTION;
 use crate::quota::load::Load;
-use crate::quota::load::NOTICE;
 
 /// Name of the customer.
 const CUSTOMER: CustomerId = CustomerId(1);
 /// Time between two messages of a daemon to all others.
-const PERIOD: Duration = Duration::from_millis(100);
+const BROADCAST_INTERVAL: Duration = Duration::from_millis(100);
 /// Time that a message takes.
 const TRANSIT: Duration = Duration::from_millis(10);
 
 /// How the daemons keep a quota together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Scheme {
     /// Each live daemon may use an equal share.
     Share,
     /// Daemons tell all others what they admit; each counts all of it.
     Told,
-    /// One daemon counts, and the others ask it.
+    /// One daemon counts, and the others request it.
     Keeper,
 }
 
-/// What one daemon knows.
+/// What one daemon believes_live.
 #[derive(Debug)]
 struct Daemon {
     bucket: Bucket,
     keeper: Keeper,
-    pocket: LocalBudget,
-    /// Units that the others are still to be told of.
-    untold: f64,
+    local_budget: LocalBudget,
+    /// Units that the others are still to be reply of.
+    unreported: f64,
     /// When it last saw the members change.
-    changed: Time,
+    members_changed: Time,
 }
 
 /// All daemons of one run.
 #[derive(Debug)]
 pub struct Fleet {
-    way: Way,
+    scheme: Scheme,
     load: Load,
     daemons: Vec<Daemon>,
-    /// Messages on their way: when they arrive, from whom, and with how many units.
-    mail: VecDeque<(Time, usize, f64)>,
-    next_round: Time,
+    /// Messages on their scheme: when they arrive, from whom, and with how many units.
+    in_transit: VecDeque<(Time, usize, f64)>,
+    next_broadcast: Time,
     /// Messages so far.
     pub messages: u64,
 }
@@ -67,23 +67,23 @@
         Self {
             bucket: Bucket::new(now, load.tolerance.initial_level(load.limit)),
             keeper: Keeper::new(),
-            pocket: LocalBudget::new(),
-            untold: 0.0,
-            changed: now,
+            local_budget: LocalBudget::new(),
+            unreported: 0.0,
+            members_changed: now,
         }
     }
 }
 
 impl Fleet {
     /// Daemons that have been up for long.
-    pub fn new(way: Way, load: Load) -> Self {
+    pub fn new(scheme: Scheme, load: Load) -> Self {
         let daemons = (0..load.daemons).map(|_| Daemon::new(Time::ZERO, &load));
         Self {
-            way,
+            scheme,
             load,
             daemons: daemons.collect(),
-            mail: VecDeque::new(),
-            next_round: Time::ZERO,
+            in_transit: VecDeque::new(),
+            next_broadcast: Time::ZERO,
             messages: 0,
         }
     }
@@ -95,20 +95,20 @@
 
     /// Delivers messages, and sends those that are due.
     pub fn step(&mut self, now: Time) {
-        while self.mail.front().is_some_and(|(at, ..)| *at <= now) {
-            if let Some((_, from, units)) = self.mail.pop_front() {
+        while self.in_transit.front().is_some_and(|(at, ..)| *at <= now) {
+            if let Some((_, from, units)) = self.in_transit.pop_front() {
                 self.deliver(now, from, units);
             }
         }
-        if self.way != Way::Told || now < self.next_round {
+        if self.scheme != Scheme::Told || now < self.next_broadcast {
             return;
         }
-        self.next_round = now + PERIOD;
+        self.next_broadcast = now + BROADCAST_INTERVAL;
         for from in 0..self.daemons.len() {
-            let units = std::mem::take(&mut self.daemons[from].untold);
+            let units = std::mem::take(&mut self.daemons[from].unreported);
             if units > 0.0 {
                 self.messages += self.daemons.len() as u64 - 1;
-                self.mail.push_back((now + TRANSIT, from, units));
+                self.in_transit.push_back((now + TRANSIT, from, units));
             }
         }
     }
@@ -125,23 +125,23 @@
     /// Whether `daemon` admits a request of `units`.
     pub fn admits(&mut self, now: Time, daemon: usize, units: f64) -> bool {
         let limit = self.load.limit_at(now);
-        match self.way {
-            Way::Share => {
-                let live = self.live(now, daemon) as f64;
+        match self.scheme {
+            Scheme::Share => {
+                let live = self.live_count(now, daemon) as f64;
                 let share = Limit {
                     rate: limit.rate / live,
                     burst: limit.burst / live,
                 };
                 self.take(now, daemon, share, units)
             }
-            Way::Told => {
+            Scheme::Told => {
                 let taken = self.take(now, daemon, limit, units);
                 if taken {
-                    self.daemons[daemon].untold += units;
+                    self.daemons[daemon].unreported += units;
                 }
                 taken
             }
-            Way::Keeper => self.asks(now, daemon, limit, units),
+            Scheme::Keeper => self.admit_with_keeper(now, daemon, limit, units),
         }
     }
 
@@ -151,35 +151,35 @@
         matches!(taken, Verdict::Granted { .. })
     }
 
-    fn asks(&mut self, now: Time, daemon: usize, limit: Limit, units: f64) -> bool {
+    fn admit_with_keeper(&mut self, now: Time, daemon: usize, limit: Limit, units: f64) -> bool {
         let tolerance = self.load.tolerance;
         let allowance = tolerance.local_budget(limit, self.daemons.len());
-        let pocket = &mut self.daemons[daemon].pocket;
-        if let Some(number) = pocket.spend(now, tolerance.window, allowance, units) {
-            let told = self.ask(now, daemon, limit, Purpose::Ran, units);
-            let pocket = &mut self.daemons[daemon].pocket;
-            match told {
-                Some(Decision::Counted) => pocket.settle(number),
+        let local_budget = &mut self.daemons[daemon].local_budget;
+        if let Some(number) = local_budget.spend(now, tolerance.window, allowance, units) {
+            let reply = self.ask_keeper(now, daemon, limit, Purpose::Ran, units);
+            let local_budget = &mut self.daemons[daemon].local_budget;
+            match reply {
+                Some(Decision::Counted) => local_budget.settle(number),
                 Some(Decision::Overdrawn { free_ms }) => {
-                    pocket.ask_keeper_first(now, Duration::from_millis(free_ms.into()));
+                    local_budget.ask_keeper_first(now, Duration::from_millis(free_ms.into()));
                 }
                 _ => {}
             }
             return true;
         }
         let purpose = Purpose::Run { patience_ms: 90 };
-        match self.ask(now, daemon, limit, purpose, units) {
+        match self.ask_keeper(now, daemon, limit, purpose, units) {
             Some(decision) => matches!(decision, Decision::Granted { .. }),
             None => {
-                let pocket = &mut self.daemons[daemon].pocket;
-                let spent = pocket.overspend(now, tolerance.window, allowance, units);
+                let local_budget = &mut self.daemons[daemon].local_budget;
+                let spent = local_budget.overspend(now, tolerance.window, allowance, units);
                 spent.is_some()
             }
         }
     }
 
     /// Asks the keeper, then its deputy.
-    fn ask(
+    fn ask_keeper(
         &mut self,
         now: Time,
         from: usize,
@@ -187,12 +187,12 @@
         purpose: Purpose,
         units: f64,
     ) -> Option<Decision> {
-        let ask = QuotaRequest {
+        let request = QuotaRequest {
             subject: Subject::Customer(CUSTOMER),
             units,
             purpose,
         };
-        for to in self.ranked(now, from) {
+        for to in self.keeper_and_deputy(now, from) {
             if to != from {
                 self.messages += 1;
             }
@@ -203,40 +203,40 @@
                 self.messages += 1;
             }
             let role = match to {
-                _ if 2 * self.live(now, to) <= self.daemons.len() => Role::NoMajority,
-                _ if self.ranked(now, to).first() == Some(&to) => Role::Keeper,
+                _ if 2 * self.live_count(now, to) <= self.daemons.len() => Role::NoMajority,
+                _ if self.keeper_and_deputy(now, to).first() == Some(&to) => Role::Keeper,
                 _ => Role::Deputy,
             };
             let tolerance = self.load.tolerance;
             let keeper = &mut self.daemons[to];
-            let since = keeper.changed;
-            let told = keeper
+            let since = keeper.members_changed;
+            let reply = keeper
                 .keeper
-                .decide(now, since, role, limit, &tolerance, &ask);
-            if told.decision != Decision::Unsure {
-                return Some(told.decision);
+                .decide(now, since, role, limit, &tolerance, &request);
+            if reply.decision != Decision::Unsure {
+                return Some(reply.decision);
             }
         }
         None
     }
 
-    /// The keeper and its deputy, as `daemon` knows the members.
-    fn ranked(&self, now: Time, daemon: usize) -> Vec<usize> {
-        let known = (0..self.daemons.len()).filter(|other| self.knows(now, daemon, *other));
+    /// The keeper and its deputy, as `daemon` believes_live the members.
+    fn keeper_and_deputy(&self, now: Time, daemon: usize) -> Vec<usize> {
+        let known = (0..self.daemons.len()).filter(|other| self.believes_live(now, daemon, *other));
         known.take(2).collect()
     }
 
     /// Daemons that `daemon` takes for live.
-    fn live(&self, now: Time, daemon: usize) -> usize {
+    fn live_count(&self, now: Time, daemon: usize) -> usize {
         let others = 0..self.daemons.len();
         others
-            .filter(|other| self.knows(now, daemon, *other))
+            .filter(|other| self.believes_live(now, daemon, *other))
             .count()
     }
 
     /// Whether `daemon` takes `other` for live: as it was a little while ago.
-    fn knows(&self, now: Time, daemon: usize, other: usize) -> bool {
-        daemon == other || self.reaches(now - NOTICE, daemon, other)
+    fn believes_live(&self, now: Time, daemon: usize, other: usize) -> bool {
+        daemon == other || self.reaches(now - DETECTION, daemon, other)
     }
 
     fn reaches(&self, now: Time, from: usize, to: usize) -> bool {
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/simulation.rs
@@ -4,7 +4,7 @@
 mod outcome;
 mod owner;
 mod replica;
-mod seat;
+mod scheduler;
 
 pub use fault::Fault;
 
@@ -27,23 +27,23 @@
 
 use crate::engine::Attempt;
 use crate::engine::Engine;
-use crate::figure::Figure;
 use crate::network::Network;
 use crate::rival::Mode;
 use crate::rival::Rival;
+use crate::stats::Stats;
 use crate::workload::Request;
 use crate::workload::Workload;
 use outcome::Progress;
-use seat::Seat;
+use scheduler::LocatedScheduler;
 
 /// Data centres.
-const ZONES: usize = 3;
+const DATA_CENTRES: usize = 3;
 /// Entry daemons.
 const OWNERS: usize = 8;
 /// Slots of a decode replica.
 const SLOTS: usize = 20;
 /// Plain replicas.
-const PLAINS: usize = 3;
+const PLAIN_REPLICAS: usize = 3;
 /// Calls that a plain replica runs at once.
 const PLAIN_SLOTS: usize = 4;
 /// Start of the measured window.
@@ -93,7 +93,7 @@
 }
 
 #[derive(Debug)]
-struct Try {
+struct AttemptState {
     request: usize,
     owner: usize,
     number: u8,
@@ -106,12 +106,12 @@
     phase: Option<Phase>,
     rejections: u32,
     placed: bool,
-    over: bool,
+    ended: bool,
 }
 
 /// The state of one run.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     setup: Setup,
     now: Time,
     serial: u64,
@@ -120,30 +120,30 @@
     names: Vec<Replica>,
     indexes: HashMap<Replica, usize>,
     network: Network,
-    seats: Vec<Seat>,
+    schedulers: Vec<LocatedScheduler>,
     requests: Vec<Request>,
     progress: Vec<Progress>,
-    tries: Vec<Try>,
+    attempts: Vec<AttemptState>,
     decoding: Vec<u64>,
-    checks: Vec<(usize, Time)>,
-    figure: Figure,
+    retry_checks: Vec<(usize, Time)>,
+    stats: Stats,
 }
 
 /// Runs `setup` to its end.
-pub fn run(setup: &Setup) -> Figure {
-    let mut world = World::new(setup.clone());
+pub fn run(setup: &Setup) -> Stats {
+    let mut simulation = Simulation::new(setup.clone());
     let end = Time::ZERO + setup.span + DRAIN;
-    while let Some(((now, _), event)) = world.events.pop_first() {
+    while let Some(((now, _), event)) = simulation.events.pop_first() {
         if now > end {
             break;
         }
-        world.now = now;
-        world.handle(event);
+        simulation.now = now;
+        simulation.handle(event);
     }
-    world.finish()
+    simulation.finish()
 }
 
-impl World {
+impl Simulation {
     fn new(setup: Setup) -> Self {
         let workload = &setup.workload;
         let cancel = if setup.fault == Fault::CallersCancel {
@@ -162,48 +162,48 @@
             .map(|(i, name)| (*name, i))
             .collect();
         let seconds = (setup.span.saturating_sub(WARMUP.since(Time::ZERO))).as_secs_f64();
-        let mut world = Self {
+        let mut simulation = Self {
             now: Time::ZERO,
             serial: 0,
             events: BTreeMap::new(),
             network: Network::new(workload.delay),
-            seats: Vec::new(),
+            schedulers: Vec::new(),
             progress: requests.iter().map(|_| Progress::default()).collect(),
-            tries: Vec::new(),
+            attempts: Vec::new(),
             decoding: vec![0; workload.classes.len()],
-            checks: Vec::new(),
-            figure: Figure::new(workload.classes.len(), seconds),
+            retry_checks: Vec::new(),
+            stats: Stats::new(workload.classes.len(), seconds),
             engines,
             names,
             indexes,
             requests,
             setup,
         };
-        world.open_seats();
-        world.prime();
-        world
+        simulation.create_schedulers();
+        simulation.schedule_initial_events();
+        simulation
     }
 
-    fn prime(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for index in 0..self.requests.len() {
-            self.at(self.requests[index].at, Event::Arrive(index));
+            self.schedule_at(self.requests[index].at, Event::Arrive(index));
             if let Some(time) = self.requests[index].cancel {
-                self.at(time, Event::Cancel(index));
+                self.schedule_at(time, Event::Cancel(index));
             }
         }
         for engine in 0..self.engines.len() {
-            self.at(Time::from_millis(engine as u64 + 1), Event::Poll(engine));
+            self.schedule_at(Time::from_millis(engine as u64 + 1), Event::Poll(engine));
         }
-        self.prime_fault();
+        self.schedule_fault();
     }
 
-    fn at(&mut self, time: Time, event: Event) {
+    fn schedule_at(&mut self, time: Time, event: Event) {
         self.serial += 1;
         self.events.insert((time.max(self.now), self.serial), event);
     }
 
-    fn after(&mut self, span: Duration, event: Event) {
-        self.at(self.now + span, event);
+    fn schedule_after(&mut self, span: Duration, event: Event) {
+        self.schedule_at(self.now + span, event);
     }
 
     fn handle(&mut self, event: Event) {
@@ -212,11 +212,11 @@
             Event::Cancel(request) => self.cancel(request),
             Event::Submit(attempt) => self.submit(attempt),
             Event::Advance(attempt, phase) => self.advance(attempt, phase),
-            Event::Wake(seat) => self.wake(seat),
+            Event::Wake(scheduler) => self.wake(scheduler),
             Event::Verdict(attempt, verdict) => self.verdict(attempt, verdict),
             Event::PrefillOrder(attempt) => self.prefill_order(attempt),
             Event::PrefillEnd(engine, boot, attempt) => self.prefill_end(engine, boot, attempt),
-            Event::PrefillAnswer(attempt) => self.prefill_answer(attempt),
+            Event::PrefillAnswer(attempt) => self.handle_prefill_answer(attempt),
             Event::DecodeOrder(attempt) => self.decode_order(attempt),
             Event::DecodeRefused(attempt, gone) => self.decode_refused(attempt, gone),
             Event::Imported(engine, boot, attempt) => self.imported(engine, boot, attempt),
@@ -226,7 +226,7 @@
             Event::Failed(attempt, engine) => self.failed(attempt, Some(engine)),
             Event::Release(attempt) => self.release(attempt),
             Event::Poll(engine) => self.poll(engine),
-            Event::Report(seat, engine, report) => self.report(seat, engine, &report),
+            Event::Report(scheduler, engine, report) => self.report(scheduler, engine, &report),
             Event::Fault(step) => self.fault(step),
         }
     }
@@ -247,27 +247,29 @@
     }
 
     fn class_of(&self, attempt: Attempt) -> usize {
-        self.requests[self.tries[attempt].request].class
+        self.requests[self.attempts[attempt].request].class
     }
 
     fn is_plain(&self, attempt: Attempt) -> bool {
         self.setup.workload.classes[self.class_of(attempt)].plain
     }
 
-    fn reach(&self, attempt: Attempt, engine: usize) -> Duration {
-        self.network
-            .delay(self.tries[attempt].owner % ZONES, self.engines[engine].zone)
+    fn replica_delay(&self, attempt: Attempt, engine: usize) -> Duration {
+        self.network.delay(
+            self.attempts[attempt].owner % DATA_CENTRES,
+            self.engines[engine].zone,
+        )
     }
 
     fn handle_of(&self, attempt: Attempt) -> Handle {
         Handle::new(
-            Incarnation(self.tries[attempt].owner as u64 + 1),
+            Incarnation(self.attempts[attempt].owner as u64 + 1),
             attempt as u64,
         )
     }
 
     fn ticket(&self, attempt: Attempt) -> Ticket {
-        let this = &self.tries[attempt];
+        let this = &self.attempts[attempt];
         let request = &self.requests[this.request];
         let class = &self.setup.workload.classes[request.class];
         let done = self.progress[this.request].tokens;
@@ -288,7 +290,7 @@
             row: class.rule.row,
             work: if class.plain { Work::Plain } else { work },
             waited: self.now.since(request.at),
-            home: zone(this.owner % ZONES),
+            home: zone(this.owner % DATA_CENTRES),
             attempt: this.number,
             avoid: this.avoid.clone(),
         }
@@ -296,12 +298,13 @@
 }
 
 fn zone(index: usize) -> Zone {
-    Zone::new(["a", "b", "c"][index % ZONES])
+    Zone::new(["a", "b", "c"][index % DATA_CENTRES])
 }
 
 fn engines(workload: &Workload) -> Vec<Engine> {
-    let prefills = (0..workload.prefills).map(|i| Engine::new(Role::Prefill, i % ZONES, 1));
-    let decodes = (0..workload.decodes).map(|i| Engine::new(Role::Decode, i % ZONES, SLOTS));
-    let plains = (0..PLAINS).map(|i| Engine::new(Role::Plain, i % ZONES, PLAIN_SLOTS));
+    let prefills = (0..workload.prefills).map(|i| Engine::new(Role::Prefill, i % DATA_CENTRES, 1));
+    let decodes = (0..workload.decodes).map(|i| Engine::new(Role::Decode, i % DATA_CENTRES, SLOTS));
+    let plains =
+        (0..PLAIN_REPLICAS).map(|i| Engine::new(Role::Plain, i % DATA_CENTRES, PLAIN_SLOTS));
     prefills.chain(decodes).chain(plains).collect()
 }
--- a/crates/lab/src/world/fault.rs
+++ b/crates/lab/src/simulation/fault.rs
@@ -8,9 +8,9 @@
 
 use crate::engine::Attempt;
 use crate::rival::Mode;
-use crate::world::Event;
-use crate::world::World;
-use crate::world::outcome::Outcome;
+use crate::simulation::Event;
+use crate::simulation::Simulation;
+use crate::simulation::outcome::Outcome;
 
 /// When the fault begins.
 const BEGIN: Time = Time::from_millis(40_000);
@@ -19,11 +19,11 @@
 /// Time until other daemons notice that one is dead.
 const DETECTION: Duration = Duration::from_millis(1_500);
 /// Time until all owners have reported to a new keeper.
-const RESYNC: Duration = Duration::from_millis(100);
+const RESYNC_TIME: Duration = Duration::from_millis(100);
 /// Time after which the holds of a dead daemon are swept.
-const SWEEP: Duration = Duration::from_secs(3);
+const ORPHAN_RELEASE: Duration = Duration::from_secs(3);
 /// The daemon that dies; it is the keeper where there is one.
-pub(super) const VICTIM: usize = 0;
+pub(super) const DEAD_DAEMON: usize = 0;
 
 /// A fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,13 +56,13 @@
     ];
 }
 
-impl World {
-    pub(super) fn prime_fault(&mut self) {
-        self.at(BEGIN, Event::Fault(0));
-        self.at(BEGIN + DETECTION, Event::Fault(1));
-        self.at(BEGIN + DETECTION + RESYNC, Event::Fault(2));
-        self.at(BEGIN + SWEEP, Event::Fault(3));
-        self.at(END, Event::Fault(4));
+impl Simulation {
+    pub(super) fn schedule_fault(&mut self) {
+        self.schedule_at(BEGIN, Event::Fault(0));
+        self.schedule_at(BEGIN + DETECTION, Event::Fault(1));
+        self.schedule_at(BEGIN + DETECTION + RESYNC_TIME, Event::Fault(2));
+        self.schedule_at(BEGIN + ORPHAN_RELEASE, Event::Fault(3));
+        self.schedule_at(END, Event::Fault(4));
     }
 
     pub(super) fn fault(&mut self, step: u8) {
@@ -73,8 +73,8 @@
             (Fault::LinkStalls, 4) => self.network.stall(None),
             (Fault::DaemonDies, 0) => self.kill_daemon(),
             (Fault::DaemonDies, 1) if self.setup.rival.mode == Mode::Keeper => self.resync(),
-            (Fault::DaemonDies, 2) => self.settle_keeper(),
-            (Fault::DaemonDies, 3) => self.sweep(),
+            (Fault::DaemonDies, 2) => self.end_keeper_grace(),
+            (Fault::DaemonDies, 3) => self.release_orphaned(),
             _ => (),
         }
     }
@@ -86,7 +86,7 @@
 
     /// Whether `owner` is dead.
     pub(super) fn is_dead(&self, owner: usize) -> bool {
-        self.setup.fault == Fault::DaemonDies && owner == VICTIM && self.now >= BEGIN
+        self.setup.fault == Fault::DaemonDies && owner == DEAD_DAEMON && self.now >= BEGIN
     }
 
     fn kill_replicas(&mut self) {
@@ -102,10 +102,13 @@
             engine.reboot();
             engine.up = false;
             for attempt in &held {
-                self.uncount(*attempt);
+                self.uncount_decode(*attempt);
             }
             for attempt in held.into_iter().chain(hit) {
-                self.after(self.reach(attempt, index), Event::Failed(attempt, index));
+                self.schedule_after(
+                    self.replica_delay(attempt, index),
+                    Event::Failed(attempt, index),
+                );
             }
             self.report_lost(index);
         }
@@ -113,21 +116,23 @@
 
     fn kill_daemon(&mut self) {
         match self.setup.rival.mode {
-            Mode::Each | Mode::Keeper => self.seats[..2].iter_mut().for_each(|s| s.alive = false),
+            Mode::Each | Mode::Keeper => self.schedulers[..2]
+                .iter_mut()
+                .for_each(|s| s.alive = false),
             Mode::Oracle => (),
         }
-        for attempt in 0..self.tries.len() {
-            if self.tries[attempt].owner == VICTIM && !self.tries[attempt].over {
+        for attempt in 0..self.attempts.len() {
+            if self.attempts[attempt].owner == DEAD_DAEMON && !self.attempts[attempt].ended {
                 self.abandon(attempt);
-                self.settle(self.tries[attempt].request, Outcome::Failed);
+                self.set_outcome(self.attempts[attempt].request, Outcome::Failed);
             }
         }
     }
 
     /// Frees what the dead daemon's requests hold.
-    fn sweep(&mut self) {
-        for attempt in 0..self.tries.len() {
-            if self.tries[attempt].owner == VICTIM && self.tries[attempt].over {
+    fn release_orphaned(&mut self) {
+        for attempt in 0..self.attempts.len() {
+            if self.attempts[attempt].owner == DEAD_DAEMON && self.attempts[attempt].ended {
                 self.release(attempt);
                 self.send_phase(attempt, Phase::Gone);
             }
--- a/crates/lab/src/world/outcome.rs
+++ b/crates/lab/src/simulation/outcome.rs
@@ -4,9 +4,9 @@
 
 use crate::engine::Attempt;
 use crate::engine::Engine;
-use crate::figure::Figure;
-use crate::world::WARMUP;
-use crate::world::World;
+use crate::simulation::Simulation;
+use crate::simulation::WARMUP;
+use crate::stats::Stats;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -30,12 +30,12 @@
     pub(super) attempt: Option<Attempt>,
 }
 
-impl World {
+impl Simulation {
     pub(super) fn is_measured(&self, request: usize) -> bool {
         self.requests[request].at >= WARMUP
     }
 
-    pub(super) fn settle(&mut self, request: usize, outcome: Outcome) {
+    pub(super) fn set_outcome(&mut self, request: usize, outcome: Outcome) {
         if self.progress[request].outcome == Outcome::Pending {
             self.progress[request].outcome = outcome;
         }
@@ -50,14 +50,14 @@
         progress.last = time;
         if progress.first.is_some() {
             if measured {
-                self.figure.tbt.saturating_record(gap.as_micros() as u64);
+                self.stats.tbt.saturating_record(gap.as_micros() as u64);
             }
             return;
         }
         progress.first = Some(time);
         if measured {
             let ttft = time.since(self.requests[request].at);
-            self.figure.ttft.saturating_record(ttft.as_micros() as u64);
+            self.stats.ttft.saturating_record(ttft.as_micros() as u64);
         }
     }
 
@@ -71,11 +71,11 @@
         let late = first.since(self.requests[request].at) > rule.ttft;
         let good = !late && tbt <= rule.tbt;
         if self.is_measured(request) {
-            let tally = &mut self.figure.classes[self.requests[request].class];
-            tally.late += u64::from(late);
-            tally.slow += u64::from(tbt > rule.tbt);
+            let counts = &mut self.stats.classes[self.requests[request].class];
+            counts.late += u64::from(late);
+            counts.slow += u64::from(tbt > rule.tbt);
         }
-        self.settle(
+        self.set_outcome(
             request,
             if good {
                 Outcome::Good
@@ -90,9 +90,9 @@
         let rule = self.setup.workload.classes[self.requests[request].class].rule;
         let took = time.since(self.requests[request].at);
         if self.is_measured(request) {
-            self.figure.plain.saturating_record(took.as_micros() as u64);
+            self.stats.plain.saturating_record(took.as_micros() as u64);
         }
-        self.settle(
+        self.set_outcome(
             request,
             if took <= rule.ttft {
                 Outcome::Good
@@ -104,31 +104,31 @@
 
     /// Counts the prefill of an attempt as wasted, if it did one and got no token from it.
     pub(super) fn count_waste(&mut self, attempt: Attempt) {
-        let this = &mut self.tries[attempt];
+        let this = &mut self.attempts[attempt];
         let wasted = std::mem::take(&mut this.computed);
-        if wasted > 0 && self.is_measured(self.tries[attempt].request) {
-            self.figure.wasted += u64::from(wasted);
-            self.figure.lost += 1;
+        if wasted > 0 && self.is_measured(self.attempts[attempt].request) {
+            self.stats.wasted += u64::from(wasted);
+            self.stats.lost += 1;
         }
     }
 
-    /// Counts a running prefill that is stopped half way.
-    pub(super) fn count_stopped(&mut self, attempt: Attempt, started: Time) {
+    /// Counts a running prefill that is stopped half delay.
+    pub(super) fn count_stopped_prefill(&mut self, attempt: Attempt, started: Time) {
         let tokens = u64::from(Engine::tokens_after(self.now.since(started)));
-        if self.is_measured(self.tries[attempt].request) {
-            self.figure.computed += tokens;
-            self.figure.wasted += tokens;
+        if self.is_measured(self.attempts[attempt].request) {
+            self.stats.computed += tokens;
+            self.stats.wasted += tokens;
         }
     }
 
     pub(super) fn count_decode(&mut self, attempt: Attempt) {
         let class = self.class_of(attempt);
         self.decoding[class] += 1;
-        let peak = &mut self.figure.classes[class].peak;
+        let peak = &mut self.stats.classes[class].peak;
         *peak = (*peak).max(self.decoding[class]);
     }
 
-    pub(super) fn uncount(&mut self, attempt: Attempt) {
+    pub(super) fn uncount_decode(&mut self, attempt: Attempt) {
         let class = self.class_of(attempt);
         self.decoding[class] = self.decoding[class].saturating_sub(1);
     }
@@ -136,31 +136,31 @@
     /// Checks refusals' times to come back against a placement or refusal now.
     pub(super) fn check_refusals(&mut self, class: usize, placed: bool) {
         let now = self.now;
-        let before = self.checks.len();
-        self.checks
+        let before = self.retry_checks.len();
+        self.retry_checks
             .retain(|(other, time)| *other != class || *time > now);
-        let settled = (before - self.checks.len()) as u64;
-        self.figure.checked += settled;
-        self.figure.truthful += if placed { settled } else { 0 };
+        let settled = (before - self.retry_checks.len()) as u64;
+        self.stats.checked += settled;
+        self.stats.truthful += if placed { settled } else { 0 };
     }
 
-    pub(super) fn finish(mut self) -> Figure {
+    pub(super) fn finish(mut self) -> Stats {
         for (request, progress) in self.requests.iter().zip(&self.progress) {
             if request.at < WARMUP || progress.outcome == Outcome::Cancelled {
                 continue;
             }
-            let tally = &mut self.figure.classes[request.class];
-            tally.offered += 1;
+            let counts = &mut self.stats.classes[request.class];
+            counts.offered += 1;
             match progress.outcome {
                 Outcome::Good => {
-                    tally.good += 1;
-                    tally.complete += 1;
+                    counts.good += 1;
+                    counts.complete += 1;
                 }
-                Outcome::Complete => tally.complete += 1,
-                Outcome::Refused => tally.refused += 1,
-                Outcome::Pending | Outcome::Failed | Outcome::Cancelled => tally.failed += 1,
+                Outcome::Complete => counts.complete += 1,
+                Outcome::Refused => counts.refused += 1,
+                Outcome::Pending | Outcome::Failed | Outcome::Cancelled => counts.failed += 1,
             }
         }
-        self.figure
+        self.stats
     }
 }
--- a/crates/lab/src/world/owner.rs
+++ b/crates/lab/src/simulation/owner.rs
@@ -10,29 +10,29 @@
 use route::verdict::Verdict;
 
 use crate::engine::Attempt;
-use crate::world::Event;
-use crate::world::OWNERS;
-use crate::world::Try;
-use crate::world::World;
-use crate::world::outcome::Outcome;
+use crate::simulation::AttemptState;
+use crate::simulation::Event;
+use crate::simulation::OWNERS;
+use crate::simulation::Simulation;
+use crate::simulation::outcome::Outcome;
 
 /// Attempts at one request.
 const MAX_ATTEMPTS: u8 = 3;
 /// Pause before a decode replica is asked for again.
 const BACKOFF: Duration = Duration::from_millis(20);
 
-impl World {
+impl Simulation {
     pub(super) fn arrive(&mut self, request: usize) {
         let mut owner = request * 7 % OWNERS;
         if self.is_dead(owner) {
             owner += 1;
         }
-        self.open_try(request, owner, 0, Vec::new());
+        self.start_attempt(request, owner, 0, Vec::new());
     }
 
-    fn open_try(&mut self, request: usize, owner: usize, number: u8, avoid: Vec<Replica>) {
-        let attempt = self.tries.len();
-        self.tries.push(Try {
+    fn start_attempt(&mut self, request: usize, owner: usize, number: u8, avoid: Vec<Replica>) {
+        let attempt = self.attempts.len();
+        self.attempts.push(AttemptState {
             request,
             owner,
             number,
@@ -45,61 +45,67 @@
             phase: None,
             rejections: 0,
             placed: false,
-            over: false,
+            ended: false,
         });
         self.progress[request].attempt = Some(attempt);
         self.send_submit(attempt);
     }
 
     pub(super) fn verdict(&mut self, attempt: Attempt, verdict: Verdict) {
-        if self.tries[attempt].over {
+        if self.attempts[attempt].ended {
             return;
         }
         let class = self.class_of(attempt);
-        let first = !self.tries[attempt].placed;
+        let first = !self.attempts[attempt].placed;
         match verdict.choice {
             Choice::Paired { prefill, decode } if first => {
                 let prefill = self.indexes[&prefill];
                 self.check_refusals(class, true);
-                self.tries[attempt].placed = true;
-                self.tries[attempt].prefill = Some((prefill, self.engines[prefill].boot));
-                self.tries[attempt].decode = Some(self.indexes[&decode]);
-                self.after(self.reach(attempt, prefill), Event::PrefillOrder(attempt));
+                self.attempts[attempt].placed = true;
+                self.attempts[attempt].prefill = Some((prefill, self.engines[prefill].boot));
+                self.attempts[attempt].decode = Some(self.indexes[&decode]);
+                self.schedule_after(
+                    self.replica_delay(attempt, prefill),
+                    Event::PrefillOrder(attempt),
+                );
             }
             Choice::Paired { decode, .. } => {
-                self.tries[attempt].decode = Some(self.indexes[&decode]);
+                self.attempts[attempt].decode = Some(self.indexes[&decode]);
                 self.order_decode(attempt);
             }
             Choice::Single { replica } => {
                 let engine = self.indexes[&replica];
                 self.check_refusals(class, true);
-                self.tries[attempt].placed = true;
-                self.tries[attempt].decode = Some(engine);
-                self.after(self.reach(attempt, engine), Event::PlainOrder(attempt));
+                self.attempts[attempt].placed = true;
+                self.attempts[attempt].decode = Some(engine);
+                self.schedule_after(
+                    self.replica_delay(attempt, engine),
+                    Event::PlainOrder(attempt),
+                );
             }
             Choice::Refused { retry_after, .. } => {
                 self.check_refusals(class, false);
-                self.checks.push((class, self.now + retry_after));
-                self.refused(attempt);
+                self.retry_checks.push((class, self.now + retry_after));
+                self.handle_refusal(attempt);
             }
         }
     }
 
-    fn refused(&mut self, attempt: Attempt) {
-        let this = &mut self.tries[attempt];
-        this.over = true;
+    fn handle_refusal(&mut self, attempt: Attempt) {
+        let this = &mut self.attempts[attempt];
+        this.ended = true;
         let outcome = if this.number == 0 {
             Outcome::Refused
         } else {
             Outcome::Failed
         };
         let request = this.request;
-        self.settle(request, outcome);
+        self.set_outcome(request, outcome);
     }
 
-    pub(super) fn prefill_answer(&mut self, attempt: Attempt) {
-        let this = &self.tries[attempt];
-        if this.over {
+    pub(super) fn handle_prefill_answer(&mut self, attempt: Attempt) {
+        let this = &self.attempts[attempt];
+        if this.ended {
             return;
         }
         let phase = Phase::Prefilled {
@@ -111,21 +117,24 @@
     }
 
     fn order_decode(&mut self, attempt: Attempt) {
-        if let Some(engine) = self.tries[attempt].decode {
-            self.after(self.reach(attempt, engine), Event::DecodeOrder(attempt));
+        if let Some(engine) = self.attempts[attempt].decode {
+            self.schedule_after(
+                self.replica_delay(attempt, engine),
+                Event::DecodeOrder(attempt),
+            );
         }
     }
 
     /// A decode replica would not take the request; `gone` if the prefill result is lost.
     pub(super) fn decode_refused(&mut self, attempt: Attempt, gone: bool) {
-        if self.tries[attempt].over {
+        if self.attempts[attempt].ended {
             return;
         }
         if gone {
             self.failed(attempt, None);
             return;
         }
-        let this = &mut self.tries[attempt];
+        let this = &mut self.attempts[attempt];
         this.decode = None;
         this.rejections += 1;
         let pause = if this.rejections > 1 {
@@ -134,21 +143,21 @@
             Duration::ZERO
         };
         this.phase = Some(Phase::Rejected);
-        self.after(
-            pause + self.way(attempt),
+        self.schedule_after(
+            pause + self.scheduler_delay(attempt),
             Event::Advance(attempt, Phase::Rejected),
         );
     }
 
     /// An attempt failed on `engine`: it is repeated elsewhere if that is worth while.
     pub(super) fn failed(&mut self, attempt: Attempt, engine: Option<usize>) {
-        if self.tries[attempt].over {
+        if self.attempts[attempt].ended {
             return;
         }
         self.abandon(attempt);
         self.release(attempt);
         self.send_phase(attempt, Phase::Gone);
-        let this = &self.tries[attempt];
+        let this = &self.attempts[attempt];
         let (request, owner, number) = (this.request, this.owner, this.number + 1);
         let mut avoid = this.avoid.clone();
         avoid.extend(engine.map(|engine| self.names[engine]));
@@ -156,15 +165,15 @@
         let rule = self.setup.workload.classes[self.requests[request].class].rule;
         let late = self.now > self.requests[request].at + rule.max_wait;
         if number >= MAX_ATTEMPTS || (late && self.progress[request].first.is_none()) {
-            self.settle(request, Outcome::Failed);
+            self.set_outcome(request, Outcome::Failed);
             return;
         }
-        self.open_try(request, owner, number, avoid);
+        self.start_attempt(request, owner, number, avoid);
     }
 
     /// Ends an attempt without an answer.
     pub(super) fn abandon(&mut self, attempt: Attempt) {
-        self.tries[attempt].over = true;
+        self.attempts[attempt].ended = true;
         self.count_waste(attempt);
     }
 
@@ -172,15 +181,15 @@
         if self.progress[request].outcome != Outcome::Pending {
             return;
         }
-        self.settle(request, Outcome::Cancelled);
+        self.set_outcome(request, Outcome::Cancelled);
         let Some(attempt) = self.progress[request]
             .attempt
-            .filter(|a| !self.tries[*a].over)
+            .filter(|a| !self.attempts[*a].ended)
         else {
             return;
         };
         self.abandon(attempt);
-        self.after(self.setup.workload.delay, Event::Release(attempt));
+        self.schedule_after(self.setup.workload.delay, Event::Release(attempt));
         self.send_phase(attempt, Phase::Gone);
     }
 }
--- a/crates/lab/src/world/replica.rs
+++ b/crates/lab/src/simulation/replica.rs
@@ -6,30 +6,33 @@
 
 use crate::engine::Attempt;
 use crate::engine::Engine;
-use crate::engine::KEEP;
 use crate::engine::MAX_QUEUE;
+use crate::engine::RESULT_RETENTION;
 use crate::rival::Mode;
-use crate::world::Event;
-use crate::world::World;
+use crate::simulation::Event;
+use crate::simulation::Simulation;
 
 /// Delay of cache events.
 const EVENT_DELAY: Duration = Duration::from_millis(500);
 
-impl World {
+impl Simulation {
     pub(super) fn prefill_order(&mut self, attempt: Attempt) {
-        let Some((engine, _)) = self.tries[attempt]
+        let Some((engine, _)) = self.attempts[attempt]
             .prefill
-            .filter(|_| !self.tries[attempt].over)
+            .filter(|_| !self.attempts[attempt].ended)
         else {
             return;
         };
         let this = &mut self.engines[engine];
         if !this.up || this.queue.len() >= MAX_QUEUE {
-            self.after(self.reach(attempt, engine), Event::Failed(attempt, engine));
+            self.schedule_after(
+                self.replica_delay(attempt, engine),
+                Event::Failed(attempt, engine),
+            );
             return;
         }
         this.queue.push_back(attempt);
-        self.tries[attempt].prefill = Some((engine, this.boot));
+        self.attempts[attempt].prefill = Some((engine, this.boot));
         self.start_prefill(engine);
     }
 
@@ -40,7 +43,7 @@
         let Some(attempt) = self.engines[engine].queue.pop_front() else {
             return;
         };
-        let request = self.tries[attempt].request;
+        let request = self.attempts[attempt].request;
         let prompt = self.requests[request].prompt + self.progress[request].tokens;
         let fresh = self.setup.rival.mode == Mode::Oracle;
         let visible = if fresh {
@@ -56,7 +59,7 @@
         this.running = Some((attempt, computed, cached, self.now));
         let boot = this.boot;
         let time = Engine::prefill_time(computed);
-        self.after(time, Event::PrefillEnd(engine, boot, attempt));
+        self.schedule_after(time, Event::PrefillEnd(engine, boot, attempt));
     }
 
     pub(super) fn prefill_end(&mut self, engine: usize, boot: u64, attempt: Attempt) {
@@ -68,32 +71,35 @@
             return;
         };
         this.running = None;
-        if self.is_measured(self.tries[attempt].request) {
-            self.figure.computed += u64::from(computed);
-            self.figure.cached += u64::from(cached);
-            self.figure.prefills += 1;
-        }
-        self.tries[attempt].computed = computed;
-        self.tries[attempt].cached = cached;
-        self.tries[attempt].kept_until = self.now + KEEP;
-        if self.tries[attempt].over {
+        if self.is_measured(self.attempts[attempt].request) {
+            self.stats.computed += u64::from(computed);
+            self.stats.cached += u64::from(cached);
+            self.stats.prefills += 1;
+        }
+        self.attempts[attempt].computed = computed;
+        self.attempts[attempt].cached = cached;
+        self.attempts[attempt].kept_until = self.now + RESULT_RETENTION;
+        if self.attempts[attempt].ended {
             self.count_waste(attempt);
         }
-        self.after(self.reach(attempt, engine), Event::PrefillAnswer(attempt));
+        self.schedule_after(
+            self.replica_delay(attempt, engine),
+            Event::PrefillAnswer(attempt),
+        );
         self.start_prefill(engine);
     }
 
     pub(super) fn decode_order(&mut self, attempt: Attempt) {
-        let this = &self.tries[attempt];
-        let (Some((prefill, boot)), Some(engine), false) = (this.prefill, this.decode, this.over)
+        let this = &self.attempts[attempt];
+        let (Some((prefill, boot)), Some(engine), false) = (this.prefill, this.decode, this.ended)
         else {
             return;
         };
         let gone = self.now >= this.kept_until || self.engines[prefill].boot != boot;
         let target = &self.engines[engine];
         if gone || !target.up || target.held.len() >= target.slots {
-            self.after(
-                self.reach(attempt, engine),
+            self.schedule_after(
+                self.replica_delay(attempt, engine),
                 Event::DecodeRefused(attempt, gone),
             );
             return;
@@ -101,11 +107,11 @@
         let (zones, boot) = ((self.engines[prefill].zone, target.zone), target.boot);
         self.engines[engine].held.push(attempt);
         self.count_decode(attempt);
-        let request = self.tries[attempt].request;
+        let request = self.attempts[attempt].request;
         let tokens = self.requests[request].prompt + self.progress[request].tokens;
         let end = self.network.transfer(self.now, prefill, zones, tokens);
-        self.at(
-            end.min(self.tries[attempt].kept_until),
+        self.schedule_at(
+            end.min(self.attempts[attempt].kept_until),
             Event::Imported(engine, boot, attempt),
         );
     }
@@ -113,24 +119,24 @@
     /// A transfer ended, or the source dropped the result before it could.
     pub(super) fn imported(&mut self, engine: usize, boot: u64, attempt: Attempt) {
         let held = self.engines[engine].held.contains(&attempt);
-        if self.engines[engine].boot != boot || !held || self.tries[attempt].over {
+        if self.engines[engine].boot != boot || !held || self.attempts[attempt].ended {
             return;
         }
-        let way = self.reach(attempt, engine);
-        if self.now >= self.tries[attempt].kept_until {
-            self.engines[engine].drop_attempt(attempt);
-            self.uncount(attempt);
-            self.after(way, Event::DecodeRefused(attempt, true));
+        let delay = self.replica_delay(attempt, engine);
+        if self.now >= self.attempts[attempt].kept_until {
+            self.engines[engine].remove_attempt(attempt);
+            self.uncount_decode(attempt);
+            self.schedule_after(delay, Event::DecodeRefused(attempt, true));
             return;
         }
-        let request = self.tries[attempt].request;
+        let request = self.attempts[attempt].request;
         let left = self.requests[request].output - self.progress[request].tokens;
-        self.tries[attempt].computed = 0;
+        self.attempts[attempt].computed = 0;
         self.engines[engine].batch.push((attempt, left));
-        self.tries[attempt].phase = Some(Phase::Decoding);
+        self.attempts[attempt].phase = Some(Phase::Decoding);
         self.start_step(engine);
-        self.after(
-            way + self.way(attempt),
+        self.schedule_after(
+            delay + self.scheduler_delay(attempt),
             Event::Advance(attempt, Phase::Decoding),
         );
     }
@@ -142,7 +148,7 @@
         }
         this.stepping = true;
         let (time, boot) = (this.step_time(), this.boot);
-        self.after(time, Event::Step(engine, boot));
+        self.schedule_after(time, Event::Step(engine, boot));
     }
 
     pub(super) fn decode_step(&mut self, engine: usize, boot: u64) {
@@ -153,32 +159,35 @@
         let mut batch = std::mem::take(&mut self.engines[engine].batch);
         for (attempt, left) in &mut batch {
             *left -= 1;
-            let time = self.now + self.reach(*attempt, engine);
-            self.count_token(self.tries[*attempt].request, time);
+            let time = self.now + self.replica_delay(*attempt, engine);
+            self.count_token(self.attempts[*attempt].request, time);
         }
         let (done, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(|(_, left)| *left == 0);
         self.engines[engine].batch = rest;
         for (attempt, _) in done {
-            self.engines[engine].drop_attempt(attempt);
-            self.uncount(attempt);
-            self.tries[attempt].over = true;
-            let request = self.tries[attempt].request;
+            self.engines[engine].remove_attempt(attempt);
+            self.uncount_decode(attempt);
+            self.attempts[attempt].ended = true;
+            let request = self.attempts[attempt].request;
             self.complete(request);
             let phase = Phase::Finished {
                 tokens: self.progress[request].tokens,
             };
-            let way = self.reach(attempt, engine) + self.way(attempt);
-            self.after(way, Event::Advance(attempt, phase));
+            let delay = self.replica_delay(attempt, engine) + self.scheduler_delay(attempt);
+            self.schedule_after(delay, Event::Advance(attempt, phase));
         }
         self.start_step(engine);
     }
 
     pub(super) fn plain_order(&mut self, attempt: Attempt) {
-        let Some(engine) = self.tries[attempt].decode else {
+        let Some(engine) = self.attempts[attempt].decode else {
             return;
         };
         if !self.engines[engine].up {
-            self.after(self.reach(attempt, engine), Event::Failed(attempt, engine));
+            self.schedule_after(
+                self.replica_delay(attempt, engine),
+                Event::Failed(attempt, engine),
+            );
             return;
         }
         self.engines[engine].queue.push_back(attempt);
@@ -191,35 +200,38 @@
                 return;
             };
             self.engines[engine].held.push(attempt);
-            let time = self.requests[self.tries[attempt].request].service;
+            let time = self.requests[self.attempts[attempt].request].service;
             let boot = self.engines[engine].boot;
-            self.after(time, Event::PlainEnd(engine, boot, attempt));
+            self.schedule_after(time, Event::PlainEnd(engine, boot, attempt));
         }
     }
 
     pub(super) fn plain_end(&mut self, engine: usize, boot: u64, attempt: Attempt) {
-        if self.engines[engine].boot != boot || !self.engines[engine].drop_attempt(attempt) {
+        if self.engines[engine].boot != boot || !self.engines[engine].remove_attempt(attempt) {
             return;
         }
-        if !self.tries[attempt].over {
-            self.tries[attempt].over = true;
-            let way = self.reach(attempt, engine);
-            self.complete_plain(self.tries[attempt].request, self.now + way);
+        if !self.attempts[attempt].ended {
+            self.attempts[attempt].ended = true;
+            let delay = self.replica_delay(attempt, engine);
+            self.complete_plain(self.attempts[attempt].request, self.now + delay);
             let phase = Phase::Finished { tokens: 0 };
-            self.after(way + self.way(attempt), Event::Advance(attempt, phase));
+            self.schedule_after(
+                delay + self.scheduler_delay(attempt),
+                Event::Advance(attempt, phase),
+            );
         }
         self.start_plain(engine);
     }
 
     /// Frees all that an attempt holds on replicas.
     pub(super) fn release(&mut self, attempt: Attempt) {
-        let this = &self.tries[attempt];
+        let this = &self.attempts[attempt];
         let places = [this.prefill.map(|(engine, _)| engine), this.decode];
         for engine in places.into_iter().flatten() {
             let was_held = self.engines[engine].held.contains(&attempt);
-            self.engines[engine].drop_attempt(attempt);
+            self.engines[engine].remove_attempt(attempt);
             if was_held {
-                self.uncount(attempt);
+                self.uncount_decode(attempt);
             }
             self.stop_prefill(engine, attempt);
         }
@@ -229,7 +241,7 @@
         match self.engines[engine].running {
             Some((running, _, _, started)) if running == attempt => {
                 self.engines[engine].running = None;
-                self.count_stopped(attempt, started);
+                self.count_stopped_prefill(attempt, started);
                 self.start_prefill(engine);
             }
             _ => (),
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -5,7 +5,7 @@
 //! other; a step of a batch lasts as long as it would with the batch that a request joins.
 
 pub mod engine;
-pub mod figures;
 pub mod plot;
 pub mod run;
 pub mod setup;
+pub mod stats;
--- a/crates/lab/src/site/engine.rs
+++ b/crates/lab/src/site/engine.rs
@@ -7,9 +7,9 @@
 /// Prompt tokens that are read in a millisecond.
 const PREFILL_TOKENS_MS: f64 = 55.556;
 /// Time before the first token of a prompt that is read.
-const FIRST_MS: f64 = 120.0;
+const FIRST_TOKEN_MS: f64 = 120.0;
 /// Requests in a batch at most.
-const BATCH: u32 = 64;
+const MAX_BATCH: u32 = 64;
 
 /// One engine.
 #[derive(Debug, Clone)]
@@ -36,21 +36,21 @@
     }
 
     /// Takes a prompt of `tokens` at `now`; gives when it is read.
-    pub fn read(&mut self, now: f64, tokens: u64) -> f64 {
+    pub fn enqueue_prefill(&mut self, now: f64, tokens: u64) -> f64 {
         let work = tokens as f64 / PREFILL_TOKENS_MS * self.slowness;
         self.free_at = self.free_at.max(now) + work;
         self.waiting += 1;
-        self.free_at + FIRST_MS
+        self.free_at + FIRST_TOKEN_MS
     }
 
     /// Notes that a prompt was read.
-    pub const fn was_read(&mut self) {
+    pub const fn end_prefill(&mut self) {
         self.waiting -= 1;
     }
 
     /// Sets a place with room for `tokens` aside, if there is one.
     pub const fn reserve(&mut self, tokens: u64) -> bool {
-        let fits = self.used + tokens <= self.memory && self.batch < BATCH;
+        let fits = self.used + tokens <= self.memory && self.batch < MAX_BATCH;
         if fits {
             self.used += tokens;
             self.batch += 1;
--- a/crates/lab/src/site/run.rs
+++ b/crates/lab/src/site/run.rs
@@ -18,30 +18,30 @@
 use relay::server::Key;
 
 use crate::site::engine::Engine;
-use crate::site::figures::Figures;
 use crate::site::setup::Choice;
 use crate::site::setup::Setup;
+use crate::site::stats::Stats;
 
 /// Time for the first token, in milliseconds.
 const OBJECTIVE_MS: f64 = 900.0;
 /// The gateway's wait for a place, its pause between rounds and the replicas that it asks in one.
 const WAIT_MS: f64 = 0.22 * OBJECTIVE_MS;
 const ROUND_PAUSE_MS: f64 = 30.0;
-const ROUND: usize = 3;
+const REPLICAS_PER_ROUND: usize = 3;
 /// Way to a replica and back.
 const ROUND_TRIP_MS: f64 = 2.0;
-/// Mean time after which a refused caller comes back; it is spread by a quarter.
-const COME_BACK_MS: f64 = 3_500.0;
+/// Mean time after which a refused caller comes back; it is sigma by a quarter.
+const RETRY_AFTER_MS: f64 = 3_500.0;
 /// Bytes of the KV cache a token, and of a link in a millisecond.
 const TOKEN_BYTES: f64 = 35_136.0;
 const LINK_BYTES_MS: f64 = 92_500_000.0;
 /// Time to set a transfer up.
 const TRANSFER_SETUP_MS: f64 = 2.5;
-/// Mean, spread (of the logarithm) and bound of prompt tokens and of events.
+/// Mean, sigma (of the logarithm) and bound of prompt tokens and of events.
 const PROMPT: (f64, f64, f64) = (5_000.0, 0.5, 11_000.0);
 const EVENTS: (f64, f64, f64) = (70.0, 0.7, 170.0);
 /// Tokens in one event.
-const STRIDE: f64 = 6.0;
+const EVENT_TOKENS: f64 = 6.0;
 /// Length of a cycle of load and of the burst in it.
 const CYCLE_MS: f64 = 11_000.0;
 const BURST_MS: f64 = 5_000.0;
@@ -52,19 +52,19 @@
     daemon: usize,
     prompt: u64,
     tokens: u64,
-    /// When its first attempt came.
-    first: f64,
-    /// When this attempt came.
-    came: f64,
-    came_back: bool,
+    /// When its first attempt arrived.
+    first_arrived: f64,
+    /// When this attempt arrived.
+    arrived: f64,
+    retried: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    Arrives,
-    LooksForPlace(Job),
-    IsRead(Job, Key, Key, f64),
-    Ends(usize, Key, u64),
+    Arrive,
+    Place(Job),
+    PrefillEnd(Job, Key, Key, f64),
+    DecodeEnd(usize, Key, u64),
 }
 
 #[derive(Debug)]
@@ -93,37 +93,37 @@
     }
 }
 
-/// The world of one run.
+/// The simulation of one run.
 #[derive(Debug)]
-struct World {
+struct Simulation {
     setup: Setup,
     random: Pcg64Mcg,
     events: BinaryHeap<Event>,
     engines: Vec<Engine>,
     pools: Vec<Pool>,
     /// A pool that no daemon tells anything.
-    ignorant: Pool,
-    figures: Figures,
+    unloaded_pool: Pool,
+    stats: Stats,
 }
 
 /// Plays `setup` with the random numbers of `seed`.
-pub fn run(setup: Setup, seed: u64) -> Figures {
-    let mut world = World::new(setup, seed);
-    world.push(0.0, Step::Arrives);
-    while let Some(Event { at, step }) = world.events.pop() {
+pub fn run(setup: Setup, seed: u64) -> Stats {
+    let mut simulation = Simulation::new(setup, seed);
+    simulation.push(0.0, Step::Arrive);
+    while let Some(Event { at, step }) = simulation.events.pop() {
         match step {
-            Step::Arrives => world.arrive(at),
-            Step::LooksForPlace(job) => world.look_for_place(at, job),
-            Step::IsRead(job, prefill, decode, begun) => {
-                world.read(at, job, prefill, decode, begun);
+            Step::Arrive => simulation.arrive(at),
+            Step::Place(job) => simulation.place(at, job),
+            Step::PrefillEnd(job, prefill, decode, started) => {
+                simulation.end_prefill(at, job, prefill, decode, started);
             }
-            Step::Ends(daemon, key, tokens) => world.end(daemon, key, tokens),
+            Step::DecodeEnd(daemon, key, tokens) => simulation.end(daemon, key, tokens),
         }
     }
-    world.figures
+    simulation.stats
 }
 
-impl World {
+impl Simulation {
     fn new(setup: Setup, seed: u64) -> Self {
         let count = setup.prefill + setup.decode;
         let replicas: Vec<Replica> = (0..count).map(|index| replica(index, &setup)).collect();
@@ -150,8 +150,8 @@
             events: BinaryHeap::new(),
             engines: engines.collect(),
             pools: pools.collect(),
-            ignorant: pool(),
-            figures: Figures::new(),
+            unloaded_pool: pool(),
+            stats: Stats::new(),
         }
     }
 
@@ -164,65 +164,65 @@
             return;
         }
         let prompt = self.size(PROMPT);
-        let output = self.size(EVENTS) * STRIDE;
+        let output = self.size(EVENTS) * EVENT_TOKENS;
         let job = Job {
             daemon: self.random.random_range(0..self.setup.daemons),
             prompt: prompt as u64,
             tokens: (prompt + output) as u64,
-            first: now,
-            came: now,
-            came_back: false,
+            first_arrived: now,
+            arrived: now,
+            retried: false,
         };
-        self.figures.asked += 1;
-        self.push(now, Step::LooksForPlace(job));
+        self.stats.offered += 1;
+        self.push(now, Step::Place(job));
         let burst = now % CYCLE_MS > CYCLE_MS - BURST_MS;
         let factor = if burst { self.setup.burst } else { 1.0 };
         let gap = -self.random.random::<f64>().max(f64::MIN_POSITIVE).ln();
         self.push(
             now + gap * 1_000.0 / (self.setup.rate * factor),
-            Step::Arrives,
+            Step::Arrive,
         );
     }
 
-    /// Draws a size with this mean, spread and bound.
-    fn size(&mut self, (mean, spread, most): (f64, f64, f64)) -> f64 {
+    /// Draws a size with this mean, sigma and bound.
+    fn size(&mut self, (mean, sigma, max): (f64, f64, f64)) -> f64 {
         // A sum of twelve even numbers is close to a normal one.
         let normal = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
-        let median = mean / (spread * spread / 2.0).exp();
-        (median * (spread * normal).exp()).clamp(1.0, most)
+        let median = mean / (sigma * sigma / 2.0).exp();
+        (median * (sigma * normal).exp()).clamp(1.0, max)
     }
 
-    fn look_for_place(&mut self, now: f64, job: Job) {
-        let mut asked = Vec::new();
-        for _ in 0..ROUND {
-            let Some(key) = self.choose(now, job.daemon, Stage::Decode, &asked) else {
+    fn place(&mut self, now: f64, job: Job) {
+        let mut tried = Vec::new();
+        for _ in 0..REPLICAS_PER_ROUND {
+            let Some(key) = self.choose(now, job.daemon, Stage::Decode, &tried) else {
                 break;
             };
-            asked.push(key);
+            tried.push(key);
             let engine = self.engine(job.daemon, key);
             if self.engines[engine].reserve(job.tokens) {
-                self.send_to_prefill(now + ROUND_TRIP_MS * asked.len() as f64, job, key);
+                self.send_to_prefill(now + ROUND_TRIP_MS * tried.len() as f64, job, key);
                 return;
             }
             self.pools[job.daemon].record_full(time(now), key);
         }
-        if now + ROUND_PAUSE_MS <= job.came + WAIT_MS {
-            self.push(now + ROUND_PAUSE_MS, Step::LooksForPlace(job));
+        if now + ROUND_PAUSE_MS <= job.arrived + WAIT_MS {
+            self.push(now + ROUND_PAUSE_MS, Step::Place(job));
             return;
         }
-        if job.came_back {
-            self.figures.refused += 1;
+        if job.retried {
+            self.stats.refused += 1;
             return;
         }
-        let back = now + COME_BACK_MS * self.random.random_range(0.75..1.25);
+        let back = now + RETRY_AFTER_MS * self.random.random_range(0.75..1.25);
         let daemon = self.random.random_range(0..self.setup.daemons);
         let job = Job {
             daemon,
-            came: back,
-            came_back: true,
+            arrived: back,
+            retried: true,
             ..job
         };
-        self.push(back, Step::LooksForPlace(job));
+        self.push(back, Step::Place(job));
     }
 
     fn send_to_prefill(&mut self, now: f64, job: Job, decode: Key) {
@@ -232,36 +232,38 @@
         };
         self.pools[job.daemon].start_request(prefill, job.prompt);
         let engine = self.engine(job.daemon, prefill);
-        let done = self.engines[engine].read(now, job.prompt) + ROUND_TRIP_MS;
-        self.push(done, Step::IsRead(job, prefill, decode, now));
+        let done = self.engines[engine].enqueue_prefill(now, job.prompt) + ROUND_TRIP_MS;
+        self.push(done, Step::PrefillEnd(job, prefill, decode, now));
     }
 
-    fn read(&mut self, now: f64, job: Job, prefill: Key, decode: Key, begun: f64) {
+    fn end_prefill(&mut self, now: f64, job: Job, prefill: Key, decode: Key, started: f64) {
         let engine = self.engine(job.daemon, prefill);
-        self.engines[engine].was_read();
-        let took = Duration::from_secs_f64((now - begun) / 1_000.0);
+        self.engines[engine].end_prefill();
+        let took = Duration::from_secs_f64((now - started) / 1_000.0);
         let running = self.engines[engine].running();
         let pool = &mut self.pools[job.daemon];
         pool.end_request(prefill, job.prompt);
         pool.record_load(time(now), prefill, load(running));
         pool.record_prefill(time(now), prefill, took, job.prompt);
         pool.record_work(time(now), prefill, took, job.prompt as f64);
-        self.figures.read.saturating_record((now - begun) as u64);
+        self.stats
+            .prefill_ms
+            .saturating_record((now - started) as u64);
         let transfer = TRANSFER_SETUP_MS + job.prompt as f64 * TOKEN_BYTES / LINK_BYTES_MS;
         let engine = self.engine(job.daemon, decode);
         let step = self.engines[engine].step();
         let first = now + ROUND_TRIP_MS + transfer + step;
         let head = Duration::from_secs_f64((first - now) / 1_000.0);
         self.pools[job.daemon].record_work(time(first), decode, head, 1.0);
-        let waited = first - job.first;
-        self.figures.first.saturating_record(waited as u64);
+        let waited = first - job.first_arrived;
+        self.stats.first_token_ms.saturating_record(waited as u64);
         if waited <= OBJECTIVE_MS {
-            self.figures.in_time += 1;
+            self.stats.in_time += 1;
         } else {
-            self.figures.late += 1;
+            self.stats.late += 1;
         }
         let output = (job.tokens - job.prompt) as f64;
-        let end = Step::Ends(job.daemon, decode, job.tokens);
+        let end = Step::DecodeEnd(job.daemon, decode, job.tokens);
         self.push(first + output * step, end);
     }
 
@@ -272,7 +274,7 @@
     }
 
     fn choose(&mut self, now: f64, daemon: usize, stage: Stage, tried: &[Key]) -> Option<Key> {
-        let want = Criteria {
+        let criteria = Criteria {
             service: "llm",
             stage: Some(stage),
             tried,
@@ -288,10 +290,10 @@
             draws[at % draws.len()]
         };
         match self.setup.choice {
-            Choice::Score => self.pools[daemon].choose(time(now), &want, draw),
+            Choice::Score => self.pools[daemon].choose(time(now), &criteria, draw),
             Choice::Chance => {
                 // A pool that knows nothing chooses by its draws alone; its keys are the same.
-                self.ignorant.choose(time(now), &want, draw)
+                self.unloaded_pool.choose(time(now), &criteria, draw)
             }
         }
     }
--- a/crates/lab/src/figure.rs
+++ b/crates/lab/src/stats.rs
@@ -3,11 +3,11 @@
 use hdrhistogram::Histogram;
 
 /// The longest time that is told apart, in microseconds.
-const LONGEST: u64 = 600_000_000;
+const MAX_TIME_US: u64 = 600_000_000;
 
 /// Counts of one class.
 #[derive(Debug, Clone, Default)]
-pub struct Tally {
+pub struct ClassCounts {
     /// Requests that callers made and did not give up.
     pub offered: u64,
     /// Answers within both targets.
@@ -28,11 +28,11 @@
 
 /// Counts of one run, inside its measured window.
 #[derive(Debug, Clone)]
-pub struct Figure {
+pub struct Stats {
     /// Seconds measured.
     pub seconds: f64,
     /// Counts by class.
-    pub classes: Vec<Tally>,
+    pub classes: Vec<ClassCounts>,
     /// Prompt tokens computed by prefills.
     pub computed: u64,
     /// Prompt tokens found in prefix caches.
@@ -55,17 +55,17 @@
     pub truthful: u64,
 }
 
-impl Figure {
+impl Stats {
     /// Nothing counted, for `classes` classes over `seconds`.
     ///
     /// # Panics
     ///
     /// Never: the bounds of the histograms are constant.
     pub fn new(classes: usize, seconds: f64) -> Self {
-        let histogram = || Histogram::new_with_bounds(1, LONGEST, 3).expect("valid bounds");
+        let histogram = || Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("valid bounds");
         Self {
             seconds,
-            classes: vec![Tally::default(); classes],
+            classes: vec![ClassCounts::default(); classes],
             computed: 0,
             cached: 0,
             wasted: 0,
--- a/crates/lab/src/summary.rs
+++ b/crates/lab/src/summary.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Write;
 
-use crate::figure::Figure;
-use crate::figure::percent;
+use crate::stats::Stats;
+use crate::stats::percent;
 use crate::workload::Workload;
 
 /// Number of columns.
@@ -31,36 +31,36 @@
 const RANGED: usize = 3;
 
 /// The columns of one run.
-pub fn columns(workload: &Workload, figure: &Figure) -> [f64; WIDTH] {
-    let sum = |plain: bool, of: fn(&crate::figure::Tally) -> u64| -> u64 {
-        let all = workload.classes.iter().zip(&figure.classes);
+pub fn columns(workload: &Workload, stats: &Stats) -> [f64; WIDTH] {
+    let sum = |plain: bool, of: fn(&crate::stats::ClassCounts) -> u64| -> u64 {
+        let all = workload.classes.iter().zip(&stats.classes);
         all.filter(|(class, _)| class.plain == plain)
-            .map(|(_, tally)| of(tally))
+            .map(|(_, counts)| of(counts))
             .sum()
     };
-    let offered = sum(false, |tally| tally.offered);
-    let good = sum(false, |tally| tally.good);
+    let offered = sum(false, |counts| counts.offered);
+    let good = sum(false, |counts| counts.good);
     let ms = |micros: u64| micros as f64 / 1_000.0;
     [
         percent(good, offered),
-        good as f64 / figure.seconds,
-        percent(figure.wasted, figure.computed),
-        percent(figure.lost, figure.prefills),
-        percent(sum(false, |tally| tally.refused), offered),
-        percent(sum(false, |tally| tally.failed), offered),
-        ms(figure.ttft.value_at_quantile(0.5)),
-        ms(figure.ttft.value_at_quantile(0.95)),
-        ms(figure.tbt.value_at_quantile(0.95)),
+        good as f64 / stats.seconds,
+        percent(stats.wasted, stats.computed),
+        percent(stats.lost, stats.prefills),
+        percent(sum(false, |counts| counts.refused), offered),
+        percent(sum(false, |counts| counts.failed), offered),
+        ms(stats.ttft.value_at_quantile(0.5)),
+        ms(stats.ttft.value_at_quantile(0.95)),
+        ms(stats.tbt.value_at_quantile(0.95)),
         percent(
-            sum(true, |tally| tally.good),
-            sum(true, |tally| tally.offered),
+            sum(true, |counts| counts.good),
+            sum(true, |counts| counts.offered),
         ),
-        ms(figure.plain.value_at_quantile(0.95)),
-        fairness(workload, figure),
-        overshoot(workload, figure),
-        percent(figure.truthful, figure.checked),
-        offered as f64 / figure.seconds,
-        percent(figure.cached, figure.cached + figure.computed),
+        ms(stats.plain.value_at_quantile(0.95)),
+        fairness(workload, stats),
+        overshoot(workload, stats),
+        percent(stats.truthful, stats.checked),
+        offered as f64 / stats.seconds,
+        percent(stats.cached, stats.cached + stats.computed),
     ]
 }
 
@@ -68,17 +68,17 @@
 ///
 /// Completed requests are divided among rows of equal priority by share, none getting more than it
 /// asked for.
-fn fairness(workload: &Workload, figure: &Figure) -> f64 {
+fn fairness(workload: &Workload, stats: &Stats) -> f64 {
     let rows: Vec<(f64, f64, f64)> = workload
         .classes
         .iter()
-        .zip(&figure.classes)
+        .zip(&stats.classes)
         .filter(|(class, _)| !class.plain && class.rule.decode_ceiling >= 1_000)
-        .map(|(class, tally)| {
+        .map(|(class, counts)| {
             (
                 f64::from(class.rule.share),
-                tally.offered as f64,
-                tally.complete as f64,
+                counts.offered as f64,
+                counts.complete as f64,
             )
         })
         .collect();
@@ -104,14 +104,14 @@
 }
 
 /// Most by which a row's requests in decode exceeded its ceiling.
-fn overshoot(workload: &Workload, figure: &Figure) -> f64 {
+fn overshoot(workload: &Workload, stats: &Stats) -> f64 {
     let rows = workload
         .classes
         .iter()
-        .zip(&figure.classes)
+        .zip(&stats.classes)
         .filter(|(class, _)| !class.plain);
-    rows.map(|(class, tally)| {
-        tally
+    rows.map(|(class, counts)| {
+        counts
             .peak
             .saturating_sub(u64::from(class.rule.decode_ceiling))
     })
--- a/crates/lab/src/workload.rs
+++ b/crates/lab/src/workload.rs
@@ -18,7 +18,7 @@
 /// Load inside a burst against the mean.
 const BURST_FACTOR: f64 = 1.8;
 /// Spread of prompt and output lengths (sigma of the logarithm).
-const SPREAD: f64 = 0.6;
+const SIGMA: f64 = 0.6;
 /// Callers that share a prompt prefix.
 const CUSTOMERS: usize = 100;
 
@@ -28,7 +28,7 @@
     /// Name of the class; the row is made of it.
     pub name: &'static str,
     /// Part of all arrivals of its kind.
-    pub part: f64,
+    pub fraction: f64,
     /// Whether it calls a plain application.
     pub plain: bool,
     /// Share, priority, targets and ceilings.
@@ -75,7 +75,7 @@
     pub cancel: Option<Time>,
 }
 
-fn class(name: &'static str, part: f64, prompt: f64, output: f64) -> Class {
+fn class(name: &'static str, fraction: f64, prompt: f64, output: f64) -> Class {
     let rule = Rule {
         row: Row::from_parts("lab", name, "pool"),
         share: 1,
@@ -90,7 +90,7 @@
     };
     Class {
         name,
-        part,
+        fraction,
         plain: false,
         rule,
         prompt,
@@ -171,7 +171,7 @@
             let rate = if plain { 60.0 } else { self.capacity * load };
             let mut at = 0.0;
             loop {
-                at += -random.random::<f64>().max(1e-12).ln() / (rate * intensity(at));
+                at += -random.random::<f64>().max(1e-12).ln() / (rate * relative_load(at));
                 if at >= span.as_secs_f64() {
                     break;
                 }
@@ -183,19 +183,21 @@
     }
 
     fn request(&self, plain: bool, at: f64, cancel: f64, random: &mut Pcg64Mcg) -> Request {
-        let index = self.pick(plain, random.random());
+        let index = self.pick_class(plain, random.random());
         let class = &self.classes[index];
         let at = Time((at * 1e6) as u64);
         let customer = (random.random::<f64>().powf(1.6) * CUSTOMERS as f64) as u64;
-        let mut own = Pcg64Mcg::seed_from_u64(customer * 31 + index as u64);
-        let history = (spread(class.prompt * 0.8, &mut own) as u32).min(16_000);
-        let fresh = (spread(class.prompt * 0.2, random) as u32).clamp(16, 4_000);
-        let output = (spread(class.output, random) as u32).clamp(8, class.output as u32 * 4 + 8);
-        let known = history / BLOCK;
-        let prefix = (0..known).map(|i| customer << 32 | (index as u64) << 24 | u64::from(i));
+        let mut customer_random = Pcg64Mcg::seed_from_u64(customer * 31 + index as u64);
+        let history = (log_normal(class.prompt * 0.8, &mut customer_random) as u32).min(16_000);
+        let fresh = (log_normal(class.prompt * 0.2, random) as u32).clamp(16, 4_000);
+        let output =
+            (log_normal(class.output, random) as u32).clamp(8, class.output as u32 * 4 + 8);
+        let shared_blocks = history / BLOCK;
+        let prefix =
+            (0..shared_blocks).map(|i| customer << 32 | (index as u64) << 24 | u64::from(i));
         let salt: u64 = random.random::<u64>() | 1 << 63;
-        let tail = (known..(history + fresh) / BLOCK).map(|i| salt ^ u64::from(i));
-        let service = Duration::from_secs_f64(spread(0.04, random));
+        let tail = (shared_blocks..(history + fresh) / BLOCK).map(|i| salt ^ u64::from(i));
+        let service = Duration::from_secs_f64(log_normal(0.04, random));
         let given_up = random.random::<f64>() < cancel;
         let patience = Duration::from_secs_f64(random.random::<f64>() * 8.0);
         Request {
@@ -213,15 +215,15 @@
         }
     }
 
-    fn pick(&self, plain: bool, mut dice: f64) -> usize {
+    fn pick_class(&self, plain: bool, mut draw: f64) -> usize {
         let mut last = 0;
         for (index, class) in self.classes.iter().enumerate() {
             if class.plain != plain {
                 continue;
             }
             last = index;
-            dice -= class.part;
-            if dice < 0.0 {
+            draw -= class.fraction;
+            if draw < 0.0 {
                 break;
             }
         }
@@ -235,7 +237,7 @@
 }
 
 /// Load at `at` seconds against the mean.
-fn intensity(at: f64) -> f64 {
+fn relative_load(at: f64) -> f64 {
     if at % CYCLE < BURST {
         return BURST_FACTOR;
     }
@@ -243,8 +245,8 @@
 }
 
 /// A log-normal sample with the given mean.
-fn spread(mean: f64, random: &mut Pcg64Mcg) -> f64 {
+fn log_normal(mean: f64, random: &mut Pcg64Mcg) -> f64 {
     let (a, b): (f64, f64) = (random.random(), random.random());
     let normal = (-2.0 * a.max(1e-12).ln()).sqrt() * (std::f64::consts::TAU * b).cos();
-    mean * (SPREAD * normal - SPREAD * SPREAD / 2.0).exp()
+    mean * (SIGMA * normal - SIGMA * SIGMA / 2.0).exp()
 }
--- a/crates/lab/tests/decode.rs
+++ b/crates/lab/tests/decode.rs
@@ -1,6 +1,5 @@
 //! Load patterns at decode replicas whose memory fills: each gain, replayed.
 
-use lab::decode::figures::Figures;
 use lab::decode::run;
 use lab::decode::setup::CROWD;
 use lab::decode::setup::LOADS;
@@ -9,6 +8,7 @@
 use lab::decode::setup::Policy;
 use lab::decode::setup::RUSH;
 use lab::decode::setup::Setup;
+use lab::decode::stats::Stats;
 use rstest::rstest;
 
 const SEEDS: u64 = 3;
@@ -21,15 +21,15 @@
     moves: true,
 };
 
-fn played(setup: Setup) -> Figures {
-    let mut all = Figures::default();
+fn played(setup: Setup) -> Stats {
+    let mut all = Stats::default();
     for seed in 1..=SEEDS {
         all.add(&run::run(setup, seed));
     }
     all
 }
 
-fn doubling(load: Load, policy: Policy) -> Figures {
+fn doubling(load: Load, policy: Policy) -> Stats {
     played(Setup::doubling(load, policy))
 }
 
@@ -38,18 +38,18 @@
 #[case(Setup::doubling(LONG, Policy::Reserve))]
 #[case(Setup::steady(RUSH, FORECAST))]
 fn every_generation_ends_once(#[case] setup: Setup) {
-    let figures = played(setup);
-    assert!(figures.asked > 800);
-    let ended = figures.in_time + figures.late + figures.refused;
-    assert_eq!(ended, figures.asked);
+    let stats = played(setup);
+    assert!(stats.offered > 800);
+    let ended = stats.in_time + stats.late + stats.refused;
+    assert_eq!(ended, stats.offered);
 }
 
 #[test]
 fn equal_seeds_give_equal_runs_and_others_do_not() {
     let setup = Setup::doubling(RUSH, FORECAST);
-    let figures = [1, 1, 2].map(|seed| run::run(setup, seed));
-    assert_eq!(figures[0], figures[1]);
-    assert_ne!(figures[0], figures[2]);
+    let stats = [1, 1, 2].map(|seed| run::run(setup, seed));
+    assert_eq!(stats[0], stats[1]);
+    assert_ne!(stats[0], stats[2]);
 }
 
 /// All come at once, and in their midst twice as many.
@@ -58,7 +58,7 @@
     let forecast = doubling(RUSH, FORECAST);
     let reserve = doubling(RUSH, Policy::Reserve);
     assert!(forecast.in_time_share() > reserve.in_time_share() + 0.1);
-    assert!(forecast.set_aside_share() < reserve.set_aside_share() / 2.0);
+    assert!(forecast.preempted_share() < reserve.preempted_share() / 2.0);
     assert!(forecast.refused < reserve.refused);
 }
 
@@ -68,7 +68,7 @@
     let forecast = doubling(LONG, FORECAST);
     let reserve = doubling(LONG, Policy::Reserve);
     assert!(forecast.in_time_share() > reserve.in_time_share());
-    assert!(forecast.set_aside_share() < reserve.set_aside_share() / 2.0);
+    assert!(forecast.preempted_share() < reserve.preempted_share() / 2.0);
 }
 
 /// The room has to last with some certainty: what is placed too boldly is read twice.
@@ -79,14 +79,14 @@
     let sure = doubling(load, FORECAST);
     let unsure = doubling(load, UNSURE);
     assert!(sure.in_time_share() > unsure.in_time_share() + 0.1);
-    assert!(sure.read_again < unsure.read_again / 2.0);
+    assert!(sure.recomputed < unsure.recomputed / 2.0);
 }
 
 #[test]
 fn a_crowd_that_fits_is_served() {
-    let figures = doubling(CROWD, FORECAST);
-    assert!(figures.in_time_share() > 0.9);
-    assert_eq!(figures.refused, 0);
+    let stats = doubling(CROWD, FORECAST);
+    assert!(stats.in_time_share() > 0.9);
+    assert_eq!(stats.refused, 0);
 }
 
 /// Daemons that hear of each other's runs late place them on top of each other.
@@ -97,7 +97,7 @@
             claim_ms,
             ..Setup::doubling(RUSH, FORECAST)
         };
-        played(setup).set_aside
+        played(setup).preempted
     };
     assert!(at(2.0) < at(300.0));
 }
@@ -115,11 +115,11 @@
 /// The largest tenth keeps its part under overload: it is not refused more than three times as often.
 #[test]
 fn large_prompts_keep_their_part() {
-    let figures = doubling(RUSH, FORECAST);
+    let stats = doubling(RUSH, FORECAST);
     let share = |size: usize| {
-        let asked = figures.asked_of[size].max(1) as f64;
-        1.0 - figures.refused_of[size] as f64 / asked
+        let offered = stats.offered_by_size[size].max(1) as f64;
+        1.0 - stats.refused_by_size[size] as f64 / offered
     };
-    assert!(figures.asked_of[1] > 50);
+    assert!(stats.offered_by_size[1] > 50);
     assert!(share(1) > share(0) / 2.0);
 }
--- a/crates/lab/tests/quota.rs
+++ b/crates/lab/tests/quota.rs
@@ -3,7 +3,7 @@
 use lab::quota::load::Fault;
 use lab::quota::load::Load;
 use lab::quota::run;
-use lab::quota::way::Way;
+use lab::quota::scheme::Scheme;
 use rstest::rstest;
 
 const USUAL: Load = Load::new("usual", 41, 47_000.0, 0.55);
@@ -16,25 +16,25 @@
 #[case(HOT.with_fault(Fault::Kill(0.5)))]
 fn a_keeper_stays_within_what_is_tolerated(#[case] load: Load) {
     for seed in 0..3 {
-        let figures = run::play(Way::Keeper, load, seed);
-        assert!(figures.bound <= 1.0, "{figures:?}");
+        let stats = run::play(Scheme::Keeper, load, seed);
+        assert!(stats.bound <= 1.0, "{stats:?}");
     }
 }
 
 #[test]
 fn a_keeper_loses_next_to_nothing_within_the_quota() {
-    let figures = run::play(Way::Keeper, USUAL, 1);
-    assert!(figures.lost < 0.01, "{figures:?}");
+    let stats = run::play(Scheme::Keeper, USUAL, 1);
+    assert!(stats.lost < 0.01, "{stats:?}");
 }
 
 #[test]
 fn an_equal_share_refuses_what_is_within_the_quota() {
-    let figures = run::play(Way::Share, USUAL, 1);
-    assert!(figures.lost > 0.1, "{figures:?}");
+    let stats = run::play(Scheme::Share, USUAL, 1);
+    assert!(stats.lost > 0.1, "{stats:?}");
 }
 
 #[test]
 fn equal_seeds_give_equal_runs() {
-    let play = || format!("{:?}", run::play(Way::Told, HOT, 3));
+    let play = || format!("{:?}", run::play(Scheme::Told, HOT, 3));
     assert_eq!(play(), play());
 }
--- a/crates/lab/tests/run.rs
+++ b/crates/lab/tests/run.rs
@@ -4,12 +4,12 @@
 
 use lab::rival;
 use lab::rival::Rival;
+use lab::simulation;
+use lab::simulation::Fault;
+use lab::simulation::Setup;
 use lab::summary;
 use lab::workload;
 use lab::workload::Workload;
-use lab::world;
-use lab::world::Fault;
-use lab::world::Setup;
 use rstest::rstest;
 
 fn rival(name: &str) -> Rival {
@@ -38,7 +38,7 @@
 fn equal_seeds_give_equal_figures(#[case] name: &str) {
     let setup = setup(workload::krmiva(), name, Fault::None);
     let line = || {
-        let columns = summary::columns(&setup.workload, &world::run(&setup));
+        let columns = summary::columns(&setup.workload, &simulation::run(&setup));
         summary::csv(name, setup.seed, &columns)
     };
     assert_eq!(line(), line());
@@ -58,11 +58,11 @@
     fault: Fault,
 ) {
     let setup = setup(workload::krmiva(), "deadline", fault);
-    let figure = world::run(&setup);
-    for (class, tally) in setup.workload.classes.iter().zip(&figure.classes) {
+    let stats = simulation::run(&setup);
+    for (class, counts) in setup.workload.classes.iter().zip(&stats.classes) {
         let is_model = !class.plain;
         assert!(
-            !is_model || tally.peak <= u64::from(class.rule.decode_ceiling),
+            !is_model || counts.peak <= u64::from(class.rule.decode_ceiling),
             "{}",
             class.name
         );
@@ -72,10 +72,13 @@
 #[rstest]
 fn every_request_ends(#[values("least_loaded", "reserved", "deadline")] name: &str) {
     let setup = setup(workload::qureshi(), name, Fault::None);
-    let figure = world::run(&setup);
-    for tally in &figure.classes {
-        assert_eq!(tally.offered, tally.complete + tally.refused + tally.failed);
-        assert!(tally.good <= tally.complete);
-        assert!(tally.offered > 0);
+    let stats = simulation::run(&setup);
+    for counts in &stats.classes {
+        assert_eq!(
+            counts.offered,
+            counts.complete + counts.refused + counts.failed
+        );
+        assert!(counts.good <= counts.complete);
+        assert!(counts.offered > 0);
     }
 }
--- a/crates/lab/tests/site.rs
+++ b/crates/lab/tests/site.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use lab::site::figures::Figures;
 use lab::site::run;
 use lab::site::setup::Choice;
 use lab::site::setup::Setup;
+use lab::site::stats::Stats;
 use rstest::rstest;
 
 const SLOWNESS: f64 = 4.0;
@@ -17,7 +17,7 @@
     }
 }
 
-fn played(setup: Setup, seed: u64) -> Figures {
+fn played(setup: Setup, seed: u64) -> Stats {
     run::run(short(setup), seed)
 }
 
@@ -27,10 +27,10 @@
 #[case(Setup::qureshi(8, 12).with_choice(Choice::Chance))]
 #[case(Setup::qureshi(8, 12).with_slowness(SLOWNESS))]
 fn every_request_ends_once(#[case] setup: Setup) {
-    let figures = played(setup, 1);
-    assert!(figures.asked > 500);
-    let ended = figures.in_time + figures.late + figures.refused;
-    assert_eq!(ended, figures.asked);
+    let stats = played(setup, 1);
+    assert!(stats.offered > 500);
+    let ended = stats.in_time + stats.late + stats.refused;
+    assert_eq!(ended, stats.offered);
 }
 
 #[test]
@@ -47,8 +47,8 @@
         rate: 5.0,
         ..Setup::krmiva(6, 24)
     };
-    let figures = played(idle, 1);
-    assert_eq!(figures.in_time, figures.asked);
+    let stats = played(idle, 1);
+    assert_eq!(stats.in_time, stats.offered);
 }
 
 #[test]
