--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -1,4 +1,4 @@
-//! Wall-clock time of one decision.
+//! Measures the wall-clock time of one scheduling decision.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,31 +20,32 @@
 use route::verdict::Choice;
 use route::verdict::Verdict;
 
-/// Decisions that one measurement takes.
+/// Decisions timed in one measurement.
 const DECISIONS: u64 = 20_000;
-/// Time that a request stays.
+/// Simulated time that a request is in progress.
 const REQUEST_DURATION: Duration = Duration::from_secs(5);
-/// Rows of the table.
+/// Rows of the configuration table.
 const ROWS: u64 = 40;
 /// Data centres.
 const DATA_CENTRES: u64 = 11;
 /// Blocks of a prompt.
 const BLOCKS: u64 = 40;
 
-/// Median and 99th percentile of one decision: a ticket, the step that places it, and the phases
-/// until its end, in microseconds.
+/// Median and 99th percentile, in microseconds, of one decision: the end of an old request, a new
+/// ticket, and the step that places it.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
-    /// Half of the decisions took less.
+    /// Median.
     pub median: f64,
-    /// One in a hundred took longer.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// Times decisions of a scheduler of `replicas` with `busy` requests in progress and `queued` waiting.
+/// Times decisions of a scheduler with `replicas` replicas, `busy` requests in progress and `queued`
+/// waiting.
 ///
-/// With a queue the scheduler is full: each decision is a ticket that queues, an end that frees a slot,
-/// and the step that grants it to another request.
+/// With a queue the scheduler is full: each decision queues a ticket, ends a request, which frees a
+/// slot, and runs the step that grants the slot to another request.
 pub fn measure(replicas: u64, busy: u64, queued: u64) -> Timing {
     let mut scheduler = scheduler(replicas, busy, queued > 0);
     let mut now = Time::from_millis(1);
--- a/crates/lab/src/bin/decode.rs
+++ b/crates/lab/src/bin/decode.rs
@@ -1,4 +1,4 @@
-//! Measures how generations are placed at decode replicas whose memory fills.
+//! Compares policies that place generations on decode replicas whose memory fills.
 
 use std::process::ExitCode;
 
@@ -11,9 +11,9 @@
 use lab::decode::setup::Setup;
 use lab::decode::stats::Stats;
 
-/// Seeds of each row unless told otherwise.
+/// Default number of seeds per row.
 const SEEDS: u64 = 4;
-/// Standard deviations that are tried.
+/// Standard deviations to compare.
 const SPREADS: [f64; 5] = [0.5, 1.0, 2.0, 3.0, 4.0];
 
 fn main() -> ExitCode {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Reservations, and forecasts with and without moves.
+/// Reservations, and forecasts with and without migrations.
 fn policies() -> Vec<Policy> {
     let forecast = |spreads, moves| Policy::Forecast { spreads, moves };
     let mut policies = vec![Policy::Reserve];
--- a/crates/lab/src/bin/quota.rs
+++ b/crates/lab/src/bin/quota.rs
@@ -1,4 +1,4 @@
-//! Compares ways to keep the quota of a customer over all daemons together.
+//! Compares schemes by which daemons enforce the quota of a customer together.
 
 use std::process::ExitCode;
 
@@ -11,7 +11,7 @@
 use lab::quota::run::Stats;
 use lab::quota::scheme::Scheme;
 
-/// Seeds of each row unless told otherwise.
+/// Default number of seeds per row.
 const SEEDS: u64 = 8;
 
 fn main() -> ExitCode {
--- a/crates/lab/src/bin/site.rs
+++ b/crates/lab/src/bin/site.rs
@@ -1,4 +1,4 @@
-//! Measures the gateway's policy on an emulated fleet of the users' platform.
+//! Measures the gateway's policy on a simulation of the users' platform.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -13,11 +13,11 @@
 use lab::site::setup::Setup;
 use lab::site::stats::Stats;
 
-/// Seeds of each row unless told otherwise.
+/// Default number of seeds per row.
 const SEEDS: u64 = 3;
-/// Times as long as the others that the slow replicas take.
+/// Factor on the times of the slow replicas.
 const SLOWNESS: f64 = 4.0;
-/// Replicas that read prompts, of 140.
+/// Prefill replicas out of 140.
 const PREFILL: [usize; 7] = [14, 18, 21, 24, 30, 38, 47];
 /// Daemons that take requests.
 const DAEMONS: [usize; 3] = [6, 20, 67];
@@ -88,7 +88,7 @@
     PREFILL.into_iter().map(point).collect()
 }
 
-/// Plays `setup` with each seed and prints the stats of all of them together.
+/// Runs `setup` with each seed, prints the combined statistics and returns them.
 fn row(fleet: &str, setup: Setup, seeds: u64) -> Stats {
     let mut all = Stats::new();
     for seed in 1..=seeds {
--- a/crates/lab/src/decode.rs
+++ b/crates/lab/src/decode.rs
@@ -1,7 +1,7 @@
-//! Decode replicas whose memory fills as answers grow, and daemons that share them.
+//! Simulates decode replicas whose memory fills as answers grow, and daemons that share them.
 //!
-//! Plays the gateway's own decisions ([`relay`]) in virtual time against load patterns: how
-//! generations wait, are placed, refused, moved and set aside. Equal seeds give equal runs.
+//! The gateway's own decisions ([`relay`]) run in virtual time against load patterns: how generations
+//! wait, and are placed, refused, migrated and preempted. Equal seeds give equal runs.
 
 pub mod daemon;
 pub mod replica;
--- a/crates/lab/src/decode/daemon.rs
+++ b/crates/lab/src/decode/daemon.rs
@@ -1,4 +1,4 @@
-//! What one daemon knows: replicas, its own runs, and what the others told.
+//! State of one daemon: replicas, its own runs, and the claims of its peers.
 
 use std::net::SocketAddr;
 
@@ -24,12 +24,12 @@
 /// Name of the only service.
 const SERVICE: &str = "llm";
 
-/// One daemon.
+/// A daemon that places runs on shared replicas.
 #[derive(Debug)]
 pub struct Daemon {
-    /// The replicas.
+    /// Replicas as this daemon sees them.
     pub pool: Pool,
-    /// Its own runs.
+    /// Runs of this daemon.
     pub runs: Runs,
     claims: Claims,
     publisher: ClaimPublisher,
@@ -55,12 +55,13 @@
         }
     }
 
-    /// The replica behind `key`.
+    /// Index of the replica `key`.
     pub fn replica(&self, key: Key) -> usize {
         replica_index(&self.pool, key)
     }
 
-    /// The replica for a run of `size`; if `spreads` is given, one whose memory lasts so surely.
+    /// Chooses a replica for a run of `size`. With `spreads`, its forecast peak has to fit with that many
+    /// standard deviations.
     pub fn choose(
         &self,
         now: Time,
@@ -77,7 +78,7 @@
         self.pool.choose(now, &criteria(tried, demand), draw)
     }
 
-    /// Begins a run at `key`.
+    /// Records the start of a run at `key`.
     pub fn begin(&mut self, now: Time, key: Key, size: Size) -> RunId {
         let id = self.runs.begin(SERVICE, key, size);
         self.pool.start_request(key, size.prompt + size.estimate);
@@ -86,7 +87,7 @@
         id
     }
 
-    /// Ends it.
+    /// Records the end of a run.
     pub fn end(&mut self, now: Time, id: RunId, size: Size, complete: bool) {
         let Some(key) = self.runs.get(id).map(|entry| entry.server) else {
             return;
@@ -97,7 +98,7 @@
             .update_forecast(now, key, &self.runs, &self.claims);
     }
 
-    /// Looks at the memory of all replicas; gives the moves that are due.
+    /// Updates the memory forecasts of all replicas; returns the migrations that are due.
     pub fn due_moves(&mut self, now: Time, moves: bool) -> Vec<Move> {
         self.claims.remove_expired(now);
         self.pool
@@ -111,12 +112,12 @@
         })
     }
 
-    /// What the others are told, if it is time.
+    /// The claims to send to the peers, if they are due.
     pub fn due_claims(&mut self, now: Time) -> Option<ClaimUpdate> {
         self.publisher.due(now, &self.runs, &self.pool)
     }
 
-    /// Takes what the daemon `peer` told.
+    /// Applies claims of the daemon `peer`.
     pub fn receive_claims(&mut self, now: Time, peer: usize, update: ClaimUpdate) {
         self.claims.apply(now, Instance(peer as u64), update);
     }
@@ -132,7 +133,7 @@
     }
 }
 
-/// Ids of replicas are their numbers.
+/// The id of a replica is its index.
 fn replica_index(pool: &Pool, key: Key) -> usize {
     let server = pool.get(key);
     server.map_or(0, |server| server.replica.id.parse().unwrap_or_default())
--- a/crates/lab/src/decode/replica.rs
+++ b/crates/lab/src/decode/replica.rs
@@ -1,53 +1,53 @@
-//! A decode replica: a batch whose memory grows, and runs that it sets preempted.
+//! Models a decode replica: a batch whose memory use grows, and runs that it preempts.
 
 use crate::decode::setup::Engine;
 
-/// A run at a replica.
+/// A run at this replica.
 #[derive(Debug, Clone, Copy)]
 pub struct Run {
-    /// Number of its request.
+    /// Index of its request.
     pub request: usize,
-    /// Tokens of its prompt.
+    /// Prompt tokens.
     pub prompt: f64,
-    /// Tokens generated, and to be generated in all.
+    /// Tokens generated so far.
     pub generated: f64,
-    /// Tokens to be generated in all.
+    /// Tokens to generate in total.
     pub total: f64,
-    /// Time for which it is read still, in milliseconds.
+    /// Time left of its prefill after a preemption, in milliseconds.
     prefill_left_ms: f64,
-    /// When it began here.
+    /// When it started here.
     started: f64,
 }
 
-/// What out to a run.
+/// What happened to a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ReplicaEvent {
-    /// It generated tokens.
+    /// It generated at least one event, or its last tokens.
     Generated {
-        /// Number of its request.
+        /// Index of its request.
         request: usize,
         /// Events so far.
         events: u64,
-        /// Whether it is complete.
+        /// Whether all tokens are generated.
         complete: bool,
     },
-    /// It was set preempted for want of memory.
+    /// It was preempted for lack of memory while it held so many tokens.
     Preempted(f64),
 }
 
-/// One replica.
+/// A decode replica.
 #[derive(Debug, Clone)]
 pub struct Replica {
     engine: Engine,
     running: Vec<Run>,
-    /// Runs without memory, the oldest first.
+    /// Preempted runs, which hold no memory, in the order of preemption.
     preempted: Vec<Run>,
-    /// Memory that is reserved for runs that are not here yet.
+    /// Tokens reserved for runs that have not started here yet.
     reserved: f64,
 }
 
 impl Run {
-    /// A run of `request` that was read elsewhere.
+    /// A run of `request` whose prefill ran elsewhere.
     pub const fn new(request: usize, prompt: f64, total: f64) -> Self {
         Self {
             request,
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Tokens in use.
+    /// Tokens held or reserved.
     pub fn used_tokens(&self) -> f64 {
         self.running.iter().map(Run::held_tokens).sum::<f64>() + self.reserved
     }
 
-    /// Reserves `tokens`, if there is room.
+    /// Reserves `tokens` if they fit and no preempted run waits for memory.
     pub fn reserve(&mut self, tokens: f64) -> bool {
         let fits =
             self.preempted.is_empty() && self.used_tokens() + tokens <= self.engine.memory as f64;
@@ -90,7 +90,7 @@
         fits
     }
 
-    /// Begins `run`, for which `tokens` were reserved.
+    /// Starts `run`, for which `tokens` were reserved.
     pub fn begin(&mut self, now: f64, run: Run, tokens: f64) {
         self.reserved -= tokens;
         self.running.push(Run {
@@ -99,23 +99,23 @@
         });
     }
 
-    /// Takes a run away that goes on elsewhere; `None` if it makes no tokens here.
+    /// Removes a run that continues elsewhere; `None` if it is not in the batch.
     pub fn stop(&mut self, request: usize) -> Option<Run> {
         let at = self.running.iter().position(|w| w.request == request)?;
         Some(self.running.swap_remove(at))
     }
 
-    /// Requests at run here.
+    /// Runs at this replica, preempted ones included.
     pub const fn count(&self) -> usize {
         self.running.len() + self.preempted.len()
     }
 
-    /// Lets `ms` advance until `now`.
+    /// Simulates the last `ms` milliseconds before `now`.
     pub fn advance(&mut self, now: f64, ms: f64, out: &mut Vec<ReplicaEvent>) {
         self.resume_preempted();
         let batch = self.running.len() as f64;
         let step = self.engine.step_ms + self.engine.step_slot_ms * batch;
-        // While a prompt is read, next to no tokens are generated.
+        // A prefill stops the decode steps of the whole batch.
         if let Some(prefilling) = self
             .running
             .iter_mut()
@@ -142,7 +142,7 @@
         self.preempt(now, out);
     }
 
-    /// Sets the newest runs preempted until the memory suffices.
+    /// Preempts the newest runs until the others fit in memory.
     fn preempt(&mut self, _now: f64, out: &mut Vec<ReplicaEvent>) {
         while self.used_tokens() > self.engine.memory as f64 && !self.running.is_empty() {
             let newest = (0..self.running.len()).max_by(|a, b| {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Reads a run again that was set preempted, once there is room.
+    /// Resumes the oldest preempted run with a prefill, once there is memory.
     fn resume_preempted(&mut self) {
         let room = self.engine.memory as f64 - self.used_tokens();
         if self
--- a/crates/lab/src/decode/run.rs
+++ b/crates/lab/src/decode/run.rs
@@ -1,4 +1,4 @@
-//! One run in virtual time.
+//! Simulates one run in virtual time.
 
 use std::cell::RefCell;
 
@@ -21,28 +21,28 @@
 use crate::decode::setup::Setup;
 use crate::decode::stats::Stats;
 
-/// Time that passes at once, in milliseconds; decisions are some tens of milliseconds apart.
+/// Length of a step, in milliseconds; decisions are some tens of milliseconds apart.
 const TICK_MS: f64 = 2.0;
-/// Time between two looks of a daemon at the memory of the replicas, in milliseconds.
+/// Time between two checks of a daemon on the memory of the replicas, in milliseconds.
 const CHECK_INTERVAL_MS: f64 = 50.0;
-/// Time between two rounds of a generation that waits, in milliseconds.
+/// Time between two placement rounds of a waiting generation, in milliseconds.
 const ROUND_INTERVAL_MS: f64 = 30.0;
-/// Replicas asked in one round.
+/// Replicas tried in one round.
 const REPLICAS_PER_ROUND: usize = 3;
-/// Part of the objective for which a generation waits for a place.
+/// Fraction of the objective for which a generation waits for a placement.
 const WAIT_FRACTION: f64 = 0.5;
-/// Time to read a prompt besides the reading itself, queues included, in milliseconds.
+/// Time of a prefill besides its computation, queues included, in milliseconds.
 const PREFILL_OVERHEAD_MS: f64 = 60.0;
-/// Mean time after which a refused caller comes back, in milliseconds; it is sigma by a quarter.
+/// Mean time after which a refused caller retries, in milliseconds; it varies by a quarter.
 const RETRY_AFTER_MS: f64 = 3_400.0;
-/// Time that a move holds a stream up, in milliseconds.
+/// Pause of a stream during a migration, in milliseconds.
 const MOVE_PAUSE_MS: f64 = 8.0;
-/// Prompts from which on a generation is among the largest tenth, as a part of the mean.
+/// Prompts longer than this multiple of the mean are the largest tenth.
 const LARGE_PROMPT: f64 = 1.7;
-/// Longest time after the last arrival, in milliseconds.
+/// Longest time after the last arrival in which runs may still end, in milliseconds.
 const DRAIN_MS: f64 = 30_000.0;
 
-/// One generation of a caller.
+/// A generation of a caller.
 #[derive(Debug, Clone, Copy)]
 struct Request {
     daemon: usize,
@@ -50,7 +50,7 @@
     total: f64,
     arrived: f64,
     state: State,
-    /// When the last event came.
+    /// When the last event arrived; at first, when the request did.
     last: f64,
     late: bool,
     retried: bool,
@@ -58,24 +58,24 @@
 
 #[derive(Debug, Clone, Copy)]
 enum State {
-    /// Looks for a place at `next`, and gives up at `until`.
+    /// Waits for a placement: the next round is at `next`, and none is after `until`.
     Waiting { next: f64, until: f64 },
-    /// Its prompt is read until then; `reserved` tokens are kept for it.
+    /// Its prefill runs until then; `reserved` tokens of the decode replica are reserved for it.
     Prefilling {
         until: f64,
         id: RunId,
         key: Key,
         reserved: f64,
     },
-    /// It is at run at a replica.
+    /// It runs at a decode replica.
     Decoding { id: RunId },
-    /// It is refused and comes back then.
+    /// It was refused and retries then.
     BackingOff { until: f64 },
-    /// It has ended.
+    /// It is complete or finally refused.
     Ended,
 }
 
-/// Claims on their way.
+/// Claims in transit: when they arrive, the sending daemon, and the claims.
 type ClaimsInTransit = (f64, usize, ClaimUpdate);
 
 struct Simulation {
@@ -89,7 +89,7 @@
     now: f64,
 }
 
-/// Plays `setup` with the random numbers of `seed`.
+/// Runs `setup` with the random numbers of `seed`.
 pub fn run(setup: Setup, seed: u64) -> Stats {
     let mut simulation = Simulation {
         setup,
@@ -141,14 +141,14 @@
         self.random.borrow_mut().random()
     }
 
-    /// Draws a size.
+    /// Draws a size from a log-normal distribution.
     fn size(&self, sigma: Distribution) -> f64 {
         let median = sigma.mean / (sigma.sigma * sigma.sigma / 2.0).exp();
         (median * (sigma.sigma * self.normal()).exp()).clamp(1.0, sigma.max)
     }
 
     fn normal(&self) -> f64 {
-        // A sum of twelve even numbers is close to a normal one.
+        // A sum of twelve uniform numbers is close to a normal distribution.
         (0..12).map(|_| self.draw()).sum::<f64>() - 6.0
     }
 
@@ -284,7 +284,7 @@
             matches!(self.requests[request].state, State::BackingOff { .. });
     }
 
-    /// Lets the replicas run.
+    /// Simulates one step of all replicas.
     fn step_replicas(&mut self) {
         let mut out = Vec::new();
         for replica in &mut self.replicas {
@@ -332,7 +332,7 @@
         }
     }
 
-    /// Lets each daemon look after its runs.
+    /// Has each daemon update its forecasts and migrate the runs that are due.
     fn check_memory(&mut self) {
         let moves = matches!(self.setup.policy, Policy::Forecast { moves: true, .. });
         let time = self.time();
@@ -343,7 +343,7 @@
         }
     }
 
-    /// Has the run `id` go on at `to`.
+    /// Migrates the run `id` to the replica `to`, if that has memory.
     fn migrate(&mut self, daemon: usize, id: RunId, to: Key) {
         let is_run =
             |request: &Request| matches!(request.state, State::Decoding { id: own } if own == id);
--- a/crates/lab/src/decode/setup.rs
+++ b/crates/lab/src/decode/setup.rs
@@ -1,99 +1,99 @@
-//! What is measured: replicas, callers, load and policy.
+//! Setups to measure: replicas, callers, load and policy.
 
-/// Decode replicas of one model, as their operator describes them.
+/// Memory and speed of the decode replicas of one model.
 #[derive(Debug, Clone, Copy)]
 pub struct Engine {
-    /// Tokens that a replica holds.
+    /// Memory of a replica in tokens.
     pub memory: u64,
-    /// Time of a step with an empty batch, in milliseconds.
+    /// Fixed time of a decode step, in milliseconds.
     pub step_ms: f64,
-    /// Time that each request of the batch adds to a step, in milliseconds.
+    /// Time that each request of the batch adds to a decode step, in milliseconds.
     pub step_slot_ms: f64,
-    /// Prompt tokens that a prefill replica reads in a millisecond; a decode replica reads half as many.
+    /// Tokens that a prefill replica prefills per millisecond; a decode replica prefills half as many.
     pub prefill_tokens_ms: f64,
     /// Tokens in one event.
     pub event_tokens: u64,
 }
 
-/// A size that is drawn: mean, sigma of its logarithm, and the most that it may be.
+/// Log-normal distribution of a size, with an upper bound.
 #[derive(Debug, Clone, Copy)]
 pub struct Distribution {
     /// Mean.
     pub mean: f64,
     /// Standard deviation of the logarithm.
     pub sigma: f64,
-    /// The most.
+    /// Upper bound.
     pub max: f64,
 }
 
-/// More or other requests for a while.
+/// A time span with more or longer generations.
 #[derive(Debug, Clone, Copy)]
 pub struct Burst {
-    /// When it begins and ends, in milliseconds.
+    /// Start in milliseconds.
     pub from: f64,
-    /// When it ends.
+    /// End in milliseconds.
     pub to: f64,
-    /// Times as many requests.
+    /// Factor on the rate of requests.
     pub rate: f64,
-    /// Times as many tokens an answer, which the estimates do not tell.
+    /// Factor on the length of answers, which the callers' estimates do not include.
     pub length: f64,
 }
 
 /// A load pattern.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Its name.
+    /// Name in the table.
     pub name: &'static str,
-    /// Bursts; they may overlap.
+    /// Bursts; the factors of overlapping ones multiply.
     pub bursts: &'static [Burst],
 }
 
 /// How generations are placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Policy {
-    /// Prompt and estimate are reserved.
+    /// Prompt and estimated answer are reserved.
     Reserve,
-    /// The peak of the forecast has to fit with so many standard deviations.
+    /// The forecast peak of the memory has to fit with so many standard deviations.
     Forecast {
         /// Standard deviations.
         spreads: f64,
-        /// Whether runs are moved before the memory of their replica ends.
+        /// Whether runs are migrated before the memory of their replica is full.
         moves: bool,
     },
 }
 
-/// One experiment.
+/// Setup of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct Setup {
     /// Daemons that take requests.
     pub daemons: usize,
     /// Decode replicas.
     pub replicas: usize,
-    /// The replicas' figures.
+    /// Memory and speed of each replica.
     pub engine: Engine,
-    /// Generations a second outside of bursts.
+    /// Generations per second outside of bursts.
     pub rate: f64,
-    /// Tokens of a prompt.
+    /// Prompt tokens.
     pub prompt: Distribution,
-    /// Tokens of an answer.
+    /// Generated tokens.
     pub answer: Distribution,
-    /// Distribution of the logarithm of the callers' estimates round the true lengths.
+    /// Standard deviation of the logarithm of the callers' estimates around the true lengths.
     pub estimate_sigma: f64,
-    /// Time for the first event, in milliseconds.
+    /// Objective for the first event, in milliseconds.
     pub objective_ms: f64,
-    /// Longest pause between two events with which a stream is on time, in milliseconds.
+    /// Longest pause between two events of a stream that is on time, in milliseconds.
     pub pause_ms: f64,
-    /// How long requests arrive, in milliseconds.
+    /// Time during which requests arrive, in milliseconds.
     pub length_ms: f64,
-    /// Time that a claim takes to the other daemons, in milliseconds.
+    /// Delay of claims between daemons, in milliseconds.
     pub claim_ms: f64,
-    /// When more and other requests come.
+    /// Load pattern.
     pub load: Load,
     /// How generations are placed.
     pub policy: Policy,
 }
 
-/// All come at once, twice.
+/// Two bursts.
 pub const CROWD: Load = Load {
     name: "crowd",
     bursts: &[
@@ -111,7 +111,7 @@
         },
     ],
 };
-/// A crowd, and in its midst twice as many of the generations.
+/// A burst, and another one that doubles the rate once more from 0.5 s on.
 pub const RUSH: Load = Load {
     name: "rush",
     bursts: &[
@@ -129,7 +129,7 @@
         },
     ],
 };
-/// Answers become longer than callers estimate while more come.
+/// A burst whose answers are longer than callers estimate.
 pub const LONG: Load = Load {
     name: "long answers",
     bursts: &[Burst {
@@ -143,7 +143,7 @@
 pub const LOADS: [Load; 3] = [CROWD, RUSH, LONG];
 
 impl Setup {
-    /// Six replicas of a large memory, whose answers nearly double what a run holds; eight daemons.
+    /// Six replicas with large memory, where the answer nearly doubles the memory of a run; eight daemons.
     pub const fn doubling(load: Load, policy: Policy) -> Self {
         Self {
             daemons: 8,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Six replicas whose answers add little to what a run holds.
+    /// Six replicas where the answer adds little to the memory of a run.
     pub const fn steady(load: Load, policy: Policy) -> Self {
         let doubling = Self::doubling(load, policy);
         Self {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Requests a second at `now`, and times as many tokens an answer.
+    /// Requests per second at `now`, and the factor on the length of answers.
     pub fn at(&self, now: f64) -> (f64, f64) {
         let bursts = self.load.bursts.iter();
         let present = bursts.filter(|burst| (burst.from..burst.to).contains(&now));
--- a/crates/lab/src/decode/stats.rs
+++ b/crates/lab/src/decode/stats.rs
@@ -1,30 +1,30 @@
-//! What came of a run.
+//! Statistics of a run.
 
-/// Counts of one run.
+/// Counts of one run, or of several added up.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Stats {
-    /// Generations of callers, comebacks not counted.
+    /// Generations of callers, retries not counted.
     pub offered: u64,
-    /// On time, from the first event to the last.
+    /// Complete, with every event on time.
     pub in_time: u64,
-    /// Complete, and late at the first event or by a pause.
+    /// Complete, with a late first event or too long a pause.
     pub late: u64,
-    /// Refused twice.
+    /// Refused, also after the retry.
     pub refused: u64,
-    /// Set aside by their replica.
+    /// Preemptions by replicas for lack of memory.
     pub preempted: u64,
-    /// Moved to another replica.
+    /// Migrations to another replica.
     pub moved: u64,
-    /// Tokens that were read again.
+    /// Tokens whose KV cache was lost by preemption and is computed again.
     pub recomputed: f64,
-    /// Refused, by size: the smaller nine tenths of prompts, and the largest tenth.
+    /// Refused by prompt size: the smaller nine tenths, and the largest tenth.
     pub refused_by_size: [u64; 2],
-    /// Asked, by size.
+    /// Offered by prompt size.
     pub offered_by_size: [u64; 2],
 }
 
 impl Stats {
-    /// Adds another run's.
+    /// Adds the counts of another run.
     pub fn add(&mut self, other: &Self) {
         self.offered += other.offered;
         self.in_time += other.in_time;
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Part of the generations that were on time.
+    /// Fraction of the generations that were on time.
     pub fn in_time_share(&self) -> f64 {
         self.in_time as f64 / self.offered.max(1) as f64
     }
 
-    /// Part of the generations that were set aside.
+    /// Preemptions per generation.
     pub fn preempted_share(&self) -> f64 {
         self.preempted as f64 / self.offered.max(1) as f64
     }
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -1,4 +1,4 @@
-//! Fakes of engines and plain applications.
+//! Models engines and plain applications.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,48 +11,48 @@
 
 use crate::workload::BLOCK;
 
-/// Prefill tokens a second.
+/// Prefill tokens per second.
 const PREFILL_RATE: f64 = 10_000.0;
-/// Time of a prefill besides its tokens.
+/// Fixed time of a prefill.
 const PREFILL_BASE: Duration = Duration::from_millis(5);
-/// Time between tokens of an empty batch, in seconds.
+/// Fixed time of a decode step, in seconds.
 const TOKEN_BASE: f64 = 0.014;
-/// Time between tokens for each request in the batch, in seconds.
+/// Time that each request of the batch adds to a decode step, in seconds.
 const TOKEN_PER_REQUEST: f64 = 0.0006;
-/// Prefills that a replica queues.
+/// Most prefills in a replica's queue.
 pub const MAX_QUEUE: usize = 8;
-/// Blocks that a replica's prefix cache holds.
+/// Capacity of a replica's prefix cache, in blocks.
 const CACHE_BLOCKS: usize = 3_200;
-/// Time for which a prefill result is kept.
+/// Time for which a replica keeps a prefill result.
 pub const RESULT_RETENTION: Duration = Duration::from_millis(800);
 
-/// Names one attempt in a run.
+/// Index of an attempt in a simulation.
 pub type Attempt = usize;
 
-/// A replica of any role.
+/// A replica of any role, with its queue, batch and prefix cache.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its role.
+    /// Prefill, decode or plain.
     pub role: Role,
     /// Index of its data centre.
     pub zone: usize,
-    /// Counts its starts.
+    /// Number of its starts.
     pub boot: u64,
-    /// Whether it runs.
+    /// Whether it is running.
     pub up: bool,
-    /// Requests it runs at once.
+    /// Most requests that it runs concurrently.
     pub slots: usize,
-    /// Waiting work (prefill, plain).
+    /// Waiting attempts (prefill, plain).
     pub queue: VecDeque<Attempt>,
-    /// The running prefill with its computed and cached tokens and its start.
+    /// The running prefill: attempt, computed tokens, cached tokens, start.
     pub running: Option<(Attempt, u32, u32, Time)>,
     /// Attempts that hold a slot (decode, plain).
     pub held: Vec<Attempt>,
-    /// Attempts that generate, with the tokens left.
+    /// Attempts that generate tokens, with the number left.
     pub batch: Vec<(Attempt, u32)>,
-    /// Whether a decode step is under way.
+    /// Whether a decode step is in progress.
     pub stepping: bool,
-    /// Load figures as last published: running, waiting, waiting tokens.
+    /// Load as last published: running, waiting, waiting tokens.
     pub published: (u32, u32, u64),
     /// Cache events with the time at which they become visible.
     pub events: VecDeque<(Time, CacheEvent)>,
@@ -63,7 +63,7 @@
 }
 
 impl Engine {
-    /// An empty replica.
+    /// A running replica without requests.
     pub fn new(role: Role, zone: usize, slots: usize) -> Self {
         Self {
             role,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Loses all memory.
+    /// Restarts the replica, which loses its requests and its cache.
     pub fn reboot(&mut self) {
         let boot = self.boot + 1;
         *self = Self {
@@ -94,7 +94,9 @@
         };
     }
 
-    /// Leading blocks found in the cache, which then holds all `blocks`.
+    /// Returns the tokens of the leading blocks found in the cache, and caches all `blocks`.
+    ///
+    /// Cache events become visible at `visible`.
     pub fn read_cache(&mut self, visible: Time, blocks: &[u64]) -> u32 {
         let hit = blocks
             .iter()
@@ -134,22 +136,22 @@
         ));
     }
 
-    /// Time to compute `tokens` of prompt.
+    /// Time to prefill `tokens` that are not cached.
     pub fn prefill_time(tokens: u32) -> Duration {
         PREFILL_BASE + Duration::from_secs_f64(f64::from(tokens) / PREFILL_RATE)
     }
 
-    /// Tokens computed after `ran`.
+    /// Tokens computed by a prefill that has run for `ran`.
     pub fn tokens_after(ran: Duration) -> u32 {
         (ran.saturating_sub(PREFILL_BASE).as_secs_f64() * PREFILL_RATE) as u32
     }
 
-    /// Time of one decode step of the present batch.
+    /// Time of one decode step of the current batch.
     pub fn step_time(&self) -> Duration {
         Duration::from_secs_f64(TOKEN_BASE + TOKEN_PER_REQUEST * self.batch.len() as f64)
     }
 
-    /// Forgets an attempt wherever it is; false if it was not there.
+    /// Removes an attempt from queue, slots and batch; false if it was in neither queue nor slots.
     pub fn remove_attempt(&mut self, attempt: Attempt) -> bool {
         let before = self.queue.len() + self.held.len();
         self.queue.retain(|other| *other != attempt);
@@ -158,7 +160,7 @@
         before != self.queue.len() + self.held.len()
     }
 
-    /// Requests that hold memory.
+    /// Requests at this replica, queued or running.
     pub fn works(&self) -> u32 {
         (self.queue.len() + self.held.len() + usize::from(self.running.is_some())) as u32
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,7 @@
-//! Measurements of the routing policy in virtual time.
+//! Simulates the routing policies in virtual time and measures them.
 //!
-//! Small fakes of engines, links and lagging reports stand round the cells of `route`. Equal seeds
-//! give equal runs.
+//! The schedulers are those of `route`; engines, links and delayed reports are simple models. Equal
+//! seeds give equal runs.
 
 pub mod bench;
 pub mod decode;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the measurements and prints a table; writes one CSV line a run.
+//! Runs the simulations and prints a table; optionally writes one CSV line per run.
 
 use std::fs::File;
 use std::io::Write;
@@ -18,16 +18,16 @@
 use lab::workload;
 use lab::workload::Workload;
 
-/// Runs at once.
+/// Runs in parallel.
 const THREADS: usize = 4;
 /// Loads that are measured without faults.
 const LOADS: [f64; 4] = [0.3, 0.7, 0.95, 1.2];
 /// Load under which faults are measured.
 const FAULT_LOAD: f64 = 0.95;
-/// Replicas and requests in progress for which a decision is timed.
+/// Numbers of replicas and of requests in progress for which a decision is timed.
 const REPLICAS: [u64; 3] = [12, 100, 930];
 const BUSY: [u64; 4] = [10, 100, 1_000, 10_000];
-/// Requests that wait before a full cell for which a decision is timed.
+/// Numbers of requests queued at a full scheduler for which a decision is timed.
 const FULL: [u64; 2] = [100, 5_000];
 
 fn main() {
@@ -74,7 +74,7 @@
     options
 }
 
-/// One line of the table, still to be measured.
+/// One line of the table and the setup that produces it.
 struct Case {
     label: String,
     setup: Setup,
@@ -85,14 +85,14 @@
     let cases = cases(matches);
     let mut csv = matches
         .opt_str("csv")
-        .map(|path| File::create(path).expect("CSV file"));
+        .map(|path| File::create(path).expect("the CSV file can be created"));
     if let Some(file) = &mut csv {
         let columns = summary::COLUMNS.join(",");
         writeln!(
             file,
             "workload,load,fault,waste_percent,rival,seed,{columns}"
         )
-        .expect("CSV line");
+        .expect("the CSV file can be written");
     }
     println!("{}", summary::header());
     for case in cases {
@@ -105,7 +105,7 @@
                     "{}",
                     summary::csv(&case.label, seed as u64 + 1, columns)
                 )
-                .expect("CSV line");
+                .expect("the CSV file can be written");
             }
         }
     }
@@ -194,7 +194,7 @@
     Case { label, setup }
 }
 
-/// Runs one case with seeds from 1, a few at once.
+/// Runs one case with seeds from 1, up to [`THREADS`] in parallel.
 fn run(setup: &Setup, seeds: u64) -> Vec<[f64; summary::WIDTH]> {
     let results = Mutex::new(vec![[0.0; summary::WIDTH]; seeds as usize]);
     let next = Mutex::new(0..seeds);
@@ -202,7 +202,7 @@
         for _ in 0..THREADS {
             scope.spawn(|| {
                 loop {
-                    let Some(seed) = next.lock().expect("no panic").next() else {
+                    let Some(seed) = next.lock().expect("no thread panicked").next() else {
                         return;
                     };
                     let setup = Setup {
@@ -210,12 +210,12 @@
                         ..setup.clone()
                     };
                     let columns = summary::columns(&setup.workload, &simulation::run(&setup));
-                    results.lock().expect("no panic")[seed as usize] = columns;
+                    results.lock().expect("no thread panicked")[seed as usize] = columns;
                 }
             });
         }
     });
-    results.into_inner().expect("no panic")
+    results.into_inner().expect("no thread panicked")
 }
 
 fn time_decisions() {
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -1,4 +1,4 @@
-//! Delays between data centres and transfers of KV caches over links of limited rate.
+//! Models delays between data centres and KV cache transfers over links of limited rate.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,14 +7,14 @@
 
 /// One-way delay inside a data centre.
 const LOCAL: Duration = Duration::from_micros(150);
-/// Tokens a second whose KV cache one replica can send.
+/// Rate at which one replica sends KV cache, in tokens per second.
 const SEND_RATE: f64 = 40_000.0;
-/// Tokens a second whose KV cache the link between two data centres carries.
+/// Rate of KV cache over the link between two data centres, in tokens per second.
 const LINK_RATE: f64 = 30_000.0;
-/// Rate that is left on a stalled link.
+/// Fraction of its rate that a stalled link keeps.
 const STALLED_FRACTION: f64 = 0.03;
 
-/// The network of one run.
+/// Links between data centres and the senders' own links, each with the time until it is busy.
 #[derive(Debug)]
 pub struct Network {
     remote_delay: Duration,
@@ -29,7 +29,7 @@
 }
 
 impl Network {
-    /// A network with delay `remote_delay` between data centres.
+    /// A network with the one-way delay `remote_delay` between data centres.
     pub fn new(remote_delay: Duration) -> Self {
         Self {
             remote_delay,
@@ -43,12 +43,12 @@
         if a == b { LOCAL } else { self.remote_delay }
     }
 
-    /// Stalls the link from the first to the second data centre, or heals it.
+    /// Stalls the link from the first to the second data centre; `None` restores it.
     pub fn stall(&mut self, link: Option<(usize, usize)>) {
         self.stalled = link;
     }
 
-    /// When a transfer of `tokens` by replica `sender` ends.
+    /// Occupies the links and returns when a transfer of `tokens` by replica `sender` ends.
     pub fn transfer(
         &mut self,
         now: Time,
--- a/crates/lab/src/quota.rs
+++ b/crates/lab/src/quota.rs
@@ -1,6 +1,7 @@
-//! Ways in which daemons keep the quota of a customer together, in virtual time.
+//! Simulates schemes by which daemons enforce the quota of a customer together.
 //!
-//! One customer, many daemons. What is admitted is compared with a single bucket that sees every request at once.
+//! One customer sends to many daemons; what they admit is compared with a single bucket that sees
+//! every request immediately.
 
 pub mod load;
 pub mod run;
--- a/crates/lab/src/quota/load.rs
+++ b/crates/lab/src/quota/load.rs
@@ -1,4 +1,4 @@
-//! What the customer sends, and what happens to the daemons meanwhile.
+//! Load patterns: what the customer sends, and the fault of the daemons meanwhile.
 
 use std::time::Duration;
 
@@ -8,46 +8,46 @@
 
 /// Length of a run.
 pub const LENGTH: Duration = Duration::from_secs(34);
-/// Time after which daemons notice who is in reach.
+/// Time after which daemons detect which others are reachable.
 pub const DETECTION: Duration = Duration::from_millis(1_500);
 
-/// A load pattern.
+/// A load pattern and its quota.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Its name.
+    /// Name in the table.
     pub name: &'static str,
     /// Daemons.
     pub daemons: usize,
     /// The quota.
     pub limit: Limit,
-    /// What is tolerated beyond it.
+    /// What is tolerated beyond the quota.
     pub tolerance: Tolerance,
-    /// What is sent, in parts of the quota's rate.
+    /// Rate of the requests as a multiple of the quota's rate.
     pub demand: f64,
-    /// What happens.
+    /// Injected fault.
     pub fault: Fault,
 }
 
-/// What happens to the daemons.
+/// A fault of the daemons, or a change of the quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// This part of the daemons is cut off from the others and from each other for some seconds.
+    /// This fraction of the daemons is cut off from the others and from each other during [`FAULT_SPAN`].
     Cut(f64),
-    /// This part is killed, and starts again a second later with empty hands.
+    /// This fraction is killed, and restarts without state after [`DOWNTIME`].
     Kill(f64),
-    /// The quota falls to this part.
+    /// The quota falls to this fraction.
     Lower(f64),
 }
 
 /// When the fault begins and ends.
 pub const FAULT_SPAN: (Time, Time) = (Time::from_millis(10_000), Time::from_millis(18_000));
-/// Time for which killed daemons are gone.
+/// Time for which killed daemons are down.
 pub const DOWNTIME: Duration = Duration::from_secs(1);
 
 impl Load {
-    /// A customer of `rate` units a second before `daemons`, with the tolerance of the users' deployment.
+    /// A quota of `rate` units per second over `daemons`, with the tolerance of the users' deployment.
     pub const fn new(name: &'static str, daemons: usize, rate: f64, demand: f64) -> Self {
         Self {
             name,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Units that are sent in a second.
+    /// Units sent per second.
     pub fn demand_rate(&self) -> f64 {
         self.limit.rate * self.demand
     }
@@ -93,7 +93,7 @@
         FAULT_SPAN.0 <= now && now < FAULT_SPAN.1 && self.is_hit(daemon, fraction)
     }
 
-    /// Whether `daemon` is gone at `now`.
+    /// Whether `daemon` is down at `now`.
     pub fn is_down(&self, now: Time, daemon: usize) -> bool {
         let Fault::Kill(fraction) = self.fault else {
             return false;
--- a/crates/lab/src/quota/run.rs
+++ b/crates/lab/src/quota/run.rs
@@ -1,4 +1,4 @@
-//! One run: requests come, and each is admitted or not.
+//! Simulates one run: generates requests and counts what is admitted.
 
 use std::time::Duration;
 
@@ -16,25 +16,25 @@
 
 /// Length of a step.
 const STEP: Duration = Duration::from_millis(5);
-/// Units of a generation and of a call.
+/// Units of a generation and of a plain call.
 const UNITS: [f64; 2] = [3_600.0, 200.0];
-/// Part of the requests that are generations.
+/// Fraction of the requests that are generations.
 const GENERATIONS: f64 = 0.4;
 
-/// What came of it.
+/// Statistics of a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Stats {
-    /// Most units in a window, in parts of what the quota allows there.
+    /// Most units in a window as a fraction of what the quota allows.
     pub worst: f64,
-    /// The same in parts of what is tolerated.
+    /// Most units in a window as a fraction of what is tolerated.
     pub bound: f64,
-    /// Part of the units that one bucket for all would have admitted, and that were not.
+    /// Fraction of the units admitted by a single bucket that the daemons did not admit.
     pub lost: f64,
-    /// Messages a second for each daemon.
+    /// Messages per second and daemon.
     pub messages: f64,
 }
 
-/// Plays `load` with `scheme`.
+/// Runs `load` with `scheme`.
 pub fn play(scheme: Scheme, load: Load, seed: u64) -> Stats {
     let mut random = Pcg64::seed_from_u64(seed);
     let mut fleet = Fleet::new(scheme, load);
@@ -53,7 +53,7 @@
                 fleet.restart(now, daemon);
             }
         }
-        // Exponential pauses between requests.
+        // Exponential intervals between requests.
         due += requests_per_step;
         while due > 0.0 {
             due += random.random::<f64>().max(f64::MIN_POSITIVE).ln();
@@ -85,7 +85,8 @@
     }
 }
 
-/// The worst window, in parts of the quota and of what is tolerated. A window that holds two quotas counts the larger one.
+/// The worst window, as a fraction of the quota and of what is tolerated. For a window in which the
+/// quota falls, the quota at its start counts.
 fn worst(load: &Load, admitted: &[(Time, f64)]) -> (f64, f64) {
     let window = load.tolerance.window;
     let mut first = 0;
--- a/crates/lab/src/quota/scheme.rs
+++ b/crates/lab/src/quota/scheme.rs
@@ -1,4 +1,4 @@
-//! The ways: who may admit how much, and who tells whom.
+//! Schemes of enforcing a quota: how much each daemon may admit, and the messages between them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -19,46 +19,46 @@
 use crate::quota::load::DETECTION;
 use crate::quota::load::Load;
 
-/// Name of the customer.
+/// The only customer.
 const CUSTOMER: CustomerId = CustomerId(1);
-/// Time between two messages of a daemon to all others.
+/// Time between two broadcasts of a daemon.
 const BROADCAST_INTERVAL: Duration = Duration::from_millis(100);
-/// Time that a message takes.
+/// Delay of a message.
 const TRANSIT: Duration = Duration::from_millis(10);
 
-/// How the daemons keep a quota together.
+/// How the daemons enforce a quota together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scheme {
     /// Each live daemon may use an equal share.
     Share,
-    /// Daemons tell all others what they admit; each counts all of it.
+    /// Each daemon broadcasts what it admits, and counts what all of them admit.
     Told,
-    /// One daemon counts, and the others request it.
+    /// One daemon, the keeper, counts; the others request units from it.
     Keeper,
 }
 
-/// What one daemon believes_live.
+/// State of one daemon.
 #[derive(Debug)]
 struct Daemon {
     bucket: Bucket,
     keeper: Keeper,
     local_budget: LocalBudget,
-    /// Units that the others are still to be reply of.
+    /// Admitted units that are not broadcast yet.
     unreported: f64,
-    /// When it last saw the members change.
+    /// When it last saw the membership change.
     members_changed: Time,
 }
 
-/// All daemons of one run.
+/// All daemons and the messages between them.
 #[derive(Debug)]
 pub struct Fleet {
     scheme: Scheme,
     load: Load,
     daemons: Vec<Daemon>,
-    /// Messages on their scheme: when they arrive, from whom, and with how many units.
+    /// Messages in transit: arrival time, sender and units.
     in_transit: VecDeque<(Time, usize, f64)>,
     next_broadcast: Time,
-    /// Messages so far.
+    /// Messages sent so far.
     pub messages: u64,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Fleet {
-    /// Daemons that have been up for long.
+    /// Daemons that start at time zero with the scheme's initial state.
     pub fn new(scheme: Scheme, load: Load) -> Self {
         let daemons = (0..load.daemons).map(|_| Daemon::new(Time::ZERO, &load));
         Self {
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Starts `daemon` anew.
+    /// Restarts `daemon` without its state.
     pub fn restart(&mut self, now: Time, daemon: usize) {
         self.daemons[daemon] = Daemon::new(now, &self.load);
     }
 
-    /// Delivers messages, and sends those that are due.
+    /// Delivers the messages that arrive, and sends the broadcasts that are due.
     pub fn step(&mut self, now: Time) {
         while self.in_transit.front().is_some_and(|(at, ..)| *at <= now) {
             if let Some((_, from, units)) = self.in_transit.pop_front() {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Asks the keeper, then its deputy.
+    /// Sends a request to the keeper, then to its deputy if the keeper does not decide.
     fn ask_keeper(
         &mut self,
         now: Time,
@@ -220,13 +220,13 @@
         None
     }
 
-    /// The keeper and its deputy, as `daemon` believes_live the members.
+    /// The keeper and its deputy, as `daemon` sees the membership.
     fn keeper_and_deputy(&self, now: Time, daemon: usize) -> Vec<usize> {
         let known = (0..self.daemons.len()).filter(|other| self.believes_live(now, daemon, *other));
         known.take(2).collect()
     }
 
-    /// Daemons that `daemon` takes for live.
+    /// Number of daemons that `daemon` believes to be live.
     fn live_count(&self, now: Time, daemon: usize) -> usize {
         let others = 0..self.daemons.len();
         others
@@ -234,7 +234,7 @@
             .count()
     }
 
-    /// Whether `daemon` takes `other` for live: as it was a little while ago.
+    /// Whether `daemon` believes `other` to be live, which lags by [`DETECTION`].
     fn believes_live(&self, now: Time, daemon: usize, other: usize) -> bool {
         daemon == other || self.reaches(now - DETECTION, daemon, other)
     }
--- a/crates/lab/src/rival.rs
+++ b/crates/lab/src/rival.rs
@@ -1,29 +1,29 @@
-//! The policies that are measured side by side.
+//! Lists the policies to compare.
 
 use route::policy;
 use route::policy::Policy;
 
-/// Where decisions are made and what they see.
+/// Where decisions are made and what information they use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// Each daemon decides for itself from lagging reports.
+    /// Each daemon decides for itself from delayed reports.
     Each,
-    /// One keeper decides for all, at network distance.
+    /// One keeper decides for all daemons, across the network.
     Keeper,
-    /// One decider without delay, with fresh reports and known lengths: an upper bound.
+    /// One scheduler without delay, with fresh reports and known output lengths: an upper bound.
     Oracle,
 }
 
-/// One policy under measurement.
+/// A policy and where it runs.
 #[derive(Debug, Clone, Copy)]
 pub struct Rival {
-    /// Where it runs.
+    /// Where decisions are made.
     pub mode: Mode,
-    /// What it does.
+    /// How decisions are made.
     pub policy: Policy,
 }
 
-/// All rivals, the baselines first.
+/// All policies to compare, the baselines first.
 pub fn all() -> Vec<Rival> {
     let each = |policy| Rival {
         mode: Mode::Each,
--- a/crates/lab/src/simulation.rs
+++ b/crates/lab/src/simulation.rs
@@ -1,4 +1,4 @@
-//! One run: owners, cells, engines and messages in virtual time.
+//! Simulates one run in virtual time: owners, schedulers, engines and messages.
 
 mod fault;
 mod outcome;
@@ -44,27 +44,27 @@
 const SLOTS: usize = 20;
 /// Plain replicas.
 const PLAIN_REPLICAS: usize = 3;
-/// Calls that a plain replica runs at once.
+/// Most concurrent calls of a plain replica.
 const PLAIN_SLOTS: usize = 4;
 /// Start of the measured window.
 const WARMUP: Time = Time::from_millis(10_000);
-/// Time after the last arrival in which requests may end.
+/// Time after the last arrival in which requests may still end.
 const DRAIN: Duration = Duration::from_mins(1);
 
-/// What one run measures.
+/// Setup of one run.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Fleet and callers.
+    /// Replicas and callers.
     pub workload: Workload,
-    /// Policy.
+    /// Policy and where it runs.
     pub rival: Rival,
-    /// Arrivals against full load.
+    /// Arrival rate relative to full load.
     pub load: f64,
-    /// What goes wrong.
+    /// Injected fault.
     pub fault: Fault,
-    /// Seed of arrivals and draws.
+    /// Seed of the arrivals and of the policy's draws.
     pub seed: u64,
-    /// Length of the arrivals.
+    /// Time during which requests arrive.
     pub span: Duration,
 }
 
@@ -129,7 +129,7 @@
     stats: Stats,
 }
 
-/// Runs `setup` to its end.
+/// Runs `setup` until all events are handled or the drain time is over.
 pub fn run(setup: &Setup) -> Stats {
     let mut simulation = Simulation::new(setup.clone());
     let end = Time::ZERO + setup.span + DRAIN;
--- a/crates/lab/src/simulation/fault.rs
+++ b/crates/lab/src/simulation/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run.
+//! Injects a fault into a run.
 
 use std::time::Duration;
 
@@ -14,38 +14,38 @@
 
 /// When the fault begins.
 const BEGIN: Time = Time::from_millis(40_000);
-/// When it ends.
+/// When the fault ends.
 const END: Time = Time::from_millis(70_000);
-/// Time until other daemons notice that one is dead.
+/// Time until the other daemons detect a dead one.
 const DETECTION: Duration = Duration::from_millis(1_500);
-/// Time until all owners have reported to a new keeper.
+/// Time until all owners have reported their requests to a new keeper.
 const RESYNC_TIME: Duration = Duration::from_millis(100);
-/// Time after which the holds of a dead daemon are swept.
+/// Time after which the reservations of a dead daemon are released.
 const ORPHAN_RELEASE: Duration = Duration::from_secs(3);
-/// The daemon that dies; it is the keeper where there is one.
+/// The daemon that dies; the keeper, if there is one.
 pub(super) const DEAD_DAEMON: usize = 0;
 
-/// A fault.
+/// A fault that lasts for part of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// None.
+    /// No fault.
     None,
-    /// A decode and a prefill replica die and come back.
+    /// A decode and a prefill replica die and restart.
     ReplicaDies,
-    /// The link between two data centres carries next to nothing.
+    /// The link between two data centres keeps 3 % of its rate.
     LinkStalls,
-    /// Load figures stay as they are.
+    /// Replicas stop updating the load that they report.
     ReportsFreeze,
     /// Half of the cache events are lost.
     EventsLost,
-    /// An entry daemon, the keeper where there is one, dies.
+    /// An entry daemon, the keeper if there is one, dies.
     DaemonDies,
-    /// One caller in ten gives up.
+    /// One caller in ten cancels its request.
     CallersCancel,
 }
 
 impl Fault {
-    /// All faults with their names.
+    /// All faults with their names in tables.
     pub const ALL: [(&'static str, Self); 6] = [
         ("replica_dies", Self::ReplicaDies),
         ("link_stalls", Self::LinkStalls),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Whether load figures stay as they are.
+    /// Whether replicas do not update their published load.
     pub(super) fn is_frozen(&self) -> bool {
         self.setup.fault == Fault::ReportsFreeze && self.now >= BEGIN && self.now < END
     }
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Frees what the dead daemon's requests hold.
+    /// Releases what the dead daemon's requests hold on replicas.
     fn release_orphaned(&mut self) {
         for attempt in 0..self.attempts.len() {
             if self.attempts[attempt].owner == DEAD_DAEMON && self.attempts[attempt].ended {
--- a/crates/lab/src/simulation/outcome.rs
+++ b/crates/lab/src/simulation/outcome.rs
@@ -1,4 +1,4 @@
-//! How requests end and what is counted.
+//! Records how requests end and updates the statistics.
 
 use ident::Time;
 
@@ -20,7 +20,7 @@
     Cancelled,
 }
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Progress {
     pub(super) tokens: u32,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Judges a model request that has all its tokens.
+    /// Checks a complete model request against its targets.
     pub(super) fn complete(&mut self, request: usize) {
         let rule = self.setup.workload.classes[self.requests[request].class].rule;
         let progress = &self.progress[request];
@@ -85,7 +85,7 @@
         );
     }
 
-    /// Judges a plain call that is answered.
+    /// Checks an answered plain call against its target.
     pub(super) fn complete_plain(&mut self, request: usize, time: Time) {
         let rule = self.setup.workload.classes[self.requests[request].class].rule;
         let took = time.since(self.requests[request].at);
@@ -102,7 +102,7 @@
         );
     }
 
-    /// Counts the prefill of an attempt as wasted, if it did one and got no token from it.
+    /// Counts an attempt's prefill as wasted if no token was generated from it.
     pub(super) fn count_waste(&mut self, attempt: Attempt) {
         let this = &mut self.attempts[attempt];
         let wasted = std::mem::take(&mut this.computed);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Counts a running prefill that is stopped half delay.
+    /// Counts the tokens that a stopped prefill has computed so far.
     pub(super) fn count_stopped_prefill(&mut self, attempt: Attempt, started: Time) {
         let tokens = u64::from(Engine::tokens_after(self.now.since(started)));
         if self.is_measured(self.attempts[attempt].request) {
@@ -133,7 +133,7 @@
         self.decoding[class] = self.decoding[class].saturating_sub(1);
     }
 
-    /// Checks refusals' times to come back against a placement or refusal now.
+    /// Checks the retry-after times that have passed against a placement or refusal now.
     pub(super) fn check_refusals(&mut self, class: usize, placed: bool) {
         let now = self.now;
         let before = self.retry_checks.len();
--- a/crates/lab/src/simulation/owner.rs
+++ b/crates/lab/src/simulation/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a request.
+//! Handles requests at the daemon that owns them.
 
 use std::time::Duration;
 
@@ -16,9 +16,9 @@
 use crate::simulation::Simulation;
 use crate::simulation::outcome::Outcome;
 
-/// Attempts at one request.
+/// Most attempts at one request.
 const MAX_ATTEMPTS: u8 = 3;
-/// Pause before a decode replica is asked for again.
+/// Pause before the second and later requests for another decode replica.
 const BACKOFF: Duration = Duration::from_millis(20);
 
 impl Simulation {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A decode replica would not take the request; `gone` if the prefill result is lost.
+    /// Handles the rejection of a request by its decode replica; `gone` if the prefill result is lost.
     pub(super) fn decode_refused(&mut self, attempt: Attempt, gone: bool) {
         if self.attempts[attempt].ended {
             return;
@@ -149,7 +149,8 @@
         );
     }
 
-    /// An attempt failed on `engine`: it is repeated elsewhere if that is worth while.
+    /// Handles the failure of an attempt on `engine`: starts another one while attempts are left and the
+    /// request is not too late for its first token.
     pub(super) fn failed(&mut self, attempt: Attempt, engine: Option<usize>) {
         if self.attempts[attempt].ended {
             return;
@@ -171,7 +172,7 @@
         self.start_attempt(request, owner, number, avoid);
     }
 
-    /// Ends an attempt without an answer.
+    /// Ends an attempt without a result.
     pub(super) fn abandon(&mut self, attempt: Attempt) {
         self.attempts[attempt].ended = true;
         self.count_waste(attempt);
--- a/crates/lab/src/simulation/replica.rs
+++ b/crates/lab/src/simulation/replica.rs
@@ -1,4 +1,4 @@
-//! The replicas' side of a request.
+//! Handles requests at the replicas.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::simulation::Event;
 use crate::simulation::Simulation;
 
-/// Delay of cache events.
+/// Time until a cache event becomes visible.
 const EVENT_DELAY: Duration = Duration::from_millis(500);
 
 impl Simulation {
@@ -116,7 +116,7 @@
         );
     }
 
-    /// A transfer ended, or the source dropped the result before it could.
+    /// Handles the end of a transfer, or the loss of the result at the source before that.
     pub(super) fn imported(&mut self, engine: usize, boot: u64, attempt: Attempt) {
         let held = self.engines[engine].held.contains(&attempt);
         if self.engines[engine].boot != boot || !held || self.attempts[attempt].ended {
@@ -223,7 +223,7 @@
         self.start_plain(engine);
     }
 
-    /// Frees all that an attempt holds on replicas.
+    /// Releases everything that an attempt holds on replicas.
     pub(super) fn release(&mut self, attempt: Attempt) {
         let this = &self.attempts[attempt];
         let places = [this.prefill.map(|(engine, _)| engine), this.decode];
--- a/crates/lab/src/simulation/scheduler.rs
+++ b/crates/lab/src/simulation/scheduler.rs
@@ -1,4 +1,4 @@
-//! The places where cells run and the messages that they take.
+//! Runs the schedulers and delivers tickets, phases and reports to them.
 
 use std::time::Duration;
 
@@ -21,14 +21,14 @@
 
 /// Time between two polls of a replica.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two polls without lag.
+/// Time between two polls for [`Mode::Oracle`], which needs fresh reports.
 const FRESH_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Every how many polls a replica publishes new load figures.
+/// A replica updates its published load once in so many polls.
 const POLLS_PER_PUBLISH: u64 = 2;
 /// One in so many cache events is lost.
 const EVENT_LOSS_INTERVAL: u64 = 50;
 
-/// A inner and where it runs.
+/// A scheduler, its data centre and its next wake-up.
 #[derive(Debug)]
 pub(super) struct LocatedScheduler {
     pub(super) inner: Scheduler,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The inner that decides about an attempt.
+    /// Index of the scheduler that decides about an attempt.
     fn scheduler_of(&self, attempt: Attempt) -> usize {
         let base = match self.setup.rival.mode {
             Mode::Each => self.attempts[attempt].owner * 2,
@@ -78,7 +78,7 @@
         base + usize::from(self.is_plain(attempt))
     }
 
-    /// One-delay delay between an attempt's owner and its inner.
+    /// One-way delay between an attempt's owner and its scheduler.
     pub(super) fn scheduler_delay(&self, attempt: Attempt) -> Duration {
         let zone = self.schedulers[self.scheduler_of(attempt)].zone;
         match self.setup.rival.mode {
@@ -227,7 +227,7 @@
         self.step(scheduler);
     }
 
-    /// Tells every inner that a replica does not answer.
+    /// Reports to every scheduler that a replica does not answer.
     pub(super) fn report_lost(&mut self, engine: usize) {
         for scheduler in 0..self.schedulers.len() {
             self.schedulers[scheduler]
@@ -236,7 +236,7 @@
         }
     }
 
-    /// A new keeper takes ended; owners send it what they have in progress.
+    /// Starts a new keeper, to which the owners send their requests in progress.
     pub(super) fn resync(&mut self) {
         for plain in [false, true] {
             let mut scheduler = self.new_scheduler(1, plain);
@@ -258,7 +258,7 @@
         }
     }
 
-    /// All owners have told the new keeper what they have in progress.
+    /// Ends the grace time of the new keeper, once all owners have sent their requests.
     pub(super) fn end_keeper_grace(&mut self) {
         for scheduler in 0..self.schedulers.len() {
             self.schedulers[scheduler].inner.end_grace(self.now);
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -1,8 +1,8 @@
-//! The users' platform in virtual time: daemons that decide by `relay`, and engines that read prompts
-//! one after the other, make tokens in batches and reserve memory, as the platform's pages tell it.
+//! Simulates the users' platform: daemons that decide by `relay`, and engines that prefill one prompt
+//! at a time, decode in batches and reserve memory, as the platform's pages describe.
 //!
-//! Simpler than the platform: no cached parts, preemption, failures or transfers that wait for each
-//! other; a step of a batch lasts as long as it would with the batch that a request joins.
+//! Not modelled: prefix caches, preemption, failures and contention between transfers. All decode
+//! steps of a request take as long as with the batch that it joins.
 
 pub mod engine;
 pub mod plot;
--- a/crates/lab/src/site/engine.rs
+++ b/crates/lab/src/site/engine.rs
@@ -1,17 +1,17 @@
-//! An engine: reads prompts one after the other, makes tokens in a batch, and reserves memory.
+//! Models an engine that prefills one prompt at a time, decodes in a batch and reserves memory.
 
-/// Time of a decode step with an empty batch, in milliseconds.
+/// Fixed time of a decode step, in milliseconds.
 const STEP_MS: f64 = 6.55;
-/// Time that each request in the batch adds to a step.
+/// Time that each request of the batch adds to a decode step, in milliseconds.
 const STEP_SLOT_MS: f64 = 0.165;
-/// Prompt tokens that are read in a millisecond.
+/// Prompt tokens prefilled per millisecond.
 const PREFILL_TOKENS_MS: f64 = 55.556;
-/// Time before the first token of a prompt that is read.
+/// Latency added to each prefill, in milliseconds; it does not occupy the engine.
 const FIRST_TOKEN_MS: f64 = 120.0;
-/// Requests in a batch at most.
+/// Most requests in a batch.
 const MAX_BATCH: u32 = 64;
 
-/// One engine.
+/// An engine with its memory, batch and prefill queue.
 #[derive(Debug, Clone)]
 pub struct Engine {
     memory: u64,
@@ -23,7 +23,7 @@
 }
 
 impl Engine {
-    /// An idle engine with room for `memory` tokens whose steps take `slowness` times the usual.
+    /// An idle engine with a memory of `memory` tokens; its steps take `slowness` times as long as usual.
     pub const fn new(memory: u64, slowness: f64) -> Self {
         Self {
             memory,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Takes a prompt of `tokens` at `now`; gives when it is read.
+    /// Queues the prefill of `tokens` at `now`; returns when it ends.
     pub fn enqueue_prefill(&mut self, now: f64, tokens: u64) -> f64 {
         let work = tokens as f64 / PREFILL_TOKENS_MS * self.slowness;
         self.free_at = self.free_at.max(now) + work;
@@ -43,12 +43,12 @@
         self.free_at + FIRST_TOKEN_MS
     }
 
-    /// Notes that a prompt was read.
+    /// Records the end of a prefill.
     pub const fn end_prefill(&mut self) {
         self.waiting -= 1;
     }
 
-    /// Sets a place with room for `tokens` aside, if there is one.
+    /// Reserves a place in the batch with `tokens` of memory; false if there is none.
     pub const fn reserve(&mut self, tokens: u64) -> bool {
         let fits = self.used + tokens <= self.memory && self.batch < MAX_BATCH;
         if fits {
@@ -58,18 +58,18 @@
         fits
     }
 
-    /// Gives the place back.
+    /// Releases a reserved place.
     pub const fn release(&mut self, tokens: u64) {
         self.used -= tokens;
         self.batch -= 1;
     }
 
-    /// Time of a step with the present batch, in milliseconds.
+    /// Time of a decode step with the current batch, in milliseconds.
     pub fn step(&self) -> f64 {
         (STEP_MS + STEP_SLOT_MS * f64::from(self.batch)) * self.slowness
     }
 
-    /// Requests at work here.
+    /// Requests at this engine, in the batch or in prefill.
     pub const fn running(&self) -> u32 {
         self.batch + self.waiting
     }
--- a/crates/lab/src/site/plot.rs
+++ b/crates/lab/src/site/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of the part that is served in time.
+//! Plots the fraction of requests served in time.
 
 use std::error::Error;
 use std::path::Path;
@@ -15,15 +15,15 @@
 
 /// Width and height in pixels.
 const SIZE: (u32, u32) = (720, 420);
-/// Length of a line in the legend.
+/// Length of a line in the legend, in pixels.
 const LEGEND: i32 = 18;
 
 /// One line of a plot.
 #[derive(Debug)]
 pub struct Line {
-    /// What it is.
+    /// Label in the legend.
     pub name: String,
-    /// Prefill replicas, and the part served in time.
+    /// Number of prefill replicas, and fraction served in time.
     pub points: Vec<(f64, f64)>,
 }
 
--- a/crates/lab/src/site/run.rs
+++ b/crates/lab/src/site/run.rs
@@ -1,4 +1,4 @@
-//! One run in virtual time.
+//! Simulates one run in virtual time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -22,39 +22,39 @@
 use crate::site::setup::Setup;
 use crate::site::stats::Stats;
 
-/// Time for the first token, in milliseconds.
+/// Objective for the first token, in milliseconds.
 const OBJECTIVE_MS: f64 = 900.0;
-/// The gateway's wait for a place, its pause between rounds and the replicas that it asks in one.
+/// The gateway's longest wait for a placement, its pause between rounds and the replicas tried in one.
 const WAIT_MS: f64 = 0.22 * OBJECTIVE_MS;
 const ROUND_PAUSE_MS: f64 = 30.0;
 const REPLICAS_PER_ROUND: usize = 3;
-/// Way to a replica and back.
+/// Round trip to a replica, in milliseconds.
 const ROUND_TRIP_MS: f64 = 2.0;
-/// Mean time after which a refused caller comes back; it is sigma by a quarter.
+/// Mean time after which a refused caller retries, in milliseconds; it varies by a quarter.
 const RETRY_AFTER_MS: f64 = 3_500.0;
-/// Bytes of the KV cache a token, and of a link in a millisecond.
+/// Bytes of KV cache per token, and rate of a link in bytes per millisecond.
 const TOKEN_BYTES: f64 = 35_136.0;
 const LINK_BYTES_MS: f64 = 92_500_000.0;
-/// Time to set a transfer up.
+/// Setup time of a transfer, in milliseconds.
 const TRANSFER_SETUP_MS: f64 = 2.5;
-/// Mean, sigma (of the logarithm) and bound of prompt tokens and of events.
+/// Mean, standard deviation of the logarithm, and upper bound of prompt tokens and of events.
 const PROMPT: (f64, f64, f64) = (5_000.0, 0.5, 11_000.0);
 const EVENTS: (f64, f64, f64) = (70.0, 0.7, 170.0);
 /// Tokens in one event.
 const EVENT_TOKENS: f64 = 6.0;
-/// Length of a cycle of load and of the burst in it.
+/// Period of the load and length of the burst in it, in milliseconds.
 const CYCLE_MS: f64 = 11_000.0;
 const BURST_MS: f64 = 5_000.0;
 
-/// A request on its way.
+/// A request of a caller.
 #[derive(Debug, Clone, Copy)]
 struct Job {
     daemon: usize,
     prompt: u64,
     tokens: u64,
-    /// When its first attempt arrived.
+    /// When the first attempt arrived.
     first_arrived: f64,
-    /// When this attempt arrived.
+    /// When the current attempt arrived.
     arrived: f64,
     retried: bool,
 }
@@ -93,7 +93,7 @@
     }
 }
 
-/// The simulation of one run.
+/// State of one run.
 #[derive(Debug)]
 struct Simulation {
     setup: Setup,
@@ -101,12 +101,12 @@
     events: BinaryHeap<Event>,
     engines: Vec<Engine>,
     pools: Vec<Pool>,
-    /// A pool that no daemon tells anything.
+    /// A pool without load, which chooses at random.
     unloaded_pool: Pool,
     stats: Stats,
 }
 
-/// Plays `setup` with the random numbers of `seed`.
+/// Runs `setup` with the random numbers of `seed`.
 pub fn run(setup: Setup, seed: u64) -> Stats {
     let mut simulation = Simulation::new(setup, seed);
     simulation.push(0.0, Step::Arrive);
@@ -184,9 +184,9 @@
         );
     }
 
-    /// Draws a size with this mean, sigma and bound.
+    /// Draws a size with this mean, standard deviation of the logarithm and upper bound.
     fn size(&mut self, (mean, sigma, max): (f64, f64, f64)) -> f64 {
-        // A sum of twelve even numbers is close to a normal one.
+        // A sum of twelve uniform numbers is close to a normal distribution.
         let normal = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
         let median = mean / (sigma * sigma / 2.0).exp();
         (median * (sigma * normal).exp()).clamp(1.0, max)
@@ -292,13 +292,13 @@
         match self.setup.choice {
             Choice::Score => self.pools[daemon].choose(time(now), &criteria, draw),
             Choice::Chance => {
-                // A pool that knows nothing chooses by its draws alone; its keys are the same.
+                // A pool without load chooses by the draws alone; its keys equal those of the daemons' pools.
                 self.unloaded_pool.choose(time(now), &criteria, draw)
             }
         }
     }
 
-    /// Index of the engine behind `key`; ids are indices.
+    /// Index of the engine `key`; the id of a replica is its index.
     fn engine(&self, daemon: usize, key: Key) -> usize {
         let server = self.pools[daemon].get(key);
         let id = server.map_or("0", |server| &server.replica.id);
--- a/crates/lab/src/site/setup.rs
+++ b/crates/lab/src/site/setup.rs
@@ -1,41 +1,41 @@
-//! What is measured.
+//! Setups to measure: replicas, callers and policy.
 
 use std::time::Duration;
 
 /// How replicas are chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// As the gateway does, by `relay::score`.
+    /// By `relay::score`, like the gateway.
     Score,
-    /// By chance.
+    /// At random.
     Chance,
 }
 
-/// One fleet, its callers and its policy.
+/// Replicas, callers and policy of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct Setup {
     /// Daemons that take requests.
     pub daemons: usize,
-    /// Replicas that read prompts.
+    /// Prefill replicas.
     pub prefill: usize,
-    /// Replicas that make tokens.
+    /// Decode replicas.
     pub decode: usize,
-    /// Tokens that a replica holds.
+    /// Memory of a replica in tokens.
     pub memory: u64,
-    /// Generations a second outside of bursts.
+    /// Generations per second outside of bursts.
     pub rate: f64,
-    /// Times as many in a burst; 5 s of every 11 s.
+    /// Factor on the rate in a burst, which lasts 5 s of every 11 s.
     pub burst: f64,
-    /// How long requests arrive.
+    /// Time during which requests arrive.
     pub length: Duration,
     /// How replicas are chosen.
     pub choice: Choice,
-    /// Time a step of the first prefill and decode replica takes against the others.
+    /// Factor on the times of the first prefill and the first decode replica.
     pub slowness: f64,
 }
 
 impl Setup {
-    /// The fleet of 140 replicas with `daemons` daemons and `prefill` replicas that read prompts.
+    /// 140 replicas, `prefill` of them for prefill, with `daemons` daemons.
     pub const fn krmiva(daemons: usize, prefill: usize) -> Self {
         Self {
             daemons,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The fleet of 60 replicas.
+    /// 60 replicas, `prefill` of them for prefill, with `daemons` daemons.
     pub const fn qureshi(daemons: usize, prefill: usize) -> Self {
         Self {
             decode: 60 - prefill,
@@ -59,13 +59,13 @@
         }
     }
 
-    /// The same with replicas chosen otherwise.
+    /// Replaces the choice of replicas.
     #[must_use]
     pub const fn with_choice(self, choice: Choice) -> Self {
         Self { choice, ..self }
     }
 
-    /// The same with one slow replica of each stage.
+    /// Makes one replica of each stage slow.
     #[must_use]
     pub const fn with_slowness(self, slowness: f64) -> Self {
         Self { slowness, ..self }
--- a/crates/lab/src/site/stats.rs
+++ b/crates/lab/src/site/stats.rs
@@ -1,29 +1,29 @@
-//! What came of a run.
+//! Statistics of a run.
 
 use hdrhistogram::Histogram;
 
-/// Longest time that is told apart, in milliseconds.
+/// Upper bound of the histograms, in milliseconds.
 const MAX_TIME_MS: u64 = 60_000;
 
-/// Counts and histogram of one run.
+/// Counts and times of one run, or of several added up.
 #[derive(Debug, Clone)]
 pub struct Stats {
-    /// Requests of callers, comebacks not counted.
+    /// Requests of callers, retries not counted.
     pub offered: u64,
-    /// First token within the objective, counted from the first attempt.
+    /// Requests whose first token met the objective, measured from the first attempt.
     pub in_time: u64,
-    /// Answered later.
+    /// Requests whose first token came later.
     pub late: u64,
-    /// Refused twice.
+    /// Requests refused, also after the retry.
     pub refused: u64,
-    /// Time to the first token of those that were not refused, in milliseconds.
+    /// Time to the first token of requests that were not refused, in milliseconds.
     pub first_token_ms: Histogram<u64>,
-    /// Time to read a prompt, in milliseconds.
+    /// Time of a prefill, queue included, in milliseconds.
     pub prefill_ms: Histogram<u64>,
 }
 
 impl Stats {
-    /// Nothing counted.
+    /// Empty statistics.
     pub fn new() -> Self {
         Self {
             offered: 0,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Adds another run's.
+    /// Adds the statistics of another run.
     pub fn add(&mut self, other: &Self) {
         self.offered += other.offered;
         self.in_time += other.in_time;
@@ -45,7 +45,7 @@
         self.prefill_ms += &other.prefill_ms;
     }
 
-    /// Part of the requests that got their first token in time.
+    /// Fraction of the requests that got their first token in time.
     pub fn in_time_share(&self) -> f64 {
         self.in_time as f64 / self.offered.max(1) as f64
     }
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -1,62 +1,62 @@
-//! Figures of one run.
+//! Statistics of one run.
 
 use hdrhistogram::Histogram;
 
-/// The longest time that is told apart, in microseconds.
+/// Upper bound of the histograms, in microseconds.
 const MAX_TIME_US: u64 = 600_000_000;
 
-/// Counts of one class.
+/// Request counts of one caller class.
 #[derive(Debug, Clone, Default)]
 pub struct ClassCounts {
-    /// Requests that callers made and did not give up.
+    /// Requests of callers, without cancelled ones.
     pub offered: u64,
-    /// Answers within both targets.
+    /// Complete answers within both targets.
     pub good: u64,
-    /// Answers whose first token came after its target.
+    /// Complete answers whose first token exceeded its target.
     pub late: u64,
-    /// Answers whose tokens came further apart than their target.
+    /// Complete answers whose mean time between tokens exceeded its target.
     pub slow: u64,
-    /// Answers in full.
+    /// Complete answers.
     pub complete: u64,
-    /// Refusals.
+    /// Requests refused at the first attempt.
     pub refused: u64,
-    /// Requests that failed after their attempts were used up.
+    /// Requests that failed: attempts used up, refused at a later attempt, or unfinished.
     pub failed: u64,
-    /// Most requests at once in decode.
+    /// Most concurrent requests in decode.
     pub peak: u64,
 }
 
-/// Counts of one run, inside its measured window.
+/// Statistics of one run, within its measured window.
 #[derive(Debug, Clone)]
 pub struct Stats {
-    /// Seconds measured.
+    /// Length of the measured window, in seconds.
     pub seconds: f64,
-    /// Counts by class.
+    /// Counts per caller class.
     pub classes: Vec<ClassCounts>,
     /// Prompt tokens computed by prefills.
     pub computed: u64,
     /// Prompt tokens found in prefix caches.
     pub cached: u64,
-    /// Computed tokens whose request never got a token from them.
+    /// Computed prompt tokens from which no token was generated.
     pub wasted: u64,
-    /// Prefills that ended.
+    /// Completed prefills.
     pub prefills: u64,
-    /// Prefills whose result was lost.
+    /// Completed prefills from which no token was generated.
     pub lost: u64,
     /// Time to the first token, in microseconds.
     pub ttft: Histogram<u64>,
     /// Time between tokens, in microseconds.
     pub tbt: Histogram<u64>,
-    /// Time to the answer of plain calls, in microseconds.
+    /// Response time of plain calls, in microseconds.
     pub plain: Histogram<u64>,
-    /// Refusals whose time to come back was checked.
+    /// Refusals whose retry-after time was checked.
     pub checked: u64,
-    /// Those after which the next request of the row was taken.
+    /// Checked refusals after whose retry-after time the next request of the row was placed.
     pub truthful: u64,
 }
 
 impl Stats {
-    /// Nothing counted, for `classes` classes over `seconds`.
+    /// Empty statistics for `classes` classes over `seconds`.
     ///
     /// # Panics
     ///
@@ -80,7 +80,7 @@
     }
 }
 
-/// `part` of `whole` in percent; zero of nothing.
+/// `part` of `whole` in percent; 0 if `whole` is 0.
 pub fn percent(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         0.0
--- a/crates/lab/src/summary.rs
+++ b/crates/lab/src/summary.rs
@@ -1,4 +1,4 @@
-//! Tables and lines of figures over several seeds.
+//! Formats statistics of several seeds as a table and as CSV.
 
 use std::fmt::Write;
 
@@ -27,10 +27,10 @@
     "offered/s",
     "hit%",
 ];
-/// Columns that the printed table shows as median and range.
+/// Number of leading columns that the printed table shows as median and range.
 const RANGED: usize = 3;
 
-/// The columns of one run.
+/// Computes the columns of one run.
 pub fn columns(workload: &Workload, stats: &Stats) -> [f64; WIDTH] {
     let sum = |plain: bool, of: fn(&crate::stats::ClassCounts) -> u64| -> u64 {
         let all = workload.classes.iter().zip(&stats.classes);
@@ -64,10 +64,9 @@
     ]
 }
 
-/// Least part of its entitlement that a model row got; 1.0 is fair.
+/// Smallest fraction of its entitlement that a model row received; 1.0 is fair.
 ///
-/// Completed requests are divided among rows of equal priority by share, none getting more than it
-/// asked for.
+/// A row's entitlement is its part by share of all completed requests, at most what it offered.
 fn fairness(workload: &Workload, stats: &Stats) -> f64 {
     let rows: Vec<(f64, f64, f64)> = workload
         .classes
@@ -103,7 +102,7 @@
     low
 }
 
-/// Most by which a row's requests in decode exceeded its ceiling.
+/// Largest number of requests in decode by which a row exceeded its ceiling.
 fn overshoot(workload: &Workload, stats: &Stats) -> f64 {
     let rows = workload
         .classes
@@ -129,7 +128,7 @@
     line
 }
 
-/// One line of the printed table, from one array of columns a seed.
+/// One line of the printed table, from one array of columns per seed.
 pub fn line(label: &str, runs: &[[f64; WIDTH]]) -> String {
     let mut line = format!("{label:<44}");
     for index in 0..COLUMNS.len() {
@@ -148,7 +147,7 @@
     line
 }
 
-/// One line of the CSV.
+/// One CSV line.
 pub fn csv(label: &str, seed: u64, columns: &[f64; WIDTH]) -> String {
     let mut line = format!("{},{seed}", label.replace(' ', ","));
     for value in columns {
--- a/crates/lab/src/workload.rs
+++ b/crates/lab/src/workload.rs
@@ -1,4 +1,4 @@
-//! Requests shaped on the two users.
+//! Generates requests modelled on the two users' traffic.
 
 use std::time::Duration;
 
@@ -11,67 +11,67 @@
 
 /// Tokens in one prefix block.
 pub const BLOCK: u32 = 128;
-/// Length of one cycle of load, in seconds.
+/// Period of the load, in seconds.
 const CYCLE: f64 = 20.0;
-/// Length of the burst inside a cycle, in seconds.
+/// Length of the burst in each period, in seconds.
 const BURST: f64 = 3.0;
-/// Load inside a burst against the mean.
+/// Load in a burst relative to the mean.
 const BURST_FACTOR: f64 = 1.8;
-/// Spread of prompt and output lengths (sigma of the logarithm).
+/// Standard deviation of the logarithm of prompt and output lengths.
 const SIGMA: f64 = 0.6;
-/// Callers that share a prompt prefix.
+/// Customers of each class; the requests of one share a prompt prefix.
 const CUSTOMERS: usize = 100;
 
-/// One class of callers.
+/// A caller class.
 #[derive(Debug, Clone, Copy)]
 pub struct Class {
-    /// Name of the class; the row is made of it.
+    /// Name, also in the key of its row.
     pub name: &'static str,
-    /// Part of all arrivals of its kind.
+    /// Fraction of all arrivals of its kind (model or plain).
     pub fraction: f64,
     /// Whether it calls a plain application.
     pub plain: bool,
-    /// Share, priority, targets and ceilings.
+    /// Its row: share, priority, targets and ceilings.
     pub rule: Rule,
-    /// Mean tokens of the prompt.
+    /// Mean prompt tokens.
     pub prompt: f64,
-    /// Mean tokens generated.
+    /// Mean generated tokens.
     pub output: f64,
 }
 
-/// One user's fleet and callers.
+/// One user's replicas and callers.
 #[derive(Debug, Clone)]
 pub struct Workload {
-    /// Name in tables.
+    /// Name in the printed tables and the CSV.
     pub name: &'static str,
     /// Prefill replicas.
     pub prefills: usize,
     /// Decode replicas.
     pub decodes: usize,
-    /// Model requests a second at full load.
+    /// Model requests per second at full load.
     pub capacity: f64,
     /// One-way delay between data centres.
     pub delay: Duration,
-    /// Classes of callers.
+    /// Caller classes.
     pub classes: Vec<Class>,
 }
 
-/// One request of a caller.
+/// A request of a caller.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Index of its class.
+    /// Index of its caller class.
     pub class: usize,
-    /// When it reaches its owner.
+    /// When it reaches the daemon that owns it.
     pub at: Time,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt: u32,
     /// Prefix blocks of the prompt.
     pub blocks: Vec<u64>,
-    /// Tokens that the engine will generate.
+    /// Tokens to generate.
     pub output: u32,
     /// Service time of a plain call.
     pub service: Duration,
-    /// When the caller gives up, if it does.
+    /// When the caller cancels it, if it does.
     pub cancel: Option<Time>,
 }
 
@@ -107,7 +107,7 @@
     class
 }
 
-/// Krmiva: long farm histories, drafts that may wait a little, lorry bookings.
+/// Krmiva: long farm histories, drafts that may wait a little, plain calls for lorry bookings.
 pub fn krmiva() -> Workload {
     let mut farmer = class("farmer", 0.34, 6_000.0, 250.0);
     let mut coop = class("coop", 0.33, 6_000.0, 250.0);
@@ -128,7 +128,8 @@
     }
 }
 
-/// Krmiva with one more decode replica and two fewer for prefill, which then is what limits it.
+/// Krmiva with two more decode replicas and two fewer prefill replicas, so that prefill is the
+/// bottleneck.
 pub fn krmiva_prefill() -> Workload {
     Workload {
         name: "krmiva-4p5d",
@@ -139,7 +140,7 @@
     }
 }
 
-/// Qureshi: fridge readings, rewrites for which people wait, basket syncs.
+/// Qureshi: summaries of fridge readings, rewrites for which people wait, plain calls for basket syncs.
 pub fn qureshi() -> Workload {
     let mut rewrite = class("rewrite", 0.4, 1_800.0, 120.0);
     let mut summary = class("summary", 0.6, 3_500.0, 180.0);
@@ -163,7 +164,8 @@
 }
 
 impl Workload {
-    /// All requests of a run of `span` at `load` (1.0 is full), for `seed`.
+    /// Generates the requests of a run of `span` at `load` (1.0 is full). A fraction `cancel` of them is
+    /// cancelled.
     pub fn requests(&self, load: f64, span: Duration, cancel: f64, seed: u64) -> Vec<Request> {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut all = Vec::new();
@@ -230,13 +232,13 @@
         last
     }
 
-    /// The rules of all rows.
+    /// The rules of all caller classes.
     pub fn rules(&self) -> Vec<Rule> {
         self.classes.iter().map(|class| class.rule).collect()
     }
 }
 
-/// Load at `at` seconds against the mean.
+/// Load at `at` seconds relative to the mean.
 fn relative_load(at: f64) -> f64 {
     if at % CYCLE < BURST {
         return BURST_FACTOR;
@@ -244,7 +246,7 @@
     (CYCLE - BURST * BURST_FACTOR) / (CYCLE - BURST)
 }
 
-/// A log-normal sample with the given mean.
+/// Draws a log-normal sample with the given mean.
 fn log_normal(mean: f64, random: &mut Pcg64Mcg) -> f64 {
     let (a, b): (f64, f64) = (random.random(), random.random());
     let normal = (-2.0 * a.max(1e-12).ln()).sqrt() * (std::f64::consts::TAU * b).cos();
--- a/crates/lab/tests/decode.rs
+++ b/crates/lab/tests/decode.rs
@@ -1,4 +1,4 @@
-//! Load patterns at decode replicas whose memory fills: each gain, replayed.
+//! Compares placement policies under load patterns that fill the memory of decode replicas.
 
 use lab::decode::run;
 use lab::decode::setup::CROWD;
@@ -52,7 +52,7 @@
     assert_ne!(stats[0], stats[2]);
 }
 
-/// All come at once, and in their midst twice as many.
+/// Reservations by estimate overfill the replicas when the rate doubles within a burst.
 #[test]
 fn in_a_rush_a_forecast_serves_more_in_time_than_a_reservation() {
     let forecast = doubling(RUSH, FORECAST);
@@ -62,7 +62,7 @@
     assert!(forecast.refused < reserve.refused);
 }
 
-/// Callers' estimates are too short while more come.
+/// Callers' estimates become too short during a burst.
 #[test]
 fn long_answers_after_short_ones_set_few_aside() {
     let forecast = doubling(LONG, FORECAST);
@@ -71,7 +71,7 @@
     assert!(forecast.preempted_share() < reserve.preempted_share() / 2.0);
 }
 
-/// The room has to last with some certainty: what is placed too boldly is read twice.
+/// With too small a safety margin, runs are preempted and their prefill runs twice.
 #[rstest]
 #[case(RUSH)]
 #[case(LONG)]
@@ -89,7 +89,7 @@
     assert_eq!(stats.refused, 0);
 }
 
-/// Daemons that hear of each other's runs late place them on top of each other.
+/// Daemons that receive each other's claims late overfill the same replica.
 #[test]
 fn late_claims_set_more_aside() {
     let at = |claim_ms| {
@@ -102,7 +102,7 @@
     assert!(at(2.0) < at(300.0));
 }
 
-/// Where answers add little to what a run holds, nothing is lost by the forecast.
+/// Where answers add little to the memory of a run, the forecast costs nothing.
 #[test]
 fn where_memory_hardly_grows_a_forecast_is_no_worse() {
     for load in LOADS {
@@ -112,7 +112,7 @@
     }
 }
 
-/// The largest tenth keeps its part under overload: it is not refused more than three times as often.
+/// Under overload the largest tenth of prompts is served at least half as often as the others.
 #[test]
 fn large_prompts_keep_their_part() {
     let stats = doubling(RUSH, FORECAST);
--- a/crates/lab/tests/quota.rs
+++ b/crates/lab/tests/quota.rs
@@ -1,4 +1,4 @@
-//! The model of quotas.
+//! Checks the simulated schemes of enforcing a quota.
 
 use lab::quota::load::Fault;
 use lab::quota::load::Load;
--- a/crates/lab/tests/run.rs
+++ b/crates/lab/tests/run.rs
@@ -1,4 +1,4 @@
-//! Short runs: equal seeds give equal figures, and what the policy in force must not do.
+//! Short simulations: equal seeds give equal results, ceilings hold, and every request ends.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     rival::all()
         .into_iter()
         .find(|rival| rival.policy.name == name)
-        .expect("a rival")
+        .expect("a policy of this name")
 }
 
 fn setup(workload: Workload, name: &str, fault: Fault) -> Setup {
--- a/crates/lab/tests/site.rs
+++ b/crates/lab/tests/site.rs
@@ -1,4 +1,4 @@
-//! The emulated fleet of the users' platform.
+//! Checks the simulation of the users' platform.
 
 use std::time::Duration;
 
