--- a/crates/lab/src/bin/quota.rs
+++ b/crates/lab/src/bin/quota.rs
@@ -72,7 +72,7 @@
 
 fn row(load: Load, scheme: Scheme, seeds: u64) {
     let all: Vec<Stats> = (0..seeds)
-        .map(|seed| run::play(scheme, load, seed))
+        .map(|seed| run::simulate(scheme, load, seed))
         .collect();
     let most = |of: fn(&Stats) -> f64| all.iter().map(of).fold(0.0, f64::max);
     let mean = |of: fn(&Stats) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
--- a/crates/lab/src/quota/run.rs
+++ b/crates/lab/src/quota/run.rs
@@ -35,7 +35,7 @@
 }
 
 /// Runs `load` with `scheme`.
-pub fn play(scheme: Scheme, load: Load, seed: u64) -> Stats {
+pub fn simulate(scheme: Scheme, load: Load, seed: u64) -> Stats {
     let mut random = Pcg64::seed_from_u64(seed);
     let mut fleet = Fleet::new(scheme, load);
     let mut ideal = Bucket::new(Time::ZERO, load.limit.burst);
--- a/crates/lab/src/site/run.rs
+++ b/crates/lab/src/site/run.rs
@@ -115,7 +115,7 @@
             Step::Arrive => simulation.arrive(at),
             Step::Place(job) => simulation.place(at, job),
             Step::PrefillEnd(job, prefill, decode, started) => {
-                simulation.end_prefill(at, job, prefill, decode, started);
+                simulation.finish_prefill(at, job, prefill, decode, started);
             }
             Step::DecodeEnd(daemon, key, tokens) => simulation.end(daemon, key, tokens),
         }
@@ -236,7 +236,7 @@
         self.push(done, Step::PrefillEnd(job, prefill, decode, now));
     }
 
-    fn end_prefill(&mut self, now: f64, job: Job, prefill: Key, decode: Key, started: f64) {
+    fn finish_prefill(&mut self, now: f64, job: Job, prefill: Key, decode: Key, started: f64) {
         let engine = self.engine(job.daemon, prefill);
         self.engines[engine].end_prefill();
         let took = Duration::from_secs_f64((now - started) / 1_000.0);
--- a/crates/lab/tests/decode.rs
+++ b/crates/lab/tests/decode.rs
@@ -16,12 +16,12 @@
     spreads: 3.0,
     moves: true,
 };
-const UNSURE: Policy = Policy::Forecast {
+const LOW_MARGIN: Policy = Policy::Forecast {
     spreads: 1.0,
     moves: true,
 };
 
-fn played(setup: Setup) -> Stats {
+fn run_all_seeds(setup: Setup) -> Stats {
     let mut all = Stats::default();
     for seed in 1..=SEEDS {
         all.add(&run::run(setup, seed));
@@ -30,7 +30,7 @@
 }
 
 fn doubling(load: Load, policy: Policy) -> Stats {
-    played(Setup::doubling(load, policy))
+    run_all_seeds(Setup::doubling(load, policy))
 }
 
 #[rstest]
@@ -38,7 +38,7 @@
 #[case(Setup::doubling(LONG, Policy::Reserve))]
 #[case(Setup::steady(RUSH, FORECAST))]
 fn every_generation_ends_once(#[case] setup: Setup) {
-    let stats = played(setup);
+    let stats = run_all_seeds(setup);
     assert!(stats.offered > 800);
     let ended = stats.in_time + stats.late + stats.refused;
     assert_eq!(ended, stats.offered);
@@ -64,7 +64,7 @@
 
 /// Callers' estimates become too short during a burst.
 #[test]
-fn long_answers_after_short_ones_set_few_aside() {
+fn long_answers_cause_few_preemptions() {
     let forecast = doubling(LONG, FORECAST);
     let reserve = doubling(LONG, Policy::Reserve);
     assert!(forecast.in_time_share() > reserve.in_time_share());
@@ -75,15 +75,15 @@
 #[rstest]
 #[case(RUSH)]
 #[case(LONG)]
-fn certainty_serves_more_in_time(#[case] load: Load) {
-    let sure = doubling(load, FORECAST);
-    let unsure = doubling(load, UNSURE);
-    assert!(sure.in_time_share() > unsure.in_time_share() + 0.1);
-    assert!(sure.recomputed < unsure.recomputed / 2.0);
+fn a_larger_safety_margin_serves_more_in_time(#[case] load: Load) {
+    let high_margin = doubling(load, FORECAST);
+    let low_margin = doubling(load, LOW_MARGIN);
+    assert!(high_margin.in_time_share() > low_margin.in_time_share() + 0.1);
+    assert!(high_margin.recomputed < low_margin.recomputed / 2.0);
 }
 
 #[test]
-fn a_crowd_that_fits_is_served() {
+fn bursts_that_fit_are_served() {
     let stats = doubling(CROWD, FORECAST);
     assert!(stats.in_time_share() > 0.9);
     assert_eq!(stats.refused, 0);
@@ -91,13 +91,13 @@
 
 /// Daemons that receive each other's claims late overfill the same replica.
 #[test]
-fn late_claims_set_more_aside() {
+fn late_claims_cause_more_preemptions() {
     let at = |claim_ms| {
         let setup = Setup {
             claim_ms,
             ..Setup::doubling(RUSH, FORECAST)
         };
-        played(setup).preempted
+        run_all_seeds(setup).preempted
     };
     assert!(at(2.0) < at(300.0));
 }
@@ -106,15 +106,15 @@
 #[test]
 fn where_memory_hardly_grows_a_forecast_is_no_worse() {
     for load in LOADS {
-        let forecast = played(Setup::steady(load, FORECAST));
-        let reserve = played(Setup::steady(load, Policy::Reserve));
+        let forecast = run_all_seeds(Setup::steady(load, FORECAST));
+        let reserve = run_all_seeds(Setup::steady(load, Policy::Reserve));
         assert!(forecast.in_time_share() >= reserve.in_time_share() - 0.01);
     }
 }
 
 /// Under overload the largest tenth of prompts is served at least half as often as the others.
 #[test]
-fn large_prompts_keep_their_part() {
+fn large_prompts_keep_their_share() {
     let stats = doubling(RUSH, FORECAST);
     let share = |size: usize| {
         let offered = stats.offered_by_size[size].max(1) as f64;
--- a/crates/lab/tests/quota.rs
+++ b/crates/lab/tests/quota.rs
@@ -16,25 +16,25 @@
 #[case(HOT.with_fault(Fault::Kill(0.5)))]
 fn a_keeper_stays_within_what_is_tolerated(#[case] load: Load) {
     for seed in 0..3 {
-        let stats = run::play(Scheme::Keeper, load, seed);
+        let stats = run::simulate(Scheme::Keeper, load, seed);
         assert!(stats.bound <= 1.0, "{stats:?}");
     }
 }
 
 #[test]
 fn a_keeper_loses_next_to_nothing_within_the_quota() {
-    let stats = run::play(Scheme::Keeper, USUAL, 1);
+    let stats = run::simulate(Scheme::Keeper, USUAL, 1);
     assert!(stats.lost < 0.01, "{stats:?}");
 }
 
 #[test]
 fn an_equal_share_refuses_what_is_within_the_quota() {
-    let stats = run::play(Scheme::Share, USUAL, 1);
+    let stats = run::simulate(Scheme::Share, USUAL, 1);
     assert!(stats.lost > 0.1, "{stats:?}");
 }
 
 #[test]
 fn equal_seeds_give_equal_runs() {
-    let play = || format!("{:?}", run::play(Scheme::Told, HOT, 3));
-    assert_eq!(play(), play());
+    let simulate = || format!("{:?}", run::simulate(Scheme::Told, HOT, 3));
+    assert_eq!(simulate(), simulate());
 }
--- a/crates/lab/tests/site.rs
+++ b/crates/lab/tests/site.rs
@@ -17,7 +17,7 @@
     }
 }
 
-fn played(setup: Setup, seed: u64) -> Stats {
+fn run_short(setup: Setup, seed: u64) -> Stats {
     run::run(short(setup), seed)
 }
 
@@ -27,7 +27,7 @@
 #[case(Setup::qureshi(8, 12).with_choice(Choice::Chance))]
 #[case(Setup::qureshi(8, 12).with_slowness(SLOWNESS))]
 fn every_request_ends_once(#[case] setup: Setup) {
-    let stats = played(setup, 1);
+    let stats = run_short(setup, 1);
     assert!(stats.offered > 500);
     let ended = stats.in_time + stats.late + stats.refused;
     assert_eq!(ended, stats.offered);
@@ -36,7 +36,7 @@
 #[test]
 fn equal_seeds_give_equal_runs_and_others_do_not() {
     let setup = Setup::qureshi(8, 12);
-    let rows = [1, 1, 2].map(|seed| played(setup, seed).row());
+    let rows = [1, 1, 2].map(|seed| run_short(setup, seed).row());
     assert_eq!(rows[0], rows[1]);
     assert_ne!(rows[0], rows[2]);
 }
@@ -47,14 +47,14 @@
         rate: 5.0,
         ..Setup::krmiva(6, 24)
     };
-    let stats = played(idle, 1);
+    let stats = run_short(idle, 1);
     assert_eq!(stats.in_time, stats.offered);
 }
 
 #[test]
-fn a_slow_replica_is_left_where_replicas_are_chosen_by_score() {
+fn scoring_beats_random_choice_with_a_slow_replica() {
     let slow = Setup::qureshi(8, 12).with_slowness(SLOWNESS);
-    let score = played(slow, 1);
-    let chance = played(slow.with_choice(Choice::Chance), 1);
+    let score = run_short(slow, 1);
+    let chance = run_short(slow.with_choice(Choice::Chance), 1);
     assert!(score.in_time_share() > chance.in_time_share());
 }
