--- a/crates/bench/src/arms.rs
+++ b/crates/bench/src/arms.rs
@@ -25,12 +25,12 @@
 use scenario::stream::Event;
 use scenario::web::Web;
 
+use crate::cluster;
 use crate::load::Sample;
-use crate::stage;
 
 const CUSTOMER: &str = "krmiva";
 /// Path of the plain call.
-const PATH: &str = "lots/17";
+const PLAIN_PATH: &str = "lots/17";
 /// Words that prompts are drawn from.
 const WORDS: u64 = 5_000;
 /// Handles of direct requests begin here, so that two seeds share none.
@@ -45,12 +45,12 @@
 
 /// Requests through daemons, taken in turn.
 #[derive(Debug, Clone)]
-pub struct Through {
+pub struct ThroughDaemons {
     addresses: Arc<Vec<String>>,
     caller: Caller,
 }
 
-impl Through {
+impl ThroughDaemons {
     /// Requests to the daemons at `addresses`.
     pub fn new(addresses: Vec<String>) -> Self {
         Self {
@@ -65,21 +65,21 @@
 
     /// One plain call.
     pub async fn plain(&self, number: u64) -> Option<Sample> {
-        let begun = Instant::now();
-        let call = PlainCall::new(stage::APPLICATION, PATH);
+        let started = Instant::now();
+        let call = PlainCall::new(cluster::APPLICATION, PLAIN_PATH);
         match self.caller.call(self.address(number), &call).await {
-            Ok(Outcome::Answered { status: 200, .. }) => Some(plain(begun)),
+            Ok(Outcome::Answered { status: 200, .. }) => Some(plain(started)),
             _ => None,
         }
     }
 
     /// One language-model request of `tokens` tokens.
     pub async fn model(&self, number: u64, prompt: &str, tokens: u32) -> Option<Sample> {
-        let begun = Instant::now();
-        let ask = Ask::new(stage::MODEL, prompt, tokens);
+        let started = Instant::now();
+        let request = Ask::new(cluster::MODEL, prompt, tokens);
         let reply = self
             .caller
-            .complete(self.address(number), &ask)
+            .complete(self.address(number), &request)
             .await
             .ok()?;
         let mut stream = match reply {
@@ -93,8 +93,8 @@
         loop {
             match stream.next().await {
                 Event::Head(_) => {}
-                Event::Tokens(_) => first = first.or_else(|| Some(begun.elapsed())),
-                Event::Done(tokens) => return model(begun, first, tokens),
+                Event::Tokens(_) => first = first.or_else(|| Some(started.elapsed())),
+                Event::Done(tokens) => return model(started, first, tokens),
                 end => {
                     eprintln!("request {number} ended: {end:?}");
                     return None;
@@ -136,15 +136,19 @@
 
     /// One plain call.
     pub async fn plain(&self, number: u64) -> Option<Sample> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let address = &self.applications[number as usize % self.applications.len()];
-        let answer = self.web.get(address, &format!("/{PATH}")).await.ok()?;
-        (answer.status == 200).then(|| plain(begun))
+        let answer = self
+            .web
+            .get(address, &format!("/{PLAIN_PATH}"))
+            .await
+            .ok()?;
+        (answer.status == 200).then(|| plain(started))
     }
 
     /// One language-model request of `tokens` tokens: a prefill, then a decode.
     pub async fn model(&self, number: u64, prompt: String, tokens: u32) -> Option<Sample> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let source = self.prefills[number as usize % self.prefills.len()];
         let target = self.decodes[number as usize % self.decodes.len()];
         let claim = Claim::new(Handle::new(self.owner, number), self.owner, 1);
@@ -169,8 +173,10 @@
         let mut first = None;
         while let Some(event) = stream.next().await {
             match event.ok()? {
-                stream::Event::Tokens { .. } => first = first.or_else(|| Some(begun.elapsed())),
-                stream::Event::End { offset, .. } => return model(begun, first, u64::from(offset)),
+                stream::Event::Tokens { .. } => first = first.or_else(|| Some(started.elapsed())),
+                stream::Event::End { offset, .. } => {
+                    return model(started, first, u64::from(offset));
+                }
                 stream::Event::Imported | stream::Event::Superseded => {}
             }
         }
@@ -178,20 +184,20 @@
     }
 }
 
-fn plain(begun: Instant) -> Sample {
-    let whole = begun.elapsed();
+fn plain(started: Instant) -> Sample {
+    let total = started.elapsed();
     Sample {
-        first: whole,
-        whole,
+        first: total,
+        total,
         tokens: 0,
     }
 }
 
-fn model(begun: Instant, first: Option<Duration>, tokens: u64) -> Option<Sample> {
-    let whole = begun.elapsed();
+fn model(started: Instant, first: Option<Duration>, tokens: u64) -> Option<Sample> {
+    let total = started.elapsed();
     first.map(|first| Sample {
         first,
-        whole,
+        total,
         tokens,
     })
 }
--- a/crates/bench/src/bin/cost.rs
+++ b/crates/bench/src/bin/cost.rs
@@ -1,22 +1,22 @@
 //! What a request costs through daemons, against calling the stand-ins themselves.
 //!
 //! In one run, for each seed and each kind of figure, the arms take turns: direct, through one
-//! daemon, through three. The figures are ratios and differences within a seed; their median and range over the seeds are
+//! daemon, through three. The values are ratios and differences within a seed; their median and range over the seeds are
 //! printed. The programs of the workspace must have been built in the same profile.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use bench::arms::Direct;
-use bench::arms::Through;
+use bench::arms::ThroughDaemons;
 use bench::arms::prompt;
+use bench::cluster::Cluster;
+use bench::cluster::Size;
 use bench::fit::Range;
 use bench::load;
 use bench::load::Outcome;
 use bench::load::Until;
 use bench::report::Report;
-use bench::stage::Size;
-use bench::stage::Stage;
 use getopts::Options;
 use scenario::error::Error;
 use scenario::plan::Role;
@@ -76,7 +76,7 @@
 #[derive(Debug, Clone)]
 enum Arm {
     Direct(Direct),
-    Through(Through),
+    Through(ThroughDaemons),
 }
 
 impl Arm {
@@ -142,26 +142,26 @@
 }
 
 async fn measure(seeds: u64, folder: Option<PathBuf>) -> Result<(), Error> {
-    let mut stages = [
-        Stage::start(Size::new(1)).await?,
-        Stage::start(Size::new(3)).await?,
+    let mut clusters = [
+        Cluster::start(Size::new(1)).await?,
+        Cluster::start(Size::new(3)).await?,
     ];
     let mut report = Report::new("cost", &COLUMNS);
     for seed in 1..=seeds {
-        let arms = arms(&stages, seed)?;
-        let mut figures = [(); ARMS.len()].map(|()| Vec::new());
+        let arms = arms(&clusters, seed)?;
+        let mut values = [(); ARMS.len()].map(|()| Vec::new());
         for phase in PHASES {
-            for ((stage, arm), figures) in arms.iter().zip(&mut figures) {
-                let stage = &mut stages[*stage];
-                figures.extend(run(stage, arm, phase, seed).await?);
+            for ((cluster, arm), values) in arms.iter().zip(&mut values) {
+                let cluster = &mut clusters[*cluster];
+                values.extend(measure_phase(cluster, arm, phase, seed).await?);
             }
         }
-        for (label, figures) in ARMS.iter().zip(&figures) {
-            report.push(&format!("{label} seed {seed}"), figures);
+        for (label, values) in ARMS.iter().zip(&values) {
+            report.push(&format!("{label} seed {seed}"), values);
         }
     }
     report.print();
-    summary(&report);
+    print_summary(&report);
     report.save(folder.as_deref()).map_err(|cause| Error::Io {
         step: "write",
         peer: "cost.csv".to_owned(),
@@ -170,8 +170,8 @@
 }
 
 /// The arms in the order of [`ARMS`], each with the number of its fleet.
-fn arms(stages: &[Stage; 2], seed: u64) -> Result<[(usize, Arm); ARMS.len()], Error> {
-    let [one, three] = stages;
+fn arms(clusters: &[Cluster; 2], seed: u64) -> Result<[(usize, Arm); ARMS.len()], Error> {
+    let [one, three] = clusters;
     let direct = Direct::new(
         &one.engines(Role::Prefill)?,
         &one.engines(Role::Decode)?,
@@ -180,13 +180,18 @@
     );
     Ok([
         (0, Arm::Direct(direct)),
-        (0, Arm::Through(Through::new(one.callers()?))),
-        (1, Arm::Through(Through::new(three.callers()?))),
+        (0, Arm::Through(ThroughDaemons::new(one.callers()?))),
+        (1, Arm::Through(ThroughDaemons::new(three.callers()?))),
     ])
 }
 
-/// The figures of one arm in one phase; those of all phases are in the order of [`COLUMNS`].
-async fn run(stage: &mut Stage, arm: &Arm, phase: Phase, seed: u64) -> Result<Vec<f64>, Error> {
+/// The values of one arm in one phase; those of all phases are in the order of [`COLUMNS`].
+async fn measure_phase(
+    cluster: &mut Cluster,
+    arm: &Arm,
+    phase: Phase,
+    seed: u64,
+) -> Result<Vec<f64>, Error> {
     match phase {
         Phase::Latency => {
             let plain = arm.plain(1, Until::Count(PLAIN_CALLS)).await;
@@ -194,7 +199,7 @@
             let failed = plain.failed + model.failed;
             Ok(vec![plain.first_ms(), model.first_ms(), failed as f64])
         }
-        Phase::Processor => processor(stage, arm, seed).await,
+        Phase::Processor => measure_cpu(cluster, arm, seed).await,
         Phase::Rate(callers) => {
             let outcome = arm.plain(callers, Until::Time(RATE_SPAN)).await;
             Ok(vec![outcome.rate()])
@@ -203,14 +208,14 @@
 }
 
 /// Processor time of the daemons and of the stand-ins.
-async fn processor(stage: &mut Stage, arm: &Arm, seed: u64) -> Result<Vec<f64>, Error> {
-    let idle = idle(stage).await?;
+async fn measure_cpu(cluster: &mut Cluster, arm: &Arm, seed: u64) -> Result<Vec<f64>, Error> {
+    let idle = measure_idle_cpu(cluster).await?;
     let plain = arm.plain(BATCH_CALLERS, Until::Count(PLAIN_BATCH));
-    let (plain, plain_cpu, app_cpu) = busy(stage, idle, Role::Plain, plain).await?;
+    let (plain, plain_cpu, app_cpu) = measure_load_cpu(cluster, idle, Role::Plain, plain).await?;
     let few = arm.model(BATCH_CALLERS, MODEL_BATCH, seed, FEW_TOKENS);
-    let (few, few_cpu, few_engine) = busy(stage, idle, Role::Decode, few).await?;
+    let (few, few_cpu, few_engine) = measure_load_cpu(cluster, idle, Role::Decode, few).await?;
     let many = arm.model(BATCH_CALLERS, MODEL_BATCH, seed, MANY_TOKENS);
-    let (many, many_cpu, many_engine) = busy(stage, idle, Role::Decode, many).await?;
+    let (many, many_cpu, many_engine) = measure_load_cpu(cluster, idle, Role::Decode, many).await?;
     let more = (many.tokens - few.tokens) as f64;
     let token = (many_cpu - few_cpu) / more;
     let request = (few_cpu - token * few.tokens as f64) / few.answered as f64;
@@ -227,31 +232,31 @@
 }
 
 /// Processor time of all daemons a second while there are no requests.
-async fn idle(stage: &mut Stage) -> Result<f64, Error> {
-    let before = stage.daemons_usage()?;
+async fn measure_idle_cpu(cluster: &mut Cluster) -> Result<f64, Error> {
+    let before = cluster.daemons_usage()?;
     sleep(IDLE_SPAN).await;
-    let used = stage.daemons_usage()?.since(before);
+    let used = cluster.daemons_usage()?.since(before);
     Ok(used.cpu / IDLE_SPAN.as_secs_f64())
 }
 
 /// Runs `load`; processor time of the daemons above `idle`, and of the replicas of `role`.
-async fn busy(
-    stage: &mut Stage,
+async fn measure_load_cpu(
+    cluster: &mut Cluster,
     idle: f64,
     role: Role,
     load: impl Future<Output = Outcome>,
 ) -> Result<(Outcome, f64, f64), Error> {
-    let daemons = stage.daemons_usage()?;
-    let backends = stage.backends_usage(role)?;
+    let daemons = cluster.daemons_usage()?;
+    let backends = cluster.backends_usage(role)?;
     let outcome = load.await;
-    let daemons = stage.daemons_usage()?.since(daemons).cpu;
-    let backends = stage.backends_usage(role)?.since(backends).cpu;
+    let daemons = cluster.daemons_usage()?.since(daemons).cpu;
+    let backends = cluster.backends_usage(role)?.since(backends).cpu;
     let idle = idle * outcome.elapsed.as_secs_f64();
     Ok((outcome, daemons - idle, backends))
 }
 
 /// Prints each arm against the direct one of the same seed.
-fn summary(report: &Report) {
+fn print_summary(report: &Report) {
     println!("\nmedian [least..most] over the seeds");
     let column = |name: &str, arm: usize| -> Vec<f64> {
         let values = report.column(name);
--- a/crates/bench/src/bin/slope.rs
+++ b/crates/bench/src/bin/slope.rs
@@ -86,9 +86,9 @@
             members::measure(&sizes(&[9, 50, 100, 400]), span, replicas, POOLS, seed)
         }
         "edits" => edits::measure(&sizes(&[9, 50, 66, 80, 100, 400]), &[100, 4_096], seed),
-        "keeper" => by_replicas(&sizes(&[12, 66, 200, 465, 930]), span, seed),
-        "rate" => by_rate(&sizes(&[50, 100, 200, 400, 800]), span, seed),
-        "letter" => letter(span, seed),
+        "keeper" => keeper_by_replicas(&sizes(&[12, 66, 200, 465, 930]), span, seed),
+        "rate" => keeper_by_rate(&sizes(&[50, 100, 200, 400, 800]), span, seed),
+        "letter" => design_size(span, seed),
         "restarts" => restarts::measure(
             number("daemons", DAEMONS),
             &sizes(&[1, 10, 36, 140, 400]),
@@ -131,7 +131,7 @@
     }
 }
 
-fn by_replicas(sizes: &[usize], span: Duration, seed: u64) -> Report {
+fn keeper_by_replicas(sizes: &[usize], span: Duration, seed: u64) -> Report {
     let loads: Vec<Load> = sizes.iter().map(|replicas| load(*replicas, 10.0)).collect();
     let report = keeper::measure("keeper-replicas", &loads, span, seed);
     report.print_fit("replicas", "keeper_pct");
@@ -139,7 +139,7 @@
     report
 }
 
-fn by_rate(sizes: &[usize], span: Duration, seed: u64) -> Report {
+fn keeper_by_rate(sizes: &[usize], span: Duration, seed: u64) -> Report {
     let loads: Vec<Load> = sizes
         .iter()
         .map(|rate| load(POOL_REPLICAS, *rate as f64))
@@ -152,7 +152,7 @@
 }
 
 /// The whole size to design for, with the rate in three steps.
-fn letter(span: Duration, seed: u64) -> Report {
+fn design_size(span: Duration, seed: u64) -> Report {
     let loads = [0.25, 0.5, 1.0].map(|part| Load {
         daemons: DAEMONS,
         replicas: REPLICAS,
--- a/crates/bench/src/stage.rs
+++ b/crates/bench/src/cluster.rs
@@ -127,14 +127,14 @@
 
 /// A running fleet.
 #[derive(Debug)]
-pub struct Stage {
+pub struct Cluster {
     /// The processes.
     pub fleet: Fleet,
     size: Size,
     web: Web,
 }
 
-impl Stage {
+impl Cluster {
     /// Starts `size` and puts a table in force.
     ///
     /// # Errors
@@ -198,7 +198,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Stage::usage`].
+    /// As [`Cluster::usage`].
     pub fn daemons_usage(&mut self) -> Result<Usage, Error> {
         self.sum((0..self.size.daemons).map(daemon).collect())
     }
@@ -207,7 +207,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Stage::usage`].
+    /// As [`Cluster::usage`].
     pub fn backends_usage(&mut self, role: Role) -> Result<Usage, Error> {
         let names = match role {
             Role::Plain => (0..self.size.applications).map(application).collect(),
@@ -233,7 +233,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Stage::usage`].
+    /// As [`Cluster::usage`].
     pub fn descriptors(&mut self, index: usize) -> Result<usize, Error> {
         let name = daemon(index);
         let id = self.fleet.process(&name)?.id();
--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -26,20 +26,20 @@
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-        let spread_x: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
-        let spread_y: f64 = points.iter().map(|point| (point.1 - mean_y).powi(2)).sum();
-        let common: f64 = points
+        let squares_x: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
+        let squares_y: f64 = points.iter().map(|point| (point.1 - mean_y).powi(2)).sum();
+        let products: f64 = points
             .iter()
             .map(|point| (point.0 - mean_x) * (point.1 - mean_y))
             .sum();
-        let slope = if spread_x > 0.0 {
-            common / spread_x
+        let slope = if squares_x > 0.0 {
+            products / squares_x
         } else {
             0.0
         };
         let base = mean_y - slope * mean_x;
         let residual = |point: &(f64, f64)| point.1 - (base + slope * point.0);
-        let rest: f64 = points.iter().map(|point| residual(point).powi(2)).sum();
+        let residuals: f64 = points.iter().map(|point| residual(point).powi(2)).sum();
         let largest = points.iter().map(|point| point.1.abs()).fold(0.0, f64::max);
         let farthest = points
             .iter()
@@ -48,8 +48,8 @@
         Self {
             base,
             slope,
-            r2: if spread_y > 0.0 {
-                1.0 - rest / spread_y
+            r2: if squares_y > 0.0 {
+                1.0 - residuals / squares_y
             } else {
                 1.0
             },
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -11,8 +11,8 @@
 use tokio::time::sleep_until;
 
 /// Longest latency that is told apart, in microseconds.
-const LONGEST: u64 = 120_000_000;
-const DIGITS: u8 = 3;
+const MAX_LATENCY_US: u64 = 120_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Times of one request.
 #[derive(Debug, Clone, Copy)]
@@ -20,7 +20,7 @@
     /// Until the first token (plain: until the answer).
     pub first: Duration,
     /// Until the end.
-    pub whole: Duration,
+    pub total: Duration,
     /// Tokens received.
     pub tokens: u64,
 }
@@ -31,7 +31,7 @@
     /// Times until the first token, in microseconds.
     pub first: Histogram<u64>,
     /// Times until the end, in microseconds.
-    pub whole: Histogram<u64>,
+    pub total: Histogram<u64>,
     /// Requests answered in full.
     pub answered: u64,
     /// Requests that were not.
@@ -44,11 +44,13 @@
 
 impl Outcome {
     fn new() -> Self {
-        let histogram =
-            || Histogram::new_with_max(LONGEST, DIGITS).expect("fixed bounds are valid");
+        let histogram = || {
+            Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+                .expect("fixed bounds are valid")
+        };
         Self {
             first: histogram(),
-            whole: histogram(),
+            total: histogram(),
             answered: 0,
             failed: 0,
             tokens: 0,
@@ -61,8 +63,8 @@
             Some(sample) => {
                 self.first
                     .saturating_record(sample.first.as_micros() as u64);
-                self.whole
-                    .saturating_record(sample.whole.as_micros() as u64);
+                self.total
+                    .saturating_record(sample.total.as_micros() as u64);
                 self.answered += 1;
                 self.tokens += sample.tokens;
             }
@@ -96,7 +98,7 @@
     F: Fn(u64) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Option<Sample>> + Send,
 {
-    let begun = Instant::now();
+    let started = Instant::now();
     let next = Arc::new(AtomicU64::new(0));
     let mut tasks = JoinSet::new();
     for _ in 0..callers {
@@ -106,44 +108,44 @@
             let mut samples = Vec::new();
             loop {
                 let number = next.fetch_add(1, Ordering::Relaxed);
-                let over = match until {
+                let is_done = match until {
                     Until::Count(count) => number >= count,
-                    Until::Time(span) => begun.elapsed() >= span,
+                    Until::Time(span) => started.elapsed() >= span,
                 };
-                if over {
+                if is_done {
                     return samples;
                 }
                 samples.push(request(number).await);
             }
         });
     }
-    gather(begun, tasks).await
+    collect(started, tasks).await
 }
 
 /// Sends `rate` requests a second for `span`, whether or not earlier ones have ended.
-pub async fn pace<F, R>(rate: f64, span: Duration, request: F) -> Outcome
+pub async fn run_at_rate<F, R>(rate: f64, span: Duration, request: F) -> Outcome
 where
     F: Fn(u64) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Option<Sample>> + Send,
 {
-    let begun = Instant::now();
+    let started = Instant::now();
     let count = (rate * span.as_secs_f64()) as u64;
     let mut tasks = JoinSet::new();
     for number in 0..count {
-        sleep_until(begun + Duration::from_secs_f64(number as f64 / rate)).await;
+        sleep_until(started + Duration::from_secs_f64(number as f64 / rate)).await;
         let request = request.clone();
         tasks.spawn(async move { vec![request(number).await] });
     }
-    gather(begun, tasks).await
+    collect(started, tasks).await
 }
 
-async fn gather(begun: Instant, mut tasks: JoinSet<Vec<Option<Sample>>>) -> Outcome {
+async fn collect(started: Instant, mut tasks: JoinSet<Vec<Option<Sample>>>) -> Outcome {
     let mut outcome = Outcome::new();
     while let Some(ended) = tasks.join_next().await {
         for sample in ended.unwrap_or_default() {
             outcome.add(sample);
         }
     }
-    outcome.elapsed = begun.elapsed();
+    outcome.elapsed = started.elapsed();
     outcome
 }
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables of figures on the standard output and as CSV.
+//! Tables of values on the standard output and as CSV.
 
 use std::fs;
 use std::io;
@@ -6,7 +6,7 @@
 
 use crate::fit::Line;
 
-/// A table of figures, one row for each measured size or arm.
+/// A table of values, one row for each measured size or arm.
 #[derive(Debug, Clone)]
 pub struct Report {
     name: String,
@@ -25,8 +25,8 @@
     }
 
     /// Appends a row.
-    pub fn push(&mut self, label: &str, figures: &[f64]) {
-        self.rows.push((label.to_owned(), figures.to_vec()));
+    pub fn push(&mut self, label: &str, values: &[f64]) {
+        self.rows.push((label.to_owned(), values.to_vec()));
     }
 
     /// The values of `column`, in the order of the rows.
@@ -37,10 +37,7 @@
     pub fn column(&self, column: &str) -> Vec<f64> {
         let found = self.columns.iter().position(|name| name == column);
         let index = found.expect("a column of the table");
-        self.rows
-            .iter()
-            .map(|(_, figures)| figures[index])
-            .collect()
+        self.rows.iter().map(|(_, values)| values[index]).collect()
     }
 
     /// Prints the table.
@@ -51,10 +48,10 @@
             print!(" {column:>15}");
         }
         println!();
-        for (label, figures) in &self.rows {
+        for (label, values) in &self.rows {
             print!("{label:>24}");
-            for figure in figures {
-                print!(" {:>15}", short(*figure));
+            for value in values {
+                print!(" {:>15}", format_value(*value));
             }
             println!();
         }
@@ -80,20 +77,20 @@
         };
         fs::create_dir_all(folder)?;
         let mut text = format!("label,{}\n", self.columns.join(","));
-        for (label, figures) in &self.rows {
-            let figures: Vec<String> = figures.iter().map(f64::to_string).collect();
-            text = format!("{text}{label},{}\n", figures.join(","));
+        for (label, values) in &self.rows {
+            let values: Vec<String> = values.iter().map(f64::to_string).collect();
+            text = format!("{text}{label},{}\n", values.join(","));
         }
         fs::write(folder.join(format!("{}.csv", self.name)), text)
     }
 }
 
-/// Three digits after the point for small figures, none for large ones.
-fn short(figure: f64) -> String {
-    match figure.abs() {
-        size if size >= 1_000.0 => format!("{figure:.0}"),
-        size if size >= 10.0 => format!("{figure:.1}"),
-        size if size >= 0.1 || size == 0.0 => format!("{figure:.3}"),
-        _ => format!("{figure:.5}"),
+/// Three digits after the point for small values, none for large ones.
+fn format_value(value: f64) -> String {
+    match value.abs() {
+        size if size >= 1_000.0 => format!("{value:.0}"),
+        size if size >= 10.0 => format!("{value:.1}"),
+        size if size >= 0.1 || size == 0.0 => format!("{value:.3}"),
+        _ => format!("{value:.5}"),
     }
 }
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/simulation.rs
@@ -4,14 +4,14 @@
 //! encoded as on the wire and counted by kind; the processor time of each step is counted by the
 //! kind of event.
 
-mod act;
-pub mod backs;
+mod actions;
 mod control;
+pub mod counters;
 pub mod kind;
 pub mod list;
+pub mod replicas;
 pub mod size;
 pub mod store;
-pub mod tally;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,13 +28,13 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
+use crate::simulation::counters::Counters;
+use crate::simulation::kind::Kind;
+use crate::simulation::list::Listing;
+use crate::simulation::replicas::Replicas;
+use crate::simulation::size::Size;
+use crate::simulation::store::Store;
 use crate::usage;
-use crate::world::backs::Backs;
-use crate::world::kind::Kind;
-use crate::world::list::Listing;
-use crate::world::size::Size;
-use crate::world::store::Store;
-use crate::world::tally::Tally;
 
 /// One-way delays inside a data centre, inside a region and between regions.
 const DELAYS: [Duration; 3] = [
@@ -45,13 +45,13 @@
 /// Largest random addition to a delay, in microseconds.
 const JITTER_US: u64 = 250;
 /// Time between two reads of the list by a daemon.
-const LIST_EVERY: Duration = Duration::from_millis(500);
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Start of the first runs, in milliseconds of the Unix clock.
 const STARTED_MS: u64 = 1_790_000_000_000;
 
 /// A daemon.
 #[derive(Debug)]
-struct Seat {
+struct Daemon {
     node: Node,
     zone: usize,
     wake: Time,
@@ -59,9 +59,9 @@
     run: u64,
 }
 
-/// What is about to happen.
+/// What is about to handle.
 #[derive(Debug)]
-enum Item {
+enum ScheduledEvent {
     /// A core's timer.
     Wake,
     /// An event for the core.
@@ -72,69 +72,69 @@
 
 /// Daemons with their surroundings.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     /// The present time.
     pub now: Time,
     /// The platform's store.
     pub store: Store,
     /// What the cores have sent and used.
-    pub tally: Tally,
+    pub counters: Counters,
     pub(crate) listing: Listing,
-    pub(crate) backs: Backs,
+    pub(crate) replicas: Replicas,
     /// Daemons that are cut off from the others and from the store.
-    pub(crate) cut: Vec<bool>,
+    pub(crate) isolated: Vec<bool>,
     size: Size,
-    seats: Vec<Seat>,
+    daemons: Vec<Daemon>,
     index: BTreeMap<Instance, usize>,
-    queue: BTreeMap<(Time, u64), (usize, u64, Item)>,
-    ticket: u64,
+    queue: BTreeMap<(Time, u64), (usize, u64, ScheduledEvent)>,
+    sequence: u64,
     random: Pcg64Mcg,
 }
 
-impl World {
-    /// A world of `size` in which every daemon has just started; no replicas are listed yet.
+impl Simulation {
+    /// A simulation of `size` in which every daemon has just started; no replicas are listed yet.
     pub fn new(size: Size, seed: u64) -> Self {
         let listing = Listing::new(&size);
         let index = (0..size.daemons).map(|index| (list::instance(index), index));
-        let mut world = Self {
+        let mut simulation = Self {
             now: Time::from_millis(1),
             store: Store::new(list::table(&size)),
-            tally: Tally::new(size.daemons),
-            backs: Backs::new(&size),
-            cut: vec![false; size.daemons],
+            counters: Counters::new(size.daemons),
+            replicas: Replicas::new(&size),
+            isolated: vec![false; size.daemons],
             index: index.collect(),
-            seats: Vec::new(),
+            daemons: Vec::new(),
             queue: BTreeMap::new(),
-            ticket: 0,
+            sequence: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
             listing,
             size,
         };
         for index in 0..size.daemons {
-            let seat = world.seat(index, 0);
-            world.seats.push(seat);
-            world.begin(index);
+            let daemon = simulation.new_daemon(index, 0);
+            simulation.daemons.push(daemon);
+            simulation.start(index);
         }
-        world
+        simulation
     }
 
     /// Runs until every daemon knows all others and has the table, then lists the replicas.
     pub fn settle(&mut self, limit: Duration) -> Duration {
-        let begun = self.now;
-        while !self.settled() && self.now.since(begun) < limit {
+        let started = self.now;
+        while !self.is_settled() && self.now.since(started) < limit {
             self.run(Duration::from_millis(500));
         }
-        let span = self.now.since(begun);
+        let span = self.now.since(started);
         self.listing.list_replicas();
         self.run(Duration::from_secs(3));
         span
     }
 
-    fn settled(&self) -> bool {
+    fn is_settled(&self) -> bool {
         let near = Zone::new(&list::zone_name(0));
-        self.seats.iter().all(|seat| {
-            seat.node.table().is_some()
-                && seat.node.addresses(self.now, near).len() == self.size.daemons
+        self.daemons.iter().all(|daemon| {
+            daemon.node.table().is_some()
+                && daemon.node.addresses(self.now, near).len() == self.size.daemons
         })
     }
 
@@ -146,33 +146,33 @@
             if at > end {
                 break;
             }
-            let (index, run, item) = entry.remove();
+            let (index, run, event) = entry.remove();
             self.now = at;
-            if self.seats[index].run == run {
-                self.happen(index, item);
+            if self.daemons[index].run == run {
+                self.handle(index, event);
             }
         }
         self.now = end;
     }
 
-    /// Runs until `done` holds, looking every `look`; `None` if it does not within `limit`.
+    /// Runs until `done` holds, looking every `interval`; `None` if it does not within `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
-        look: Duration,
+        interval: Duration,
         done: impl Fn(&Self) -> bool,
     ) -> Option<Duration> {
-        let begun = self.now;
+        let started = self.now;
         while !done(self) {
-            if self.now.since(begun) >= limit {
+            if self.now.since(started) >= limit {
                 return None;
             }
-            self.run(look);
+            self.run(interval);
         }
-        Some(self.now.since(begun))
+        Some(self.now.since(started))
     }
 
-    fn seat(&mut self, index: usize, run: u64) -> Seat {
+    fn new_daemon(&mut self, index: usize, run: u64) -> Daemon {
         let zone = index % self.size.zones;
         let settings = Settings {
             instance: list::instance(index),
@@ -192,7 +192,7 @@
             max_keys: 65_536,
         };
         let seed = self.random.random();
-        Seat {
+        Daemon {
             node: Node::new(settings, self.now, seed),
             zone,
             wake: Time::NEVER,
@@ -200,20 +200,22 @@
         }
     }
 
-    fn begin(&mut self, index: usize) {
+    fn start(&mut self, index: usize) {
         let wait = Duration::from_micros(self.random.random_range(0..400_000));
-        self.plan(self.now + wait, index, Item::List);
+        self.schedule(self.now + wait, index, ScheduledEvent::List);
         self.wake(index);
     }
 
-    fn happen(&mut self, index: usize, item: Item) {
-        match item {
-            Item::Wake if self.seats[index].wake == self.now => self.step(index, Event::Tick),
-            Item::Wake => {}
-            Item::Event(event) => self.step(index, *event),
-            Item::List => {
-                self.plan(self.now + LIST_EVERY, index, Item::List);
-                if self.store.reachable(self.cut[index]) {
+    fn handle(&mut self, index: usize, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Wake if self.daemons[index].wake == self.now => {
+                self.step(index, Event::Tick)
+            }
+            ScheduledEvent::Wake => {}
+            ScheduledEvent::Event(event) => self.step(index, *event),
+            ScheduledEvent::List => {
+                self.schedule(self.now + LIST_INTERVAL, index, ScheduledEvent::List);
+                if self.store.is_reachable(self.isolated[index]) {
                     self.store.count_list();
                     let list = self.listing.list();
                     self.step(index, Event::Listed(list));
@@ -225,36 +227,36 @@
     fn step(&mut self, index: usize, event: Event) {
         let kind = Kind::of_event(&event);
         let mut actions = Vec::new();
-        let begun = usage::thread_time();
-        let seat = &mut self.seats[index];
-        seat.node.step(self.now, event, &mut actions);
-        let spent = usage::thread_time().saturating_sub(begun);
-        self.tally.step(index, kind, spent);
+        let started = usage::thread_time();
+        let daemon = &mut self.daemons[index];
+        daemon.node.step(self.now, event, &mut actions);
+        let spent = usage::thread_time().saturating_sub(started);
+        self.counters.record_step(index, kind, spent);
         for action in actions {
-            self.act(index, action);
+            self.apply_action(index, action);
         }
         self.wake(index);
     }
 
     fn wake(&mut self, index: usize) {
-        let at = self.seats[index]
+        let at = self.daemons[index]
             .node
             .next_wake()
             .max(self.now + Duration::from_micros(1));
-        if self.seats[index].wake != at {
-            self.seats[index].wake = at;
-            self.plan(at, index, Item::Wake);
+        if self.daemons[index].wake != at {
+            self.daemons[index].wake = at;
+            self.schedule(at, index, ScheduledEvent::Wake);
         }
     }
 
     fn push(&mut self, at: Time, index: usize, event: Event) {
-        self.plan(at, index, Item::Event(Box::new(event)));
+        self.schedule(at, index, ScheduledEvent::Event(Box::new(event)));
     }
 
-    fn plan(&mut self, at: Time, index: usize, item: Item) {
-        self.ticket += 1;
-        let run = self.seats.get(index).map_or(0, |seat| seat.run);
-        self.queue.insert((at, self.ticket), (index, run, item));
+    fn schedule(&mut self, at: Time, index: usize, event: ScheduledEvent) {
+        self.sequence += 1;
+        let run = self.daemons.get(index).map_or(0, |daemon| daemon.run);
+        self.queue.insert((at, self.sequence), (index, run, event));
     }
 
     /// One-way delay between two data centres.
@@ -267,7 +269,7 @@
         delay + Duration::from_micros(self.random.random_range(0..JITTER_US))
     }
 
-    fn act(&mut self, index: usize, action: Action) {
-        act::carry_out(self, index, action);
+    fn apply_action(&mut self, index: usize, action: Action) {
+        actions::carry_out(self, index, action);
     }
 }
--- a/crates/bench/src/world/tally.rs
+++ b/crates/bench/src/simulation/counters.rs
@@ -4,15 +4,15 @@
 
 use node::ids::CallId;
 
+use crate::simulation::kind::Kind;
 use crate::usage;
-use crate::world::kind::Kind;
 
-/// Pairs of clock reads by which their own cost is found.
-const READS: u32 = 10_000;
+/// Pairs of clock_cost reads by which their own cost is found.
+const CLOCK_READS: u32 = 10_000;
 
 /// Frames, bytes and steps of one daemon, by kind.
 #[derive(Debug, Clone, Copy, Default)]
-struct Count {
+struct DaemonCounts {
     frames: u64,
     bytes: u64,
     /// Bytes that others sent to it.
@@ -34,30 +34,30 @@
     pub undecided: u64,
 }
 
-/// All counts since the last [`Tally::reset`].
+/// All counts since the last [`Counters::reset`].
 #[derive(Debug)]
-pub struct Tally {
+pub struct Counters {
     /// Answers to callers and operators.
     pub answers: Answers,
-    counts: Vec<[Count; Kind::ALL.len()]>,
+    counts: Vec<[DaemonCounts; Kind::ALL.len()]>,
     calls: u64,
-    /// Processor time of reading the clock before and after a step.
-    clock: f64,
+    /// Processor time of reading the clock_cost before and after a step.
+    clock_cost: f64,
 }
 
-impl Tally {
+impl Counters {
     /// No counts, for `daemons` daemons.
     pub(super) fn new(daemons: usize) -> Self {
-        let begun = usage::thread_time();
-        for _ in 0..READS {
+        let started = usage::thread_time();
+        for _ in 0..CLOCK_READS {
             std::hint::black_box(usage::thread_time());
         }
-        let clock = usage::thread_time().saturating_sub(begun);
+        let clock_cost = usage::thread_time().saturating_sub(started);
         Self {
             answers: Answers::default(),
-            counts: vec![[Count::default(); Kind::ALL.len()]; daemons],
+            counts: vec![[DaemonCounts::default(); Kind::ALL.len()]; daemons],
             calls: 0,
-            clock: clock.as_secs_f64() / f64::from(READS),
+            clock_cost: clock_cost.as_secs_f64() / f64::from(CLOCK_READS),
         }
     }
 
@@ -65,22 +65,28 @@
     pub fn reset(&mut self) {
         self.answers = Answers::default();
         let daemons = self.counts.len();
-        self.counts = vec![[Count::default(); Kind::ALL.len()]; daemons];
+        self.counts = vec![[DaemonCounts::default(); Kind::ALL.len()]; daemons];
     }
 
     /// A fresh number for a caller's connection.
-    pub(super) fn call(&mut self) -> CallId {
+    pub(super) fn new_call(&mut self) -> CallId {
         self.calls += 1;
         CallId(self.calls)
     }
 
-    pub(super) fn step(&mut self, daemon: usize, kind: Kind, spent: Duration) {
+    pub(super) fn record_step(&mut self, daemon: usize, kind: Kind, spent: Duration) {
         let count = &mut self.counts[daemon][kind as usize];
         count.steps += 1;
-        count.seconds += (spent.as_secs_f64() - self.clock).max(0.0);
+        count.seconds += (spent.as_secs_f64() - self.clock_cost).max(0.0);
     }
 
-    pub(super) fn frame(&mut self, from: usize, to: Option<usize>, kind: Kind, bytes: usize) {
+    pub(super) fn record_frame(
+        &mut self,
+        from: usize,
+        to: Option<usize>,
+        kind: Kind,
+        bytes: usize,
+    ) {
         let count = &mut self.counts[from][kind as usize];
         count.frames += 1;
         count.bytes += bytes as u64;
@@ -106,7 +112,7 @@
 
     /// Bytes sent and received by each daemon in all kinds.
     pub fn bytes_of_each(&self) -> Vec<f64> {
-        let sum = |counts: &[Count; Kind::ALL.len()]| {
+        let sum = |counts: &[DaemonCounts; Kind::ALL.len()]| {
             counts
                 .iter()
                 .map(|count| (count.bytes + count.received) as f64)
@@ -117,14 +123,15 @@
 
     /// Bytes sent by each daemon in all kinds.
     pub fn sent_of_each(&self) -> Vec<f64> {
-        let sum =
-            |counts: &[Count; Kind::ALL.len()]| counts.iter().map(|count| count.bytes as f64).sum();
+        let sum = |counts: &[DaemonCounts; Kind::ALL.len()]| {
+            counts.iter().map(|count| count.bytes as f64).sum()
+        };
         self.counts.iter().map(sum).collect()
     }
 
     /// Frames sent by each daemon in all kinds.
     pub fn frames_of_each(&self) -> Vec<f64> {
-        let sum = |counts: &[Count; Kind::ALL.len()]| {
+        let sum = |counts: &[DaemonCounts; Kind::ALL.len()]| {
             counts.iter().map(|count| count.frames as f64).sum()
         };
         self.counts.iter().map(sum).collect()
@@ -132,12 +139,13 @@
 
     /// Seconds of processor time spent by each daemon in all kinds.
     pub fn seconds_of_each(&self) -> Vec<f64> {
-        let sum =
-            |counts: &[Count; Kind::ALL.len()]| counts.iter().map(|count| count.seconds).sum();
+        let sum = |counts: &[DaemonCounts; Kind::ALL.len()]| {
+            counts.iter().map(|count| count.seconds).sum()
+        };
         self.counts.iter().map(sum).collect()
     }
 
-    fn mean(&self, value: impl Fn(&Count) -> f64, kind: Kind) -> f64 {
+    fn mean(&self, value: impl Fn(&DaemonCounts) -> f64, kind: Kind) -> f64 {
         let sum: f64 = self
             .counts
             .iter()
--- a/crates/bench/src/world/kind.rs
+++ b/crates/bench/src/simulation/kind.rs
@@ -79,7 +79,7 @@
     }
 
     /// Its name in tables.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Gossip => "gossip",
             Self::News => "news",
--- a/crates/bench/src/world/list.rs
+++ b/crates/bench/src/simulation/list.rs
@@ -1,4 +1,4 @@
-//! Names, the platform's list and the table of a world.
+//! Names, the platform's list and the table of a simulation.
 
 use ident::Instance;
 use ident::Pool;
@@ -11,7 +11,7 @@
 use table::Table;
 use table::row::Row;
 
-use crate::world::size::Size;
+use crate::simulation::size::Size;
 
 /// Regions that the data centres are spread over.
 pub const REGIONS: usize = 3;
@@ -25,31 +25,33 @@
 pub struct Listing {
     instances: Vec<ListedInstance>,
     replicas: Vec<ListedReplica>,
-    shows_replicas: bool,
+    replicas_listed: bool,
 }
 
 impl Listing {
-    /// The list of a world of `size`.
+    /// The list of a simulation of `size`.
     pub(super) fn new(size: &Size) -> Self {
         Self {
-            instances: (0..size.daemons).map(|index| seat(index, size)).collect(),
+            instances: (0..size.daemons)
+                .map(|index| listed_instance(index, size))
+                .collect(),
             replicas: (0..size.replicas)
-                .map(|index| backend(index, size))
+                .map(|index| listed_replica(index, size))
                 .collect(),
-            shows_replicas: false,
+            replicas_listed: false,
         }
     }
 
     /// Shows the replicas from now on.
     pub(super) fn list_replicas(&mut self) {
-        self.shows_replicas = true;
+        self.replicas_listed = true;
     }
 
     /// The list as the platform shows it now.
     pub(super) fn list(&self) -> PlatformList {
         PlatformList {
             instances: self.instances.clone(),
-            replicas: if self.shows_replicas {
+            replicas: if self.replicas_listed {
                 self.replicas.clone()
             } else {
                 Vec::new()
@@ -114,7 +116,7 @@
     Table::new(1, rows.collect())
 }
 
-fn seat(index: usize, size: &Size) -> ListedInstance {
+fn listed_instance(index: usize, size: &Size) -> ListedInstance {
     ListedInstance {
         instance: instance(index),
         name: instance_name(index),
@@ -124,7 +126,7 @@
     }
 }
 
-fn backend(index: usize, size: &Size) -> ListedReplica {
+fn listed_replica(index: usize, size: &Size) -> ListedReplica {
     let role = role(index, size.pools);
     ListedReplica {
         replica: Replica::new(&replica_name(index)),
--- a/crates/bench/src/world/backs.rs
+++ b/crates/bench/src/simulation/replicas.rs
@@ -17,33 +17,33 @@
 use node::ids::OrderId;
 use route::replica::Report;
 
-use crate::world::list;
-use crate::world::size::Size;
+use crate::simulation::list;
+use crate::simulation::size::Size;
 
 /// Time of a prefill.
-const PREFILL: Duration = Duration::from_millis(60);
+const PREFILL_TIME: Duration = Duration::from_millis(60);
 /// Time of a transfer.
-const IMPORT: Duration = Duration::from_millis(10);
+const IMPORT_TIME: Duration = Duration::from_millis(10);
 /// Time between two tokens.
-const TOKEN: Duration = Duration::from_millis(5);
+const TOKEN_TIME: Duration = Duration::from_millis(5);
 /// Time of an answer to a question.
-pub(super) const ANSWER: Duration = Duration::from_millis(1);
+pub(super) const CONTROL_TIME: Duration = Duration::from_millis(1);
 
 /// All replicas.
 #[derive(Debug)]
-pub struct Backs {
-    works: BTreeMap<Replica, BTreeMap<Handle, Work>>,
+pub struct Replicas {
+    works: BTreeMap<Replica, BTreeMap<Handle, Attempt>>,
 }
 
 /// What a replica holds for an attempt, and when that is over.
 #[derive(Debug, Clone, Copy)]
-struct Work {
+struct Attempt {
     held: HeldAttempt,
     end: Time,
 }
 
-impl Backs {
-    /// The replicas of a world of `size`, all idle.
+impl Replicas {
+    /// The replicas of a simulation of `size`, all idle.
     pub(super) fn new(size: &Size) -> Self {
         let replicas = (0..size.replicas).map(|index| Replica::new(&list::replica_name(index)));
         Self {
@@ -54,11 +54,11 @@
     /// The state of `replica`.
     pub(super) fn inspect(&self, now: Time, replica: Replica) -> Inspection {
         let works = self.works.get(&replica).into_iter().flatten();
-        let held = |work: &Work| HeldAttempt {
-            done: now >= work.end,
-            ..work.held
+        let held = |attempt: &Attempt| HeldAttempt {
+            done: now >= attempt.end,
+            ..attempt.held
         };
-        let works: Vec<HeldAttempt> = works.map(|(_, work)| held(work)).collect();
+        let works: Vec<HeldAttempt> = works.map(|(_, attempt)| held(attempt)).collect();
         let running = works.iter().filter(|held| !held.done).count() as u32;
         Inspection {
             report: Report {
@@ -87,51 +87,54 @@
         let answered = |reply| Event::Answered { order, reply };
         match task {
             Task::Prefill { prompt_tokens, .. } => {
-                self.hold(replica, handle, owner, Time::NEVER);
+                self.insert(replica, handle, owner, Time::NEVER);
                 let reply = Reply::Prefilled {
                     computed: *prompt_tokens,
                     cached: 0,
                     boot: 1,
                 };
-                vec![(PREFILL, answered(reply))]
+                vec![(PREFILL_TIME, answered(reply))]
             }
             Task::Decode {
                 source, max_tokens, ..
             } => {
-                self.release(*source, handle);
-                let end = now + IMPORT + TOKEN * *max_tokens;
-                self.hold(replica, handle, owner, end);
+                self.remove(*source, handle);
+                let end = now + IMPORT_TIME + TOKEN_TIME * *max_tokens;
+                self.insert(replica, handle, owner, end);
                 stream(order, *max_tokens)
             }
             Task::Cancel => {
-                self.release(replica, handle);
-                vec![(ANSWER, answered(Reply::Cancelled))]
+                self.remove(replica, handle);
+                vec![(CONTROL_TIME, answered(Reply::Cancelled))]
             }
             Task::Attach { .. } | Task::Plain { .. } => {
                 let reply = Reply::Plain {
                     status: 200,
                     body: Bytes::new(),
                 };
-                vec![(ANSWER, answered(reply))]
+                vec![(CONTROL_TIME, answered(reply))]
             }
         }
     }
 
-    fn release(&mut self, replica: Replica, handle: Handle) {
+    fn remove(&mut self, replica: Replica, handle: Handle) {
         if let Some(works) = self.works.get_mut(&replica) {
             works.remove(&handle);
         }
     }
 
-    fn hold(&mut self, replica: Replica, handle: Handle, owner: Incarnation, end: Time) {
+    fn insert(&mut self, replica: Replica, handle: Handle, owner: Incarnation, end: Time) {
         let held = HeldAttempt {
             handle,
             owner,
             fence: 1,
             done: false,
         };
-        let work = Work { held, end };
-        self.works.entry(replica).or_default().insert(handle, work);
+        let attempt = Attempt { held, end };
+        self.works
+            .entry(replica)
+            .or_default()
+            .insert(handle, attempt);
     }
 }
 
@@ -143,13 +146,19 @@
         text: Bytes::from_static(b" w"),
     };
     let pieces = [
-        (IMPORT, Piece::Imported),
-        (IMPORT + TOKEN, run(0, 1)),
-        (IMPORT + TOKEN * tokens, run(1, tokens - 1)),
-        (IMPORT + TOKEN * tokens, Piece::End { offset: tokens }),
+        (IMPORT_TIME, Piece::Imported),
+        (IMPORT_TIME + TOKEN_TIME, run(0, 1)),
+        (IMPORT_TIME + TOKEN_TIME * tokens, run(1, tokens - 1)),
+        (
+            IMPORT_TIME + TOKEN_TIME * tokens,
+            Piece::End { offset: tokens },
+        ),
     ];
     let events = pieces.map(|(after, piece)| (after, Event::Streamed { order, piece }));
     let reply = Reply::StreamEnded;
-    let end = (IMPORT + TOKEN * tokens, Event::Answered { order, reply });
+    let end = (
+        IMPORT_TIME + TOKEN_TIME * tokens,
+        Event::Answered { order, reply },
+    );
     events.into_iter().chain([end]).collect()
 }
--- a/crates/bench/src/world/store.rs
+++ b/crates/bench/src/simulation/store.rs
@@ -64,17 +64,17 @@
         }
     }
 
-    pub(super) const fn reachable(&self, cut: bool) -> bool {
-        self.up && !cut
+    pub(super) const fn is_reachable(&self, isolated: bool) -> bool {
+        self.up && !isolated
     }
 
     pub(super) const fn count_list(&mut self) {
         self.calls.lists += 1;
     }
 
-    /// Answers `ask`.
-    pub(super) fn answer(&mut self, ask: &StoreRequest) -> StoreReply {
-        match ask {
+    /// Answers `request`.
+    pub(super) fn answer(&mut self, request: &StoreRequest) -> StoreReply {
+        match request {
             StoreRequest::Generation => {
                 self.calls.generations += 1;
                 let generation = self.table.generation;
@@ -103,7 +103,7 @@
     }
 
     /// The answer when it is out of reach.
-    pub(super) fn refusal() -> StoreReply {
+    pub(super) fn unreachable() -> StoreReply {
         StoreReply::Failed {
             maybe: false,
             cause: "the store is out of reach".to_owned(),
--- a/crates/bench/src/slopes/calls.rs
+++ b/crates/bench/src/slopes/calls.rs
@@ -2,12 +2,12 @@
 
 use scenario::error::Error;
 
-use crate::arms::Through;
+use crate::arms::ThroughDaemons;
+use crate::cluster::Cluster;
+use crate::cluster::Size;
 use crate::load;
 use crate::load::Until;
 use crate::report::Report;
-use crate::stage::Size;
-use crate::stage::Stage;
 
 const COLUMNS: [&str; 4] = ["calls", "rss_MB", "log_B/call", "failed"];
 const CALLERS: usize = 16;
@@ -20,11 +20,11 @@
 /// What kept the daemon from running.
 pub async fn measure(counts: &[usize]) -> Result<Report, Error> {
     let mut report = Report::new("calls", &COLUMNS);
-    let mut stage = Stage::start(Size::new(1)).await?;
-    let through = Through::new(stage.callers()?);
+    let mut cluster = Cluster::start(Size::new(1)).await?;
+    let through = ThroughDaemons::new(cluster.callers()?);
     let mut sent = 0;
     for count in counts {
-        let logged = stage.logged();
+        let logged = cluster.logged();
         let more = (*count - sent) as u64;
         let through = through.clone();
         let outcome = load::run(CALLERS, Until::Count(more), move |number| {
@@ -33,13 +33,13 @@
         })
         .await;
         sent = *count;
-        let figures = [
+        let values = [
             *count as f64,
-            stage.daemons_usage()?.rss / MEGABYTE,
-            (stage.logged() - logged) / more as f64,
+            cluster.daemons_usage()?.rss / MEGABYTE,
+            (cluster.logged() - logged) / more as f64,
             outcome.failed as f64,
         ];
-        report.push(&format!("{count} calls"), &figures);
+        report.push(&format!("{count} calls"), &values);
     }
     report.print();
     Ok(report)
--- a/crates/bench/src/slopes/cut.rs
+++ b/crates/bench/src/slopes/cut.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use crate::report::Report;
-use crate::world::World;
-use crate::world::list;
-use crate::world::size::Size;
+use crate::simulation::Simulation;
+use crate::simulation::list;
+use crate::simulation::size::Size;
 
 const COLUMNS: [&str; 10] = [
     "daemons",
@@ -21,19 +21,19 @@
 ];
 const SETTLE: Duration = Duration::from_mins(2);
 const LIMIT: Duration = Duration::from_mins(3);
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What is cut off.
 #[derive(Debug, Clone, Copy)]
-pub enum Part {
+pub enum Area {
     /// Data centre 0.
     Zone,
     /// Region 0.
     Region,
 }
 
-impl Part {
-    const fn holds(self, zone: usize) -> bool {
+impl Area {
+    const fn contains(self, zone: usize) -> bool {
         match self {
             Self::Zone => zone == 0,
             Self::Region => list::region(zone) == 0,
@@ -45,16 +45,16 @@
 pub fn measure(sizes: &[usize], seed: u64) -> Report {
     let mut report = Report::new("cut", &COLUMNS);
     for daemons in sizes {
-        for part in [Part::Zone, Part::Region] {
-            let label = format!("{daemons} daemons {part:?}");
-            report.push(&label, &one(*daemons, part, seed));
+        for area in [Area::Zone, Area::Region] {
+            let label = format!("{daemons} daemons {area:?}");
+            report.push(&label, &measure_one(*daemons, area, seed));
         }
     }
     report.print();
     report
 }
 
-fn one(daemons: usize, part: Part, seed: u64) -> Vec<f64> {
+fn measure_one(daemons: usize, area: Area, seed: u64) -> Vec<f64> {
     let size = Size {
         daemons,
         zones: 11,
@@ -62,39 +62,41 @@
         pools: 14,
         rows: 100,
     };
-    let mut world = World::new(size, seed);
-    world.settle(SETTLE);
-    world.run(Duration::from_secs(5));
+    let mut simulation = Simulation::new(size, seed);
+    simulation.settle(SETTLE);
+    simulation.run(Duration::from_secs(5));
     let near: Vec<bool> = (0..daemons)
-        .map(|index| part.holds(world.zone(index)))
+        .map(|index| area.contains(simulation.zone(index)))
         .collect();
     let inside = near.iter().filter(|near| **near).count();
-    world.set_cut(|zone| part.holds(zone));
-    let begun = world.now;
-    let share = |world: &World, side: bool| {
+    simulation.set_isolated(|zone| area.contains(zone));
+    let started = simulation.now;
+    let share = |simulation: &Simulation, side: bool| {
         let total = if side { inside } else { daemons - inside };
-        let fresh = world.fresh(|index| near[index] == side);
+        let fresh = simulation.fresh_count(|index| near[index] == side);
         (fresh as f64 / total as f64 * 100.0).round()
     };
-    world.run(Duration::from_secs(1));
-    let near_1 = share(&world, true);
-    world.run(Duration::from_secs(3));
-    let (near_4, far_4) = (share(&world, true), share(&world, false));
+    simulation.run(Duration::from_secs(1));
+    let near_1 = share(&simulation, true);
+    simulation.run(Duration::from_secs(3));
+    let (near_4, far_4) = (share(&simulation, true), share(&simulation, false));
     let far = daemons - inside;
-    let agreed = world.run_until(Duration::from_secs(50), LOOK, |world| {
-        world.agree(far, |index| !near[index]) == far
+    let agreed = simulation.run_until(Duration::from_secs(50), CHECK_INTERVAL, |simulation| {
+        simulation.agreeing_count(far, |index| !near[index]) == far
     });
-    let far_agreed = agreed.map_or(f64::NAN, |_| world.now.since(begun).as_secs_f64());
-    let passed = world.now.since(begun);
-    world.run(Duration::from_mins(1).saturating_sub(passed));
-    let (near_60, far_60) = (share(&world, true), share(&world, false));
-    world.set_cut(|_| false);
-    let healed = world.now;
-    let fresh = world.run_until(LIMIT, LOOK, |world| world.fresh(|_| true) == daemons);
-    let agreed = world.run_until(LIMIT, LOOK, |world| {
-        world.agree(daemons, |_| true) == daemons
+    let far_agreed = agreed.map_or(f64::NAN, |_| simulation.now.since(started).as_secs_f64());
+    let passed = simulation.now.since(started);
+    simulation.run(Duration::from_mins(1).saturating_sub(passed));
+    let (near_60, far_60) = (share(&simulation, true), share(&simulation, false));
+    simulation.set_isolated(|_| false);
+    let healed = simulation.now;
+    let fresh = simulation.run_until(LIMIT, CHECK_INTERVAL, |simulation| {
+        simulation.fresh_count(|_| true) == daemons
     });
-    let agreed = agreed.map_or(f64::NAN, |_| world.now.since(healed).as_secs_f64());
+    let agreed = simulation.run_until(LIMIT, CHECK_INTERVAL, |simulation| {
+        simulation.agreeing_count(daemons, |_| true) == daemons
+    });
+    let agreed = agreed.map_or(f64::NAN, |_| simulation.now.since(healed).as_secs_f64());
     vec![
         daemons as f64,
         inside as f64,
--- a/crates/bench/src/slopes/edits.rs
+++ b/crates/bench/src/slopes/edits.rs
@@ -6,9 +6,9 @@
 use table::edit::Edit;
 
 use crate::report::Report;
-use crate::world::World;
-use crate::world::kind::Kind;
-use crate::world::size::Size;
+use crate::simulation::Simulation;
+use crate::simulation::kind::Kind;
+use crate::simulation::size::Size;
 
 const COLUMNS: [&str; 14] = [
     "daemons",
@@ -29,8 +29,8 @@
 const SETTLE: Duration = Duration::from_mins(2);
 /// Longest waits for an answer and for the last daemon.
 const LIMIT: Duration = Duration::from_secs(30);
-const LOOK: Duration = Duration::from_millis(20);
-const FRESH_LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const FRESH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Edits in each fleet.
 const EDITS: usize = 2;
 
@@ -47,96 +47,111 @@
                 rows: *rows,
             };
             let label = format!("{daemons} daemons {rows} rows");
-            report.push(&label, &one(size, seed));
+            report.push(&label, &measure_one(size, seed));
         }
     }
     report.print();
     report
 }
 
-fn one(size: Size, seed: u64) -> Vec<f64> {
-    let mut world = World::new(size, seed);
-    world.settle(SETTLE);
-    world.run(Duration::from_secs(5));
-    world.tally.reset();
+fn measure_one(size: Size, seed: u64) -> Vec<f64> {
+    let mut simulation = Simulation::new(size, seed);
+    simulation.settle(SETTLE);
+    simulation.run(Duration::from_secs(5));
+    simulation.counters.reset();
     let mut answers = Vec::new();
-    let mut spreads = Vec::new();
+    let mut propagations = Vec::new();
     for number in 0..EDITS {
-        let (answer, spread) = edit(&mut world, number);
+        let (answer, propagation) = measure_edit(&mut simulation, number);
         answers.push(answer);
-        spreads.push(spread);
+        propagations.push(propagation);
     }
-    let accepted = world.tally.answers.accepted;
+    let accepted = simulation.counters.answers.accepted;
     let each = EDITS as f64;
-    let frames = world.tally.frames(Kind::Push) * size.daemons as f64 / each;
-    let bytes = world.tally.bytes(Kind::Push) * size.daemons as f64 / each;
-    let most = world.tally.sent_of_each().into_iter().fold(0.0, f64::max);
-    let mut figures = vec![
+    let frames = simulation.counters.frames(Kind::Push) * size.daemons as f64 / each;
+    let bytes = simulation.counters.bytes(Kind::Push) * size.daemons as f64 / each;
+    let most = simulation
+        .counters
+        .sent_of_each()
+        .into_iter()
+        .fold(0.0, f64::max);
+    let mut values = vec![
         size.daemons as f64,
         size.rows as f64,
         accepted as f64 / each,
         mean_ms(&answers),
-        mean_ms(&spreads),
+        mean_ms(&propagations),
         frames,
         bytes / 1_024.0,
         most / each / 1_024.0,
     ];
-    figures.extend(found(&mut world));
-    figures.extend(outage(&mut world, size.daemons));
-    figures
+    values.extend(measure_unannounced(&mut simulation));
+    values.extend(measure_outage(&mut simulation, size.daemons));
+    values
 }
 
 /// One edit; the time until the operator was answered and until all daemons have it.
-fn edit(world: &mut World, number: usize) -> (Option<Duration>, Option<Duration>) {
-    let edit = next(world, number);
-    let generation = world.store.table().generation + 1;
-    let before = count(world);
-    world.edit(number, edit);
-    let answer = world.run_until(LIMIT, LOOK, |world| count(world) > before);
-    let daemons = world.daemons();
-    let rest = world.run_until(LIMIT, LOOK, |world| world.in_force(generation) == daemons);
-    let spread = answer.zip(rest).map(|(answer, rest)| answer + rest);
-    (answer, spread)
+fn measure_edit(
+    simulation: &mut Simulation,
+    number: usize,
+) -> (Option<Duration>, Option<Duration>) {
+    let edit = next_edit(simulation, number);
+    let generation = simulation.store.table().generation + 1;
+    let before = answered_edits(simulation);
+    simulation.edit(number, edit);
+    let answer = simulation.run_until(LIMIT, CHECK_INTERVAL, |simulation| {
+        answered_edits(simulation) > before
+    });
+    let daemons = simulation.daemons();
+    let rest = simulation.run_until(LIMIT, CHECK_INTERVAL, |simulation| {
+        simulation.in_force_count(generation) == daemons
+    });
+    let propagation = answer.zip(rest).map(|(answer, rest)| answer + rest);
+    (answer, propagation)
 }
 
 /// An edit that nobody announces: the time until all daemons have it, in milliseconds, and the
 /// kilobytes that carried it.
-fn found(world: &mut World) -> [f64; 2] {
-    let edit = next(world, EDITS);
-    let generation = world.store.table().generation + 1;
-    world.tally.reset();
-    world.store.commit(&edit);
-    let daemons = world.daemons();
-    let spread = world.run_until(LIMIT, LOOK, |world| world.in_force(generation) == daemons);
-    world.run(Duration::from_secs(1));
-    let bytes = world.tally.bytes(Kind::Push) * daemons as f64;
-    [mean_ms(&[spread]), bytes / 1_024.0]
+fn measure_unannounced(simulation: &mut Simulation) -> [f64; 2] {
+    let edit = next_edit(simulation, EDITS);
+    let generation = simulation.store.table().generation + 1;
+    simulation.counters.reset();
+    simulation.store.commit(&edit);
+    let daemons = simulation.daemons();
+    let propagation = simulation.run_until(LIMIT, CHECK_INTERVAL, |simulation| {
+        simulation.in_force_count(generation) == daemons
+    });
+    simulation.run(Duration::from_secs(1));
+    let bytes = simulation.counters.bytes(Kind::Push) * daemons as f64;
+    [mean_ms(&[propagation]), bytes / 1_024.0]
 }
 
 /// An edit of one row of the table that the store holds.
-fn next(world: &World, number: usize) -> Edit {
-    let base = world.store.table();
-    let mut wanted = base.rows.clone();
-    wanted[0].share += 1;
-    Edit::between(&format!("edit-{number}"), "ana", base, &wanted)
+fn next_edit(simulation: &Simulation, number: usize) -> Edit {
+    let base = simulation.store.table();
+    let mut rows = base.rows.clone();
+    rows[0].share += 1;
+    Edit::between(&format!("edit-{number}"), "ana", base, &rows)
 }
 
-fn count(world: &World) -> u64 {
-    world.tally.answers.accepted + world.tally.answers.undecided
+fn answered_edits(simulation: &Simulation) -> u64 {
+    simulation.counters.answers.accepted + simulation.counters.answers.undecided
 }
 
 /// The share of daemons that may decide 1, 4 and 20 s into an outage of the store, in percent, and
 /// the time until all may again after it.
-fn outage(world: &mut World, daemons: usize) -> [f64; 4] {
-    world.store.up = false;
+fn measure_outage(simulation: &mut Simulation, daemons: usize) -> [f64; 4] {
+    simulation.store.up = false;
     let shares = [1, 3, 16].map(|seconds| {
-        world.run(Duration::from_secs(seconds));
-        (world.fresh(|_| true) as f64 / daemons as f64 * 100.0).round()
+        simulation.run(Duration::from_secs(seconds));
+        (simulation.fresh_count(|_| true) as f64 / daemons as f64 * 100.0).round()
+    });
+    simulation.store.up = true;
+    let recovery = simulation.run_until(LIMIT, FRESH_CHECK_INTERVAL, |simulation| {
+        simulation.fresh_count(|_| true) == daemons
     });
-    world.store.up = true;
-    let back = world.run_until(LIMIT, FRESH_LOOK, |world| world.fresh(|_| true) == daemons);
-    let back = back.map_or(f64::NAN, |back| back.as_secs_f64() * 1e3);
-    [shares[0], shares[1], shares[2], back]
+    let recovery = recovery.map_or(f64::NAN, |recovery| recovery.as_secs_f64() * 1e3);
+    [shares[0], shares[1], shares[2], recovery]
 }
 
 /// The mean in milliseconds; not a number if one is missing.
--- a/crates/bench/src/slopes/frames.rs
+++ b/crates/bench/src/slopes/frames.rs
@@ -18,24 +18,27 @@
 use wire::TableStatus;
 
 use crate::report::Report;
+use crate::simulation::list;
+use crate::simulation::size::Size;
 use crate::usage;
-use crate::world::list;
-use crate::world::size::Size;
 
 const COLUMNS: [&str; 4] = ["size", "bytes", "encode_us", "decode_us"];
 /// Processor time that each figure takes at least, in seconds.
-const ENOUGH: f64 = 0.05;
+const MIN_CPU_SECONDS: f64 = 0.05;
 
 /// Measures frames about requests with prompts of `blocks` blocks, and tables of `rows` rows.
 pub fn measure(blocks: &[usize], rows: &[usize]) -> Report {
     let mut report = Report::new("frames", &COLUMNS);
     for blocks in blocks {
         let body = Body::Submit(Box::new(ticket(*blocks)));
-        report.push(&format!("submit {blocks} blocks"), &one(*blocks, body));
+        report.push(
+            &format!("submit {blocks} blocks"),
+            &measure_one(*blocks, body),
+        );
     }
-    report.push("verdict", &one(0, Body::Verdict(verdict())));
-    report.push("advance", &one(0, advance()));
-    report.push("news", &one(0, Body::News(news())));
+    report.push("verdict", &measure_one(0, Body::Verdict(verdict())));
+    report.push("advance", &measure_one(0, advance()));
+    report.push("news", &measure_one(0, Body::News(table_status())));
     for rows in rows {
         let size = Size {
             daemons: 1,
@@ -45,13 +48,13 @@
             rows: *rows,
         };
         let body = Body::Push(Box::new(list::table(&size)));
-        report.push(&format!("push {rows} rows"), &one(*rows, body));
+        report.push(&format!("push {rows} rows"), &measure_one(*rows, body));
     }
     report.print();
     report
 }
 
-fn one(size: usize, body: Body) -> Vec<f64> {
+fn measure_one(size: usize, body: Body) -> Vec<f64> {
     let frame = Frame::new(list::instance(1), incarnation(), body);
     let bytes = wire::encode(&frame).unwrap_or_default();
     let encode = time(|| drop(black_box(wire::encode(&frame))));
@@ -65,15 +68,15 @@
 
 /// Microseconds of processor time that `work` takes.
 fn time(work: impl Fn()) -> f64 {
-    let begun = usage::thread_time();
+    let started = usage::thread_time();
     let mut count = 0;
     loop {
         for _ in 0..10 {
             work();
         }
         count += 10;
-        let spent = usage::thread_time().saturating_sub(begun).as_secs_f64();
-        if spent > ENOUGH {
+        let spent = usage::thread_time().saturating_sub(started).as_secs_f64();
+        if spent > MIN_CPU_SECONDS {
             return spent / f64::from(count) * 1e6;
         }
     }
@@ -126,7 +129,7 @@
     }
 }
 
-const fn news() -> TableStatus {
+const fn table_status() -> TableStatus {
     TableStatus {
         generation: 12_345,
         store_age_ms: Some(800),
--- a/crates/bench/src/slopes/keeper.rs
+++ b/crates/bench/src/slopes/keeper.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use crate::report::Report;
-use crate::world::World;
-use crate::world::kind::Kind;
-use crate::world::size::Size;
+use crate::simulation::Simulation;
+use crate::simulation::kind::Kind;
+use crate::simulation::size::Size;
 
 const COLUMNS: [&str; 14] = [
     "daemons",
@@ -49,13 +49,13 @@
     let mut report = Report::new(name, &COLUMNS);
     for load in loads {
         let label = format!("{} replicas {}/s", load.replicas, load.rate);
-        report.push(&label, &one(load, span, seed));
+        report.push(&label, &measure_one(load, span, seed));
     }
     report.print();
     report
 }
 
-fn one(load: &Load, span: Duration, seed: u64) -> Vec<f64> {
+fn measure_one(load: &Load, span: Duration, seed: u64) -> Vec<f64> {
     let size = Size {
         daemons: load.daemons,
         zones: 11.min(load.daemons),
@@ -63,28 +63,28 @@
         pools: load.pools,
         rows: 100,
     };
-    let mut world = World::new(size, seed);
-    world.settle(SETTLE);
-    world.load(load.rate, WARM_UP, load.blocks, load.tokens);
-    world.tally.reset();
-    world.load(load.rate, span, load.blocks, load.tokens);
+    let mut simulation = Simulation::new(size, seed);
+    simulation.settle(SETTLE);
+    simulation.load(load.rate, WARM_UP, load.blocks, load.tokens);
+    simulation.counters.reset();
+    simulation.load(load.rate, span, load.blocks, load.tokens);
     let seconds = span.as_secs_f64();
-    let tally = &world.tally;
+    let counters = &simulation.counters;
     let daemons = load.daemons as f64;
     let requests = load.rate * seconds;
-    let each = |kind: Kind| tally.bytes(kind) * daemons / requests;
+    let each = |kind: Kind| counters.bytes(kind) * daemons / requests;
     let [bytes, frames, work] = [
-        tally.bytes_of_each(),
-        tally.frames_of_each(),
-        tally.seconds_of_each(),
+        counters.bytes_of_each(),
+        counters.frames_of_each(),
+        counters.seconds_of_each(),
     ];
     vec![
         daemons,
         load.replicas as f64,
         load.pools as f64,
         load.rate,
-        tally.answers.done as f64 / seconds,
-        tally.answers.refused as f64 / seconds,
+        counters.answers.done as f64 / seconds,
+        counters.answers.refused as f64 / seconds,
         most(&frames) / seconds,
         most(&bytes) / seconds / 1_024.0,
         most(&work) / seconds * 100.0,
--- a/crates/bench/src/slopes/keys.rs
+++ b/crates/bench/src/slopes/keys.rs
@@ -16,15 +16,15 @@
 const WINDOW_S: u64 = 600;
 const NOW: u64 = 1_790_000_000;
 /// Bytes of the answer that is kept with each key.
-const ANSWER: usize = 64;
+const ANSWER_BYTES: usize = 64;
 /// Keys that are forgotten to time it.
-const FORGOTTEN: usize = 50;
+const FORGET_COUNT: usize = 50;
 
 /// Measures memories of `sizes` keys.
 pub fn measure(sizes: &[usize]) -> Report {
     let mut report = Report::new("keys", &COLUMNS);
     for size in sizes {
-        report.push(&format!("{size} keys"), &one(*size));
+        report.push(&format!("{size} keys"), &measure_one(*size));
     }
     report.print();
     report.print_fit("keys", "MB");
@@ -32,31 +32,31 @@
     report
 }
 
-fn one(size: usize) -> Vec<f64> {
+fn measure_one(size: usize) -> Vec<f64> {
     let before = usage::own_memory().unwrap_or(0.0);
-    let mut memory: KeyRegistry<u64> = KeyRegistry::new(WINDOW_S, usize::MAX);
-    let begun = usage::thread_time();
+    let mut registry: KeyRegistry<u64> = KeyRegistry::new(WINDOW_S, usize::MAX);
+    let started = usage::thread_time();
     for number in 0..size {
-        let mark = KeyState::Answered {
+        let state = KeyState::Answered {
             status: 200,
-            body: Some(Bytes::from(vec![b'x'; ANSWER])),
+            body: Some(Bytes::from(vec![b'x'; ANSWER_BYTES])),
         };
-        memory.set(NOW, &key(number), mark);
+        registry.set(NOW, &key(number), state);
     }
-    let marked = usage::thread_time().saturating_sub(begun);
+    let marked = usage::thread_time().saturating_sub(started);
     let bytes = usage::own_memory().unwrap_or(0.0) - before;
-    let begun = usage::thread_time();
-    for number in 0..FORGOTTEN.min(size) {
-        memory.forget(&key(size / 2 + number));
+    let started = usage::thread_time();
+    for number in 0..FORGET_COUNT.min(size) {
+        registry.forget(&key(size / 2 + number));
     }
-    let forgot = usage::thread_time().saturating_sub(begun);
-    black_box(memory.len());
+    let forgot = usage::thread_time().saturating_sub(started);
+    black_box(registry.len());
     vec![
         size as f64,
         bytes / 1_048_576.0,
         bytes / size as f64,
         marked.as_secs_f64() / size as f64 * 1e9,
-        forgot.as_secs_f64() / FORGOTTEN as f64 * 1e6,
+        forgot.as_secs_f64() / FORGET_COUNT as f64 * 1e6,
     ]
 }
 
--- a/crates/bench/src/slopes/members.rs
+++ b/crates/bench/src/slopes/members.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use crate::report::Report;
+use crate::simulation::Simulation;
+use crate::simulation::kind::Kind;
+use crate::simulation::size::Size;
 use crate::usage;
-use crate::world::World;
-use crate::world::kind::Kind;
-use crate::world::size::Size;
 
 const COLUMNS: [&str; 14] = [
     "daemons",
@@ -45,7 +45,10 @@
             pools,
             rows: 100,
         };
-        report.push(&format!("{daemons} daemons"), &one(size, span, seed));
+        report.push(
+            &format!("{daemons} daemons"),
+            &measure_one(size, span, seed),
+        );
     }
     report.print();
     let columns = [
@@ -64,33 +67,33 @@
     report
 }
 
-fn one(size: Size, span: Duration, seed: u64) -> Vec<f64> {
+fn measure_one(size: Size, span: Duration, seed: u64) -> Vec<f64> {
     let memory = usage::own_memory().unwrap_or(0.0);
-    let mut world = World::new(size, seed);
-    let settle = world.settle(SETTLE);
-    world.run(Duration::from_secs(5));
+    let mut simulation = Simulation::new(size, seed);
+    let settle = simulation.settle(SETTLE);
+    simulation.run(Duration::from_secs(5));
     let grown = usage::own_memory().unwrap_or(0.0) - memory;
-    world.tally.reset();
-    world.store.reset();
-    world.run(span);
+    simulation.counters.reset();
+    simulation.store.reset();
+    simulation.run(span);
     let seconds = span.as_secs_f64();
-    let tally = &world.tally;
-    let micros = |kind: Kind| tally.seconds(kind) / seconds * 1e6;
+    let counters = &simulation.counters;
+    let micros = |kind: Kind| counters.seconds(kind) / seconds * 1e6;
     let all: f64 = Kind::ALL.iter().map(|kind| micros(*kind)).sum();
     vec![
         size.daemons as f64,
         settle.as_secs_f64(),
-        tally.frames(Kind::Gossip) / seconds,
-        tally.bytes(Kind::Gossip) / seconds,
-        tally.frames(Kind::News) / seconds,
-        tally.bytes(Kind::News) / seconds,
+        counters.frames(Kind::Gossip) / seconds,
+        counters.bytes(Kind::Gossip) / seconds,
+        counters.frames(Kind::News) / seconds,
+        counters.bytes(Kind::News) / seconds,
         micros(Kind::Gossip),
         micros(Kind::News),
         micros(Kind::List),
         micros(Kind::Timer),
         all / 1e4,
-        world.store.calls.generations as f64 / seconds,
-        world.store.calls.lists as f64 / seconds,
+        simulation.store.calls.generations as f64 / seconds,
+        simulation.store.calls.lists as f64 / seconds,
         grown / size.daemons as f64 / 1_024.0,
     ]
 }
--- a/crates/bench/src/slopes/process.rs
+++ b/crates/bench/src/slopes/process.rs
@@ -14,12 +14,12 @@
 use scenario::web::Web;
 use tokio::time::sleep;
 
-use crate::arms::Through;
+use crate::arms::ThroughDaemons;
+use crate::cluster;
+use crate::cluster::Cluster;
+use crate::cluster::Size;
 use crate::load;
 use crate::report::Report;
-use crate::stage;
-use crate::stage::Size;
-use crate::stage::Stage;
 
 const DAEMON_COLUMNS: [&str; 10] = [
     "daemons",
@@ -59,8 +59,8 @@
 pub async fn daemons(sizes: &[usize], span: Duration) -> Result<Report, Error> {
     let mut report = Report::new("daemons", &DAEMON_COLUMNS);
     for size in sizes {
-        let figures = fleet(*size, span).await?;
-        report.push(&format!("{size} daemons"), &figures);
+        let values = measure_daemons(*size, span).await?;
+        report.push(&format!("{size} daemons"), &values);
     }
     report.print();
     for column in [
@@ -71,26 +71,26 @@
     Ok(report)
 }
 
-async fn fleet(size: usize, span: Duration) -> Result<Vec<f64>, Error> {
-    let mut stage = Stage::start(Size::new(size).with_backends(1, 1)).await?;
+async fn measure_daemons(size: usize, span: Duration) -> Result<Vec<f64>, Error> {
+    let mut cluster = Cluster::start(Size::new(size).with_backends(1, 1)).await?;
     sleep(SETTLE).await;
-    let (frames, reads) = (stage.frames().await?, stage.store_calls().await?.0);
-    let (usage, logged) = (stage.daemons_usage()?, stage.logged());
+    let (frames, reads) = (cluster.frames().await?, cluster.store_calls().await?.0);
+    let (usage, logged) = (cluster.daemons_usage()?, cluster.logged());
     sleep(span).await;
-    let used = stage.daemons_usage()?.since(usage);
-    let logged = stage.logged() - logged;
-    let frames = stage.frames().await? - frames;
-    let reads = stage.store_calls().await?.0 - reads;
-    let files = stage.descriptors(0)?;
+    let used = cluster.daemons_usage()?.since(usage);
+    let logged = cluster.logged() - logged;
+    let frames = cluster.frames().await? - frames;
+    let reads = cluster.store_calls().await?.0 - reads;
+    let files = cluster.descriptors(0)?;
 
-    let through = Through::new(stage.callers()?);
-    let usage = stage.daemons_usage()?;
-    let load = load::pace(RATE * size as f64, span, move |number| {
+    let through = ThroughDaemons::new(cluster.callers()?);
+    let usage = cluster.daemons_usage()?;
+    let load = load::run_at_rate(RATE * size as f64, span, move |number| {
         let through = through.clone();
         async move { through.plain(number).await }
     })
     .await;
-    let busy = stage.daemons_usage()?.since(usage);
+    let busy = cluster.daemons_usage()?.since(usage);
     let seconds = span.as_secs_f64();
     let each = size as f64 * seconds;
     let calls = load.answered as f64;
@@ -119,15 +119,19 @@
     let mut report = Report::new("replicas", &REPLICA_COLUMNS);
     for inspect_ms in [Timing::default().inspect_ms, NEVER_MS] {
         for count in counts {
-            let figures = listed(*count, inspect_ms, span).await?;
-            report.push(&format!("{count} replicas {inspect_ms} ms"), &figures);
+            let values = measure_replicas(*count, inspect_ms, span).await?;
+            report.push(&format!("{count} replicas {inspect_ms} ms"), &values);
         }
     }
     report.print();
     Ok(report)
 }
 
-async fn listed(count: usize, inspect_ms: u64, span: Duration) -> Result<Vec<f64>, Error> {
+async fn measure_replicas(
+    count: usize,
+    inspect_ms: u64,
+    span: Duration,
+) -> Result<Vec<f64>, Error> {
     let timing = Timing {
         inspect_ms,
         ..Timing::default()
@@ -136,13 +140,13 @@
         timing,
         ..Size::new(1).with_backends(3, 1)
     };
-    let mut stage = Stage::start(size).await?;
-    let bytes = publish(&stage, count).await?;
+    let mut cluster = Cluster::start(size).await?;
+    let bytes = publish(&cluster, count).await?;
     sleep(SETTLE).await;
-    let (usage, logged) = (stage.daemons_usage()?, stage.logged());
+    let (usage, logged) = (cluster.daemons_usage()?, cluster.logged());
     sleep(span).await;
-    let used = stage.daemons_usage()?.since(usage);
-    let logged = stage.logged() - logged;
+    let used = cluster.daemons_usage()?.since(usage);
+    let logged = cluster.logged() - logged;
     let seconds = span.as_secs_f64();
     Ok(vec![
         count as f64,
@@ -155,12 +159,15 @@
 }
 
 /// Lists `count` replicas; the size of the list as it is read.
-async fn publish(stage: &Stage, count: usize) -> Result<usize, Error> {
-    let engines = [stage.engines(Role::Prefill)?, stage.engines(Role::Decode)?];
-    let listen = stage.fleet.daemon(&stage::daemon(0))?;
+async fn publish(cluster: &Cluster, count: usize) -> Result<usize, Error> {
+    let engines = [
+        cluster.engines(Role::Prefill)?,
+        cluster.engines(Role::Decode)?,
+    ];
+    let listen = cluster.fleet.daemon(&cluster::daemon(0))?;
     let list = List {
         instances: vec![list::Instance {
-            name: stage::daemon(0),
+            name: cluster::daemon(0),
             data_centre: "osijek-a".to_owned(),
             peer: listen.peer.clone(),
             caller: listen.caller.clone(),
@@ -170,7 +177,7 @@
         ..List::default()
     };
     let web = Web::new();
-    let platform = stage.fleet.back(PLATFORM)?;
+    let platform = cluster.fleet.back(PLATFORM)?;
     let body = serde_json::to_value(&list).unwrap_or_default();
     let request = web.request(Method::POST, platform, "/control/list");
     web.send(request.json(&body), platform).await?;
--- a/crates/bench/src/slopes/restarts.rs
+++ b/crates/bench/src/slopes/restarts.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use crate::report::Report;
-use crate::world::World;
-use crate::world::size::Size;
-use crate::world::store::Calls;
+use crate::simulation::Simulation;
+use crate::simulation::size::Size;
+use crate::simulation::store::Calls;
 
 const COLUMNS: [&str; 9] = [
     "daemons",
@@ -20,7 +20,7 @@
 ];
 const SETTLE: Duration = Duration::from_mins(2);
 const LIMIT: Duration = Duration::from_mins(1);
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Restarts each of `counts` of `daemons` daemons at once.
@@ -28,13 +28,13 @@
     let mut report = Report::new("restarts", &COLUMNS);
     for count in counts {
         let label = format!("{count} of {daemons}");
-        report.push(&label, &one(daemons, *count, seed));
+        report.push(&label, &measure_one(daemons, *count, seed));
     }
     report.print();
     report
 }
 
-fn one(daemons: usize, count: usize, seed: u64) -> Vec<f64> {
+fn measure_one(daemons: usize, count: usize, seed: u64) -> Vec<f64> {
     let size = Size {
         daemons,
         zones: 11.min(daemons),
@@ -42,40 +42,42 @@
         pools: 14,
         rows: 100,
     };
-    let mut world = World::new(size, seed);
-    world.settle(SETTLE);
-    world.run(SECOND * 5);
-    let before = second(&mut world);
+    let mut simulation = Simulation::new(size, seed);
+    simulation.settle(SETTLE);
+    simulation.run(SECOND * 5);
+    let before = count_calls(&mut simulation);
     for index in 0..count {
-        world.restart(index);
+        simulation.restart(index);
     }
-    let begun = world.now;
+    let started = simulation.now;
     let mut fresh = f64::NAN;
     let mut agreed = f64::NAN;
     let seconds = [(); 3].map(|()| {
-        world.store.reset();
-        let end = world.now + SECOND;
-        while world.now < end {
-            world.run(LOOK);
-            let passed = world.now.since(begun).as_secs_f64() * 1e3;
-            if fresh.is_nan() && world.fresh(|_| true) == daemons {
+        simulation.store.reset();
+        let end = simulation.now + SECOND;
+        while simulation.now < end {
+            simulation.run(CHECK_INTERVAL);
+            let passed = simulation.now.since(started).as_secs_f64() * 1e3;
+            if fresh.is_nan() && simulation.fresh_count(|_| true) == daemons {
                 fresh = passed;
             }
-            if agreed.is_nan() && world.agree(daemons, |_| true) == daemons {
+            if agreed.is_nan() && simulation.agreeing_count(daemons, |_| true) == daemons {
                 agreed = passed;
             }
         }
-        world.store.calls
+        simulation.store.calls
     });
-    let since = |world: &World| world.now.since(begun).as_secs_f64() * 1e3;
+    let since = |simulation: &Simulation| simulation.now.since(started).as_secs_f64() * 1e3;
     if fresh.is_nan() {
-        let rest = world.run_until(LIMIT, LOOK, |world| world.fresh(|_| true) == daemons);
-        fresh = rest.map_or(fresh, |_| since(&world));
+        let rest = simulation.run_until(LIMIT, CHECK_INTERVAL, |simulation| {
+            simulation.fresh_count(|_| true) == daemons
+        });
+        fresh = rest.map_or(fresh, |_| since(&simulation));
     }
     if agreed.is_nan() {
-        let all = |world: &World| world.agree(daemons, |_| true) == daemons;
-        let rest = world.run_until(LIMIT, LOOK, all);
-        agreed = rest.map_or(agreed, |_| since(&world));
+        let all = |simulation: &Simulation| simulation.agreeing_count(daemons, |_| true) == daemons;
+        let rest = simulation.run_until(LIMIT, CHECK_INTERVAL, all);
+        agreed = rest.map_or(agreed, |_| since(&simulation));
     }
     vec![
         daemons as f64,
@@ -90,8 +92,8 @@
     ]
 }
 
-fn second(world: &mut World) -> Calls {
-    world.store.reset();
-    world.run(SECOND);
-    world.store.calls
+fn count_calls(simulation: &mut Simulation) -> Calls {
+    simulation.store.reset();
+    simulation.run(SECOND);
+    simulation.store.calls
 }
--- a/crates/bench/src/slopes/stream.rs
+++ b/crates/bench/src/slopes/stream.rs
@@ -6,11 +6,11 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::arms::Through;
+use crate::arms::ThroughDaemons;
 use crate::arms::prompt;
+use crate::cluster::Cluster;
+use crate::cluster::Size;
 use crate::report::Report;
-use crate::stage::Size;
-use crate::stage::Stage;
 
 const COLUMNS: [&str; 5] = ["streams", "rss_MB", "cpu_pct", "files", "tokens/s"];
 /// Time between two tokens of a stream.
@@ -32,8 +32,8 @@
 pub async fn measure(counts: &[usize], span: Duration) -> Result<Report, Error> {
     let mut report = Report::new("streams", &COLUMNS);
     for count in counts {
-        let figures = one(*count, span).await?;
-        report.push(&format!("{count} streams"), &figures);
+        let values = measure_one(*count, span).await?;
+        report.push(&format!("{count} streams"), &values);
     }
     report.print();
     for column in ["rss_MB", "cpu_pct", "files"] {
@@ -42,9 +42,9 @@
     Ok(report)
 }
 
-async fn one(count: usize, span: Duration) -> Result<Vec<f64>, Error> {
-    let mut stage = Stage::start(Size::new(1).with_token(TOKEN)).await?;
-    let through = Through::new(stage.callers()?);
+async fn measure_one(count: usize, span: Duration) -> Result<Vec<f64>, Error> {
+    let mut cluster = Cluster::start(Size::new(1).with_token(TOKEN)).await?;
+    let through = ThroughDaemons::new(cluster.callers()?);
     let mut streams = JoinSet::new();
     for number in 0..count as u64 {
         let through = through.clone();
@@ -56,10 +56,10 @@
         sleep(GAP).await;
     }
     sleep(SETTLE).await;
-    let usage = stage.daemons_usage()?;
+    let usage = cluster.daemons_usage()?;
     sleep(span).await;
-    let used = stage.daemons_usage()?.since(usage);
-    let files = stage.descriptors(0)?;
+    let used = cluster.daemons_usage()?.since(usage);
+    let files = cluster.descriptors(0)?;
     let mut open = count;
     while streams.try_join_next().is_some() {
         open -= 1;
--- a/crates/bench/tests/fit.rs
+++ b/crates/bench/tests/fit.rs
@@ -25,7 +25,7 @@
 }
 
 #[rstest]
-fn the_worst_point_and_the_share_explained_are_told() {
+fn the_worst_point_and_the_explained_share_are_computed() {
     let exact = Line::new(&[(1.0, 1.0), (2.0, 2.0), (3.0, 3.0)]);
     assert!(close(exact.r2, 1.0) && close(exact.worst, 0.0));
     let bent = Line::new(&[(0.0, 0.0), (1.0, 0.0), (2.0, 3.0)]);
@@ -37,7 +37,7 @@
 #[case(&[3.0, 1.0, 2.0], 1.0, 2.0, 3.0)]
 #[case(&[4.0, 1.0, 2.0, 3.0], 1.0, 2.5, 4.0)]
 #[case(&[7.0], 7.0, 7.0, 7.0)]
-fn a_range_has_its_middle(
+fn a_range_has_its_median(
     #[case] values: &[f64],
     #[case] least: f64,
     #[case] median: f64,
--- a/crates/bench/tests/world.rs
+++ b/crates/bench/tests/world.rs
@@ -1,10 +1,10 @@
-//! The world in virtual time does what a small fleet does.
+//! The simulation in virtual time does what a small fleet does.
 
 use std::time::Duration;
 
-use bench::world::World;
-use bench::world::kind::Kind;
-use bench::world::size::Size;
+use bench::simulation::Simulation;
+use bench::simulation::kind::Kind;
+use bench::simulation::size::Size;
 use rstest::rstest;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -19,42 +19,44 @@
     }
 }
 
-fn settled(daemons: usize, seed: u64) -> World {
-    let mut world = World::new(size(daemons), seed);
-    world.settle(SECOND * 30);
-    assert_eq!(world.agree(daemons, |_| true), daemons);
-    world.tally.reset();
-    world
+fn settled_simulation(daemons: usize, seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(size(daemons), seed);
+    simulation.settle(SECOND * 30);
+    assert_eq!(simulation.agreeing_count(daemons, |_| true), daemons);
+    simulation.counters.reset();
+    simulation
 }
 
 #[rstest]
 #[case(1)]
 #[case(9)]
 fn requests_are_answered(#[case] daemons: usize) {
-    let mut world = settled(daemons, 1);
-    world.load(20.0, SECOND * 3, 4, 10);
-    world.run(SECOND);
-    assert_eq!(world.tally.answers.done, 60);
-    assert_eq!(world.tally.answers.refused, 0);
+    let mut simulation = settled_simulation(daemons, 1);
+    simulation.load(20.0, SECOND * 3, 4, 10);
+    simulation.run(SECOND);
+    assert_eq!(simulation.counters.answers.done, 60);
+    assert_eq!(simulation.counters.answers.refused, 0);
 }
 
 #[rstest]
-fn daemons_that_are_cut_off_stop_deciding_and_come_back() {
-    let mut world = settled(9, 2);
-    world.set_cut(|zone| zone == 0);
-    world.run(SECOND * 4);
-    assert_eq!(world.fresh(|index| index % 3 == 0), 0);
-    assert_eq!(world.fresh(|index| index % 3 != 0), 6);
-    world.set_cut(|_| false);
-    let back = world.run_until(SECOND * 30, SECOND, |world| world.fresh(|_| true) == 9);
-    assert!(back.is_some());
+fn isolated_daemons_stop_deciding_and_recover() {
+    let mut simulation = settled_simulation(9, 2);
+    simulation.set_isolated(|zone| zone == 0);
+    simulation.run(SECOND * 4);
+    assert_eq!(simulation.fresh_count(|index| index % 3 == 0), 0);
+    assert_eq!(simulation.fresh_count(|index| index % 3 != 0), 6);
+    simulation.set_isolated(|_| false);
+    let recovery = simulation.run_until(SECOND * 30, SECOND, |simulation| {
+        simulation.fresh_count(|_| true) == 9
+    });
+    assert!(recovery.is_some());
 }
 
 #[rstest]
 fn frames_are_counted_by_kind() {
-    let mut world = settled(9, 3);
-    world.run(SECOND * 4);
-    assert!(world.tally.frames(Kind::Gossip) > 0.0);
-    assert!(world.tally.bytes(Kind::News) > world.tally.frames(Kind::News));
-    assert!(world.tally.frames(Kind::Place) < f64::EPSILON);
+    let mut simulation = settled_simulation(9, 3);
+    simulation.run(SECOND * 4);
+    assert!(simulation.counters.frames(Kind::Gossip) > 0.0);
+    assert!(simulation.counters.bytes(Kind::News) > simulation.counters.frames(Kind::News));
+    assert!(simulation.counters.frames(Kind::Place) < f64::EPSILON);
 }
