--- a/crates/bench/src/arms.rs
+++ b/crates/bench/src/arms.rs
@@ -1,6 +1,6 @@
-//! The two ways of a request: through daemons, and to the stand-ins themselves.
+//! The two arms of a comparison: requests through daemons, and direct requests to the fake replicas.
 //!
-//! Both take a fresh connection for each request, as the scenarios' caller does.
+//! Both open a connection for each request, as the scenarios' caller does.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,19 +31,19 @@
 const CUSTOMER: &str = "krmiva";
 /// Path of the plain call.
 const PLAIN_PATH: &str = "lots/17";
-/// Words that prompts are drawn from.
+/// Size of the vocabulary of prompts.
 const WORDS: u64 = 5_000;
-/// Handles of direct requests begin here, so that two seeds share none.
+/// Distance between the prompt seeds of two run seeds, so that runs share no prompt.
 const SEED_STEP: u64 = 1 << 32;
 
-/// A prompt of `words` words, equal for equal `seed` and `number`.
+/// A prompt of `words` words, the same for the same `seed` and `number`.
 pub fn prompt(seed: u64, number: u64, words: usize) -> String {
     let mut random = Pcg64Mcg::seed_from_u64(seed * SEED_STEP + number);
     let words = (0..words).map(|_| format!("w{}", random.random_range(0..WORDS)));
     words.collect::<Vec<String>>().join(" ")
 }
 
-/// Requests through daemons, taken in turn.
+/// Sends requests through daemons in round-robin order.
 #[derive(Debug, Clone)]
 pub struct ThroughDaemons {
     addresses: Arc<Vec<String>>,
@@ -63,7 +63,7 @@
         &self.addresses[number as usize % self.addresses.len()]
     }
 
-    /// One plain call.
+    /// Sends one plain call.
     pub async fn plain(&self, number: u64) -> Option<Sample> {
         let started = Instant::now();
         let call = PlainCall::new(cluster::APPLICATION, PLAIN_PATH);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// One language-model request of `tokens` tokens.
+    /// Sends one language-model request for `tokens` tokens.
     pub async fn model(&self, number: u64, prompt: &str, tokens: u32) -> Option<Sample> {
         let started = Instant::now();
         let request = Ask::new(cluster::MODEL, prompt, tokens);
@@ -96,7 +96,7 @@
                 Event::Tokens(_) => first = first.or_else(|| Some(started.elapsed())),
                 Event::Done(tokens) => return model(started, first, tokens),
                 end => {
-                    eprintln!("request {number} ended: {end:?}");
+                    eprintln!("request {number} ended early: {end:?}");
                     return None;
                 }
             }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Requests to the stand-ins themselves, taken in turn.
+/// Sends requests directly to fake replicas in round-robin order.
 #[derive(Debug, Clone)]
 pub struct Direct {
     prefills: Arc<Vec<SocketAddr>>,
@@ -116,7 +116,7 @@
 }
 
 impl Direct {
-    /// Requests to these replicas; `seed` keeps the names of attempts apart.
+    /// Requests to these replicas; `seed` keeps the handles of two runs distinct.
     pub fn new(
         prefills: &[String],
         decodes: &[String],
@@ -134,7 +134,7 @@
         }
     }
 
-    /// One plain call.
+    /// Sends one plain call.
     pub async fn plain(&self, number: u64) -> Option<Sample> {
         let started = Instant::now();
         let address = &self.applications[number as usize % self.applications.len()];
@@ -146,7 +146,7 @@
         (answer.status == 200).then(|| plain(started))
     }
 
-    /// One language-model request of `tokens` tokens: a prefill, then a decode.
+    /// Sends one language-model request for `tokens` tokens: a prefill, then a decode.
     pub async fn model(&self, number: u64, prompt: String, tokens: u32) -> Option<Sample> {
         let started = Instant::now();
         let source = self.prefills[number as usize % self.prefills.len()];
--- a/crates/bench/src/bin/cost.rs
+++ b/crates/bench/src/bin/cost.rs
@@ -1,8 +1,8 @@
-//! What a request costs through daemons, against calling the stand-ins themselves.
+//! Measures the cost of requests through daemons relative to direct calls to the fake replicas.
 //!
-//! In one run, for each seed and each kind of figure, the arms take turns: direct, through one
-//! daemon, through three. The values are ratios and differences within a seed; their median and range over the seeds are
-//! printed. The programs of the workspace must have been built in the same profile.
+//! For each seed and each phase, the arms run in turn: direct, through one daemon, through three. The
+//! program prints the median and range over the seeds of ratios and differences within a seed. The
+//! programs of the workspace must have been built in the same profile.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -22,17 +22,17 @@
 use scenario::plan::Role;
 use tokio::time::sleep;
 
-/// Calls whose latency is measured one after the other.
+/// Sequential calls over which latency is measured.
 const PLAIN_CALLS: u64 = 300;
 const MODEL_CALLS: u64 = 40;
 const LATENCY_TOKENS: u32 = 32;
-/// Calls over which processor time is measured, and callers that send them.
+/// Calls over which processor time is measured, and concurrent callers that send them.
 const PLAIN_BATCH: u64 = 3_000;
 const MODEL_BATCH: u64 = 300;
 const BATCH_CALLERS: usize = 16;
 const FEW_TOKENS: u32 = 8;
 const MANY_TOKENS: u32 = 208;
-/// How long the rate of each number of callers is measured.
+/// Time over which the rate with each number of callers is measured.
 const RATE_SPAN: Duration = Duration::from_millis(1_500);
 const IDLE_SPAN: Duration = Duration::from_secs(2);
 const PROMPT_WORDS: usize = 200;
@@ -54,12 +54,12 @@
 ];
 const ARMS: [&str; 3] = ["direct", "1 daemon", "3 daemons"];
 
-/// What is measured of all arms before the next is.
+/// A measurement that runs on all arms before the next one.
 #[derive(Debug, Clone, Copy)]
 enum Phase {
     Latency,
     Processor,
-    /// Requests a second of so many callers.
+    /// Requests per second with this number of concurrent callers.
     Rate(usize),
 }
 
@@ -72,7 +72,7 @@
     Phase::Rate(128),
 ];
 
-/// One way of sending requests.
+/// One arm of the comparison.
 #[derive(Debug, Clone)]
 enum Arm {
     Direct(Direct),
@@ -169,7 +169,7 @@
     })
 }
 
-/// The arms in the order of [`ARMS`], each with the number of its fleet.
+/// The arms in the order of [`ARMS`], each with the index of its cluster.
 fn arms(clusters: &[Cluster; 2], seed: u64) -> Result<[(usize, Arm); ARMS.len()], Error> {
     let [one, three] = clusters;
     let direct = Direct::new(
@@ -185,7 +185,7 @@
     ])
 }
 
-/// The values of one arm in one phase; those of all phases are in the order of [`COLUMNS`].
+/// Measures one arm in one phase; the values of all phases together are in the order of [`COLUMNS`].
 async fn measure_phase(
     cluster: &mut Cluster,
     arm: &Arm,
@@ -207,7 +207,7 @@
     }
 }
 
-/// Processor time of the daemons and of the stand-ins.
+/// Measures processor time of the daemons and of the fake replicas.
 async fn measure_cpu(cluster: &mut Cluster, arm: &Arm, seed: u64) -> Result<Vec<f64>, Error> {
     let idle = measure_idle_cpu(cluster).await?;
     let plain = arm.plain(BATCH_CALLERS, Until::Count(PLAIN_BATCH));
@@ -231,7 +231,7 @@
     ])
 }
 
-/// Processor time of all daemons a second while there are no requests.
+/// Processor time of all daemons per second without requests.
 async fn measure_idle_cpu(cluster: &mut Cluster) -> Result<f64, Error> {
     let before = cluster.daemons_usage()?;
     sleep(IDLE_SPAN).await;
@@ -239,7 +239,8 @@
     Ok(used.cpu / IDLE_SPAN.as_secs_f64())
 }
 
-/// Runs `load`; processor time of the daemons above `idle`, and of the replicas of `role`.
+/// Runs `load`; returns its outcome, the daemons' processor time beyond `idle`, and that of the
+/// replicas of `role`.
 async fn measure_load_cpu(
     cluster: &mut Cluster,
     idle: f64,
@@ -255,7 +256,7 @@
     Ok((outcome, daemons - idle, backends))
 }
 
-/// Prints each arm against the direct one of the same seed.
+/// Prints each arm relative to the direct one of the same seed.
 fn print_summary(report: &Report) {
     println!("\nmedian [least..most] over the seeds");
     let column = |name: &str, arm: usize| -> Vec<f64> {
--- a/crates/bench/src/bin/slope.rs
+++ b/crates/bench/src/bin/slope.rs
@@ -1,7 +1,7 @@
-//! How state, messages and processor time of each role of a daemon grow.
+//! Measures how state, messages and processor time of each role of a daemon grow.
 //!
-//! `daemons`, `replicas`, `streams` and `calls` run real daemons on loopback, whose programs must have been
-//! built in the same profile; the others run the decision core in virtual time.
+//! `daemons`, `replicas`, `streams` and `calls` run real daemons on loopback, whose programs must have
+//! been built in the same profile; the others run the decision core in virtual time.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -22,12 +22,12 @@
 use getopts::Options;
 use scenario::error::Error;
 
-/// Pools, replicas, daemons and requests a second at the size to design for.
+/// Pools, replicas, daemons and requests per second of the design size.
 const POOLS: usize = 14;
 const REPLICAS: usize = 930;
 const DAEMONS: usize = 400;
 const RATE: f64 = 11_000.0;
-/// Replicas of one pool at that size.
+/// Replicas of one pool at the design size.
 const POOL_REPLICAS: usize = 66;
 const HELP: &str = "slope [options] ROLE
 roles: members, edits, keeper, rate, letter, restarts, cut, keys, frames (virtual time);
@@ -102,7 +102,7 @@
         "streams" => stream::measure(&sizes(&[25, 50, 100, 200, 400]), span).await?,
         "calls" => calls::measure(&sizes(&[1_000, 2_000, 4_000, 8_000, 16_000, 32_000])).await?,
         other => {
-            eprintln!("`{other}` is no role\n{HELP}");
+            eprintln!("unknown role `{other}`\n{HELP}");
             std::process::exit(2);
         }
     };
@@ -119,7 +119,7 @@
     given.unwrap_or_else(|| default.to_vec())
 }
 
-/// The keeper of one pool among nine daemons.
+/// A load on one pool with nine daemons.
 const fn load(replicas: usize, rate: f64) -> Load {
     Load {
         daemons: 9,
@@ -151,7 +151,7 @@
     report
 }
 
-/// The whole size to design for, with the rate in three steps.
+/// Measures the full design size with the rate in three steps.
 fn design_size(span: Duration, seed: u64) -> Report {
     let loads = [0.25, 0.5, 1.0].map(|part| Load {
         daemons: DAEMONS,
--- a/crates/bench/src/cluster.rs
+++ b/crates/bench/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Real daemons before fast stand-ins, as child processes on loopback.
+//! Runs real daemons and fast fake replicas as child processes on loopback.
 
 use std::time::Duration;
 
@@ -18,13 +18,13 @@
 pub const MODEL: &str = "ration";
 /// The plain application.
 pub const APPLICATION: &str = "stock";
-/// Data centres that daemons and replicas are spread over.
+/// Data centres of the daemons and replicas, in turn.
 const ZONES: [&str; 3] = ["osijek-a", "vinkovci-b", "dakovo-c"];
-/// Slots of each stand-in, so that none is ever short of them.
+/// Slots of each fake replica; high enough not to limit a measurement.
 const SLOTS: u32 = 1_024;
-/// Metric that counts the frames sent to other daemons.
+/// Metric of the frames sent to other daemons.
 const FRAMES: &str = "waxwing_frames_sent_total";
-/// The ceilings and targets are far off, so that neither limits a measurement.
+/// Table whose ceilings and targets are too high to limit a measurement.
 const TABLE: &str = "
 - service: ration
   class: default
@@ -36,7 +36,7 @@
 - {service: stock, class: default, pool: stock, decode_ceiling: 100000}
 ";
 
-/// What is started.
+/// Processes to start.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
     /// Entry daemons.
@@ -45,14 +45,14 @@
     pub engines: usize,
     /// Plain applications.
     pub applications: usize,
-    /// Time between two tokens of an engine.
+    /// Time per token of an engine.
     pub token: Duration,
-    /// Times in the daemons' settings.
+    /// Timing settings of the daemons.
     pub timing: Timing,
 }
 
 impl Size {
-    /// `daemons` before two engines of each role and two applications, all as fast as can be.
+    /// `daemons` with two engines of each role and two applications, all with the shortest work times.
     pub fn new(daemons: usize) -> Self {
         Self {
             daemons,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The same with `engines` engines of each role and as many applications.
+    /// Sets the number of engines of each role and of applications.
     #[must_use]
     pub const fn with_backends(mut self, engines: usize, applications: usize) -> Self {
         self.engines = engines;
@@ -71,7 +71,7 @@
         self
     }
 
-    /// The same with `token` between two tokens.
+    /// Sets the time per token.
     #[must_use]
     pub const fn with_token(mut self, token: Duration) -> Self {
         self.token = token;
@@ -125,7 +125,7 @@
     format!("{APPLICATION}-{}", index + 1)
 }
 
-/// A running fleet.
+/// The running processes.
 #[derive(Debug)]
 pub struct Cluster {
     /// The processes.
@@ -135,7 +135,7 @@
 }
 
 impl Cluster {
-    /// Starts `size` and puts a table in force.
+    /// Starts the processes, applies the table and waits until the daemons are ready.
     ///
     /// # Errors
     ///
@@ -184,7 +184,7 @@
             .collect()
     }
 
-    /// What the process `name` has used.
+    /// Resources used by the process `name`.
     ///
     /// # Errors
     ///
@@ -194,7 +194,7 @@
         Usage::of(id).map_err(|cause| io("read the usage of", name, cause))
     }
 
-    /// What all daemons together have used.
+    /// Resources used by all daemons together.
     ///
     /// # Errors
     ///
@@ -203,7 +203,7 @@
         self.sum((0..self.size.daemons).map(daemon).collect())
     }
 
-    /// What all replicas of `role` together have used.
+    /// Resources used by all replicas of `role` together.
     ///
     /// # Errors
     ///
@@ -249,7 +249,7 @@
             .sum()
     }
 
-    /// Frames that all daemons have sent to each other.
+    /// Frames that the daemons have sent to each other.
     ///
     /// # Errors
     ///
@@ -264,7 +264,7 @@
         Ok(sum)
     }
 
-    /// What the platform has counted: reads and writes.
+    /// Reads and writes that the platform has counted.
     ///
     /// # Errors
     ///
--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -1,28 +1,28 @@
-//! Straight lines through measured points, and the middle of repeated measurements.
+//! Fits lines to measured points and summarizes repeated measurements.
 
 use std::fmt;
 
-/// A straight line by least squares.
+/// A least-squares line.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Line {
-    /// Value at zero.
+    /// Intercept.
     pub base: f64,
-    /// Growth for each unit.
+    /// Slope.
     pub slope: f64,
-    /// Share of the variance that the line explains, 0 to 1.
+    /// Coefficient of determination, 0 to 1.
     pub r2: f64,
-    /// Largest distance of a point from the line, as a share of the largest value.
+    /// Largest residual as a fraction of the largest absolute value.
     pub worst: f64,
 }
 
 impl Line {
-    /// The line through `points`; flat if all lie at one place.
+    /// Fits a line to `points`; its slope is 0 if all have the same x.
     ///
     /// # Panics
     ///
     /// If there are no points.
     pub fn new(points: &[(f64, f64)]) -> Self {
-        assert!(!points.is_empty(), "a line needs points");
+        assert!(!points.is_empty(), "a line needs at least one point");
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
@@ -86,16 +86,16 @@
 /// Median and range of repeated measurements.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Range {
-    /// The least value.
+    /// Smallest value.
     pub least: f64,
-    /// The middle one.
+    /// Median.
     pub median: f64,
-    /// The largest.
+    /// Largest value.
     pub most: f64,
 }
 
 impl Range {
-    /// The range of `values`.
+    /// Median and range of `values`.
     ///
     /// # Panics
     ///
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers that send the next request when the last one has ended.
+//! Generates load: closed-loop callers, or requests at a fixed rate.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -10,35 +10,35 @@
 use tokio::time::Instant;
 use tokio::time::sleep_until;
 
-/// Longest latency that is told apart, in microseconds.
+/// Upper bound of the histograms, in microseconds.
 const MAX_LATENCY_US: u64 = 120_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Times of one request.
+/// Latencies and tokens of one request.
 #[derive(Debug, Clone, Copy)]
 pub struct Sample {
-    /// Until the first token (plain: until the answer).
+    /// Time to the first token (plain: to the answer).
     pub first: Duration,
-    /// Until the end.
+    /// Time to the end.
     pub total: Duration,
     /// Tokens received.
     pub tokens: u64,
 }
 
-/// What a load came to.
+/// Results of a load.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Times until the first token, in microseconds.
+    /// Times to the first token, in microseconds.
     pub first: Histogram<u64>,
-    /// Times until the end, in microseconds.
+    /// Times to the end, in microseconds.
     pub total: Histogram<u64>,
-    /// Requests answered in full.
+    /// Requests with a complete answer.
     pub answered: u64,
-    /// Requests that were not.
+    /// Other requests.
     pub failed: u64,
     /// Tokens received.
     pub tokens: u64,
-    /// From the first request to the last answer.
+    /// Time from the first request to the last answer.
     pub elapsed: Duration,
 }
 
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Median time until the first token, in milliseconds.
+    /// Median time to the first token, in milliseconds.
     pub fn first_ms(&self) -> f64 {
         self.first.value_at_quantile(0.5) as f64 / 1_000.0
     }
 
-    /// Requests answered a second.
+    /// Requests answered per second.
     pub fn rate(&self) -> f64 {
         self.answered as f64 / self.elapsed.as_secs_f64()
     }
@@ -86,13 +86,14 @@
 /// When a load ends.
 #[derive(Debug, Clone, Copy)]
 pub enum Until {
-    /// After so many requests.
+    /// After this number of requests.
     Count(u64),
-    /// When so much time has passed.
+    /// After this time; requests in progress are completed.
     Time(Duration),
 }
 
-/// Runs `callers` callers, each of which sends its next request when its last one has ended.
+/// Runs `callers` concurrent callers, each of which sends its next request when the last one has
+/// ended.
 pub async fn run<F, R>(callers: usize, until: Until, request: F) -> Outcome
 where
     F: Fn(u64) -> R + Clone + Send + Sync + 'static,
@@ -122,7 +123,7 @@
     collect(started, tasks).await
 }
 
-/// Sends `rate` requests a second for `span`, whether or not earlier ones have ended.
+/// Sends `rate` requests per second for `span`, whether or not earlier ones have ended.
 pub async fn run_at_rate<F, R>(rate: f64, span: Duration, request: F) -> Outcome
 where
     F: Fn(u64) -> R + Clone + Send + Sync + 'static,
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables of values on the standard output and as CSV.
+//! Prints tables of measured values and writes them as CSV.
 
 use std::fs;
 use std::io;
@@ -6,7 +6,7 @@
 
 use crate::fit::Line;
 
-/// A table of values, one row for each measured size or arm.
+/// A table with one row for each measured size or arm.
 #[derive(Debug, Clone)]
 pub struct Report {
     name: String,
@@ -29,14 +29,14 @@
         self.rows.push((label.to_owned(), values.to_vec()));
     }
 
-    /// The values of `column`, in the order of the rows.
+    /// The values of `column` in row order.
     ///
     /// # Panics
     ///
     /// If there is no such column.
     pub fn column(&self, column: &str) -> Vec<f64> {
         let found = self.columns.iter().position(|name| name == column);
-        let index = found.expect("a column of the table");
+        let index = found.expect("the table has this column");
         self.rows.iter().map(|(_, values)| values[index]).collect()
     }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Prints the line of `column` over `x`.
+    /// Prints and returns the line fitted to `column` over `x`.
     pub fn print_fit(&self, x: &str, column: &str) -> Line {
         let values = self.column(column);
         let points: Vec<(f64, f64)> = self.column(x).into_iter().zip(values).collect();
@@ -66,11 +66,11 @@
         line
     }
 
-    /// Writes the table to `folder`, if one is given.
+    /// Writes the table as CSV to `folder`, if one is given.
     ///
     /// # Errors
     ///
-    /// What the file system says.
+    /// If the folder or the file cannot be written.
     pub fn save(&self, folder: Option<&Path>) -> io::Result<()> {
         let Some(folder) = folder else {
             return Ok(());
@@ -85,7 +85,7 @@
     }
 }
 
-/// Three digits after the point for small values, none for large ones.
+/// Formats large values without decimals and small ones with up to five.
 fn format_value(value: f64) -> String {
     match value.abs() {
         size if size >= 1_000.0 => format!("{value:.0}"),
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -1,6 +1,6 @@
-//! Decision cores of many daemons with a network, a store and replicas, in virtual time.
+//! Simulates the decision cores of many daemons with a network, a store and replicas in virtual time.
 //!
-//! The cores are the daemons' own ([`node::Node`]); only what surrounds them is simple. Frames are
+//! The cores are the real ones ([`node::Node`]), their environment is a simple model. Frames are
 //! encoded as on the wire and counted by kind; the processor time of each step is counted by the
 //! kind of event.
 
@@ -42,27 +42,27 @@
     Duration::from_micros(1_500),
     Duration::from_millis(20),
 ];
-/// Largest random addition to a delay, in microseconds.
+/// Largest random jitter of a delay, in microseconds.
 const JITTER_US: u64 = 250;
 /// Time between two reads of the list by a daemon.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
-/// Start of the first runs, in milliseconds of the Unix clock.
+/// Unix time at which the simulation starts, in milliseconds.
 const STARTED_MS: u64 = 1_790_000_000_000;
 
-/// A daemon.
+/// A simulated daemon.
 #[derive(Debug)]
 struct Daemon {
     node: Node,
     zone: usize,
     wake: Time,
-    /// Raised with each run, so that what was meant for a former one is dropped.
+    /// Number of restarts; events for an earlier run are dropped.
     run: u64,
 }
 
-/// What is about to handle.
+/// An event in the queue.
 #[derive(Debug)]
-enum ScheduledEvent {
-    /// A core's timer.
+enum SimEvent {
+    /// The timer of a core.
     Wake,
     /// An event for the core.
     Event(Box<Event>),
@@ -70,29 +70,29 @@
     List,
 }
 
-/// Daemons with their surroundings.
+/// Daemons and their environment.
 #[derive(Debug)]
 pub struct Simulation {
-    /// The present time.
+    /// Current virtual time.
     pub now: Time,
     /// The platform's store.
     pub store: Store,
-    /// What the cores have sent and used.
+    /// Frames sent and processor time used by the cores.
     pub counters: Counters,
     pub(crate) listing: Listing,
     pub(crate) replicas: Replicas,
-    /// Daemons that are cut off from the others and from the store.
+    /// Whether each daemon is cut off from the store and from the daemons that are not.
     pub(crate) isolated: Vec<bool>,
     size: Size,
     daemons: Vec<Daemon>,
     index: BTreeMap<Instance, usize>,
-    queue: BTreeMap<(Time, u64), (usize, u64, ScheduledEvent)>,
+    queue: BTreeMap<(Time, u64), (usize, u64, SimEvent)>,
     sequence: u64,
     random: Pcg64Mcg,
 }
 
 impl Simulation {
-    /// A simulation of `size` in which every daemon has just started; no replicas are listed yet.
+    /// A simulation of `size` in which every daemon has just started and no replicas are listed yet.
     pub fn new(size: Size, seed: u64) -> Self {
         let listing = Listing::new(&size);
         let index = (0..size.daemons).map(|index| (list::instance(index), index));
@@ -118,7 +118,8 @@
         simulation
     }
 
-    /// Runs until every daemon knows all others and has the table, then lists the replicas.
+    /// Runs until every daemon knows all others and has the table, then lists the replicas. Returns how
+    /// long the first part took, at most about `limit`.
     pub fn settle(&mut self, limit: Duration) -> Duration {
         let started = self.now;
         while !self.is_settled() && self.now.since(started) < limit {
@@ -138,7 +139,7 @@
         })
     }
 
-    /// Lets `span` pass.
+    /// Handles the events of the next `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(entry) = self.queue.first_entry() {
@@ -155,7 +156,7 @@
         self.now = end;
     }
 
-    /// Runs until `done` holds, looking every `interval`; `None` if it does not within `limit`.
+    /// Runs until `done` holds, which is checked every `interval`; `None` if it does not within `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -202,19 +203,17 @@
 
     fn start(&mut self, index: usize) {
         let wait = Duration::from_micros(self.random.random_range(0..400_000));
-        self.schedule(self.now + wait, index, ScheduledEvent::List);
+        self.schedule(self.now + wait, index, SimEvent::List);
         self.wake(index);
     }
 
-    fn handle(&mut self, index: usize, event: ScheduledEvent) {
+    fn handle(&mut self, index: usize, event: SimEvent) {
         match event {
-            ScheduledEvent::Wake if self.daemons[index].wake == self.now => {
-                self.step(index, Event::Tick)
-            }
-            ScheduledEvent::Wake => {}
-            ScheduledEvent::Event(event) => self.step(index, *event),
-            ScheduledEvent::List => {
-                self.schedule(self.now + LIST_INTERVAL, index, ScheduledEvent::List);
+            SimEvent::Wake if self.daemons[index].wake == self.now => self.step(index, Event::Tick),
+            SimEvent::Wake => {}
+            SimEvent::Event(event) => self.step(index, *event),
+            SimEvent::List => {
+                self.schedule(self.now + LIST_INTERVAL, index, SimEvent::List);
                 if self.store.is_reachable(self.isolated[index]) {
                     self.store.count_list();
                     let list = self.listing.list();
@@ -245,15 +244,15 @@
             .max(self.now + Duration::from_micros(1));
         if self.daemons[index].wake != at {
             self.daemons[index].wake = at;
-            self.schedule(at, index, ScheduledEvent::Wake);
+            self.schedule(at, index, SimEvent::Wake);
         }
     }
 
     fn push(&mut self, at: Time, index: usize, event: Event) {
-        self.schedule(at, index, ScheduledEvent::Event(Box::new(event)));
+        self.schedule(at, index, SimEvent::Event(Box::new(event)));
     }
 
-    fn schedule(&mut self, at: Time, index: usize, event: ScheduledEvent) {
+    fn schedule(&mut self, at: Time, index: usize, event: SimEvent) {
         self.sequence += 1;
         let run = self.daemons.get(index).map_or(0, |daemon| daemon.run);
         self.queue.insert((at, self.sequence), (index, run, event));
--- a/crates/bench/src/simulation/actions.rs
+++ b/crates/bench/src/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! What follows from the actions of a core.
+//! Carries out the actions of the decision cores.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::simulation::replicas;
 use crate::simulation::store::Store;
 
-/// Time of a call to the store.
+/// Duration of a call to the store.
 const STORE_CALL_TIME: Duration = Duration::from_millis(2);
 
 /// Carries out `action` of daemon `index`.
--- a/crates/bench/src/simulation/control.rs
+++ b/crates/bench/src/simulation/control.rs
@@ -1,4 +1,4 @@
-//! What is done to a simulation, and what is asked of it.
+//! Injects requests and faults into a simulation, and queries its state.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::simulation::list;
 
 impl Simulation {
-    /// Sends `rate` language-model requests a second for `span`, to daemons drawn at random.
+    /// Sends `rate` language-model requests per second for `span`, to random daemons.
     pub fn load(&mut self, rate: f64, span: Duration, blocks: usize, tokens: u32) {
         let count = (rate * span.as_secs_f64()) as u64;
         let gap = span / count.max(1) as u32;
@@ -41,27 +41,28 @@
         }
     }
 
-    /// Gives an operator's edit to daemon `index`.
+    /// Submits an operator's edit to daemon `index`.
     pub fn edit(&mut self, index: usize, edit: Edit) {
         let call = self.counters.new_call();
         self.push(self.now, index, Event::Edited { call, edit });
     }
 
-    /// Ends the run of daemon `index` without notice and starts another.
+    /// Kills daemon `index` and starts it again.
     pub fn restart(&mut self, index: usize) {
         let run = self.daemons[index].run + 1;
         self.daemons[index] = self.new_daemon(index, run);
         self.start(index);
     }
 
-    /// Cuts the daemons of `zones` off from all others and from the store, or heals that.
+    /// Cuts the daemons of the data centres for which `isolated` holds off from all others and from the
+    /// store, and reconnects the rest.
     pub fn set_isolated(&mut self, isolated: impl Fn(usize) -> bool) {
         for (index, daemon) in self.daemons.iter().enumerate() {
             self.isolated[index] = isolated(daemon.zone);
         }
     }
 
-    /// Daemons that may decide by their table, among those for which `which` holds.
+    /// Number of daemons with a table fresh enough to decide by, among those for which `which` holds.
     pub fn fresh_count(&self, which: impl Fn(usize) -> bool) -> usize {
         let daemons = (0..self.daemons.len()).filter(|index| which(*index));
         daemons
@@ -69,7 +70,7 @@
             .count()
     }
 
-    /// Daemons whose table has at least `generation`.
+    /// Number of daemons whose table has at least `generation`.
     pub fn in_force_count(&self, generation: u64) -> usize {
         let held = |daemon: &&Daemon| daemon.node.table().map_or(0, |table| table.generation);
         self.daemons
@@ -78,7 +79,8 @@
             .count()
     }
 
-    /// Daemons that hold exactly `alive` others to be alive, among those for which `which` holds.
+    /// Number of daemons whose address list has exactly `alive` instances, among those for which `which`
+    /// holds.
     pub fn agreeing_count(&self, alive: usize, which: impl Fn(usize) -> bool) -> usize {
         let near = Zone::new(&list::zone_name(0));
         let daemons = (0..self.daemons.len()).filter(|index| which(*index));
@@ -87,7 +89,7 @@
             .count()
     }
 
-    /// Daemons, running or not.
+    /// Number of daemons.
     pub const fn daemons(&self) -> usize {
         self.size.daemons
     }
--- a/crates/bench/src/simulation/counters.rs
+++ b/crates/bench/src/simulation/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what the cores sent and used.
+//! Counts frames, bytes and processor time of the cores.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::simulation::kind::Kind;
 use crate::usage;
 
-/// Pairs of clock_cost reads by which their own cost is found.
+/// Clock reads over which the cost of one is measured.
 const CLOCK_READS: u32 = 10_000;
 
 /// Frames, bytes and steps of one daemon, by kind.
@@ -15,22 +15,22 @@
 struct DaemonCounts {
     frames: u64,
     bytes: u64,
-    /// Bytes that others sent to it.
+    /// Bytes received from other daemons.
     received: u64,
     steps: u64,
     seconds: f64,
 }
 
-/// How callers and operators were answered.
+/// Counts of answers to callers and operators.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Answers {
-    /// Requests answered in full.
+    /// Requests with a complete answer.
     pub done: u64,
-    /// Requests refused.
+    /// Refused requests.
     pub refused: u64,
-    /// Edits accepted.
+    /// Accepted edits.
     pub accepted: u64,
-    /// Edits whose fate was not told, or which were refused.
+    /// Edits that were rejected or whose outcome is unknown.
     pub undecided: u64,
 }
 
@@ -41,12 +41,12 @@
     pub answers: Answers,
     counts: Vec<[DaemonCounts; Kind::ALL.len()]>,
     calls: u64,
-    /// Processor time of reading the clock_cost before and after a step.
+    /// Processor time of one clock read in seconds, which each step's measurement includes.
     clock_cost: f64,
 }
 
 impl Counters {
-    /// No counts, for `daemons` daemons.
+    /// Empty counters for `daemons` daemons.
     pub(super) fn new(daemons: usize) -> Self {
         let started = usage::thread_time();
         for _ in 0..CLOCK_READS {
@@ -61,14 +61,14 @@
         }
     }
 
-    /// Forgets all counts.
+    /// Resets all counts.
     pub fn reset(&mut self) {
         self.answers = Answers::default();
         let daemons = self.counts.len();
         self.counts = vec![[DaemonCounts::default(); Kind::ALL.len()]; daemons];
     }
 
-    /// A fresh number for a caller's connection.
+    /// A new id for a caller's connection.
     pub(super) fn new_call(&mut self) -> CallId {
         self.calls += 1;
         CallId(self.calls)
@@ -95,22 +95,22 @@
         }
     }
 
-    /// Frames of `kind` sent by the mean daemon.
+    /// Mean number of frames of `kind` sent per daemon.
     pub fn frames(&self, kind: Kind) -> f64 {
         self.mean(|count| count.frames as f64, kind)
     }
 
-    /// Bytes of `kind` sent by the mean daemon.
+    /// Mean number of bytes of `kind` sent per daemon.
     pub fn bytes(&self, kind: Kind) -> f64 {
         self.mean(|count| count.bytes as f64, kind)
     }
 
-    /// Seconds of processor time spent on `kind` by the mean daemon.
+    /// Mean processor time on `kind` per daemon, in seconds.
     pub fn seconds(&self, kind: Kind) -> f64 {
         self.mean(|count| count.seconds, kind)
     }
 
-    /// Bytes sent and received by each daemon in all kinds.
+    /// Bytes of all kinds sent and received, per daemon.
     pub fn bytes_of_each(&self) -> Vec<f64> {
         let sum = |counts: &[DaemonCounts; Kind::ALL.len()]| {
             counts
@@ -121,7 +121,7 @@
         self.counts.iter().map(sum).collect()
     }
 
-    /// Bytes sent by each daemon in all kinds.
+    /// Bytes of all kinds sent, per daemon.
     pub fn sent_of_each(&self) -> Vec<f64> {
         let sum = |counts: &[DaemonCounts; Kind::ALL.len()]| {
             counts.iter().map(|count| count.bytes as f64).sum()
@@ -129,7 +129,7 @@
         self.counts.iter().map(sum).collect()
     }
 
-    /// Frames sent by each daemon in all kinds.
+    /// Frames of all kinds sent, per daemon.
     pub fn frames_of_each(&self) -> Vec<f64> {
         let sum = |counts: &[DaemonCounts; Kind::ALL.len()]| {
             counts.iter().map(|count| count.frames as f64).sum()
@@ -137,7 +137,7 @@
         self.counts.iter().map(sum).collect()
     }
 
-    /// Seconds of processor time spent by each daemon in all kinds.
+    /// Processor time on all kinds, per daemon, in seconds.
     pub fn seconds_of_each(&self) -> Vec<f64> {
         let sum = |counts: &[DaemonCounts; Kind::ALL.len()]| {
             counts.iter().map(|count| count.seconds).sum()
--- a/crates/bench/src/simulation/kind.rs
+++ b/crates/bench/src/simulation/kind.rs
@@ -1,41 +1,41 @@
-//! Kinds of events and frames, for counting.
+//! Classifies events and frames for the counters.
 
 use node::event::Event;
 use wire::Body;
 
-/// What an event or a frame is for.
+/// Purpose of an event or a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     /// Membership.
     Gossip,
-    /// Which table generation is held, and how fresh it is.
+    /// Generation of the table and its freshness.
     News,
-    /// The table itself, and asking for it.
+    /// The table or the list itself, and requests for them.
     Push,
-    /// An accepted edit is announced and noted.
+    /// Announcements of accepted edits, and their acknowledgements.
     Announce,
-    /// A request asks for its place and is answered.
+    /// Requests for a placement, and the verdicts.
     Place,
-    /// Progress of placed requests is told to their keeper.
+    /// Progress of placed requests, sent to their keeper.
     Advance,
-    /// Keepers compare what replicas hold with what owners want.
+    /// Comparison by keepers of what replicas hold with what owners have in progress.
     Audit,
-    /// Keys and their outcomes.
+    /// Idempotency keys and their outcomes.
     Key,
-    /// A replica's state.
+    /// State of a replica.
     Inspect,
     /// The platform's list.
     List,
-    /// An answer of the store.
+    /// A reply of the store, or an operator's edit.
     Store,
-    /// A caller, or an order to a replica.
+    /// Any other event: callers, and orders to replicas.
     Caller,
-    /// A timer of the core.
+    /// A timer or the stop of a core.
     Timer,
 }
 
 impl Kind {
-    /// All kinds, in the order of tables.
+    /// All kinds, in the order of their declaration, by which counters are indexed.
     pub const ALL: [Self; 13] = [
         Self::Gossip,
         Self::News,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Its name in tables.
+    /// Name of the kind.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Gossip => "gossip",
--- a/crates/bench/src/simulation/list.rs
+++ b/crates/bench/src/simulation/list.rs
@@ -1,4 +1,4 @@
-//! Names, the platform's list and the table of a simulation.
+//! Generates the names, the platform's list and the table of a simulation.
 
 use ident::Instance;
 use ident::Pool;
@@ -13,14 +13,14 @@
 
 use crate::simulation::size::Size;
 
-/// Regions that the data centres are spread over.
+/// Number of regions, to which the data centres are assigned in turn.
 pub const REGIONS: usize = 3;
-/// Requests that a replica of each role runs at once.
+/// Most concurrent requests of a replica of each role.
 const PREFILL_SLOTS: u32 = 8;
 const DECODE_SLOTS: u32 = 20;
 const CEILING: u32 = 1_000_000;
 
-/// The list, which holds no replicas at first.
+/// The platform's list, without replicas at first.
 #[derive(Debug)]
 pub struct Listing {
     instances: Vec<ListedInstance>,
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Shows the replicas from now on.
+    /// Adds the replicas to the list.
     pub(super) fn list_replicas(&mut self) {
         self.replicas_listed = true;
     }
 
-    /// The list as the platform shows it now.
+    /// The current list.
     pub(super) fn list(&self) -> PlatformList {
         PlatformList {
             instances: self.instances.clone(),
@@ -65,32 +65,32 @@
     zone % REGIONS
 }
 
-/// The name of data centre `zone`.
+/// Name of data centre `zone`.
 pub fn zone_name(zone: usize) -> String {
     format!("region-{}-centre-{zone}", region(zone))
 }
 
-/// The name of daemon `index`.
+/// Name of daemon `index`.
 pub fn instance_name(index: usize) -> String {
     format!("entry-{index}")
 }
 
-/// The key of daemon `index`.
+/// Id of daemon `index`.
 pub fn instance(index: usize) -> Instance {
     Instance::new(&instance_name(index))
 }
 
-/// The name of pool `pool`, and of its service.
+/// Name of pool `pool` and of its service.
 pub fn pool_name(pool: usize) -> String {
     format!("model-{pool}")
 }
 
-/// The name of replica `index`.
+/// Name of replica `index`.
 pub fn replica_name(index: usize) -> String {
     format!("engine-{index}")
 }
 
-/// A third of each pool's replicas run prefills.
+/// Role of replica `index`: a third of each pool's replicas run prefills.
 pub const fn role(index: usize, pools: usize) -> Role {
     if (index / pools).is_multiple_of(3) {
         Role::Prefill
@@ -99,7 +99,7 @@
     }
 }
 
-/// The table: one row a pool for class `default`, then further classes until there are enough.
+/// The table: one row per pool for class `default`, then rows for further classes up to `size.rows`.
 pub fn table(size: &Size) -> Table {
     let rows = (0..size.rows.max(size.pools)).map(|index| {
         let pool = pool_name(index % size.pools);
--- a/crates/bench/src/simulation/replicas.rs
+++ b/crates/bench/src/simulation/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas, as the cores see them: they carry every order out after a fixed time.
+//! Models the replicas, which carry out every order after a fixed time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,22 +20,22 @@
 use crate::simulation::list;
 use crate::simulation::size::Size;
 
-/// Time of a prefill.
+/// Duration of a prefill.
 const PREFILL_TIME: Duration = Duration::from_millis(60);
-/// Time of a transfer.
+/// Duration of a KV cache transfer.
 const IMPORT_TIME: Duration = Duration::from_millis(10);
 /// Time between two tokens.
 const TOKEN_TIME: Duration = Duration::from_millis(5);
-/// Time of an answer to a question.
+/// Duration of a control call, such as an inspection.
 pub(super) const CONTROL_TIME: Duration = Duration::from_millis(1);
 
-/// All replicas.
+/// All replicas and the attempts that they hold.
 #[derive(Debug)]
 pub struct Replicas {
     works: BTreeMap<Replica, BTreeMap<Handle, Attempt>>,
 }
 
-/// What a replica holds for an attempt, and when that is over.
+/// An attempt at a replica, and when it is done.
 #[derive(Debug, Clone, Copy)]
 struct Attempt {
     held: HeldAttempt,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// What follows from an order, and after what time each.
+    /// Carries out an order; returns the resulting events with their delays.
     pub(super) fn order(
         &mut self,
         now: Time,
@@ -138,7 +138,7 @@
     }
 }
 
-/// The pieces of a stream: its first token, the others at once at their end, and the end.
+/// Events of a stream: the import, the first token, all other tokens when the last is due, and the end.
 fn stream(order: OrderId, tokens: u32) -> Vec<(Duration, Event)> {
     let run = |offset, count| Piece::Tokens {
         offset,
--- a/crates/bench/src/simulation/size.rs
+++ b/crates/bench/src/simulation/size.rs
@@ -1,13 +1,13 @@
-//! How large a simulation is.
+//! Size of a simulation.
 
-/// How large a simulation is.
+/// Size of a simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
     /// Daemons.
     pub daemons: usize,
-    /// Data centres, spread over `list::REGIONS` regions.
+    /// Data centres, in `list::REGIONS` regions.
     pub zones: usize,
-    /// Replicas on the list from `Simulation::settle` on.
+    /// Replicas, which are listed at the end of `Simulation::settle`.
     pub replicas: usize,
     /// Pools, each with its own model.
     pub pools: usize,
--- a/crates/bench/src/simulation/store.rs
+++ b/crates/bench/src/simulation/store.rs
@@ -1,11 +1,11 @@
-//! The platform's store, as the cores see it.
+//! Models the platform's store.
 
 use node::action::StoreRequest;
 use node::event::StoreReply;
 use table::Table;
 use table::edit::Edit;
 
-/// Calls that the store has carried out.
+/// Counts of the calls that the store has carried out.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Calls {
     /// Reads of the generation.
@@ -27,7 +27,7 @@
     }
 }
 
-/// The store.
+/// The store, with the current table and counts of its calls.
 #[derive(Debug)]
 pub struct Store {
     /// Whether it answers.
@@ -47,17 +47,17 @@
         }
     }
 
-    /// Forgets the counts.
+    /// Resets the counts.
     pub fn reset(&mut self) {
         self.calls = Calls::default();
     }
 
-    /// The table it holds.
+    /// The current table.
     pub const fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Commits `edit` as if an instance had done so that then fell silent.
+    /// Commits `edit`; called directly, it acts like an instance that commits but does not announce it.
     pub fn commit(&mut self, edit: &Edit) {
         if let Ok(next) = edit.apply(&self.table) {
             self.table = next;
@@ -72,7 +72,7 @@
         self.calls.lists += 1;
     }
 
-    /// Answers `request`.
+    /// Carries out `request`.
     pub(super) fn answer(&mut self, request: &StoreRequest) -> StoreReply {
         match request {
             StoreRequest::Generation => {
@@ -102,11 +102,11 @@
         }
     }
 
-    /// The answer when it is out of reach.
+    /// The reply when the store is unreachable.
     pub(super) fn unreachable() -> StoreReply {
         StoreReply::Failed {
             maybe: false,
-            cause: "the store is out of reach".to_owned(),
+            cause: "the store is unreachable".to_owned(),
         }
     }
 }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,4 +1,4 @@
-//! Measurements of how each role of a daemon grows.
+//! Measures how the cost of each role of a daemon grows.
 
 pub mod calls;
 pub mod cut;
--- a/crates/bench/src/slopes/calls.rs
+++ b/crates/bench/src/slopes/calls.rs
@@ -1,4 +1,4 @@
-//! Memory and log of a real daemon by the number of calls that it has answered.
+//! Measures memory and log size of a real daemon by the number of calls that it has answered.
 
 use scenario::error::Error;
 
@@ -13,11 +13,11 @@
 const CALLERS: usize = 16;
 const MEGABYTE: f64 = 1_048_576.0;
 
-/// Measures one daemon each time that it has answered another of `counts` calls in all.
+/// Measures one daemon when it has answered each of `counts` calls in total.
 ///
 /// # Errors
 ///
-/// What kept the daemon from running.
+/// If the processes cannot be started or measured.
 pub async fn measure(counts: &[usize]) -> Result<Report, Error> {
     let mut report = Report::new("calls", &COLUMNS);
     let mut cluster = Cluster::start(Size::new(1)).await?;
--- a/crates/bench/src/slopes/cut.rs
+++ b/crates/bench/src/slopes/cut.rs
@@ -1,4 +1,4 @@
-//! A data centre or a region that is cut off from the others and from the store.
+//! Measures the isolation of a data centre or a region from the others and from the store.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 const LIMIT: Duration = Duration::from_mins(3);
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is cut off.
+/// The isolated area.
 #[derive(Debug, Clone, Copy)]
 pub enum Area {
     /// Data centre 0.
@@ -41,7 +41,7 @@
     }
 }
 
-/// Cuts a data centre and a region off fleets of `sizes` daemons for a minute.
+/// Isolates a data centre, then a region, for one minute, with each of `sizes` daemons.
 pub fn measure(sizes: &[usize], seed: u64) -> Report {
     let mut report = Report::new("cut", &COLUMNS);
     for daemons in sizes {
--- a/crates/bench/src/slopes/edits.rs
+++ b/crates/bench/src/slopes/edits.rs
@@ -1,5 +1,5 @@
-//! Edits of the table: time until accepted and until in force everywhere, bytes, and what is left
-//! of the fleet while the store is out.
+//! Measures edits of the table: time until they are accepted and in force everywhere, and bytes; also
+//! how many daemons may still decide during an outage of the store.
 
 use std::time::Duration;
 
@@ -27,14 +27,14 @@
     "back_ms",
 ];
 const SETTLE: Duration = Duration::from_mins(2);
-/// Longest waits for an answer and for the last daemon.
+/// Longest wait for an answer, and for the last daemon.
 const LIMIT: Duration = Duration::from_secs(30);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const FRESH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Edits in each fleet.
+/// Edits per simulation.
 const EDITS: usize = 2;
 
-/// Measures fleets of each of `sizes` daemons with tables of each of `rows` rows.
+/// Measures each of `sizes` daemons with tables of each of `rows` rows.
 pub fn measure(sizes: &[usize], rows: &[usize], seed: u64) -> Report {
     let mut report = Report::new("edits", &COLUMNS);
     for daemons in sizes {
@@ -90,7 +90,7 @@
     values
 }
 
-/// One edit; the time until the operator was answered and until all daemons have it.
+/// Submits one edit; returns the time until the operator is answered and until all daemons have it.
 fn measure_edit(
     simulation: &mut Simulation,
     number: usize,
@@ -110,8 +110,8 @@
     (answer, propagation)
 }
 
-/// An edit that nobody announces: the time until all daemons have it, in milliseconds, and the
-/// kilobytes that carried it.
+/// Commits an edit that no daemon announces; returns the time until all daemons have it, in
+/// milliseconds, and the kilobytes of [`Kind::Push`] sent meanwhile.
 fn measure_unannounced(simulation: &mut Simulation) -> [f64; 2] {
     let edit = next_edit(simulation, EDITS);
     let generation = simulation.store.table().generation + 1;
@@ -126,7 +126,7 @@
     [mean_ms(&[propagation]), bytes / 1_024.0]
 }
 
-/// An edit of one row of the table that the store holds.
+/// An edit of one row of the store's current table.
 fn next_edit(simulation: &Simulation, number: usize) -> Edit {
     let base = simulation.store.table();
     let mut rows = base.rows.clone();
@@ -138,8 +138,8 @@
     simulation.counters.answers.accepted + simulation.counters.answers.undecided
 }
 
-/// The share of daemons that may decide 1, 4 and 20 s into an outage of the store, in percent, and
-/// the time until all may again after it.
+/// Percentage of daemons that may decide 1, 4 and 20 s into an outage of the store, and the time after
+/// it until all may again, in milliseconds.
 fn measure_outage(simulation: &mut Simulation, daemons: usize) -> [f64; 4] {
     simulation.store.up = false;
     let shares = [1, 3, 16].map(|seconds| {
@@ -154,7 +154,7 @@
     [shares[0], shares[1], shares[2], recovery]
 }
 
-/// The mean in milliseconds; not a number if one is missing.
+/// Mean in milliseconds; NaN if a value is missing.
 fn mean_ms(spans: &[Option<Duration>]) -> f64 {
     let sum: Option<Duration> = spans.iter().copied().sum();
     sum.map_or(f64::NAN, |sum| sum.as_secs_f64() * 1e3 / spans.len() as f64)
--- a/crates/bench/src/slopes/frames.rs
+++ b/crates/bench/src/slopes/frames.rs
@@ -1,4 +1,4 @@
-//! Size of frames, and the time to encode and decode them.
+//! Measures the size of frames and the time to encode and decode them.
 
 use std::hint::black_box;
 
@@ -23,10 +23,10 @@
 use crate::usage;
 
 const COLUMNS: [&str; 4] = ["size", "bytes", "encode_us", "decode_us"];
-/// Processor time that each figure takes at least, in seconds.
+/// Least processor time of each measurement, in seconds.
 const MIN_CPU_SECONDS: f64 = 0.05;
 
-/// Measures frames about requests with prompts of `blocks` blocks, and tables of `rows` rows.
+/// Measures frames for requests with prompts of `blocks` blocks, and for tables of `rows` rows.
 pub fn measure(blocks: &[usize], rows: &[usize]) -> Report {
     let mut report = Report::new("frames", &COLUMNS);
     for blocks in blocks {
@@ -66,7 +66,7 @@
     vec![size as f64, bytes.len() as f64, encode, decode]
 }
 
-/// Microseconds of processor time that `work` takes.
+/// Mean processor time of `work` in microseconds.
 fn time(work: impl Fn()) -> f64 {
     let started = usage::thread_time();
     let mut count = 0;
--- a/crates/bench/src/slopes/keeper.rs
+++ b/crates/bench/src/slopes/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper of a pool: frames, bytes and processor time by rate and by replicas.
+//! Measures frames, bytes and processor time of a pool's keeper by request rate and replicas.
 
 use std::time::Duration;
 
@@ -24,27 +24,27 @@
     "audit_B/req",
 ];
 const SETTLE: Duration = Duration::from_mins(2);
-/// Load before the measurement begins.
+/// Time under load before the measurement starts.
 const WARM_UP: Duration = Duration::from_secs(3);
 
-/// A load to be measured.
+/// A load to measure.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
     /// Daemons.
     pub daemons: usize,
     /// Replicas.
     pub replicas: usize,
-    /// Pools that the replicas are split into.
+    /// Pools, to which the replicas are assigned in turn.
     pub pools: usize,
-    /// Requests a second in all pools.
+    /// Requests per second in all pools.
     pub rate: f64,
     /// Prefix blocks of each prompt.
     pub blocks: usize,
-    /// Tokens of each answer.
+    /// Generated tokens of each request.
     pub tokens: u32,
 }
 
-/// Measures `loads` for `span` of virtual time each; the busiest daemon counts as the keeper.
+/// Measures each of `loads` for `span` of virtual time; the busiest daemon counts as the keeper.
 pub fn measure(name: &str, loads: &[Load], span: Duration, seed: u64) -> Report {
     let mut report = Report::new(name, &COLUMNS);
     for load in loads {
--- a/crates/bench/src/slopes/keys.rs
+++ b/crates/bench/src/slopes/keys.rs
@@ -1,4 +1,4 @@
-//! Memory and time of remembered idempotency keys.
+//! Measures memory and processor time of stored idempotency keys.
 
 use std::hint::black_box;
 
@@ -15,12 +15,12 @@
 const COLUMNS: [&str; 5] = ["keys", "MB", "B_a_key", "mark_ns", "forget_us"];
 const WINDOW_S: u64 = 600;
 const NOW: u64 = 1_790_000_000;
-/// Bytes of the answer that is kept with each key.
+/// Bytes of the answer stored with each key.
 const ANSWER_BYTES: usize = 64;
-/// Keys that are forgotten to time it.
+/// Keys removed to time the removal.
 const FORGET_COUNT: usize = 50;
 
-/// Measures memories of `sizes` keys.
+/// Measures registries of each of `sizes` keys.
 pub fn measure(sizes: &[usize]) -> Report {
     let mut report = Report::new("keys", &COLUMNS);
     for size in sizes {
--- a/crates/bench/src/slopes/members.rs
+++ b/crates/bench/src/slopes/members.rs
@@ -1,4 +1,4 @@
-//! Membership, news of the table and timers, by the number of daemons.
+//! Measures membership, table status and timers by the number of daemons.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
 /// Longest wait for all daemons to know each other.
 const SETTLE: Duration = Duration::from_mins(2);
 
-/// Measures idle fleets of `sizes` daemons for `span` of virtual time each, with `replicas` on the
-/// list in `pools` pools.
+/// Measures each of `sizes` idle daemons for `span` of virtual time, with `replicas` listed replicas
+/// in `pools` pools.
 pub fn measure(
     sizes: &[usize],
     span: Duration,
--- a/crates/bench/src/slopes/process.rs
+++ b/crates/bench/src/slopes/process.rs
@@ -1,5 +1,5 @@
-//! Real daemons on loopback: memory, processor time and bytes by the number of daemons and by the
-//! number of listed replicas.
+//! Measures memory, processor time and bytes of real daemons by the number of daemons and of listed
+//! replicas.
 
 use std::time::Duration;
 
@@ -43,19 +43,19 @@
 ];
 /// Pause after the start, and after a new list.
 const SETTLE: Duration = Duration::from_secs(5);
-/// Plain calls a second at each daemon while it is loaded.
+/// Plain calls per second at each daemon under load.
 const RATE: f64 = 20.0;
-/// Pools that listed replicas are split into.
+/// Pools, to which the listed replicas are assigned in turn.
 const POOLS: usize = 14;
-/// No inspection falls into a measurement with this time between two.
+/// Inspection interval that is longer than any measurement.
 const NEVER_MS: u64 = 3_600_000;
 const MEGABYTE: f64 = 1_048_576.0;
 
-/// Measures fleets of `sizes` daemons, idle for `span` and then loaded for `span`.
+/// Measures each of `sizes` daemons, idle for `span` and then under load for `span`.
 ///
 /// # Errors
 ///
-/// What kept a fleet from running.
+/// If the processes cannot be started or measured.
 pub async fn daemons(sizes: &[usize], span: Duration) -> Result<Report, Error> {
     let mut report = Report::new("daemons", &DAEMON_COLUMNS);
     for size in sizes {
@@ -108,13 +108,13 @@
     ])
 }
 
-/// Measures one daemon with `counts` replicas on the list, inspected or not.
+/// Measures one daemon with each of `counts` listed replicas, with and without inspections.
 ///
-/// The listed replicas are a few stand-ins under many names.
+/// The listed replicas are a few fake ones under many names.
 ///
 /// # Errors
 ///
-/// What kept the daemon from running.
+/// If the processes cannot be started or measured.
 pub async fn replicas(counts: &[usize], span: Duration) -> Result<Report, Error> {
     let mut report = Report::new("replicas", &REPLICA_COLUMNS);
     for inspect_ms in [Timing::default().inspect_ms, NEVER_MS] {
@@ -158,7 +158,7 @@
     ])
 }
 
-/// Lists `count` replicas; the size of the list as it is read.
+/// Lists `count` replicas; returns the size of the list in bytes as a daemon reads it.
 async fn publish(cluster: &Cluster, count: usize) -> Result<usize, Error> {
     let engines = [
         cluster.engines(Role::Prefill)?,
--- a/crates/bench/src/slopes/restarts.rs
+++ b/crates/bench/src/slopes/restarts.rs
@@ -1,4 +1,4 @@
-//! Many daemons that start at once: reads of the store and time until all serve.
+//! Measures simultaneous restarts: reads of the store and time until all daemons may decide.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Restarts each of `counts` of `daemons` daemons at once.
+/// Restarts each of `counts` out of `daemons` daemons simultaneously.
 pub fn measure(daemons: usize, counts: &[usize], seed: u64) -> Report {
     let mut report = Report::new("restarts", &COLUMNS);
     for count in counts {
--- a/crates/bench/src/slopes/stream.rs
+++ b/crates/bench/src/slopes/stream.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of open streams at a real daemon.
+//! Measures memory and processor time of a real daemon by the number of open streams.
 
 use std::time::Duration;
 
@@ -15,20 +15,20 @@
 const COLUMNS: [&str; 5] = ["streams", "rss_MB", "cpu_pct", "files", "tokens/s"];
 /// Time between two tokens of a stream.
 const TOKEN: Duration = Duration::from_millis(40);
-/// Tokens asked for: more than come while it is measured.
+/// Tokens requested per stream; more than are generated during a measurement.
 const TOKENS: u32 = 100_000;
 const WORDS: usize = 500;
-/// Pause until all streams run.
+/// Pause after the last stream is opened, until all are running.
 const SETTLE: Duration = Duration::from_secs(6);
-/// Pause between two streams that are opened.
+/// Pause between the opening of two streams.
 const GAP: Duration = Duration::from_millis(60);
 const MEGABYTE: f64 = 1_048_576.0;
 
-/// Measures one daemon with `counts` open streams, for `span` each.
+/// Measures one daemon with each of `counts` open streams for `span`.
 ///
 /// # Errors
 ///
-/// What kept the daemon from running.
+/// If the processes cannot be started or measured.
 pub async fn measure(counts: &[usize], span: Duration) -> Result<Report, Error> {
     let mut report = Report::new("streams", &COLUMNS);
     for count in counts {
--- a/crates/bench/src/usage.rs
+++ b/crates/bench/src/usage.rs
@@ -1,4 +1,4 @@
-//! What processes and this thread have used so far.
+//! Reads the resource usage of processes and of the current thread.
 
 use std::fs;
 use std::io;
@@ -7,25 +7,25 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// Clock ticks a second in `/proc/<pid>/stat`; the same on all Linux machines of today.
+/// Clock ticks per second in `/proc/<pid>/stat`; 100 on all current Linux systems.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Places of the user and system time after the name in `/proc/<pid>/stat`.
+/// Indexes of user and system time among the fields after the name in `/proc/<pid>/stat`.
 const USER_TIME: usize = 11;
 const SYSTEM_TIME: usize = 12;
 
-/// What a process has used.
+/// Resources used by a process.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Usage {
     /// Processor time in seconds.
     pub cpu: f64,
     /// Resident memory in bytes.
     pub rss: f64,
-    /// Bytes passed to write calls: sockets, logs and wake-ups.
+    /// Bytes passed to write calls, to sockets, logs and wake-up descriptors.
     pub written: f64,
 }
 
 impl Usage {
-    /// What the process `pid` has used.
+    /// Reads the usage of the process `pid`.
     ///
     /// # Errors
     ///
@@ -45,7 +45,7 @@
         })
     }
 
-    /// What was used since `before`; the memory is the present one.
+    /// Usage since `before`; `rss` is the current value.
     #[must_use]
     pub fn since(self, before: Self) -> Self {
         Self {
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// If the system does not tell.
+/// If `/proc` cannot be read.
 pub fn own_memory() -> io::Result<f64> {
     Usage::of(std::process::id()).map(|usage| usage.rss)
 }
@@ -74,7 +74,7 @@
     fs::read_dir(format!("/proc/{pid}/fd")).map(Iterator::count)
 }
 
-/// Processor time of this thread.
+/// Processor time of the current thread.
 pub fn thread_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
--- a/crates/bench/tests/fit.rs
+++ b/crates/bench/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Lines and ranges.
+//! Checks fitted lines and ranges.
 
 use bench::fit::Line;
 use bench::fit::Range;
--- a/crates/bench/tests/world.rs
+++ b/crates/bench/tests/world.rs
@@ -1,4 +1,4 @@
-//! The simulation in virtual time does what a small fleet does.
+//! Checks that the simulation behaves like a small set of daemons.
 
 use std::time::Duration;
 
