--- a/crates/node/tests/one/mod.rs
+++ b/crates/node/tests/harness/mod.rs
@@ -44,26 +44,26 @@
 const INCARNATION: Incarnation = Incarnation(0x91c5_b8f0_aa31_e2d4);
 const STARTED_MS: u64 = 1_700_000_000_000;
 const ZONE: &str = "osijek-a";
-const PACE: Duration = Duration::from_millis(1);
+const STEP_TIME: Duration = Duration::from_millis(1);
 /// How long a peer takes to answer a ping.
-const PING_ANSWER: Duration = Duration::from_millis(20);
+const PING_DELAY: Duration = Duration::from_millis(20);
 
 /// A core with idle replicas and a store; orders are answered by the test.
-pub struct One {
+pub struct Harness {
     node: Node,
     now: Time,
     pub orders: Vec<(Order, Task)>,
-    pub tells: Vec<(Call, Tell)>,
+    pub responses: Vec<(Call, Tell)>,
     pub sent: Vec<(Instance, Body)>,
     /// Whether replicas answer inspections.
-    pub inspected: bool,
+    pub replicas_answer: bool,
     /// Inspections that the test is to answer.
     pub inspections: Vec<(Replica, Time)>,
     /// Whether the store answers.
-    pub stored: bool,
+    pub store_answers: bool,
 }
 
-impl One {
+impl Harness {
     pub fn new() -> Self {
         Self::with_incarnation(INCARNATION)
     }
@@ -74,19 +74,19 @@
             incarnation,
             ..settings()
         };
-        let mut one = Self {
+        let mut harness = Self {
             node: Node::new(settings, Time::ZERO, 7),
             now: Time::ZERO,
             orders: Vec::new(),
-            tells: Vec::new(),
+            responses: Vec::new(),
             sent: Vec::new(),
-            inspected: true,
+            replicas_answer: true,
             inspections: Vec::new(),
-            stored: true,
+            store_answers: true,
         };
-        one.feed(Event::Listed(list()));
-        one.run(Duration::from_millis(500));
-        one
+        harness.feed(Event::Listed(list()));
+        harness.run_for(Duration::from_millis(500));
+        harness
     }
 
     pub fn feed(&mut self, event: Event) {
@@ -94,7 +94,7 @@
         while !events.is_empty() {
             let mut actions = Vec::new();
             for event in events.drain(..) {
-                self.now = self.now + PACE;
+                self.now = self.now + STEP_TIME;
                 self.node.step(self.now, event, &mut actions);
             }
             for action in actions {
@@ -106,15 +106,19 @@
     fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Order { order, task, .. } => self.orders.push((order, task)),
-            Action::Tell { call, tell } => self.tells.push((call, tell)),
+            Action::Tell { call, tell } => self.responses.push((call, tell)),
             Action::Send { to, frame } => self.sent.push((to, frame.body)),
             Action::Fault { cause } => panic!("fault: {cause}"),
             Action::Query { query, ask } => {
-                let outcome = if self.stored { answer(&ask) } else { failed() };
+                let outcome = if self.store_answers {
+                    store_answer(&ask)
+                } else {
+                    query_failed()
+                };
                 return Some(Event::Stored { query, outcome });
             }
-            Action::Inspect { replica, asked, .. } if self.inspected => {
-                let state = Some(idle());
+            Action::Inspect { replica, asked, .. } if self.replicas_answer => {
+                let state = Some(idle_inspection());
                 return Some(Event::Inspected {
                     replica,
                     asked,
@@ -127,38 +131,38 @@
         None
     }
 
-    pub fn run(&mut self, span: Duration) {
+    pub fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            let wake = self.node.wake().max(self.now + PACE).min(end);
-            self.now = wake - PACE;
+            let wake = self.node.wake().max(self.now + STEP_TIME).min(end);
+            self.now = wake - STEP_TIME;
             self.feed(Event::Tick);
         }
     }
 
     /// The last order that is not a cancel.
-    pub fn last(&self) -> (Order, Task) {
+    pub fn last_order(&self) -> (Order, Task) {
         let is_work = |(_, task): &&(Order, Task)| !matches!(task, Task::Cancel);
         let found = self.orders.iter().rev().find(is_work);
         found.cloned().expect("an order was put out")
     }
 
-    pub fn arrive(&mut self, call: Call) {
+    pub fn send_request(&mut self, call: Call) {
         let request = request();
         self.feed(Event::Arrived { call, request });
-        self.run(Duration::from_millis(100));
+        self.run_for(Duration::from_millis(100));
     }
 
     /// Lets the core take a frame from `peer`, a live member.
-    pub fn hear(&mut self, peer: &Member, body: Body) {
+    pub fn receive_frame(&mut self, peer: &Member, body: Body) {
         let frame = Box::new(Frame::new(peer.instance, peer.incarnation, body));
         self.feed(Event::Frame(frame));
     }
 
     /// Lets `peer` join.
-    pub fn join(&mut self, peer: &Member) {
+    pub fn add_peer(&mut self, peer: &Member) {
         let news = vec![*peer];
-        self.hear(peer, Body::Gossip(Message::Ping { seq: 1, news }));
+        self.receive_frame(peer, Body::Gossip(Message::Ping { seq: 1, news }));
     }
 
     /// Answers `inspections`: each replica holds the stream told last, with this core as its reader
@@ -173,7 +177,7 @@
         for (replica, asked) in inspections {
             let state = Some(Inspection {
                 works: vec![held],
-                ..idle()
+                ..idle_inspection()
             });
             self.feed(Event::Inspected {
                 replica,
@@ -184,10 +188,14 @@
     }
 
     fn handle(&self) -> Handle {
-        let mut heads = self.tells.iter().rev().filter_map(|(_, tell)| match tell {
-            Tell::Head { handle, .. } => Some(*handle),
-            _ => None,
-        });
+        let mut heads = self
+            .responses
+            .iter()
+            .rev()
+            .filter_map(|(_, tell)| match tell {
+                Tell::Head { handle, .. } => Some(*handle),
+                _ => None,
+            });
         heads.next().expect("a head was told")
     }
 
@@ -197,11 +205,11 @@
     }
 
     /// Runs for `span`, in which `peer` answers the pings it gets.
-    pub fn run_beside(&mut self, peer: &Member, span: Duration) {
+    pub fn run_with_peer(&mut self, peer: &Member, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             let first = self.sent.len();
-            self.run(PING_ANSWER);
+            self.run_for(PING_DELAY);
             let pings = self.sent[first..]
                 .iter()
                 .filter_map(|(to, body)| match body {
@@ -210,14 +218,14 @@
                 });
             for seq in pings.collect::<Vec<u32>>() {
                 let news = vec![*peer];
-                self.hear(peer, Body::Gossip(Message::Ack { seq, news }));
+                self.receive_frame(peer, Body::Gossip(Message::Ack { seq, news }));
             }
         }
     }
 
     /// Lets the prefill that was ordered last end well; the decode order that follows.
-    pub fn prefill(&mut self) -> (Order, Task) {
-        let (order, task) = self.last();
+    pub fn finish_prefill(&mut self) -> (Order, Task) {
+        let (order, task) = self.last_order();
         assert!(matches!(task, Task::Prefill { .. }), "{task:?}");
         let reply = Reply::Prefilled {
             computed: 400,
@@ -225,10 +233,10 @@
             boot: 1,
         };
         self.feed(Event::Answered { order, reply });
-        self.last()
+        self.last_order()
     }
 
-    pub fn stream(&mut self, order: Order, from: u32, count: u32) {
+    pub fn send_tokens(&mut self, order: Order, from: u32, count: u32) {
         let tokens = Piece::Tokens {
             offset: from,
             count,
@@ -239,23 +247,24 @@
         }
     }
 
-    pub fn fail(&mut self, order: Order, failure: Failure) {
+    pub fn fail_order(&mut self, order: Order, failure: Failure) {
         self.feed(Event::Failed { order, failure });
-        self.run(Duration::from_millis(200));
+        self.run_for(Duration::from_millis(200));
     }
 
     /// Offsets and counts of the tokens that `call` was told.
-    pub fn tokens(&self, call: Call) -> Vec<(u32, u32)> {
-        let told = self.tells.iter().filter(|(to, _)| *to == call);
-        told.filter_map(|(_, tell)| match tell {
-            Tell::Tokens { offset, count, .. } => Some((*offset, *count)),
-            _ => None,
-        })
-        .collect()
+    pub fn tokens_sent(&self, call: Call) -> Vec<(u32, u32)> {
+        let responses = self.responses.iter().filter(|(to, _)| *to == call);
+        responses
+            .filter_map(|(_, tell)| match tell {
+                Tell::Tokens { offset, count, .. } => Some((*offset, *count)),
+                _ => None,
+            })
+            .collect()
     }
 
-    pub fn token(&self) -> String {
-        let heads = self.tells.iter().rev();
+    pub fn resume_token(&self) -> String {
+        let heads = self.responses.iter().rev();
         let mut tokens = heads.filter_map(|(_, tell)| match tell {
             Tell::Head { token, .. } => Some(token.clone()),
             _ => None,
@@ -264,24 +273,24 @@
     }
 }
 
-fn answer(ask: &Ask) -> Stored {
+fn store_answer(ask: &Ask) -> Stored {
     match ask {
         Ask::Generation => Stored::Generation { generation: 1 },
         Ask::Table => Stored::Table(Box::new(table())),
         Ask::Outcome { .. } => Stored::Outcome(None),
         Ask::Record { .. } => Stored::Recorded,
-        Ask::Commit(_) => failed(),
+        Ask::Commit(_) => query_failed(),
     }
 }
 
-fn failed() -> Stored {
+fn query_failed() -> Stored {
     Stored::Failed {
         maybe: false,
         cause: "not answered here".to_owned(),
     }
 }
 
-pub fn idle() -> Inspection {
+pub fn idle_inspection() -> Inspection {
     let report = Report {
         age: Duration::ZERO,
         boot: 1,
--- a/crates/node/tests/pauses.rs
+++ b/crates/node/tests/pauses.rs
@@ -1,6 +1,6 @@
 //! What a core holds of its own past after a pause.
 
-mod one;
+mod harness;
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use node::ids::Call;
 use rstest::rstest;
 
-use crate::one::One;
+use crate::harness::Harness;
 
 const CALL: Call = Call(1);
 /// Longer than the others wait before they run a repeatable request of a silent daemon.
 const PAUSE: Duration = Duration::from_secs(10);
 /// Until a stopping daemon takes no more requests.
-const CLOSED: Duration = Duration::from_millis(4_100);
+const REQUESTS_CLOSED: Duration = Duration::from_millis(4_100);
 
 /// A daemon was paused so long that others took it for dead, and one of them ran a request whose
 /// key named this daemon. The caller repeated it here after the pause: the daemon did not know
@@ -24,17 +24,17 @@
 #[rstest]
 #[case::paused(PAUSE, Outcome::Unknown)]
 #[case::not_paused(Duration::ZERO, Outcome::NotRun)]
-fn after_a_pause_nobody_is_told_that_a_key_never_ran(
+fn after_a_pause_a_key_is_not_reported_as_never_run(
     #[case] pause: Duration,
     #[case] expected: Outcome,
 ) {
-    let mut one = One::new();
-    one.pause(pause);
-    one.run(Duration::from_secs(1));
-    one.feed(Event::Stop);
-    one.run(CLOSED);
-    one.arrive(CALL);
-    let outcome = one.tells.iter().find_map(|(_, tell)| match tell {
+    let mut harness = Harness::new();
+    harness.pause(pause);
+    harness.run_for(Duration::from_secs(1));
+    harness.feed(Event::Stop);
+    harness.run_for(REQUESTS_CLOSED);
+    harness.send_request(CALL);
+    let outcome = harness.responses.iter().find_map(|(_, tell)| match tell {
         Tell::Refusal(refusal) => Some(refusal.outcome),
         _ => None,
     });
--- a/crates/node/tests/proofs.rs
+++ b/crates/node/tests/proofs.rs
@@ -1,6 +1,6 @@
 //! What proves to a core that its table is the newest.
 
-mod one;
+mod harness;
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 use wire::Body;
 use wire::News;
 
-use crate::one::One;
+use crate::harness::Harness;
 
 const CALL: Call = Call(1);
 const EARLIER: Incarnation = Incarnation(0x2a90_77e1_c3d8_5b16);
 /// Longer than a table may be decided by without proof.
-const OUTAGE: Duration = Duration::from_secs(5);
+const STORE_OUTAGE: Duration = Duration::from_secs(5);
 
 fn peer() -> Member {
     let incarnation = Incarnation(0x5b1d_03c7_9e62_a8f4);
@@ -32,11 +32,11 @@
 }
 
 /// Lets `one` ask its peer while the store is silent, until its proof is too old; its last question.
-fn question(one: &mut One) -> News {
-    one.join(&peer());
-    one.stored = false;
-    one.run_beside(&peer(), OUTAGE);
-    let asked = one.sent.iter().rev().find_map(|(to, body)| match body {
+fn last_status_request(harness: &mut Harness) -> News {
+    harness.add_peer(&peer());
+    harness.store_answers = false;
+    harness.run_with_peer(&peer(), STORE_OUTAGE);
+    let asked = harness.sent.iter().rev().find_map(|(to, body)| match body {
         Body::News(news) if *to == peer().instance && !news.answer => Some(*news),
         _ => None,
     });
@@ -44,19 +44,20 @@
 }
 
 /// The answer of a peer that has just read the store.
-fn answer(question: News) -> Body {
+fn fresh_status(request: News) -> Body {
     Body::News(News {
         store_age_ms: Some(0),
         settled: true,
         answer: true,
-        ..question
+        ..request
     })
 }
 
-fn is_stale(one: &mut One) -> bool {
-    one.arrive(CALL);
-    let mut told = one.tells.iter();
-    told.any(|(_, tell)| matches!(tell, Tell::Refusal(refusal) if refusal.reason == Reason::Stale))
+fn is_stale(harness: &mut Harness) -> bool {
+    harness.send_request(CALL);
+    let mut responses = harness.responses.iter();
+    responses
+        .any(|(_, tell)| matches!(tell, Tell::Refusal(refusal) if refusal.reason == Reason::Stale))
 }
 
 /// A daemon asked a peer how old its table was, and was started again. The answer came to the new
@@ -64,18 +65,18 @@
 /// just now, and the daemon decided by a table that nobody had proved for that time.
 #[test]
 fn an_answer_to_an_earlier_run_proves_nothing() {
-    let mut earlier = One::with_incarnation(EARLIER);
-    let late = question(&mut earlier);
-    let mut one = One::new();
-    question(&mut one);
-    one.hear(&peer(), answer(late));
-    assert!(is_stale(&mut one));
+    let mut earlier = Harness::with_incarnation(EARLIER);
+    let late = last_status_request(&mut earlier);
+    let mut harness = Harness::new();
+    last_status_request(&mut harness);
+    harness.receive_frame(&peer(), fresh_status(late));
+    assert!(is_stale(&mut harness));
 }
 
 #[test]
 fn an_answer_to_a_question_of_this_run_proves_the_table() {
-    let mut one = One::new();
-    let own = question(&mut one);
-    one.hear(&peer(), answer(own));
-    assert!(!is_stale(&mut one));
+    let mut harness = Harness::new();
+    let own = last_status_request(&mut harness);
+    harness.receive_frame(&peer(), fresh_status(own));
+    assert!(!is_stale(&mut harness));
 }
--- a/crates/node/tests/questions.rs
+++ b/crates/node/tests/questions.rs
@@ -1,6 +1,6 @@
 //! Keys that name another run: whose answer a caller is told.
 
-mod one;
+mod harness;
 
 use bytes::Bytes;
 use fleet::member::Member;
@@ -14,7 +14,7 @@
 use wire::Body;
 use wire::Told;
 
-use crate::one::One;
+use crate::harness::Harness;
 
 const CALL: Call = Call(1);
 const RUNNER: Incarnation = Incarnation(0x5b1d_03c7_9e62_a8f4);
@@ -26,24 +26,24 @@
 
 /// Has a caller repeat the key that ends in `name` to `one`; the number of its question to the
 /// runner.
-fn ask(one: &mut One, name: &str) -> u64 {
-    one.join(&runner());
+fn query_runner(harness: &mut Harness, name: &str) -> u64 {
+    harness.add_peer(&runner());
     let request = Request {
-        key: Some(format!("{}{name}", one::prefix(RUNNER))),
-        ..one::request()
+        key: Some(format!("{}{name}", harness::prefix(RUNNER))),
+        ..harness::request()
     };
-    one.feed(Event::Arrived {
+    harness.feed(Event::Arrived {
         call: CALL,
         request,
     });
-    let asked = one.sent.iter().rev().find_map(|(to, body)| match body {
+    let asked = harness.sent.iter().rev().find_map(|(to, body)| match body {
         Body::Ask { nonce, .. } if *to == runner().instance => Some(*nonce),
         _ => None,
     });
     asked.expect("the runner is asked")
 }
 
-fn answered(nonce: u64, body: &'static str) -> Body {
+fn answer_frame(nonce: u64, body: &'static str) -> Body {
     let told = Told::Answered {
         status: 200,
         body: Some(Bytes::from_static(body.as_bytes())),
@@ -51,12 +51,12 @@
     Body::Told { nonce, told }
 }
 
-fn bodies(one: &One) -> Vec<Bytes> {
-    let told = one.tells.iter().filter_map(|(_, tell)| match tell {
+fn bodies(harness: &Harness) -> Vec<Bytes> {
+    let responses = harness.responses.iter().filter_map(|(_, tell)| match tell {
         Tell::Answer { body, .. } => Some(body.clone()),
         _ => None,
     });
-    told.collect()
+    responses.collect()
 }
 
 /// A daemon asked the runner of a key what became of it, and was told to wait. It was started
@@ -64,13 +64,13 @@
 /// questions from one, so the answer to the earlier question, sent when that request ended, passed
 /// for the answer to the later one: the caller got the text of somebody else.
 #[test]
-fn an_answer_to_an_earlier_run_is_told_to_nobody() {
-    let mut earlier = One::with_incarnation(EARLIER);
-    let late = ask(&mut earlier, "feed-plan");
-    let mut one = One::new();
-    let own = ask(&mut one, "herd-list");
-    one.hear(&runner(), answered(late, "the feed plan"));
-    assert_eq!(bodies(&one), Vec::<Bytes>::new());
-    one.hear(&runner(), answered(own, "the herd list"));
-    assert_eq!(bodies(&one), ["the herd list"]);
+fn an_answer_to_an_earlier_run_is_discarded() {
+    let mut earlier = Harness::with_incarnation(EARLIER);
+    let late = query_runner(&mut earlier, "feed-plan");
+    let mut harness = Harness::new();
+    let own = query_runner(&mut harness, "herd-list");
+    harness.receive_frame(&runner(), answer_frame(late, "the feed plan"));
+    assert_eq!(bodies(&harness), Vec::<Bytes>::new());
+    harness.receive_frame(&runner(), answer_frame(own, "the herd list"));
+    assert_eq!(bodies(&harness), ["the herd list"]);
 }
--- a/crates/node/tests/random.rs
+++ b/crates/node/tests/random.rs
@@ -4,7 +4,7 @@
 //! `WAXWING_PLANS` how many plans of `proptest`; `WAXWING_TRACE` names the seed that the ignored
 //! test `trace` prints. Without them the cases are the same on each run.
 
-mod world;
+mod simulation;
 
 use std::env;
 use std::sync::atomic::AtomicU64;
@@ -18,10 +18,10 @@
 use proptest::test_runner::TestRunner;
 use rstest::rstest;
 
-use crate::world::World;
-use crate::world::plan::Fault;
-use crate::world::plan::Plan;
-use crate::world::plan::Stroke;
+use crate::simulation::Simulation;
+use crate::simulation::plan::Fault;
+use crate::simulation::plan::Plan;
+use crate::simulation::plan::ScheduledFault;
 
 /// Seeds tried where nothing else is asked for.
 const DEFAULT_CASES: u64 = 500;
@@ -30,15 +30,15 @@
 /// Threads that try seeds.
 const THREADS: u64 = 4;
 
-fn number(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     let text = env::var(name).ok();
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[test]
 fn promises_hold_for_each_seed() {
-    let first = number("WAXWING_FIRST_SEED", 1);
-    let cases = number("WAXWING_CASES", DEFAULT_CASES);
+    let first = env_number("WAXWING_FIRST_SEED", 1);
+    let cases = env_number("WAXWING_CASES", DEFAULT_CASES);
     let next = AtomicU64::new(first);
     let complete = AtomicU64::new(0);
     let failures: Vec<String> = thread::scope(|scope| {
@@ -65,7 +65,7 @@
         if seed >= end {
             return failures;
         }
-        match World::new(&Plan::random(seed)).run() {
+        match Simulation::new(&Plan::random(seed)).run() {
             Ok(figures) => {
                 complete.fetch_add(figures.complete as u64, Ordering::Relaxed);
             }
@@ -76,7 +76,7 @@
 
 #[test]
 fn promises_hold_for_each_plan() {
-    let cases = number("WAXWING_PLANS", PROPTEST_CASES) as u32;
+    let cases = env_number("WAXWING_PLANS", PROPTEST_CASES) as u32;
     let config = Config {
         failure_persistence: None,
         ..Config::with_cases(cases)
@@ -84,7 +84,7 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let result = runner.run(&Plan::strategy(), |plan| {
-        let run = World::new(&plan).run();
+        let run = Simulation::new(&plan).run();
         run.map(|_| ()).map_err(TestCaseError::fail)
     });
     if let Err(error) = result {
@@ -95,8 +95,8 @@
 #[test]
 fn equal_seeds_give_equal_runs() {
     for seed in [3, 17] {
-        let first = World::new(&Plan::random(seed)).run();
-        let second = World::new(&Plan::random(seed)).run();
+        let first = Simulation::new(&Plan::random(seed)).run();
+        let second = Simulation::new(&Plan::random(seed)).run();
         assert_eq!(first, second);
     }
 }
@@ -104,51 +104,51 @@
 #[test]
 #[ignore = "prints the run of the seed in WAXWING_TRACE"]
 fn trace() {
-    let seed = number("WAXWING_TRACE", 1);
+    let seed = env_number("WAXWING_TRACE", 1);
     let plan = Plan::random(seed);
     eprintln!("{plan:#?}");
-    let result = World::new(&plan).with_trace().run();
+    let result = Simulation::new(&plan).with_trace().run();
     eprintln!("{result:?}");
 }
 
 /// Plans that broke a promise once, made small; each failed before the change that its case names.
 #[rstest]
 #[case::a_cancelled_handle_is_taken_for_another_reader(
-    Plan::new(7, 1, 3).with_strokes(&[Stroke::new(463, Fault::Refuse, 60, 26, 4_137)])
+    Plan::new(7, 1, 3).with_faults(&[ScheduledFault::new(463, Fault::Refuse, 60, 26, 4_137)])
 )]
 #[case::an_order_in_flight_does_not_count_as_sent(Plan::new(4, 4, 9))]
 #[case::a_key_that_was_tried_is_forgotten(
-    Plan::new(43, 1, 11).with_strokes(&[Stroke::new(404, Fault::StoreLoses, 194, 149, 6_020)])
+    Plan::new(43, 1, 11).with_faults(&[ScheduledFault::new(404, Fault::StoreLosesAnswers, 194, 149, 6_020)])
 )]
-#[case::a_committed_edit_is_called_rejected(Plan::new(72, 2, 1).with_strokes(&[
-    Stroke::new(1_345, Fault::Undrain, 55, 140, 1_687),
-    Stroke::new(949, Fault::CutPeers, 107, 150, 6_797),
+#[case::a_committed_edit_is_called_rejected(Plan::new(72, 2, 1).with_faults(&[
+    ScheduledFault::new(1_345, Fault::Undrain, 55, 140, 1_687),
+    ScheduledFault::new(949, Fault::CutPeers, 107, 150, 6_797),
 ]))]
-#[case::nobody_keeps_the_pools_of_a_leaving_fleet(
-    Plan::new(351, 1, 3).with_strokes(&[Stroke::new(1_511, Fault::Stop, 215, 78, 5_053)])
+#[case::a_leaving_fleet_has_no_keeper_of_its_pools(
+    Plan::new(351, 1, 3).with_faults(&[ScheduledFault::new(1_511, Fault::Stop, 215, 78, 5_053)])
 )]
-#[case::a_slot_of_an_ended_request_stays_taken(Plan::new(3, 4, 10).with_strokes(&[
-    Stroke::new(2_210, Fault::Pause, 121, 95, 1_246),
-    Stroke::new(1_183, Fault::StoreSlow, 230, 10, 4_689),
-    Stroke::new(1_432, Fault::Edit, 112, 72, 4_771),
-    Stroke::new(69, Fault::Undrain, 200, 214, 5_458),
+#[case::a_slot_of_an_ended_request_stays_taken(Plan::new(3, 4, 10).with_faults(&[
+    ScheduledFault::new(2_210, Fault::Pause, 121, 95, 1_246),
+    ScheduledFault::new(1_183, Fault::StoreSlow, 230, 10, 4_689),
+    ScheduledFault::new(1_432, Fault::Edit, 112, 72, 4_771),
+    ScheduledFault::new(69, Fault::Undrain, 200, 214, 5_458),
 ]))]
-#[case::a_new_run_answers_for_its_former_one(
-    Plan::new(7, 2, 10).with_strokes(&[Stroke::new(1_262, Fault::Kill, 97, 229, 325)])
+#[case::a_new_run_answers_for_the_previous_one(
+    Plan::new(7, 2, 10).with_faults(&[ScheduledFault::new(1_262, Fault::Kill, 97, 229, 325)])
 )]
-#[case::an_old_inspection_shows_the_former_owner(Plan::new(123, 5, 10).with_strokes(&[
-    Stroke::new(6_779, Fault::Storm, 84, 102, 5_657),
-    Stroke::new(7_892, Fault::Pause, 37, 164, 5_385),
-    Stroke::new(7_578, Fault::Kill, 150, 26, 4_514),
+#[case::an_old_inspection_shows_the_former_owner(Plan::new(123, 5, 10).with_faults(&[
+    ScheduledFault::new(6_779, Fault::UnreliableNetwork, 84, 102, 5_657),
+    ScheduledFault::new(7_892, Fault::Pause, 37, 164, 5_385),
+    ScheduledFault::new(7_578, Fault::Kill, 150, 26, 4_514),
 ]))]
 #[case::fences_follow_skewed_clocks(Plan::new(1_462, 4, 14))]
-#[case::a_woken_runner_speaks_for_others(Plan::new(260, 4, 14).with_strokes(&[
-    Stroke::new(6_742, Fault::Storm, 214, 95, 6_084),
-    Stroke::new(1_401, Fault::Undrain, 200, 114, 5_979),
-    Stroke::new(3_704, Fault::StoreSlow, 237, 60, 2_560),
-    Stroke::new(2_052, Fault::CutReplica, 127, 59, 6_193),
-    Stroke::new(2_373, Fault::Pause, 77, 13, 5_894),
+#[case::a_runner_answers_for_other_runs_after_a_pause(Plan::new(260, 4, 14).with_faults(&[
+    ScheduledFault::new(6_742, Fault::UnreliableNetwork, 214, 95, 6_084),
+    ScheduledFault::new(1_401, Fault::Undrain, 200, 114, 5_979),
+    ScheduledFault::new(3_704, Fault::StoreSlow, 237, 60, 2_560),
+    ScheduledFault::new(2_052, Fault::CutReplica, 127, 59, 6_193),
+    ScheduledFault::new(2_373, Fault::Pause, 77, 13, 5_894),
 ]))]
 fn promises_hold_where_they_were_broken(#[case] plan: Plan) {
-    assert_eq!(World::new(&plan).run().err(), None);
+    assert_eq!(Simulation::new(&plan).run().err(), None);
 }
--- a/crates/node/tests/world/actions.rs
+++ b/crates/node/tests/simulation/actions.rs
@@ -15,19 +15,19 @@
 use wire::Frame;
 
 use super::LEASE;
-use super::World;
-use super::item::Item;
-use super::net::Way;
+use super::Simulation;
+use super::network::Link;
+use super::sim_event::SimEvent;
 
 /// Time after which a query that does not reach the store fails.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-impl World {
-    pub(super) fn act(&mut self, host: usize, run: u32, action: Action) {
+impl Simulation {
+    pub(super) fn carry_out_action(&mut self, daemon: usize, run: u32, action: Action) {
         self.digest = self
             .digest
             .rotate_left(5)
-            .wrapping_add(kind_number(&action));
+            .wrapping_add(action_digest(&action));
         match action {
             Action::Order {
                 order,
@@ -37,49 +37,49 @@
                 fence,
                 task,
             } => {
-                self.note(|| format!("entry-{host} orders {order:?} {handle} {task:?}"));
-                let ticket = super::ticket(host, run, order);
-                self.order(ticket, replica, handle, owner, fence, task);
+                self.trace_line(|| format!("entry-{daemon} orders {order:?} {handle} {task:?}"));
+                let ticket = super::ticket(daemon, run, order);
+                self.send_order(ticket, replica, handle, owner, fence, task);
             }
-            Action::Abort { order } => self.abort(super::ticket(host, run, order)),
+            Action::Abort { order } => self.abort_order(super::ticket(daemon, run, order)),
             Action::Inspect { replica, asked, .. } => {
                 let micros = self.rng.random_range(300..3_000);
-                self.after_micros(
+                self.schedule_micros(
                     micros,
-                    Item::Inspect {
-                        host,
+                    SimEvent::Inspect {
+                        daemon,
                         run,
                         replica,
                         asked,
                     },
                 );
             }
-            Action::Tell { call, tell } => self.tell(host, call, tell),
-            Action::Send { to, frame } => self.send(host, to, &frame),
-            Action::Query { query, ask } => self.query(host, run, query, ask),
-            Action::Log(decision) => self.check_decision(host, &decision),
-            Action::Fault { cause } => self.violate(format!("entry-{host}: fault: {cause}")),
+            Action::Tell { call, tell } => self.handle_response(daemon, call, tell),
+            Action::Send { to, frame } => self.send(daemon, to, &frame),
+            Action::Query { query, ask } => self.query(daemon, run, query, ask),
+            Action::Log(decision) => self.check_decision(daemon, &decision),
+            Action::Fault { cause } => self.violate(format!("entry-{daemon}: fault: {cause}")),
             Action::Count(_) | Action::UseList(_) => (),
-            Action::Finished => self.finished(host),
+            Action::Finished => self.handle_finished(daemon),
         }
     }
 
-    pub(super) fn send(&mut self, host: usize, to: Instance, frame: &Frame) {
-        let Some(peer) = self.hosts.iter().position(|slot| slot.instance == to) else {
+    pub(super) fn send(&mut self, daemon: usize, to: Instance, frame: &Frame) {
+        let Some(peer) = self.daemons.iter().position(|slot| slot.instance == to) else {
             return;
         };
-        let Some(frame) = carried(frame) else {
+        let Some(frame) = encode_and_decode(frame) else {
             return self.violate(format!("a frame that does not come through: {frame:?}"));
         };
-        for micros in self.net.copies(self.now, &mut self.rng) {
-            let cut = self.net.is_cut(self.now, Way::peers(host, peer));
-            let run = self.hosts[peer].run;
+        for micros in self.network.copies(self.now, &mut self.rng) {
+            let cut = self.network.is_cut(self.now, Link::peers(daemon, peer));
+            let run = self.daemons[peer].run;
             if !cut {
                 let event = Event::Frame(Box::new(frame.clone()));
-                self.after_micros(
+                self.schedule_micros(
                     micros,
-                    Item::Event {
-                        host: peer,
+                    SimEvent::DaemonEvent {
+                        daemon: peer,
                         run,
                         event,
                     },
@@ -88,17 +88,17 @@
         }
     }
 
-    pub(super) fn query(&mut self, host: usize, run: u32, query: Query, ask: Ask) {
-        let slow = self.now < self.store.slow;
+    pub(super) fn query(&mut self, daemon: usize, run: u32, query: Query, ask: Ask) {
+        let slow = self.now < self.store.slow_until;
         let micros = if slow {
             self.rng.random_range(500_000..4_000_000)
         } else {
             self.rng.random_range(500..4_000)
         };
-        self.after_micros(
+        self.schedule_micros(
             micros,
-            Item::Query {
-                host,
+            SimEvent::Query {
+                daemon,
                 run,
                 query,
                 ask,
@@ -106,8 +106,8 @@
         );
     }
 
-    pub(super) fn query_arrives(&mut self, host: usize, run: u32, query: Query, ask: Ask) {
-        let cut = self.net.is_cut(self.now, Way::Store(host));
+    pub(super) fn run_query(&mut self, daemon: usize, run: u32, query: Query, ask: Ask) {
+        let cut = self.network.is_cut(self.now, Link::Store(daemon));
         let (outcome, delay) = if cut {
             let outcome = Stored::Failed {
                 maybe: false,
@@ -119,12 +119,12 @@
             (self.store.carry_out(self.now, ask), back)
         };
         let event = Event::Stored { query, outcome };
-        self.after(delay, Item::Event { host, run, event });
+        self.schedule(delay, SimEvent::DaemonEvent { daemon, run, event });
     }
 
     /// Checks the generation of a routing decision.
-    pub(super) fn check_decision(&mut self, host: usize, decision: &Decision) {
-        self.note(|| {
+    pub(super) fn check_decision(&mut self, daemon: usize, decision: &Decision) {
+        self.trace_line(|| {
             let Decision {
                 request,
                 step,
@@ -133,19 +133,19 @@
                 generation,
                 ..
             } = decision;
-            format!("entry-{host} {step:?} {request}: {choice} ({reason}) g{generation}")
+            format!("entry-{daemon} {step:?} {request}: {choice} ({reason}) g{generation}")
         });
         if !matches!(decision.step, Step::Admit | Step::Place) {
             return;
         }
         let generation = decision.generation;
-        let former = self.hosts[host].decided;
+        let former = self.daemons[daemon].last_generation;
         if generation < former {
             self.violate(format!(
-                "entry-{host} decided by generation {generation} after {former}"
+                "entry-{daemon} decided by generation {generation} after {former}"
             ));
         }
-        self.hosts[host].decided = generation.max(former);
+        self.daemons[daemon].last_generation = generation.max(former);
         let newest = self
             .accepted
             .iter()
@@ -154,36 +154,36 @@
         if let Some((newest, at)) = newest.filter(|(newest, _)| **newest > generation) {
             let late = self.now.since(*at).as_millis();
             self.violate(format!(
-                "entry-{host} decided by generation {generation}, {late} ms after {newest} was accepted"
+                "entry-{daemon} decided by generation {generation}, {late} ms after {newest} was accepted"
             ));
         }
     }
 
-    pub(super) fn finished(&mut self, host: usize) {
-        self.note(|| format!("entry-{host} finished"));
-        if !self.hosts[host].stopping {
-            self.violate(format!("entry-{host} finished without being asked"));
+    pub(super) fn handle_finished(&mut self, daemon: usize) {
+        self.trace_line(|| format!("entry-{daemon} finished"));
+        if !self.daemons[daemon].stopping {
+            self.violate(format!("entry-{daemon} finished without being asked"));
         }
-        let mut cut = self.open_conns(host);
+        let mut cut = self.open_conns(daemon);
         cut.retain(|call| self.conns[call].seen);
         if !cut.is_empty() {
-            self.violate(format!("entry-{host} finished and cut off {cut:?}"));
+            self.violate(format!("entry-{daemon} finished and cut off {cut:?}"));
         }
-        self.end_process(host);
+        self.end_process(daemon);
         let pause = Duration::from_millis(self.rng.random_range(200..2_000));
-        self.after(pause, Item::Start(host));
+        self.schedule(pause, SimEvent::Start(daemon));
     }
 }
 
 /// `frame` as it comes out of the codec.
-fn carried(frame: &Frame) -> Option<Frame> {
+fn encode_and_decode(frame: &Frame) -> Option<Frame> {
     let bytes = wire::encode(frame).ok()?;
     let mut decoder = Decoder::new();
     decoder.extend(&bytes);
     decoder.frame().ok().flatten()
 }
 
-fn kind_number(action: &Action) -> u64 {
+fn action_digest(action: &Action) -> u64 {
     match action {
         Action::Order { order, handle, .. } => order.0 ^ handle.sequence ^ handle.owner.0,
         Action::Tell { call, .. } => call.0 << 8,
--- a/crates/node/tests/world/visits.rs
+++ b/crates/node/tests/simulation/caller_attempts.rs
@@ -9,18 +9,18 @@
 use node::ids::Call;
 use rand::RngExt;
 
+use super::Simulation;
 use super::UNIX_MS;
-use super::World;
 use super::callers::State;
-use super::conns::Peer;
-use super::item::Item;
-use super::item::Note;
+use super::connections::Peer;
+use super::sim_event::CallerEvent;
+use super::sim_event::SimEvent;
 
 /// Tries after which a caller gives up.
 const MAX_TRIES: u32 = 200;
 
-impl World {
-    pub(super) fn attempt(&mut self, caller: usize) {
+impl Simulation {
+    pub(super) fn connect_or_give_up(&mut self, caller: usize) {
         let slot = &mut self.callers[caller];
         if slot.conn.is_some() {
             return;
@@ -29,17 +29,17 @@
         if slot.tries > MAX_TRIES {
             return self.violate(format!("caller {caller} tried {MAX_TRIES} times in vain"));
         }
-        if slot.keyed && slot.key.is_none() && !self.ask_addresses(caller) {
-            return self.note_in(300, caller, Note::Try);
+        if slot.keyed && slot.key.is_none() && !self.fetch_addresses(caller) {
+            return self.schedule_caller(300, caller, CallerEvent::Try);
         }
         self.connect_somewhere(caller);
     }
 
     /// Asks some daemon for addresses and makes the key by its answer.
-    pub(super) fn ask_addresses(&mut self, caller: usize) -> bool {
-        let host = self.rng.random_range(0..self.hosts.len());
-        let slot = &self.hosts[host];
-        let Some(core) = slot.core.as_ref().filter(|_| self.now >= slot.paused) else {
+    pub(super) fn fetch_addresses(&mut self, caller: usize) -> bool {
+        let daemon = self.rng.random_range(0..self.daemons.len());
+        let slot = &self.daemons[daemon];
+        let Some(core) = slot.core.as_ref().filter(|_| self.now >= slot.paused_until) else {
             return false;
         };
         let addresses = core.addresses(slot.local(self.now), slot.zone);
@@ -49,39 +49,42 @@
         }
         let address = &addresses[self.rng.random_range(0..addresses.len())];
         let prefix = Prefix::new(address.runner, issued);
-        let runner = self.hosts.iter().position(|slot| slot.name == address.name);
+        let runner = self
+            .daemons
+            .iter()
+            .position(|slot| slot.name == address.name);
         let slot = &mut self.callers[caller];
         slot.key = Some(format!("{prefix}c{caller}"));
-        slot.hint = runner;
+        slot.next_daemon = runner;
         true
     }
 
     pub(super) fn connect_somewhere(&mut self, caller: usize) {
-        let any = self.rng.random_range(0..self.hosts.len());
+        let any = self.rng.random_range(0..self.daemons.len());
         let slot = &mut self.callers[caller];
-        let host = slot.hint.take().unwrap_or(any);
+        let daemon = slot.next_daemon.take().unwrap_or(any);
         let resume = slot.token.clone();
         let micros = self.rng.random_range(500..20_000);
-        let note = Note::Connect { host, resume };
-        self.after_micros(micros, Item::Caller { caller, note });
+        let event = CallerEvent::Connect { daemon, resume };
+        self.schedule_micros(micros, SimEvent::Caller { caller, event });
     }
 
-    pub(super) fn connect(&mut self, caller: usize, host: usize, resume: Option<String>) {
-        if self.hosts[host].core.is_none() {
+    pub(super) fn connect(&mut self, caller: usize, daemon: usize, resume: Option<String>) {
+        if self.daemons[daemon].core.is_none() {
             let call = self.callers[caller].conn;
             if call.is_none() {
-                self.after_micros(
+                self.schedule_micros(
                     5_000,
-                    Item::Caller {
+                    SimEvent::Caller {
                         caller,
-                        note: Note::Broken { call },
+                        event: CallerEvent::Disconnected { call },
                     },
                 );
             }
             return;
         }
         let offset = if resume.is_some() {
-            self.callers[caller].had
+            self.callers[caller].received_tokens
         } else {
             0
         };
@@ -90,13 +93,15 @@
         } else {
             Peer::Caller(caller)
         };
-        let call = self.open_conn(host, peer, offset);
+        let call = self.open_conn(daemon, peer, offset);
         let slot = &mut self.callers[caller];
         slot.connections += 1;
         slot.conn = Some(call);
-        slot.had = offset;
+        slot.received_tokens = offset;
         let request = slot.request(caller);
-        self.note(|| format!("caller {caller} opens {call:?} at entry-{host} from {offset}"));
+        self.trace_line(|| {
+            format!("caller {caller} opens {call:?} at entry-{daemon} from {offset}")
+        });
         let event = match resume {
             Some(token) => Event::Resumed {
                 call,
@@ -106,11 +111,11 @@
             },
             None => Event::Arrived { call, request },
         };
-        let run = self.hosts[host].run;
-        self.event(host, run, event);
+        let run = self.daemons[daemon].run;
+        self.deliver_event(daemon, run, event);
     }
 
-    pub(super) fn told(&mut self, caller: usize, call: Call, tell: Tell) {
+    pub(super) fn receive(&mut self, caller: usize, call: Call, tell: Tell) {
         if self.is_lost(call) {
             return;
         }
@@ -119,7 +124,9 @@
             Tell::Done { .. } | Tell::Answer { .. } => self.end_caller(caller, State::Complete),
             _ if !is_present => (),
             Tell::Head { token, .. } => self.callers[caller].token = Some(token),
-            Tell::Tokens { offset, count, .. } => self.callers[caller].had = offset + count,
+            Tell::Tokens { offset, count, .. } => {
+                self.callers[caller].received_tokens = offset + count
+            }
             Tell::Superseded => self.try_again(caller, 300),
             Tell::Refusal(refusal) => self.refused(caller, call, &refusal),
             Tell::Edit(_) => (),
@@ -129,7 +136,7 @@
     pub(super) fn try_again(&mut self, caller: usize, ms: u64) {
         self.callers[caller].conn = None;
         let jitter = self.rng.random_range(10..300);
-        self.note_in(ms + jitter, caller, Note::Try);
+        self.schedule_caller(ms + jitter, caller, CallerEvent::Try);
     }
 
     pub(super) fn refused(&mut self, caller: usize, call: Call, refusal: &Refusal) {
@@ -137,18 +144,19 @@
         let slot = &mut self.callers[caller];
         slot.token = None;
         let named = refusal.addresses.first();
-        slot.hint = named.and_then(|name| self.hosts.iter().position(|host| host.name == *name));
+        slot.next_daemon =
+            named.and_then(|name| self.daemons.iter().position(|daemon| daemon.name == *name));
         let for_ever = matches!(
             refusal.reason,
             Reason::Invalid | Reason::NoRow | Reason::KeyNeeded | Reason::KeyExpired
         );
         let single = slot.is_single() && refusal.outcome != Outcome::NotRun;
         if !resumed && (for_ever || single) {
-            return self.end_caller(caller, State::Without(refusal.outcome));
+            return self.end_caller(caller, State::NoAnswer(refusal.outcome));
         }
         if !resumed && refusal.outcome == Outcome::Failed && refusal.retry_after_ms == 0 {
             slot.key = None;
-            slot.touched = false;
+            slot.reached_replica = false;
         }
         self.try_again(caller, refusal.retry_after_ms);
     }
--- a/crates/node/tests/world/callers.rs
+++ b/crates/node/tests/simulation/callers.rs
@@ -8,10 +8,10 @@
 use node::request::Work;
 use rand::RngExt;
 
-use super::World;
-use super::conns::Peer;
-use super::item::Item;
-use super::item::Note;
+use super::Simulation;
+use super::connections::Peer;
+use super::sim_event::CallerEvent;
+use super::sim_event::SimEvent;
 
 /// Most tokens that a patient caller asks for.
 const MAX_TOKENS: u32 = 40;
@@ -27,7 +27,7 @@
     /// It has the whole answer.
     Complete,
     /// It was told an outcome that it does not try again after.
-    Without(Outcome),
+    NoAnswer(Outcome),
     /// It went away.
     Gone,
 }
@@ -43,16 +43,16 @@
     /// Connections that reached a daemon.
     pub connections: u32,
     /// Whether a byte of the request has reached a replica under its present key.
-    pub touched: bool,
+    pub reached_replica: bool,
     /// How often replicas began to run it.
     pub runs: u32,
     pub keyed: bool,
     pub key: Option<String>,
     pub token: Option<String>,
-    pub had: u32,
+    pub received_tokens: u32,
     pub conn: Option<Call>,
     /// Where to go next.
-    pub hint: Option<usize>,
+    pub next_daemon: Option<usize>,
     pub tries: u32,
 }
 
@@ -64,14 +64,14 @@
             repeatable,
             state: State::Trying,
             connections: 0,
-            touched: false,
+            reached_replica: false,
             runs: 0,
             keyed,
             key: None,
             token: None,
-            had: 0,
+            received_tokens: 0,
             conn: None,
-            hint: None,
+            next_daemon: None,
             tries: 0,
         }
     }
@@ -102,7 +102,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn add_caller(&mut self, caller: usize) {
         let length = self.rng.random_range(1..=MAX_TOKENS);
         let kind = self.rng.random_range(0..100);
@@ -115,55 +115,58 @@
             _ => Caller::new("booking", 0, true, false),
         });
         let begin = self.rng.random_range(200..9_000);
-        self.note_in(begin, caller, Note::Try);
+        self.schedule_caller(begin, caller, CallerEvent::Try);
         let later = begin + self.rng.random_range(1..3_000);
         match self.rng.random_range(0..100) {
             0..16 => {
                 self.callers[caller].length = ENDLESS_TOKENS;
-                self.note_in(later, caller, Note::Vanish);
+                self.schedule_caller(later, caller, CallerEvent::Abandon);
             }
-            16..32 => self.note_in(later, caller, Note::Drop),
-            32..48 => self.note_in(later, caller, Note::Double),
+            16..32 => self.schedule_caller(later, caller, CallerEvent::Drop),
+            32..48 => self.schedule_caller(later, caller, CallerEvent::OpenSecond),
             _ => (),
         }
     }
 
-    pub(super) fn note_in(&mut self, ms: u64, caller: usize, note: Note) {
-        self.after(Duration::from_millis(ms), Item::Caller { caller, note });
+    pub(super) fn schedule_caller(&mut self, ms: u64, caller: usize, event: CallerEvent) {
+        self.schedule(
+            Duration::from_millis(ms),
+            SimEvent::Caller { caller, event },
+        );
     }
 
-    pub(super) fn caller_notes(&mut self, caller: usize, note: Note) {
+    pub(super) fn handle_caller_event(&mut self, caller: usize, event: CallerEvent) {
         if self.callers[caller].state != State::Trying {
             return;
         }
-        match note {
-            Note::Try => self.attempt(caller),
-            Note::Double => {
+        match event {
+            CallerEvent::Try => self.connect_or_give_up(caller),
+            CallerEvent::OpenSecond => {
                 if self.callers[caller].conn.is_some() {
                     self.connect_somewhere(caller);
                 }
             }
-            Note::Drop => {
+            CallerEvent::Drop => {
                 if let Some(call) = self.callers[caller].conn.take() {
                     self.close_conn(call);
                     let ms = self.rng.random_range(10..5_000);
-                    self.note_in(ms, caller, Note::Try);
+                    self.schedule_caller(ms, caller, CallerEvent::Try);
                 }
             }
-            Note::Vanish => self.end_caller(caller, State::Gone),
-            Note::Connect { host, resume } => self.connect(caller, host, resume),
-            Note::Told { call, tell } => self.told(caller, call, tell),
-            Note::Broken { call } if call == self.callers[caller].conn => {
+            CallerEvent::Abandon => self.end_caller(caller, State::Gone),
+            CallerEvent::Connect { daemon, resume } => self.connect(caller, daemon, resume),
+            CallerEvent::Received { call, tell } => self.receive(caller, call, tell),
+            CallerEvent::Disconnected { call } if call == self.callers[caller].conn => {
                 self.callers[caller].conn = None;
                 let ms = self.rng.random_range(50..800);
-                self.note_in(ms, caller, Note::Try);
+                self.schedule_caller(ms, caller, CallerEvent::Try);
             }
-            Note::Broken { .. } => (),
+            CallerEvent::Disconnected { .. } => (),
         }
     }
 
     pub(super) fn end_caller(&mut self, caller: usize, state: State) {
-        self.note(|| format!("caller {caller} ends: {state:?}"));
+        self.trace_line(|| format!("caller {caller} ends: {state:?}"));
         self.callers[caller].state = state;
         self.callers[caller].conn = None;
         let of_caller = |peer| peer == Peer::Caller(caller) || peer == Peer::Reader(caller);
--- a/crates/node/tests/world/check.rs
+++ b/crates/node/tests/simulation/check.rs
@@ -5,45 +5,45 @@
 use ident::Time;
 
 use super::Figures;
-use super::QUIET;
-use super::World;
+use super::SETTLE_TIME;
+use super::Simulation;
 use super::callers::State;
-use super::item::Arriving;
-use super::plan::CHAOS_MS;
+use super::plan::FAULTS_END_MS;
+use super::sim_event::ArrivingOrder;
 
 /// Added to stated bounds, for ways and timers of the world.
 pub const SLACK: Duration = Duration::from_millis(500);
 /// Seconds after which a drained replica gets nothing new.
 const DRAIN_BOUND: Duration = Duration::from_secs(5);
 
-impl World {
+impl Simulation {
     /// New work reaches a replica.
-    pub(super) fn check_new_work(&mut self, arriving: &Arriving) {
+    pub(super) fn check_new_work(&mut self, arriving: &ArrivingOrder) {
         if let Some((call, caller)) = arriving.origin {
-            self.callers[caller].touched = true;
+            self.callers[caller].reached_replica = true;
             self.conns
                 .entry(call)
-                .and_modify(|conn| conn.touched = true);
+                .and_modify(|conn| conn.reached_replica = true);
         }
         let engine = &self.engines[arriving.engine];
         let late = engine
-            .drained
+            .drained_since
             .filter(|since| self.now > *since + DRAIN_BOUND);
         if let Some(since) = late {
             let late = self.now.since(since).as_millis();
-            let (name, host) = (engine.name.clone(), arriving.ticket.host);
+            let (name, daemon) = (engine.name.clone(), arriving.ticket.daemon);
             self.violate(format!(
-                "{name} gets new work of entry-{host}, {late} ms after it was drained"
+                "{name} gets new work of entry-{daemon}, {late} ms after it was drained"
             ));
         }
     }
 
     /// Looks whether everything has settled, and demands it once all was well for long enough.
-    pub(super) fn look(&mut self) -> bool {
-        let Some(pending) = self.pending() else {
+    pub(super) fn check_settled(&mut self) -> bool {
+        let Some(pending) = self.unsettled() else {
             return true;
         };
-        let end = Time::from_millis(CHAOS_MS.into()) + QUIET;
+        let end = Time::from_millis(FAULTS_END_MS.into()) + SETTLE_TIME;
         if self.now > end {
             self.violate(format!("not settled: {pending}"));
         }
@@ -51,8 +51,8 @@
     }
 
     /// What has not settled yet.
-    fn pending(&self) -> Option<String> {
-        let hosts = (0..self.hosts.len()).find_map(|host| self.pending_host(host));
+    fn unsettled(&self) -> Option<String> {
+        let daemons = (0..self.daemons.len()).find_map(|daemon| self.unsettled_daemon(daemon));
         let callers = || {
             let trying = self.callers.iter();
             let mut trying = trying.enumerate();
@@ -61,20 +61,23 @@
                 .map(|(index, caller)| format!("caller {index} still tries: {caller:?}"))
         };
         let operators = || {
-            let pending = self.operators.iter().find(|operator| !operator.over);
+            let pending = self.operators.iter().find(|operator| !operator.finished);
             pending.map(|operator| format!("edit {} has no end", operator.edit.id))
         };
         let engines = || {
-            let holding = self.engines.iter().find(|engine| engine.held() > 0);
+            let holding = self
+                .engines
+                .iter()
+                .find(|engine| engine.works_in_memory() > 0);
             holding.map(|engine| format!("{} holds {:?}", engine.name, engine.works))
         };
-        hosts.or_else(callers).or_else(operators).or_else(engines)
+        daemons.or_else(callers).or_else(operators).or_else(engines)
     }
 
-    fn pending_host(&self, host: usize) -> Option<String> {
-        let slot = &self.hosts[host];
+    fn unsettled_daemon(&self, daemon: usize) -> Option<String> {
+        let slot = &self.daemons[daemon];
         let Some(core) = &slot.core else {
-            return Some(format!("entry-{host} is down"));
+            return Some(format!("entry-{daemon} is down"));
         };
         let status = core.status(slot.local(self.now));
         let generation = self.store.table.generation;
@@ -84,28 +87,28 @@
             .map(|pool| pool.waiting + pool.placed)
             .sum();
         match () {
-            () if slot.stopping => Some(format!("entry-{host} does not finish: {status:?}")),
+            () if slot.stopping => Some(format!("entry-{daemon} does not finish: {status:?}")),
             () if status.generation != generation => {
-                Some(format!("entry-{host} has not generation {generation}"))
+                Some(format!("entry-{daemon} has not generation {generation}"))
             }
             () if status.open > 0 || status.holds > 0 || placed > 0 => {
-                Some(format!("entry-{host} has not settled: {status:?}"))
+                Some(format!("entry-{daemon} has not settled: {status:?}"))
             }
             () => None,
         }
     }
 
-    pub(super) fn figures(&self, items: u64) -> Figures {
+    pub(super) fn figures(&self, events: u64) -> Figures {
         let complete = self
             .callers
             .iter()
             .filter(|caller| caller.state == State::Complete)
             .count();
-        let without = |caller: &&super::Caller| matches!(caller.state, State::Without(_));
+        let without = |caller: &&super::Caller| matches!(caller.state, State::NoAnswer(_));
         Figures {
-            items,
+            events,
             complete,
-            without: self.callers.iter().filter(without).count(),
+            without_answer: self.callers.iter().filter(without).count(),
             digest: self.digest,
             settled_ms: self.now.as_millis(),
         }
--- a/crates/node/tests/world/conns.rs
+++ b/crates/node/tests/simulation/connections.rs
@@ -6,10 +6,10 @@
 use node::ids::Call;
 use rand::RngExt;
 
-use super::World;
-use super::item::Item;
-use super::item::Note;
-use super::item::Verdict;
+use super::Simulation;
+use super::sim_event::CallerEvent;
+use super::sim_event::OperatorEvent;
+use super::sim_event::SimEvent;
 
 /// Who is at the other end of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,12 +39,12 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Conn {
     pub peer: Peer,
-    pub host: usize,
+    pub daemon: usize,
     run: u32,
     /// Whether its daemon has seen it.
     pub seen: bool,
     /// Whether a byte of its request has reached a replica.
-    pub touched: bool,
+    pub reached_replica: bool,
     /// The attempt whose head it was last told.
     pub handle: Option<Handle>,
     /// Index of the token that is due next.
@@ -60,17 +60,17 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Opens a connection to `host`, whose process must be there.
-    pub(super) fn open_conn(&mut self, host: usize, peer: Peer, next: u32) -> Call {
+    pub(super) fn open_conn(&mut self, daemon: usize, peer: Peer, next: u32) -> Call {
         self.counter += 1;
         let call = Call(self.counter);
         let conn = Conn {
             peer,
-            host,
-            run: self.hosts[host].run,
+            daemon,
+            run: self.daemons[daemon].run,
             seen: false,
-            touched: false,
+            reached_replica: false,
             handle: None,
             next,
             state: State::Open,
@@ -86,24 +86,24 @@
             return;
         };
         conn.state = State::Closed;
-        let (host, run) = (conn.host, conn.run);
+        let (daemon, run) = (conn.daemon, conn.run);
         let event = Event::Left { call };
-        self.note(|| format!("{call:?} at entry-{host} closes"));
-        self.after_micros(500, Item::Event { host, run, event });
+        self.trace_line(|| format!("{call:?} at entry-{daemon} closes"));
+        self.schedule_micros(500, SimEvent::DaemonEvent { daemon, run, event });
     }
 
     /// Connections of the present process of `host` that have no last answer.
-    pub(super) fn open_conns(&self, host: usize) -> Vec<Call> {
-        let run = self.hosts[host].run;
+    pub(super) fn open_conns(&self, daemon: usize) -> Vec<Call> {
+        let run = self.daemons[daemon].run;
         self.conns
             .iter()
-            .filter(|(_, conn)| conn.host == host && conn.run == run && conn.is_open())
+            .filter(|(_, conn)| conn.daemon == daemon && conn.run == run && conn.is_open())
             .map(|(call, _)| *call)
             .collect()
     }
 
-    pub(super) fn break_conns(&mut self, host: usize) {
-        for call in self.open_conns(host) {
+    pub(super) fn break_conns(&mut self, daemon: usize) {
+        for call in self.open_conns(daemon) {
             let dropped = self.rng.random_bool(0.5);
             let Some(conn) = self.conns.get_mut(&call) else {
                 continue;
@@ -113,17 +113,17 @@
             } else {
                 State::Closed
             };
-            let item = match conn.peer {
-                Peer::Caller(caller) | Peer::Reader(caller) => Item::Caller {
+            let event = match conn.peer {
+                Peer::Caller(caller) | Peer::Reader(caller) => SimEvent::Caller {
                     caller,
-                    note: Note::Broken { call: Some(call) },
+                    event: CallerEvent::Disconnected { call: Some(call) },
                 },
-                Peer::Operator(operator) => Item::Operator {
+                Peer::Operator(operator) => SimEvent::Operator {
                     operator,
-                    verdict: Verdict::Broken,
+                    verdict: OperatorEvent::Disconnected,
                 },
             };
-            self.after_micros(4_000, item);
+            self.schedule_micros(4_000, event);
         }
     }
 
--- a/crates/node/tests/world/host.rs
+++ b/crates/node/tests/simulation/daemon.rs
@@ -17,20 +17,20 @@
 use rand::RngExt;
 
 use super::LEASE;
+use super::Simulation;
 use super::UNIX_MS;
-use super::World;
-use super::item::Item;
+use super::sim_event::SimEvent;
 
 /// How long callers keep an address answer.
 pub const ADDRESS_TTL: Duration = Duration::from_secs(2);
 /// Least pause between two wakes, against cores that ask to be woken in the past.
-const LEAST_PAUSE: Duration = Duration::from_micros(100);
+const MIN_WAKE_DELAY: Duration = Duration::from_micros(100);
 /// Time between two lists.
-const LIST_EVERY: Duration = Duration::from_secs(1);
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One daemon instance, over all its processes.
 #[derive(Debug)]
-pub struct Host {
+pub struct Daemon {
     pub name: String,
     pub instance: Instance,
     pub zone: Zone,
@@ -39,7 +39,7 @@
     /// Counts its processes.
     pub run: u32,
     /// Until when it is paused.
-    pub paused: Time,
+    pub paused_until: Time,
     /// Whether a planned stop was asked for.
     pub stopping: bool,
     /// Difference of its clocks from the world's, in milliseconds.
@@ -47,10 +47,10 @@
     backlog: VecDeque<Event>,
     wake: Time,
     /// The highest generation it decided by, over all its processes.
-    pub decided: u64,
+    pub last_generation: u64,
 }
 
-impl Host {
+impl Daemon {
     /// The daemon number `index`; its clocks are ahead by `skew` milliseconds.
     pub fn new(index: usize, skew: u64) -> Self {
         let name = format!("entry-{index}");
@@ -60,12 +60,12 @@
             name,
             core: None,
             run: 0,
-            paused: Time::ZERO,
+            paused_until: Time::ZERO,
             stopping: false,
             skew,
             backlog: VecDeque::new(),
             wake: Time::NEVER,
-            decided: 0,
+            last_generation: 0,
         }
     }
 
@@ -75,12 +75,12 @@
     }
 }
 
-impl World {
-    pub(super) fn start(&mut self, host: usize) {
-        let seeds = self.hosts.iter().map(|other| other.instance).collect();
+impl Simulation {
+    pub(super) fn start(&mut self, daemon: usize) {
+        let seeds = self.daemons.iter().map(|other| other.instance).collect();
         let incarnation = Incarnation(self.rng.random());
         let seed = self.rng.random();
-        let slot = &mut self.hosts[host];
+        let slot = &mut self.daemons[daemon];
         let settings = Settings {
             instance: slot.instance,
             name: slot.name.clone(),
@@ -103,21 +103,21 @@
         slot.backlog.clear();
         slot.core = Some(Node::new(settings, slot.local(self.now), seed));
         let run = slot.run;
-        self.note(|| format!("entry-{host} starts as {incarnation}"));
-        self.after(Duration::ZERO, Item::Wake { host, run });
-        self.after(Duration::ZERO, Item::List(host));
+        self.trace_line(|| format!("entry-{daemon} starts as {incarnation}"));
+        self.schedule(Duration::ZERO, SimEvent::Wake { daemon, run });
+        self.schedule(Duration::ZERO, SimEvent::List(daemon));
     }
 
     /// The process of `host` is gone; its connections break.
-    pub(super) fn end_process(&mut self, host: usize) {
-        self.hosts[host].core = None;
-        self.hosts[host].backlog.clear();
-        self.break_conns(host);
-        self.forget_orders(host);
+    pub(super) fn end_process(&mut self, daemon: usize) {
+        self.daemons[daemon].core = None;
+        self.daemons[daemon].backlog.clear();
+        self.break_conns(daemon);
+        self.drop_orders(daemon);
     }
 
-    pub(super) fn tell_list(&mut self, host: usize) {
-        let instances = self.hosts.iter().map(|slot| Seat {
+    pub(super) fn send_list(&mut self, daemon: usize) {
+        let instances = self.daemons.iter().map(|slot| Seat {
             instance: slot.instance,
             name: slot.name.clone(),
             zone: slot.zone,
@@ -138,45 +138,45 @@
             instances: instances.collect(),
             replicas: replicas.collect(),
         };
-        let run = self.hosts[host].run;
-        if self.hosts[host].core.is_none() {
+        let run = self.daemons[daemon].run;
+        if self.daemons[daemon].core.is_none() {
             return;
         }
         let lag = Duration::from_millis(self.rng.random_range(0..1_500));
-        let first = self.hosts[host].wake == Time::NEVER;
+        let first = self.daemons[daemon].wake == Time::NEVER;
         let lag = if first { Duration::ZERO } else { lag };
         let event = Event::Listed(list);
-        self.after(lag, Item::Event { host, run, event });
-        self.after(LIST_EVERY, Item::List(host));
+        self.schedule(lag, SimEvent::DaemonEvent { daemon, run, event });
+        self.schedule(LIST_INTERVAL, SimEvent::List(daemon));
     }
 
-    pub(super) fn wake(&mut self, host: usize, run: u32) {
-        let slot = &self.hosts[host];
-        if slot.run == run && self.now < slot.paused {
-            let rest = slot.paused.since(self.now);
-            return self.after(rest, Item::Wake { host, run });
+    pub(super) fn wake(&mut self, daemon: usize, run: u32) {
+        let slot = &self.daemons[daemon];
+        if slot.run == run && self.now < slot.paused_until {
+            let rest = slot.paused_until.since(self.now);
+            return self.schedule(rest, SimEvent::Wake { daemon, run });
         }
         if slot.run != run || slot.core.is_none() {
             return;
         }
-        while let Some(event) = self.hosts[host].backlog.pop_front() {
-            self.step(host, event);
+        while let Some(event) = self.daemons[daemon].backlog.pop_front() {
+            self.step(daemon, event);
         }
-        self.step(host, Event::Tick);
+        self.step(daemon, Event::Tick);
     }
 
-    pub(super) fn event(&mut self, host: usize, run: u32, event: Event) {
-        let slot = &mut self.hosts[host];
+    pub(super) fn deliver_event(&mut self, daemon: usize, run: u32, event: Event) {
+        let slot = &mut self.daemons[daemon];
         match () {
             () if slot.run != run || slot.core.is_none() => (),
-            () if self.now < slot.paused => slot.backlog.push_back(event),
-            () => self.step(host, event),
+            () if self.now < slot.paused_until => slot.backlog.push_back(event),
+            () => self.step(daemon, event),
         }
     }
 
-    fn step(&mut self, host: usize, event: Event) {
+    fn step(&mut self, daemon: usize, event: Event) {
         let now = self.now;
-        let slot = &mut self.hosts[host];
+        let slot = &mut self.daemons[daemon];
         let local = slot.local(now);
         let run = slot.run;
         let Some(core) = slot.core.as_mut() else {
@@ -189,15 +189,15 @@
         core.step(local, event, &mut actions);
         let wake = core.wake() - Duration::from_millis(slot.skew);
         for action in actions {
-            if self.hosts[host].core.is_some() {
-                self.act(host, run, action);
+            if self.daemons[daemon].core.is_some() {
+                self.carry_out_action(daemon, run, action);
             }
         }
-        let wake = wake.max(now + LEAST_PAUSE);
-        let slot = &mut self.hosts[host];
+        let wake = wake.max(now + MIN_WAKE_DELAY);
+        let slot = &mut self.daemons[daemon];
         if wake < slot.wake || slot.wake <= now || slot.wake == Time::NEVER {
             slot.wake = wake;
-            self.after(wake.since(now), Item::Wake { host, run });
+            self.schedule(wake.since(now), SimEvent::Wake { daemon, run });
         }
     }
 }
--- a/crates/node/tests/world/engine.rs
+++ b/crates/node/tests/simulation/engine.rs
@@ -15,18 +15,18 @@
 use route::replica::Role;
 
 /// How long an engine keeps a finished prefill.
-pub const RESULT_LIFE: Duration = Duration::from_millis(800);
+pub const RESULT_RETENTION: Duration = Duration::from_millis(800);
 /// How long a finished stream stays readable.
-pub const READABLE: Duration = Duration::from_secs(30);
+pub const STREAM_RETENTION: Duration = Duration::from_secs(30);
 /// How long a cancelled handle is refused.
-const CANCELLED: Duration = Duration::from_mins(1);
+const CANCEL_RETENTION: Duration = Duration::from_mins(1);
 const HTTP_CONFLICT: u16 = 409;
 
 /// An order as it is known outside of its daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
     /// The daemon.
-    pub host: usize,
+    pub daemon: usize,
     /// Its process, by number.
     pub run: u32,
     /// The order.
@@ -66,7 +66,7 @@
 }
 
 #[derive(Debug, Default, Clone, Copy)]
-struct Past {
+struct HandleHistory {
     fence: u64,
     cancelled: Option<Time>,
 }
@@ -83,17 +83,17 @@
     pub fences: bool,
     pub boot: u64,
     pub works: BTreeMap<Handle, Work>,
-    past: BTreeMap<Handle, Past>,
+    history: BTreeMap<Handle, HandleHistory>,
     /// Calls of a plain application in progress.
     pub calls: u32,
     /// Until when it does nothing.
-    pub stalled: Time,
+    pub stalled_until: Time,
     /// Until when its answers are lost.
-    pub loses: Time,
+    pub loses_answers_until: Time,
     /// Until when it refuses new work.
-    pub refuses: Time,
+    pub refuses_until: Time,
     /// Since when it is known to be marked to drain.
-    pub drained: Option<Time>,
+    pub drained_since: Option<Time>,
 }
 
 impl Engine {
@@ -108,48 +108,51 @@
             fences,
             boot: 1,
             works: BTreeMap::new(),
-            past: BTreeMap::new(),
+            history: BTreeMap::new(),
             calls: 0,
-            stalled: Time::ZERO,
-            loses: Time::ZERO,
-            refuses: Time::ZERO,
-            drained: None,
+            stalled_until: Time::ZERO,
+            loses_answers_until: Time::ZERO,
+            refuses_until: Time::ZERO,
+            drained_since: None,
         }
     }
 
     /// Notes an order and refuses it if its fencing number is too low.
     pub fn admit(&mut self, handle: Handle, fence: u64) -> Result<(), Failure> {
-        let past = self.past.entry(handle).or_default();
-        if self.fences && fence < past.fence {
-            return Err(refused(HTTP_CONFLICT, Some(past.fence)));
+        let history = self.history.entry(handle).or_default();
+        if self.fences && fence < history.fence {
+            return Err(refused(HTTP_CONFLICT, Some(history.fence)));
         }
-        past.fence = past.fence.max(fence);
+        history.fence = history.fence.max(fence);
         Ok(())
     }
 
     /// Notes an order that brings work; a cancelled handle is refused whatever its number.
     pub fn admit_work(&mut self, now: Time, handle: Handle, fence: u64) -> Result<(), Failure> {
-        let cancelled = self.past.get(&handle).and_then(|past| past.cancelled);
+        let cancelled = self
+            .history
+            .get(&handle)
+            .and_then(|history| history.cancelled);
         match cancelled {
-            Some(at) if now < at + CANCELLED => Err(refused(HTTP_CONFLICT, None)),
+            Some(at) if now < at + CANCEL_RETENTION => Err(refused(HTTP_CONFLICT, None)),
             _ => self.admit(handle, fence),
         }
     }
 
     /// Releases all that `handle` holds; returns its reader.
     pub fn cancel(&mut self, now: Time, handle: Handle) -> Option<Ticket> {
-        self.past.entry(handle).or_default().cancelled = Some(now);
+        self.history.entry(handle).or_default().cancelled = Some(now);
         self.works.remove(&handle).and_then(|work| work.reader)
     }
 
     /// Requests that hold a decode slot.
-    pub fn taken(&self) -> u32 {
+    pub fn used_slots(&self) -> u32 {
         let holds = |work: &&Work| matches!(work.phase, Phase::Import | Phase::Decode);
         self.works.values().filter(holds).count() as u32
     }
 
     /// Requests that hold memory.
-    pub fn held(&self) -> u32 {
+    pub fn works_in_memory(&self) -> u32 {
         let holds = |work: &&Work| work.phase != Phase::Done;
         self.works.values().filter(holds).count() as u32
     }
@@ -157,7 +160,7 @@
     /// Starts anew with empty memory; returns the readers that are cut off.
     pub fn reboot(&mut self) -> Vec<Ticket> {
         self.boot += 1;
-        self.past.clear();
+        self.history.clear();
         self.calls = 0;
         let works = std::mem::take(&mut self.works);
         works.into_values().filter_map(|work| work.reader).collect()
@@ -168,7 +171,7 @@
         let running = if self.role == Role::Plain {
             self.calls
         } else {
-            self.taken()
+            self.used_slots()
         };
         let report = Report {
             age: Duration::ZERO,
@@ -176,7 +179,7 @@
             running,
             waiting: 0,
             queued_tokens: 0,
-            works: self.held(),
+            works: self.works_in_memory(),
             events: Vec::new(),
         };
         let works = self.works.iter().map(|(handle, work)| Held {
--- a/crates/node/tests/world/works.rs
+++ b/crates/node/tests/simulation/execution.rs
@@ -7,13 +7,13 @@
 use node::event::Reply;
 use rand::RngExt;
 
-use super::World;
+use super::Simulation;
 use super::engine::Phase;
 use super::engine::Ticket;
 use super::engine::Work;
 use super::engine::refused;
-use super::item::Arriving;
-use super::item::Item;
+use super::sim_event::ArrivingOrder;
+use super::sim_event::SimEvent;
 
 const HTTP_NOT_FOUND: u16 = 404;
 const HTTP_CONFLICT: u16 = 409;
@@ -24,8 +24,8 @@
 /// Prefills that an engine queues.
 const MAX_PREFILLS: usize = 4;
 
-impl World {
-    pub(super) fn take_order(&mut self, arriving: &Arriving) {
+impl Simulation {
+    pub(super) fn handle_order(&mut self, arriving: &ArrivingOrder) {
         let now = self.now;
         let ticket = arriving.ticket;
         let engine = &mut self.engines[arriving.engine];
@@ -34,22 +34,22 @@
             Task::Cancel => engine.admit(arriving.handle, arriving.fence),
             _ => engine.admit_work(now, arriving.handle, arriving.fence),
         };
-        let taken = admitted.and_then(|()| self.begin(arriving));
+        let taken = admitted.and_then(|()| self.start_task(arriving));
         if let Err(failure) = taken {
-            self.fail(ticket, failure);
+            self.fail_order(ticket, failure);
         }
     }
 
-    fn begin(&mut self, arriving: &Arriving) -> Result<(), Failure> {
+    fn start_task(&mut self, arriving: &ArrivingOrder) -> Result<(), Failure> {
         let is_new = !matches!(arriving.task, Task::Cancel | Task::Attach { .. });
         if is_new {
             self.check_new_work(arriving);
         }
-        if is_new && self.now < self.engines[arriving.engine].refuses {
+        if is_new && self.now < self.engines[arriving.engine].refuses_until {
             return Err(refused(HTTP_UNAVAILABLE, None));
         }
         match arriving.task {
-            Task::Prefill { .. } => self.begin_prefill(arriving),
+            Task::Prefill { .. } => self.start_prefill(arriving),
             Task::Decode {
                 source,
                 max_tokens,
@@ -57,7 +57,7 @@
                 ..
             } => {
                 let source = self.engine_of(source);
-                self.begin_decode(arriving, source, max_tokens, offset)
+                self.start_decode(arriving, source, max_tokens, offset)
             }
             Task::Attach { offset } => self.attach(arriving, offset),
             Task::Cancel => {
@@ -65,13 +65,13 @@
                 Ok(())
             }
             Task::Plain { .. } => {
-                self.begin_plain(arriving);
+                self.start_plain(arriving);
                 Ok(())
             }
         }
     }
 
-    fn begin_prefill(&mut self, arriving: &Arriving) -> Result<(), Failure> {
+    fn start_prefill(&mut self, arriving: &ArrivingOrder) -> Result<(), Failure> {
         let Some((_, caller)) = arriving.origin else {
             return Err(Failure::NotSent);
         };
@@ -97,20 +97,20 @@
             produced: done,
             length: self.callers[caller].length,
         };
-        self.insert(arriving, work, 5_000..120_000);
+        self.insert_work(arriving, work, 5_000..120_000);
         self.count_run(caller);
         Ok(())
     }
 
-    fn insert(&mut self, arriving: &Arriving, work: Work, micros: std::ops::Range<u64>) {
+    fn insert_work(&mut self, arriving: &ArrivingOrder, work: Work, micros: std::ops::Range<u64>) {
         let engine = arriving.engine;
         let boot = self.engines[engine].boot;
         let handle = arriving.handle;
         self.engines[engine].works.insert(handle, work);
         let micros = self.rng.random_range(micros);
-        self.after_micros(
+        self.schedule_micros(
             micros,
-            Item::Work {
+            SimEvent::AttemptStep {
                 engine,
                 boot,
                 handle,
@@ -118,9 +118,9 @@
         );
     }
 
-    fn begin_decode(
+    fn start_decode(
         &mut self,
-        arriving: &Arriving,
+        arriving: &ArrivingOrder,
         source: Option<usize>,
         max_tokens: u32,
         offset: u32,
@@ -129,7 +129,7 @@
         if engine.works.contains_key(&arriving.handle) {
             return Err(refused(HTTP_CONFLICT, None));
         }
-        if engine.taken() >= engine.slots {
+        if engine.used_slots() >= engine.slots {
             return Err(refused(HTTP_TOO_MANY, None));
         }
         let found = source.and_then(|source| self.engines[source].works.get(&arriving.handle));
@@ -146,11 +146,11 @@
             produced: kept.produced,
             length: kept.length.min(max_tokens),
         };
-        self.insert(arriving, work, 1_000..40_000);
+        self.insert_work(arriving, work, 1_000..40_000);
         Ok(())
     }
 
-    fn attach(&mut self, arriving: &Arriving, offset: u32) -> Result<(), Failure> {
+    fn attach(&mut self, arriving: &ArrivingOrder, offset: u32) -> Result<(), Failure> {
         let works = &mut self.engines[arriving.engine].works;
         let found = works.get_mut(&arriving.handle);
         let Some(work) = found.filter(|work| !matches!(work.phase, Phase::Prefill | Phase::Kept))
@@ -161,29 +161,29 @@
         work.fence = work.fence.max(arriving.fence);
         work.next = offset;
         let former = work.reader.replace(arriving.ticket);
-        let taker = (arriving.ticket.host, self.now);
-        self.taken.insert(arriving.handle, taker);
+        let taker = (arriving.ticket.daemon, self.now);
+        self.takeovers.insert(arriving.handle, taker);
         if let Some(former) = former {
-            self.piece(former, &Piece::Superseded);
-            self.reply_last(former, Reply::StreamEnded);
+            self.send_piece(former, &Piece::Superseded);
+            self.send_last_reply(former, Reply::StreamEnded);
         }
         if self.engines[arriving.engine].works[&arriving.handle].phase != Phase::Import {
-            self.piece(arriving.ticket, &Piece::Imported);
+            self.send_piece(arriving.ticket, &Piece::Imported);
             self.deliver(arriving.engine, arriving.handle);
         }
         Ok(())
     }
 
-    fn cancel(&mut self, arriving: &Arriving) {
+    fn cancel(&mut self, arriving: &ArrivingOrder) {
         let now = self.now;
         let reader = self.engines[arriving.engine].cancel(now, arriving.handle);
         if let Some(reader) = reader {
-            self.fail(reader, refused(HTTP_NOT_FOUND, None));
+            self.fail_order(reader, refused(HTTP_NOT_FOUND, None));
         }
-        self.reply_last(arriving.ticket, Reply::Cancelled);
+        self.send_last_reply(arriving.ticket, Reply::Cancelled);
     }
 
-    fn begin_plain(&mut self, arriving: &Arriving) {
+    fn start_plain(&mut self, arriving: &ArrivingOrder) {
         let Some((_, caller)) = arriving.origin else {
             return;
         };
@@ -197,9 +197,9 @@
         } else {
             self.rng.random_range(1_000..60_000)
         };
-        self.after_micros(
+        self.schedule_micros(
             micros,
-            Item::Plain {
+            SimEvent::PlainCallEnd {
                 engine,
                 boot,
                 ticket,
@@ -208,15 +208,15 @@
         );
     }
 
-    pub(super) fn plain_ends(&mut self, engine: usize, boot: u64, ticket: Ticket, caller: usize) {
+    pub(super) fn finish_plain(&mut self, engine: usize, boot: u64, ticket: Ticket, caller: usize) {
         if self.engines[engine].boot != boot {
-            return self.fail(ticket, Failure::Lost);
+            return self.fail_order(ticket, Failure::Lost);
         }
         self.engines[engine].calls -= 1;
         let reply = Reply::Plain {
             status: HTTP_OK,
             body: Bytes::from(format!("confirmed for {caller}")),
         };
-        self.reply_last(ticket, reply);
+        self.send_last_reply(ticket, reply);
     }
 }
--- a/crates/node/tests/world/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -5,22 +5,22 @@
 //! broken ends the run.
 
 mod actions;
-mod answers;
+mod caller_attempts;
 mod callers;
 mod check;
-mod conns;
+mod connections;
+mod daemon;
 mod engine;
+mod execution;
 mod faults;
-mod host;
-mod item;
-mod net;
+mod network;
 mod operators;
 pub mod plan;
 mod progress;
-mod replicas;
+mod responses;
+mod sim_event;
 mod store;
-mod visits;
-mod works;
+mod transport;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,25 +38,25 @@
 use table::row::Row;
 
 use self::callers::Caller;
-use self::conns::Conn;
+use self::connections::Conn;
+use self::daemon::Daemon;
 use self::engine::Engine;
 use self::engine::Ticket;
-use self::host::Host;
-use self::item::Item;
-use self::net::Net;
+use self::network::Network;
 use self::operators::Operator;
-use self::plan::CHAOS_MS;
+use self::plan::FAULTS_END_MS;
 use self::plan::Fault;
 use self::plan::Plan;
-use self::replicas::Sent;
+use self::sim_event::SimEvent;
 use self::store::Store;
+use self::transport::OpenOrder;
 
 /// How long all is well at the end before everything must have settled.
-const QUIET: Duration = Duration::from_mins(1);
+const SETTLE_TIME: Duration = Duration::from_mins(1);
 /// Time between two looks at whether everything has settled.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const SETTLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Items after which a run counts as one that never settles.
-const MAX_ITEMS: u64 = 5_000_000;
+const MAX_EVENTS: u64 = 5_000_000;
 /// Lease of the table.
 const LEASE: Duration = Duration::from_secs(3);
 /// Start of the world on the Unix clock, in milliseconds.
@@ -64,22 +64,22 @@
 
 /// The world.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     now: Time,
     rng: Pcg64Mcg,
-    agenda: BTreeMap<(Time, u64), Item>,
+    event_queue: BTreeMap<(Time, u64), SimEvent>,
     counter: u64,
     plan: Plan,
-    net: Net,
+    network: Network,
     store: Store,
-    hosts: Vec<Host>,
+    daemons: Vec<Daemon>,
     engines: Vec<Engine>,
     callers: Vec<Caller>,
     operators: Vec<Operator>,
     conns: BTreeMap<Call, Conn>,
-    sent: BTreeMap<Ticket, Sent>,
+    open_orders: BTreeMap<Ticket, OpenOrder>,
     /// Which daemon last took a stream over, and when.
-    taken: BTreeMap<Handle, (usize, Time)>,
+    takeovers: BTreeMap<Handle, (usize, Time)>,
     /// When each generation was accepted, as its operator was told.
     accepted: BTreeMap<u64, Time>,
     violation: Option<String>,
@@ -92,43 +92,43 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Figures {
     /// Items carried out.
-    pub items: u64,
+    pub events: u64,
     /// Complete answers.
     pub complete: usize,
     /// Callers that ended without one.
-    pub without: usize,
+    pub without_answer: usize,
     /// Sum over everything that the daemons did.
     pub digest: u64,
     /// When it had settled, in virtual milliseconds.
     pub settled_ms: u64,
 }
 
-impl World {
+impl Simulation {
     /// The world of `plan`, before anything has happened.
     pub fn new(plan: &Plan) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: Time::from_millis(1),
             rng: Pcg64Mcg::seed_from_u64(plan.seed),
-            agenda: BTreeMap::new(),
+            event_queue: BTreeMap::new(),
             counter: 0,
             plan: plan.clone(),
-            net: Net::default(),
+            network: Network::default(),
             store: Store::new(first_table()),
-            hosts: Vec::new(),
+            daemons: Vec::new(),
             engines: first_engines(),
             callers: Vec::new(),
             operators: Vec::new(),
             conns: BTreeMap::new(),
-            sent: BTreeMap::new(),
-            taken: BTreeMap::new(),
+            open_orders: BTreeMap::new(),
+            takeovers: BTreeMap::new(),
             accepted: BTreeMap::new(),
             violation: None,
             healed: false,
             trace: None,
             digest: 0,
         };
-        world.populate();
-        world
+        simulation.populate();
+        simulation
     }
 
     /// The same world, which prints what happens to standard error.
@@ -143,13 +143,13 @@
     /// # Errors
     /// The first promise that was broken, with its time.
     pub fn run(mut self) -> Result<Figures, String> {
-        let mut items = 0;
-        while let Some(((at, _), item)) = self.agenda.pop_first() {
+        let mut events = 0;
+        while let Some(((at, _), event)) = self.event_queue.pop_first() {
             self.now = at;
-            items += 1;
-            let last = matches!(item, Item::Look) && self.look();
-            self.carry_out(item);
-            if items >= MAX_ITEMS {
+            events += 1;
+            let last = matches!(event, SimEvent::CheckSettled) && self.check_settled();
+            self.carry_out(event);
+            if events >= MAX_EVENTS {
                 self.violate("the run does not end".to_owned());
             }
             if let Some(violation) = &self.violation {
@@ -159,94 +159,97 @@
                 break;
             }
         }
-        Ok(self.figures(items))
+        Ok(self.figures(events))
     }
 
     fn populate(&mut self) {
-        for host in 0..self.plan.hosts {
+        for daemon in 0..self.plan.daemons {
             let skew = self.rng.random_range(0..40_000);
-            self.hosts.push(Host::new(host, skew));
+            self.daemons.push(Daemon::new(daemon, skew));
             let at = Duration::from_millis(self.rng.random_range(0..50));
-            self.after(at, Item::Start(host));
+            self.schedule(at, SimEvent::Start(daemon));
         }
         for caller in 0..self.plan.callers {
             self.add_caller(caller);
         }
-        for (index, stroke) in self.plan.strokes.clone().iter().enumerate() {
-            self.after(
-                Duration::from_millis(stroke.at_ms.into()),
-                Item::Stroke(index),
+        for (index, fault) in self.plan.faults.clone().iter().enumerate() {
+            self.schedule(
+                Duration::from_millis(fault.at_ms.into()),
+                SimEvent::Fault(index),
             );
         }
-        let chaos = Duration::from_millis(CHAOS_MS.into());
-        self.after(chaos, Item::Heal);
-        self.after(chaos + LOOK_EVERY, Item::Look);
+        let chaos = Duration::from_millis(FAULTS_END_MS.into());
+        self.schedule(chaos, SimEvent::Heal);
+        self.schedule(chaos + SETTLE_CHECK_INTERVAL, SimEvent::CheckSettled);
     }
 
-    fn after(&mut self, span: Duration, item: Item) {
+    fn schedule(&mut self, span: Duration, event: SimEvent) {
         self.counter += 1;
-        self.agenda.insert((self.now + span, self.counter), item);
+        self.event_queue
+            .insert((self.now + span, self.counter), event);
     }
 
-    fn after_micros(&mut self, micros: u64, item: Item) {
-        self.after(Duration::from_micros(micros), item);
+    fn schedule_micros(&mut self, micros: u64, event: SimEvent) {
+        self.schedule(Duration::from_micros(micros), event);
     }
 
     fn violate(&mut self, what: String) {
-        self.note(|| format!("VIOLATION {what}"));
+        self.trace_line(|| format!("VIOLATION {what}"));
         self.violation.get_or_insert(what);
     }
 
-    fn note(&mut self, line: impl FnOnce() -> String) {
+    fn trace_line(&mut self, line: impl FnOnce() -> String) {
         if self.trace.is_some() {
             let micros = self.now.0;
             eprintln!("{:>6}.{:03} {}", micros / 1_000, micros % 1_000, line());
         }
     }
 
-    fn carry_out(&mut self, item: Item) {
-        match item {
-            Item::Wake { host, run } => self.wake(host, run),
-            Item::Event { host, run, event } => self.event(host, run, event),
-            Item::Reply {
+    fn carry_out(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Wake { daemon, run } => self.wake(daemon, run),
+            SimEvent::DaemonEvent { daemon, run, event } => self.deliver_event(daemon, run, event),
+            SimEvent::Reply {
                 ticket,
                 event,
                 last,
-            } => self.reply_arrives(ticket, event, last),
-            Item::Order(arriving) => self.order_arrives(arriving),
-            Item::Work {
+            } => self.deliver_reply(ticket, event, last),
+            SimEvent::Order(arriving) => self.receive_order(arriving),
+            SimEvent::AttemptStep {
                 engine,
                 boot,
                 handle,
-            } => self.work_goes_on(engine, boot, handle),
-            Item::Plain {
+            } => self.advance_work(engine, boot, handle),
+            SimEvent::PlainCallEnd {
                 engine,
                 boot,
                 ticket,
                 caller,
             } => {
-                self.plain_ends(engine, boot, ticket, caller);
+                self.finish_plain(engine, boot, ticket, caller);
             }
-            Item::Query {
-                host,
+            SimEvent::Query {
+                daemon,
                 run,
                 query,
                 ask,
-            } => self.query_arrives(host, run, query, ask),
-            Item::Inspect {
-                host,
+            } => self.run_query(daemon, run, query, ask),
+            SimEvent::Inspect {
+                daemon,
                 run,
                 replica,
                 asked,
-            } => self.inspect(host, run, replica, asked),
-            Item::Caller { caller, note } => self.caller_notes(caller, note),
-            Item::Operator { operator, verdict } => self.operator_hears(operator, &verdict),
-            Item::Edit { host, which } => self.add_operator(Fault::Edit, host, which),
-            Item::Stroke(index) => self.strike(index),
-            Item::Start(host) => self.start(host),
-            Item::List(host) => self.tell_list(host),
-            Item::Heal => self.heal(),
-            Item::Look => self.after(LOOK_EVERY, Item::Look),
+            } => self.inspect(daemon, run, replica, asked),
+            SimEvent::Caller { caller, event } => self.handle_caller_event(caller, event),
+            SimEvent::Operator { operator, verdict } => {
+                self.handle_operator_event(operator, &verdict)
+            }
+            SimEvent::Edit { daemon, selector } => self.add_operator(Fault::Edit, daemon, selector),
+            SimEvent::Fault(index) => self.begin_fault(index),
+            SimEvent::Start(daemon) => self.start(daemon),
+            SimEvent::List(daemon) => self.send_list(daemon),
+            SimEvent::Heal => self.heal(),
+            SimEvent::CheckSettled => self.schedule(SETTLE_CHECK_INTERVAL, SimEvent::CheckSettled),
         }
     }
 
@@ -284,6 +287,6 @@
 }
 
 /// The order that `order` stands for, at its daemon.
-const fn ticket(host: usize, run: u32, order: Order) -> Ticket {
-    Ticket { host, run, order }
+const fn ticket(daemon: usize, run: u32, order: Order) -> Ticket {
+    Ticket { daemon, run, order }
 }
--- a/crates/node/tests/world/net.rs
+++ b/crates/node/tests/simulation/network.rs
@@ -8,7 +8,7 @@
 
 /// A way between two parties, by their numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
+pub enum Link {
     /// Between two daemons, the lower number first.
     Peers(usize, usize),
     /// Between a daemon and the store.
@@ -17,7 +17,7 @@
     Replica(usize, usize),
 }
 
-impl Way {
+impl Link {
     /// The way between daemons `a` and `b`.
     pub fn peers(a: usize, b: usize) -> Self {
         Self::Peers(a.min(b), a.max(b))
@@ -26,41 +26,41 @@
 
 /// The network.
 #[derive(Debug, Default)]
-pub struct Net {
-    cuts: BTreeMap<Way, Time>,
+pub struct Network {
+    cuts: BTreeMap<Link, Time>,
     /// Until when frames fare badly.
-    pub storm: Time,
+    pub unreliable_until: Time,
 }
 
-impl Net {
+impl Network {
     /// Percentage of frames lost, and of frames doubled, in fair weather.
-    const FAIR_PERCENT: u32 = 2;
+    const NORMAL_PERCENT: u32 = 2;
     /// The same in a storm.
-    const STORM_PERCENT: u32 = 30;
+    const UNRELIABLE_PERCENT: u32 = 30;
 
     /// Cuts `way` until `end`.
-    pub fn cut(&mut self, way: Way, end: Time) {
-        let until = self.cuts.entry(way).or_insert(end);
+    pub fn cut(&mut self, link: Link, end: Time) {
+        let until = self.cuts.entry(link).or_insert(end);
         *until = end.max(*until);
     }
 
     /// Whether `way` is cut.
-    pub fn is_cut(&self, now: Time, way: Way) -> bool {
-        self.cuts.get(&way).is_some_and(|end| now < *end)
+    pub fn is_cut(&self, now: Time, link: Link) -> bool {
+        self.cuts.get(&link).is_some_and(|end| now < *end)
     }
 
     /// Ends every fault.
     pub fn heal(&mut self) {
         self.cuts.clear();
-        self.storm = Time::ZERO;
+        self.unreliable_until = Time::ZERO;
     }
 
     /// The delays in microseconds after which copies of one frame arrive; none if it is lost.
     pub fn copies(&self, now: Time, rng: &mut Pcg64Mcg) -> Vec<u64> {
-        let percent = if now < self.storm {
-            Self::STORM_PERCENT
+        let percent = if now < self.unreliable_until {
+            Self::UNRELIABLE_PERCENT
         } else {
-            Self::FAIR_PERCENT
+            Self::NORMAL_PERCENT
         };
         let mut copies = Vec::new();
         if !rng.random_ratio(percent, 100) {
--- a/crates/node/tests/world/operators.rs
+++ b/crates/node/tests/simulation/operators.rs
@@ -10,75 +10,78 @@
 use table::edit::Edit;
 use table::row::Row;
 
-use super::World;
-use super::conns::Peer;
-use super::item::Item;
-use super::item::Verdict;
+use super::Simulation;
+use super::connections::Peer;
 use super::plan::Fault;
+use super::sim_event::OperatorEvent;
+use super::sim_event::SimEvent;
 
 /// Edits of rows that one fault stands for, one after the other.
-const EDITS: u64 = 4;
+const EDITS_PER_FAULT: u64 = 4;
 /// Time between them.
-const EDIT_EVERY: Duration = Duration::from_millis(350);
+const EDIT_INTERVAL: Duration = Duration::from_millis(350);
 /// Times that an operator sends an edit.
 const MAX_TRIES: u32 = 40;
-const PAUSE: Duration = Duration::from_millis(700);
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// An operator with one edit.
 #[derive(Debug)]
 pub struct Operator {
     pub edit: Edit,
-    host: usize,
+    daemon: usize,
     tries: u32,
     /// Whether an earlier try may have been committed.
-    maybe: bool,
-    pub over: bool,
+    maybe_committed: bool,
+    pub finished: bool,
     /// The replica that the edit marks to drain.
-    drains: Option<usize>,
+    drained_engine: Option<usize>,
 }
 
-impl World {
+impl Simulation {
     /// Several new operators change rows.
-    pub(super) fn add_editors(&mut self, which: usize) {
-        for number in 0..EDITS {
-            let host = self.rng.random_range(0..self.hosts.len());
-            let item = Item::Edit {
-                host,
-                which: which + number as usize % 2,
+    pub(super) fn add_editors(&mut self, selector: usize) {
+        for number in 0..EDITS_PER_FAULT {
+            let daemon = self.rng.random_range(0..self.daemons.len());
+            let event = SimEvent::Edit {
+                daemon,
+                selector: selector + number as usize % 2,
             };
-            self.after(EDIT_EVERY * number as u32, item);
+            self.schedule(EDIT_INTERVAL * number as u32, event);
         }
     }
 
     /// A new operator makes the edit that `fault` stands for at `host`.
-    pub(super) fn add_operator(&mut self, fault: Fault, host: usize, which: usize) {
+    pub(super) fn add_operator(&mut self, fault: Fault, daemon: usize, selector: usize) {
         let number = self.operators.len();
-        let draining = [0, 2, 5][which % 3];
+        let draining = [0, 2, 5][selector % 3];
         let mark = Mark::Replica(self.engines[draining].name.clone());
         let change = match fault {
             Fault::Drain => Change::Drain(mark),
             Fault::Undrain => Change::Undrain(mark),
-            _ => self.changed_row(host, which),
+            _ => self.changed_row(daemon, selector),
         };
         if fault == Fault::Undrain {
-            self.engines[draining].drained = None;
+            self.engines[draining].drained_since = None;
         }
         let edit = Edit::new(&format!("edit-{number}"), "ana").with_change(change);
         self.operators.push(Operator {
             edit,
-            host,
+            daemon,
             tries: 0,
-            maybe: false,
-            over: false,
-            drains: (fault == Fault::Drain).then_some(draining),
+            maybe_committed: false,
+            finished: false,
+            drained_engine: (fault == Fault::Drain).then_some(draining),
         });
-        self.operator_hears(number, &Verdict::Begin);
+        self.handle_operator_event(number, &OperatorEvent::Begin);
     }
 
-    fn changed_row(&mut self, host: usize, which: usize) -> Change {
-        let seen = self.hosts[host].core.as_ref().and_then(node::Node::table);
+    fn changed_row(&mut self, daemon: usize, selector: usize) -> Change {
+        let seen = self.daemons[daemon]
+            .core
+            .as_ref()
+            .and_then(node::Node::table);
         let table = seen.unwrap_or(&self.store.table);
-        let base = table.rows[which % table.rows.len()].clone();
+        let base = table.rows[selector % table.rows.len()].clone();
         let share = self.rng.random_range(1..50);
         let row = Row {
             share,
@@ -90,48 +93,51 @@
         }
     }
 
-    pub(super) fn operator_hears(&mut self, operator: usize, verdict: &Verdict) {
-        self.note(|| format!("operator {operator} hears {verdict:?}"));
+    pub(super) fn handle_operator_event(&mut self, operator: usize, verdict: &OperatorEvent) {
+        self.trace_line(|| format!("operator {operator} hears {verdict:?}"));
         match verdict {
-            Verdict::Begin => self.send_edit(operator),
-            Verdict::Broken | Verdict::Said(action::Verdict::Undecided { .. }) => {
-                self.operators[operator].maybe = true;
-                self.again(operator);
+            OperatorEvent::Begin => self.send_edit(operator),
+            OperatorEvent::Disconnected
+            | OperatorEvent::Received(action::Verdict::Undecided { .. }) => {
+                self.operators[operator].maybe_committed = true;
+                self.retry_edit(operator);
             }
-            Verdict::Said(action::Verdict::Rejected { .. }) => self.again(operator),
-            Verdict::Said(action::Verdict::Conflict { .. }) => self.operators[operator].over = true,
-            Verdict::Said(
+            OperatorEvent::Received(action::Verdict::Rejected { .. }) => self.retry_edit(operator),
+            OperatorEvent::Received(action::Verdict::Conflict { .. }) => {
+                self.operators[operator].finished = true
+            }
+            OperatorEvent::Received(
                 action::Verdict::Accepted { generation } | action::Verdict::Repeated { generation },
             ) => {
-                self.operators[operator].over = true;
+                self.operators[operator].finished = true;
                 let now = self.now;
                 self.accepted.entry(*generation).or_insert(now);
-                self.note_drain(operator);
+                self.record_drain(operator);
             }
         }
     }
 
-    fn note_drain(&mut self, operator: usize) {
-        let Some(engine) = self.operators[operator].drains else {
+    fn record_drain(&mut self, operator: usize) {
+        let Some(engine) = self.operators[operator].drained_engine else {
             return;
         };
         let mark = Mark::Replica(self.engines[engine].name.clone());
         let mut others = self.operators.iter();
         let undone = others.any(|other| other.edit.changes == [Change::Undrain(mark.clone())]);
         if !undone {
-            self.engines[engine].drained.get_or_insert(self.now);
+            self.engines[engine].drained_since.get_or_insert(self.now);
         }
     }
 
-    fn again(&mut self, operator: usize) {
+    fn retry_edit(&mut self, operator: usize) {
         let slot = &mut self.operators[operator];
-        slot.host = self.rng.random_range(0..self.hosts.len());
+        slot.daemon = self.rng.random_range(0..self.daemons.len());
         if slot.tries < MAX_TRIES {
-            self.after(
-                PAUSE,
-                Item::Operator {
+            self.schedule(
+                RETRY_DELAY,
+                SimEvent::Operator {
                     operator,
-                    verdict: Verdict::Begin,
+                    verdict: OperatorEvent::Begin,
                 },
             );
         } else {
@@ -140,15 +146,15 @@
     }
 
     fn send_edit(&mut self, operator: usize) {
-        let host = self.operators[operator].host;
+        let daemon = self.operators[operator].daemon;
         self.operators[operator].tries += 1;
-        if self.hosts[host].core.is_none() {
-            return self.again(operator);
+        if self.daemons[daemon].core.is_none() {
+            return self.retry_edit(operator);
         }
-        let call = self.open_conn(host, Peer::Operator(operator), 0);
+        let call = self.open_conn(daemon, Peer::Operator(operator), 0);
         let edit = self.operators[operator].edit.clone();
-        let run = self.hosts[host].run;
-        self.event(host, run, Event::Edited { call, edit });
+        let run = self.daemons[daemon].run;
+        self.deliver_event(daemon, run, Event::Edited { call, edit });
     }
 
     /// Checks what an operator is told against the store.
@@ -165,7 +171,7 @@
             action::Verdict::Undecided { .. } => true,
         };
         if !is_true {
-            let maybe = self.operators[operator].maybe;
+            let maybe = self.operators[operator].maybe_committed;
             self.violate(format!(
                 "{id} is told {verdict:?}, the store has it at {applied:?} (tried before: {maybe})"
             ));
--- a/crates/node/tests/world/plan.rs
+++ b/crates/node/tests/simulation/plan.rs
@@ -9,11 +9,11 @@
 use rand_pcg::Pcg64Mcg;
 
 /// Most faults of one plan.
-const MAX_STROKES: usize = 10;
+const MAX_FAULTS: usize = 10;
 /// When the last fault begins, in milliseconds.
-pub const CHAOS_MS: u32 = 10_000;
+pub const FAULTS_END_MS: u32 = 10_000;
 /// Longest duration of a fault, in milliseconds.
-const MAX_SPAN_MS: u32 = 7_000;
+const MAX_FAULT_MS: u32 = 7_000;
 
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     /// The store refuses every query.
     StoreDown,
     /// Queries take effect and their answers are lost.
-    StoreLoses,
+    StoreLosesAnswers,
     /// The store takes seconds.
     StoreSlow,
     /// A replica restarts with empty memory.
@@ -43,11 +43,11 @@
     /// A replica does nothing.
     Stall,
     /// A replica takes orders, and its answers are lost.
-    Lose,
+    LoseAnswers,
     /// A replica refuses new work.
     Refuse,
     /// Frames between daemons are lost, doubled and late more often.
-    Storm,
+    UnreliableNetwork,
     /// An operator changes a row.
     Edit,
     /// An operator marks a replica to drain.
@@ -65,13 +65,13 @@
     Fault::CutStore,
     Fault::CutReplica,
     Fault::StoreDown,
-    Fault::StoreLoses,
+    Fault::StoreLosesAnswers,
     Fault::StoreSlow,
     Fault::Reboot,
     Fault::Stall,
-    Fault::Lose,
+    Fault::LoseAnswers,
     Fault::Refuse,
-    Fault::Storm,
+    Fault::UnreliableNetwork,
     Fault::Edit,
     Fault::Drain,
     Fault::Undrain,
@@ -79,7 +79,7 @@
 
 /// One fault at one time.
 #[derive(Debug, Clone, Copy)]
-pub struct Stroke {
+pub struct ScheduledFault {
     /// When it begins, in milliseconds.
     pub at_ms: u32,
     /// What happens.
@@ -92,7 +92,7 @@
     pub ms: u32,
 }
 
-impl Stroke {
+impl ScheduledFault {
     /// A fault from `at_ms` on, for `ms`, at `a` and `b`.
     pub const fn new(at_ms: u32, fault: Fault, a: u8, b: u8, ms: u32) -> Self {
         Self {
@@ -111,65 +111,66 @@
     /// Seeds everything that the faults leave open.
     pub seed: u64,
     /// Number of daemons.
-    pub hosts: usize,
+    pub daemons: usize,
     /// Number of callers.
     pub callers: usize,
     /// The faults.
-    pub strokes: Vec<Stroke>,
+    pub faults: Vec<ScheduledFault>,
 }
 
 impl Plan {
     /// A plan without faults.
-    pub const fn new(seed: u64, hosts: usize, callers: usize) -> Self {
+    pub const fn new(seed: u64, daemons: usize, callers: usize) -> Self {
         Self {
             seed,
-            hosts,
+            daemons,
             callers,
-            strokes: Vec::new(),
+            faults: Vec::new(),
         }
     }
 
     /// The same plan with `strokes`.
     #[must_use]
-    pub fn with_strokes(mut self, strokes: &[Stroke]) -> Self {
-        self.strokes = strokes.to_vec();
+    pub fn with_faults(mut self, faults: &[ScheduledFault]) -> Self {
+        self.faults = faults.to_vec();
         self
     }
 
     /// The plan that `seed` stands for.
     pub fn random(seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let hosts = rng.random_range(1..=5);
-        let count = rng.random_range(0..=MAX_STROKES);
-        let strokes: Vec<Stroke> = (0..count).map(|_| random_stroke(&mut rng)).collect();
-        Self::new(seed, hosts, 14).with_strokes(&strokes)
+        let daemons = rng.random_range(1..=5);
+        let count = rng.random_range(0..=MAX_FAULTS);
+        let faults: Vec<ScheduledFault> = (0..count).map(|_| random_fault(&mut rng)).collect();
+        Self::new(seed, daemons, 14).with_faults(&faults)
     }
 
     /// All plans.
     pub fn strategy() -> impl Strategy<Value = Self> {
-        let stroke = (
-            0..CHAOS_MS,
+        let fault = (
+            0..FAULTS_END_MS,
             prop::sample::select(FAULTS.to_vec()),
             any::<u8>(),
             any::<u8>(),
-            1..MAX_SPAN_MS,
+            1..MAX_FAULT_MS,
         );
-        let stroke = stroke.prop_map(|(at, fault, a, b, ms)| Stroke::new(at, fault, a, b, ms));
+        let fault =
+            fault.prop_map(|(at, fault, a, b, ms)| ScheduledFault::new(at, fault, a, b, ms));
         let plan = (
             any::<u64>(),
             1..=5_usize,
             1..=14_usize,
-            vec(stroke, 0..=MAX_STROKES),
+            vec(fault, 0..=MAX_FAULTS),
         );
-        plan.prop_map(|(seed, hosts, callers, strokes)| {
-            Self::new(seed, hosts, callers).with_strokes(&strokes)
+        plan.prop_map(|(seed, daemons, callers, faults)| {
+            Self::new(seed, daemons, callers).with_faults(&faults)
         })
     }
 }
 
-fn random_stroke(rng: &mut Pcg64Mcg) -> Stroke {
+fn random_fault(rng: &mut Pcg64Mcg) -> ScheduledFault {
     let fault = FAULTS[rng.random_range(0..FAULTS.len())];
-    let at = rng.random_range(0..CHAOS_MS);
-    let span = rng.random_range(1..MAX_SPAN_MS);
-    Stroke::new(at, fault, rng.random(), rng.random(), span)
+    let at = rng.random_range(0..FAULTS_END_MS);
+    let span = rng.random_range(1..MAX_FAULT_MS);
+    ScheduledFault::new(at, fault, rng.random(), rng.random(), span)
 }
--- a/crates/node/tests/world/progress.rs
+++ b/crates/node/tests/simulation/progress.rs
@@ -8,26 +8,26 @@
 use node::event::Reply;
 use rand::RngExt;
 
-use super::World;
-use super::answers::expected;
+use super::Simulation;
 use super::engine::Phase;
-use super::engine::READABLE;
-use super::engine::RESULT_LIFE;
+use super::engine::RESULT_RETENTION;
+use super::engine::STREAM_RETENTION;
 use super::engine::Ticket;
-use super::item::Item;
+use super::responses::expected;
+use super::sim_event::SimEvent;
 
-impl World {
-    pub(super) fn work_goes_on(&mut self, engine: usize, boot: u64, handle: Handle) {
+impl Simulation {
+    pub(super) fn advance_work(&mut self, engine: usize, boot: u64, handle: Handle) {
         let now = self.now;
-        let stalled = self.engines[engine].stalled;
+        let stalled = self.engines[engine].stalled_until;
         if now < stalled && self.engines[engine].boot == boot {
             let rest = stalled.since(now);
-            let item = Item::Work {
+            let event = SimEvent::AttemptStep {
                 engine,
                 boot,
                 handle,
             };
-            return self.after(rest, item);
+            return self.schedule(rest, event);
         }
         let slot = &mut self.engines[engine];
         let Some(work) = slot.works.get_mut(&handle).filter(|_| slot.boot == boot) else {
@@ -37,9 +37,9 @@
             Phase::Prefill => {
                 work.phase = Phase::Kept;
                 if let Some(reader) = work.reader.take() {
-                    self.reply_last(reader, prefilled(boot));
+                    self.send_last_reply(reader, prefilled(boot));
                 }
-                RESULT_LIFE
+                RESULT_RETENTION
             }
             Phase::Kept | Phase::Done => {
                 self.engines[engine].works.remove(&handle);
@@ -48,21 +48,25 @@
             Phase::Import => {
                 work.phase = Phase::Decode;
                 if let Some(reader) = work.reader {
-                    self.piece(reader, &Piece::Imported);
+                    self.send_piece(reader, &Piece::Imported);
                 }
                 self.deliver(engine, handle);
-                self.token_time()
+                self.token_delay()
             }
             Phase::Decode => {
-                self.make_tokens(engine, handle);
+                self.generate_tokens(engine, handle);
                 self.deliver(engine, handle);
                 let over = self.engines[engine].works[&handle].phase == Phase::Done;
-                if over { READABLE } else { self.token_time() }
+                if over {
+                    STREAM_RETENTION
+                } else {
+                    self.token_delay()
+                }
             }
         };
-        self.after(
+        self.schedule(
             pause,
-            Item::Work {
+            SimEvent::AttemptStep {
                 engine,
                 boot,
                 handle,
@@ -70,11 +74,11 @@
         );
     }
 
-    pub(super) fn token_time(&mut self) -> Duration {
+    pub(super) fn token_delay(&mut self) -> Duration {
         Duration::from_millis(self.rng.random_range(5..90))
     }
 
-    pub(super) fn make_tokens(&mut self, engine: usize, handle: Handle) {
+    pub(super) fn generate_tokens(&mut self, engine: usize, handle: Handle) {
         let count = self.rng.random_range(1..=3);
         if let Some(work) = self.engines[engine].works.get_mut(&handle) {
             work.produced = (work.produced + count).min(work.length);
@@ -103,11 +107,11 @@
                 count,
                 text,
             };
-            self.piece(reader, &tokens);
+            self.send_piece(reader, &tokens);
         }
         if over {
-            self.piece(reader, &Piece::End { offset: end });
-            self.reply_last(reader, Reply::StreamEnded);
+            self.send_piece(reader, &Piece::End { offset: end });
+            self.send_last_reply(reader, Reply::StreamEnded);
             if let Some(work) = self.engines[engine].works.get_mut(&handle) {
                 work.reader = None;
             }
@@ -115,13 +119,13 @@
     }
 
     /// Sends a piece, perhaps twice; tokens may overtake each other on the way.
-    pub(super) fn piece(&mut self, ticket: Ticket, piece: &Piece) {
+    pub(super) fn send_piece(&mut self, ticket: Ticket, piece: &Piece) {
         let order = ticket.order;
         let is_doubled = self.rng.random_ratio(1, 50);
         let copies = if is_doubled { 2 } else { 1 };
         for _ in 0..copies {
             let piece = piece.clone();
-            self.reply(ticket, Event::Streamed { order, piece }, false);
+            self.send_reply(ticket, Event::Streamed { order, piece }, false);
         }
     }
 }
--- a/crates/node/tests/world/answers.rs
+++ b/crates/node/tests/simulation/responses.rs
@@ -8,13 +8,13 @@
 use node::ids::Call;
 
 use super::LEASE;
-use super::World;
-use super::conns::Conn;
-use super::conns::Peer;
-use super::conns::State;
-use super::item::Item;
-use super::item::Note;
-use super::item::Verdict;
+use super::Simulation;
+use super::connections::Conn;
+use super::connections::Peer;
+use super::connections::State;
+use super::sim_event::CallerEvent;
+use super::sim_event::OperatorEvent;
+use super::sim_event::SimEvent;
 
 /// `count` tokens of the answer to `caller`, from token `offset` on.
 pub fn expected(caller: usize, offset: u32, count: u32) -> Bytes {
@@ -22,16 +22,16 @@
     Bytes::from(words.collect::<String>())
 }
 
-impl World {
+impl Simulation {
     /// A daemon tells a connection something.
-    pub(super) fn tell(&mut self, host: usize, call: Call, tell: Tell) {
-        self.note(|| format!("entry-{host} tells {call:?} {}", short(&tell)));
+    pub(super) fn handle_response(&mut self, daemon: usize, call: Call, tell: Tell) {
+        self.trace_line(|| format!("entry-{daemon} tells {call:?} {}", short(&tell)));
         let Some(conn) = self.conns.get(&call).copied() else {
-            return self.violate(format!("entry-{host} tells {call:?}, which never was"));
+            return self.violate(format!("entry-{daemon} tells {call:?}, which never was"));
         };
         match conn.state {
-            _ if conn.host != host => {
-                return self.violate(format!("entry-{host} tells {call:?} of another"));
+            _ if conn.daemon != daemon => {
+                return self.violate(format!("entry-{daemon} tells {call:?} of another"));
             }
             State::Closed | State::Dropped => return,
             State::Answered => {
@@ -41,29 +41,29 @@
             State::Open => (),
         }
         match conn.peer {
-            Peer::Caller(caller) => self.tell_caller(call, caller, true, tell),
-            Peer::Reader(caller) => self.tell_caller(call, caller, false, tell),
-            Peer::Operator(operator) => self.tell_operator(call, operator, tell),
+            Peer::Caller(caller) => self.handle_caller_response(call, caller, true, tell),
+            Peer::Reader(caller) => self.handle_caller_response(call, caller, false, tell),
+            Peer::Operator(operator) => self.handle_operator_response(call, operator, tell),
         }
     }
 
-    fn tell_operator(&mut self, call: Call, operator: usize, tell: Tell) {
+    fn handle_operator_response(&mut self, call: Call, operator: usize, tell: Tell) {
         let Tell::Edit(verdict) = tell else {
             return self.violate(format!("operator at {call:?} is told {tell:?}"));
         };
         self.check_verdict(operator, &verdict);
-        self.set_answered(call);
-        let verdict = Verdict::Said(verdict);
-        self.after_micros(2_000, Item::Operator { operator, verdict });
+        self.mark_answered(call);
+        let verdict = OperatorEvent::Received(verdict);
+        self.schedule_micros(2_000, SimEvent::Operator { operator, verdict });
     }
 
-    fn set_answered(&mut self, call: Call) {
+    fn mark_answered(&mut self, call: Call) {
         if let Some(conn) = self.conns.get_mut(&call) {
             conn.state = State::Answered;
         }
     }
 
-    fn tell_caller(&mut self, call: Call, caller: usize, is_request: bool, tell: Tell) {
+    fn handle_caller_response(&mut self, call: Call, caller: usize, is_request: bool, tell: Tell) {
         if matches!(tell, Tell::Tokens { .. } | Tell::Done { .. }) {
             self.check_owner(call);
         }
@@ -86,11 +86,11 @@
             Tell::Edit(_) => self.violate(format!("{call:?} is told of an edit")),
         }
         if !matches!(tell, Tell::Head { .. } | Tell::Tokens { .. }) {
-            self.set_answered(call);
+            self.mark_answered(call);
         }
-        let note = Note::Told { call, tell };
+        let event = CallerEvent::Received { call, tell };
         let delay = self.conns[&call].delay;
-        self.after_micros(delay, Item::Caller { caller, note });
+        self.schedule_micros(delay, SimEvent::Caller { caller, event });
     }
 
     fn check_tokens(&mut self, call: Call, caller: usize, offset: u32, count: u32, text: &Bytes) {
@@ -113,11 +113,11 @@
 
     /// A daemon from which a stream was taken must have found out once its lease has passed.
     fn check_owner(&mut self, call: Call) {
-        let Conn { host, handle, .. } = self.conns[&call];
-        let taken = handle.and_then(|handle| self.taken.get(&handle).copied());
-        if let Some((by, _)) = taken.filter(|(by, at)| *by != host && self.now > *at + LEASE) {
+        let Conn { daemon, handle, .. } = self.conns[&call];
+        let taken = handle.and_then(|handle| self.takeovers.get(&handle).copied());
+        if let Some((by, _)) = taken.filter(|(by, at)| *by != daemon && self.now > *at + LEASE) {
             self.violate(format!(
-                "entry-{host} tells {call:?} tokens of a stream that entry-{by} took over"
+                "entry-{daemon} tells {call:?} tokens of a stream that entry-{by} took over"
             ));
         }
     }
@@ -151,9 +151,9 @@
 
     fn check_refusal(&mut self, call: Call, caller: usize, is_request: bool, refusal: &Refusal) {
         let touched = if self.callers[caller].keyed {
-            self.callers[caller].touched
+            self.callers[caller].reached_replica
         } else {
-            self.conns[&call].touched
+            self.conns[&call].reached_replica
         };
         let untrue = refusal.outcome == Outcome::NotRun && touched;
         if is_request && untrue {
--- a/crates/node/tests/world/item.rs
+++ b/crates/node/tests/simulation/sim_event.rs
@@ -15,11 +15,15 @@
 
 /// Something that is to happen.
 #[derive(Debug)]
-pub enum Item {
+pub enum SimEvent {
     /// A daemon wanted to be woken.
-    Wake { host: usize, run: u32 },
+    Wake { daemon: usize, run: u32 },
     /// An event reaches a daemon.
-    Event { host: usize, run: u32, event: Event },
+    DaemonEvent {
+        daemon: usize,
+        run: u32,
+        event: Event,
+    },
     /// An event of an order reaches its daemon; `last` ends the order.
     Reply {
         ticket: Ticket,
@@ -27,15 +31,15 @@
         last: bool,
     },
     /// An order reaches a replica.
-    Order(Box<Arriving>),
+    Order(Box<ArrivingOrder>),
     /// A work on an engine goes on.
-    Work {
+    AttemptStep {
         engine: usize,
         boot: u64,
         handle: Handle,
     },
     /// A plain call ends.
-    Plain {
+    PlainCallEnd {
         engine: usize,
         boot: u64,
         ticket: Ticket,
@@ -43,26 +47,29 @@
     },
     /// A query reaches the store.
     Query {
-        host: usize,
+        daemon: usize,
         run: u32,
         query: Query,
         ask: Ask,
     },
     /// A replica is asked for its state.
     Inspect {
-        host: usize,
+        daemon: usize,
         run: u32,
         replica: Replica,
         asked: Time,
     },
     /// Something reaches a caller.
-    Caller { caller: usize, note: Note },
+    Caller { caller: usize, event: CallerEvent },
     /// Something reaches an operator.
-    Operator { operator: usize, verdict: Verdict },
+    Operator {
+        operator: usize,
+        verdict: OperatorEvent,
+    },
     /// An operator changes a row.
-    Edit { host: usize, which: usize },
+    Edit { daemon: usize, selector: usize },
     /// A fault of the plan begins.
-    Stroke(usize),
+    Fault(usize),
     /// A daemon starts.
     Start(usize),
     /// The platform's list reaches a daemon.
@@ -70,20 +77,20 @@
     /// All faults end.
     Heal,
     /// Has everything settled?
-    Look,
+    CheckSettled,
 }
 
 /// What an operator hears.
 #[derive(Debug)]
-pub enum Verdict {
+pub enum OperatorEvent {
     Begin,
-    Said(node::action::Verdict),
-    Broken,
+    Received(node::action::Verdict),
+    Disconnected,
 }
 
 /// An order on its way to a replica.
 #[derive(Debug)]
-pub struct Arriving {
+pub struct ArrivingOrder {
     pub ticket: Ticket,
     pub engine: usize,
     pub handle: Handle,
@@ -96,19 +103,22 @@
 
 /// What a caller notices.
 #[derive(Debug)]
-pub enum Note {
+pub enum CallerEvent {
     /// It begins, or tries again.
     Try,
     /// It opens a second connection.
-    Double,
+    OpenSecond,
     /// It drops its connection and comes back.
     Drop,
     /// It goes away for good.
-    Vanish,
+    Abandon,
     /// Its connection reaches a daemon.
-    Connect { host: usize, resume: Option<String> },
+    Connect {
+        daemon: usize,
+        resume: Option<String>,
+    },
     /// Its connection said something.
-    Told { call: Call, tell: Tell },
+    Received { call: Call, tell: Tell },
     /// Its connection broke, or was never made.
-    Broken { call: Option<Call> },
+    Disconnected { call: Option<Call> },
 }
--- a/crates/node/tests/world/store.rs
+++ b/crates/node/tests/simulation/store.rs
@@ -19,11 +19,11 @@
     pub applied: BTreeMap<String, u64>,
     outcomes: BTreeMap<String, (u16, Option<Bytes>)>,
     /// Until when every query is refused.
-    pub down: Time,
+    pub down_until: Time,
     /// Until when answers are lost.
-    pub loses: Time,
+    pub loses_answers_until: Time,
     /// Until when it is slow.
-    pub slow: Time,
+    pub slow_until: Time,
 }
 
 impl Store {
@@ -33,19 +33,19 @@
             table,
             applied: BTreeMap::new(),
             outcomes: BTreeMap::new(),
-            down: Time::ZERO,
-            loses: Time::ZERO,
-            slow: Time::ZERO,
+            down_until: Time::ZERO,
+            loses_answers_until: Time::ZERO,
+            slow_until: Time::ZERO,
         }
     }
 
     /// Carries a query out.
     pub fn carry_out(&mut self, now: Time, ask: Ask) -> Stored {
-        if now < self.down {
+        if now < self.down_until {
             return failed(false, "store: down");
         }
         let stored = self.answer(ask);
-        if now < self.loses {
+        if now < self.loses_answers_until {
             return failed(true, "store: answer lost");
         }
         stored
--- a/crates/node/tests/world/replicas.rs
+++ b/crates/node/tests/simulation/transport.rs
@@ -13,11 +13,11 @@
 use node::event::Reply;
 use rand::RngExt;
 
-use super::World;
+use super::Simulation;
 use super::engine::Ticket;
-use super::item::Arriving;
-use super::item::Item;
-use super::net::Way;
+use super::network::Link;
+use super::sim_event::ArrivingOrder;
+use super::sim_event::SimEvent;
 
 /// Time after which an unreachable replica is given up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
@@ -26,7 +26,7 @@
 
 /// An order that has not ended.
 #[derive(Debug, Clone, Copy)]
-pub struct Sent {
+pub struct OpenOrder {
     engine: usize,
     /// Time that each answer takes, in microseconds.
     delay: u64,
@@ -36,8 +36,8 @@
     closing: bool,
 }
 
-impl World {
-    pub(super) fn order(
+impl Simulation {
+    pub(super) fn send_order(
         &mut self,
         ticket: Ticket,
         replica: Replica,
@@ -50,19 +50,22 @@
             return self.violate(format!("an order for an unknown replica {replica}"));
         };
         let delay = self.rng.random_range(300..2_500);
-        let sent = Sent {
+        let open_order = OpenOrder {
             engine,
             delay,
             aborted: false,
             closing: false,
         };
-        self.sent.insert(ticket, sent);
+        self.open_orders.insert(ticket, open_order);
         let origin = self.origin_of(&task);
         let needs_body = matches!(task, Task::Prefill { .. } | Task::Plain { .. });
         if needs_body && origin.is_none() {
-            return self.fail(ticket, Failure::NotSent);
+            return self.fail_order(ticket, Failure::NotSent);
         }
-        if self.net.is_cut(self.now, Way::Replica(ticket.host, engine)) {
+        if self
+            .network
+            .is_cut(self.now, Link::Replica(ticket.daemon, engine))
+        {
             return self.fail_late(ticket, Failure::NotSent);
         }
         let late = self.rng.random_ratio(LATE_PERCENT, 100);
@@ -71,7 +74,7 @@
         } else {
             delay
         };
-        let arriving = Arriving {
+        let arriving = ArrivingOrder {
             ticket,
             engine,
             handle,
@@ -80,44 +83,46 @@
             task,
             origin,
         };
-        self.after_micros(micros, Item::Order(Box::new(arriving)));
+        self.schedule_micros(micros, SimEvent::Order(Box::new(arriving)));
     }
 
-    pub(super) fn abort(&mut self, ticket: Ticket) {
-        let Some(sent) = self.sent.get_mut(&ticket) else {
+    pub(super) fn abort_order(&mut self, ticket: Ticket) {
+        let Some(open_order) = self.open_orders.get_mut(&ticket) else {
             return;
         };
-        sent.aborted = true;
-        self.fail(ticket, Failure::Lost);
+        open_order.aborted = true;
+        self.fail_order(ticket, Failure::Lost);
     }
 
     /// Whether answers to `ticket` still have a reader.
-    pub(super) fn is_read(&self, ticket: Ticket) -> bool {
-        let sent = self.sent.get(&ticket);
-        sent.is_some_and(|sent| !sent.aborted && !sent.closing)
+    pub(super) fn has_reader(&self, ticket: Ticket) -> bool {
+        let open_order = self.open_orders.get(&ticket);
+        open_order.is_some_and(|open_order| !open_order.aborted && !open_order.closing)
     }
 
     /// An answer sets out for its daemon; a cut way breaks the connection instead.
-    pub(super) fn reply(&mut self, ticket: Ticket, event: Event, last: bool) {
-        if !self.is_read(ticket) {
+    pub(super) fn send_reply(&mut self, ticket: Ticket, event: Event, last: bool) {
+        if !self.has_reader(ticket) {
             return;
         }
-        let engine = self.sent[&ticket].engine;
-        let cut = self.net.is_cut(self.now, Way::Replica(ticket.host, engine));
-        if cut || self.now < self.engines[engine].loses {
+        let engine = self.open_orders[&ticket].engine;
+        let cut = self
+            .network
+            .is_cut(self.now, Link::Replica(ticket.daemon, engine));
+        if cut || self.now < self.engines[engine].loses_answers_until {
             return self.fail_late(ticket, Failure::Lost);
         }
-        let delay = self.sent[&ticket].delay;
+        let delay = self.open_orders[&ticket].delay;
         let is_late = is_tokens(&event) && self.rng.random_ratio(LATE_PERCENT, 100);
         let late = if is_late {
             self.rng.random_range(0..50_000)
         } else {
             0
         };
-        self.close(ticket, last);
-        self.after_micros(
+        self.mark_closing(ticket, last);
+        self.schedule_micros(
             delay + late,
-            Item::Reply {
+            SimEvent::Reply {
                 ticket,
                 event,
                 last,
@@ -125,13 +130,13 @@
         );
     }
 
-    pub(super) fn reply_last(&mut self, ticket: Ticket, reply: Reply) {
+    pub(super) fn send_last_reply(&mut self, ticket: Ticket, reply: Reply) {
         let order = ticket.order;
-        self.reply(ticket, Event::Answered { order, reply }, true);
+        self.send_reply(ticket, Event::Answered { order, reply }, true);
     }
 
     /// The order of `ticket` fails as soon as its daemon can notice.
-    pub(super) fn fail(&mut self, ticket: Ticket, failure: Failure) {
+    pub(super) fn fail_order(&mut self, ticket: Ticket, failure: Failure) {
         self.fail_after(ticket, failure, Duration::from_micros(600));
     }
 
@@ -140,16 +145,20 @@
     }
 
     fn fail_after(&mut self, ticket: Ticket, failure: Failure, span: Duration) {
-        let Some(sent) = self.sent.get(&ticket).filter(|sent| !sent.closing) else {
+        let Some(open_order) = self
+            .open_orders
+            .get(&ticket)
+            .filter(|open_order| !open_order.closing)
+        else {
             return;
         };
-        let span = span + Duration::from_micros(sent.delay);
-        self.close(ticket, true);
+        let span = span + Duration::from_micros(open_order.delay);
+        self.mark_closing(ticket, true);
         let order = ticket.order;
         let event = Event::Failed { order, failure };
-        self.after(
+        self.schedule(
             span,
-            Item::Reply {
+            SimEvent::Reply {
                 ticket,
                 event,
                 last: true,
@@ -157,35 +166,41 @@
         );
     }
 
-    fn close(&mut self, ticket: Ticket, last: bool) {
-        if let Some(sent) = self.sent.get_mut(&ticket).filter(|_| last) {
-            sent.closing = true;
+    fn mark_closing(&mut self, ticket: Ticket, last: bool) {
+        if let Some(open_order) = self.open_orders.get_mut(&ticket).filter(|_| last) {
+            open_order.closing = true;
         }
     }
 
-    pub(super) fn reply_arrives(&mut self, ticket: Ticket, event: Event, last: bool) {
-        let known = self.sent.contains_key(&ticket);
+    pub(super) fn deliver_reply(&mut self, ticket: Ticket, event: Event, last: bool) {
+        let known = self.open_orders.contains_key(&ticket);
         if last {
-            self.sent.remove(&ticket);
+            self.open_orders.remove(&ticket);
         }
         if known {
-            self.note(|| format!("entry-{} hears {event:?}", ticket.host));
-            self.event(ticket.host, ticket.run, event);
+            self.trace_line(|| format!("entry-{} hears {event:?}", ticket.daemon));
+            self.deliver_event(ticket.daemon, ticket.run, event);
         }
     }
 
     /// The process of `host` is gone, and nobody reads the answers to its orders.
-    pub(super) fn forget_orders(&mut self, host: usize) {
-        self.sent.retain(|ticket, _| ticket.host != host);
+    pub(super) fn drop_orders(&mut self, daemon: usize) {
+        self.open_orders.retain(|ticket, _| ticket.daemon != daemon);
     }
 
-    pub(super) fn order_arrives(&mut self, arriving: Box<Arriving>) {
-        let Arriving { ticket, engine, .. } = *arriving;
-        let aborted = self.sent.get(&ticket).is_none_or(|sent| sent.aborted);
+    pub(super) fn receive_order(&mut self, arriving: Box<ArrivingOrder>) {
+        let ArrivingOrder { ticket, engine, .. } = *arriving;
+        let aborted = self
+            .open_orders
+            .get(&ticket)
+            .is_none_or(|open_order| open_order.aborted);
         if aborted && self.rng.random_bool(0.5) {
             return;
         }
-        if self.net.is_cut(self.now, Way::Replica(ticket.host, engine)) {
+        if self
+            .network
+            .is_cut(self.now, Link::Replica(ticket.daemon, engine))
+        {
             let failure = if self.rng.random_bool(0.5) {
                 Failure::NotSent
             } else {
@@ -193,20 +208,20 @@
             };
             return self.fail_late(ticket, failure);
         }
-        let stalled = self.engines[engine].stalled;
+        let stalled = self.engines[engine].stalled_until;
         if self.now < stalled {
             let rest = stalled.since(self.now);
-            return self.after(rest, Item::Order(arriving));
+            return self.schedule(rest, SimEvent::Order(arriving));
         }
-        self.take_order(&arriving);
+        self.handle_order(&arriving);
     }
 
-    pub(super) fn inspect(&mut self, host: usize, run: u32, replica: Replica, asked: Time) {
+    pub(super) fn inspect(&mut self, daemon: usize, run: u32, replica: Replica, asked: Time) {
         let Some(engine) = self.engine_of(replica) else {
             return;
         };
-        let cut = self.net.is_cut(self.now, Way::Replica(host, engine));
-        let silent = cut || self.now < self.engines[engine].stalled;
+        let cut = self.network.is_cut(self.now, Link::Replica(daemon, engine));
+        let silent = cut || self.now < self.engines[engine].stalled_until;
         let state = (!silent).then(|| self.engines[engine].inspect());
         let delay = if silent {
             CONNECT_TIMEOUT
@@ -218,7 +233,7 @@
             asked,
             state,
         };
-        self.after(delay, Item::Event { host, run, event });
+        self.schedule(delay, SimEvent::DaemonEvent { daemon, run, event });
     }
 }
 
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -1,6 +1,6 @@
 //! One core and one stream: who reads it, from where, and what is told.
 
-mod one;
+mod harness;
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use node::ids::Call;
 use rstest::rstest;
 
-use crate::one::One;
+use crate::harness::Harness;
 const FIRST: Call = Call(1);
 const SECOND: Call = Call(2);
 /// Not above the fencing number of the reader.
@@ -26,43 +26,43 @@
 
 #[test]
 fn a_new_connection_gets_the_whole_answer_though_the_engine_was_lost() {
-    let mut one = One::new();
-    one.arrive(FIRST);
-    let (order, _) = one.prefill();
-    one.stream(order, 0, 26);
-    one.fail(order, NOT_FOUND);
-    one.arrive(SECOND);
-    let (order, task) = one.prefill();
+    let mut harness = Harness::new();
+    harness.send_request(FIRST);
+    let (order, _) = harness.finish_prefill();
+    harness.send_tokens(order, 0, 26);
+    harness.fail_order(order, NOT_FOUND);
+    harness.send_request(SECOND);
+    let (order, task) = harness.finish_prefill();
     let Task::Decode { offset, .. } = task else {
         panic!("{task:?}");
     };
-    one.stream(order, offset, 40 - offset);
+    harness.send_tokens(order, offset, 40 - offset);
     let piece = Piece::End { offset: 40 };
-    one.feed(Event::Streamed { order, piece });
-    assert_eq!(one.tokens(FIRST), [(0, 26)]);
-    assert_eq!(one.tokens(SECOND), [(0, 40)]);
+    harness.feed(Event::Streamed { order, piece });
+    assert_eq!(harness.tokens_sent(FIRST), [(0, 26)]);
+    assert_eq!(harness.tokens_sent(SECOND), [(0, 40)]);
     assert!(matches!(
-        one.tells.last(),
+        harness.responses.last(),
         Some((SECOND, Tell::Done { tokens: 40 }))
     ));
 }
 
 #[test]
-fn a_continued_stream_that_is_read_anew_and_lost_again_goes_on_from_what_was_told() {
-    let mut one = One::new();
-    one.arrive(FIRST);
-    let (order, _) = one.prefill();
-    one.stream(order, 0, 26);
-    one.fail(order, NOT_FOUND);
-    let (order, task) = one.prefill();
+fn a_stream_lost_while_read_again_resumes_after_the_last_token_sent() {
+    let mut harness = Harness::new();
+    harness.send_request(FIRST);
+    let (order, _) = harness.finish_prefill();
+    harness.send_tokens(order, 0, 26);
+    harness.fail_order(order, NOT_FOUND);
+    let (order, task) = harness.finish_prefill();
     assert!(matches!(task, Task::Decode { offset: 26, .. }), "{task:?}");
-    one.stream(order, 26, 4);
-    one.arrive(SECOND);
-    let (order, task) = one.last();
+    harness.send_tokens(order, 26, 4);
+    harness.send_request(SECOND);
+    let (order, task) = harness.last_order();
     assert!(matches!(task, Task::Attach { offset: 0 }), "{task:?}");
-    one.stream(order, 0, 3);
-    one.fail(order, NOT_FOUND);
-    let (_, task) = one.last();
+    harness.send_tokens(order, 0, 3);
+    harness.fail_order(order, NOT_FOUND);
+    let (_, task) = harness.last_order();
     let Task::Prefill {
         prompt_tokens,
         done_tokens,
@@ -72,32 +72,32 @@
         panic!("{task:?}");
     };
     assert_eq!((prompt_tokens, done_tokens), (403, 3));
-    assert_eq!(one.tokens(FIRST), [(0, 26), (26, 4)]);
-    assert_eq!(one.tokens(SECOND), [(0, 3)]);
+    assert_eq!(harness.tokens_sent(FIRST), [(0, 26), (26, 4)]);
+    assert_eq!(harness.tokens_sent(SECOND), [(0, 3)]);
 }
 
 #[test]
-fn an_owner_without_a_caller_does_not_take_a_lost_stream_back() {
-    let mut one = One::new();
-    one.arrive(FIRST);
-    let (order, _) = one.prefill();
-    one.stream(order, 0, 5);
-    one.feed(Event::Left { call: FIRST });
-    one.fail(order, Failure::Lost);
-    one.run(Duration::from_secs(1));
-    let (last, task) = one.last();
+fn an_owner_without_a_caller_does_not_resume_a_lost_stream() {
+    let mut harness = Harness::new();
+    harness.send_request(FIRST);
+    let (order, _) = harness.finish_prefill();
+    harness.send_tokens(order, 0, 5);
+    harness.feed(Event::Left { call: FIRST });
+    harness.fail_order(order, Failure::Lost);
+    harness.run_for(Duration::from_secs(1));
+    let (last, task) = harness.last_order();
     assert_eq!(last, order, "{task:?}");
-    one.feed(Event::Resumed {
+    harness.feed(Event::Resumed {
         call: SECOND,
         customer: "farm-17".to_owned(),
-        token: one.token(),
+        token: harness.resume_token(),
         offset: 5,
     });
-    one.run(Duration::from_millis(200));
-    let (order, task) = one.last();
+    harness.run_for(Duration::from_millis(200));
+    let (order, task) = harness.last_order();
     assert!(matches!(task, Task::Attach { offset: 5 }), "{task:?}");
-    one.stream(order, 5, 2);
-    assert_eq!(one.tokens(SECOND), [(5, 2)]);
+    harness.send_tokens(order, 5, 2);
+    assert_eq!(harness.tokens_sent(SECOND), [(5, 2)]);
 }
 
 #[rstest]
@@ -106,28 +106,28 @@
 #[case::cut("farm-17", |token: String| token[..token.len() / 2].to_owned())]
 #[case::empty("farm-17", |_| String::new())]
 #[case::of_another_alphabet("farm-17", |token: String| format!("{token}\u{e9}"))]
-fn a_bad_token_reads_nothing(#[case] customer: &str, #[case] change: fn(String) -> String) {
-    let mut one = One::new();
-    one.arrive(FIRST);
-    let (order, _) = one.prefill();
-    one.stream(order, 0, 5);
-    let orders = one.orders.len();
-    one.feed(Event::Resumed {
+fn a_bad_token_is_refused(#[case] customer: &str, #[case] change: fn(String) -> String) {
+    let mut harness = Harness::new();
+    harness.send_request(FIRST);
+    let (order, _) = harness.finish_prefill();
+    harness.send_tokens(order, 0, 5);
+    let orders = harness.orders.len();
+    harness.feed(Event::Resumed {
         call: SECOND,
         customer: customer.to_owned(),
-        token: change(one.token()),
+        token: change(harness.resume_token()),
         offset: 0,
     });
-    let (call, tell) = one.tells.last().expect("something was told");
+    let (call, tell) = harness.responses.last().expect("something was told");
     let Tell::Refusal(refusal) = tell else {
         panic!("{tell:?}");
     };
     assert_eq!(*call, SECOND);
     assert_eq!(refusal.outcome, Outcome::NotRun);
     assert_eq!(refusal.reason, Reason::BadToken);
-    assert_eq!(one.orders.len(), orders);
-    one.stream(order, 5, 1);
-    assert_eq!(one.tokens(FIRST), [(0, 5), (5, 1)]);
+    assert_eq!(harness.orders.len(), orders);
+    harness.send_tokens(order, 5, 1);
+    assert_eq!(harness.tokens_sent(FIRST), [(0, 5), (5, 1)]);
 }
 
 /// A replica was asked what it holds and answered; the answer lay in the daemon's socket while the
@@ -135,20 +135,20 @@
 /// the old answer for the one to the question it asks on waking, saw itself as the reader, and
 /// told its caller the tokens of a stream that was no longer its own.
 #[test]
-fn a_state_told_before_a_pause_does_not_show_who_reads_a_stream_after_it() {
-    let mut one = One::new();
-    one.arrive(FIRST);
-    let (order, _) = one.prefill();
-    one.stream(order, 0, 3);
-    one.inspected = false;
-    one.run(Duration::from_millis(250));
-    let early = std::mem::take(&mut one.inspections);
+fn an_inspection_from_before_a_pause_does_not_show_who_reads_a_stream() {
+    let mut harness = Harness::new();
+    harness.send_request(FIRST);
+    let (order, _) = harness.finish_prefill();
+    harness.send_tokens(order, 0, 3);
+    harness.replicas_answer = false;
+    harness.run_for(Duration::from_millis(250));
+    let early = std::mem::take(&mut harness.inspections);
     assert!(!early.is_empty());
-    one.pause(Duration::from_secs(4));
-    one.stream(order, 3, 2);
-    one.answer_inspections(early, OWN_FENCE);
-    assert_eq!(one.tokens(FIRST), [(0, 3)]);
-    let own = std::mem::take(&mut one.inspections);
-    one.answer_inspections(own, OWN_FENCE);
-    assert_eq!(one.tokens(FIRST), [(0, 3), (3, 2)]);
+    harness.pause(Duration::from_secs(4));
+    harness.send_tokens(order, 3, 2);
+    harness.answer_inspections(early, OWN_FENCE);
+    assert_eq!(harness.tokens_sent(FIRST), [(0, 3)]);
+    let own = std::mem::take(&mut harness.inspections);
+    harness.answer_inspections(own, OWN_FENCE);
+    assert_eq!(harness.tokens_sent(FIRST), [(0, 3), (3, 2)]);
 }
