--- a/crates/node/tests/random.rs
+++ b/crates/node/tests/random.rs
@@ -66,8 +66,8 @@
             return failures;
         }
         match Simulation::new(&Plan::random(seed)).run() {
-            Ok(figures) => {
-                complete.fetch_add(figures.complete as u64, Ordering::Relaxed);
+            Ok(summary) => {
+                complete.fetch_add(summary.complete as u64, Ordering::Relaxed);
             }
             Err(violation) => failures.push(format!("seed {seed}: {violation}")),
         }
--- a/crates/node/tests/simulation/actions.rs
+++ b/crates/node/tests/simulation/actions.rs
@@ -58,20 +58,22 @@
             Action::Send { to, frame } => self.send(daemon, to, &frame),
             Action::Query { query, ask } => self.query(daemon, run, query, ask),
             Action::Log(decision) => self.check_decision(daemon, &decision),
-            Action::Fault { cause } => self.violate(format!("entry-{daemon}: fault: {cause}")),
+            Action::Fault { cause } => {
+                self.record_violation(format!("entry-{daemon}: fault: {cause}"));
+            }
             Action::Count(_) | Action::UseList(_) => (),
             Action::Finished => self.handle_finished(daemon),
         }
     }
 
     pub(super) fn send(&mut self, daemon: usize, to: Instance, frame: &Frame) {
-        let Some(peer) = self.daemons.iter().position(|slot| slot.instance == to) else {
+        let Some(peer) = self.daemons.iter().position(|entry| entry.instance == to) else {
             return;
         };
         let Some(frame) = encode_and_decode(frame) else {
-            return self.violate(format!("a frame that does not come through: {frame:?}"));
+            return self.record_violation(format!("a frame that does not come through: {frame:?}"));
         };
-        for micros in self.network.copies(self.now, &mut self.rng) {
+        for micros in self.network.copy_delays(self.now, &mut self.rng) {
             let cut = self.network.is_cut(self.now, Link::peers(daemon, peer));
             let run = self.daemons[peer].run;
             if !cut {
@@ -141,7 +143,7 @@
         let generation = decision.generation;
         let former = self.daemons[daemon].last_generation;
         if generation < former {
-            self.violate(format!(
+            self.record_violation(format!(
                 "entry-{daemon} decided by generation {generation} after {former}"
             ));
         }
@@ -153,7 +155,7 @@
             .find(|(_, at)| self.now > **at + LEASE + super::check::SLACK);
         if let Some((newest, at)) = newest.filter(|(newest, _)| **newest > generation) {
             let late = self.now.since(*at).as_millis();
-            self.violate(format!(
+            self.record_violation(format!(
                 "entry-{daemon} decided by generation {generation}, {late} ms after {newest} was accepted"
             ));
         }
@@ -162,12 +164,12 @@
     pub(super) fn handle_finished(&mut self, daemon: usize) {
         self.trace_line(|| format!("entry-{daemon} finished"));
         if !self.daemons[daemon].stopping {
-            self.violate(format!("entry-{daemon} finished without being asked"));
+            self.record_violation(format!("entry-{daemon} finished without being asked"));
         }
         let mut cut = self.open_conns(daemon);
         cut.retain(|call| self.conns[call].seen);
         if !cut.is_empty() {
-            self.violate(format!("entry-{daemon} finished and cut off {cut:?}"));
+            self.record_violation(format!("entry-{daemon} finished and cut off {cut:?}"));
         }
         self.end_process(daemon);
         let pause = Duration::from_millis(self.rng.random_range(200..2_000));
--- a/crates/node/tests/simulation/caller_attempts.rs
+++ b/crates/node/tests/simulation/caller_attempts.rs
@@ -21,15 +21,16 @@
 
 impl Simulation {
     pub(super) fn connect_or_give_up(&mut self, caller: usize) {
-        let slot = &mut self.callers[caller];
-        if slot.conn.is_some() {
+        let entry = &mut self.callers[caller];
+        if entry.conn.is_some() {
             return;
         }
-        slot.tries += 1;
-        if slot.tries > MAX_TRIES {
-            return self.violate(format!("caller {caller} tried {MAX_TRIES} times in vain"));
+        entry.tries += 1;
+        if entry.tries > MAX_TRIES {
+            return self
+                .record_violation(format!("caller {caller} tried {MAX_TRIES} times in vain"));
         }
-        if slot.keyed && slot.key.is_none() && !self.fetch_addresses(caller) {
+        if entry.keyed && entry.key.is_none() && !self.fetch_addresses(caller) {
             return self.schedule_caller(300, caller, CallerEvent::Try);
         }
         self.connect_somewhere(caller);
@@ -38,12 +39,16 @@
     /// Asks some daemon for addresses and makes the key by its answer.
     pub(super) fn fetch_addresses(&mut self, caller: usize) -> bool {
         let daemon = self.rng.random_range(0..self.daemons.len());
-        let slot = &self.daemons[daemon];
-        let Some(core) = slot.core.as_ref().filter(|_| self.now >= slot.paused_until) else {
+        let entry = &self.daemons[daemon];
+        let Some(core) = entry
+            .core
+            .as_ref()
+            .filter(|_| self.now >= entry.paused_until)
+        else {
             return false;
         };
-        let addresses = core.addresses(slot.local(self.now), slot.zone);
-        let issued = (UNIX_MS + self.now.as_millis() + slot.skew) / 1_000;
+        let addresses = core.addresses(entry.local(self.now), entry.zone);
+        let issued = (UNIX_MS + self.now.as_millis() + entry.skew) / 1_000;
         if addresses.is_empty() {
             return false;
         }
@@ -52,18 +57,18 @@
         let runner = self
             .daemons
             .iter()
-            .position(|slot| slot.name == address.name);
-        let slot = &mut self.callers[caller];
-        slot.key = Some(format!("{prefix}c{caller}"));
-        slot.next_daemon = runner;
+            .position(|entry| entry.name == address.name);
+        let entry = &mut self.callers[caller];
+        entry.key = Some(format!("{prefix}c{caller}"));
+        entry.next_daemon = runner;
         true
     }
 
     pub(super) fn connect_somewhere(&mut self, caller: usize) {
         let any = self.rng.random_range(0..self.daemons.len());
-        let slot = &mut self.callers[caller];
-        let daemon = slot.next_daemon.take().unwrap_or(any);
-        let resume = slot.token.clone();
+        let entry = &mut self.callers[caller];
+        let daemon = entry.next_daemon.take().unwrap_or(any);
+        let resume = entry.token.clone();
         let micros = self.rng.random_range(500..20_000);
         let event = CallerEvent::Connect { daemon, resume };
         self.schedule_micros(micros, SimEvent::Caller { caller, event });
@@ -94,11 +99,11 @@
             Peer::Caller(caller)
         };
         let call = self.open_conn(daemon, peer, offset);
-        let slot = &mut self.callers[caller];
-        slot.connections += 1;
-        slot.conn = Some(call);
-        slot.received_tokens = offset;
-        let request = slot.request(caller);
+        let entry = &mut self.callers[caller];
+        entry.connections += 1;
+        entry.conn = Some(call);
+        entry.received_tokens = offset;
+        let request = entry.request(caller);
         self.trace_line(|| {
             format!("caller {caller} opens {call:?} at entry-{daemon} from {offset}")
         });
@@ -125,7 +130,7 @@
             _ if !is_present => (),
             Tell::Head { token, .. } => self.callers[caller].token = Some(token),
             Tell::Tokens { offset, count, .. } => {
-                self.callers[caller].received_tokens = offset + count
+                self.callers[caller].received_tokens = offset + count;
             }
             Tell::Superseded => self.try_again(caller, 300),
             Tell::Refusal(refusal) => self.refused(caller, call, &refusal),
@@ -141,22 +146,22 @@
 
     pub(super) fn refused(&mut self, caller: usize, call: Call, refusal: &Refusal) {
         let resumed = self.conns[&call].peer == Peer::Reader(caller);
-        let slot = &mut self.callers[caller];
-        slot.token = None;
+        let entry = &mut self.callers[caller];
+        entry.token = None;
         let named = refusal.addresses.first();
-        slot.next_daemon =
+        entry.next_daemon =
             named.and_then(|name| self.daemons.iter().position(|daemon| daemon.name == *name));
         let for_ever = matches!(
             refusal.reason,
             Reason::Invalid | Reason::NoRow | Reason::KeyNeeded | Reason::KeyExpired
         );
-        let single = slot.is_single() && refusal.outcome != Outcome::NotRun;
+        let single = entry.is_single() && refusal.outcome != Outcome::NotRun;
         if !resumed && (for_ever || single) {
             return self.end_caller(caller, State::NoAnswer(refusal.outcome));
         }
         if !resumed && refusal.outcome == Outcome::Failed && refusal.retry_after_ms == 0 {
-            slot.key = None;
-            slot.reached_replica = false;
+            entry.key = None;
+            entry.reached_replica = false;
         }
         self.try_again(caller, refusal.retry_after_ms);
     }
--- a/crates/node/tests/simulation/callers.rs
+++ b/crates/node/tests/simulation/callers.rs
@@ -179,10 +179,10 @@
 
     /// A replica began to run the request of `caller`.
     pub(super) fn count_run(&mut self, caller: usize) {
-        let slot = &mut self.callers[caller];
-        slot.runs += 1;
-        if slot.runs > 1 && slot.is_single() {
-            self.violate(format!("the request of caller {caller} runs twice"));
+        let entry = &mut self.callers[caller];
+        entry.runs += 1;
+        if entry.runs > 1 && entry.is_single() {
+            self.record_violation(format!("the request of caller {caller} runs twice"));
         }
     }
 }
--- a/crates/node/tests/simulation/check.rs
+++ b/crates/node/tests/simulation/check.rs
@@ -4,9 +4,9 @@
 
 use ident::Time;
 
-use super::Figures;
 use super::SETTLE_TIME;
 use super::Simulation;
+use super::Summary;
 use super::callers::State;
 use super::plan::FAULTS_END_MS;
 use super::sim_event::ArrivingOrder;
@@ -32,7 +32,7 @@
         if let Some(since) = late {
             let late = self.now.since(since).as_millis();
             let (name, daemon) = (engine.name.clone(), arriving.ticket.daemon);
-            self.violate(format!(
+            self.record_violation(format!(
                 "{name} gets new work of entry-{daemon}, {late} ms after it was drained"
             ));
         }
@@ -45,7 +45,7 @@
         };
         let end = Time::from_millis(FAULTS_END_MS.into()) + SETTLE_TIME;
         if self.now > end {
-            self.violate(format!("not settled: {pending}"));
+            self.record_violation(format!("not settled: {pending}"));
         }
         false
     }
@@ -75,11 +75,11 @@
     }
 
     fn unsettled_daemon(&self, daemon: usize) -> Option<String> {
-        let slot = &self.daemons[daemon];
-        let Some(core) = &slot.core else {
+        let entry = &self.daemons[daemon];
+        let Some(core) = &entry.core else {
             return Some(format!("entry-{daemon} is down"));
         };
-        let status = core.status(slot.local(self.now));
+        let status = core.status(entry.local(self.now));
         let generation = self.store.table.generation;
         let placed: usize = status
             .pools
@@ -87,7 +87,7 @@
             .map(|pool| pool.waiting + pool.placed)
             .sum();
         match () {
-            () if slot.stopping => Some(format!("entry-{daemon} does not finish: {status:?}")),
+            () if entry.stopping => Some(format!("entry-{daemon} does not finish: {status:?}")),
             () if status.generation != generation => {
                 Some(format!("entry-{daemon} has not generation {generation}"))
             }
@@ -98,14 +98,14 @@
         }
     }
 
-    pub(super) fn figures(&self, events: u64) -> Figures {
+    pub(super) fn summary(&self, events: u64) -> Summary {
         let complete = self
             .callers
             .iter()
             .filter(|caller| caller.state == State::Complete)
             .count();
         let without = |caller: &&super::Caller| matches!(caller.state, State::NoAnswer(_));
-        Figures {
+        Summary {
             events,
             complete,
             without_answer: self.callers.iter().filter(without).count(),
--- a/crates/node/tests/simulation/daemon.rs
+++ b/crates/node/tests/simulation/daemon.rs
@@ -80,13 +80,13 @@
         let seeds = self.daemons.iter().map(|other| other.instance).collect();
         let incarnation = Incarnation(self.rng.random());
         let seed = self.rng.random();
-        let slot = &mut self.daemons[daemon];
+        let entry = &mut self.daemons[daemon];
         let settings = Settings {
-            instance: slot.instance,
-            name: slot.name.clone(),
-            zone: slot.zone,
+            instance: entry.instance,
+            name: entry.name.clone(),
+            zone: entry.zone,
             incarnation,
-            started_ms: UNIX_MS + self.now.as_millis() + slot.skew,
+            started_ms: UNIX_MS + self.now.as_millis() + entry.skew,
             seeds,
             secret: b"sixteen bytes or more".to_vec(),
             lease: LEASE,
@@ -98,11 +98,11 @@
             max_open: 64,
             max_keys: 1_024,
         };
-        slot.run += 1;
-        slot.stopping = false;
-        slot.backlog.clear();
-        slot.core = Some(Node::new(settings, slot.local(self.now), seed));
-        let run = slot.run;
+        entry.run += 1;
+        entry.stopping = false;
+        entry.backlog.clear();
+        entry.core = Some(Node::new(settings, entry.local(self.now), seed));
+        let run = entry.run;
         self.trace_line(|| format!("entry-{daemon} starts as {incarnation}"));
         self.schedule(Duration::ZERO, SimEvent::Wake { daemon, run });
         self.schedule(Duration::ZERO, SimEvent::List(daemon));
@@ -117,12 +117,12 @@
     }
 
     pub(super) fn send_list(&mut self, daemon: usize) {
-        let instances = self.daemons.iter().map(|slot| Seat {
-            instance: slot.instance,
-            name: slot.name.clone(),
-            zone: slot.zone,
-            caller: slot.name.clone(),
-            leaving: slot.stopping,
+        let instances = self.daemons.iter().map(|entry| Seat {
+            instance: entry.instance,
+            name: entry.name.clone(),
+            zone: entry.zone,
+            caller: entry.name.clone(),
+            leaving: entry.stopping,
         });
         let replicas = self.engines.iter().map(|engine| Backend {
             replica: engine.replica,
@@ -151,12 +151,12 @@
     }
 
     pub(super) fn wake(&mut self, daemon: usize, run: u32) {
-        let slot = &self.daemons[daemon];
-        if slot.run == run && self.now < slot.paused_until {
-            let rest = slot.paused_until.since(self.now);
+        let entry = &self.daemons[daemon];
+        if entry.run == run && self.now < entry.paused_until {
+            let rest = entry.paused_until.since(self.now);
             return self.schedule(rest, SimEvent::Wake { daemon, run });
         }
-        if slot.run != run || slot.core.is_none() {
+        if entry.run != run || entry.core.is_none() {
             return;
         }
         while let Some(event) = self.daemons[daemon].backlog.pop_front() {
@@ -166,20 +166,20 @@
     }
 
     pub(super) fn deliver_event(&mut self, daemon: usize, run: u32, event: Event) {
-        let slot = &mut self.daemons[daemon];
+        let entry = &mut self.daemons[daemon];
         match () {
-            () if slot.run != run || slot.core.is_none() => (),
-            () if self.now < slot.paused_until => slot.backlog.push_back(event),
+            () if entry.run != run || entry.core.is_none() => (),
+            () if self.now < entry.paused_until => entry.backlog.push_back(event),
             () => self.step(daemon, event),
         }
     }
 
     fn step(&mut self, daemon: usize, event: Event) {
         let now = self.now;
-        let slot = &mut self.daemons[daemon];
-        let local = slot.local(now);
-        let run = slot.run;
-        let Some(core) = slot.core.as_mut() else {
+        let entry = &mut self.daemons[daemon];
+        let local = entry.local(now);
+        let run = entry.run;
+        let Some(core) = entry.core.as_mut() else {
             return;
         };
         if let Event::Arrived { call, .. } | Event::Resumed { call, .. } = &event {
@@ -187,16 +187,16 @@
         }
         let mut actions = Vec::new();
         core.step(local, event, &mut actions);
-        let wake = core.wake() - Duration::from_millis(slot.skew);
+        let wake = core.wake() - Duration::from_millis(entry.skew);
         for action in actions {
             if self.daemons[daemon].core.is_some() {
                 self.carry_out_action(daemon, run, action);
             }
         }
         let wake = wake.max(now + MIN_WAKE_DELAY);
-        let slot = &mut self.daemons[daemon];
-        if wake < slot.wake || slot.wake <= now || slot.wake == Time::NEVER {
-            slot.wake = wake;
+        let entry = &mut self.daemons[daemon];
+        if wake < entry.wake || entry.wake <= now || entry.wake == Time::NEVER {
+            entry.wake = wake;
             self.schedule(wake.since(now), SimEvent::Wake { daemon, run });
         }
     }
--- a/crates/node/tests/simulation/faults.rs
+++ b/crates/node/tests/simulation/faults.rs
@@ -58,10 +58,10 @@
     }
 
     fn stop(&mut self, daemon: usize) {
-        let slot = &mut self.daemons[daemon];
-        if slot.core.is_some() && !slot.stopping {
-            slot.stopping = true;
-            let run = slot.run;
+        let entry = &mut self.daemons[daemon];
+        if entry.core.is_some() && !entry.stopping {
+            entry.stopping = true;
+            let run = entry.run;
             self.deliver_event(daemon, run, Event::Stop);
         }
     }
@@ -80,9 +80,9 @@
     }
 
     /// Ends all faults; dead daemons are replaced at the time that was planned.
-    pub(super) fn heal(&mut self) {
+    pub(super) fn end_faults(&mut self) {
         self.trace_line(|| "all faults end".to_owned());
-        self.network.heal();
+        self.network.end_faults();
         self.store.down_until = Time::ZERO;
         self.store.loses_answers_until = Time::ZERO;
         self.store.slow_until = Time::ZERO;
@@ -94,7 +94,7 @@
         for daemon in &mut self.daemons {
             daemon.paused_until = Time::ZERO;
         }
-        self.healed = true;
+        self.faults_ended = true;
         self.wake_all();
     }
 
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -83,14 +83,14 @@
     /// When each generation was accepted, as its operator was told.
     accepted: BTreeMap<u64, Time>,
     violation: Option<String>,
-    healed: bool,
+    faults_ended: bool,
     trace: Option<Vec<String>>,
     digest: u64,
 }
 
 /// What a run came to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Summary {
     /// Items carried out.
     pub events: u64,
     /// Complete answers.
@@ -123,7 +123,7 @@
             takeovers: BTreeMap::new(),
             accepted: BTreeMap::new(),
             violation: None,
-            healed: false,
+            faults_ended: false,
             trace: None,
             digest: 0,
         };
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// The first promise that was broken, with its time.
-    pub fn run(mut self) -> Result<Figures, String> {
+    pub fn run(mut self) -> Result<Summary, String> {
         let mut events = 0;
         while let Some(((at, _), event)) = self.event_queue.pop_first() {
             self.now = at;
@@ -150,7 +150,7 @@
             let last = matches!(event, SimEvent::CheckSettled) && self.check_settled();
             self.carry_out(event);
             if events >= MAX_EVENTS {
-                self.violate("the run does not end".to_owned());
+                self.record_violation("the run does not end".to_owned());
             }
             if let Some(violation) = &self.violation {
                 return Err(format!("at {} ms: {violation}", self.now.as_millis()));
@@ -159,7 +159,7 @@
                 break;
             }
         }
-        Ok(self.figures(events))
+        Ok(self.summary(events))
     }
 
     fn populate(&mut self) {
@@ -179,7 +179,7 @@
             );
         }
         let chaos = Duration::from_millis(FAULTS_END_MS.into());
-        self.schedule(chaos, SimEvent::Heal);
+        self.schedule(chaos, SimEvent::EndFaults);
         self.schedule(chaos + SETTLE_CHECK_INTERVAL, SimEvent::CheckSettled);
     }
 
@@ -193,7 +193,7 @@
         self.schedule(Duration::from_micros(micros), event);
     }
 
-    fn violate(&mut self, what: String) {
+    fn record_violation(&mut self, what: String) {
         self.trace_line(|| format!("VIOLATION {what}"));
         self.violation.get_or_insert(what);
     }
@@ -242,13 +242,13 @@
             } => self.inspect(daemon, run, replica, asked),
             SimEvent::Caller { caller, event } => self.handle_caller_event(caller, event),
             SimEvent::Operator { operator, verdict } => {
-                self.handle_operator_event(operator, &verdict)
+                self.handle_operator_event(operator, &verdict);
             }
             SimEvent::Edit { daemon, selector } => self.add_operator(Fault::Edit, daemon, selector),
             SimEvent::Fault(index) => self.begin_fault(index),
             SimEvent::Start(daemon) => self.start(daemon),
             SimEvent::List(daemon) => self.send_list(daemon),
-            SimEvent::Heal => self.heal(),
+            SimEvent::EndFaults => self.end_faults(),
             SimEvent::CheckSettled => self.schedule(SETTLE_CHECK_INTERVAL, SimEvent::CheckSettled),
         }
     }
--- a/crates/node/tests/simulation/network.rs
+++ b/crates/node/tests/simulation/network.rs
@@ -50,13 +50,13 @@
     }
 
     /// Ends every fault.
-    pub fn heal(&mut self) {
+    pub fn end_faults(&mut self) {
         self.cuts.clear();
         self.unreliable_until = Time::ZERO;
     }
 
     /// The delays in microseconds after which copies of one frame arrive; none if it is lost.
-    pub fn copies(&self, now: Time, rng: &mut Pcg64Mcg) -> Vec<u64> {
+    pub fn copy_delays(&self, now: Time, rng: &mut Pcg64Mcg) -> Vec<u64> {
         let percent = if now < self.unreliable_until {
             Self::UNRELIABLE_PERCENT
         } else {
--- a/crates/node/tests/simulation/operators.rs
+++ b/crates/node/tests/simulation/operators.rs
@@ -104,7 +104,7 @@
             }
             OperatorEvent::Received(action::Verdict::Rejected { .. }) => self.retry_edit(operator),
             OperatorEvent::Received(action::Verdict::Conflict { .. }) => {
-                self.operators[operator].finished = true
+                self.operators[operator].finished = true;
             }
             OperatorEvent::Received(
                 action::Verdict::Accepted { generation } | action::Verdict::Repeated { generation },
@@ -130,9 +130,9 @@
     }
 
     fn retry_edit(&mut self, operator: usize) {
-        let slot = &mut self.operators[operator];
-        slot.daemon = self.rng.random_range(0..self.daemons.len());
-        if slot.tries < MAX_TRIES {
+        let entry = &mut self.operators[operator];
+        entry.daemon = self.rng.random_range(0..self.daemons.len());
+        if entry.tries < MAX_TRIES {
             self.schedule(
                 RETRY_DELAY,
                 SimEvent::Operator {
@@ -141,7 +141,7 @@
                 },
             );
         } else {
-            self.violate(format!("operator {operator} tried {MAX_TRIES} times"));
+            self.record_violation(format!("operator {operator} tried {MAX_TRIES} times"));
         }
     }
 
@@ -172,7 +172,7 @@
         };
         if !is_true {
             let maybe = self.operators[operator].maybe_committed;
-            self.violate(format!(
+            self.record_violation(format!(
                 "{id} is told {verdict:?}, the store has it at {applied:?} (tried before: {maybe})"
             ));
         }
--- a/crates/node/tests/simulation/progress.rs
+++ b/crates/node/tests/simulation/progress.rs
@@ -13,7 +13,7 @@
 use super::engine::RESULT_RETENTION;
 use super::engine::STREAM_RETENTION;
 use super::engine::Ticket;
-use super::responses::expected;
+use super::responses::expected_text;
 use super::sim_event::SimEvent;
 
 impl Simulation {
@@ -29,8 +29,8 @@
             };
             return self.schedule(rest, event);
         }
-        let slot = &mut self.engines[engine];
-        let Some(work) = slot.works.get_mut(&handle).filter(|_| slot.boot == boot) else {
+        let entry = &mut self.engines[engine];
+        let Some(work) = entry.works.get_mut(&handle).filter(|_| entry.boot == boot) else {
             return;
         };
         let pause = match work.phase {
@@ -56,8 +56,8 @@
             Phase::Decode => {
                 self.generate_tokens(engine, handle);
                 self.deliver(engine, handle);
-                let over = self.engines[engine].works[&handle].phase == Phase::Done;
-                if over {
+                let finished = self.engines[engine].works[&handle].phase == Phase::Done;
+                if finished {
                     STREAM_RETENTION
                 } else {
                     self.token_delay()
@@ -98,10 +98,10 @@
         };
         let (offset, end, caller) = (work.next, work.produced, work.caller);
         work.next = end.max(offset);
-        let over = work.phase == Phase::Done;
+        let finished = work.phase == Phase::Done;
         if offset < end {
             let count = end - offset;
-            let text = expected(caller, offset, count);
+            let text = expected_text(caller, offset, count);
             let tokens = Piece::Tokens {
                 offset,
                 count,
@@ -109,7 +109,7 @@
             };
             self.send_piece(reader, &tokens);
         }
-        if over {
+        if finished {
             self.send_piece(reader, &Piece::End { offset: end });
             self.send_last_reply(reader, Reply::StreamEnded);
             if let Some(work) = self.engines[engine].works.get_mut(&handle) {
--- a/crates/node/tests/simulation/responses.rs
+++ b/crates/node/tests/simulation/responses.rs
@@ -17,7 +17,7 @@
 use super::sim_event::SimEvent;
 
 /// `count` tokens of the answer to `caller`, from token `offset` on.
-pub fn expected(caller: usize, offset: u32, count: u32) -> Bytes {
+pub fn expected_text(caller: usize, offset: u32, count: u32) -> Bytes {
     let words = (offset..offset + count).map(|index| format!(" {caller}:{index}"));
     Bytes::from(words.collect::<String>())
 }
@@ -25,18 +25,20 @@
 impl Simulation {
     /// A daemon tells a connection something.
     pub(super) fn handle_response(&mut self, daemon: usize, call: Call, tell: Tell) {
-        self.trace_line(|| format!("entry-{daemon} tells {call:?} {}", short(&tell)));
+        self.trace_line(|| format!("entry-{daemon} tells {call:?} {}", summarize(&tell)));
         let Some(conn) = self.conns.get(&call).copied() else {
-            return self.violate(format!("entry-{daemon} tells {call:?}, which never was"));
+            return self
+                .record_violation(format!("entry-{daemon} tells {call:?}, which never was"));
         };
         match conn.state {
             _ if conn.daemon != daemon => {
-                return self.violate(format!("entry-{daemon} tells {call:?} of another"));
+                return self.record_violation(format!("entry-{daemon} tells {call:?} of another"));
             }
             State::Closed | State::Dropped => return,
             State::Answered => {
-                let tell = short(&tell);
-                return self.violate(format!("{call:?} is told {tell} after its last answer"));
+                let tell = summarize(&tell);
+                return self
+                    .record_violation(format!("{call:?} is told {tell} after its last answer"));
             }
             State::Open => (),
         }
@@ -49,7 +51,7 @@
 
     fn handle_operator_response(&mut self, call: Call, operator: usize, tell: Tell) {
         let Tell::Edit(verdict) = tell else {
-            return self.violate(format!("operator at {call:?} is told {tell:?}"));
+            return self.record_violation(format!("operator at {call:?} is told {tell:?}"));
         };
         self.check_verdict(operator, &verdict);
         self.mark_answered(call);
@@ -83,7 +85,7 @@
             Tell::Superseded => self.check_superseded(call, caller),
             Tell::Answer { body, .. } => self.check_body(call, caller, body),
             Tell::Refusal(refusal) => self.check_refusal(call, caller, is_request, refusal),
-            Tell::Edit(_) => self.violate(format!("{call:?} is told of an edit")),
+            Tell::Edit(_) => self.record_violation(format!("{call:?} is told of an edit")),
         }
         if !matches!(tell, Tell::Head { .. } | Tell::Tokens { .. }) {
             self.mark_answered(call);
@@ -100,12 +102,12 @@
         let due = conn.next;
         conn.next = offset + count;
         if offset != due || count == 0 {
-            self.violate(format!(
+            self.record_violation(format!(
                 "{call:?} gets {count} tokens from {offset}, due was {due}"
             ));
         }
-        if *text != expected(caller, offset, count) {
-            self.violate(format!(
+        if *text != expected_text(caller, offset, count) {
+            self.record_violation(format!(
                 "{call:?} of caller {caller} gets {text:?} at {offset}"
             ));
         }
@@ -114,9 +116,9 @@
     /// A daemon from which a stream was taken must have found out once its lease has passed.
     fn check_owner(&mut self, call: Call) {
         let Conn { daemon, handle, .. } = self.conns[&call];
-        let taken = handle.and_then(|handle| self.takeovers.get(&handle).copied());
-        if let Some((by, _)) = taken.filter(|(by, at)| *by != daemon && self.now > *at + LEASE) {
-            self.violate(format!(
+        let takeover = handle.and_then(|handle| self.takeovers.get(&handle).copied());
+        if let Some((by, _)) = takeover.filter(|(by, at)| *by != daemon && self.now > *at + LEASE) {
+            self.record_violation(format!(
                 "entry-{daemon} tells {call:?} tokens of a stream that entry-{by} took over"
             ));
         }
@@ -126,7 +128,7 @@
         let length = self.callers[caller].length;
         let next = self.conns[&call].next;
         if tokens != length || next != length {
-            self.violate(format!(
+            self.record_violation(format!(
                 "{call:?} is done with {tokens} tokens after {next} of {length}"
             ));
         }
@@ -139,13 +141,13 @@
             of_caller(conn.peer) && conn.seen && (conn.is_open() || *other > call)
         });
         if !is_read {
-            self.violate(format!("{call:?} is superseded, and by nothing"));
+            self.record_violation(format!("{call:?} is superseded, and by nothing"));
         }
     }
 
     fn check_body(&mut self, call: Call, caller: usize, body: &Bytes) {
         if body != format!("confirmed for {caller}").as_bytes() {
-            self.violate(format!("{call:?} of caller {caller} gets {body:?}"));
+            self.record_violation(format!("{call:?} of caller {caller} gets {body:?}"));
         }
     }
 
@@ -158,18 +160,18 @@
         let untrue = refusal.outcome == Outcome::NotRun && touched;
         if is_request && untrue {
             let reason = refusal.reason.word();
-            self.violate(format!(
+            self.record_violation(format!(
                 "{call:?} of caller {caller} is told `not run` ({reason}), and a byte had reached a replica"
             ));
         }
         if refusal.reason == Reason::BadToken && !is_request {
-            self.violate(format!("{call:?} presented a good token"));
+            self.record_violation(format!("{call:?} presented a good token"));
         }
     }
 }
 
 /// A short form for traces.
-fn short(tell: &Tell) -> String {
+fn summarize(tell: &Tell) -> String {
     match tell {
         Tell::Head { handle, .. } => format!("head of {handle}"),
         Tell::Tokens { offset, count, .. } => format!("{count} tokens from {offset}"),
--- a/crates/node/tests/simulation/sim_event.rs
+++ b/crates/node/tests/simulation/sim_event.rs
@@ -75,7 +75,7 @@
     /// The platform's list reaches a daemon.
     List(usize),
     /// All faults end.
-    Heal,
+    EndFaults,
     /// Has everything settled?
     CheckSettled,
 }
--- a/crates/node/tests/simulation/transport.rs
+++ b/crates/node/tests/simulation/transport.rs
@@ -47,7 +47,7 @@
         task: Task,
     ) {
         let Some(engine) = self.engine_of(replica) else {
-            return self.violate(format!("an order for an unknown replica {replica}"));
+            return self.record_violation(format!("an order for an unknown replica {replica}"));
         };
         let delay = self.rng.random_range(300..2_500);
         let open_order = OpenOrder {
