--- a/crates/node/tests/harness/mod.rs
+++ b/crates/node/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! One core with idle replicas and a store; the test answers its orders.
+//! Drives one core with idle replicas, a store and peers; tests answer its orders.
 #![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::time::Duration;
@@ -45,10 +45,10 @@
 const STARTED_MS: u64 = 1_700_000_000_000;
 const ZONE: &str = "osijek-a";
 const STEP_TIME: Duration = Duration::from_millis(1);
-/// How long a peer takes to answer a ping.
+/// Time that a peer takes to answer a ping.
 const PING_DELAY: Duration = Duration::from_millis(20);
 
-/// A core with idle replicas and a store; orders are answered by the test.
+/// A core whose store queries and inspections are answered here, and whose orders the test answers.
 pub struct Harness {
     node: Node,
     now: Time,
@@ -57,7 +57,7 @@
     pub sent: Vec<(Instance, Body)>,
     /// Whether replicas answer inspections.
     pub replicas_answer: bool,
-    /// Inspections that the test is to answer.
+    /// Inspections that wait for an answer from the test.
     pub inspections: Vec<(Replica, Time)>,
     /// Whether the store answers.
     pub store_answers: bool,
@@ -68,7 +68,7 @@
         Self::with_incarnation(INCARNATION)
     }
 
-    /// The core as the run `incarnation` of its instance.
+    /// Starts the core with `incarnation`, as one run of its instance.
     pub fn with_incarnation(incarnation: Incarnation) -> Self {
         let settings = Settings {
             incarnation,
@@ -140,11 +140,11 @@
         }
     }
 
-    /// The last order that is not a cancel.
+    /// Returns the last order that is not a cancellation.
     pub fn last_order(&self) -> (Order, Task) {
         let is_work = |(_, task): &&(Order, Task)| !matches!(task, Task::Cancel);
         let found = self.orders.iter().rev().find(is_work);
-        found.cloned().expect("an order was put out")
+        found.cloned().expect("an order was sent")
     }
 
     pub fn send_request(&mut self, call: Call) {
@@ -153,20 +153,20 @@
         self.run_for(Duration::from_millis(100));
     }
 
-    /// Lets the core take a frame from `peer`, a live member.
+    /// Delivers a frame from `peer`, a live member.
     pub fn receive_frame(&mut self, peer: &Member, body: Body) {
         let frame = Box::new(Frame::new(peer.instance, peer.incarnation, body));
         self.feed(Event::Frame(frame));
     }
 
-    /// Lets `peer` join.
+    /// Makes `peer` a known member by a ping from it.
     pub fn add_peer(&mut self, peer: &Member) {
         let news = vec![*peer];
         self.receive_frame(peer, Body::Gossip(Message::Ping { seq: 1, news }));
     }
 
-    /// Answers `inspections`: each replica holds the stream told last, with this core as its reader
-    /// and `fence`.
+    /// Answers `inspections`: each replica holds the last stream begun, with this core as its owner
+    /// and the fencing number `fence`.
     pub fn answer_inspections(&mut self, inspections: Vec<(Replica, Time)>, fence: u64) {
         let held = Held {
             handle: self.handle(),
@@ -196,15 +196,15 @@
                 Tell::Head { handle, .. } => Some(*handle),
                 _ => None,
             });
-        heads.next().expect("a head was told")
+        heads.next().expect("a head was sent")
     }
 
-    /// Lets time pass in which the core is paused.
+    /// Advances the clock by `span` without running the core, as if the process were paused.
     pub fn pause(&mut self, span: Duration) {
         self.now = self.now + span;
     }
 
-    /// Runs for `span`, in which `peer` answers the pings it gets.
+    /// Runs for `span` while `peer` answers pings.
     pub fn run_with_peer(&mut self, peer: &Member, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Lets the prefill that was ordered last end well; the decode order that follows.
+    /// Completes the last prefill and returns the decode order that follows.
     pub fn finish_prefill(&mut self) -> (Order, Task) {
         let (order, task) = self.last_order();
         assert!(matches!(task, Task::Prefill { .. }), "{task:?}");
@@ -252,7 +252,7 @@
         self.run_for(Duration::from_millis(200));
     }
 
-    /// Offsets and counts of the tokens that `call` was told.
+    /// Returns the offsets and counts of the tokens sent to `call`.
     pub fn tokens_sent(&self, call: Call) -> Vec<(u32, u32)> {
         let responses = self.responses.iter().filter(|(to, _)| *to == call);
         responses
@@ -269,7 +269,7 @@
             Tell::Head { token, .. } => Some(token.clone()),
             _ => None,
         });
-        tokens.next().expect("a head was told")
+        tokens.next().expect("a head was sent")
     }
 }
 
@@ -306,7 +306,7 @@
     }
 }
 
-/// The beginning of the keys that name the run `runner`.
+/// Returns the prefix of the keys that name the run `runner`.
 pub fn prefix(runner: Incarnation) -> Prefix {
     Prefix::new(runner, STARTED_MS / 1_000)
 }
--- a/crates/node/tests/pauses.rs
+++ b/crates/node/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! What a core holds of its own past after a pause.
+//! What a core may claim about earlier requests after its process was paused.
 
 mod harness;
 
@@ -13,14 +13,14 @@
 use crate::harness::Harness;
 
 const CALL: Call = Call(1);
-/// Longer than the others wait before they run a repeatable request of a silent daemon.
+/// Longer than other daemons wait before they run a repeatable request of an unresponsive one.
 const PAUSE: Duration = Duration::from_secs(10);
-/// Until a stopping daemon takes no more requests.
+/// Time after which a stopping daemon accepts no more requests.
 const REQUESTS_CLOSED: Duration = Duration::from_millis(4_100);
 
-/// A daemon was paused so long that others took it for dead, and one of them ran a request whose
-/// key named this daemon. The caller repeated it here after the pause: the daemon did not know
-/// that it had been paused, and told that the request had never run.
+/// During a long pause, other daemons declare this one dead, and one of them runs a request whose
+/// key names it. Without noticing the pause, the daemon would answer a repeat of that request
+/// with `not run`.
 #[rstest]
 #[case::paused(PAUSE, Outcome::Unknown)]
 #[case::not_paused(Duration::ZERO, Outcome::NotRun)]
--- a/crates/node/tests/proofs.rs
+++ b/crates/node/tests/proofs.rs
@@ -1,4 +1,4 @@
-//! What proves to a core that its table is the newest.
+//! Which answers of peers prove that the table of a core is the newest.
 
 mod harness;
 
@@ -18,7 +18,7 @@
 
 const CALL: Call = Call(1);
 const EARLIER: Incarnation = Incarnation(0x2a90_77e1_c3d8_5b16);
-/// Longer than a table may be decided by without proof.
+/// Longer than a core may use its table without proof that it is the newest.
 const STORE_OUTAGE: Duration = Duration::from_secs(5);
 
 fn peer() -> Member {
@@ -31,7 +31,7 @@
     )
 }
 
-/// Lets `one` ask its peer while the store is silent, until its proof is too old; its last question.
+/// Stops the store until the proof of the table is too old; returns the last request to the peer.
 fn last_status_request(harness: &mut Harness) -> News {
     harness.add_peer(&peer());
     harness.store_answers = false;
@@ -40,10 +40,10 @@
         Body::News(news) if *to == peer().instance && !news.answer => Some(*news),
         _ => None,
     });
-    asked.expect("the peer is asked")
+    asked.expect("a request to the peer")
 }
 
-/// The answer of a peer that has just read the store.
+/// Returns the answer of a peer that has just read the store.
 fn fresh_status(request: News) -> Body {
     Body::News(News {
         store_age_ms: Some(0),
@@ -60,9 +60,9 @@
         .any(|(_, tell)| matches!(tell, Tell::Refusal(refusal) if refusal.reason == Reason::Stale))
 }
 
-/// A daemon asked a peer how old its table was, and was started again. The answer came to the new
-/// run, whose clock begins at zero too: it counted as the answer to a question of its own, asked
-/// just now, and the daemon decided by a table that nobody had proved for that time.
+/// A daemon requests the age of a peer's table and restarts before the answer arrives. The clocks
+/// of both runs begin at zero, so the new run could take the answer for one to its own request
+/// and route by a table that is not proved for that time.
 #[test]
 fn an_answer_to_an_earlier_run_proves_nothing() {
     let mut earlier = Harness::with_incarnation(EARLIER);
--- a/crates/node/tests/questions.rs
+++ b/crates/node/tests/questions.rs
@@ -1,4 +1,4 @@
-//! Keys that name another run: whose answer a caller is told.
+//! Keys that name another run: which answer of that run is forwarded to the caller.
 
 mod harness;
 
@@ -24,8 +24,7 @@
     Member::new(Instance::new("entry-2"), RUNNER, 1, Zone::new("osijek-a"))
 }
 
-/// Has a caller repeat the key that ends in `name` to `one`; the number of its question to the
-/// runner.
+/// Sends a request whose key ends in `name`; returns the nonce of the query to the runner.
 fn query_runner(harness: &mut Harness, name: &str) -> u64 {
     harness.add_peer(&runner());
     let request = Request {
@@ -40,7 +39,7 @@
         Body::Ask { nonce, .. } if *to == runner().instance => Some(*nonce),
         _ => None,
     });
-    asked.expect("the runner is asked")
+    asked.expect("a query to the runner")
 }
 
 fn answer_frame(nonce: u64, body: &'static str) -> Body {
@@ -59,10 +58,10 @@
     responses.collect()
 }
 
-/// A daemon asked the runner of a key what became of it, and was told to wait. It was started
-/// again, and asked the same runner about a key of another caller. Each run numbered its
-/// questions from one, so the answer to the earlier question, sent when that request ended, passed
-/// for the answer to the later one: the caller got the text of somebody else.
+/// A daemon queries the runner of a key and restarts while that request is in progress. The new run
+/// queries the same runner about a key of another caller. If both runs number their queries
+/// from one, the late answer to the first matches the second, and a caller receives the text of
+/// another caller.
 #[test]
 fn an_answer_to_an_earlier_run_is_discarded() {
     let mut earlier = Harness::with_incarnation(EARLIER);
--- a/crates/node/tests/random.rs
+++ b/crates/node/tests/random.rs
@@ -1,8 +1,8 @@
-//! Several cores under random failures: the promises hold after every step.
+//! Runs several cores under random failures and checks the promises after every step.
 //!
-//! `WAXWING_CASES` sets how many seeds are tried, `WAXWING_FIRST_SEED` where they begin,
-//! `WAXWING_PLANS` how many plans of `proptest`; `WAXWING_TRACE` names the seed that the ignored
-//! test `trace` prints. Without them the cases are the same on each run.
+//! `WAXWING_CASES` sets the number of seeds, `WAXWING_FIRST_SEED` the first one, `WAXWING_PLANS`
+//! the number of `proptest` plans, and `WAXWING_TRACE` the seed whose run the ignored test `trace`
+//! prints. The defaults give the same cases on each run.
 
 mod simulation;
 
@@ -23,11 +23,11 @@
 use crate::simulation::plan::Plan;
 use crate::simulation::plan::ScheduledFault;
 
-/// Seeds tried where nothing else is asked for.
+/// Default number of seeds.
 const DEFAULT_CASES: u64 = 500;
-/// Cases of `proptest`, which also makes failing plans small.
+/// Default number of plans from `proptest`, which also shrinks a failing plan.
 const PROPTEST_CASES: u64 = 40;
-/// Threads that try seeds.
+/// Threads that run seeds in parallel.
 const THREADS: u64 = 4;
 
 fn env_number(name: &str, default: u64) -> u64 {
@@ -111,14 +111,16 @@
     eprintln!("{result:?}");
 }
 
-/// Plans that broke a promise once, made small; each failed before the change that its case names.
+/// Shrunk plans that once broke a promise; each case is named after the fault that broke it.
 #[rstest]
 #[case::a_cancelled_handle_is_taken_for_another_reader(
     Plan::new(7, 1, 3).with_faults(&[ScheduledFault::new(463, Fault::Refuse, 60, 26, 4_137)])
 )]
 #[case::an_order_in_flight_does_not_count_as_sent(Plan::new(4, 4, 9))]
 #[case::a_key_that_was_tried_is_forgotten(
-    Plan::new(43, 1, 11).with_faults(&[ScheduledFault::new(404, Fault::StoreLosesAnswers, 194, 149, 6_020)])
+    Plan::new(43, 1, 11).with_faults(&[
+        ScheduledFault::new(404, Fault::StoreLosesAnswers, 194, 149, 6_020),
+    ])
 )]
 #[case::a_committed_edit_is_called_rejected(Plan::new(72, 2, 1).with_faults(&[
     ScheduledFault::new(1_345, Fault::Undrain, 55, 140, 1_687),
--- a/crates/node/tests/simulation/actions.rs
+++ b/crates/node/tests/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! What daemons do.
+//! Carries out the actions of daemons and checks their routing decisions.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use super::network::Link;
 use super::sim_event::SimEvent;
 
-/// Time after which a query that does not reach the store fails.
+/// Time until a query that does not reach the store fails.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Simulation {
@@ -71,7 +71,9 @@
             return;
         };
         let Some(frame) = encode_and_decode(frame) else {
-            return self.record_violation(format!("a frame that does not come through: {frame:?}"));
+            return self.record_violation(format!(
+                "a frame that cannot be encoded and decoded: {frame:?}"
+            ));
         };
         for micros in self.network.copy_delays(self.now, &mut self.rng) {
             let cut = self.network.is_cut(self.now, Link::peers(daemon, peer));
@@ -124,7 +126,7 @@
         self.schedule(delay, SimEvent::DaemonEvent { daemon, run, event });
     }
 
-    /// Checks the generation of a routing decision.
+    /// Checks that a routing decision uses a table no older than the last one and the lease allow.
     pub(super) fn check_decision(&mut self, daemon: usize, decision: &Decision) {
         self.trace_line(|| {
             let Decision {
@@ -164,7 +166,7 @@
     pub(super) fn handle_finished(&mut self, daemon: usize) {
         self.trace_line(|| format!("entry-{daemon} finished"));
         if !self.daemons[daemon].stopping {
-            self.record_violation(format!("entry-{daemon} finished without being asked"));
+            self.record_violation(format!("entry-{daemon} finished without a stop event"));
         }
         let mut cut = self.open_conns(daemon);
         cut.retain(|call| self.conns[call].seen);
@@ -177,7 +179,7 @@
     }
 }
 
-/// `frame` as it comes out of the codec.
+/// Encodes `frame` and decodes it again.
 fn encode_and_decode(frame: &Frame) -> Option<Frame> {
     let bytes = wire::encode(frame).ok()?;
     let mut decoder = Decoder::new();
--- a/crates/node/tests/simulation/caller_attempts.rs
+++ b/crates/node/tests/simulation/caller_attempts.rs
@@ -1,4 +1,4 @@
-//! How callers come, come back and take answers.
+//! How callers connect, retry and receive responses.
 
 use ident::Prefix;
 use node::action::Outcome;
@@ -16,7 +16,7 @@
 use super::sim_event::CallerEvent;
 use super::sim_event::SimEvent;
 
-/// Tries after which a caller gives up.
+/// Attempts after which a request counts as one that never ends.
 const MAX_TRIES: u32 = 200;
 
 impl Simulation {
@@ -27,8 +27,9 @@
         }
         entry.tries += 1;
         if entry.tries > MAX_TRIES {
-            return self
-                .record_violation(format!("caller {caller} tried {MAX_TRIES} times in vain"));
+            return self.record_violation(format!(
+                "caller {caller} got no answer after {MAX_TRIES} attempts"
+            ));
         }
         if entry.keyed && entry.key.is_none() && !self.fetch_addresses(caller) {
             return self.schedule_caller(300, caller, CallerEvent::Try);
@@ -36,7 +37,7 @@
         self.connect_somewhere(caller);
     }
 
-    /// Asks some daemon for addresses and makes the key by its answer.
+    /// Requests addresses from a random daemon and derives the key from its answer.
     pub(super) fn fetch_addresses(&mut self, caller: usize) -> bool {
         let daemon = self.rng.random_range(0..self.daemons.len());
         let entry = &self.daemons[daemon];
--- a/crates/node/tests/simulation/callers.rs
+++ b/crates/node/tests/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that follow the interface, some with little patience.
+//! Callers that follow the interface; some drop their connections or abandon their requests.
 
 use std::time::Duration;
 
@@ -13,22 +13,22 @@
 use super::sim_event::CallerEvent;
 use super::sim_event::SimEvent;
 
-/// Most tokens that a patient caller asks for.
+/// Most tokens requested by a caller that waits for its answer.
 const MAX_TOKENS: u32 = 40;
-/// Tokens that a caller asks for who goes away: far more than are made before the run ends, so
-/// that only a cancel frees the slot.
+/// Tokens requested by a caller that abandons its request: far more than are generated before the
+/// run ends, so only a cancellation frees the slot.
 const ENDLESS_TOKENS: u32 = 20_000;
 
-/// Where a caller is.
+/// State of the request of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It wants its answer.
+    /// The answer is not complete; the caller keeps trying.
     Trying,
-    /// It has the whole answer.
+    /// The whole answer has arrived.
     Complete,
-    /// It was told an outcome that it does not try again after.
+    /// The request ended with an outcome that forbids a retry.
     NoAnswer(Outcome),
-    /// It went away.
+    /// The caller abandoned the request.
     Gone,
 }
 
@@ -36,22 +36,22 @@
 #[derive(Debug)]
 pub struct Caller {
     pub service: &'static str,
-    /// Tokens of its answer.
+    /// Length of the answer, in tokens.
     pub length: u32,
     pub repeatable: bool,
     pub state: State,
-    /// Connections that reached a daemon.
+    /// Number of connections that reached a daemon.
     pub connections: u32,
-    /// Whether a byte of the request has reached a replica under its present key.
+    /// Whether a byte of the request has reached a replica under its current key.
     pub reached_replica: bool,
-    /// How often replicas began to run it.
+    /// How often a replica began to run the request.
     pub runs: u32,
     pub keyed: bool,
     pub key: Option<String>,
     pub token: Option<String>,
     pub received_tokens: u32,
     pub conn: Option<Call>,
-    /// Where to go next.
+    /// Daemon named by the last address list or refusal, tried first at the next attempt.
     pub next_daemon: Option<usize>,
     pub tries: u32,
 }
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether its request may run only once.
+    /// Whether the request may run only once.
     pub fn is_single(&self) -> bool {
         !self.repeatable || self.service == "booking"
     }
@@ -177,7 +177,7 @@
         }
     }
 
-    /// A replica began to run the request of `caller`.
+    /// Counts a run of the request of `caller` at a replica.
     pub(super) fn count_run(&mut self, caller: usize) {
         let entry = &mut self.callers[caller];
         entry.runs += 1;
--- a/crates/node/tests/simulation/check.rs
+++ b/crates/node/tests/simulation/check.rs
@@ -1,4 +1,4 @@
-//! Promises that are checked at the replicas, and whether everything has settled.
+//! Checks promises at the replicas, and whether the simulation has settled.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use super::plan::FAULTS_END_MS;
 use super::sim_event::ArrivingOrder;
 
-/// Added to stated bounds, for ways and timers of the world.
+/// Margin on documented bounds, for delays and timers of the simulation.
 pub const SLACK: Duration = Duration::from_millis(500);
-/// Seconds after which a drained replica gets nothing new.
+/// Time after which a drained replica gets no new work.
 const DRAIN_BOUND: Duration = Duration::from_secs(5);
 
 impl Simulation {
-    /// New work reaches a replica.
+    /// Checks that new work does not reach a drained replica, and marks the request as received.
     pub(super) fn check_new_work(&mut self, arriving: &ArrivingOrder) {
         if let Some((call, caller)) = arriving.origin {
             self.callers[caller].reached_replica = true;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Looks whether everything has settled, and demands it once all was well for long enough.
+    /// Returns whether everything has settled, as it must `SETTLE_TIME` after the last fault.
     pub(super) fn check_settled(&mut self) -> bool {
         let Some(pending) = self.unsettled() else {
             return true;
@@ -50,7 +50,7 @@
         false
     }
 
-    /// What has not settled yet.
+    /// Describes the first thing found that has not settled.
     fn unsettled(&self) -> Option<String> {
         let daemons = (0..self.daemons.len()).find_map(|daemon| self.unsettled_daemon(daemon));
         let callers = || {
@@ -62,7 +62,7 @@
         };
         let operators = || {
             let pending = self.operators.iter().find(|operator| !operator.finished);
-            pending.map(|operator| format!("edit {} has no end", operator.edit.id))
+            pending.map(|operator| format!("edit {} has no verdict", operator.edit.id))
         };
         let engines = || {
             let holding = self
--- a/crates/node/tests/simulation/connections.rs
+++ b/crates/node/tests/simulation/connections.rs
@@ -11,27 +11,27 @@
 use super::sim_event::OperatorEvent;
 use super::sim_event::SimEvent;
 
-/// Who is at the other end of a connection.
+/// Client side of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Peer {
-    /// A caller with a request.
+    /// A caller that sends a request.
     Caller(usize),
-    /// A caller with a resume token.
+    /// A caller that presents a resume token.
     Reader(usize),
     /// An operator.
     Operator(usize),
 }
 
-/// Where a connection is.
+/// State of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It has no last answer.
+    /// The last response has not been sent.
     Open,
-    /// Its last answer was told.
+    /// The last response was sent.
     Answered,
-    /// It was closed from outside, or its daemon died.
+    /// The client closed it, or the daemon died.
     Closed,
-    /// Its daemon died, and what was under way is lost.
+    /// The daemon died, and responses in flight are lost.
     Dropped,
 }
 
@@ -41,16 +41,16 @@
     pub peer: Peer,
     pub daemon: usize,
     run: u32,
-    /// Whether its daemon has seen it.
+    /// Whether the daemon has received its first event.
     pub seen: bool,
-    /// Whether a byte of its request has reached a replica.
+    /// Whether a byte of the request has reached a replica.
     pub reached_replica: bool,
-    /// The attempt whose head it was last told.
+    /// The attempt named in the last response head.
     pub handle: Option<Handle>,
-    /// Index of the token that is due next.
+    /// Index of the next expected token.
     pub next: u32,
     pub state: State,
-    /// Time that each answer takes, in microseconds.
+    /// Delay of each response, in microseconds.
     pub delay: u64,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Simulation {
-    /// Opens a connection to `host`, whose process must be there.
+    /// Opens a connection to `daemon`, which must be running.
     pub(super) fn open_conn(&mut self, daemon: usize, peer: Peer, next: u32) -> Call {
         self.counter += 1;
         let call = Call(self.counter);
@@ -80,7 +80,7 @@
         call
     }
 
-    /// Closes a connection from outside.
+    /// Closes a connection from the client side.
     pub(super) fn close_conn(&mut self, call: Call) {
         let Some(conn) = self.conns.get_mut(&call).filter(|conn| conn.is_open()) else {
             return;
@@ -92,7 +92,7 @@
         self.schedule_micros(500, SimEvent::DaemonEvent { daemon, run, event });
     }
 
-    /// Connections of the present process of `host` that have no last answer.
+    /// Returns the open connections of the current process of `daemon`.
     pub(super) fn open_conns(&self, daemon: usize) -> Vec<Call> {
         let run = self.daemons[daemon].run;
         self.conns
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Whose body an order carries, and under which connection, if the daemon still keeps it.
+    /// Returns the connection and caller whose body `task` carries, if that connection is open.
     pub(super) fn origin_of(&self, task: &Task) -> Option<(Call, usize)> {
         let (Task::Prefill { call, .. } | Task::Plain { call }) = task else {
             return None;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Whether something told to `call` reaches its caller.
+    /// Whether responses to `call` are lost on the way.
     pub(super) fn is_lost(&self, call: Call) -> bool {
         self.conns
             .get(&call)
--- a/crates/node/tests/simulation/daemon.rs
+++ b/crates/node/tests/simulation/daemon.rs
@@ -1,4 +1,4 @@
-//! Daemons: their processes, what they do, and how events reach them.
+//! Daemons: their processes, clocks and pauses, and the delivery of events to them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -21,37 +21,37 @@
 use super::UNIX_MS;
 use super::sim_event::SimEvent;
 
-/// How long callers keep an address answer.
+/// Time for which callers may keep a list of addresses.
 pub const ADDRESS_TTL: Duration = Duration::from_secs(2);
-/// Least pause between two wakes, against cores that ask to be woken in the past.
+/// Minimum delay between two wakes, since a core may request one in the past.
 const MIN_WAKE_DELAY: Duration = Duration::from_micros(100);
-/// Time between two lists.
+/// Interval between updates of the platform's list.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One daemon instance, over all its processes.
+/// One instance, over all its processes.
 #[derive(Debug)]
 pub struct Daemon {
     pub name: String,
     pub instance: Instance,
     pub zone: Zone,
-    /// The present process; `None` while there is none.
+    /// The current process; `None` while none runs.
     pub core: Option<Node>,
-    /// Counts its processes.
+    /// Number of the current process.
     pub run: u32,
-    /// Until when it is paused.
+    /// End of the current pause.
     pub paused_until: Time,
-    /// Whether a planned stop was asked for.
+    /// Whether a planned stop has begun.
     pub stopping: bool,
-    /// Difference of its clocks from the world's, in milliseconds.
+    /// Lead of its clocks over simulation time, in milliseconds.
     pub skew: u64,
     backlog: VecDeque<Event>,
     wake: Time,
-    /// The highest generation it decided by, over all its processes.
+    /// The highest generation of its decisions, over all its processes.
     pub last_generation: u64,
 }
 
 impl Daemon {
-    /// The daemon number `index`; its clocks are ahead by `skew` milliseconds.
+    /// Creates daemon `index`, whose clocks are ahead by `skew` milliseconds.
     pub fn new(index: usize, skew: u64) -> Self {
         let name = format!("entry-{index}");
         Self {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Its monotonic clock when the world's shows `now`.
+    /// Converts simulation time to the monotonic clock of the daemon.
     pub fn local(&self, now: Time) -> Time {
         now + Duration::from_millis(self.skew)
     }
@@ -108,7 +108,7 @@
         self.schedule(Duration::ZERO, SimEvent::List(daemon));
     }
 
-    /// The process of `host` is gone; its connections break.
+    /// Removes the process of `daemon` and breaks its connections.
     pub(super) fn end_process(&mut self, daemon: usize) {
         self.daemons[daemon].core = None;
         self.daemons[daemon].backlog.clear();
--- a/crates/node/tests/simulation/engine.rs
+++ b/crates/node/tests/simulation/engine.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for model engines and plain applications.
+//! Simulated engines and plain backend servers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,26 +14,26 @@
 use route::replica::Report;
 use route::replica::Role;
 
-/// How long an engine keeps a finished prefill.
+/// Time for which an engine keeps a finished prefill.
 pub const RESULT_RETENTION: Duration = Duration::from_millis(800);
-/// How long a finished stream stays readable.
+/// Time for which a finished stream stays readable.
 pub const STREAM_RETENTION: Duration = Duration::from_secs(30);
-/// How long a cancelled handle is refused.
+/// Time for which an engine refuses a cancelled handle.
 const CANCEL_RETENTION: Duration = Duration::from_mins(1);
 const HTTP_CONFLICT: u16 = 409;
 
-/// An order as it is known outside of its daemon.
+/// Identifies an order among all daemons and their processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
     /// The daemon.
     pub daemon: usize,
-    /// Its process, by number.
+    /// Number of its process.
     pub run: u32,
     /// The order.
     pub order: Order,
 }
 
-/// Where a work is.
+/// Stage of an attempt at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// Prefill in progress.
@@ -42,9 +42,9 @@
     Kept,
     /// Import of the KV cache.
     Import,
-    /// In the batch.
+    /// Decoding, as part of the batch.
     Decode,
-    /// Over; its text is kept.
+    /// Finished; the text is kept.
     Done,
 }
 
@@ -54,14 +54,14 @@
     pub owner: Incarnation,
     pub fence: u64,
     pub phase: Phase,
-    /// Whose request it is.
+    /// The caller of the request.
     pub caller: usize,
     pub reader: Option<Ticket>,
-    /// Next token for the reader.
+    /// Index of the next token for the reader.
     pub next: u32,
-    /// Tokens made so far.
+    /// Tokens generated so far.
     pub produced: u32,
-    /// Tokens of the whole answer.
+    /// Length of the whole answer, in tokens.
     pub length: u32,
 }
 
@@ -71,7 +71,7 @@
     cancelled: Option<Time>,
 }
 
-/// A replica.
+/// A replica: an engine, or a plain backend server.
 #[derive(Debug)]
 pub struct Engine {
     pub name: String,
@@ -79,25 +79,25 @@
     pub pool: String,
     pub role: Role,
     pub slots: u32,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it refuses orders with an old fencing number.
     pub fences: bool,
     pub boot: u64,
     pub works: BTreeMap<Handle, Work>,
     history: BTreeMap<Handle, HandleHistory>,
-    /// Calls of a plain application in progress.
+    /// Plain calls in progress.
     pub calls: u32,
-    /// Until when it does nothing.
+    /// End of the time in which it processes nothing.
     pub stalled_until: Time,
-    /// Until when its answers are lost.
+    /// End of the time in which its answers are lost.
     pub loses_answers_until: Time,
-    /// Until when it refuses new work.
+    /// End of the time in which it refuses new work.
     pub refuses_until: Time,
-    /// Since when it is known to be marked to drain.
+    /// When the acceptance of its drain reached an operator.
     pub drained_since: Option<Time>,
 }
 
 impl Engine {
-    /// A replica of `pool`.
+    /// Creates an empty replica of `pool`.
     pub fn new(name: &str, pool: &str, role: Role, slots: u32, fences: bool) -> Self {
         Self {
             name: name.to_owned(),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Notes an order and refuses it if its fencing number is too low.
+    /// Records the fencing number of an order, or refuses the order if the number is too low.
     pub fn admit(&mut self, handle: Handle, fence: u64) -> Result<(), Failure> {
         let history = self.history.entry(handle).or_default();
         if self.fences && fence < history.fence {
@@ -127,7 +127,7 @@
         Ok(())
     }
 
-    /// Notes an order that brings work; a cancelled handle is refused whatever its number.
+    /// Like [`Self::admit`], for new work; also refuses a cancelled handle, whatever the number.
     pub fn admit_work(&mut self, now: Time, handle: Handle, fence: u64) -> Result<(), Failure> {
         let cancelled = self
             .history
@@ -139,25 +139,25 @@
         }
     }
 
-    /// Releases all that `handle` holds; returns its reader.
+    /// Releases the work of `handle` and returns its reader.
     pub fn cancel(&mut self, now: Time, handle: Handle) -> Option<Ticket> {
         self.history.entry(handle).or_default().cancelled = Some(now);
         self.works.remove(&handle).and_then(|work| work.reader)
     }
 
-    /// Requests that hold a decode slot.
+    /// Counts the requests that hold a decode slot.
     pub fn used_slots(&self) -> u32 {
         let holds = |work: &&Work| matches!(work.phase, Phase::Import | Phase::Decode);
         self.works.values().filter(holds).count() as u32
     }
 
-    /// Requests that hold memory.
+    /// Counts the requests that hold memory.
     pub fn works_in_memory(&self) -> u32 {
         let holds = |work: &&Work| work.phase != Phase::Done;
         self.works.values().filter(holds).count() as u32
     }
 
-    /// Starts anew with empty memory; returns the readers that are cut off.
+    /// Restarts with empty memory and returns the readers whose streams are cut.
     pub fn reboot(&mut self) -> Vec<Ticket> {
         self.boot += 1;
         self.history.clear();
@@ -166,7 +166,7 @@
         works.into_values().filter_map(|work| work.reader).collect()
     }
 
-    /// What it says of itself.
+    /// Returns its report and the works that it holds.
     pub fn inspect(&self) -> Inspection {
         let running = if self.role == Role::Plain {
             self.calls
@@ -195,7 +195,7 @@
     }
 }
 
-/// A refusal with `status`.
+/// Returns a refusal with `status`.
 pub const fn refused(status: u16, fence: Option<u64>) -> Failure {
     Failure::Refused { status, fence }
 }
--- a/crates/node/tests/simulation/execution.rs
+++ b/crates/node/tests/simulation/execution.rs
@@ -1,4 +1,4 @@
-//! What replicas do with orders.
+//! Execution of orders at replicas.
 
 use bytes::Bytes;
 use node::action::Task;
@@ -21,7 +21,7 @@
 const HTTP_TOO_MANY: u16 = 429;
 const HTTP_UNAVAILABLE: u16 = 503;
 const HTTP_OK: u16 = 200;
-/// Prefills that an engine queues.
+/// Maximum number of prefills at one engine, running and queued.
 const MAX_PREFILLS: usize = 4;
 
 impl Simulation {
--- a/crates/node/tests/simulation/faults.rs
+++ b/crates/node/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the plan as they strike.
+//! Applies the faults of the plan.
 
 use std::time::Duration;
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Ends all faults; dead daemons are replaced at the time that was planned.
+    /// Ends all faults except dead daemons, which restart at their scheduled time.
     pub(super) fn end_faults(&mut self) {
         self.trace_line(|| "all faults end".to_owned());
         self.network.end_faults();
@@ -98,7 +98,7 @@
         self.wake_all();
     }
 
-    /// Sees to it that every daemon goes on once it is not paused.
+    /// Schedules a wake of every daemon, so that paused ones resume.
     fn wake_all(&mut self) {
         for daemon in 0..self.daemons.len() {
             let run = self.daemons[daemon].run;
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -1,8 +1,7 @@
-//! A small world in virtual time: several cores with stand-ins for all that is round them.
+//! Simulates several cores in virtual time, with callers, operators, replicas, network and store.
 //!
-//! Everything that happens is an item on one agenda, in the order of its time, so that a plan
-//! gives the same run each time. The promises are checked wherever the cores act; the first one
-//! broken ends the run.
+//! All events pass through one queue ordered by time, so a plan gives the same run each time.
+//! The promises are checked at each action of a core; the first violation ends the run.
 
 mod actions;
 mod caller_attempts;
@@ -51,18 +50,18 @@
 use self::store::Store;
 use self::transport::OpenOrder;
 
-/// How long all is well at the end before everything must have settled.
+/// Time without faults within which everything must settle.
 const SETTLE_TIME: Duration = Duration::from_mins(1);
-/// Time between two looks at whether everything has settled.
+/// Interval between checks whether everything has settled.
 const SETTLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Items after which a run counts as one that never settles.
+/// Number of events after which a run counts as endless.
 const MAX_EVENTS: u64 = 5_000_000;
 /// Lease of the table.
 const LEASE: Duration = Duration::from_secs(3);
-/// Start of the world on the Unix clock, in milliseconds.
+/// Start of the simulation on the Unix clock, in milliseconds.
 const UNIX_MS: u64 = 1_700_000_000_000;
 
-/// The world.
+/// State of a simulation.
 #[derive(Debug)]
 pub struct Simulation {
     now: Time,
@@ -78,9 +77,9 @@
     operators: Vec<Operator>,
     conns: BTreeMap<Call, Conn>,
     open_orders: BTreeMap<Ticket, OpenOrder>,
-    /// Which daemon last took a stream over, and when.
+    /// The last daemon that took each stream over, and when.
     takeovers: BTreeMap<Handle, (usize, Time)>,
-    /// When each generation was accepted, as its operator was told.
+    /// When the acceptance of each generation reached its operator.
     accepted: BTreeMap<u64, Time>,
     violation: Option<String>,
     faults_ended: bool,
@@ -88,23 +87,23 @@
     digest: u64,
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Items carried out.
+    /// Number of events.
     pub events: u64,
-    /// Complete answers.
+    /// Number of complete answers.
     pub complete: usize,
-    /// Callers that ended without one.
+    /// Number of callers that ended without one.
     pub without_answer: usize,
-    /// Sum over everything that the daemons did.
+    /// Hash of all actions of the daemons.
     pub digest: u64,
-    /// When it had settled, in virtual milliseconds.
+    /// Virtual time at which everything had settled, in milliseconds.
     pub settled_ms: u64,
 }
 
 impl Simulation {
-    /// The world of `plan`, before anything has happened.
+    /// Creates the simulation of `plan` and schedules its first events.
     pub fn new(plan: &Plan) -> Self {
         let mut simulation = Self {
             now: Time::from_millis(1),
@@ -131,17 +130,17 @@
         simulation
     }
 
-    /// The same world, which prints what happens to standard error.
+    /// Prints a trace to standard error.
     #[must_use]
     pub fn with_trace(mut self) -> Self {
         self.trace = Some(Vec::new());
         self
     }
 
-    /// Runs to the end.
+    /// Runs until everything has settled.
     ///
     /// # Errors
-    /// The first promise that was broken, with its time.
+    /// Returns the first broken promise and its time.
     pub fn run(mut self) -> Result<Summary, String> {
         let mut events = 0;
         while let Some(((at, _), event)) = self.event_queue.pop_first() {
@@ -286,7 +285,7 @@
     ]
 }
 
-/// The order that `order` stands for, at its daemon.
+/// Identifies `order` of one process of a daemon.
 const fn ticket(daemon: usize, run: u32, order: Order) -> Ticket {
     Ticket { daemon, run, order }
 }
--- a/crates/node/tests/simulation/network.rs
+++ b/crates/node/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! Who reaches whom, and how late.
+//! Links between daemons, replicas and the store: cuts, losses and delays.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// A way between two parties, by their numbers.
+/// A link between two parties, by their indexes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Link {
-    /// Between two daemons, the lower number first.
+    /// Between two daemons, the lower index first.
     Peers(usize, usize),
     /// Between a daemon and the store.
     Store(usize),
@@ -18,44 +18,44 @@
 }
 
 impl Link {
-    /// The way between daemons `a` and `b`.
+    /// Returns the link between daemons `a` and `b`.
     pub fn peers(a: usize, b: usize) -> Self {
         Self::Peers(a.min(b), a.max(b))
     }
 }
 
-/// The network.
+/// State of all links.
 #[derive(Debug, Default)]
 pub struct Network {
     cuts: BTreeMap<Link, Time>,
-    /// Until when frames fare badly.
+    /// End of the time in which more frames are lost, duplicated and late.
     pub unreliable_until: Time,
 }
 
 impl Network {
-    /// Percentage of frames lost, and of frames doubled, in fair weather.
+    /// Percentage of frames lost, and of frames duplicated, without a network fault.
     const NORMAL_PERCENT: u32 = 2;
-    /// The same in a storm.
+    /// The same during [`Fault::UnreliableNetwork`](super::plan::Fault::UnreliableNetwork).
     const UNRELIABLE_PERCENT: u32 = 30;
 
-    /// Cuts `way` until `end`.
+    /// Cuts `link` until `end`, or longer if it is already cut for longer.
     pub fn cut(&mut self, link: Link, end: Time) {
         let until = self.cuts.entry(link).or_insert(end);
         *until = end.max(*until);
     }
 
-    /// Whether `way` is cut.
+    /// Whether `link` is cut.
     pub fn is_cut(&self, now: Time, link: Link) -> bool {
         self.cuts.get(&link).is_some_and(|end| now < *end)
     }
 
-    /// Ends every fault.
+    /// Ends all network faults.
     pub fn end_faults(&mut self) {
         self.cuts.clear();
         self.unreliable_until = Time::ZERO;
     }
 
-    /// The delays in microseconds after which copies of one frame arrive; none if it is lost.
+    /// Returns the delay of each copy of a frame in microseconds; empty if the frame is lost.
     pub fn copy_delays(&self, now: Time, rng: &mut Pcg64Mcg) -> Vec<u64> {
         let percent = if now < self.unreliable_until {
             Self::UNRELIABLE_PERCENT
--- a/crates/node/tests/simulation/operators.rs
+++ b/crates/node/tests/simulation/operators.rs
@@ -1,4 +1,4 @@
-//! Operators and their edits.
+//! Operators, their edits, and checks of the verdicts they receive.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 use super::sim_event::OperatorEvent;
 use super::sim_event::SimEvent;
 
-/// Edits of rows that one fault stands for, one after the other.
+/// Number of consecutive row edits that [`Fault::Edit`] stands for.
 const EDITS_PER_FAULT: u64 = 4;
-/// Time between them.
+/// Interval between these edits.
 const EDIT_INTERVAL: Duration = Duration::from_millis(350);
-/// Times that an operator sends an edit.
+/// Attempts after which an edit counts as one that never ends.
 const MAX_TRIES: u32 = 40;
 const RETRY_DELAY: Duration = Duration::from_millis(700);
 
@@ -30,15 +30,15 @@
     pub edit: Edit,
     daemon: usize,
     tries: u32,
-    /// Whether an earlier try may have been committed.
+    /// Whether an earlier attempt may have been committed.
     maybe_committed: bool,
     pub finished: bool,
-    /// The replica that the edit marks to drain.
+    /// The replica that the edit drains.
     drained_engine: Option<usize>,
 }
 
 impl Simulation {
-    /// Several new operators change rows.
+    /// Schedules edits of rows by new operators.
     pub(super) fn add_editors(&mut self, selector: usize) {
         for number in 0..EDITS_PER_FAULT {
             let daemon = self.rng.random_range(0..self.daemons.len());
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A new operator makes the edit that `fault` stands for at `host`.
+    /// Adds an operator that sends the edit of `fault` to `daemon`.
     pub(super) fn add_operator(&mut self, fault: Fault, daemon: usize, selector: usize) {
         let number = self.operators.len();
         let draining = [0, 2, 5][selector % 3];
@@ -94,7 +94,7 @@
     }
 
     pub(super) fn handle_operator_event(&mut self, operator: usize, verdict: &OperatorEvent) {
-        self.trace_line(|| format!("operator {operator} hears {verdict:?}"));
+        self.trace_line(|| format!("operator {operator} receives {verdict:?}"));
         match verdict {
             OperatorEvent::Begin => self.send_edit(operator),
             OperatorEvent::Disconnected
@@ -141,7 +141,9 @@
                 },
             );
         } else {
-            self.record_violation(format!("operator {operator} tried {MAX_TRIES} times"));
+            self.record_violation(format!(
+                "operator {operator} got no verdict after {MAX_TRIES} attempts"
+            ));
         }
     }
 
@@ -157,7 +159,7 @@
         self.deliver_event(daemon, run, Event::Edited { call, edit });
     }
 
-    /// Checks what an operator is told against the store.
+    /// Checks a verdict against the edits that the store has applied.
     pub(super) fn check_verdict(&mut self, operator: usize, verdict: &action::Verdict) {
         let id = self.operators[operator].edit.id.clone();
         let applied = self.store.applied.get(&id).copied();
@@ -173,7 +175,7 @@
         if !is_true {
             let maybe = self.operators[operator].maybe_committed;
             self.record_violation(format!(
-                "{id} is told {verdict:?}, the store has it at {applied:?} (tried before: {maybe})"
+                "{id} has verdict {verdict:?}, the store has it at {applied:?} (maybe committed before: {maybe})"
             ));
         }
     }
--- a/crates/node/tests/simulation/plan.rs
+++ b/crates/node/tests/simulation/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a world, and when.
+//! Plans of a simulation: its size, its seed and its faults.
 
 use proptest::collection::vec;
 use proptest::prelude::any;
@@ -8,9 +8,9 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// Most faults of one plan.
+/// Maximum number of faults in one plan.
 const MAX_FAULTS: usize = 10;
-/// When the last fault begins, in milliseconds.
+/// Time at which all faults end, in milliseconds; each begins before it.
 pub const FAULTS_END_MS: u32 = 10_000;
 /// Longest duration of a fault, in milliseconds.
 const MAX_FAULT_MS: u32 = 7_000;
@@ -18,41 +18,41 @@
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The daemon dies and is replaced after a while.
+    /// The daemon dies and restarts after a delay.
     Kill,
     /// The daemon is paused.
     Pause,
-    /// The daemon is asked for a planned stop, and replaced once it has ended.
+    /// The daemon gets a planned stop and restarts after it has ended.
     Stop,
-    /// Two daemons do not reach each other.
+    /// Two daemons cannot reach each other.
     CutPeers,
     /// A daemon reaches neither its peers nor the store, but callers reach it.
     Isolate,
-    /// A daemon does not reach the store.
+    /// A daemon cannot reach the store.
     CutStore,
-    /// A daemon does not reach a replica.
+    /// A daemon cannot reach a replica.
     CutReplica,
     /// The store refuses every query.
     StoreDown,
-    /// Queries take effect and their answers are lost.
+    /// Queries take effect, but their answers are lost.
     StoreLosesAnswers,
-    /// The store takes seconds.
+    /// The store takes seconds to answer.
     StoreSlow,
     /// A replica restarts with empty memory.
     Reboot,
-    /// A replica does nothing.
+    /// A replica processes nothing.
     Stall,
-    /// A replica takes orders, and its answers are lost.
+    /// A replica accepts orders, but its answers are lost.
     LoseAnswers,
     /// A replica refuses new work.
     Refuse,
-    /// Frames between daemons are lost, doubled and late more often.
+    /// Frames between daemons are lost, duplicated and late more often.
     UnreliableNetwork,
-    /// An operator changes a row.
+    /// Operators change rows.
     Edit,
-    /// An operator marks a replica to drain.
+    /// An operator drains a replica.
     Drain,
-    /// An operator takes the mark away.
+    /// An operator ends the draining of a replica.
     Undrain,
 }
 
@@ -77,23 +77,23 @@
     Fault::Undrain,
 ];
 
-/// One fault at one time.
+/// A fault with its time and target.
 #[derive(Debug, Clone, Copy)]
 pub struct ScheduledFault {
     /// When it begins, in milliseconds.
     pub at_ms: u32,
-    /// What happens.
+    /// The kind of fault.
     pub fault: Fault,
-    /// The daemon or replica hit, modulo their number.
+    /// Index of the daemon, modulo the number of daemons.
     pub a: u8,
-    /// The second one.
+    /// Index of the second daemon, the replica or the edit, modulo their number.
     pub b: u8,
     /// How long it lasts, in milliseconds.
     pub ms: u32,
 }
 
 impl ScheduledFault {
-    /// A fault from `at_ms` on, for `ms`, at `a` and `b`.
+    /// Creates a fault that begins at `at_ms`, lasts `ms` and hits `a` and `b`.
     pub const fn new(at_ms: u32, fault: Fault, a: u8, b: u8, ms: u32) -> Self {
         Self {
             at_ms,
@@ -105,21 +105,21 @@
     }
 }
 
-/// A whole case.
+/// Input of one simulation.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Seeds everything that the faults leave open.
+    /// Seed of all random choices that the faults do not fix.
     pub seed: u64,
     /// Number of daemons.
     pub daemons: usize,
     /// Number of callers.
     pub callers: usize,
-    /// The faults.
+    /// Faults, in any order.
     pub faults: Vec<ScheduledFault>,
 }
 
 impl Plan {
-    /// A plan without faults.
+    /// Creates a plan without faults.
     pub const fn new(seed: u64, daemons: usize, callers: usize) -> Self {
         Self {
             seed,
@@ -129,14 +129,14 @@
         }
     }
 
-    /// The same plan with `strokes`.
+    /// Sets the faults.
     #[must_use]
     pub fn with_faults(mut self, faults: &[ScheduledFault]) -> Self {
         self.faults = faults.to_vec();
         self
     }
 
-    /// The plan that `seed` stands for.
+    /// Derives a plan from `seed`.
     pub fn random(seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let daemons = rng.random_range(1..=5);
@@ -145,7 +145,7 @@
         Self::new(seed, daemons, 14).with_faults(&faults)
     }
 
-    /// All plans.
+    /// Generates plans for `proptest`.
     pub fn strategy() -> impl Strategy<Value = Self> {
         let fault = (
             0..FAULTS_END_MS,
--- a/crates/node/tests/simulation/progress.rs
+++ b/crates/node/tests/simulation/progress.rs
@@ -1,4 +1,4 @@
-//! How works on replicas go on.
+//! Progress of works at engines: prefill, import and decode.
 
 use std::time::Duration;
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Sends the reader of a work all that it has not got, and the end if it is there.
+    /// Sends the reader all tokens that it has not received, and the end of a finished stream.
     pub(super) fn deliver(&mut self, engine: usize, handle: Handle) {
         let Some(work) = self.engines[engine].works.get_mut(&handle) else {
             return;
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Sends a piece, perhaps twice; tokens may overtake each other on the way.
+    /// Sends a piece, sometimes twice; tokens may arrive out of order.
     pub(super) fn send_piece(&mut self, ticket: Ticket, piece: &Piece) {
         let order = ticket.order;
         let is_doubled = self.rng.random_ratio(1, 50);
--- a/crates/node/tests/simulation/responses.rs
+++ b/crates/node/tests/simulation/responses.rs
@@ -1,4 +1,4 @@
-//! What callers and operators are told, and whether it is true.
+//! Checks the responses of daemons to callers and operators and delivers them.
 
 use bytes::Bytes;
 use node::action::Outcome;
@@ -16,29 +16,30 @@
 use super::sim_event::OperatorEvent;
 use super::sim_event::SimEvent;
 
-/// `count` tokens of the answer to `caller`, from token `offset` on.
+/// Returns `count` tokens of the answer to `caller`, starting at token `offset`.
 pub fn expected_text(caller: usize, offset: u32, count: u32) -> Bytes {
     let words = (offset..offset + count).map(|index| format!(" {caller}:{index}"));
     Bytes::from(words.collect::<String>())
 }
 
 impl Simulation {
-    /// A daemon tells a connection something.
+    /// Checks a response of `daemon` and schedules its delivery.
     pub(super) fn handle_response(&mut self, daemon: usize, call: Call, tell: Tell) {
-        self.trace_line(|| format!("entry-{daemon} tells {call:?} {}", summarize(&tell)));
+        self.trace_line(|| format!("entry-{daemon} responds to {call:?}: {}", summarize(&tell)));
         let Some(conn) = self.conns.get(&call).copied() else {
-            return self
-                .record_violation(format!("entry-{daemon} tells {call:?}, which never was"));
+            return self.record_violation(format!("entry-{daemon} responds to unknown {call:?}"));
         };
         match conn.state {
             _ if conn.daemon != daemon => {
-                return self.record_violation(format!("entry-{daemon} tells {call:?} of another"));
+                return self.record_violation(format!(
+                    "entry-{daemon} responds to {call:?} of another daemon"
+                ));
             }
             State::Closed | State::Dropped => return,
             State::Answered => {
                 let tell = summarize(&tell);
                 return self
-                    .record_violation(format!("{call:?} is told {tell} after its last answer"));
+                    .record_violation(format!("{call:?} gets {tell} after its last response"));
             }
             State::Open => (),
         }
@@ -51,7 +52,7 @@
 
     fn handle_operator_response(&mut self, call: Call, operator: usize, tell: Tell) {
         let Tell::Edit(verdict) = tell else {
-            return self.record_violation(format!("operator at {call:?} is told {tell:?}"));
+            return self.record_violation(format!("operator at {call:?} gets {tell:?}"));
         };
         self.check_verdict(operator, &verdict);
         self.mark_answered(call);
@@ -85,7 +86,9 @@
             Tell::Superseded => self.check_superseded(call, caller),
             Tell::Answer { body, .. } => self.check_body(call, caller, body),
             Tell::Refusal(refusal) => self.check_refusal(call, caller, is_request, refusal),
-            Tell::Edit(_) => self.record_violation(format!("{call:?} is told of an edit")),
+            Tell::Edit(_) => {
+                self.record_violation(format!("caller at {call:?} gets a verdict on an edit"))
+            }
         }
         if !matches!(tell, Tell::Head { .. } | Tell::Tokens { .. }) {
             self.mark_answered(call);
@@ -103,7 +106,7 @@
         conn.next = offset + count;
         if offset != due || count == 0 {
             self.record_violation(format!(
-                "{call:?} gets {count} tokens from {offset}, due was {due}"
+                "{call:?} gets {count} tokens from {offset}, expected from {due}"
             ));
         }
         if *text != expected_text(caller, offset, count) {
@@ -113,13 +116,13 @@
         }
     }
 
-    /// A daemon from which a stream was taken must have found out once its lease has passed.
+    /// Checks that a daemon sends nothing of a stream taken over from it more than a lease ago.
     fn check_owner(&mut self, call: Call) {
         let Conn { daemon, handle, .. } = self.conns[&call];
         let takeover = handle.and_then(|handle| self.takeovers.get(&handle).copied());
         if let Some((by, _)) = takeover.filter(|(by, at)| *by != daemon && self.now > *at + LEASE) {
             self.record_violation(format!(
-                "entry-{daemon} tells {call:?} tokens of a stream that entry-{by} took over"
+                "entry-{daemon} sends {call:?} tokens of a stream that entry-{by} took over"
             ));
         }
     }
@@ -129,7 +132,7 @@
         let next = self.conns[&call].next;
         if tokens != length || next != length {
             self.record_violation(format!(
-                "{call:?} is done with {tokens} tokens after {next} of {length}"
+                "{call:?} ends with {tokens} tokens after {next} of {length}"
             ));
         }
     }
@@ -141,7 +144,7 @@
             of_caller(conn.peer) && conn.seen && (conn.is_open() || *other > call)
         });
         if !is_read {
-            self.record_violation(format!("{call:?} is superseded, and by nothing"));
+            self.record_violation(format!("{call:?} is superseded without another reader"));
         }
     }
 
@@ -161,22 +164,24 @@
         if is_request && untrue {
             let reason = refusal.reason.word();
             self.record_violation(format!(
-                "{call:?} of caller {caller} is told `not run` ({reason}), and a byte had reached a replica"
+                "{call:?} of caller {caller} gets `not run` ({reason}) after a byte reached a replica"
             ));
         }
         if refusal.reason == Reason::BadToken && !is_request {
-            self.record_violation(format!("{call:?} presented a good token"));
+            self.record_violation(format!(
+                "{call:?} presented a valid token and got `bad token`"
+            ));
         }
     }
 }
 
-/// A short form for traces.
+/// Returns a short form for traces.
 fn summarize(tell: &Tell) -> String {
     match tell {
         Tell::Head { handle, .. } => format!("head of {handle}"),
         Tell::Tokens { offset, count, .. } => format!("{count} tokens from {offset}"),
         Tell::Refusal(refusal) => format!(
-            "{} {}, back in {} ms at {:?}",
+            "{} {}, retry after {} ms at {:?}",
             refusal.outcome.word(),
             refusal.reason.word(),
             refusal.retry_after_ms,
--- a/crates/node/tests/simulation/sim_event.rs
+++ b/crates/node/tests/simulation/sim_event.rs
@@ -1,4 +1,4 @@
-//! What can happen in a world.
+//! Events of the simulation.
 
 use ident::Handle;
 use ident::Incarnation;
@@ -13,10 +13,10 @@
 
 use super::engine::Ticket;
 
-/// Something that is to happen.
+/// A scheduled event.
 #[derive(Debug)]
 pub enum SimEvent {
-    /// A daemon wanted to be woken.
+    /// The requested wake of a daemon.
     Wake { daemon: usize, run: u32 },
     /// An event reaches a daemon.
     DaemonEvent {
@@ -24,7 +24,7 @@
         run: u32,
         event: Event,
     },
-    /// An event of an order reaches its daemon; `last` ends the order.
+    /// An event of an order reaches its daemon; the order ends if `last` is set.
     Reply {
         ticket: Ticket,
         event: Event,
@@ -32,7 +32,7 @@
     },
     /// An order reaches a replica.
     Order(Box<ArrivingOrder>),
-    /// A work on an engine goes on.
+    /// A work at an engine reaches its next phase or tokens.
     AttemptStep {
         engine: usize,
         boot: u64,
@@ -52,16 +52,16 @@
         query: Query,
         ask: Ask,
     },
-    /// A replica is asked for its state.
+    /// An inspection reaches a replica.
     Inspect {
         daemon: usize,
         run: u32,
         replica: Replica,
         asked: Time,
     },
-    /// Something reaches a caller.
+    /// An event reaches a caller.
     Caller { caller: usize, event: CallerEvent },
-    /// Something reaches an operator.
+    /// An event reaches an operator.
     Operator {
         operator: usize,
         verdict: OperatorEvent,
@@ -76,11 +76,11 @@
     List(usize),
     /// All faults end.
     EndFaults,
-    /// Has everything settled?
+    /// Checks whether everything has settled.
     CheckSettled,
 }
 
-/// What an operator hears.
+/// An event of an operator.
 #[derive(Debug)]
 pub enum OperatorEvent {
     Begin,
@@ -97,28 +97,28 @@
     pub owner: Incarnation,
     pub fence: u64,
     pub task: Task,
-    /// Whose body it carries, and under which connection.
+    /// Connection and caller whose body it carries.
     pub origin: Option<(Call, usize)>,
 }
 
-/// What a caller notices.
+/// An event of a caller.
 #[derive(Debug)]
 pub enum CallerEvent {
-    /// It begins, or tries again.
+    /// Makes the first attempt or a retry.
     Try,
-    /// It opens a second connection.
+    /// Opens a second connection.
     OpenSecond,
-    /// It drops its connection and comes back.
+    /// Drops its connection and retries later.
     Drop,
-    /// It goes away for good.
+    /// Abandons its request.
     Abandon,
-    /// Its connection reaches a daemon.
+    /// A connection reaches a daemon.
     Connect {
         daemon: usize,
         resume: Option<String>,
     },
-    /// Its connection said something.
+    /// A response arrives.
     Received { call: Call, tell: Tell },
-    /// Its connection broke, or was never made.
+    /// A connection broke or could not be opened.
     Disconnected { call: Option<Call> },
 }
--- a/crates/node/tests/simulation/store.rs
+++ b/crates/node/tests/simulation/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's table service.
+//! A simulated store of the platform.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,24 @@
 use table::Table;
 use table::edit::Edit;
 
-/// The store, linearizable.
+/// A linearizable store of the table and of recorded outcomes.
 #[derive(Debug)]
 pub struct Store {
-    /// The table.
+    /// The newest table.
     pub table: Table,
-    /// Generations that edits made, by their ids.
+    /// Generations of committed edits, by edit id.
     pub applied: BTreeMap<String, u64>,
     outcomes: BTreeMap<String, (u16, Option<Bytes>)>,
-    /// Until when every query is refused.
+    /// End of the time in which every query is refused.
     pub down_until: Time,
-    /// Until when answers are lost.
+    /// End of the time in which answers are lost.
     pub loses_answers_until: Time,
-    /// Until when it is slow.
+    /// End of the time in which queries are slow.
     pub slow_until: Time,
 }
 
 impl Store {
-    /// A store that holds `table`.
+    /// Creates a store that holds `table`.
     pub const fn new(table: Table) -> Self {
         Self {
             table,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Carries a query out.
+    /// Executes a query, subject to the current faults.
     pub fn carry_out(&mut self, now: Time, ask: Ask) -> Stored {
         if now < self.down_until {
             return failed(false, "store: down");
--- a/crates/node/tests/simulation/transport.rs
+++ b/crates/node/tests/simulation/transport.rs
@@ -1,4 +1,4 @@
-//! Orders on their way to replicas and answers on their way back.
+//! Transport of orders to replicas and of their answers to daemons.
 
 use std::time::Duration;
 
@@ -19,20 +19,20 @@
 use super::sim_event::ArrivingOrder;
 use super::sim_event::SimEvent;
 
-/// Time after which an unreachable replica is given up.
+/// Time until an order or inspection of an unreachable replica fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Percentage of orders, and of runs of tokens, that are late.
+/// Percentage of orders, and of pieces with tokens, that are late.
 const LATE_PERCENT: u32 = 4;
 
 /// An order that has not ended.
 #[derive(Debug, Clone, Copy)]
 pub struct OpenOrder {
     engine: usize,
-    /// Time that each answer takes, in microseconds.
+    /// Delay of each answer, in microseconds.
     delay: u64,
-    /// Whether its daemon dropped the connection.
+    /// Whether the daemon dropped the connection.
     aborted: bool,
-    /// Whether its last answer is on the way.
+    /// Whether the last answer is in transit.
     closing: bool,
 }
 
@@ -47,7 +47,7 @@
         task: Task,
     ) {
         let Some(engine) = self.engine_of(replica) else {
-            return self.record_violation(format!("an order for an unknown replica {replica}"));
+            return self.record_violation(format!("order for unknown replica {replica}"));
         };
         let delay = self.rng.random_range(300..2_500);
         let open_order = OpenOrder {
@@ -94,13 +94,13 @@
         self.fail_order(ticket, Failure::Lost);
     }
 
-    /// Whether answers to `ticket` still have a reader.
+    /// Whether the daemon still accepts answers to `ticket`.
     pub(super) fn has_reader(&self, ticket: Ticket) -> bool {
         let open_order = self.open_orders.get(&ticket);
         open_order.is_some_and(|open_order| !open_order.aborted && !open_order.closing)
     }
 
-    /// An answer sets out for its daemon; a cut way breaks the connection instead.
+    /// Sends an answer to its daemon, or fails the order if the link is cut or answers are lost.
     pub(super) fn send_reply(&mut self, ticket: Ticket, event: Event, last: bool) {
         if !self.has_reader(ticket) {
             return;
@@ -135,7 +135,7 @@
         self.send_reply(ticket, Event::Answered { order, reply }, true);
     }
 
-    /// The order of `ticket` fails as soon as its daemon can notice.
+    /// Fails the order of `ticket` as soon as its daemon can notice.
     pub(super) fn fail_order(&mut self, ticket: Ticket, failure: Failure) {
         self.fail_after(ticket, failure, Duration::from_micros(600));
     }
@@ -178,12 +178,12 @@
             self.open_orders.remove(&ticket);
         }
         if known {
-            self.trace_line(|| format!("entry-{} hears {event:?}", ticket.daemon));
+            self.trace_line(|| format!("entry-{} receives {event:?}", ticket.daemon));
             self.deliver_event(ticket.daemon, ticket.run, event);
         }
     }
 
-    /// The process of `host` is gone, and nobody reads the answers to its orders.
+    /// Drops the orders of `daemon`, whose process has ended.
     pub(super) fn drop_orders(&mut self, daemon: usize) {
         self.open_orders.retain(|ticket, _| ticket.daemon != daemon);
     }
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -1,4 +1,4 @@
-//! One core and one stream: who reads it, from where, and what is told.
+//! One core and one stream: who reads it, from which token, and what is sent to callers.
 
 mod harness;
 
@@ -15,9 +15,10 @@
 use rstest::rstest;
 
 use crate::harness::Harness;
+
 const FIRST: Call = Call(1);
 const SECOND: Call = Call(2);
-/// Not above the fencing number of the reader.
+/// Fencing number that replicas report, not above that of the reader.
 const OWN_FENCE: u64 = 0;
 const NOT_FOUND: Failure = Failure::Refused {
     status: 404,
@@ -118,7 +119,7 @@
         token: change(harness.resume_token()),
         offset: 0,
     });
-    let (call, tell) = harness.responses.last().expect("something was told");
+    let (call, tell) = harness.responses.last().expect("a response was sent");
     let Tell::Refusal(refusal) = tell else {
         panic!("{tell:?}");
     };
@@ -130,10 +131,9 @@
     assert_eq!(harness.tokens_sent(FIRST), [(0, 5), (5, 1)]);
 }
 
-/// A replica was asked what it holds and answered; the answer lay in the daemon's socket while the
-/// daemon was paused. Another daemon took the stream over meanwhile. On waking, the daemon took
-/// the old answer for the one to the question it asks on waking, saw itself as the reader, and
-/// told its caller the tokens of a stream that was no longer its own.
+/// The answer to an inspection waits in the socket of a paused daemon while another daemon takes over
+/// the stream. After the pause, the daemon could take it for the answer to its new inspection, see
+/// itself as the reader, and send tokens of a stream that it no longer owns.
 #[test]
 fn an_inspection_from_before_a_pause_does_not_show_who_reads_a_stream() {
     let mut harness = Harness::new();
