--- a/crates/node/tests/simulation/responses.rs
+++ b/crates/node/tests/simulation/responses.rs
@@ -87,7 +87,7 @@
             Tell::Answer { body, .. } => self.check_body(call, caller, body),
             Tell::Refusal(refusal) => self.check_refusal(call, caller, is_request, refusal),
             Tell::Edit(_) => {
-                self.record_violation(format!("caller at {call:?} gets a verdict on an edit"))
+                self.record_violation(format!("caller at {call:?} gets a verdict on an edit"));
             }
         }
         if !matches!(tell, Tell::Head { .. } | Tell::Tokens { .. }) {
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -131,8 +131,8 @@
     assert_eq!(harness.tokens_sent(FIRST), [(0, 5), (5, 1)]);
 }
 
-/// The answer to an inspection waits in the socket of a paused daemon while another daemon takes over
-/// the stream. After the pause, the daemon could take it for the answer to its new inspection, see
+/// The answer to an inspection waits in the socket of a paused daemon while another daemon takes
+/// over the stream. After the pause, the daemon could take it for the answer to its new inspection, see
 /// itself as the reader, and send tokens of a stream that it no longer owns.
 #[test]
 fn an_inspection_from_before_a_pause_does_not_show_who_reads_a_stream() {
