--- a/crates/node/tests/harness/mod.rs
+++ b/crates/node/tests/harness/mod.rs
@@ -26,8 +26,8 @@
 use node::event::Piece;
 use node::event::Reply;
 use node::event::Stored;
-use node::ids::Call;
-use node::ids::Order;
+use node::ids::CallId;
+use node::ids::OrderId;
 use node::list::Backend;
 use node::list::List;
 use node::list::Seat;
@@ -52,8 +52,8 @@
 pub struct Harness {
     node: Node,
     now: Time,
-    pub orders: Vec<(Order, Task)>,
-    pub responses: Vec<(Call, Tell)>,
+    pub orders: Vec<(OrderId, Task)>,
+    pub responses: Vec<(CallId, Tell)>,
     pub sent: Vec<(Instance, Body)>,
     /// Whether replicas answer inspections.
     pub replicas_answer: bool,
@@ -141,13 +141,13 @@
     }
 
     /// Returns the last order that is not a cancellation.
-    pub fn last_order(&self) -> (Order, Task) {
-        let is_work = |(_, task): &&(Order, Task)| !matches!(task, Task::Cancel);
+    pub fn last_order(&self) -> (OrderId, Task) {
+        let is_work = |(_, task): &&(OrderId, Task)| !matches!(task, Task::Cancel);
         let found = self.orders.iter().rev().find(is_work);
         found.cloned().expect("an order was sent")
     }
 
-    pub fn send_request(&mut self, call: Call) {
+    pub fn send_request(&mut self, call: CallId) {
         let request = request();
         self.feed(Event::Arrived { call, request });
         self.run_for(Duration::from_millis(100));
@@ -224,7 +224,7 @@
     }
 
     /// Completes the last prefill and returns the decode order that follows.
-    pub fn finish_prefill(&mut self) -> (Order, Task) {
+    pub fn finish_prefill(&mut self) -> (OrderId, Task) {
         let (order, task) = self.last_order();
         assert!(matches!(task, Task::Prefill { .. }), "{task:?}");
         let reply = Reply::Prefilled {
@@ -236,7 +236,7 @@
         self.last_order()
     }
 
-    pub fn send_tokens(&mut self, order: Order, from: u32, count: u32) {
+    pub fn send_tokens(&mut self, order: OrderId, from: u32, count: u32) {
         let tokens = Piece::Tokens {
             offset: from,
             count,
@@ -247,13 +247,13 @@
         }
     }
 
-    pub fn fail_order(&mut self, order: Order, failure: Failure) {
+    pub fn fail_order(&mut self, order: OrderId, failure: Failure) {
         self.feed(Event::Failed { order, failure });
         self.run_for(Duration::from_millis(200));
     }
 
     /// Returns the offsets and counts of the tokens sent to `call`.
-    pub fn tokens_sent(&self, call: Call) -> Vec<(u32, u32)> {
+    pub fn tokens_sent(&self, call: CallId) -> Vec<(u32, u32)> {
         let responses = self.responses.iter().filter(|(to, _)| *to == call);
         responses
             .filter_map(|(_, tell)| match tell {
--- a/crates/node/tests/pauses.rs
+++ b/crates/node/tests/pauses.rs
@@ -7,12 +7,12 @@
 use node::action::Outcome;
 use node::action::Tell;
 use node::event::Event;
-use node::ids::Call;
+use node::ids::CallId;
 use rstest::rstest;
 
 use crate::harness::Harness;
 
-const CALL: Call = Call(1);
+const CALL: CallId = CallId(1);
 /// Longer than other daemons wait before they run a repeatable request of an unresponsive one.
 const PAUSE: Duration = Duration::from_secs(10);
 /// Time after which a stopping daemon accepts no more requests.
--- a/crates/node/tests/proofs.rs
+++ b/crates/node/tests/proofs.rs
@@ -10,13 +10,13 @@
 use ident::Zone;
 use node::action::Reason;
 use node::action::Tell;
-use node::ids::Call;
+use node::ids::CallId;
 use wire::Body;
-use wire::News;
+use wire::TableStatus;
 
 use crate::harness::Harness;
 
-const CALL: Call = Call(1);
+const CALL: CallId = CallId(1);
 const EARLIER: Incarnation = Incarnation(0x2a90_77e1_c3d8_5b16);
 /// Longer than a core may use its table without proof that it is the newest.
 const STORE_OUTAGE: Duration = Duration::from_secs(5);
@@ -32,7 +32,7 @@
 }
 
 /// Stops the store until the proof of the table is too old; returns the last request to the peer.
-fn last_status_request(harness: &mut Harness) -> News {
+fn last_status_request(harness: &mut Harness) -> TableStatus {
     harness.add_peer(&peer());
     harness.store_answers = false;
     harness.run_with_peer(&peer(), STORE_OUTAGE);
@@ -44,8 +44,8 @@
 }
 
 /// Returns the answer of a peer that has just read the store.
-fn fresh_status(request: News) -> Body {
-    Body::News(News {
+fn fresh_status(request: TableStatus) -> Body {
+    Body::News(TableStatus {
         store_age_ms: Some(0),
         settled: true,
         answer: true,
--- a/crates/node/tests/simulation/actions.rs
+++ b/crates/node/tests/simulation/actions.rs
@@ -9,7 +9,7 @@
 use node::decision::Step;
 use node::event::Event;
 use node::event::Stored;
-use node::ids::Query;
+use node::ids::QueryId;
 use rand::RngExt;
 use wire::Decoder;
 use wire::Frame;
@@ -92,7 +92,7 @@
         }
     }
 
-    pub(super) fn query(&mut self, daemon: usize, run: u32, query: Query, ask: Ask) {
+    pub(super) fn query(&mut self, daemon: usize, run: u32, query: QueryId, ask: Ask) {
         let slow = self.now < self.store.slow_until;
         let micros = if slow {
             self.rng.random_range(500_000..4_000_000)
@@ -110,7 +110,7 @@
         );
     }
 
-    pub(super) fn run_query(&mut self, daemon: usize, run: u32, query: Query, ask: Ask) {
+    pub(super) fn run_query(&mut self, daemon: usize, run: u32, query: QueryId, ask: Ask) {
         let cut = self.network.is_cut(self.now, Link::Store(daemon));
         let (outcome, delay) = if cut {
             let outcome = Stored::Failed {
@@ -184,7 +184,7 @@
     let bytes = wire::encode(frame).ok()?;
     let mut decoder = Decoder::new();
     decoder.extend(&bytes);
-    decoder.frame().ok().flatten()
+    decoder.next_frame().ok().flatten()
 }
 
 fn action_digest(action: &Action) -> u64 {
--- a/crates/node/tests/simulation/caller_attempts.rs
+++ b/crates/node/tests/simulation/caller_attempts.rs
@@ -6,7 +6,7 @@
 use node::action::Refusal;
 use node::action::Tell;
 use node::event::Event;
-use node::ids::Call;
+use node::ids::CallId;
 use rand::RngExt;
 
 use super::Simulation;
@@ -121,7 +121,7 @@
         self.deliver_event(daemon, run, event);
     }
 
-    pub(super) fn receive(&mut self, caller: usize, call: Call, tell: Tell) {
+    pub(super) fn receive(&mut self, caller: usize, call: CallId, tell: Tell) {
         if self.is_lost(call) {
             return;
         }
@@ -145,7 +145,7 @@
         self.schedule_caller(ms + jitter, caller, CallerEvent::Try);
     }
 
-    pub(super) fn refused(&mut self, caller: usize, call: Call, refusal: &Refusal) {
+    pub(super) fn refused(&mut self, caller: usize, call: CallId, refusal: &Refusal) {
         let resumed = self.conns[&call].peer == Peer::Reader(caller);
         let entry = &mut self.callers[caller];
         entry.token = None;
--- a/crates/node/tests/simulation/connections.rs
+++ b/crates/node/tests/simulation/connections.rs
@@ -3,7 +3,7 @@
 use ident::Handle;
 use node::action::Task;
 use node::event::Event;
-use node::ids::Call;
+use node::ids::CallId;
 use rand::RngExt;
 
 use super::Simulation;
@@ -62,9 +62,9 @@
 
 impl Simulation {
     /// Opens a connection to `daemon`, which must be running.
-    pub(super) fn open_conn(&mut self, daemon: usize, peer: Peer, next: u32) -> Call {
+    pub(super) fn open_conn(&mut self, daemon: usize, peer: Peer, next: u32) -> CallId {
         self.counter += 1;
-        let call = Call(self.counter);
+        let call = CallId(self.counter);
         let conn = Conn {
             peer,
             daemon,
@@ -81,7 +81,7 @@
     }
 
     /// Closes a connection from the client side.
-    pub(super) fn close_conn(&mut self, call: Call) {
+    pub(super) fn close_conn(&mut self, call: CallId) {
         let Some(conn) = self.conns.get_mut(&call).filter(|conn| conn.is_open()) else {
             return;
         };
@@ -93,7 +93,7 @@
     }
 
     /// Returns the open connections of the current process of `daemon`.
-    pub(super) fn open_conns(&self, daemon: usize) -> Vec<Call> {
+    pub(super) fn open_conns(&self, daemon: usize) -> Vec<CallId> {
         let run = self.daemons[daemon].run;
         self.conns
             .iter()
@@ -128,7 +128,7 @@
     }
 
     /// Returns the connection and caller whose body `task` carries, if that connection is open.
-    pub(super) fn origin_of(&self, task: &Task) -> Option<(Call, usize)> {
+    pub(super) fn origin_of(&self, task: &Task) -> Option<(CallId, usize)> {
         let (Task::Prefill { call, .. } | Task::Plain { call }) = task else {
             return None;
         };
@@ -139,7 +139,7 @@
     }
 
     /// Whether responses to `call` are lost on the way.
-    pub(super) fn is_lost(&self, call: Call) -> bool {
+    pub(super) fn is_lost(&self, call: CallId) -> bool {
         self.conns
             .get(&call)
             .is_none_or(|conn| conn.state == State::Dropped)
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -27,8 +27,8 @@
 use ident::Handle;
 use ident::Replica;
 use ident::Time;
-use node::ids::Call;
-use node::ids::Order;
+use node::ids::CallId;
+use node::ids::OrderId;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -75,7 +75,7 @@
     engines: Vec<Engine>,
     callers: Vec<Caller>,
     operators: Vec<Operator>,
-    conns: BTreeMap<Call, Conn>,
+    conns: BTreeMap<CallId, Conn>,
     open_orders: BTreeMap<Ticket, OpenOrder>,
     /// The last daemon that took each stream over, and when.
     takeovers: BTreeMap<Handle, (usize, Time)>,
@@ -286,6 +286,6 @@
 }
 
 /// Identifies `order` of one process of a daemon.
-const fn ticket(daemon: usize, run: u32, order: Order) -> Ticket {
+const fn ticket(daemon: usize, run: u32, order: OrderId) -> Ticket {
     Ticket { daemon, run, order }
 }
--- a/crates/node/tests/simulation/responses.rs
+++ b/crates/node/tests/simulation/responses.rs
@@ -5,7 +5,7 @@
 use node::action::Reason;
 use node::action::Refusal;
 use node::action::Tell;
-use node::ids::Call;
+use node::ids::CallId;
 
 use super::LEASE;
 use super::Simulation;
@@ -24,7 +24,7 @@
 
 impl Simulation {
     /// Checks a response of `daemon` and schedules its delivery.
-    pub(super) fn handle_response(&mut self, daemon: usize, call: Call, tell: Tell) {
+    pub(super) fn handle_response(&mut self, daemon: usize, call: CallId, tell: Tell) {
         self.trace_line(|| format!("entry-{daemon} responds to {call:?}: {}", summarize(&tell)));
         let Some(conn) = self.conns.get(&call).copied() else {
             return self.record_violation(format!("entry-{daemon} responds to unknown {call:?}"));
@@ -50,7 +50,7 @@
         }
     }
 
-    fn handle_operator_response(&mut self, call: Call, operator: usize, tell: Tell) {
+    fn handle_operator_response(&mut self, call: CallId, operator: usize, tell: Tell) {
         let Tell::Edit(verdict) = tell else {
             return self.record_violation(format!("operator at {call:?} gets {tell:?}"));
         };
@@ -60,13 +60,19 @@
         self.schedule_micros(2_000, SimEvent::Operator { operator, verdict });
     }
 
-    fn mark_answered(&mut self, call: Call) {
+    fn mark_answered(&mut self, call: CallId) {
         if let Some(conn) = self.conns.get_mut(&call) {
             conn.state = State::Answered;
         }
     }
 
-    fn handle_caller_response(&mut self, call: Call, caller: usize, is_request: bool, tell: Tell) {
+    fn handle_caller_response(
+        &mut self,
+        call: CallId,
+        caller: usize,
+        is_request: bool,
+        tell: Tell,
+    ) {
         if matches!(tell, Tell::Tokens { .. } | Tell::Done { .. }) {
             self.check_owner(call);
         }
@@ -98,7 +104,7 @@
         self.schedule_micros(delay, SimEvent::Caller { caller, event });
     }
 
-    fn check_tokens(&mut self, call: Call, caller: usize, offset: u32, count: u32, text: &Bytes) {
+    fn check_tokens(&mut self, call: CallId, caller: usize, offset: u32, count: u32, text: &Bytes) {
         let Some(conn) = self.conns.get_mut(&call) else {
             return;
         };
@@ -117,7 +123,7 @@
     }
 
     /// Checks that a daemon sends nothing of a stream taken over from it more than a lease ago.
-    fn check_owner(&mut self, call: Call) {
+    fn check_owner(&mut self, call: CallId) {
         let Conn { daemon, handle, .. } = self.conns[&call];
         let takeover = handle.and_then(|handle| self.takeovers.get(&handle).copied());
         if let Some((by, _)) = takeover.filter(|(by, at)| *by != daemon && self.now > *at + LEASE) {
@@ -127,7 +133,7 @@
         }
     }
 
-    fn check_done(&mut self, call: Call, caller: usize, tokens: u32) {
+    fn check_done(&mut self, call: CallId, caller: usize, tokens: u32) {
         let length = self.callers[caller].length;
         let next = self.conns[&call].next;
         if tokens != length || next != length {
@@ -137,7 +143,7 @@
         }
     }
 
-    fn check_superseded(&mut self, call: Call, caller: usize) {
+    fn check_superseded(&mut self, call: CallId, caller: usize) {
         let of_caller = |peer| peer == Peer::Caller(caller) || peer == Peer::Reader(caller);
         let mut others = self.conns.iter().filter(|(other, _)| **other != call);
         let is_read = others.any(|(other, conn)| {
@@ -148,13 +154,13 @@
         }
     }
 
-    fn check_body(&mut self, call: Call, caller: usize, body: &Bytes) {
+    fn check_body(&mut self, call: CallId, caller: usize, body: &Bytes) {
         if body != format!("confirmed for {caller}").as_bytes() {
             self.record_violation(format!("{call:?} of caller {caller} gets {body:?}"));
         }
     }
 
-    fn check_refusal(&mut self, call: Call, caller: usize, is_request: bool, refusal: &Refusal) {
+    fn check_refusal(&mut self, call: CallId, caller: usize, is_request: bool, refusal: &Refusal) {
         let touched = if self.callers[caller].keyed {
             self.callers[caller].reached_replica
         } else {
--- a/crates/node/tests/simulation/sim_event.rs
+++ b/crates/node/tests/simulation/sim_event.rs
@@ -8,8 +8,8 @@
 use node::action::Task;
 use node::action::Tell;
 use node::event::Event;
-use node::ids::Call;
-use node::ids::Query;
+use node::ids::CallId;
+use node::ids::QueryId;
 
 use super::engine::Ticket;
 
@@ -49,7 +49,7 @@
     Query {
         daemon: usize,
         run: u32,
-        query: Query,
+        query: QueryId,
         ask: Ask,
     },
     /// An inspection reaches a replica.
@@ -98,7 +98,7 @@
     pub fence: u64,
     pub task: Task,
     /// Connection and caller whose body it carries.
-    pub origin: Option<(Call, usize)>,
+    pub origin: Option<(CallId, usize)>,
 }
 
 /// An event of a caller.
@@ -118,7 +118,7 @@
         resume: Option<String>,
     },
     /// A response arrives.
-    Received { call: Call, tell: Tell },
+    Received { call: CallId, tell: Tell },
     /// A connection broke or could not be opened.
-    Disconnected { call: Option<Call> },
+    Disconnected { call: Option<CallId> },
 }
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -11,13 +11,13 @@
 use node::event::Event;
 use node::event::Failure;
 use node::event::Piece;
-use node::ids::Call;
+use node::ids::CallId;
 use rstest::rstest;
 
 use crate::harness::Harness;
 
-const FIRST: Call = Call(1);
-const SECOND: Call = Call(2);
+const FIRST: CallId = CallId(1);
+const SECOND: CallId = CallId(2);
 /// Fencing number that replicas report, not above that of the reader.
 const OWN_FENCE: u64 = 0;
 const NOT_FOUND: Failure = Failure::Refused {
@@ -132,8 +132,8 @@
 }
 
 /// The answer to an inspection waits in the socket of a paused daemon while another daemon takes
-/// over the stream. After the pause, the daemon could take it for the answer to its new inspection, see
-/// itself as the reader, and send tokens of a stream that it no longer owns.
+/// over the stream. After the pause, the daemon could take it for the answer to its new inspection,
+/// see itself as the reader, and send tokens of a stream that it no longer owns.
 #[test]
 fn an_inspection_from_before_a_pause_does_not_show_who_reads_a_stream() {
     let mut harness = Harness::new();
