--- a/crates/ledger/tests/stage.rs
+++ b/crates/ledger/tests/stage.rs
@@ -1,4 +1,4 @@
-//! Which steps a request may take.
+//! Allowed stage transitions of a request.
 
 use ident::Handle;
 use ident::Incarnation;
@@ -12,7 +12,7 @@
     Stage::Ended,
 ];
 
-/// Every step that is allowed; all others are not.
+/// All allowed transitions.
 const ALLOWED: [(Stage, Stage); 11] = [
     (Stage::Waiting, Stage::Prefill),
     (Stage::Waiting, Stage::Call),
@@ -28,7 +28,7 @@
 ];
 
 #[test]
-fn only_the_listed_steps_are_allowed_and_others_name_step_and_attempt() {
+fn only_listed_transitions_are_allowed_and_errors_name_stages_and_attempt() {
     let handle = Handle::new(Incarnation(0x91c5), 26);
     for from in STAGES {
         for to in STAGES {
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,8 +1,8 @@
-//! What this daemon knows of the replicas, and which one is to serve a request.
+//! The replicas that this daemon knows, and the choice of one for a request.
 
 mod incarnation;
 mod list;
-mod reads;
+mod prefill;
 mod silence;
 
 use std::cell::Cell;
@@ -26,22 +26,22 @@
 use crate::server::Server;
 use crate::tombstones::Tombstones;
 
-/// Replicas that are weighed for one request, drawn anew each time where there are more; the best of
-/// so many is among the best fiftieth of all, and weighing 930 took 77 us in place of 16.
-const MAX_WEIGHED: usize = 64;
+/// Maximum number of replicas that are scored for one request, sampled anew each time. The best of
+/// so many is among the best 2 % of all, and scoring 930 took 77 us instead of 16.
+const MAX_SCORED: usize = 64;
 
 /// Minimum time for which the list must be out of date before a missing entry is treated as lapsed.
 /// Replicas renew their entries several times in this period, so a shorter outage expires none.
 const MIN_OUTAGE: Duration = Duration::from_secs(2);
 
-/// All replicas that this daemon knows.
+/// All replicas known to this daemon.
 #[derive(Debug, Default)]
 pub struct Pool {
     servers: SlotMap<Key, Server>,
     by_id: HashMap<String, Key>,
-    /// Mean seconds that a token of a prompt takes, by service.
-    read_paces: HashMap<String, f64>,
-    /// Hashes of incarnations that ended while their replica started again; at most one a slot of `servers`.
+    /// Mean seconds to prefill a token, by service.
+    prefill_paces: HashMap<String, f64>,
+    /// Hashes of ended incarnations whose replica has restarted; at most one per slot of `servers`.
     restarted: SecondaryMap<Key, u64>,
     version: u64,
     /// When the list was last known to be up to date.
@@ -50,25 +50,25 @@
     /// to have been read yet.
     outdated_at: Option<Time>,
     /// When the list last could not be read from the store while it was out of date for that long.
-    outage: Option<Time>,
+    last_outage: Option<Time>,
     memory: HashMap<String, u64>,
-    /// Hash of the list, until the list changes.
+    /// Cached hash of the list, cleared when the list changes.
     digest: Cell<Option<u64>>,
-    gone: Tombstones,
+    tombstones: Tombstones,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Version of the store that the pool stands at.
+    /// Version of the store that the list corresponds to.
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Hash of the replicas as they are listed; equal lists give equal hashes in every daemon.
+    /// Hash of the listed replicas; equal lists have equal hashes at every daemon.
     pub fn digest(&self) -> u64 {
         let digest = self.digest.get().unwrap_or_else(|| self.hash());
         self.digest.set(Some(digest));
@@ -77,7 +77,7 @@
 
     fn hash(&self) -> u64 {
         let servers = self.servers.values();
-        let listed = servers.filter(|server| server.lapses.is_none());
+        let listed = servers.filter(|server| server.lapses_at.is_none());
         let mut replicas: Vec<&Replica> = listed.map(|server| &server.replica).collect();
         replicas.sort_by(|left, right| left.id.cmp(&right.id));
         let texts = replicas.into_iter().map(|replica| format!("{replica:?}"));
@@ -105,7 +105,7 @@
             .is_none_or(|at| now.since(at) >= MIN_OUTAGE)
     }
 
-    /// The replica behind `key`, unless it is forgotten.
+    /// Returns the replica with `key`, unless it has been removed.
     pub fn get(&self, key: Key) -> Option<&Server> {
         self.servers.get(key)
     }
@@ -115,22 +115,22 @@
         self.servers.values()
     }
 
-    /// All replicas that are listed.
+    /// All listed replicas.
     pub fn replicas(&self) -> impl Iterator<Item = &Replica> + '_ {
-        let listed = self.servers.values().filter(|s| s.lapses.is_none());
+        let listed = self.servers.values().filter(|s| s.lapses_at.is_none());
         listed.map(|server| &server.replica)
     }
 
-    /// Replicas of `service` that take requests, by stage.
+    /// Counts the available replicas of `service`, by stage.
     pub fn stage_counts(&self, now: Time, service: &str) -> StageCounts {
         let count = |stage| {
             let servers = self.servers.values();
-            let fitting = servers.filter(|server| {
-                server.usable(now)
+            let eligible = servers.filter(|server| {
+                server.is_available(now)
                     && server.replica.service == service
                     && server.replica.stage == Some(stage)
             });
-            fitting.count()
+            eligible.count()
         };
         StageCounts {
             prefill: count(Stage::Prefill),
@@ -138,48 +138,47 @@
         }
     }
 
-    /// Whether any replica is known.
+    /// Whether no replica is known.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Notes that the list could not be read at `now`.
+    /// Records that the list could not be read at `now`.
     pub fn note_outage(&mut self, now: Time) {
         if self.is_outdated(now) {
             self.outdated_at = Some(now);
-            self.outage = Some(now);
+            self.last_outage = Some(now);
         }
     }
 
-    /// Sets the tokens that one engine of `service` holds.
+    /// Sets the memory of one engine of `service`, in tokens.
     pub fn set_memory(&mut self, service: &str, tokens: u64) {
         self.memory.insert(service.to_owned(), tokens);
     }
 
-    /// Tokens that one engine of `service` holds; `None` if that is not known.
+    /// Memory of one engine of `service`, in tokens; `None` if unknown.
     pub fn memory(&self, service: &str) -> Option<u64> {
         self.memory.get(service).copied()
     }
 
-    /// Brings what the runs at `key` will hold up to date, from this daemon's own `runs` and the
-    /// `claims` of others.
+    /// Updates the memory forecast of `key` from this daemon's `runs` and the `claims` of others.
     pub fn update_forecast(&mut self, now: Time, key: Key, runs: &Runs, claims: &Claims) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
-        server.expect(claims.peer_usage(now, server.hash));
+        server.reset_forecast(claims.peer_usage(now, server.hash));
         for (id, entry) in runs.iter().filter(|(_, entry)| entry.server == key) {
             server.add_run(&runs.curve(now, id), entry.is_prefilling());
         }
     }
 
-    /// The same for all replicas that make tokens.
+    /// Updates the memory forecasts and the pending prefills of all replicas.
     pub fn update_all_forecasts(&mut self, now: Time, runs: &Runs, claims: &Claims) {
         self.update_pending_prefills(now, claims);
-        let told = claims.all_peer_usage(now);
+        let usage = claims.all_peer_usage(now);
         for server in self.servers.values_mut() {
-            let others = told.get(&server.hash);
-            server.expect(others.copied().unwrap_or_default());
+            let others = usage.get(&server.hash);
+            server.reset_forecast(others.copied().unwrap_or_default());
         }
         for (id, entry) in runs.iter() {
             if let Some(server) = self.servers.get_mut(entry.server) {
@@ -188,28 +187,29 @@
         }
     }
 
-    /// Notes that another replica answered at the address of `key`.
+    /// Records that another replica answered at the address of `key`.
     pub fn mark_replaced(&mut self, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
             server.replaced = true;
         }
     }
 
-    /// Notes that a request of `tokens` is sent to `key`.
+    /// Records that a request of `tokens` is sent to `key`.
     pub fn start_request(&mut self, key: Key, tokens: u64) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.begin(tokens);
+            server.start_request(tokens);
         }
     }
 
-    /// Notes that a request of `tokens` sent to `key` is over there.
+    /// Records that a request of `tokens` at `key` is over.
     pub fn end_request(&mut self, key: Key, tokens: u64) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.end(tokens);
+            server.end_request(tokens);
         }
     }
 
-    /// Sets the request limit of `key`, or clears it and ends throttling if `limit` is `None`. Returns whether the limit changed.
+    /// Sets the request limit of `key`, or clears it and ends throttling if `limit` is `None`.
+    /// Returns whether the limit changed.
     pub fn set_limit(&mut self, key: Key, limit: Option<f64>) -> bool {
         let Some(server) = self.servers.get_mut(key) else {
             return false;
@@ -227,81 +227,89 @@
         }
     }
 
-    /// Time until the first throttled replica of `service` may be chosen again; `None` if none is throttled.
+    /// Time until the first throttled replica of `service` may be chosen again; `None` if none is
+    /// throttled.
     pub fn throttle_remaining(&self, now: Time, service: &str) -> Option<Duration> {
         let servers = self.servers.values();
         let throttled = servers.filter(|server| {
-            server.usable(now) && server.throttled_until > now && server.replica.service == service
+            server.is_available(now)
+                && server.throttled_until > now
+                && server.replica.service == service
         });
         throttled
             .map(|server| server.throttled_until.since(now))
             .min()
     }
 
-    /// Notes whether a send to `key` failed.
+    /// Records whether a send to `key` failed.
     pub fn record_result(&mut self, now: Time, key: Key, failed: bool) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note(now, failed);
+            server.record_result(now, failed);
         }
     }
 
-    /// Notes that `key` took `took` for `units` of work; units are alike for all replicas of one
-    /// stage of a service.
+    /// Records that `key` took `took` for `units` of work. Units must be comparable among the
+    /// replicas of one stage of a service.
     pub fn record_work(&mut self, now: Time, key: Key, took: Duration, units: f64) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note_pace(now, took.as_secs_f64() / units.max(1.0));
+            server.record_work(now, took.as_secs_f64() / units.max(1.0));
         }
     }
 
-    /// Notes that `key` had no room.
+    /// Records that `key` refused a reservation.
     pub fn record_full(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note_full(now);
+            server.record_full(now);
         }
     }
 
-    /// Notes that `key` had room.
+    /// Records that `key` accepted a reservation.
     pub fn record_room(&mut self, now: Time, key: Key) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note_room(now);
+            server.record_room(now);
         }
     }
 
-    /// Takes the load that `key` told.
+    /// Records the load that `key` reported.
     pub fn record_load(&mut self, now: Time, key: Key, load: Load) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.told(now, load);
+            server.record_load(now, load);
         }
     }
 
-    /// The replica for `want` with the lowest score, `None` if there is none.
+    /// Returns the replica with the lowest score that meets `criteria`, if any.
     ///
-    /// `draw` gives evenly distributed numbers in `0.0..1.0`.
-    pub fn choose(&self, now: Time, want: &Criteria<'_>, draw: impl Fn() -> f64) -> Option<Key> {
-        let memory = self.memory(want.service);
-        let fitting = self.servers.iter();
-        let mut fitting: Vec<(Key, &Server)> = fitting
-            .filter(|(key, server)| want.fits(now, *key, server))
+    /// `draw` returns random numbers uniform in `0.0..1.0`.
+    pub fn choose(
+        &self,
+        now: Time,
+        criteria: &Criteria<'_>,
+        draw: impl Fn() -> f64,
+    ) -> Option<Key> {
+        let memory = self.memory(criteria.service);
+        let eligible = self.servers.iter();
+        let mut eligible: Vec<(Key, &Server)> = eligible
+            .filter(|(key, server)| criteria.matches(now, *key, server))
             .collect();
-        let drawn = draw_some(&mut fitting, &draw);
+        let sampled = sample(&mut eligible, &draw);
         let best = |candidates: &[(Key, &Server)]| {
-            let roomy = candidates.iter().copied();
-            let roomy = roomy.filter(|(_, server)| want.has_room(now, server, memory));
-            score::best(now, want, &roomy.collect::<Vec<_>>(), memory, &draw)
+            let with_room = candidates.iter().copied();
+            let with_room = with_room.filter(|(_, server)| criteria.has_room(now, server, memory));
+            score::best(now, criteria, &with_room.collect::<Vec<_>>(), memory, &draw)
         };
-        best(&fitting[..drawn]).or_else(|| best(&fitting[drawn..]))
+        best(&eligible[..sampled]).or_else(|| best(&eligible[sampled..]))
     }
 }
 
-/// Puts [`MAX_WEIGHED`] of the candidates, drawn by chance, to the front; gives how many there are.
-fn draw_some(candidates: &mut [(Key, &Server)], draw: impl Fn() -> f64) -> usize {
+/// Moves a random sample of [`MAX_SCORED`] candidates to the front and returns its size.
+fn sample(candidates: &mut [(Key, &Server)], draw: impl Fn() -> f64) -> usize {
     let count = candidates.len();
-    if count <= MAX_WEIGHED {
+    if count <= MAX_SCORED {
         return count;
     }
-    for index in 0..MAX_WEIGHED {
+    for index in 0..MAX_SCORED {
         let other = index + (draw() * (count - index) as f64) as usize;
         candidates.swap(index, other.min(count - 1));
     }
-    MAX_WEIGHED
+    MAX_SCORED
 }
