--- a/crates/node/tests/questions.rs
+++ b/crates/node/tests/key_lookups.rs
@@ -24,8 +24,8 @@
     Member::new(Instance::new("entry-2"), RUNNER, 1, Zone::new("osijek-a"))
 }
 
-/// Sends a request whose key ends in `name`; returns the nonce of the query to the runner.
-fn query_runner(harness: &mut Harness, name: &str) -> u64 {
+/// Sends a request whose key ends in `name`; returns the nonce of the lookup at the runner.
+fn look_up_key(harness: &mut Harness, name: &str) -> u64 {
     harness.add_peer(&runner());
     let request = Request {
         key: Some(format!("{}{name}", harness::prefix(RUNNER))),
@@ -39,7 +39,7 @@
         Body::Ask { nonce, .. } if *to == runner().instance => Some(*nonce),
         _ => None,
     });
-    asked.expect("a query to the runner")
+    asked.expect("a lookup at the runner")
 }
 
 fn answer_frame(nonce: u64, body: &'static str) -> Body {
@@ -58,16 +58,16 @@
     responses.collect()
 }
 
-/// A daemon queries the runner of a key and restarts while that request is in progress. The new run
-/// queries the same runner about a key of another caller. If both runs number their queries
-/// from one, the late answer to the first matches the second, and a caller receives the text of
-/// another caller.
+/// A daemon looks up a key at its runner and restarts while that request is in progress. The new
+/// run looks up a key of another caller at the same runner. If both runs numbered their lookups
+/// from one, the late answer to the first would match the second, and a caller would receive the
+/// answer of another.
 #[test]
 fn an_answer_to_an_earlier_run_is_discarded() {
     let mut earlier = Harness::with_incarnation(EARLIER);
-    let late = query_runner(&mut earlier, "feed-plan");
+    let late = look_up_key(&mut earlier, "feed-plan");
     let mut harness = Harness::new();
-    let own = query_runner(&mut harness, "herd-list");
+    let own = look_up_key(&mut harness, "herd-list");
     harness.receive_frame(&runner(), answer_frame(late, "the feed plan"));
     assert_eq!(bodies(&harness), Vec::<Bytes>::new());
     harness.receive_frame(&runner(), answer_frame(own, "the herd list"));
--- a/crates/node/tests/proofs.rs
+++ b/crates/node/tests/proofs.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_answer_to_a_question_of_this_run_proves_the_table() {
+fn an_answer_to_a_request_of_this_run_proves_the_table() {
     let mut harness = Harness::new();
     let own = last_status_request(&mut harness);
     harness.receive_frame(&peer(), fresh_status(own));
--- a/crates/node/tests/simulation/caller_attempts.rs
+++ b/crates/node/tests/simulation/caller_attempts.rs
@@ -1,4 +1,4 @@
-//! How callers connect, retry and receive responses.
+//! Connections, retries and responses of callers.
 
 use ident::Prefix;
 use node::action::Outcome;
@@ -125,21 +125,21 @@
         if self.is_lost(call) {
             return;
         }
-        let is_present = self.callers[caller].conn == Some(call);
+        let is_current = self.callers[caller].conn == Some(call);
         match tell {
             Tell::Done { .. } | Tell::Answer { .. } => self.end_caller(caller, State::Complete),
-            _ if !is_present => (),
+            _ if !is_current => (),
             Tell::Head { token, .. } => self.callers[caller].token = Some(token),
             Tell::Tokens { offset, count, .. } => {
                 self.callers[caller].received_tokens = offset + count;
             }
-            Tell::Superseded => self.try_again(caller, 300),
+            Tell::Superseded => self.retry_request(caller, 300),
             Tell::Refusal(refusal) => self.refused(caller, call, &refusal),
             Tell::Edit(_) => (),
         }
     }
 
-    pub(super) fn try_again(&mut self, caller: usize, ms: u64) {
+    pub(super) fn retry_request(&mut self, caller: usize, ms: u64) {
         self.callers[caller].conn = None;
         let jitter = self.rng.random_range(10..300);
         self.schedule_caller(ms + jitter, caller, CallerEvent::Try);
@@ -152,18 +152,18 @@
         let named = refusal.addresses.first();
         entry.next_daemon =
             named.and_then(|name| self.daemons.iter().position(|daemon| daemon.name == *name));
-        let for_ever = matches!(
+        let is_permanent = matches!(
             refusal.reason,
             Reason::Invalid | Reason::NoRow | Reason::KeyNeeded | Reason::KeyExpired
         );
         let single = entry.is_single() && refusal.outcome != Outcome::NotRun;
-        if !resumed && (for_ever || single) {
+        if !resumed && (is_permanent || single) {
             return self.end_caller(caller, State::NoAnswer(refusal.outcome));
         }
         if !resumed && refusal.outcome == Outcome::Failed && refusal.retry_after_ms == 0 {
             entry.key = None;
             entry.reached_replica = false;
         }
-        self.try_again(caller, refusal.retry_after_ms);
+        self.retry_request(caller, refusal.retry_after_ms);
     }
 }
--- a/crates/node/tests/simulation/connections.rs
+++ b/crates/node/tests/simulation/connections.rs
@@ -120,7 +120,7 @@
                 },
                 Peer::Operator(operator) => SimEvent::Operator {
                     operator,
-                    verdict: OperatorEvent::Disconnected,
+                    event: OperatorEvent::Disconnected,
                 },
             };
             self.schedule_micros(4_000, event);
--- a/crates/node/tests/simulation/execution.rs
+++ b/crates/node/tests/simulation/execution.rs
@@ -110,7 +110,7 @@
         let micros = self.rng.random_range(micros);
         self.schedule_micros(
             micros,
-            SimEvent::AttemptStep {
+            SimEvent::WorkStep {
                 engine,
                 boot,
                 handle,
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -214,7 +214,7 @@
                 last,
             } => self.deliver_reply(ticket, event, last),
             SimEvent::Order(arriving) => self.receive_order(arriving),
-            SimEvent::AttemptStep {
+            SimEvent::WorkStep {
                 engine,
                 boot,
                 handle,
@@ -240,8 +240,8 @@
                 asked,
             } => self.inspect(daemon, run, replica, asked),
             SimEvent::Caller { caller, event } => self.handle_caller_event(caller, event),
-            SimEvent::Operator { operator, verdict } => {
-                self.handle_operator_event(operator, &verdict);
+            SimEvent::Operator { operator, event } => {
+                self.handle_operator_event(operator, &event);
             }
             SimEvent::Edit { daemon, selector } => self.add_operator(Fault::Edit, daemon, selector),
             SimEvent::Fault(index) => self.begin_fault(index),
--- a/crates/node/tests/simulation/operators.rs
+++ b/crates/node/tests/simulation/operators.rs
@@ -93,9 +93,9 @@
         }
     }
 
-    pub(super) fn handle_operator_event(&mut self, operator: usize, verdict: &OperatorEvent) {
-        self.trace_line(|| format!("operator {operator} receives {verdict:?}"));
-        match verdict {
+    pub(super) fn handle_operator_event(&mut self, operator: usize, event: &OperatorEvent) {
+        self.trace_line(|| format!("operator {operator} receives {event:?}"));
+        match event {
             OperatorEvent::Begin => self.send_edit(operator),
             OperatorEvent::Disconnected
             | OperatorEvent::Received(action::Verdict::Undecided { .. }) => {
@@ -137,7 +137,7 @@
                 RETRY_DELAY,
                 SimEvent::Operator {
                     operator,
-                    verdict: OperatorEvent::Begin,
+                    event: OperatorEvent::Begin,
                 },
             );
         } else {
--- a/crates/node/tests/simulation/progress.rs
+++ b/crates/node/tests/simulation/progress.rs
@@ -22,7 +22,7 @@
         let stalled = self.engines[engine].stalled_until;
         if now < stalled && self.engines[engine].boot == boot {
             let rest = stalled.since(now);
-            let event = SimEvent::AttemptStep {
+            let event = SimEvent::WorkStep {
                 engine,
                 boot,
                 handle,
@@ -66,7 +66,7 @@
         };
         self.schedule(
             pause,
-            SimEvent::AttemptStep {
+            SimEvent::WorkStep {
                 engine,
                 boot,
                 handle,
--- a/crates/node/tests/simulation/responses.rs
+++ b/crates/node/tests/simulation/responses.rs
@@ -56,8 +56,8 @@
         };
         self.check_verdict(operator, &verdict);
         self.mark_answered(call);
-        let verdict = OperatorEvent::Received(verdict);
-        self.schedule_micros(2_000, SimEvent::Operator { operator, verdict });
+        let event = OperatorEvent::Received(verdict);
+        self.schedule_micros(2_000, SimEvent::Operator { operator, event });
     }
 
     fn mark_answered(&mut self, call: CallId) {
@@ -161,12 +161,12 @@
     }
 
     fn check_refusal(&mut self, call: CallId, caller: usize, is_request: bool, refusal: &Refusal) {
-        let touched = if self.callers[caller].keyed {
+        let reached_replica = if self.callers[caller].keyed {
             self.callers[caller].reached_replica
         } else {
             self.conns[&call].reached_replica
         };
-        let untrue = refusal.outcome == Outcome::NotRun && touched;
+        let untrue = refusal.outcome == Outcome::NotRun && reached_replica;
         if is_request && untrue {
             let reason = refusal.reason.word();
             self.record_violation(format!(
--- a/crates/node/tests/simulation/sim_event.rs
+++ b/crates/node/tests/simulation/sim_event.rs
@@ -32,8 +32,8 @@
     },
     /// An order reaches a replica.
     Order(Box<ArrivingOrder>),
-    /// A work at an engine reaches its next phase or tokens.
-    AttemptStep {
+    /// The next phase or tokens of a work at an engine are due.
+    WorkStep {
         engine: usize,
         boot: u64,
         handle: Handle,
@@ -64,7 +64,7 @@
     /// An event reaches an operator.
     Operator {
         operator: usize,
-        verdict: OperatorEvent,
+        event: OperatorEvent,
     },
     /// An operator changes a row.
     Edit { daemon: usize, selector: usize },
--- a/crates/node/tests/simulation/transport.rs
+++ b/crates/node/tests/simulation/transport.rs
@@ -221,9 +221,9 @@
             return;
         };
         let cut = self.network.is_cut(self.now, Link::Replica(daemon, engine));
-        let silent = cut || self.now < self.engines[engine].stalled_until;
-        let state = (!silent).then(|| self.engines[engine].inspect());
-        let delay = if silent {
+        let unresponsive = cut || self.now < self.engines[engine].stalled_until;
+        let state = (!unresponsive).then(|| self.engines[engine].inspect());
+        let delay = if unresponsive {
             CONNECT_TIMEOUT
         } else {
             Duration::from_micros(self.rng.random_range(300..3_000))
