--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -1,4 +1,4 @@
-//! Plain calls: one answer, passed on when it is whole.
+//! Serves plain calls: the complete answer of a replica is forwarded in one piece.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,32 +24,32 @@
 use crate::body::Body;
 use crate::job::Job;
 use crate::limit;
-use crate::own;
+use crate::responses;
 use crate::send;
 use crate::shared::Shared;
 
-/// Bytes of an answer at most; it is held in memory until it is whole.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
-/// Part of the objective that a request waits for a replica; one that is refused sooner may come
-/// back in time.
-const WAIT_PART: f64 = 0.2;
-/// Times the objective after which a silent replica is left for another one, where the request may be
-/// repeated. Nine in ten answers come within a third of the objective, and the slowest of a sound
-/// replica within one and a half.
-const SILENCE: f64 = 2.0;
-/// Pause between two looks for a replica.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Largest answer in bytes; it is buffered until it is complete.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// Fraction of the objective that a request waits for a replica. A request refused this early can
+/// still be retried within the objective.
+const MAX_WAIT_FRACTION: f64 = 0.2;
+/// Multiple of the objective after which a repeatable request abandons a silent replica for another
+/// one. 90% of answers take at most a third of the objective; the slowest answers of a healthy
+/// replica take 1.5 times the objective.
+const SILENCE_FACTOR: f64 = 2.0;
+/// Interval at which a waiting request looks for a replica.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a quarantined request is refused.
-const QUARANTINED: &str = "replicas ended under this request";
-/// What its caller is told: to send it elsewhere, or at once again, does not help.
+/// Logged cause when a quarantined request is refused.
+const QUARANTINED_CAUSE: &str = "replicas ended under this request";
+/// Response to a quarantined request; sending it elsewhere or again at once does not help.
 const QUARANTINED_TEXT: &str = "replicas ended under this request; it has not run\n";
-/// Why a request is rejected whose API key was taken away while it waited.
-const DENIED: &str = "its API key was taken away";
-/// What other callers are told.
+/// Logged cause when the API key of a request is revoked while the request waits.
+const DENIED_CAUSE: &str = "its API key was revoked";
+/// Response to other refused requests.
 const REFUSED_TEXT: &str = "no replica could take the request; it has not run\n";
 
-/// A whole answer of a replica.
+/// The complete answer of a replica.
 #[derive(Debug)]
 struct Answer {
     status: StatusCode,
@@ -57,153 +57,155 @@
     body: Bytes,
 }
 
-/// Serves `job`.
+/// Serves `job` with one replica after another until one answers or no retry is allowed.
 pub async fn serve(shared: &Rc<Shared>, mut job: Job) -> Response<Body> {
     let mut attempt = Attempt::new(job.route.mode, job.route.max_attempts);
     let mut tried = Vec::new();
     let mut failure = None;
     loop {
-        let Some(key) = replica(shared, &job, None, &tried).await else {
-            return without_replica(shared, &mut job, &attempt, failure);
+        let Some(key) = choose_replica(shared, &job, None, &tried).await else {
+            return respond_without_replica(shared, &mut job, &attempt, failure);
         };
-        let Some(permit) = job.permit(Work::Run) else {
-            return without_replica(shared, &mut job, &attempt, failure);
+        let Some(permit) = job.take_permit(Work::Run) else {
+            return respond_without_replica(shared, &mut job, &attempt, failure);
         };
         tried.push(key);
         attempt.record_send();
-        let may_leave = attempt.may_fail_over();
-        let sent = send_to(shared, &job, key, permit, may_leave, &tried).await;
-        if matches!(&sent, Sent::Answered(answer) if answer.status.is_success()) {
+        let may_abandon = attempt.may_fail_over();
+        let sent = send_to(shared, &job, key, permit, may_abandon, &tried).await;
+        if matches!(&sent, SendResult::Answered(answer) if answer.status.is_success()) {
             shared.note_served(job.fingerprint);
         }
         let next = match sent {
-            Sent::Overdue => {
-                return finish(&mut job, "overdue", own::overdue, "no answer in time");
+            SendResult::TimedOut => {
+                return finish(&mut job, "overdue", responses::overdue, "no answer in time");
             }
-            Sent::Left => attempt.next_step(Outcome::Lost, || true),
-            Sent::Answered(answer) if is_failure(&job, &answer) => {
-                let (cause, status) = ("its own failure", answer.status.as_u16());
-                send::note(shared, &job, key, Outcome::Failed, cause, status);
+            SendResult::Abandoned => attempt.next_step(Outcome::Lost, || true),
+            SendResult::Answered(answer) if is_retryable_failure(&job, &answer) => {
+                let (cause, status) =
+                    ("the replica answered with an error", answer.status.as_u16());
+                send::record_failure(shared, &job, key, Outcome::Failed, cause, status);
                 failure = Some(answer);
-                after(shared, &job, &mut attempt, Outcome::Failed)
+                next_after(shared, &job, &mut attempt, Outcome::Failed)
             }
-            Sent::Answered(answer) => {
-                send::note_success(shared, key);
-                return relay(shared, &mut job, answer);
+            SendResult::Answered(answer) => {
+                send::record_success(shared, key);
+                return forward(shared, &mut job, answer);
             }
-            Sent::Failed(outcome) => after(shared, &job, &mut attempt, outcome),
+            SendResult::Failed(outcome) => next_after(shared, &job, &mut attempt, outcome),
         };
         match next {
             Next::Retry => {}
             Next::Relay | Next::Unknown | Next::Refuse => {
-                return without_replica(shared, &mut job, &attempt, failure);
+                return respond_without_replica(shared, &mut job, &attempt, failure);
             }
         }
     }
 }
 
-fn after(shared: &Shared, job: &Job, attempt: &mut Attempt, outcome: Outcome) -> Next {
+fn next_after(shared: &Shared, job: &Job, attempt: &mut Attempt, outcome: Outcome) -> Next {
     attempt.next_step(outcome, || shared.allow(job, Work::Run))
 }
 
-/// How one send ended.
-enum Sent {
-    /// With a whole answer.
+/// Result of one send.
+enum SendResult {
+    /// The replica sent a complete answer.
     Answered(Answer),
-    /// Without one.
+    /// The replica sent no usable answer.
     Failed(Outcome),
-    /// The replica was silent for too long and is left for another one; the retry is taken.
-    Left,
-    /// Time is up.
-    Overdue,
+    /// The replica was silent for too long and the request goes to another one; the retry permit is
+    /// already taken.
+    Abandoned,
+    /// The deadline of the request passed.
+    TimedOut,
 }
 
-/// Sends `job` to `key`; leaves it if it is silent, another replica than those `tried` can take the
-/// request, and a retry is left. Without all of these, waiting is the best there is.
+/// Sends `job` to `key`. Abandons a silent replica if `may_abandon`, a replica outside `tried` can
+/// take the request, and a retry is left. Otherwise it keeps waiting.
 async fn send_to(
     shared: &Rc<Shared>,
     job: &Job,
     key: Key,
     permit: Permit,
-    may_leave: bool,
+    may_abandon: bool,
     tried: &[Key],
-) -> Sent {
+) -> SendResult {
     let mut exchange = std::pin::pin!(exchange(shared, job, key, permit));
-    let silence = Instant::now() + job.route.objective.mul_f64(SILENCE);
-    let first = if may_leave {
+    let silence = Instant::now() + job.route.objective.mul_f64(SILENCE_FACTOR);
+    let first_limit = if may_abandon {
         silence.min(job.deadline)
     } else {
         job.deadline
     };
-    let ended = async {
-        match timeout_at(first, &mut exchange).await {
-            Err(_) if leaves(shared, job, key, tried) => None,
+    let result = async {
+        match timeout_at(first_limit, &mut exchange).await {
+            Err(_) if try_abandon(shared, job, key, tried) => None,
             Err(_) => Some(timeout_at(job.deadline, exchange).await),
-            ended => Some(ended),
+            result => Some(result),
         }
     };
-    let ended = tokio::select! {
+    let result = tokio::select! {
         biased;
-        ended = ended => ended,
+        result = result => result,
         () = shared.restarted(key) => {
-            let cause = "the replica has started again";
-            send::note(shared, job, key, Outcome::Lost, cause, 0);
-            return Sent::Failed(Outcome::Lost);
+            let cause = "the replica restarted";
+            send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
+            return SendResult::Failed(Outcome::Lost);
         }
     };
-    let Some(ended) = ended else {
-        return Sent::Left;
+    let Some(result) = result else {
+        return SendResult::Abandoned;
     };
-    match ended {
-        Ok(Ok(answer)) => Sent::Answered(answer),
-        Ok(Err(outcome)) => Sent::Failed(outcome),
+    match result {
+        Ok(Ok(answer)) => SendResult::Answered(answer),
+        Ok(Err(outcome)) => SendResult::Failed(outcome),
         Err(_) => {
-            send::note(shared, job, key, Outcome::Lost, "no answer in time", 0);
-            Sent::Overdue
+            send::record_failure(shared, job, key, Outcome::Lost, "no answer in time", 0);
+            SendResult::TimedOut
         }
     }
 }
 
-/// Whether to leave the silent replica `key` for another one that has no request limit; takes the retry that this needs.
-fn leaves(shared: &Shared, job: &Job, key: Key, tried: &[Key]) -> bool {
-    let leaves = Instant::now() < job.deadline
+/// Decides whether to abandon the silent replica `key` for another one without a request limit, and
+/// takes the retry permit for it.
+fn try_abandon(shared: &Shared, job: &Job, key: Key, tried: &[Key]) -> bool {
+    let abandons = Instant::now() < job.deadline
         && shared
             .choose(&job.service, None, tried)
             .is_some_and(|other| !shared.is_limited(other))
         && shared.allow(job, Work::Run);
-    if leaves {
+    if abandons {
         shared.forget_links(key);
-        let cause = "no answer for too long";
-        send::note(shared, job, key, Outcome::Lost, cause, 0);
+        let cause = "the replica was silent for too long";
+        send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
     }
-    leaves
+    abandons
 }
 
-/// The replica to send to next; waits for one for a short part of the objective if nothing was
-/// sent yet.
-pub async fn replica(
+/// Chooses the next replica. Before the first send, waits for one for a fraction of the objective.
+pub async fn choose_replica(
     shared: &Rc<Shared>,
     job: &Job,
     stage: Option<Stage>,
     tried: &[Key],
 ) -> Option<Key> {
-    let until = job.arrived + job.route.objective.mul_f64(WAIT_PART);
+    let until = job.arrived + job.route.objective.mul_f64(MAX_WAIT_FRACTION);
     loop {
         let choose = || shared.choose(&job.service, stage, tried);
         if let Some(key) = limit::choose_admitted(shared, choose).await {
             return Some(key);
         }
-        // Waiting does not help if the throttled replicas stay throttled for longer.
+        // Waiting is useless if the throttled replicas stay throttled beyond the limit.
         let throttled = shared.throttle_remaining(&job.service);
         let earliest = Instant::now() + throttled.unwrap_or_default();
         if !tried.is_empty() || earliest >= until {
             return None;
         }
-        sleep(LOOK_AGAIN).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Sends `job` to `key` and reads the whole answer.
+/// Sends `job` to `key` and reads the complete answer.
 async fn exchange(
     shared: &Rc<Shared>,
     job: &Job,
@@ -212,7 +214,7 @@
 ) -> Result<Answer, Outcome> {
     let begun = Instant::now();
     let reply = send::send(shared, job, key, Task::Answer, None, permit).await?;
-    match send::whole(shared, reply, MAX_ANSWER).await {
+    match send::read_whole(shared, reply, MAX_ANSWER_BYTES).await {
         Ok((head, headers, body)) => {
             shared.note_pace(key, begun.elapsed(), 1.0);
             Ok(Answer {
@@ -222,35 +224,35 @@
             })
         }
         Err(outcome) => {
-            send::note(shared, job, key, outcome, "its answer broke off", 0);
+            send::record_failure(shared, job, key, outcome, "the answer was cut off", 0);
             Err(outcome)
         }
     }
 }
 
-/// Whether another replica may do better.
-fn is_failure(job: &Job, answer: &Answer) -> bool {
+/// Whether another replica may answer better.
+fn is_retryable_failure(job: &Job, answer: &Answer) -> bool {
     job.route.mode == Mode::Idempotent && answer.status.is_server_error()
 }
 
-fn relay(shared: &Shared, job: &mut Job, answer: Answer) -> Response<Body> {
+fn forward(shared: &Shared, job: &mut Job, answer: Answer) -> Response<Body> {
     shared
         .metrics
         .latency(&job.route.name, job.age().as_secs_f64());
     job.end("answered", answer.status.as_u16(), "");
-    passed_on(answer.status, &answer.headers, answer.body)
+    forwarded(answer.status, &answer.headers, answer.body)
 }
 
-/// A replica's whole answer, for the caller.
-pub fn passed_on(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Response<Body> {
+/// The response that forwards a replica's complete answer.
+pub fn forwarded(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Response<Body> {
     let mut response = Response::new(Body::whole(body));
     *response.status_mut() = status;
     *response.headers_mut() = reply::headers(headers);
     response
 }
 
-/// The answer when no replica is left to try.
-fn without_replica(
+/// The response when no replica is left to try.
+fn respond_without_replica(
     shared: &Shared,
     job: &mut Job,
     attempt: &Attempt,
@@ -261,57 +263,58 @@
             job.end(
                 "failed",
                 answer.status.as_u16(),
-                "the replica's own failure",
+                "the replica answered with an error",
             );
-            passed_on(answer.status, &answer.headers, answer.body)
+            forwarded(answer.status, &answer.headers, answer.body)
         }
         None if attempt.may_have_run() => {
-            finish(job, "unknown", own::unknown, "the replica was lost")
+            finish(job, "unknown", responses::unknown, "the replica was lost")
         }
         None => {
             let throttle = shared.throttle_remaining(&job.service);
-            let come_back = throttle.unwrap_or(own::COME_BACK);
-            refuse(shared, job, come_back, "no replica took the request")
+            let retry_after = throttle.unwrap_or(responses::DEFAULT_RETRY_AFTER);
+            refuse(shared, job, retry_after, "no replica accepted the request")
         }
     }
 }
 
-/// Refuses `job`, which has not run and may come back after `come_back`, or when it is quarantined no longer.
+/// Refuses `job`, which has not run. The caller may retry after `retry_after`, or after the end of
+/// its quarantine.
 pub fn refuse(
     shared: &Shared,
     job: &mut Job,
-    come_back: Duration,
+    retry_after: Duration,
     cause: &'static str,
 ) -> Response<Body> {
     match shared.quarantined_for(job.fingerprint) {
-        Some(left) => refuse_quarantined(job, left),
-        None if shared.is_denied(job) => finish(job, "rejected", own::denied, DENIED),
-        None => refuse_with(job, come_back, cause, REFUSED_TEXT),
+        Some(remaining) => refuse_quarantined(job, remaining),
+        None if shared.is_denied(job) => finish(job, "rejected", responses::denied, DENIED_CAUSE),
+        None => refuse_with(job, retry_after, cause, REFUSED_TEXT),
     }
 }
 
-/// Refuses `job`, which has not run and will not for the time `left`: replicas ended under the same request.
-pub fn refuse_quarantined(job: &mut Job, left: Duration) -> Response<Body> {
-    refuse_with(job, left, QUARANTINED, QUARANTINED_TEXT)
+/// Refuses `job`, whose content is quarantined for another `remaining`; it has not run.
+pub fn refuse_quarantined(job: &mut Job, remaining: Duration) -> Response<Body> {
+    refuse_with(job, remaining, QUARANTINED_CAUSE, QUARANTINED_TEXT)
 }
 
-/// Refuses `job`, which is beyond its customer's quota and has not run.
-pub fn refuse_beyond_quota(job: &mut Job, come_back: Duration) -> Response<Body> {
+/// Refuses `job`, which exceeds its customer's quota and has not run.
+pub fn refuse_beyond_quota(job: &mut Job, retry_after: Duration) -> Response<Body> {
     job.end("beyond-quota", 429, "beyond the customer's quota");
-    own::refuse_beyond_quota(&job.call.id, come_back)
+    responses::refuse_beyond_quota(&job.call.id, retry_after)
 }
 
 fn refuse_with(
     job: &mut Job,
-    come_back: Duration,
+    retry_after: Duration,
     cause: &'static str,
     text: &'static str,
 ) -> Response<Body> {
     job.end("refused", 503, cause);
-    own::refuse(&job.call.id, come_back, text)
+    responses::refuse(&job.call.id, retry_after, text)
 }
 
-/// Ends `job` with an answer of this daemon's own.
+/// Ends `job` with a response of this daemon.
 pub fn finish(
     job: &mut Job,
     outcome: &'static str,
--- a/crates/node/examples/drive.rs
+++ b/crates/node/examples/drive.rs
@@ -1,8 +1,8 @@
 //! Drives one core by events and actions alone: no sockets, files, clock or threads.
 //!
-//! One daemon, a prefill and a decode engine and one plain application. A model request is
-//! streamed to its end, and a booking is answered. Whoever embeds the core does what
-//! [`Drive::carry_out`] does, with real replicas, callers and a real store behind it.
+//! One daemon with a prefill engine, a decode engine and a plain application streams a model
+//! request to its end and answers a booking. A real driver does the same as [`Drive::carry_out`],
+//! with replicas, callers and a store behind it.
 //!
 //! Run it with `cargo run -p node --example drive`.
 
@@ -19,19 +19,19 @@
 use ident::Zone;
 use node::Node;
 use node::action::Action;
-use node::action::Ask;
+use node::action::CallerMessage;
+use node::action::StoreRequest;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::event::Inspection;
 use node::event::Piece;
 use node::event::Reply;
-use node::event::Stored;
+use node::event::StoreReply;
 use node::ids::CallId;
 use node::ids::OrderId;
-use node::list::Backend;
-use node::list::List;
-use node::list::Seat;
+use node::list::ListedInstance;
+use node::list::ListedReplica;
+use node::list::PlatformList;
 use node::request::Request;
 use node::request::Work;
 use node::settings::Settings;
@@ -71,7 +71,7 @@
     drive.run(Duration::from_secs(10));
 }
 
-/// The core, its clock, and what is on the way to it.
+/// The core, its clock and the pending events.
 struct Drive {
     node: Node,
     now: Time,
@@ -92,8 +92,7 @@
         self.events.push_back(event);
     }
 
-    /// Steps the core for `span` of virtual time: by events while there are any, else when it
-    /// wants to be woken.
+    /// Steps the core for `span` of virtual time, with pending events or at its next due time.
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -101,7 +100,7 @@
             let event = self.events.pop_front();
             self.now = match event {
                 Some(_) => self.now + PACE,
-                None => self.node.wake().max(self.now + PACE).min(end),
+                None => self.node.next_wake().max(self.now + PACE).min(end),
             };
             let event = event.unwrap_or(Event::Tick);
             self.node.step(self.now, event, &mut actions);
@@ -111,13 +110,13 @@
         }
     }
 
-    /// What a driver does with actions; the replicas and the store here answer at once.
+    /// Carries out an action; replicas and store answer at once.
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Order { order, task, .. } => self.answer_order(order, &task),
-            Action::Query { query, ask } => {
-                let outcome = answer_query(&ask);
-                self.feed(Event::Stored { query, outcome });
+            Action::Query { query, request } => {
+                let outcome = answer_query(&request);
+                self.feed(Event::StoreReplied { query, outcome });
             }
             Action::Inspect { replica, asked, .. } => {
                 let state = Some(idle());
@@ -127,7 +126,9 @@
                     state,
                 });
             }
-            Action::Tell { call, tell } => println!("{call:?} is told {}", shown(&tell)),
+            Action::SendToCaller { call, message } => {
+                println!("{call:?} receives {}", shown(&message))
+            }
             Action::Log(decision) => println!(
                 "  {} {}: {} ({})",
                 decision.step.word(),
@@ -137,7 +138,7 @@
             ),
             Action::Fault { cause } => println!("fault: {cause}"),
             Action::Finished => println!("nothing is in progress; the process may end"),
-            // Frames go to other daemons, and aborts drop connections: there are none here.
+            // There are no other daemons and no connections here.
             Action::Send { .. } | Action::Abort { .. } | Action::UseList(_) | Action::Count(_) => {}
         }
     }
@@ -183,20 +184,20 @@
     }
 }
 
-fn answer_query(ask: &Ask) -> Stored {
-    match ask {
-        Ask::Generation => Stored::Generation { generation: 1 },
-        Ask::Table => Stored::Table(Box::new(table())),
-        Ask::Record { .. } => Stored::Recorded,
-        Ask::Outcome { .. } => Stored::Outcome(None),
-        Ask::Commit(_) => Stored::Failed {
+fn answer_query(request: &StoreRequest) -> StoreReply {
+    match request {
+        StoreRequest::Generation => StoreReply::Generation { generation: 1 },
+        StoreRequest::Table => StoreReply::Table(Box::new(table())),
+        StoreRequest::Record { .. } => StoreReply::Recorded,
+        StoreRequest::Outcome { .. } => StoreReply::Outcome(None),
+        StoreRequest::Commit(_) => StoreReply::Failed {
             maybe: false,
             cause: "this store takes no edits".to_owned(),
         },
     }
 }
 
-/// The state of a replica that does nothing.
+/// Returns the state of an idle replica.
 fn idle() -> Inspection {
     Inspection {
         report: Report {
@@ -212,10 +213,10 @@
     }
 }
 
-fn shown(tell: &Tell) -> String {
-    match tell {
-        Tell::Head { handle, .. } => format!("the head of {handle}, with a resume token"),
-        _ => format!("{tell:?}"),
+fn shown(message: &CallerMessage) -> String {
+    match message {
+        CallerMessage::Head { handle, .. } => format!("the head of {handle}, with a resume token"),
+        _ => format!("{message:?}"),
     }
 }
 
@@ -247,9 +248,9 @@
     Table::new(1, vec![Row::new("ration", "default", "ration"), booking])
 }
 
-fn list() -> List {
+fn list() -> PlatformList {
     let zone = Zone::new("osijek-a");
-    let backend = |name: &str, pool: &str, role| Backend {
+    let replica = |name: &str, pool: &str, role| ListedReplica {
         replica: Replica::new(name),
         name: name.to_owned(),
         zone,
@@ -259,19 +260,19 @@
         fences: true,
         leaving: false,
     };
-    let seat = Seat {
+    let instance = ListedInstance {
         instance: Instance::new("entry-1"),
         name: "entry-1".to_owned(),
         zone,
         caller: "127.0.0.1:7001".to_owned(),
         leaving: false,
     };
-    List {
-        instances: vec![seat],
+    PlatformList {
+        instances: vec![instance],
         replicas: vec![
-            backend("ration-prefill", "ration", Role::Prefill),
-            backend("ration-decode", "ration", Role::Decode),
-            backend("booking-app", "booking", Role::Plain),
+            replica("ration-prefill", "ration", Role::Prefill),
+            replica("ration-decode", "ration", Role::Decode),
+            replica("booking-app", "booking", Role::Plain),
         ],
     }
 }
--- a/crates/node/src/kept.rs
+++ b/crates/node/src/kept_pool.rs
@@ -1,4 +1,4 @@
-//! A pool that this daemon keeps.
+//! State of a pool whose keeper is this daemon.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use ident::Time;
 use route::scheduler::Scheduler;
 
-/// An attempt as the keeper knows it.
+/// Owner and age of an attempt in a kept pool.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Placed {
     pub(crate) owner: Instance,
@@ -17,26 +17,26 @@
     pub(crate) since: Time,
 }
 
-/// What the keeper knows of one replica's answers.
+/// Responses of a replica to inspections.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Watch {
-    /// Since when inspections have been unanswered.
+pub(crate) struct ReplicaHealth {
+    /// Time of the first unanswered inspection.
     pub(crate) unanswered: Option<Time>,
-    /// Whether it counts as lost.
+    /// Whether the replica is considered lost.
     pub(crate) lost: bool,
-    /// Last cache event seen.
-    pub(crate) after: u64,
+    /// Sequence number of the last cache event received.
+    pub(crate) last_event: u64,
 }
 
-/// A pool kept by this daemon.
+/// Scheduler of a pool and the attempts placed in it.
 #[derive(Debug)]
-pub(crate) struct Kept {
+pub(crate) struct KeptPool {
     pub(crate) name: String,
-    pub(crate) cell: Scheduler,
+    pub(crate) scheduler: Scheduler,
     pub(crate) ready: Time,
     pub(crate) placed: BTreeMap<Handle, Placed>,
-    pub(crate) watches: BTreeMap<Replica, Watch>,
-    /// Memory found without a live owner, and since when.
+    pub(crate) health: BTreeMap<Replica, ReplicaHealth>,
+    /// Attempts found on replicas without a live owner, with the time of discovery.
     pub(crate) orphans: BTreeMap<(Replica, Handle), Time>,
     pub(crate) generation: u64,
 }
--- a/crates/node/src/refusals.rs
+++ b/crates/node/src/refusals.rs
@@ -1,4 +1,4 @@
-//! Typed refusals.
+//! Refusals and their texts.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use ledger::ids::CallId;
 
 use crate::action::Action;
+use crate::action::CallerMessage;
 use crate::action::Count;
 use crate::action::Outcome;
 use crate::action::Reason;
 use crate::action::Refusal;
-use crate::action::Tell;
 use crate::decision::Step;
 use crate::node::Node;
 use crate::node::millis;
 
-/// When to come back after a refusal that passes by itself soon.
-pub(crate) const SOON: Duration = Duration::from_secs(1);
+/// Retry delay after a refusal whose cause is temporary.
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Most addresses named in a refusal.
+/// Maximum number of addresses in a refusal.
 const MAX_ADDRESSES: usize = 3;
 
 impl Reason {
-    /// The word used towards callers and in log lines.
+    /// Name in answers and log lines.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Invalid => "invalid",
@@ -47,7 +47,7 @@
 }
 
 impl Outcome {
-    /// The word used towards callers and in log lines.
+    /// Name in answers and log lines.
     pub const fn word(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -70,7 +70,7 @@
 }
 
 impl Node {
-    /// A refusal without addresses; `after` of zero means that coming back does not help.
+    /// Returns a refusal without addresses; `after` is zero if a retry does not help.
     pub(crate) fn refusal(outcome: Outcome, reason: Reason, after: Duration) -> Refusal {
         Refusal {
             outcome,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A refusal that names other instances to go to.
+    /// Returns a refusal with the addresses of other instances.
     pub(crate) fn refusal_elsewhere(&self, outcome: Outcome, reason: Reason) -> Refusal {
         let me = &self.settings.name;
         let addresses = self
@@ -93,27 +93,27 @@
         Refusal {
             outcome,
             reason,
-            retry_after_ms: millis(SOON),
+            retry_after_ms: millis(DEFAULT_RETRY_AFTER),
             addresses,
         }
     }
 
-    /// A refusal that names the one instance to go to.
+    /// Returns a refusal with the address of `instance`.
     pub(crate) fn refusal_at(&self, reason: Reason, instance: Instance) -> Refusal {
         let addresses = self
             .members
-            .seats
+            .listed
             .get(&instance)
-            .map(|seat| seat.caller.clone());
+            .map(|listed| listed.caller.clone());
         Refusal {
             outcome: Outcome::NotRun,
             reason,
-            retry_after_ms: millis(SOON),
+            retry_after_ms: millis(DEFAULT_RETRY_AFTER),
             addresses: addresses.into_iter().collect(),
         }
     }
 
-    /// Refuses a call that opened no request.
+    /// Refuses a call for which no request was opened.
     pub(crate) fn refuse(
         &self,
         call: CallId,
@@ -129,9 +129,9 @@
             out,
         );
         out.push(Action::Count(Count::Refused(refusal.outcome)));
-        out.push(Action::Tell {
+        out.push(Action::SendToCaller {
             call,
-            tell: Tell::Refusal(refusal),
+            message: CallerMessage::Refusal(refusal),
         });
     }
 }
--- a/crates/node/src/rows.rs
+++ b/crates/node/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the table in force, by key.
+//! Index of the table in force.
 
 use std::collections::HashMap;
 
@@ -8,54 +8,54 @@
 
 use crate::open::Targets;
 
-/// What is looked up for every request.
+/// Columns of a row that each request needs.
 #[derive(Debug)]
-pub(crate) struct Brief {
+pub(crate) struct RowSummary {
     pub(crate) pool: Pool,
     pub(crate) targets: Targets,
     pub(crate) name: String,
 }
 
-/// Index of the table in force.
+/// Rows by key, and pool names.
 #[derive(Debug, Default)]
 pub(crate) struct Rows {
-    by_key: HashMap<Row, Brief>,
+    by_key: HashMap<Row, RowSummary>,
     names: HashMap<Pool, String>,
 }
 
 impl Rows {
-    /// The index of no table.
+    /// Returns an empty index.
     pub(crate) fn new() -> Self {
         Self::default()
     }
 
-    /// The index of `table`.
+    /// Returns the index of `table`.
     pub(crate) fn with_table(table: &Table) -> Self {
         let mut rows = Self::new();
         for row in &table.rows {
             let pool = Pool::new(&row.pool);
-            let brief = Brief {
+            let summary = RowSummary {
                 pool,
                 targets: Targets::new(row),
                 name: row.key(),
             };
-            rows.by_key.insert(row.id(), brief);
+            rows.by_key.insert(row.id(), summary);
             rows.names.insert(pool, row.pool.clone());
         }
         rows
     }
 
-    pub(crate) fn get(&self, row: Row) -> Option<&Brief> {
+    pub(crate) fn get(&self, row: Row) -> Option<&RowSummary> {
         self.by_key.get(&row)
     }
 
-    /// The name of a row, or its key if the table does not hold it.
+    /// Returns the name of a row, or its hash if the table does not contain it.
     pub(crate) fn row_name(&self, row: Row) -> String {
         self.get(row)
-            .map_or_else(|| row.to_string(), |brief| brief.name.clone())
+            .map_or_else(|| row.to_string(), |summary| summary.name.clone())
     }
 
-    /// The name of a pool, or its key if no row names it.
+    /// Returns the name of a pool, or its hash if no row refers to it.
     pub(crate) fn pool_name(&self, pool: Pool) -> String {
         self.names
             .get(&pool)
--- a/crates/node/src/tables.rs
+++ b/crates/node/src/tables.rs
@@ -1,12 +1,12 @@
-//! The table in force here, and reads of the store.
+//! The table in force, and reads of the store.
 //!
-//! One poller a data centre reads the generation from the store; daemons ask each other which
-//! generation they hold and how old their proof is. An edit is accepted, and its operator told so,
-//! only after it was committed and a majority of the listed instances noted its generation. A
-//! daemon counts as up to date for one lease from a read of the store, or from questions that a
-//! majority answered. Any two majorities share an instance, so no decision under an older
-//! generation comes later than one lease after acceptance; cut off from the store and from the
-//! majority, a daemon stops deciding within the lease.
+//! One poller per data centre reads the generation from the store; daemons exchange their
+//! generations and the age of their proofs. An edit is reported as accepted only after its commit
+//! and after a majority of the listed instances confirmed its generation. A daemon is up to date
+//! for one lease after a read of the store, or after questions that a majority answered. Any two
+//! majorities share an instance, so no decision uses an older generation later than one lease after
+//! acceptance; without contact to the store and the majority, a daemon stops deciding within the
+//! lease.
 
 use std::time::Duration;
 
@@ -17,28 +17,28 @@
 use wire::Body;
 
 use crate::action::Action;
-use crate::action::Ask;
+use crate::action::StoreRequest;
 use crate::decision::Step;
-use crate::event::Stored;
+use crate::event::StoreReply;
 use crate::node::Node;
 use crate::rows::Rows;
 
-/// Pause after which an unanswered read of the store is given up.
+/// Timeout of a read of the store.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// What the poller of a data centre is chosen by.
-const POLLER: u64 = 0x706f_6c6c;
+/// Key that selects the poller of a data centre.
+const POLLER_KEY: u64 = 0x706f_6c6c;
 
 impl Node {
-    /// Reads the generation if this daemon polls for its data centre, or has no fresh proof.
+    /// Reads the generation if this daemon is the poller of its data centre or has no recent proof.
     pub(crate) fn poll(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         self.timers.poll = now + self.settings.poll_every;
         let waiting = self
             .tables
-            .desk
-            .reading
+            .sync
+            .pending_read
             .is_some_and(|(_, since)| now < since + READ_TIMEOUT);
-        let poller = self.members.fleet.owner_in(self.settings.zone, POLLER);
+        let poller = self.members.fleet.owner_in(self.settings.zone, POLLER_KEY);
         let mine = poller.is_none_or(|poller| poller == self.settings.instance);
         let stale = self
             .tables
@@ -46,63 +46,69 @@
             .age(now)
             .is_none_or(|age| age * 2 > self.settings.lease);
         if !waiting && (mine || stale) {
-            let ask = if self.tables.view.table().is_none() {
-                Ask::Table
+            let request = if self.tables.view.table().is_none() {
+                StoreRequest::Table
             } else {
-                Ask::Generation
+                StoreRequest::Generation
             };
-            self.read(ask, out);
+            self.read_store(request, out);
         }
     }
 
-    pub(crate) fn read(&mut self, ask: Ask, out: &mut Vec<Action>) {
-        let query = self.query();
-        self.tables.desk.reading = Some((query, self.now));
-        out.push(Action::Query { query, ask });
+    pub(crate) fn read_store(&mut self, request: StoreRequest, out: &mut Vec<Action>) {
+        let query = self.new_query();
+        self.tables.sync.pending_read = Some((query, self.now));
+        out.push(Action::Query { query, request });
     }
 
-    /// The store answered.
-    pub(crate) fn stored(&mut self, query: QueryId, outcome: Stored, out: &mut Vec<Action>) {
-        let recorded = matches!(outcome, Stored::Recorded);
-        if self.recorded(query, recorded) || self.looked_up(query, &outcome, out) {
+    /// Handles a reply of the store.
+    pub(crate) fn handle_store_reply(
+        &mut self,
+        query: QueryId,
+        outcome: StoreReply,
+        out: &mut Vec<Action>,
+    ) {
+        let recorded = matches!(outcome, StoreReply::Recorded);
+        if self.outcomes_written(query, recorded) || self.handle_lookup_reply(query, &outcome, out)
+        {
             return;
         }
-        let edition = self
+        let pending = self
             .tables
-            .desk
-            .editions
+            .sync
+            .pending_edits
             .iter()
-            .find(|(_, edition)| edition.commit == query);
-        if let Some(number) = edition.map(|(number, _)| *number) {
-            return self.committed(number, outcome, out);
+            .find(|(_, pending)| pending.commit == query);
+        if let Some(number) = pending.map(|(number, _)| *number) {
+            return self.handle_commit(number, outcome, out);
         }
-        let reading = self
+        let pending_read = self
             .tables
-            .desk
-            .reading
-            .take_if(|(reading, _)| *reading == query);
-        let Some((_, since)) = reading else {
+            .sync
+            .pending_read
+            .take_if(|(pending_read, _)| *pending_read == query);
+        let Some((_, since)) = pending_read else {
             return;
         };
         match outcome {
-            Stored::Generation { generation } => {
+            StoreReply::Generation { generation } => {
                 self.tables.view.announce(generation);
                 if self.tables.view.behind() {
-                    self.read(Ask::Table, out);
+                    self.read_store(StoreRequest::Table, out);
                 } else {
-                    self.prove(since);
+                    self.record_proof(since);
                 }
             }
-            Stored::Table(table) => {
+            StoreReply::Table(table) => {
                 self.tables.view.announce(table.generation);
-                self.take_table(*table, out);
-                self.prove(since);
+                self.apply_table(*table, out);
+                self.record_proof(since);
             }
             _ => (),
         }
     }
 
-    pub(crate) fn take_table(&mut self, table: Table, out: &mut Vec<Action>) {
+    pub(crate) fn apply_table(&mut self, table: Table, out: &mut Vec<Action>) {
         let generation = table.generation;
         if self.tables.view.offer(self.now, table) == Offer::Taken {
             let name = self.settings.name.clone();
@@ -118,13 +124,13 @@
                 .view
                 .table()
                 .is_some_and(|table| table.drains_instance(&self.settings.name));
-            self.life.drained = marked.then(|| self.life.drained.unwrap_or(self.now));
-            self.refresh_cells();
-            self.tell_news(out);
+            self.lifecycle.drained = marked.then(|| self.lifecycle.drained.unwrap_or(self.now));
+            self.refresh_schedulers();
+            self.send_news(out);
         }
     }
 
-    pub(crate) fn pulled(&mut self, from: Instance, out: &mut Vec<Action>) {
+    pub(crate) fn send_table(&mut self, from: Instance, out: &mut Vec<Action>) {
         if let Some(table) = self.tables.view.table().cloned() {
             self.send(from, Body::Push(Box::new(table)), out);
         }
--- a/crates/node/src/rounds.rs
+++ b/crates/node/src/timer_tasks.rs
@@ -1,4 +1,4 @@
-//! Carries out what is due.
+//! Runs periodic work when it is due.
 
 use std::time::Duration;
 
@@ -7,18 +7,19 @@
 use crate::action::Action;
 use crate::node::Node;
 
-/// Time between two housekeeping rounds.
+/// Interval between two rounds of housekeeping.
 const HOUSEKEEPING: Duration = Duration::from_millis(100);
-/// Time between two looks at the keepers of all pools; changes of members and list look at once.
+/// Interval between two checks of the keepers of all pools; changes of members and list are
+/// handled at once.
 const REASSIGN: Duration = Duration::from_secs(1);
 
 impl Node {
-    /// When `Event::Tick` is wanted at the latest.
-    pub fn wake(&self) -> Time {
-        self.timers.first().min(self.requests.holds.next_due())
+    /// Returns the latest time for the next `Event::Tick`.
+    pub fn next_wake(&self) -> Time {
+        self.timers.earliest().min(self.requests.holds.next_due())
     }
 
-    /// Carries out all that is due.
+    /// Runs all work that is due.
     pub(crate) fn run_timers(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         if now >= self.timers.fleet {
@@ -32,7 +33,7 @@
             self.poll(out);
         }
         if now >= self.timers.news {
-            self.tell_news(out);
+            self.send_news(out);
         }
         if now >= self.timers.inspect {
             self.inspect(out);
@@ -41,10 +42,10 @@
             self.audit(out);
         }
         if now >= self.timers.record {
-            self.record(out);
+            self.write_outcomes(out);
         }
-        if now >= self.timers.cells {
-            self.step_cells(out);
+        if now >= self.timers.schedulers {
+            self.run_schedulers(out);
         }
         self.run_releases(out);
     }
@@ -63,10 +64,10 @@
             self.reassign(out);
         }
         self.resubmit(out);
-        self.break_stalls(out);
-        self.attach_again(out);
-        self.give_up_left(out);
-        self.expire_questions(out);
+        self.abort_stalled_orders(out);
+        self.retry_attach(out);
+        self.end_abandoned(out);
+        self.expire_lookups(out);
         self.expire_edits(out);
         self.try_finish(out);
     }
--- a/crates/node/tests/harness/mod.rs
+++ b/crates/node/tests/harness/mod.rs
@@ -16,21 +16,21 @@
 use ident::Zone;
 use node::Node;
 use node::action::Action;
-use node::action::Ask;
+use node::action::CallerMessage;
+use node::action::StoreRequest;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::event::Failure;
-use node::event::Held;
+use node::event::HeldAttempt;
 use node::event::Inspection;
 use node::event::Piece;
 use node::event::Reply;
-use node::event::Stored;
+use node::event::StoreReply;
 use node::ids::CallId;
 use node::ids::OrderId;
-use node::list::Backend;
-use node::list::List;
-use node::list::Seat;
+use node::list::ListedInstance;
+use node::list::ListedReplica;
+use node::list::PlatformList;
 use node::request::Request;
 use node::request::Work;
 use node::settings::Settings;
@@ -53,7 +53,7 @@
     node: Node,
     now: Time,
     pub orders: Vec<(OrderId, Task)>,
-    pub responses: Vec<(CallId, Tell)>,
+    pub responses: Vec<(CallId, CallerMessage)>,
     pub sent: Vec<(Instance, Body)>,
     /// Whether replicas answer inspections.
     pub replicas_answer: bool,
@@ -106,16 +106,16 @@
     fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Order { order, task, .. } => self.orders.push((order, task)),
-            Action::Tell { call, tell } => self.responses.push((call, tell)),
+            Action::SendToCaller { call, message } => self.responses.push((call, message)),
             Action::Send { to, frame } => self.sent.push((to, frame.body)),
             Action::Fault { cause } => panic!("fault: {cause}"),
-            Action::Query { query, ask } => {
+            Action::Query { query, request } => {
                 let outcome = if self.store_answers {
-                    store_answer(&ask)
+                    store_answer(&request)
                 } else {
                     query_failed()
                 };
-                return Some(Event::Stored { query, outcome });
+                return Some(Event::StoreReplied { query, outcome });
             }
             Action::Inspect { replica, asked, .. } if self.replicas_answer => {
                 let state = Some(idle_inspection());
@@ -134,7 +134,7 @@
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            let wake = self.node.wake().max(self.now + STEP_TIME).min(end);
+            let wake = self.node.next_wake().max(self.now + STEP_TIME).min(end);
             self.now = wake - STEP_TIME;
             self.feed(Event::Tick);
         }
@@ -168,7 +168,7 @@
     /// Answers `inspections`: each replica holds the last stream begun, with this core as its owner
     /// and the fencing number `fence`.
     pub fn answer_inspections(&mut self, inspections: Vec<(Replica, Time)>, fence: u64) {
-        let held = Held {
+        let held = HeldAttempt {
             handle: self.handle(),
             owner: INCARNATION,
             fence,
@@ -192,8 +192,8 @@
             .responses
             .iter()
             .rev()
-            .filter_map(|(_, tell)| match tell {
-                Tell::Head { handle, .. } => Some(*handle),
+            .filter_map(|(_, message)| match message {
+                CallerMessage::Head { handle, .. } => Some(*handle),
                 _ => None,
             });
         heads.next().expect("a head was sent")
@@ -256,8 +256,8 @@
     pub fn tokens_sent(&self, call: CallId) -> Vec<(u32, u32)> {
         let responses = self.responses.iter().filter(|(to, _)| *to == call);
         responses
-            .filter_map(|(_, tell)| match tell {
-                Tell::Tokens { offset, count, .. } => Some((*offset, *count)),
+            .filter_map(|(_, message)| match message {
+                CallerMessage::Tokens { offset, count, .. } => Some((*offset, *count)),
                 _ => None,
             })
             .collect()
@@ -265,26 +265,26 @@
 
     pub fn resume_token(&self) -> String {
         let heads = self.responses.iter().rev();
-        let mut tokens = heads.filter_map(|(_, tell)| match tell {
-            Tell::Head { token, .. } => Some(token.clone()),
+        let mut tokens = heads.filter_map(|(_, message)| match message {
+            CallerMessage::Head { token, .. } => Some(token.clone()),
             _ => None,
         });
         tokens.next().expect("a head was sent")
     }
 }
 
-fn store_answer(ask: &Ask) -> Stored {
-    match ask {
-        Ask::Generation => Stored::Generation { generation: 1 },
-        Ask::Table => Stored::Table(Box::new(table())),
-        Ask::Outcome { .. } => Stored::Outcome(None),
-        Ask::Record { .. } => Stored::Recorded,
-        Ask::Commit(_) => query_failed(),
+fn store_answer(request: &StoreRequest) -> StoreReply {
+    match request {
+        StoreRequest::Generation => StoreReply::Generation { generation: 1 },
+        StoreRequest::Table => StoreReply::Table(Box::new(table())),
+        StoreRequest::Outcome { .. } => StoreReply::Outcome(None),
+        StoreRequest::Record { .. } => StoreReply::Recorded,
+        StoreRequest::Commit(_) => query_failed(),
     }
 }
 
-fn query_failed() -> Stored {
-    Stored::Failed {
+fn query_failed() -> StoreReply {
+    StoreReply::Failed {
         maybe: false,
         cause: "not answered here".to_owned(),
     }
@@ -331,8 +331,8 @@
     Table::new(1, vec![Row::new("ration", "default", "ration")])
 }
 
-fn list() -> List {
-    let backend = |name: &str, role| Backend {
+fn list() -> PlatformList {
+    let replica = |name: &str, role| ListedReplica {
         replica: Replica::new(name),
         name: name.to_owned(),
         zone: Zone::new(ZONE),
@@ -342,19 +342,19 @@
         fences: true,
         leaving: false,
     };
-    let seat = Seat {
+    let instance = ListedInstance {
         instance: Instance::new("entry-1"),
         name: "entry-1".to_owned(),
         zone: Zone::new(ZONE),
         caller: "127.0.0.1:7001".to_owned(),
         leaving: false,
     };
-    List {
-        instances: vec![seat],
+    PlatformList {
+        instances: vec![instance],
         replicas: vec![
-            backend("ration-p0", Role::Prefill),
-            backend("ration-d0", Role::Decode),
-            backend("ration-d1", Role::Decode),
+            replica("ration-p0", Role::Prefill),
+            replica("ration-d0", Role::Decode),
+            replica("ration-d1", Role::Decode),
         ],
     }
 }
--- a/crates/node/tests/key_lookups.rs
+++ b/crates/node/tests/key_lookups.rs
@@ -7,7 +7,7 @@
 use ident::Incarnation;
 use ident::Instance;
 use ident::Zone;
-use node::action::Tell;
+use node::action::CallerMessage;
 use node::event::Event;
 use node::ids::CallId;
 use node::request::Request;
@@ -51,10 +51,13 @@
 }
 
 fn bodies(harness: &Harness) -> Vec<Bytes> {
-    let responses = harness.responses.iter().filter_map(|(_, tell)| match tell {
-        Tell::Answer { body, .. } => Some(body.clone()),
-        _ => None,
-    });
+    let responses = harness
+        .responses
+        .iter()
+        .filter_map(|(_, message)| match message {
+            CallerMessage::Answer { body, .. } => Some(body.clone()),
+            _ => None,
+        });
     responses.collect()
 }
 
--- a/crates/node/tests/pauses.rs
+++ b/crates/node/tests/pauses.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
+use node::action::CallerMessage;
 use node::action::Outcome;
-use node::action::Tell;
 use node::event::Event;
 use node::ids::CallId;
 use rstest::rstest;
@@ -34,9 +34,12 @@
     harness.feed(Event::Stop);
     harness.run_for(REQUESTS_CLOSED);
     harness.send_request(CALL);
-    let outcome = harness.responses.iter().find_map(|(_, tell)| match tell {
-        Tell::Refusal(refusal) => Some(refusal.outcome),
-        _ => None,
-    });
+    let outcome = harness
+        .responses
+        .iter()
+        .find_map(|(_, message)| match message {
+            CallerMessage::Refusal(refusal) => Some(refusal.outcome),
+            _ => None,
+        });
     assert_eq!(outcome, Some(expected));
 }
--- a/crates/node/tests/proofs.rs
+++ b/crates/node/tests/proofs.rs
@@ -8,8 +8,8 @@
 use ident::Incarnation;
 use ident::Instance;
 use ident::Zone;
+use node::action::CallerMessage;
 use node::action::Reason;
-use node::action::Tell;
 use node::ids::CallId;
 use wire::Body;
 use wire::TableStatus;
@@ -56,8 +56,9 @@
 fn is_stale(harness: &mut Harness) -> bool {
     harness.send_request(CALL);
     let mut responses = harness.responses.iter();
-    responses
-        .any(|(_, tell)| matches!(tell, Tell::Refusal(refusal) if refusal.reason == Reason::Stale))
+    responses.any(|(_, message)| {
+        matches!(message, CallerMessage::Refusal(refusal) if refusal.reason == Reason::Stale)
+    })
 }
 
 /// A daemon requests the age of a peer's table and restarts before the answer arrives. The clocks
--- a/crates/node/tests/simulation/actions.rs
+++ b/crates/node/tests/simulation/actions.rs
@@ -4,11 +4,11 @@
 
 use ident::Instance;
 use node::action::Action;
-use node::action::Ask;
+use node::action::StoreRequest;
 use node::decision::Decision;
 use node::decision::Step;
 use node::event::Event;
-use node::event::Stored;
+use node::event::StoreReply;
 use node::ids::QueryId;
 use rand::RngExt;
 use wire::Decoder;
@@ -54,9 +54,9 @@
                     },
                 );
             }
-            Action::Tell { call, tell } => self.handle_response(daemon, call, tell),
+            Action::SendToCaller { call, message } => self.handle_response(daemon, call, message),
             Action::Send { to, frame } => self.send(daemon, to, &frame),
-            Action::Query { query, ask } => self.query(daemon, run, query, ask),
+            Action::Query { query, request } => self.query(daemon, run, query, request),
             Action::Log(decision) => self.check_decision(daemon, &decision),
             Action::Fault { cause } => {
                 self.record_violation(format!("entry-{daemon}: fault: {cause}"));
@@ -92,7 +92,7 @@
         }
     }
 
-    pub(super) fn query(&mut self, daemon: usize, run: u32, query: QueryId, ask: Ask) {
+    pub(super) fn query(&mut self, daemon: usize, run: u32, query: QueryId, request: StoreRequest) {
         let slow = self.now < self.store.slow_until;
         let micros = if slow {
             self.rng.random_range(500_000..4_000_000)
@@ -105,24 +105,30 @@
                 daemon,
                 run,
                 query,
-                ask,
+                request,
             },
         );
     }
 
-    pub(super) fn run_query(&mut self, daemon: usize, run: u32, query: QueryId, ask: Ask) {
+    pub(super) fn run_query(
+        &mut self,
+        daemon: usize,
+        run: u32,
+        query: QueryId,
+        request: StoreRequest,
+    ) {
         let cut = self.network.is_cut(self.now, Link::Store(daemon));
         let (outcome, delay) = if cut {
-            let outcome = Stored::Failed {
+            let outcome = StoreReply::Failed {
                 maybe: false,
                 cause: "store: not reached".to_owned(),
             };
             (outcome, QUERY_TIMEOUT)
         } else {
             let back = Duration::from_micros(self.rng.random_range(300..3_000));
-            (self.store.carry_out(self.now, ask), back)
+            (self.store.carry_out(self.now, request), back)
         };
-        let event = Event::Stored { query, outcome };
+        let event = Event::StoreReplied { query, outcome };
         self.schedule(delay, SimEvent::DaemonEvent { daemon, run, event });
     }
 
@@ -190,7 +196,7 @@
 fn action_digest(action: &Action) -> u64 {
     match action {
         Action::Order { order, handle, .. } => order.0 ^ handle.sequence ^ handle.owner.0,
-        Action::Tell { call, .. } => call.0 << 8,
+        Action::SendToCaller { call, .. } => call.0 << 8,
         Action::Send { to, .. } => to.0,
         Action::Query { query, .. } => query.0 << 16,
         Action::Log(decision) => decision.generation + decision.reason.len() as u64,
--- a/crates/node/tests/simulation/caller_attempts.rs
+++ b/crates/node/tests/simulation/caller_attempts.rs
@@ -1,10 +1,10 @@
 //! Connections, retries and responses of callers.
 
 use ident::Prefix;
+use node::action::CallerMessage;
 use node::action::Outcome;
 use node::action::Reason;
 use node::action::Refusal;
-use node::action::Tell;
 use node::event::Event;
 use node::ids::CallId;
 use rand::RngExt;
@@ -121,21 +121,23 @@
         self.deliver_event(daemon, run, event);
     }
 
-    pub(super) fn receive(&mut self, caller: usize, call: CallId, tell: Tell) {
+    pub(super) fn receive(&mut self, caller: usize, call: CallId, message: CallerMessage) {
         if self.is_lost(call) {
             return;
         }
         let is_current = self.callers[caller].conn == Some(call);
-        match tell {
-            Tell::Done { .. } | Tell::Answer { .. } => self.end_caller(caller, State::Complete),
+        match message {
+            CallerMessage::Done { .. } | CallerMessage::Answer { .. } => {
+                self.end_caller(caller, State::Complete);
+            }
             _ if !is_current => (),
-            Tell::Head { token, .. } => self.callers[caller].token = Some(token),
-            Tell::Tokens { offset, count, .. } => {
+            CallerMessage::Head { token, .. } => self.callers[caller].token = Some(token),
+            CallerMessage::Tokens { offset, count, .. } => {
                 self.callers[caller].received_tokens = offset + count;
             }
-            Tell::Superseded => self.retry_request(caller, 300),
-            Tell::Refusal(refusal) => self.refused(caller, call, &refusal),
-            Tell::Edit(_) => (),
+            CallerMessage::Superseded => self.retry_request(caller, 300),
+            CallerMessage::Refusal(refusal) => self.refused(caller, call, &refusal),
+            CallerMessage::Edit(_) => (),
         }
     }
 
--- a/crates/node/tests/simulation/callers.rs
+++ b/crates/node/tests/simulation/callers.rs
@@ -155,7 +155,7 @@
             }
             CallerEvent::Abandon => self.end_caller(caller, State::Gone),
             CallerEvent::Connect { daemon, resume } => self.connect(caller, daemon, resume),
-            CallerEvent::Received { call, tell } => self.receive(caller, call, tell),
+            CallerEvent::Received { call, message } => self.receive(caller, call, message),
             CallerEvent::Disconnected { call } if call == self.callers[caller].conn => {
                 self.callers[caller].conn = None;
                 let ms = self.rng.random_range(50..800);
--- a/crates/node/tests/simulation/connections.rs
+++ b/crates/node/tests/simulation/connections.rs
@@ -87,7 +87,7 @@
         };
         conn.state = State::Closed;
         let (daemon, run) = (conn.daemon, conn.run);
-        let event = Event::Left { call };
+        let event = Event::Disconnected { call };
         self.trace_line(|| format!("{call:?} at entry-{daemon} closes"));
         self.schedule_micros(500, SimEvent::DaemonEvent { daemon, run, event });
     }
--- a/crates/node/tests/simulation/daemon.rs
+++ b/crates/node/tests/simulation/daemon.rs
@@ -10,9 +10,9 @@
 use ident::Zone;
 use node::Node;
 use node::event::Event;
-use node::list::Backend;
-use node::list::List;
-use node::list::Seat;
+use node::list::ListedInstance;
+use node::list::ListedReplica;
+use node::list::PlatformList;
 use node::settings::Settings;
 use rand::RngExt;
 
@@ -117,14 +117,14 @@
     }
 
     pub(super) fn send_list(&mut self, daemon: usize) {
-        let instances = self.daemons.iter().map(|entry| Seat {
+        let instances = self.daemons.iter().map(|entry| ListedInstance {
             instance: entry.instance,
             name: entry.name.clone(),
             zone: entry.zone,
             caller: entry.name.clone(),
             leaving: entry.stopping,
         });
-        let replicas = self.engines.iter().map(|engine| Backend {
+        let replicas = self.engines.iter().map(|engine| ListedReplica {
             replica: engine.replica,
             name: engine.name.clone(),
             zone: Zone::new("osijek-a"),
@@ -134,7 +134,7 @@
             fences: engine.fences,
             leaving: false,
         });
-        let list = List {
+        let list = PlatformList {
             instances: instances.collect(),
             replicas: replicas.collect(),
         };
@@ -187,7 +187,7 @@
         }
         let mut actions = Vec::new();
         core.step(local, event, &mut actions);
-        let wake = core.wake() - Duration::from_millis(entry.skew);
+        let wake = core.next_wake() - Duration::from_millis(entry.skew);
         for action in actions {
             if self.daemons[daemon].core.is_some() {
                 self.carry_out_action(daemon, run, action);
--- a/crates/node/tests/simulation/mod.rs
+++ b/crates/node/tests/simulation/mod.rs
@@ -231,8 +231,8 @@
                 daemon,
                 run,
                 query,
-                ask,
-            } => self.run_query(daemon, run, query, ask),
+                request,
+            } => self.run_query(daemon, run, query, request),
             SimEvent::Inspect {
                 daemon,
                 run,
--- a/crates/node/tests/simulation/responses.rs
+++ b/crates/node/tests/simulation/responses.rs
@@ -1,10 +1,10 @@
 //! Checks the responses of daemons to callers and operators and delivers them.
 
 use bytes::Bytes;
+use node::action::CallerMessage;
 use node::action::Outcome;
 use node::action::Reason;
 use node::action::Refusal;
-use node::action::Tell;
 use node::ids::CallId;
 
 use super::LEASE;
@@ -24,8 +24,13 @@
 
 impl Simulation {
     /// Checks a response of `daemon` and schedules its delivery.
-    pub(super) fn handle_response(&mut self, daemon: usize, call: CallId, tell: Tell) {
-        self.trace_line(|| format!("entry-{daemon} responds to {call:?}: {}", summarize(&tell)));
+    pub(super) fn handle_response(&mut self, daemon: usize, call: CallId, message: CallerMessage) {
+        self.trace_line(|| {
+            format!(
+                "entry-{daemon} responds to {call:?}: {}",
+                summarize(&message)
+            )
+        });
         let Some(conn) = self.conns.get(&call).copied() else {
             return self.record_violation(format!("entry-{daemon} responds to unknown {call:?}"));
         };
@@ -37,22 +42,22 @@
             }
             State::Closed | State::Dropped => return,
             State::Answered => {
-                let tell = summarize(&tell);
+                let message = summarize(&message);
                 return self
-                    .record_violation(format!("{call:?} gets {tell} after its last response"));
+                    .record_violation(format!("{call:?} gets {message} after its last response"));
             }
             State::Open => (),
         }
         match conn.peer {
-            Peer::Caller(caller) => self.handle_caller_response(call, caller, true, tell),
-            Peer::Reader(caller) => self.handle_caller_response(call, caller, false, tell),
-            Peer::Operator(operator) => self.handle_operator_response(call, operator, tell),
+            Peer::Caller(caller) => self.handle_caller_response(call, caller, true, message),
+            Peer::Reader(caller) => self.handle_caller_response(call, caller, false, message),
+            Peer::Operator(operator) => self.handle_operator_response(call, operator, message),
         }
     }
 
-    fn handle_operator_response(&mut self, call: CallId, operator: usize, tell: Tell) {
-        let Tell::Edit(verdict) = tell else {
-            return self.record_violation(format!("operator at {call:?} gets {tell:?}"));
+    fn handle_operator_response(&mut self, call: CallId, operator: usize, message: CallerMessage) {
+        let CallerMessage::Edit(verdict) = message else {
+            return self.record_violation(format!("operator at {call:?} gets {message:?}"));
         };
         self.check_verdict(operator, &verdict);
         self.mark_answered(call);
@@ -71,35 +76,43 @@
         call: CallId,
         caller: usize,
         is_request: bool,
-        tell: Tell,
+        message: CallerMessage,
     ) {
-        if matches!(tell, Tell::Tokens { .. } | Tell::Done { .. }) {
+        if matches!(
+            message,
+            CallerMessage::Tokens { .. } | CallerMessage::Done { .. }
+        ) {
             self.check_owner(call);
         }
-        match &tell {
-            Tell::Head { handle, .. } => {
+        match &message {
+            CallerMessage::Head { handle, .. } => {
                 let handle = Some(*handle);
                 self.conns
                     .entry(call)
                     .and_modify(|conn| conn.handle = handle);
             }
-            Tell::Tokens {
+            CallerMessage::Tokens {
                 offset,
                 count,
                 text,
             } => self.check_tokens(call, caller, *offset, *count, text),
-            Tell::Done { tokens } => self.check_done(call, caller, *tokens),
-            Tell::Superseded => self.check_superseded(call, caller),
-            Tell::Answer { body, .. } => self.check_body(call, caller, body),
-            Tell::Refusal(refusal) => self.check_refusal(call, caller, is_request, refusal),
-            Tell::Edit(_) => {
+            CallerMessage::Done { tokens } => self.check_done(call, caller, *tokens),
+            CallerMessage::Superseded => self.check_superseded(call, caller),
+            CallerMessage::Answer { body, .. } => self.check_body(call, caller, body),
+            CallerMessage::Refusal(refusal) => {
+                self.check_refusal(call, caller, is_request, refusal);
+            }
+            CallerMessage::Edit(_) => {
                 self.record_violation(format!("caller at {call:?} gets a verdict on an edit"));
             }
         }
-        if !matches!(tell, Tell::Head { .. } | Tell::Tokens { .. }) {
+        if !matches!(
+            message,
+            CallerMessage::Head { .. } | CallerMessage::Tokens { .. }
+        ) {
             self.mark_answered(call);
         }
-        let event = CallerEvent::Received { call, tell };
+        let event = CallerEvent::Received { call, message };
         let delay = self.conns[&call].delay;
         self.schedule_micros(delay, SimEvent::Caller { caller, event });
     }
@@ -182,17 +195,17 @@
 }
 
 /// Returns a short form for traces.
-fn summarize(tell: &Tell) -> String {
-    match tell {
-        Tell::Head { handle, .. } => format!("head of {handle}"),
-        Tell::Tokens { offset, count, .. } => format!("{count} tokens from {offset}"),
-        Tell::Refusal(refusal) => format!(
+fn summarize(message: &CallerMessage) -> String {
+    match message {
+        CallerMessage::Head { handle, .. } => format!("head of {handle}"),
+        CallerMessage::Tokens { offset, count, .. } => format!("{count} tokens from {offset}"),
+        CallerMessage::Refusal(refusal) => format!(
             "{} {}, retry after {} ms at {:?}",
             refusal.outcome.word(),
             refusal.reason.word(),
             refusal.retry_after_ms,
             refusal.addresses
         ),
-        _ => format!("{tell:?}"),
+        _ => format!("{message:?}"),
     }
 }
--- a/crates/node/tests/simulation/sim_event.rs
+++ b/crates/node/tests/simulation/sim_event.rs
@@ -4,9 +4,9 @@
 use ident::Incarnation;
 use ident::Replica;
 use ident::Time;
-use node::action::Ask;
+use node::action::CallerMessage;
+use node::action::StoreRequest;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::ids::CallId;
 use node::ids::QueryId;
@@ -50,7 +50,7 @@
         daemon: usize,
         run: u32,
         query: QueryId,
-        ask: Ask,
+        request: StoreRequest,
     },
     /// An inspection reaches a replica.
     Inspect {
@@ -118,7 +118,10 @@
         resume: Option<String>,
     },
     /// A response arrives.
-    Received { call: CallId, tell: Tell },
+    Received {
+        call: CallId,
+        message: CallerMessage,
+    },
     /// A connection broke or could not be opened.
     Disconnected { call: Option<CallId> },
 }
--- a/crates/node/tests/streams.rs
+++ b/crates/node/tests/streams.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
+use node::action::CallerMessage;
 use node::action::Outcome;
 use node::action::Reason;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::event::Failure;
 use node::event::Piece;
@@ -44,7 +44,7 @@
     assert_eq!(harness.tokens_sent(SECOND), [(0, 40)]);
     assert!(matches!(
         harness.responses.last(),
-        Some((SECOND, Tell::Done { tokens: 40 }))
+        Some((SECOND, CallerMessage::Done { tokens: 40 }))
     ));
 }
 
@@ -83,7 +83,7 @@
     harness.send_request(FIRST);
     let (order, _) = harness.finish_prefill();
     harness.send_tokens(order, 0, 5);
-    harness.feed(Event::Left { call: FIRST });
+    harness.feed(Event::Disconnected { call: FIRST });
     harness.fail_order(order, Failure::Lost);
     harness.run_for(Duration::from_secs(1));
     let (last, task) = harness.last_order();
@@ -119,9 +119,9 @@
         token: change(harness.resume_token()),
         offset: 0,
     });
-    let (call, tell) = harness.responses.last().expect("a response was sent");
-    let Tell::Refusal(refusal) = tell else {
-        panic!("{tell:?}");
+    let (call, message) = harness.responses.last().expect("a response was sent");
+    let CallerMessage::Refusal(refusal) = message else {
+        panic!("{message:?}");
     };
     assert_eq!(*call, SECOND);
     assert_eq!(refusal.outcome, Outcome::NotRun);
