--- a/crates/node/tests/key_lookups.rs
+++ b/crates/node/tests/key_lookups.rs
@@ -35,11 +35,11 @@
         call: CALL,
         request,
     });
-    let asked = harness.sent.iter().rev().find_map(|(to, body)| match body {
+    let nonce = harness.sent.iter().rev().find_map(|(to, body)| match body {
         Body::Ask { nonce, .. } if *to == runner().instance => Some(*nonce),
         _ => None,
     });
-    asked.expect("a lookup at the runner")
+    nonce.expect("a lookup at the runner")
 }
 
 fn answer_frame(nonce: u64, body: &'static str) -> Body {
--- a/crates/node/tests/proofs.rs
+++ b/crates/node/tests/proofs.rs
@@ -36,11 +36,11 @@
     harness.add_peer(&peer());
     harness.store_answers = false;
     harness.run_with_peer(&peer(), STORE_OUTAGE);
-    let asked = harness.sent.iter().rev().find_map(|(to, body)| match body {
-        Body::News(news) if *to == peer().instance && !news.answer => Some(*news),
+    let request = harness.sent.iter().rev().find_map(|(to, body)| match body {
+        Body::News(status) if *to == peer().instance && !status.answer => Some(*status),
         _ => None,
     });
-    asked.expect("a request to the peer")
+    request.expect("a request to the peer")
 }
 
 /// Returns the answer of a peer that has just read the store.
--- a/crates/node/tests/simulation/actions.rs
+++ b/crates/node/tests/simulation/actions.rs
@@ -149,13 +149,13 @@
             return;
         }
         let generation = decision.generation;
-        let former = self.daemons[daemon].last_generation;
-        if generation < former {
+        let previous = self.daemons[daemon].last_generation;
+        if generation < previous {
             self.record_violation(format!(
-                "entry-{daemon} decided by generation {generation} after {former}"
+                "entry-{daemon} decided by generation {generation} after {previous}"
             ));
         }
-        self.daemons[daemon].last_generation = generation.max(former);
+        self.daemons[daemon].last_generation = generation.max(previous);
         let newest = self
             .accepted
             .iter()
--- a/crates/node/tests/simulation/execution.rs
+++ b/crates/node/tests/simulation/execution.rs
@@ -79,8 +79,8 @@
         if engine.works.contains_key(&arriving.handle) {
             return Err(refused(HTTP_CONFLICT, None));
         }
-        let busy = |work: &&Work| work.phase == Phase::Prefill;
-        if engine.works.values().filter(busy).count() >= MAX_PREFILLS {
+        let is_prefilling = |work: &&Work| work.phase == Phase::Prefill;
+        if engine.works.values().filter(is_prefilling).count() >= MAX_PREFILLS {
             return Err(refused(HTTP_TOO_MANY, None));
         }
         let done = match arriving.task {
@@ -133,18 +133,18 @@
             return Err(refused(HTTP_TOO_MANY, None));
         }
         let found = source.and_then(|source| self.engines[source].works.get(&arriving.handle));
-        let Some(kept) = found.filter(|work| work.phase == Phase::Kept) else {
+        let Some(prefilled) = found.filter(|work| work.phase == Phase::Kept) else {
             return Err(refused(HTTP_GONE, None));
         };
         let work = Work {
             owner: arriving.owner,
             fence: arriving.fence,
             phase: Phase::Import,
-            caller: kept.caller,
+            caller: prefilled.caller,
             reader: Some(arriving.ticket),
             next: offset,
-            produced: kept.produced,
-            length: kept.length.min(max_tokens),
+            produced: prefilled.produced,
+            length: prefilled.length.min(max_tokens),
         };
         self.insert_work(arriving, work, 1_000..40_000);
         Ok(())
@@ -160,12 +160,12 @@
         work.owner = arriving.owner;
         work.fence = work.fence.max(arriving.fence);
         work.next = offset;
-        let former = work.reader.replace(arriving.ticket);
-        let taker = (arriving.ticket.daemon, self.now);
-        self.takeovers.insert(arriving.handle, taker);
-        if let Some(former) = former {
-            self.send_piece(former, &Piece::Superseded);
-            self.send_last_reply(former, Reply::StreamEnded);
+        let previous = work.reader.replace(arriving.ticket);
+        let takeover = (arriving.ticket.daemon, self.now);
+        self.takeovers.insert(arriving.handle, takeover);
+        if let Some(previous) = previous {
+            self.send_piece(previous, &Piece::Superseded);
+            self.send_last_reply(previous, Reply::StreamEnded);
         }
         if self.engines[arriving.engine].works[&arriving.handle].phase != Phase::Import {
             self.send_piece(arriving.ticket, &Piece::Imported);
--- a/crates/node/tests/simulation/responses.rs
+++ b/crates/node/tests/simulation/responses.rs
@@ -121,11 +121,11 @@
         let Some(conn) = self.conns.get_mut(&call) else {
             return;
         };
-        let due = conn.next;
+        let expected = conn.next;
         conn.next = offset + count;
-        if offset != due || count == 0 {
+        if offset != expected || count == 0 {
             self.record_violation(format!(
-                "{call:?} gets {count} tokens from {offset}, expected from {due}"
+                "{call:?} gets {count} tokens from {offset}, expected from {expected}"
             ));
         }
         if *text != expected_text(caller, offset, count) {
@@ -179,8 +179,8 @@
         } else {
             self.conns[&call].reached_replica
         };
-        let untrue = refusal.outcome == Outcome::NotRun && reached_replica;
-        if is_request && untrue {
+        let is_false = refusal.outcome == Outcome::NotRun && reached_replica;
+        if is_request && is_false {
             let reason = refusal.reason.word();
             self.record_violation(format!(
                 "{call:?} of caller {caller} gets `not run` ({reason}) after a byte reached a replica"
--- a/crates/node/tests/simulation/store.rs
+++ b/crates/node/tests/simulation/store.rs
@@ -44,11 +44,11 @@
         if now < self.down_until {
             return failed(false, "store: down");
         }
-        let stored = self.answer(request);
+        let reply = self.answer(request);
         if now < self.loses_answers_until {
             return failed(true, "store: answer lost");
         }
-        stored
+        reply
     }
 
     fn answer(&mut self, request: StoreRequest) -> StoreReply {
