--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use getopts::Matches;
-use table::drain::Mark;
+use table::drain::DrainTarget;
 
 use crate::error::Error;
 
@@ -89,9 +89,9 @@
     /// List the accepted edits.
     TableHistory,
     /// Drain an instance or a replica.
-    Drain(Mark, SubmitOptions),
+    Drain(DrainTarget, SubmitOptions),
     /// Stop draining an instance or a replica.
-    Undrain(Mark, SubmitOptions),
+    Undrain(DrainTarget, SubmitOptions),
     /// Show the state of the instances.
     Status,
     /// Show the decisions for a request, from the instances and from log files.
@@ -233,9 +233,9 @@
         .map_err(|_| usage_error(format!("{name}: `{text}` is not a number of 0 or more")))
 }
 
-fn drain_target(kind: &str, name: &str) -> Result<Mark, Error> {
+fn drain_target(kind: &str, name: &str) -> Result<DrainTarget, Error> {
     let problem = || usage_error(format!("`{kind}` is neither `instance` nor `replica`"));
-    Mark::with_kind(kind, name).ok_or_else(problem)
+    DrainTarget::from_kind(kind, name).ok_or_else(problem)
 }
 
 fn usage_error(cause: String) -> Error {
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use table::Table;
-use table::drain::Mark;
+use table::drain::DrainTarget;
 use table::edit::Change;
 use table::edit::Edit;
 
@@ -17,7 +17,7 @@
 /// Starts draining `target` if `set`, or else stops it, and waits until that is in force.
 pub(super) async fn run(
     admin: &AdminClient,
-    target: &Mark,
+    target: &DrainTarget,
     set: bool,
     options: &SubmitOptions,
     output: Output,
--- a/crates/gateway/src/auxiliary.rs
+++ b/crates/gateway/src/auxiliary.rs
@@ -25,8 +25,8 @@
         return responses::answer(StatusCode::NOT_FOUND, "", "not found\n");
     }
     let near = request.uri().query().and_then(directory::data_centre);
-    let open = shared.members.borrow().open();
-    let endpoints = relay::directory::select_addresses(&open, near, shared.breadth());
+    let open = shared.members.borrow().advertised();
+    let endpoints = relay::directory::select_addresses(&open, near, shared.advertised_scope());
     if endpoints.is_empty() {
         return responses::answer(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -34,7 +34,7 @@
             "no instance is known to be ready\n",
         );
     }
-    let body = directory::answer(endpoints, ADDRESSES_TTL_S);
+    let body = directory::answer_body(endpoints, ADDRESSES_TTL_S);
     full_response(body, "application/json")
 }
 
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -98,11 +98,11 @@
         .map_or_else(Limits::default, |plan| plan.limits);
     let body = read_body(shared, &call.id, body, limits).await?;
     let host = host(&parts).unwrap_or_default();
-    let key = caller::key(&parts.headers);
+    let key = caller::key_digest(&parts.headers);
     let target = target::find(shared, &host, parts.uri.path(), key)
         .map_err(|error| error_response(shared, &call.id, key, &error))?;
     if target.owner != Owner::Anyone {
-        caller::drop_key(&mut parts.headers);
+        caller::remove_key(&mut parts.headers);
     }
     shared.count_request(&target.service);
     let path = job::path_and_query(&parts.uri);
@@ -210,7 +210,7 @@
     text: &'static str,
 ) -> Response<Body> {
     shared.metrics.request("rejected");
-    if let Some(omitted) = shared.may_log() {
+    if let Some(omitted) = shared.may_log_rejection() {
         log::info!(kind = "end", request = id, outcome = "rejected", omitted = omitted, status = status.as_u16(), cause = cause; "request rejected");
     }
     responses::answer(status, id, text)
@@ -219,7 +219,7 @@
 /// Refuses a request that this daemon cannot serve now.
 fn refuse(shared: &Shared, id: &str, retry_after: Duration, cause: &'static str) -> Response<Body> {
     shared.metrics.request("refused");
-    if let Some(omitted) = shared.may_log() {
+    if let Some(omitted) = shared.may_log_rejection() {
         log::info!(kind = "end", request = id, outcome = "refused", status = 503, omitted = omitted, cause = cause; "request refused");
     }
     responses::refuse(id, retry_after, "not now; the request has not run\n")
--- a/crates/gateway/src/forward/resume.rs
+++ b/crates/gateway/src/forward/resume.rs
@@ -32,7 +32,7 @@
     /// Stops the run at `from` to continue at `to`; `None` if it stays where it is.
     pub(super) async fn stop_for_migration(&mut self, from: Key, to: Key) -> Option<StoppedRun> {
         let request = &self.job.call.id;
-        let granted = self.shared.allow(&self.job, Work::Run);
+        let granted = self.shared.ensure_permit(&self.job, Work::Run);
         let outcome = if granted {
             migration::stop(&self.shared, request, from, to).await
         } else {
@@ -67,10 +67,10 @@
             return None;
         };
         for key in &stopped.candidates {
-            let Some(permit) = self.shared.permit(&self.job, Work::Run) else {
+            let Some(permit) = self.shared.take_permit(&self.job, Work::Run) else {
                 break;
             };
-            let task = Task::GoOn {
+            let task = Task::Continue {
                 address: stopped.address,
                 handle: stopped.handle.clone(),
                 last_event,
@@ -113,7 +113,7 @@
     /// Finds a placement at another replica while the current one is silent; `None` if the retry
     /// budget is exhausted or no replica has room.
     pub(super) async fn find_other_placement(&self) -> Option<Placement> {
-        if !self.shared.may_allow(&self.job) {
+        if !self.shared.can_retry(&self.job) {
             return None;
         }
         let find = placement::find_now(
@@ -132,7 +132,7 @@
     pub(super) async fn resume(&mut self, placement: Option<Placement>) -> Option<Reply> {
         let last_event = self.splitter.resume(self.job.call.last_event).ok()?;
         let (shared, job) = (&self.shared, &self.job);
-        let in_budget = || shared.allow(job, Work::Run);
+        let in_budget = || shared.ensure_permit(job, Work::Run);
         let next = self.attempt.next_step(Sent::Lost, in_budget);
         if next != Next::Retry {
             return None;
--- a/crates/gateway/src/prefill.rs
+++ b/crates/gateway/src/prefill.rs
@@ -56,14 +56,16 @@
         let Some(key) = chosen else { break };
         // With too few prefill replicas, the decode replicas take a share of the prompts, so that
         // the rest is prefilled in time.
-        let may_read = shared.may_read(decode);
+        let may_read = shared.may_prefill(decode);
         let objective = job.route.objective;
-        if may_read && rand::random::<f64>() < shared.own_reads(key, job.prompt_tokens(), objective)
+        if may_read
+            && rand::random::<f64>()
+                < shared.decode_prefill_share(key, job.prompt_tokens(), objective)
         {
             break;
         }
         // The first prefill is not a retry; that of a resumed stream is one.
-        let Some(permit) = shared.permit(job, Work::Read) else {
+        let Some(permit) = shared.take_permit(job, Work::Read) else {
             break;
         };
         tried.push(key);
@@ -83,7 +85,7 @@
                 send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
             }
         }
-        if !shared.allow(job, Work::Read) {
+        if !shared.ensure_permit(job, Work::Read) {
             return None;
         }
         failed = true;
@@ -107,7 +109,7 @@
 fn decode_task(prefilled: PrefilledPrompt, last_event: Option<u64>) -> Task {
     let PrefilledPrompt { address, handle } = prefilled;
     match last_event {
-        Some(last_event) => Task::GoOn {
+        Some(last_event) => Task::Continue {
             address,
             handle,
             last_event,
@@ -140,7 +142,7 @@
         return prefilled;
     }
     if !control::is_responsive(shared, key).await {
-        shared.note_silent(key);
+        shared.note_unresponsive(key);
         let cause = "the prefill is not finished, and the replica does not answer";
         send::record_failure(shared, job, key, Outcome::Lost, cause, 0);
         return Err(Outcome::Lost);
@@ -191,10 +193,10 @@
     match Prefill::read(&body) {
         Ok(prefill) => {
             send::record_success(shared, key);
-            shared.note_birth(key, prefill.birth);
+            shared.update_birth(key, prefill.birth);
             let prompt = job.prompt_tokens();
-            shared.note_read(key, begun.elapsed(), queued_before + prompt);
-            shared.note_pace(key, begun.elapsed(), prompt as f64);
+            shared.record_prefill(key, begun.elapsed(), queued_before + prompt);
+            shared.record_work(key, begun.elapsed(), prompt as f64);
             log::info!(kind = "read", request = job.call.id, ms = job.age().as_millis() as u64, cache = prefill.handle, exchanges_before = exchanges_before; "the prompt is prefilled");
             Ok(PrefilledPrompt {
                 address,
--- a/crates/gateway/src/run_tracking.rs
+++ b/crates/gateway/src/run_tracking.rs
@@ -49,7 +49,7 @@
     ) -> Self {
         let id = shared.runs.borrow_mut().begin(service, server, size);
         let (order, orders) = watch::channel(None);
-        shared.orders.borrow_mut().insert(id, order);
+        shared.move_targets.borrow_mut().insert(id, order);
         shared.update_forecast(server);
         shared.runs_changed.notify_one();
         Self {
@@ -130,7 +130,7 @@
     fn drop(&mut self) {
         let now = self.shared.clock.now();
         let server = self.shared.runs.borrow().get(self.id).map(|run| run.server);
-        self.shared.orders.borrow_mut().remove(&self.id);
+        self.shared.move_targets.borrow_mut().remove(&self.id);
         let mut runs = self.shared.runs.borrow_mut();
         runs.end(now, self.id, self.complete);
         drop(runs);
@@ -138,7 +138,7 @@
             self.shared.update_forecast(server);
             // Generations waiting here go first, and other daemons learn of the free room later:
             // otherwise several generations would take the room of one run.
-            self.shared.room.notify_waiters();
+            self.shared.capacity_changed.notify_waiters();
         }
     }
 }
@@ -187,13 +187,13 @@
             let engine = plan.services.get(service)?.engine?;
             let to = engine
                 .moves
-                .then(|| shared.choose_room(service, &[from], ask))??;
+                .then(|| shared.choose_decode(service, &[from], ask))??;
             // A migration cannot wait for a limited replica to admit the request.
             (!shared.is_limited(to)).then_some(to)
         })
     };
     for Move { run, to } in moves {
-        if let Some(order) = shared.orders.borrow().get(&run) {
+        if let Some(order) = shared.move_targets.borrow().get(&run) {
             order.send_replace(Some(to));
         }
     }
@@ -204,19 +204,21 @@
     let due = publisher.due(now, &shared.runs.borrow(), &shared.pool.borrow());
     let Some(update) = due else { return };
     for to in claim_recipients(shared) {
-        gossip::tell(shared, to, update.clone()).await;
+        gossip::send_claims(shared, to, update.clone()).await;
     }
 }
 
 /// The daemons to send claims to: those with runs, and some random ones.
 fn claim_recipients(shared: &Shared) -> Vec<SocketAddr> {
     let members = shared.members.borrow();
-    let peers = members.peers();
+    let peers = members.peer_addresses();
     if peers.len() <= MAX_ACTIVE_PEERS {
         return peers;
     }
     let claims = shared.claims.borrow();
-    let active = claims.active_peers().filter_map(|peer| members.peer(peer));
+    let active = claims
+        .active_peers()
+        .filter_map(|peer| members.peer_address(peer));
     let mut to: Vec<SocketAddr> = active.take(MAX_ACTIVE_PEERS).collect();
     for drawn in peers.sample(&mut rand::rng(), RANDOM_PEERS) {
         if !to.contains(drawn) {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,11 +1,11 @@
-//! What the parts of the daemon share.
+//! State that the tasks of the daemon share.
 
 mod choice;
 mod customers;
-mod knowledge;
 mod overload;
 mod quarantine;
 mod retries;
+mod store_state;
 
 use std::cell::Cell;
 use std::cell::OnceCell;
@@ -34,31 +34,32 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-use crate::card::Card;
 use crate::clock::Clock;
 use crate::connections::ConnectionPool;
-use crate::inquiries::Inquiries;
+use crate::instance_info::InstanceInfo;
 use crate::members::Members;
 use crate::metrics::Metrics;
-use crate::news::News;
 use crate::outbox::Outbox;
+use crate::poller_status::PollerStatus;
+use crate::probes::Probes;
 use crate::quotas::Quotas;
 use crate::settings::Settings;
 use crate::store::Store;
 
-/// Time after SIGTERM in which any request is taken; callers may hold an old address answer for
-/// so long. After it, only those that are over by the end of the grace.
-const TAKING: Duration = Duration::from_millis(2_700);
+/// Time after SIGTERM during which every request is accepted, since callers may use an earlier
+/// address answer for that long. Later, only requests are accepted that can complete within the
+/// grace period.
+const FULL_SERVICE: Duration = Duration::from_millis(2_700);
 
-/// Time before the end of the grace at which a stopping daemon ends, whatever is in progress. The last log
-/// lines take up to 250 ms of it, and a busy processor of a tenth of a core the rest: with 300 ms in all, a
-/// daemon with one stream left was killed 0.26 s after its last line.
-pub const RESERVE: Duration = Duration::from_millis(700);
-/// Lines about rejected requests in a second at most; a caller that sends nothing but improper
+/// Time before the end of the grace period at which a stopping daemon exits, whatever is in
+/// progress. The last log lines take up to 250 ms; the rest covers a busy processor of a tenth of a
+/// core: with 300 ms in all, a daemon with one open stream was killed 0.26 s after its last line.
+pub const STOP_MARGIN: Duration = Duration::from_millis(700);
+/// Maximum log lines per second about rejected requests; a caller that sends only malformed
 /// requests must not fill the logs.
 const MAX_REJECTED_LINES: u64 = 50;
-/// Entries of replicas that are told in the log as unreadable, each once; another program that fills the
-/// table must not fill the logs.
+/// Maximum number of unreadable replica entries that are logged, each once; another program that
+/// fills the table must not fill the logs.
 const MAX_UNREADABLE: usize = 100;
 
 /// State of the daemon; one thread uses it.
@@ -66,7 +67,7 @@
 pub struct Shared {
     /// Settings in force.
     settings: RefCell<Rc<Settings>>,
-    /// Its clock.
+    /// Clock of the daemon.
     pub clock: Clock,
     /// Client of the store.
     pub store: Store,
@@ -80,74 +81,74 @@
     pub metrics: Metrics,
     /// Runs of this daemon at decode replicas.
     pub runs: RefCell<Runs>,
-    /// What other daemons told of theirs.
+    /// Runs that other daemons report.
     pub claims: RefCell<Claims>,
     /// Requests under which replicas ended.
     pub quarantine: RefCell<Quarantine>,
     /// Quotas of customers.
     pub quotas: RefCell<Quotas>,
-    /// Lost replicas that are being asked whether they are there.
-    pub inquiries: Inquiries,
-    /// Requests of whose records the other daemons are to be told.
-    pub untold: Outbox,
-    /// Requests whose records the store is to keep.
-    pub unkept: Outbox,
-    /// By run, where it is to go on.
-    pub orders: RefCell<HashMap<RunId, watch::Sender<Option<Key>>>>,
-    /// Generations that wait for a place.
-    pub line: RefCell<WaitQueue>,
-    /// A run of this daemon ended, or another generation's turn came.
-    pub room: Notify,
-    /// A run began or moved, or a prompt is being read or was read.
+    /// Lost replicas that are being probed.
+    pub probes: Probes,
+    /// Requests whose quarantine records have to be sent to the other daemons.
+    pub unannounced: Outbox,
+    /// Requests whose quarantine records have to be written to the store.
+    pub unstored: Outbox,
+    /// Replica to which a run has to move, by run.
+    pub move_targets: RefCell<HashMap<RunId, watch::Sender<Option<Key>>>>,
+    /// Generations that wait for a decode replica.
+    pub queue: RefCell<WaitQueue>,
+    /// Notified when a run of this daemon ended or the queue advanced.
+    pub capacity_changed: Notify,
+    /// Notified when a run began or moved, or a prefill began or ended.
     pub runs_changed: Notify,
-    /// A replica started again under its id.
+    /// Notified when a replica restarted under its id.
     pub restarts: Notify,
-    /// Whether the other instances were read from the store.
-    pub listed: watch::Sender<bool>,
-    /// Entries that could not be read, and were told in the log.
-    unreadable: RefCell<HashSet<String>>,
+    /// Whether the first reading of the instances from the store has ended.
+    pub instances_listed: watch::Sender<bool>,
+    /// Unreadable entries that have been logged.
+    logged_unreadable: RefCell<HashSet<String>>,
     plan: RefCell<Option<Rc<Plan>>>,
-    /// Customers that have figures of their own in the metrics.
-    named_customers: RefCell<HashSet<String>>,
+    /// Customers with a label of their own in the metrics.
+    labelled_customers: RefCell<HashSet<String>>,
     budgets: RefCell<HashMap<String, RetryBudget>>,
-    /// Mean time of a decode replica for an answer, by service.
-    lengths: RefCell<HashMap<String, Duration>>,
-    /// How long callers wait, by route.
-    patiences: RefCell<HashMap<String, CallerTimeouts>>,
+    /// Mean time that a decode replica takes for an answer, by service.
+    answer_times: RefCell<HashMap<String, Duration>>,
+    /// Time limits of callers, by route.
+    caller_timeouts: RefCell<HashMap<String, CallerTimeouts>>,
     overload: RefCell<Overload>,
-    near: Zone,
-    own: Card,
+    data_centre: Zone,
+    own: InstanceInfo,
     /// Socket for datagrams to other daemons, once it is open.
-    pub datagrams: OnceCell<UdpSocket>,
-    /// Questions to the poller that wait for an answer.
-    pub questions: RefCell<HashMap<u32, oneshot::Sender<News>>>,
+    pub gossip_socket: OnceCell<UdpSocket>,
+    /// Status requests that wait for an answer, by number.
+    pub status_requests: RefCell<HashMap<u32, oneshot::Sender<PollerStatus>>>,
     /// When the replicas were last known to be up to date.
-    replicas_heard: Cell<Time>,
+    replicas_current_at: Cell<Time>,
     /// When the store last answered.
-    store_heard: Cell<Time>,
+    store_answered_at: Cell<Time>,
     /// Whether the store's last call failed.
-    store_lost: Cell<bool>,
-    /// When SIGTERM came.
-    stopping: Cell<Option<Time>>,
+    store_failing: Cell<bool>,
+    /// When SIGTERM arrived.
+    stopping_since: Cell<Option<Time>>,
     /// Requests in progress.
-    open: Cell<usize>,
-    /// Version of the plan that a peer is being asked for.
-    asking: Cell<u64>,
+    open_requests: Cell<usize>,
+    /// Version of the plan that is being fetched from a peer; 0 if none is.
+    plan_being_fetched: Cell<u64>,
     /// Whether records of the quarantine are being compared with a peer.
-    comparing: Cell<bool>,
-    /// Whether a peer has told all of its records of the quarantine since the start.
-    all_records: Cell<bool>,
-    /// The present second, and the rejected requests in it.
-    rejected: Cell<(u64, u64)>,
+    is_comparing: Cell<bool>,
+    /// Whether a peer has sent all of its quarantine records since the start.
+    has_all_records: Cell<bool>,
+    /// The second of the last rejected request, and the number of rejections in it.
+    rejections: Cell<(u64, u64)>,
 }
 
 impl Shared {
-    /// The state of a daemon with `settings` that starts now.
+    /// Creates the state of a daemon that starts with `settings`.
     pub fn new(settings: Settings, metrics: Metrics) -> Self {
-        let near = Zone::new(&settings.data_centre);
-        let own = Card {
+        let data_centre = Zone::new(&settings.data_centre);
+        let own = InstanceInfo {
             name: settings.instance.clone(),
-            data_centre: near,
+            data_centre,
             callers: settings.listen.callers,
             peers: settings.listen.peers,
             capacity: settings.processor.capacity(),
@@ -163,35 +164,35 @@
             claims: RefCell::new(Claims::new()),
             quarantine: RefCell::new(Quarantine::new()),
             quotas: RefCell::new(Quotas::new()),
-            inquiries: Inquiries::new(),
-            untold: Outbox::new(),
-            unkept: Outbox::new(),
-            orders: RefCell::new(HashMap::new()),
-            line: RefCell::new(WaitQueue::new()),
-            room: Notify::new(),
+            probes: Probes::new(),
+            unannounced: Outbox::new(),
+            unstored: Outbox::new(),
+            move_targets: RefCell::new(HashMap::new()),
+            queue: RefCell::new(WaitQueue::new()),
+            capacity_changed: Notify::new(),
             runs_changed: Notify::new(),
             restarts: Notify::new(),
-            listed: watch::Sender::new(false),
-            unreadable: RefCell::new(HashSet::new()),
+            instances_listed: watch::Sender::new(false),
+            logged_unreadable: RefCell::new(HashSet::new()),
             plan: RefCell::new(None),
-            named_customers: RefCell::new(HashSet::new()),
+            labelled_customers: RefCell::new(HashSet::new()),
             budgets: RefCell::new(HashMap::new()),
-            lengths: RefCell::new(HashMap::new()),
-            patiences: RefCell::new(HashMap::new()),
+            answer_times: RefCell::new(HashMap::new()),
+            caller_timeouts: RefCell::new(HashMap::new()),
             overload: RefCell::new(Overload::new()),
-            near,
+            data_centre,
             own,
-            datagrams: OnceCell::new(),
-            questions: RefCell::new(HashMap::new()),
-            replicas_heard: Cell::new(Time::ZERO),
-            store_heard: Cell::new(Time::ZERO),
-            store_lost: Cell::new(false),
-            stopping: Cell::new(None),
-            open: Cell::new(0),
-            asking: Cell::new(0),
-            comparing: Cell::new(false),
-            all_records: Cell::new(false),
-            rejected: Cell::new((0, 0)),
+            gossip_socket: OnceCell::new(),
+            status_requests: RefCell::new(HashMap::new()),
+            replicas_current_at: Cell::new(Time::ZERO),
+            store_answered_at: Cell::new(Time::ZERO),
+            store_failing: Cell::new(false),
+            stopping_since: Cell::new(None),
+            open_requests: Cell::new(0),
+            plan_being_fetched: Cell::new(0),
+            is_comparing: Cell::new(false),
+            has_all_records: Cell::new(false),
+            rejections: Cell::new((0, 0)),
             settings: RefCell::new(Rc::new(settings)),
         }
     }
@@ -202,88 +203,90 @@
     }
 
     /// Puts `settings` in force.
-    pub fn take_settings(&self, settings: Settings) {
+    pub fn apply_settings(&self, settings: Settings) {
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// The own card.
-    pub fn own_card(&self) -> Card {
+    /// Name and addresses of this instance.
+    pub fn own_info(&self) -> InstanceInfo {
         self.own.clone()
     }
 
-    /// Where this daemon is.
+    /// IP address of this daemon.
     pub const fn own_ip(&self) -> IpAddr {
         self.own.peers.ip()
     }
 
-    /// Brings up to date the figures that are read at a scrape.
+    /// Updates the gauges that are computed at a scrape.
     pub fn refresh_metrics(&self) {
         let now = self.clock.now();
         let members = self.members.borrow();
         let metrics = &self.metrics;
-        metrics.members.set(members.count() as u64);
+        metrics.members.set(members.alive_count() as u64);
         metrics.replicas_version.set(self.replicas_version());
         let quarantined = self.quarantine.borrow().quarantined();
         metrics.quarantined.set(quarantined as u64);
         metrics.replicas_age.set(self.replicas_age().as_secs_f64());
         for (service, budget) in self.budgets.borrow_mut().iter_mut() {
-            let left = budget.remaining(now, &self.rule(), members.sharers());
+            let left = budget.remaining(now, &self.retry_policy(), members.sharers());
             metrics.retries_left(service, left);
         }
     }
 
-    /// Whether one more line about a rejected request may be logged in this second; tells how many
-    /// were left out in the last one.
-    pub fn may_log(&self) -> Option<u64> {
+    /// Returns `Some` if another rejected request may be logged in this second, with the number of
+    /// lines omitted in the second before.
+    pub fn may_log_rejection(&self) -> Option<u64> {
         let second = self.clock.now().as_millis() / 1_000;
-        let (last, count) = self.rejected.get();
+        let (last, count) = self.rejections.get();
         if last != second {
-            self.rejected.set((second, 1));
+            self.rejections.set((second, 1));
             return Some(count.saturating_sub(MAX_REJECTED_LINES));
         }
-        self.rejected.set((second, count + 1));
+        self.rejections.set((second, count + 1));
         (count < MAX_REJECTED_LINES).then_some(0)
     }
 
-    /// Whether the log is to tell that the entry `id` cannot be read: the first time, for so many entries.
-    pub fn is_new_unreadable(&self, id: &str) -> bool {
-        let mut told = self.unreadable.borrow_mut();
-        told.len() < MAX_UNREADABLE && told.insert(id.to_owned())
+    /// Whether to log that the entry `id` is unreadable: once per entry, up to `MAX_UNREADABLE`
+    /// entries.
+    pub fn may_log_unreadable(&self, id: &str) -> bool {
+        let mut logged = self.logged_unreadable.borrow_mut();
+        logged.len() < MAX_UNREADABLE && logged.insert(id.to_owned())
     }
 
-    /// Whether callers are taken: a plan is known and the daemon is not stopping.
+    /// Whether callers are accepted: a plan and replicas are known and the daemon is not stopping.
     pub fn is_ready(&self) -> bool {
         self.plan_version() > 0 && !self.pool.borrow().is_empty() && !self.is_stopping()
     }
 
     /// Whether the daemon is stopping.
     pub fn is_stopping(&self) -> bool {
-        self.stopping.get().is_some()
+        self.stopping_since.get().is_some()
     }
 
-    /// Notes that SIGTERM came.
-    pub fn stop(&self) {
-        self.stopping.set(Some(self.clock.now()));
+    /// Records that SIGTERM arrived.
+    pub fn begin_stop(&self) {
+        self.stopping_since.set(Some(self.clock.now()));
     }
 
-    /// Whether a request that may last for `longest` is taken; a stopping daemon takes none that it
-    /// may have to cut.
-    pub fn takes(&self, longest: Duration) -> bool {
-        let Some(since) = self.stopping.get() else {
+    /// Whether a request that may last for `longest` is accepted; a stopping daemon accepts none
+    /// that it might have to cut off.
+    pub fn accepts(&self, longest: Duration) -> bool {
+        let Some(since) = self.stopping_since.get() else {
             return true;
         };
         let elapsed = self.clock.now().since(since);
-        elapsed < TAKING || elapsed + longest < self.settings().grace().saturating_sub(RESERVE)
+        elapsed < FULL_SERVICE
+            || elapsed + longest < self.settings().grace().saturating_sub(STOP_MARGIN)
     }
 
     /// Requests in progress.
-    pub fn open(&self) -> usize {
-        self.open.get()
+    pub fn open_requests(&self) -> usize {
+        self.open_requests.get()
     }
 
-    /// Counts the requests in progress anew.
-    pub fn set_open(&self, count: usize) {
-        self.open.set(count);
+    /// Sets the number of requests in progress.
+    pub fn set_open_requests(&self, count: usize) {
+        self.open_requests.set(count);
         self.metrics.open.set(count as u64);
     }
 }
--- a/crates/gateway/src/shared/retries.rs
+++ b/crates/gateway/src/shared/retries.rs
@@ -1,4 +1,4 @@
-//! Budgets of retries, by service.
+//! Retry budgets, one per service.
 
 use relay::budget::RetryPolicy;
 use relay::permit::Permit;
@@ -8,30 +8,30 @@
 use crate::shared::Shared;
 
 impl Shared {
-    pub(super) fn rule(&self) -> RetryPolicy {
-        self.settings.borrow().retry_rule()
+    pub(super) fn retry_policy(&self) -> RetryPolicy {
+        self.settings.borrow().retry_policy()
     }
 
-    /// Counts a request for `service` in its budget of retries.
+    /// Counts a request for `service` in its retry budget.
     pub fn count_request(&self, service: &str) {
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.to_owned()).or_default();
-        budget.record_request(self.clock.now(), &self.rule());
+        budget.record_request(self.clock.now(), &self.retry_policy());
     }
 
-    /// Whether `job` could be sent once more.
-    pub fn may_allow(&self, job: &Job) -> bool {
+    /// Whether `job` holds a permit for another run or the budget could grant one.
+    pub fn can_retry(&self, job: &Job) -> bool {
         if job.permits.borrow().has(Work::Run) {
             return true;
         }
         let sharers = self.members.borrow().sharers();
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(job.service.clone()).or_default();
-        budget.remaining(self.clock.now(), &self.rule(), sharers) >= 1.0
+        budget.remaining(self.clock.now(), &self.retry_policy(), sharers) >= 1.0
     }
 
-    /// Sees to it that `job` holds a permit for `work`, out of the budget if it has none; whether it does.
-    pub fn allow(&self, job: &Job, work: Work) -> bool {
+    /// Takes a permit for `work` from the budget if `job` holds none; returns whether it holds one.
+    pub fn ensure_permit(&self, job: &Job, work: Work) -> bool {
         if job.permits.borrow().has(work) {
             return true;
         }
@@ -40,19 +40,20 @@
         let now = self.clock.now();
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_default();
-        let left = budget.remaining(now, &self.rule(), sharers);
-        let permit = budget.take(now, &self.rule(), sharers);
+        let left = budget.remaining(now, &self.retry_policy(), sharers);
+        let permit = budget.take(now, &self.retry_policy(), sharers);
         let granted = permit.is_some();
         self.metrics.retries(service, granted);
-        log::info!(kind = "retry", request = job.call.id, service = service, work = format!("{work:?}"), granted = granted, left = format!("{left:.1}"), sharers = sharers as u64; "a retry was asked of the budget");
+        log::info!(kind = "retry", request = job.call.id, service = service, work = format!("{work:?}"), granted = granted, left = format!("{left:.1}"), sharers = sharers as u64; "requested a retry from the budget");
         if let Some(permit) = permit {
             job.permits.borrow_mut().put(work, permit);
         }
         granted
     }
 
-    /// The permit for `work` that `job` holds, or one out of the budget.
-    pub fn permit(&self, job: &Job, work: Work) -> Option<Permit> {
-        self.allow(job, work).then(|| job.take_permit(work))?
+    /// Takes the permit for `work` from `job`, which gets one from the budget if it holds none.
+    pub fn take_permit(&self, job: &Job, work: Work) -> Option<Permit> {
+        self.ensure_permit(job, work)
+            .then(|| job.take_permit(work))?
     }
 }
--- a/crates/gateway/src/shared/knowledge.rs
+++ b/crates/gateway/src/shared/store_state.rs
@@ -1,4 +1,4 @@
-//! Plan, replicas and store: what this daemon knows and how old it is.
+//! Plan, replicas and reachability of the store, with the age of each.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use relay::replica_state::StateChange;
 use relay::server::Key;
 
-use crate::news::News;
+use crate::poller_status::PollerStatus;
 use crate::shared::Shared;
 use crate::store;
 
@@ -28,13 +28,13 @@
         self.plan.borrow().as_ref().map_or(0, |plan| plan.version)
     }
 
-    /// Version of the store at which the replicas stand.
+    /// Store version of the list of replicas.
     pub fn replicas_version(&self) -> u64 {
         self.pool.borrow().version()
     }
 
-    /// Puts `plan` in force, unless one as new is; `source` is where it came from.
-    pub fn take_plan(&self, source: &'static str, plan: Plan) {
+    /// Puts `plan` in force if it is newer than the current one; `source` says where it came from.
+    pub fn apply_plan(&self, source: &'static str, plan: Plan) {
         let before = self.plan_version();
         if plan.version <= before {
             return;
@@ -48,8 +48,8 @@
             }
         }
         let is_route = |name: &String| plan.routes.iter().any(|route| route.name == *name);
-        let mut patiences = self.patiences.borrow_mut();
-        patiences.retain(|name, _| is_route(name));
+        let mut caller_timeouts = self.caller_timeouts.borrow_mut();
+        caller_timeouts.retain(|name, _| is_route(name));
         let customers = plan.customers.as_ref();
         let is_customer = |id| customers.is_some_and(|customers| customers.get(id).is_some());
         let pool = self.pool.borrow();
@@ -60,44 +60,45 @@
         self.quotas.borrow_mut().retain(is_known);
         drop(pool);
         if let Some(customers) = customers {
-            self.name_customers(customers);
+            self.label_customers(customers);
         }
         self.metrics.plan_version.set(plan.version);
         *self.plan.borrow_mut() = Some(Rc::new(plan));
     }
 
     /// Applies an update of the replicas that reflects the store as of `read_at`.
-    pub fn take_replicas(&self, source: Source, read_at: Time, update: &Update) {
+    pub fn apply_replicas(&self, source: Source, read_at: Time, update: &Update) {
         let version = update.version();
         let now = self.clock.now();
         let changes = self.pool.borrow_mut().apply_update(now, source, update);
         let Some(changes) = changes else {
-            log::info!(kind = "replicas", version = version, source = source.name(); "older news of the replicas are ignored");
+            log::info!(kind = "replicas", version = version, source = source.name(); "ignored an outdated list of replicas");
             return;
         };
         self.note_replicas_read(read_at);
-        self.tell_changes(source.name(), &changes);
+        self.log_changes(source.name(), &changes);
     }
 
-    /// Takes from an answer of `key` when its replica started.
-    pub fn note_birth(&self, key: Key, birth: Option<Birth>) {
+    /// Records the start time of the replica behind `key`, taken from one of its answers.
+    pub fn update_birth(&self, key: Key, birth: Option<Birth>) {
         let now = self.clock.now();
         let changes = self.pool.borrow_mut().update_birth(now, key, birth);
-        self.tell_changes("answer", &changes);
+        self.log_changes("answer", &changes);
     }
 
-    fn tell_changes(&self, source: &'static str, changes: &[StateChange]) {
+    fn log_changes(&self, source: &'static str, changes: &[StateChange]) {
         let version = self.replicas_version();
         for change in changes {
             log::info!(kind = "replica", replica = change.id, belief = format!("{:?}", change.now), version = version, source = source; "a replica changed");
             if change.now == ReplicaState::Restarted {
-                self.forget_earlier(&change.id);
+                self.drop_earlier_incarnation(&change.id);
             }
         }
     }
 
-    /// Ends what began at an earlier incarnation of the replica `id`: it will send nothing more.
-    fn forget_earlier(&self, id: &str) {
+    /// Ends what is in progress at an earlier incarnation of the replica `id`, which will send
+    /// nothing more.
+    fn drop_earlier_incarnation(&self, id: &str) {
         let address = self.pool.borrow().address(id);
         if let Some(address) = address {
             self.connections.close_idle(address);
@@ -105,94 +106,97 @@
         self.restarts.notify_waiters();
     }
 
-    /// Waits until the replica behind `key` has started again; forever if it does not.
+    /// Waits until the replica behind `key` has restarted; forever if it does not.
     pub async fn restarted(&self, key: Key) {
         loop {
-            let told = self.restarts.notified();
+            let restarted = self.restarts.notified();
             if self.pool.borrow().has_restarted(key) {
                 return;
             }
-            told.await;
+            restarted.await;
         }
     }
 
-    /// What a peer is told whose replicas stand at `version` and have the hash `digest`.
+    /// The update for a peer whose list of replicas has `version` and the hash `digest`; `None` if
+    /// it needs none.
     pub fn newer_replicas(&self, version: u64, digest: u64) -> Option<Update> {
         let pool = self.pool.borrow();
         pool.update_for_peer(self.clock.now(), version, digest)
     }
 
-    /// Notes that the replicas are the same as those that a peer has from `version`, which was read
-    /// `age` ago.
+    /// Records that the replicas equal those that a peer read at store version `version`, `age`
+    /// ago.
     pub fn confirm_replicas(&self, version: u64, age: Duration) {
         let now = self.clock.now();
         self.pool.borrow_mut().confirm(now, version);
         let read = now - age;
         self.note_replicas_read(read);
-        self.store_heard.set(self.store_heard.get().max(read));
+        self.store_answered_at
+            .set(self.store_answered_at.get().max(read));
     }
 
-    /// Advances the time at which the replicas were last known to be current; never moves it back.
+    /// Advances the time at which the replicas were last known to be current; never sets it back.
     fn note_replicas_read(&self, read_at: Time) {
-        self.replicas_heard
-            .set(self.replicas_heard.get().max(read_at));
+        self.replicas_current_at
+            .set(self.replicas_current_at.get().max(read_at));
     }
 
-    /// Time since the replicas were up to date.
+    /// Time since the replicas were last known to be up to date.
     pub fn replicas_age(&self) -> Duration {
-        self.clock.now().since(self.replicas_heard.get())
+        self.clock.now().since(self.replicas_current_at.get())
     }
 
-    /// The news for a daemon whose replicas have the hash `digest`.
-    pub fn news(&self, digest: u64) -> News {
+    /// The reply to a status request of a daemon whose replicas have the hash `digest`.
+    pub fn poller_status(&self, digest: u64) -> PollerStatus {
         let pool = self.pool.borrow();
-        News::new(
+        PollerStatus::new(
             self.plan_version(),
             pool.version(),
             pool.digest() == digest,
             self.replicas_age(),
-            self.store_lost.get(),
+            self.store_failing.get(),
             self.overload.borrow().is_reported(self.clock.now()),
         )
     }
 
-    /// Notes that the replicas could not be read.
+    /// Records that the replicas could not be read.
     pub fn note_outage(&self) {
         self.pool.borrow_mut().note_outage(self.clock.now());
     }
 
-    /// Notes that the store answered.
+    /// Records that the store answered.
     pub fn store_answered(&self, step: &'static str) {
-        self.store_heard.set(self.clock.now());
-        if self.store_lost.replace(false) {
+        self.store_answered_at.set(self.clock.now());
+        if self.store_failing.replace(false) {
             log::info!(kind = "store", step = step; "the store answers again");
         }
     }
 
-    /// Notes that a call of the store failed.
+    /// Records that a call of the store failed.
     pub fn store_failed(&self, step: &'static str, error: &store::Error) {
         self.metrics.store_failures.inc();
-        if !self.store_lost.replace(true) {
+        if !self.store_failing.replace(true) {
             log::warn!(kind = "store", step = step, cause = error.to_string(); "the store does not answer");
         }
     }
 
     /// Time since the store last answered.
-    pub fn store_silence(&self) -> Duration {
-        self.clock.now().since(self.store_heard.get())
+    pub fn time_since_store_answer(&self) -> Duration {
+        self.clock.now().since(self.store_answered_at.get())
     }
 
-    /// Begins to ask a peer for plan `version`; `false` if that is being done.
-    pub fn begin_asking(&self, version: u64) -> bool {
-        if self.asking.get() >= version {
+    /// Begins fetching plan `version` from a peer; `false` if that version or a newer one is being
+    /// fetched.
+    pub fn begin_plan_fetch(&self, version: u64) -> bool {
+        if self.plan_being_fetched.get() >= version {
             return false;
         }
-        self.asking.set(version);
+        self.plan_being_fetched.set(version);
         true
     }
 
-    /// Ends it.
-    pub fn end_asking(&self) {
-        self.asking.set(0);
+    /// Records that the fetch has ended.
+    pub fn end_plan_fetch(&self) {
+        self.plan_being_fetched.set(0);
     }
 }
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! Signals, and a graceful stop.
+//! Signal handling and graceful stop.
 
 use std::path::Path;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use tokio::signal::unix::signal;
 
 use crate::reload;
-use crate::shared::RESERVE;
+use crate::shared::STOP_MARGIN;
 use crate::shared::Shared;
 use crate::watch::instances;
 
-/// Time for which a stopping daemon stays for callers that keep an old address answer: three times
-/// the time that answers are to be kept, and some to spare.
+/// Minimum time that a stopping daemon stays up for callers with a cached address answer: three
+/// times the time that answers may be cached, plus a reserve.
 const LINGER: Duration = Duration::from_millis(3_300);
-/// Pause between two looks whether requests are in progress.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-/// Time for taking the own row out of the store.
+/// Pause between checks whether requests are in progress.
+const CHECK_PAUSE: Duration = Duration::from_millis(50);
+/// Timeout for removing the own row from the store.
 const UNLIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The signals that the daemon takes.
+/// Signals that the daemon handles.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -34,20 +34,21 @@
 }
 
 impl Signals {
-    /// Takes signals from now on; before that each of them ends the process.
+    /// Installs the signal handlers; before that, each signal ends the process.
     ///
     /// # Errors
-    /// If signals cannot be received.
+    /// If a handler cannot be installed.
     pub fn new() -> Result<Self, Error> {
         Ok(Self {
-            terminate: on(SignalKind::terminate())?,
-            interrupt: on(SignalKind::interrupt())?,
-            hangup: on(SignalKind::hangup())?,
+            terminate: listen_for(SignalKind::terminate())?,
+            interrupt: listen_for(SignalKind::interrupt())?,
+            hangup: listen_for(SignalKind::hangup())?,
         })
     }
 }
 
-/// Waits for a signal that ends the daemon, and until it has ended gracefully.
+/// Waits for a terminating signal, then stops the daemon gracefully. Reloads the settings on
+/// SIGHUP.
 pub async fn wait(shared: &Shared, path: &Path, mut signals: Signals) {
     loop {
         tokio::select! {
@@ -56,24 +57,24 @@
             _ = signals.hangup.recv() => reload::reload(shared, path),
         }
     }
-    log::info!(kind = "stop", open = shared.open() as u64; "stopping");
-    shared.stop();
+    log::info!(kind = "stop", open = shared.open_requests() as u64; "stopping");
+    shared.begin_stop();
     shared.members.borrow_mut().leave(shared.clock.now());
     let name = shared.settings().instance.clone();
-    let begun = Instant::now();
+    let started = Instant::now();
     let unlisted = timeout(UNLIST_TIMEOUT, shared.store.remove(instances::TABLE, &name)).await;
     if let Ok(Err(error)) = unlisted {
-        log::warn!(kind = "store", step = "leaving", cause = error.to_string(); "the own row could not be removed");
+        log::warn!(kind = "store", step = "leaving", cause = error.to_string(); "failed to remove the own row");
     }
-    let last = begun + shared.settings().grace().saturating_sub(RESERVE);
-    sleep_until((begun + LINGER).min(last)).await;
-    while shared.open() > 0 && Instant::now() < last {
-        sleep(LOOK_AGAIN).await;
+    let deadline = started + shared.settings().grace().saturating_sub(STOP_MARGIN);
+    sleep_until((started + LINGER).min(deadline)).await;
+    while shared.open_requests() > 0 && Instant::now() < deadline {
+        sleep(CHECK_PAUSE).await;
     }
-    log::info!(kind = "stop", open = shared.open() as u64; "stopped");
+    log::info!(kind = "stop", open = shared.open_requests() as u64; "stopped");
 }
 
-fn on(kind: SignalKind) -> Result<Signal, Error> {
+fn listen_for(kind: SignalKind) -> Result<Signal, Error> {
     signal(kind).map_err(|error| Error::Start {
         step: "signals",
         cause: error.to_string(),
--- a/crates/gateway/src/wait_queue.rs
+++ b/crates/gateway/src/wait_queue.rs
@@ -21,22 +21,22 @@
         Self {
             shared: Rc::clone(shared),
             service: service.to_owned(),
-            ticket: shared.line.borrow_mut().join(service, priority, late),
+            ticket: shared.queue.borrow_mut().join(service, priority, late),
         }
     }
 
     /// Whether this generation is first in the queue.
     pub fn is_first(&self) -> bool {
-        let queue = self.shared.line.borrow();
+        let queue = self.shared.queue.borrow();
         queue.is_first(&self.service, self.ticket)
     }
 }
 
 impl Drop for QueueEntry {
     fn drop(&mut self) {
-        let mut queue = self.shared.line.borrow_mut();
+        let mut queue = self.shared.queue.borrow_mut();
         queue.leave(&self.service, self.ticket);
         drop(queue);
-        self.shared.room.notify_waiters();
+        self.shared.capacity_changed.notify_waiters();
     }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -1,4 +1,4 @@
-//! What the store tells: the plan, the replicas and the other instances.
+//! Keeps the plan, the replicas and the list of instances up to date from the store or from peers.
 
 pub mod instances;
 mod rows;
@@ -23,67 +23,64 @@
 use crate::shared::Shared;
 use crate::store::Error;
 
-/// How long one watch of the plan waits. Short, so that a watch that hangs on a dead connection is
-/// over well before an edit has to be in force (2 s and more).
+/// Waiting time of one watch of the plan. Short, so that a watch on a dead connection ends well
+/// before an edit has to be in force (2 s and more).
 const PLAN_WAIT: Duration = Duration::from_millis(2_500);
-/// Pause after a plan was read, so that edits in quick succession are read together.
+/// Pause after reading a plan, so that edits in quick succession are read together.
 const PLAN_PAUSE: Duration = Duration::from_millis(150);
-/// Time between two questions to the daemon that reads the store; a replica that leaves must get
-/// nothing 2 s later.
+/// Interval between requests to the poller; a leaving replica must get no requests 2 s later.
 const REPLICAS_PERIOD: Duration = Duration::from_millis(450);
-/// How long one watch of the replicas waits; an answer proves that the list is up to date, and the
-/// others take news of up to a second's age.
+/// Waiting time of one watch of the replicas; an answer proves that the list is up to date, and
+/// other daemons accept a status of up to a second's age.
 const REPLICAS_WAIT: Duration = Duration::from_millis(350);
-/// Pause of the daemon that reads the store between two watches, so that changes in quick succession
-/// are read together.
+/// Pause of the poller between two watches, so that changes in quick succession are read together.
 const REPLICAS_PAUSE: Duration = Duration::from_millis(300);
-/// Time that the daemon which reads the store gets for an answer; a round trip takes some
-/// milliseconds.
-const NEWS_PATIENCE: Duration = Duration::from_millis(120);
-/// Total time for asking the daemons that read the store, after which this daemon reads it itself.
-/// Together with the maximum age of news and the pause before ([`REPLICAS_PERIOD`]), this keeps the
-/// list well below an age of 2 s, after which a replica that leaves must get no requests.
-const READERS_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time after a start for which a daemon waits for the one that reads the store, before it reads plan and
-/// replicas itself: at a common start of 295 instances, 3,500 calls fell when each read them all.
-const START_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Time after a later start for which the list of instances is waited for: the store answers in some
-/// milliseconds, or its tables do not all answer.
-const LIST_PATIENCE: Duration = Duration::from_millis(100);
-/// Pause between two questions to that one meanwhile.
+/// Timeout of a status request to a poller; a round trip takes some milliseconds.
+const POLLER_TIMEOUT: Duration = Duration::from_millis(120);
+/// Total timeout of requests to pollers, after which this daemon reads the store itself. Together
+/// with the maximum age of a status and the pause before ([`REPLICAS_PERIOD`]), it keeps the list
+/// well below an age of 2 s, after which a leaving replica must get no requests.
+const POLLERS_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time after a start for which a daemon waits for the poller before it reads plan and replicas
+/// itself: when 295 instances started together and each read them all, that took 3,500 calls.
+const START_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Timeout of waiting for the list of instances, other than at the first start of the whole system:
+/// the store answers in some milliseconds, or some of its tables do not answer at all.
+const LIST_TIMEOUT: Duration = Duration::from_millis(100);
+/// Mean pause between requests to the poller during [`START_TIMEOUT`].
 const START_PAUSE: Duration = Duration::from_millis(60);
-/// Daemons of a data centre that try the store themselves in one period while it fails their reader. More
-/// would not notice sooner that it serves one of them, and each call is paid for.
+/// Number of daemons of a data centre that call the store in one period while it fails their
+/// poller. More would not find sooner that it answers one of them, and each call is paid for.
 const DIRECT_READERS: usize = 8;
-/// Time between two readings of the store by a daemon that others read for, while the store fails
-/// those: often enough to notice that it serves this one alone.
+/// Interval between own readings of the store by a daemon whose poller the store fails: short
+/// enough to find that the store answers only this daemon.
 const DIRECT_PERIOD: Duration = Duration::from_millis(600);
-/// Pause after a failed call, so that a store in trouble is not pressed further.
+/// Pause after a failed call, to keep the load on a failing store low.
 const RETRY_PAUSE: Duration = Duration::from_millis(350);
 
-/// Follows the plan, forever.
-pub async fn plan(shared: Rc<Shared>) {
+/// Keeps the plan up to date from the store while this daemon is the poller, forever.
+pub async fn follow_plan(shared: Rc<Shared>) {
     let mut version = None;
-    until_listed(&shared).await;
+    wait_for_instances(&shared).await;
     loop {
         if shared.members.borrow().poller().is_some() {
             version = None;
             sleep(REPLICAS_PERIOD).await;
             continue;
         }
-        let told = match version {
+        let read = match version {
             None => shared.store.read(plan::TABLE).await,
             Some(version) => shared.store.watch(plan::TABLE, version, PLAN_WAIT).await,
         };
-        match told {
+        match read {
             Ok(rows) => {
                 shared.store_answered("plan");
                 version = Some(rows.version);
-                take_plan(&shared, &rows);
+                apply_stored_plan(&shared, &rows);
                 sleep(PLAN_PAUSE).await;
             }
             Err(error @ (Error::Compacted | Error::GivenUp)) => {
-                log::info!(kind = "store", step = "plan", cause = error.to_string(); "reading the plan anew");
+                log::info!(kind = "store", step = "plan", cause = error.to_string(); "reading the whole plan again");
                 version = None;
             }
             Err(error) => {
@@ -95,155 +92,154 @@
     }
 }
 
-/// What a daemon that reads the store had to say.
+/// Result of a request to a poller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Heard {
-    /// It is up to date, and now this daemon is, too.
+enum PollerState {
+    /// The poller is up to date, and this daemon has its state.
     Fresh,
-    /// The store fails it.
+    /// The poller is not up to date, since the store fails it.
     Stale,
-    /// It did not answer.
+    /// The poller did not answer.
     Silent,
 }
 
-/// Keeps the replicas up to date, forever: from the daemon that reads the store for this data
-/// centre, from one that does for another, or from the store.
-pub async fn replicas(shared: Rc<Shared>) {
-    let patience = Instant::now() + START_PATIENCE;
+/// Keeps the replicas up to date, forever: from the poller of this data centre, from that of
+/// another one, or from the store.
+pub async fn follow_replicas(shared: Rc<Shared>) {
+    let start_deadline = Instant::now() + START_TIMEOUT;
     let mut next_direct = Instant::now();
-    until_listed(&shared).await;
+    wait_for_instances(&shared).await;
     loop {
-        let reads_for_others = shared.members.borrow().poller().is_none();
-        let phase = phase(&shared, patience);
-        let heard = match phase {
-            Phase::StartsWithFew => Heard::Silent,
-            Phase::StartsWithMany => ask_readers(&shared, START_PATIENCE).await,
-            Phase::Steady => ask_readers(&shared, READERS_TIMEOUT).await,
+        let is_poller = shared.members.borrow().poller().is_none();
+        let phase = start_phase(&shared, start_deadline);
+        let poller_state = match phase {
+            StartPhase::FewInstances => PollerState::Silent,
+            StartPhase::ManyInstances => refresh_from_pollers(&shared, START_TIMEOUT).await,
+            StartPhase::Steady => refresh_from_pollers(&shared, POLLERS_TIMEOUT).await,
         };
-        if phase == Phase::StartsWithMany && heard != Heard::Fresh && !reads_for_others {
-            ask_neighbour(&shared).await;
+        if phase == StartPhase::ManyInstances && poller_state != PollerState::Fresh && !is_poller {
+            refresh_from_local_peer(&shared).await;
             sleep(START_PAUSE.mul_f64(rand::random_range(0.5..1.5))).await;
             continue;
         }
-        let direct = match heard {
-            Heard::Fresh => false,
-            Heard::Stale => Instant::now() >= next_direct,
-            Heard::Silent => true,
+        let reads_store = match poller_state {
+            PollerState::Fresh => false,
+            PollerState::Stale => Instant::now() >= next_direct,
+            PollerState::Silent => true,
         };
-        let is_read = direct && read_replicas(&shared).await;
-        if direct && !reads_for_others {
+        let is_read = reads_store && read_replicas(&shared).await;
+        if reads_store && !is_poller {
             read_plan(&shared).await;
-            next_direct = Instant::now() + seldom(&shared, DIRECT_PERIOD);
+            next_direct = Instant::now() + scaled_period(&shared, DIRECT_PERIOD);
         }
-        let usual = match heard {
-            Heard::Fresh => REPLICAS_PERIOD,
-            _ if is_read && reads_for_others => REPLICAS_PAUSE,
+        let pause = match poller_state {
+            PollerState::Fresh => REPLICAS_PERIOD,
+            _ if is_read && is_poller => REPLICAS_PAUSE,
             _ if is_read => REPLICAS_PERIOD,
             _ => RETRY_PAUSE,
         };
-        sleep(usual).await;
+        sleep(pause).await;
     }
 }
 
-/// Where this daemon stands after its start.
+/// Phase of this daemon after its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Phase {
-    /// It knows no replicas, and its data centre has few instances: their calls of the store cost less than
-    /// their callers' waiting would.
-    StartsWithFew,
-    /// It knows no replicas, and many instances may be starting with it.
-    StartsWithMany,
-    /// It knows the replicas, or has waited for long enough.
+enum StartPhase {
+    /// No replicas are known and the data centre has few instances: their calls of the store cost
+    /// less than making callers wait.
+    FewInstances,
+    /// No replicas are known and many instances may be starting together.
+    ManyInstances,
+    /// Replicas are known, or the start timeout has passed.
     Steady,
 }
 
-/// The phase of a daemon that waits until `patience` at most.
-fn phase(shared: &Shared, patience: Instant) -> Phase {
-    let instances = shared.members.borrow().near_count();
+/// The phase of a daemon whose start timeout ends at `start_deadline`.
+fn start_phase(shared: &Shared, start_deadline: Instant) -> StartPhase {
+    let instances = shared.members.borrow().local_count();
     match shared.replicas_version() {
-        0 if instances <= DIRECT_READERS => Phase::StartsWithFew,
-        0 if Instant::now() < patience => Phase::StartsWithMany,
-        _ => Phase::Steady,
+        0 if instances <= DIRECT_READERS => StartPhase::FewInstances,
+        0 if Instant::now() < start_deadline => StartPhase::ManyInstances,
+        _ => StartPhase::Steady,
     }
 }
 
-/// Waits until the other instances are known, since it follows from them who reads the store.
-async fn until_listed(shared: &Shared) {
-    let mut listed = shared.listed.subscribe();
-    let patience = if shared.settings().first_start {
-        START_PATIENCE
+/// Waits until the instances are listed, since the poller is chosen among them.
+async fn wait_for_instances(shared: &Shared) {
+    let mut listed = shared.instances_listed.subscribe();
+    let limit = if shared.settings().first_start {
+        START_TIMEOUT
     } else {
-        LIST_PATIENCE
+        LIST_TIMEOUT
     };
-    // Without the list, each daemon is on its own.
-    let _ = timeout(patience, listed.wait_for(|listed| *listed)).await;
+    // Without the list, a daemon that knows of no other is its own poller.
+    let _ = timeout(limit, listed.wait_for(|listed| *listed)).await;
 }
 
-/// The time until this daemon tries the store again that fails its reader: `period` where a data centre has
-/// few instances, and as much longer as there are more of them.
-fn seldom(shared: &Shared, period: Duration) -> Duration {
-    let instances = shared.members.borrow().near_count();
+/// Randomized time until this daemon calls a failing store again: about `period` if the data centre
+/// has up to [`DIRECT_READERS`] instances, and proportionally longer if it has more.
+fn scaled_period(shared: &Shared, period: Duration) -> Duration {
+    let instances = shared.members.borrow().local_count();
     let share = instances.max(DIRECT_READERS) as f64 / DIRECT_READERS as f64;
     period.mul_f64(share * rand::random_range(0.75..1.25))
 }
 
-/// Asks the daemons that read the store, starting with the one for this data centre, until one is
-/// up to date or `limit` has passed. Returns `Silent` if none answers or if this daemon reads the
-/// store for others.
-async fn ask_readers(shared: &Shared, limit: Duration) -> Heard {
+/// Asks the pollers, starting with that of this data centre, until one is up to date or `limit` has
+/// passed. Returns `Silent` if none answers or if this daemon is the poller.
+async fn refresh_from_pollers(shared: &Shared, limit: Duration) -> PollerState {
     let deadline = Instant::now() + limit;
-    let near = shared.members.borrow().poller();
-    let Some(near) = near else {
-        return Heard::Silent;
+    let local = shared.members.borrow().poller();
+    let Some(local) = local else {
+        return PollerState::Silent;
     };
-    let distant = shared.members.borrow().distant_pollers();
-    let mut heard = Heard::Silent;
-    for poller in std::iter::once(near).chain(distant) {
-        match timeout_at(deadline, news(shared, poller)).await {
-            Ok(Heard::Fresh) => return Heard::Fresh,
-            Ok(Heard::Stale) => heard = Heard::Stale,
-            Ok(Heard::Silent) => {}
+    let remote = shared.members.borrow().remote_pollers();
+    let mut poller_state = PollerState::Silent;
+    for poller in std::iter::once(local).chain(remote) {
+        match timeout_at(deadline, refresh_from(shared, poller)).await {
+            Ok(PollerState::Fresh) => return PollerState::Fresh,
+            Ok(PollerState::Stale) => poller_state = PollerState::Stale,
+            Ok(PollerState::Silent) => {}
             Err(_) => break,
         }
     }
-    heard
+    poller_state
 }
 
-/// Asks any daemon of this data centre. At a common start the one that reads the store would have to pass
-/// a list of 75 KB and more on to some sixty others through one link; each that has it passes it on.
-async fn ask_neighbour(shared: &Shared) {
-    let neighbour = shared.members.borrow().neighbour();
-    if let Some(neighbour) = neighbour {
-        news(shared, neighbour).await;
+/// Asks a random daemon of this data centre. At a common start the poller would have to send a list
+/// of 75 KB and more to some sixty daemons over one link, so each daemon that has it passes it on.
+async fn refresh_from_local_peer(shared: &Shared) {
+    let peer = shared.members.borrow().random_local_peer();
+    if let Some(peer) = peer {
+        refresh_from(shared, peer).await;
     }
 }
 
-/// Asks the daemon at `poller`.
-async fn news(shared: &Shared, poller: SocketAddr) -> Heard {
-    let Some(news) = gossip::question(shared, poller, NEWS_PATIENCE).await else {
-        return Heard::Silent;
+/// Requests the status of the daemon at `poller` and fetches what is newer there.
+async fn refresh_from(shared: &Shared, poller: SocketAddr) -> PollerState {
+    let Some(status) = gossip::request_status(shared, poller, POLLER_TIMEOUT).await else {
+        return PollerState::Silent;
     };
-    if news.overloaded && Some(poller) == shared.members.borrow().poller() {
-        shared.told_overload();
+    if status.overloaded && Some(poller) == shared.members.borrow().poller() {
+        shared.record_relayed_report();
     }
-    match news {
-        news if !news.is_fresh() => Heard::Stale,
-        news if news.same && news.plan <= shared.plan_version() => {
-            shared.confirm_replicas(news.replicas, news.age());
-            Heard::Fresh
+    match status {
+        status if !status.is_fresh() => PollerState::Stale,
+        status if status.same && status.plan <= shared.plan_version() => {
+            shared.confirm_replicas(status.replicas, status.age());
+            PollerState::Fresh
         }
-        _ if exchange::ask(shared, poller).await => Heard::Fresh,
-        _ => Heard::Silent,
+        _ if exchange::fetch_newer(shared, poller).await => PollerState::Fresh,
+        _ => PollerState::Silent,
     }
 }
 
 async fn read_replicas(shared: &Shared) -> bool {
     let started_at = shared.clock.now();
-    match replicas_news(shared).await {
+    match fetch_replicas(shared).await {
         Ok(update) => {
             shared.store_answered("replicas");
             let read_at = earliest_read_time(started_at, shared.clock.now(), &update);
-            shared.take_replicas(Source::Store, read_at, &update);
+            shared.apply_replicas(Source::Store, read_at, &update);
             true
         }
         Err(error) => {
@@ -266,21 +262,21 @@
     }
 }
 
-/// What changed of the replicas, or all of them where that is not known.
-async fn replicas_news(shared: &Shared) -> Result<Update, Error> {
+/// Reads the changes of the replicas from the store, or all replicas if the changes are not known.
+async fn fetch_replicas(shared: &Shared) -> Result<Update, Error> {
     let since = shared.replicas_version();
     if since == 0 {
-        return all_replicas(shared).await;
+        return fetch_all_replicas(shared).await;
     }
     let watched = shared.store.watch(replica::TABLE, since, REPLICAS_WAIT);
     match watched.await {
         Ok(rows) => Ok(Update::Changed(rows::delta(shared, since, &rows))),
-        Err(Error::Compacted) => all_replicas(shared).await,
+        Err(Error::Compacted) => fetch_all_replicas(shared).await,
         Err(error) => Err(error),
     }
 }
 
-async fn all_replicas(shared: &Shared) -> Result<Update, Error> {
+async fn fetch_all_replicas(shared: &Shared) -> Result<Update, Error> {
     let rows = shared.store.read(replica::TABLE).await?;
     Ok(Update::All(rows::snapshot(shared, &rows)))
 }
@@ -289,13 +285,13 @@
     match shared.store.read(plan::TABLE).await {
         Ok(rows) => {
             shared.store_answered("plan");
-            take_plan(shared, &rows);
+            apply_stored_plan(shared, &rows);
         }
         Err(error) => shared.store_failed("plan", &error),
     }
 }
 
-fn take_plan(shared: &Shared, rows: &Rows) {
+fn apply_stored_plan(shared: &Shared, rows: &Rows) {
     let newest = rows.rows.iter().rev().find(|row| row.key == plan::KEY);
     let Some(value) = newest.and_then(|row| row.value.as_deref()) else {
         return;
@@ -304,13 +300,13 @@
         Ok(read) => {
             if read.plan.version > shared.plan_version() {
                 for problem in &read.problems {
-                    log::error!(kind = "plan", version = read.plan.version, cause = problem; "a customer's row is not as it should be");
+                    log::error!(kind = "plan", version = read.plan.version, cause = problem; "a customer's row is invalid");
                 }
             }
-            shared.take_plan("store", read.plan);
+            shared.apply_plan("store", read.plan);
         }
         Err(error) => {
-            log::error!(kind = "plan", cause = error.to_string(); "a plan cannot be read; the one in force stays");
+            log::error!(kind = "plan", cause = error.to_string(); "a plan cannot be read; the current one stays in force");
         }
     }
 }
--- a/crates/gateway/tests/gateway/lifecycle.rs
+++ b/crates/gateway/tests/gateway/lifecycle.rs
@@ -76,7 +76,10 @@
     fs::write(site.daemon.settings_path(), "instance: [").unwrap();
     site.daemon.signal(Signal::HUP);
     wait_until("the failed reload is logged", || {
-        !site.daemon.logged("those in force stay").is_empty()
+        !site
+            .daemon
+            .logged("the current ones stay in force")
+            .is_empty()
     });
     assert_eq!(site.send_and_read("GET /read/1", "a1").status(), 200);
 }
--- a/crates/node/src/introspection.rs
+++ b/crates/node/src/introspection.rs
@@ -29,7 +29,7 @@
             name: self.settings.name.clone(),
             incarnation: self.incarnation().to_string(),
             generation: self.tables.view.generation(),
-            fresh: self.tables.view.fresh(now) && self.replicas.has_list,
+            fresh: self.tables.view.is_fresh(now) && self.replicas.has_list,
             store_age_ms: self.tables.sync.store_age(now).map(millis),
             leaving: self.lifecycle.leaving.is_some(),
             open: self.requests.open.len(),
@@ -87,7 +87,7 @@
                     .tables
                     .view
                     .table()
-                    .is_some_and(|table| table.drains_instance(&listed.name));
+                    .is_some_and(|table| table.is_instance_draining(&listed.name));
                 let usable = !listed.leaving && !marked;
                 usable.then(|| Address {
                     name: listed.name.clone(),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -248,7 +248,7 @@
     pub(crate) fn may_decide(&self) -> bool {
         let caught_up = !self.members.fleet.paused(self.now)
             || self.tables.sync.proved_since(self.lifecycle.pause_ended);
-        self.tables.view.fresh(self.now) && caught_up && self.replicas.has_list
+        self.tables.view.is_fresh(self.now) && caught_up && self.replicas.has_list
     }
 }
 
--- a/crates/node/src/proofs.rs
+++ b/crates/node/src/proofs.rs
@@ -21,7 +21,7 @@
     /// Records that a linearizable read of the store, at or after `since`, showed nothing newer.
     pub(crate) fn record_proof(&mut self, since: Time) {
         let age = self.now.since(since);
-        self.tables.view.vouch(self.now, age);
+        self.tables.view.record_store_read(self.now, age);
         self.tables.sync.proved = self.tables.sync.proved.max(Some(since));
     }
 
@@ -57,16 +57,16 @@
         TableStatus {
             generation: self.tables.view.generation(),
             store_age_ms: age.and_then(|age| u32::try_from(age).ok()),
-            settled: !self.tables.view.behind(),
+            settled: !self.tables.view.is_behind(),
             asked,
             answer,
         }
     }
 
     pub(crate) fn handle_news(&mut self, from: Instance, news: TableStatus, out: &mut Vec<Action>) {
-        self.tables.view.announce(news.generation);
+        self.tables.view.record_generation(news.generation);
         self.record_news(from, news);
-        if self.tables.view.behind() {
+        if self.tables.view.is_behind() {
             self.send(from, Body::Pull, out);
         } else {
             self.apply_proof(news);
@@ -112,11 +112,15 @@
             .filter(|_| news.generation == self.tables.view.generation());
         if let Some(age) = age {
             let proved = asked - Duration::from_millis(u64::from(age));
-            self.tables.view.vouch(self.now, self.now.since(proved));
+            self.tables
+                .view
+                .record_store_read(self.now, self.now.since(proved));
             self.tables.sync.proved = self.tables.sync.proved.max(Some(proved));
         }
         if let Some(point) = self.majority_contact() {
-            self.tables.view.vouch(self.now, self.now.since(point));
+            self.tables
+                .view
+                .record_store_read(self.now, self.now.since(point));
         }
     }
 
--- a/crates/node/tests/simulation/operators.rs
+++ b/crates/node/tests/simulation/operators.rs
@@ -5,7 +5,7 @@
 use node::action;
 use node::event::Event;
 use rand::RngExt;
-use table::drain::Mark;
+use table::drain::DrainTarget;
 use table::edit::Change;
 use table::edit::Edit;
 use table::row::Row;
@@ -54,10 +54,10 @@
     pub(super) fn add_operator(&mut self, fault: Fault, daemon: usize, selector: usize) {
         let number = self.operators.len();
         let draining = [0, 2, 5][selector % 3];
-        let mark = Mark::Replica(self.engines[draining].name.clone());
+        let target = DrainTarget::Replica(self.engines[draining].name.clone());
         let change = match fault {
-            Fault::Drain => Change::Drain(mark),
-            Fault::Undrain => Change::Undrain(mark),
+            Fault::Drain => Change::Drain(target),
+            Fault::Undrain => Change::Undrain(target),
             _ => self.changed_row(daemon, selector),
         };
         if fault == Fault::Undrain {
@@ -121,9 +121,9 @@
         let Some(engine) = self.operators[operator].drained_engine else {
             return;
         };
-        let mark = Mark::Replica(self.engines[engine].name.clone());
+        let target = DrainTarget::Replica(self.engines[engine].name.clone());
         let mut others = self.operators.iter();
-        let undone = others.any(|other| other.edit.changes == [Change::Undrain(mark.clone())]);
+        let undone = others.any(|other| other.edit.changes == [Change::Undrain(target.clone())]);
         if !undone {
             self.engines[engine].drained_since.get_or_insert(self.now);
         }
--- a/crates/table/src/plan.rs
+++ b/crates/table/src/transaction.rs
@@ -1,4 +1,4 @@
-//! Planning an edit as a transaction of the store.
+//! Plans an edit as a transaction of the store.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,18 +7,18 @@
 use crate::edit::Change;
 use crate::edit::Edit;
 use crate::error;
-use crate::stored::Error;
-use crate::stored::GENERATION;
-use crate::stored::Record;
-use crate::stored::corrupt;
-use crate::stored::drain_key;
-use crate::stored::edit_id_key;
-use crate::stored::edit_key;
-use crate::stored::number;
-use crate::stored::read;
-use crate::stored::row_key;
+use crate::storage::Error;
+use crate::storage::GENERATION_KEY;
+use crate::storage::Record;
+use crate::storage::corrupt;
+use crate::storage::drain_key;
+use crate::storage::edit_id_key;
+use crate::storage::edit_key;
+use crate::storage::number;
+use crate::storage::read_table;
+use crate::storage::row_key;
 
-/// A key that must be at a version for the transaction to commit.
+/// A version that a key must have for the transaction to commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Requirement {
     /// The key.
@@ -27,7 +27,7 @@
     pub version: u64,
 }
 
-/// A write of the transaction.
+/// A write in a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
     /// The key.
@@ -38,54 +38,55 @@
 
 /// The transaction that applies an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Plan {
-    /// What must hold for it to commit.
+pub struct Transaction {
+    /// Versions required for the commit.
     pub require: Vec<Requirement>,
-    /// What it writes.
+    /// Keys to write or delete.
     pub write: Vec<Write>,
-    /// The table after it has committed.
+    /// The table after the commit.
     pub table: Table,
 }
 
-/// What is to be done about an edit.
+/// How to proceed with an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
-    /// Commit this transaction; if it fails, read again and plan again.
-    Commit(Plan),
-    /// Nothing: the edit has been applied and made this generation.
+pub enum Decision {
+    /// Commit this transaction; if it conflicts, read the table and plan again.
+    Commit(Transaction),
+    /// Do nothing: the edit was already applied and created this generation.
     Applied(u64),
 }
 
-/// The record that an edit leaves behind.
+/// The history record of an applied edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
-    /// The generation that the edit made.
+    /// The generation that the edit created.
     pub generation: u64,
-    /// When it was planned, in seconds of the Unix clock.
+    /// When the edit was planned, in Unix seconds.
     pub unix_seconds: u64,
-    /// The edit, with its operator and note.
+    /// The edit, including its operator and note.
     pub edit: Edit,
 }
 
-/// Plans `edit` against the records of one transaction that scanned [`stored::SCANS`](crate::stored::SCANS) and read
-/// [`edit_id_key`](crate::stored::edit_id_key). `unix_seconds` goes into the history record.
+/// Plans `edit` against the records of one transaction that scanned
+/// [`SCAN_PREFIXES`](crate::storage::SCAN_PREFIXES) and read
+/// [`edit_id_key`](crate::storage::edit_id_key). `unix_seconds` is stored in the history record.
 ///
 /// # Errors
 ///
-/// A record that can't be read, an edit that is not valid, or a conflict.
-pub fn plan(edit: &Edit, records: &[Record], unix_seconds: u64) -> Result<Step, Error> {
+/// If a record cannot be read, the edit is not valid, or it conflicts with another edit.
+pub fn plan_edit(edit: &Edit, records: &[Record], unix_seconds: u64) -> Result<Decision, Error> {
     edit.check()?;
     let id_key = edit_id_key(&edit.id);
     let applied = records
         .iter()
         .find(|record| record.key == id_key && record.version > 0);
     if let Some(applied) = applied {
-        return number(applied).map(Step::Applied);
+        return number(applied).map(Decision::Applied);
     }
-    let (current, versions) = read(records)?;
+    let (current, versions) = read_table(records)?;
     let table = edit.apply(&current)?;
     if table.rows.len() > Table::MAX_ROWS {
-        let count = error::Error::Count {
+        let count = error::Error::TooManyRows {
             rows: table.rows.len(),
         };
         return Err(Error::Invalid(count.into()));
@@ -96,18 +97,18 @@
         edit: edit.clone(),
     };
     let generation = table.generation.to_string();
-    let mut write: Vec<Write> = edit.changes.iter().map(change).collect();
+    let mut write: Vec<Write> = edit.changes.iter().map(write_for).collect();
     let mut keys: Vec<String> = write.iter().map(|write| write.key.clone()).collect();
-    write.push(put(GENERATION.to_owned(), generation.clone()));
+    write.push(put(GENERATION_KEY.to_owned(), generation.clone()));
     write.push(put(edit_key(table.generation), json(&history)));
     write.push(put(id_key.clone(), generation));
-    keys.push(GENERATION.to_owned());
+    keys.push(GENERATION_KEY.to_owned());
     keys.push(id_key);
     let require = keys.into_iter().map(|key| Requirement {
         version: versions.get(&key),
         key,
     });
-    Ok(Step::Commit(Plan {
+    Ok(Decision::Commit(Transaction {
         require: require.collect(),
         write,
         table,
@@ -118,21 +119,21 @@
 ///
 /// # Errors
 ///
-/// The record, if it can't be read.
-pub fn history(record: &Record) -> Result<History, Error> {
+/// If the record cannot be read.
+pub fn read_history(record: &Record) -> Result<History, Error> {
     serde_json::from_str(&record.value).map_err(|error| corrupt(record, &error.to_string()))
 }
 
-fn change(change: &Change) -> Write {
+fn write_for(change: &Change) -> Write {
     match change {
         Change::Put { row, .. } => put(row_key(row), json(row)),
         Change::Remove { base } => Write {
             key: row_key(base),
             value: None,
         },
-        Change::Drain(mark) => put(drain_key(mark), "{}".to_owned()),
-        Change::Undrain(mark) => Write {
-            key: drain_key(mark),
+        Change::Drain(target) => put(drain_key(target), "{}".to_owned()),
+        Change::Undrain(target) => Write {
+            key: drain_key(target),
             value: None,
         },
     }
