--- a/crates/node/tests/simulation/responses.rs
+++ b/crates/node/tests/simulation/responses.rs
@@ -181,7 +181,7 @@
         };
         let is_false = refusal.outcome == Outcome::NotRun && reached_replica;
         if is_request && is_false {
-            let reason = refusal.reason.word();
+            let reason = refusal.reason.as_str();
             self.record_violation(format!(
                 "{call:?} of caller {caller} gets `not run` ({reason}) after a byte reached a replica"
             ));
@@ -201,8 +201,8 @@
         CallerMessage::Tokens { offset, count, .. } => format!("{count} tokens from {offset}"),
         CallerMessage::Refusal(refusal) => format!(
             "{} {}, retry after {} ms at {:?}",
-            refusal.outcome.word(),
-            refusal.reason.word(),
+            refusal.outcome.as_str(),
+            refusal.reason.as_str(),
             refusal.retry_after_ms,
             refusal.addresses
         ),
