--- a/crates/engine/src/attach.rs
+++ b/crates/engine/src/attach.rs
@@ -1,15 +1,15 @@
-//! Attach: reads a stream that runs or has just ended, in place of its former reader.
+//! Attach: takes over a running or just ended stream from its previous reader.
 
 use serde::Serialize;
 
 use crate::Claim;
 
-/// What is to be read.
+/// The stream to read.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Request {
     /// The attempt.
     #[serde(flatten)]
     pub claim: Claim,
-    /// First token wanted, counted from the begin of the whole answer.
+    /// First token to send, counted from the start of the whole answer.
     pub offset: u32,
 }
--- a/crates/engine/src/call.rs
+++ b/crates/engine/src/call.rs
@@ -6,7 +6,7 @@
 use http::Method;
 use http::header;
 
-/// Headers that concern one connection.
+/// Hop-by-hop headers, which apply to one connection only.
 const HOP_BY_HOP: [HeaderName; 11] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -21,14 +21,14 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// A call, sent exactly as many times as it is handed to the client.
+/// A call; the client sends it once and never retries it.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// Method.
     pub method: Method,
-    /// Path with query, beginning with a slash.
+    /// Path and query, starting with a slash.
     pub path: String,
-    /// Headers; those that concern a single connection are left out.
+    /// Headers; hop-by-hop headers are removed before sending.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
@@ -60,7 +60,7 @@
     }
 }
 
-/// What the application answered, whatever its status.
+/// The application's answer, with any status.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// HTTP status.
@@ -71,7 +71,7 @@
     pub body: Bytes,
 }
 
-/// The headers that are passed on to the next connection.
+/// Removes the hop-by-hop headers.
 pub(crate) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     for name in &HOP_BY_HOP {
         headers.remove(name);
--- a/crates/engine/src/cancel.rs
+++ b/crates/engine/src/cancel.rs
@@ -1,10 +1,10 @@
-//! Cancel: frees all that an attempt holds.
+//! Cancel: frees everything that an attempt holds at an engine.
 
 use serde::Deserialize;
 
-/// How a cancel ended.
+/// The result of a cancel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub struct Reply {
-    /// Whether the engine knew the attempt.
+    /// Whether the engine held the attempt.
     pub released: bool,
 }
--- a/crates/engine/src/claim.rs
+++ b/crates/engine/src/claim.rs
@@ -1,4 +1,4 @@
-//! The fields by which every call names an attempt.
+//! The fields that identify an attempt in every engine call.
 
 use ident::Handle;
 use ident::Incarnation;
@@ -6,16 +6,16 @@
 
 use crate::text;
 
-/// Names an attempt, its owner and the owner's fencing number.
+/// Identifies an attempt, its owner and the owner's fencing number.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Claim {
     /// The attempt.
     #[serde(serialize_with = "text::display")]
     pub handle: Handle,
-    /// The daemon run that answers for it.
+    /// The daemon run that owns it.
     #[serde(serialize_with = "text::display")]
     pub owner: Incarnation,
-    /// Fencing number of that owner for this attempt.
+    /// Fencing number of the owner for this attempt.
     pub fence: u64,
 }
 
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,4 +1,4 @@
-//! The client.
+//! The client for engines and plain applications.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,18 +26,18 @@
 use crate::state::State;
 use crate::stream::Stream;
 
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Longest wait for the answer to a prefill, decode, attachment or call.
-const WORK: Duration = Duration::from_mins(2);
-/// Longest wait for the answer to a cancel, state or order.
-const CONTROL: Duration = Duration::from_secs(2);
-/// Largest body of an answer.
-const BODY: usize = 16 << 20;
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for the answer to a prefill, decode, attach or call.
+const WORK_TIMEOUT: Duration = Duration::from_mins(2);
+/// Timeout for a cancel, state read or order.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Largest body of an answer, in bytes.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A client of any number of engines and applications.
+/// A client for any number of engines and applications.
 ///
-/// Each call takes a fresh connection. Dropping a future or a stream closes its connection.
+/// Each call opens a new connection. Dropping a future or a stream closes its connection.
 #[derive(Debug, Clone)]
 pub struct Client {
     limits: Limits,
@@ -52,33 +52,33 @@
 }
 
 impl Client {
-    /// A client with the usual limits.
+    /// A client with the default limits.
     pub fn new() -> Self {
         Self {
             limits: Limits {
-                connect: CONNECT,
-                head: WORK,
+                connect: CONNECT_TIMEOUT,
+                head: WORK_TIMEOUT,
             },
-            control: CONTROL,
-            body_limit: BODY,
+            control: CONTROL_TIMEOUT,
+            body_limit: MAX_BODY_BYTES,
         }
     }
 
-    /// Sets the longest wait for a fresh connection.
+    /// Sets the timeout for opening a connection.
     #[must_use]
     pub fn with_connect_timeout(mut self, timeout: Duration) -> Self {
         self.limits.connect = timeout;
         self
     }
 
-    /// Sets the longest wait for the answer to what starts work.
+    /// Sets the timeout for the answer to a prefill, decode, attach or call.
     #[must_use]
     pub fn with_work_timeout(mut self, timeout: Duration) -> Self {
         self.limits.head = timeout;
         self
     }
 
-    /// Sets the longest wait for the answer to a cancel, state or order.
+    /// Sets the timeout for a cancel, state read or order.
     #[must_use]
     pub fn with_control_timeout(mut self, timeout: Duration) -> Self {
         self.control = timeout;
@@ -92,7 +92,7 @@
         self
     }
 
-    /// Computes a prefill; returns when it has ended.
+    /// Runs a prefill and returns when it has ended.
     ///
     /// # Errors
     ///
@@ -112,7 +112,7 @@
         })
     }
 
-    /// Begins a decode; its stream begins when the import has begun.
+    /// Starts a decode; its stream opens when the import of the KV cache starts.
     ///
     /// # Errors
     ///
@@ -126,7 +126,7 @@
         Ok(Stream::new(peer, answer))
     }
 
-    /// Reads a stream in place of its former reader.
+    /// Takes over a stream from its previous reader.
     ///
     /// # Errors
     ///
@@ -140,7 +140,7 @@
         Ok(Stream::new(peer, answer))
     }
 
-    /// Frees all that an attempt holds, and has it refused if it arrives later.
+    /// Frees everything that an attempt holds; the engine refuses the attempt if it arrives later.
     ///
     /// # Errors
     ///
@@ -150,7 +150,7 @@
         self.exchange(Step::Cancel, peer, request).await
     }
 
-    /// Reads the state of an engine or application, with cache events after number `after`.
+    /// Reads the state of an engine or application, with the cache events after number `after`.
     ///
     /// # Errors
     ///
@@ -161,7 +161,7 @@
         self.exchange(Step::State, peer, request).await
     }
 
-    /// Changes what an engine serves.
+    /// Changes the model, adapter, version or role that an engine serves.
     ///
     /// # Errors
     ///
@@ -175,9 +175,9 @@
         self.exchange(Step::Order, peer, request).await
     }
 
-    /// Carries out a plain application call, whose bytes leave this process at most once.
+    /// Sends a plain application call at most once.
     ///
-    /// Every status is an answer.
+    /// An answer with any status is a success.
     ///
     /// # Errors
     ///
@@ -192,8 +192,8 @@
             .method(request.method)
             .uri(request.path)
             .body(Full::new(request.body));
-        let mut sent = match built {
-            Ok(sent) => sent,
+        let mut outgoing = match built {
+            Ok(outgoing) => outgoing,
             Err(e) => {
                 return Err(Error::NotSent {
                     step,
@@ -202,8 +202,8 @@
                 });
             }
         };
-        *sent.headers_mut() = call::end_to_end(request.headers);
-        let answer = direct::send(step, peer, self.limits, sent).await?;
+        *outgoing.headers_mut() = call::end_to_end(request.headers);
+        let answer = direct::send(step, peer, self.limits, outgoing).await?;
         let status = answer.head.status.as_u16();
         let headers = answer.head.headers.clone();
         let body = self.collect(step, peer, answer).await?;
@@ -214,7 +214,7 @@
         })
     }
 
-    /// Carries out a call that may be repeated.
+    /// Sends a control call, which may be repeated.
     async fn exchange<T: DeserializeOwned>(
         &self,
         step: Step,
@@ -224,7 +224,7 @@
         control::exchange(step, peer, self.control, self.body_limit, request).await
     }
 
-    /// Posts JSON on a fresh connection; an answer other than 200 is a refusal.
+    /// Posts JSON on a new connection; a status other than 2xx becomes [`Error::Refused`].
     async fn post<T: Serialize>(
         &self,
         step: Step,
--- a/crates/engine/src/control.rs
+++ b/crates/engine/src/control.rs
@@ -1,7 +1,7 @@
-//! Calls that may be repeated: one exchange each, JSON back.
+//! Control calls, which may be repeated and are answered with JSON.
 //!
-//! Their answers do not name the call, so each takes a connection of its own: on a kept one a late
-//! second answer would be taken for the answer to the next call.
+//! Each call opens its own connection because answers do not identify their call: on a reused
+//! connection, a late duplicate answer would be taken for the answer to the next call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::error::Error;
 use crate::error::Step;
 
-/// Sends a request and reads its answer as JSON; `timeout` spans the whole exchange.
+/// Sends a request and parses its JSON answer; `timeout` covers the whole exchange.
 pub(crate) async fn exchange<T: DeserializeOwned>(
     step: Step,
     peer: SocketAddr,
--- a/crates/engine/src/decode.rs
+++ b/crates/engine/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decode: imports a KV cache and generates.
+//! Decode: imports a KV cache and generates tokens.
 
 use std::net::SocketAddr;
 
@@ -6,18 +6,18 @@
 
 use crate::Claim;
 
-/// What is to be generated.
+/// The tokens to generate.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Request {
-    /// The attempt, under which the prefill was made.
+    /// The attempt, the same as of the prefill.
     #[serde(flatten)]
     pub claim: Claim,
-    /// The engine that keeps the prefill's result.
+    /// The engine that holds the result of the prefill.
     pub source: SocketAddr,
-    /// Most tokens of the whole answer, earlier generated ones included.
+    /// Most tokens of the whole answer, including those generated earlier.
     pub max_tokens: u32,
     /// Priority; 0 goes first.
     pub priority: u8,
-    /// First token wanted, counted from the begin of the whole answer.
+    /// First token to send, counted from the start of the whole answer.
     pub offset: u32,
 }
--- a/crates/engine/src/error.rs
+++ b/crates/engine/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call to a replica failed.
+//! Errors of calls to replicas.
 
 use std::fmt;
 
@@ -9,15 +9,15 @@
 pub enum Step {
     /// A prefill.
     Prefill,
-    /// The begin of a decode.
+    /// The start of a decode.
     Decode,
-    /// The begin of an attachment.
+    /// The start of an attach.
     Attach,
     /// Reading a stream.
     Stream,
     /// A cancel.
     Cancel,
-    /// A read of the state.
+    /// A state read.
     State,
     /// An order.
     Order,
@@ -44,16 +44,16 @@
 pub type Error = call::Error<Step>;
 
 #[derive(Debug, Deserialize)]
-struct Fenced {
+struct FenceRefusal {
     fence: u64,
 }
 
-/// The highest fencing number that a refusing replica has seen, if it told.
+/// The highest fencing number that a refusing replica has seen, if its answer contains one.
 pub fn fence(error: &Error) -> Option<u64> {
     match error {
-        Error::Refused { body, .. } => serde_json::from_slice::<Fenced>(body)
+        Error::Refused { body, .. } => serde_json::from_slice::<FenceRefusal>(body)
             .ok()
-            .map(|fenced| fenced.fence),
+            .map(|refusal| refusal.fence),
         _ => None,
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients for model engines and plain applications.
 //!
-//! No request is ever sent twice by itself, and [`error::Error`] tells exactly whether a byte of a
-//! failed request can have reached its peer.
+//! The clients never retry a request. [`error::Error`] distinguishes failed requests of which no byte
+//! reached the peer from those that may have reached it.
 
 pub mod attach;
 pub mod call;
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -1,11 +1,11 @@
-//! Orders that change what an engine serves.
+//! Orders that change the model, adapter, version or role of an engine.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::state::Role;
 
-/// What is to change; `None` leaves a field as it is.
+/// The changes; `None` leaves a field unchanged.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Request {
     /// Fencing number of the order.
@@ -20,7 +20,7 @@
     pub role: Option<Role>,
 }
 
-/// What the engine serves after an order.
+/// The configuration of the engine after an order.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Reply {
     /// Start number of the engine.
--- a/crates/engine/src/state.rs
+++ b/crates/engine/src/state.rs
@@ -1,4 +1,4 @@
-//! What a replica tells of itself.
+//! The state that a replica reports.
 
 use ident::Handle;
 use ident::Incarnation;
@@ -7,7 +7,7 @@
 
 use crate::text;
 
-/// What a replica does.
+/// The kind of work that a replica does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -19,47 +19,47 @@
     Plain,
 }
 
-/// Where an attempt stands.
+/// The phase of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// A prefill that waits or runs.
+    /// A prefill that is queued or running.
     Prefill,
-    /// A finished prefill whose result is kept.
+    /// A finished prefill whose KV cache is held.
     Kept,
-    /// A decode whose KV cache is under way; holds a slot.
+    /// A decode that imports its KV cache; holds a slot.
     Import,
-    /// A decode that generates; holds a slot.
+    /// A decode that generates tokens; holds a slot.
     Decode,
-    /// A finished decode whose text is kept for readers.
+    /// A finished decode whose tokens can still be read.
     Done,
 }
 
-/// The state of a replica; plain applications tell only start number, slots and running calls.
+/// The state of a replica; plain applications report only `boot`, `slots` and `running`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct State {
-    /// Start number: memory of an earlier one is gone.
+    /// Start number; a restart changes it and loses everything that the replica held.
     pub boot: u64,
-    /// What it does.
+    /// Its role.
     #[serde(default = "plain")]
     pub role: Role,
-    /// Requests it runs at once.
+    /// Requests that it can run at once.
     pub slots: u32,
-    /// Requests that run; lags.
+    /// Running requests; the value lags.
     pub running: u32,
-    /// Requests that wait; lags.
+    /// Queued requests; the value lags.
     #[serde(default)]
     pub waiting: u32,
-    /// Tokens of prefills that wait or run; lags.
+    /// Tokens of queued and running prefills; the value lags.
     #[serde(default)]
     pub queued_tokens: u32,
-    /// Attempts it holds now.
+    /// Attempts that it holds now.
     #[serde(default)]
     pub works: Vec<Work>,
-    /// Prefix cache events, late and with gaps.
+    /// Prefix cache events; they may be late or missing.
     #[serde(default)]
     pub events: Vec<Event>,
-    /// Number to ask for events after the next time.
+    /// Number of the last event, from which the next read continues.
     #[serde(default)]
     pub last_seq: u64,
 }
@@ -70,25 +70,25 @@
     /// The attempt.
     #[serde(deserialize_with = "text::handle")]
     pub handle: Handle,
-    /// Its present owner.
+    /// Its current owner.
     #[serde(deserialize_with = "text::incarnation")]
     pub owner: Incarnation,
-    /// Fencing number of that owner.
+    /// Fencing number of the owner.
     pub fence: u64,
-    /// Where it stands.
+    /// Its phase.
     pub phase: Phase,
-    /// Time since it came, in milliseconds.
+    /// Time since its arrival, in milliseconds.
     pub held_ms: u64,
 }
 
-/// A block came into the prefix cache or left it.
+/// A block was stored in the prefix cache or evicted from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub struct Event {
     /// Number of the event; a gap means that events were lost.
     pub seq: u64,
     /// Hash of the block.
     pub block: u64,
-    /// Whether it was stored; else it was evicted.
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
--- a/crates/engine/src/stream.rs
+++ b/crates/engine/src/stream.rs
@@ -1,4 +1,4 @@
-//! The stream of a decode.
+//! The event stream of a decode.
 
 use std::net::SocketAddr;
 
@@ -13,14 +13,14 @@
 use crate::error::Error;
 use crate::error::Step;
 
-/// Longest line that an engine may send.
-const LINE_LIMIT: usize = 1 << 20;
+/// Longest line that an engine may send, in bytes.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// Why a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The text is complete.
+    /// The answer is complete.
     Stop,
     /// The attempt was cancelled.
     Cancelled,
@@ -28,26 +28,26 @@
     Lost,
 }
 
-/// What a stream delivers.
+/// An event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// The KV cache has arrived; tokens follow.
     Imported,
     /// One token.
     Tokens {
-        /// Its place in the whole answer.
+        /// Its position in the whole answer.
         offset: u32,
         /// Its text.
         text: String,
     },
-    /// The stream is over.
+    /// The stream has ended.
     End {
         /// Tokens of the whole answer so far.
         offset: u32,
         /// Why it ended.
         reason: Reason,
     },
-    /// Another reader took the stream over.
+    /// Another reader has taken over the stream.
     Superseded,
 }
 
@@ -70,7 +70,7 @@
     peer: SocketAddr,
     body: Incoming,
     buffer: BytesMut,
-    over: bool,
+    ended: bool,
     _guard: Guard,
 }
 
@@ -80,30 +80,30 @@
             peer,
             body: answer.body,
             buffer: BytesMut::new(),
-            over: false,
+            ended: false,
             _guard: answer.guard,
         }
     }
 
     /// The next event; `None` after the last one or an error.
     ///
-    /// A stream that breaks off before its end yields [`Error::Lost`]. Dropping the returned
-    /// future loses no event.
+    /// A stream that breaks off before its end yields [`Error::Lost`]. Cancel safe: dropping the
+    /// returned future loses no event.
     pub async fn next(&mut self) -> Option<Result<Event, Error>> {
-        if self.over {
+        if self.ended {
             return None;
         }
         let event = self.read().await;
-        self.over = matches!(event, Err(_) | Ok(Event::End { .. } | Event::Superseded));
+        self.ended = matches!(event, Err(_) | Ok(Event::End { .. } | Event::Superseded));
         Some(event)
     }
 
     async fn read(&mut self) -> Result<Event, Error> {
         loop {
-            if let Some(line) = self.take_line() {
+            if let Some(line) = self.next_line() {
                 return parse(&line).map_err(|cause| self.malformed(cause));
             }
-            if self.buffer.len() > LINE_LIMIT {
+            if self.buffer.len() > MAX_LINE_BYTES {
                 return Err(self.malformed("a line is too long".to_owned()));
             }
             match self.body.frame().await {
@@ -117,7 +117,7 @@
         }
     }
 
-    fn take_line(&mut self) -> Option<BytesMut> {
+    fn next_line(&mut self) -> Option<BytesMut> {
         let end = self.buffer.iter().position(|byte| *byte == b'\n')?;
         let line = self.buffer.split_to(end);
         self.buffer.advance(1);
--- a/crates/engine/src/text.rs
+++ b/crates/engine/src/text.rs
@@ -1,4 +1,4 @@
-//! Identifiers as text in JSON.
+//! Serialization of identifiers as text in JSON.
 
 use std::fmt::Display;
 
@@ -9,26 +9,26 @@
 use serde::Serializer;
 use serde::de;
 
-const HEX: u32 = 16;
+const HEX_RADIX: u32 = 16;
 
-/// Writes an identifier as its text.
+/// Serializes an identifier as text.
 pub(crate) fn display<T: Display, S: Serializer>(id: &T, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.collect_str(id)
 }
 
-/// Reads a handle.
+/// Deserializes a handle from text.
 pub(crate) fn handle<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Handle, D::Error> {
     let text = String::deserialize(deserializer)?;
     text.parse().map_err(de::Error::custom)
 }
 
-/// Reads an incarnation.
+/// Deserializes an incarnation from hexadecimal text.
 pub(crate) fn incarnation<'de, D>(deserializer: D) -> Result<Incarnation, D::Error>
 where
     D: Deserializer<'de>,
 {
     let text = String::deserialize(deserializer)?;
-    u64::from_str_radix(&text, HEX)
+    u64::from_str_radix(&text, HEX_RADIX)
         .map(Incarnation)
         .map_err(de::Error::custom)
 }
--- a/crates/engine/tests/call.rs
+++ b/crates/engine/tests/call.rs
@@ -1,4 +1,4 @@
-//! A plain call is sent at most once, and its error tells whether it was sent.
+//! A plain call is sent at most once, and its error says whether it was sent.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -28,19 +28,19 @@
 const END: &[u8] = b"book a lorry";
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// What a raw peer does with a booking that it has read.
+/// How a raw peer reacts to a booking.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Manner {
+enum Behavior {
     /// Closes without an answer.
     Close,
     /// Resets the connection.
     Reset,
-    /// Answers once on a connection, and closes at the next request there.
+    /// Answers the first request of a connection and closes at the second.
     AnswerOnce,
 }
 
-/// A peer that answers reads on kept connections and counts the bookings that reach it.
-async fn raw_peer(manner: Manner) -> (SocketAddr, Arc<AtomicUsize>) {
+/// A peer that answers reads on keep-alive connections and counts the bookings that reach it.
+async fn raw_peer(behavior: Behavior) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind(ANY).await.unwrap();
     let peer = listener.local_addr().unwrap();
     let bookings = Arc::new(AtomicUsize::new(0));
@@ -48,13 +48,13 @@
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
-            tokio::spawn(serve(stream, manner, Arc::clone(&counter)));
+            tokio::spawn(serve(stream, behavior, Arc::clone(&counter)));
         }
     });
     (peer, bookings)
 }
 
-async fn serve(mut stream: TcpStream, manner: Manner, bookings: Arc<AtomicUsize>) {
+async fn serve(mut stream: TcpStream, behavior: Behavior, bookings: Arc<AtomicUsize>) {
     let mut answered = 0;
     loop {
         let Some(request) = read_request(&mut stream).await else {
@@ -62,13 +62,13 @@
         };
         let booking = request.starts_with(BOOKING);
         bookings.fetch_add(usize::from(booking), Ordering::SeqCst);
-        match manner {
-            Manner::Close if booking => return,
-            Manner::Reset if booking => {
+        match behavior {
+            Behavior::Close if booking => return,
+            Behavior::Reset if booking => {
                 stream.set_zero_linger().unwrap();
                 return;
             }
-            Manner::AnswerOnce if answered > 0 => return,
+            Behavior::AnswerOnce if answered > 0 => return,
             _ => stream.write_all(ANSWER).await.unwrap(),
         }
         answered += 1;
@@ -101,11 +101,11 @@
 }
 
 #[rstest]
-#[case::closed(Manner::Close)]
-#[case::reset(Manner::Reset)]
+#[case::closed(Behavior::Close)]
+#[case::reset(Behavior::Reset)]
 #[tokio::test]
-async fn an_unanswered_call_arrives_exactly_once(#[case] manner: Manner) {
-    let (peer, bookings) = raw_peer(manner).await;
+async fn an_unanswered_call_arrives_exactly_once(#[case] behavior: Behavior) {
+    let (peer, bookings) = raw_peer(behavior).await;
     let client = Client::new();
     for tries in 1..=TRIES {
         let error = client.call(peer, booking()).await.unwrap_err();
@@ -127,11 +127,11 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_unanswered_call_arrives_once_also_after_kept_connections_to_the_same_peer() {
-    let (peer, bookings) = raw_peer(Manner::Close).await;
+async fn an_unanswered_call_arrives_once_after_answers_on_keep_alive_connections() {
+    let (peer, bookings) = raw_peer(Behavior::Close).await;
     let client = Client::new();
     for tries in 1..=TRIES {
-        // Leaves an idle connection in the pool; its answer is no state, which does not matter.
+        // The peer keeps the connection open; its answer is not a valid state, which is irrelevant here.
         let state = client.state(peer, 0).await;
         assert!(matches!(state, Err(Error::Malformed { .. })), "{state:?}");
         let stock = client
@@ -147,8 +147,8 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_peer_that_closes_kept_connections_answers_every_call() {
-    let (peer, bookings) = raw_peer(Manner::AnswerOnce).await;
+async fn every_call_is_answered_by_a_peer_that_closes_keep_alive_connections() {
+    let (peer, bookings) = raw_peer(Behavior::AnswerOnce).await;
     let client = Client::new();
     for tries in 1..=TRIES {
         let reply = client.call(peer, booking()).await.unwrap();
@@ -165,8 +165,10 @@
     drop(listener);
     match Client::new().call(peer, booking()).await.unwrap_err() {
         Error::NotSent {
-            step, peer: told, ..
-        } => assert_eq!((step, told), (Step::Call, peer)),
+            step,
+            peer: reported,
+            ..
+        } => assert_eq!((step, reported), (Step::Call, peer)),
         error => panic!("{error:?}"),
     }
 }
@@ -174,7 +176,7 @@
 #[rstest]
 #[tokio::test]
 async fn a_call_with_an_invalid_path_was_not_sent() {
-    let (peer, _) = raw_peer(Manner::Close).await;
+    let (peer, _) = raw_peer(Behavior::Close).await;
     let error = Client::new()
         .call(peer, Request::new(Method::GET, "no path"))
         .await
@@ -184,7 +186,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_silent_peer_loses_the_answer_and_its_connection_closes() {
+async fn a_call_to_an_unresponsive_peer_is_lost_and_closes_its_connection() {
     let listener = TcpListener::bind(ANY).await.unwrap();
     let peer = listener.local_addr().unwrap();
     let client = Client::new().with_work_timeout(Duration::from_millis(100));
@@ -201,7 +203,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn headers_are_passed_on_except_those_of_one_connection() {
+async fn headers_are_forwarded_except_hop_by_hop_headers() {
     let listener = TcpListener::bind(ANY).await.unwrap();
     let peer = listener.local_addr().unwrap();
     let mut headers = HeaderMap::new();
--- a/crates/engine/tests/second_answers.rs
+++ b/crates/engine/tests/second_answers.rs
@@ -1,9 +1,9 @@
-//! Second answers that come late.
+//! Duplicate answers that arrive late.
 //!
-//! Servers have been seen to answer some requests twice, the second time after the next request
-//! had gone out on the same connection. A client that takes whatever comes next there hands one
-//! call the answer to another: an order is told what an earlier one made of the engine, a cancel
-//! is told a state, and an application with work counts as idle.
+//! Some servers answer a request twice, the second time after the next request has been sent on the
+//! same connection. A client that reuses the connection takes the duplicate for the answer to the
+//! next call: an order reports the result of an earlier one, a cancel reads a state, and a busy
+//! application counts as idle.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -26,11 +26,11 @@
 
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const OWNER: Incarnation = Incarnation(7);
-/// Long enough for an application that has one call to finish it.
+/// Service time of a call; long enough that it still runs when the state is read.
 const SERVICE: Duration = Duration::from_secs(2);
 
-/// The address of `target` behind a link on which every answer comes twice.
-async fn repeating(target: SocketAddr) -> SocketAddr {
+/// Starts a link to `target` that repeats every answer, and returns its address.
+async fn repeating_link(target: SocketAddr) -> SocketAddr {
     let route = Route { port: 0, target };
     let control = link::start(&[route], ANY).await.unwrap();
     let record = control::record(control).await.unwrap();
@@ -42,12 +42,12 @@
     SocketAddr::new(target.ip(), port)
 }
 
-async fn engine_twice() -> SocketAddr {
+async fn engine_behind_repeating_link() -> SocketAddr {
     let settings = Settings {
         role: Role::Prefill,
         ..Settings::default()
     };
-    repeating(fake::engine::start(settings, ANY).await.unwrap()).await
+    repeating_link(fake::engine::start(settings, ANY).await.unwrap()).await
 }
 
 fn order(fence: u64, model: &str) -> order::Request {
@@ -60,8 +60,8 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_order_is_answered_by_its_own_answer() {
-    let (client, peer) = (Client::new(), engine_twice().await);
+async fn an_order_gets_its_own_answer() {
+    let (client, peer) = (Client::new(), engine_behind_repeating_link().await);
     for (fence, model) in [(1, "ration"), (2, "herd"), (3, "feed")] {
         let reply = client.order(peer, &order(fence, model)).await.unwrap();
         assert_eq!(reply.model.as_deref(), Some(model));
@@ -70,8 +70,8 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_cancel_is_not_answered_by_a_read_of_the_state() {
-    let (client, peer) = (Client::new(), engine_twice().await);
+async fn a_cancel_does_not_get_the_answer_to_a_state_read() {
+    let (client, peer) = (Client::new(), engine_behind_repeating_link().await);
     client.state(peer, 0).await.unwrap();
     let claim = Claim::new(Handle::new(OWNER, 1), OWNER, 1);
     let reply = client.cancel(peer, &claim).await.unwrap();
@@ -80,14 +80,14 @@
 
 #[rstest]
 #[tokio::test]
-async fn the_state_of_an_application_is_the_present_one() {
+async fn a_state_read_returns_the_current_state() {
     let settings = application::Settings {
         service: SERVICE,
         load_lag: Duration::ZERO,
         ..application::Settings::default()
     };
     let target = application::start(settings, ANY).await.unwrap();
-    let (client, peer) = (Client::new(), repeating(target).await);
+    let (client, peer) = (Client::new(), repeating_link(target).await);
     assert_eq!(client.state(peer, 0).await.unwrap().running, 0);
     let call = engine::call::Request::new(http::Method::POST, "/feed");
     let running = tokio::spawn({
--- a/crates/engine/tests/stream.rs
+++ b/crates/engine/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of a decode, and the errors of engine calls.
+//! Streams of a decode and errors of engine calls.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -23,7 +23,7 @@
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const HEAD: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
-/// A peer that answers one request with `pieces`, a pause between them, and closes.
+/// A peer that answers one request with `pieces`, pausing between them, and closes.
 async fn peer_with(pieces: Vec<&'static str>) -> SocketAddr {
     let listener = TcpListener::bind(ANY).await.unwrap();
     let peer = listener.local_addr().unwrap();
@@ -52,7 +52,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn events_are_read_whatever_the_pieces() {
+async fn events_are_parsed_across_chunk_boundaries() {
     let pieces = vec![
         HEAD,
         "{\"imported\":true}\n{\"offset\":4,\"te",
@@ -80,7 +80,7 @@
 
 #[rstest]
 #[case::broken_off("{\"imported\":true}\n{\"offset\":4", true)]
-#[case::no_event("{\"imported\":true}\n{\"offset\":4}\n", false)]
+#[case::not_an_event("{\"imported\":true}\n{\"offset\":4}\n", false)]
 #[tokio::test]
 async fn a_stream_without_its_end_is_an_error(#[case] lines: &'static str, #[case] lost: bool) {
     let peer = peer_with(vec![HEAD, lines]).await;
@@ -119,7 +119,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_cancel_tells_a_failed_connect_from_a_lost_answer() {
+async fn a_cancel_distinguishes_a_failed_connect_from_a_lost_answer() {
     let client = Client::new();
     let lost = client
         .cancel(peer_with(vec![]).await, &claim())
