--- a/crates/entry/src/admin/answer.rs
+++ b/crates/entry/src/admin/answer.rs
@@ -35,7 +35,7 @@
 }
 
 /// The daemon is about to end.
-pub(super) fn ending() -> Response<Body> {
+pub(super) fn stopping() -> Response<Body> {
     error(
         StatusCode::SERVICE_UNAVAILABLE,
         "this instance is about to end; ask another one",
--- a/crates/entry/src/admin/auth.rs
+++ b/crates/entry/src/admin/auth.rs
@@ -16,7 +16,7 @@
 
 /// The response to a call without a known operator's token. It does not tell whether the name or
 /// the token is wrong.
-pub(super) fn denial() -> Response<Body> {
+pub(super) fn unauthorized() -> Response<Body> {
     let cause = "unknown operator or wrong token; send `Waxwing-Operator: NAME` and \
                  `Authorization: Bearer TOKEN` as in the settings";
     answer::error(StatusCode::UNAUTHORIZED, cause)
@@ -27,17 +27,17 @@
     operators: &BTreeMap<String, Secret>,
     headers: &HeaderMap,
 ) -> Option<String> {
-    let name = text(headers, OPERATOR).unwrap_or_default();
-    let token = text(headers, header::AUTHORIZATION.as_str())
+    let name = header_text(headers, OPERATOR).unwrap_or_default();
+    let token = header_text(headers, header::AUTHORIZATION.as_str())
         .and_then(|value| value.strip_prefix(SCHEME))
         .unwrap_or_default();
     // A token is compared for unknown names too, so that the time taken does not show them.
     let nobody = Secret::new(String::new());
     let expected = operators.get(name).unwrap_or(&nobody);
-    let proven = expected.matches(token) && *expected != nobody;
-    proven.then(|| name.to_owned())
+    let authenticated = expected.matches(token) && *expected != nobody;
+    authenticated.then(|| name.to_owned())
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/entry/src/admin/edit.rs
+++ b/crates/entry/src/admin/edit.rs
@@ -18,11 +18,11 @@
 use super::Shared;
 use super::answer;
 use crate::callers::refusal_json;
-use crate::driver::inbox::Wish;
+use crate::driver::inbox::Operation;
 
 /// Longest edit, in bytes.
 const MAX_BYTES: usize = 4 << 20;
-const TIMEOUT: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Passes an edit to the core and answers with its verdict.
 pub(super) async fn edit(shared: &Shared, operator: &str, request: Request) -> Response<Body> {
@@ -45,8 +45,8 @@
         }
     };
     // Counted as being written, so that a planned stop waits for the verdict.
-    let _response = shared.stop.response();
-    let mut open = shared.inbox.open(Wish::Edit(edit)).await;
+    let _response = shared.stop.begin_response();
+    let mut open = shared.inbox.open(Operation::Edit(edit)).await;
     match open.next().await {
         Some(Tell::Edit(verdict)) => verdict_response(&verdict),
         Some(Tell::Refusal(refusal)) => {
@@ -60,7 +60,7 @@
 
 async fn read(request: Request) -> Result<Bytes, Response<Body>> {
     let body = Limited::new(request.into_body(), MAX_BYTES);
-    match timeout(TIMEOUT, body.collect()).await {
+    match timeout(BODY_TIMEOUT, body.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             let cause = format!("the edit is longer than {MAX_BYTES} bytes");
@@ -71,7 +71,10 @@
             Err(answer::error(StatusCode::BAD_REQUEST, &cause))
         }
         Err(_) => {
-            let cause = format!("the body did not arrive within {} s", TIMEOUT.as_secs());
+            let cause = format!(
+                "the body did not arrive within {} s",
+                BODY_TIMEOUT.as_secs()
+            );
             Err(answer::error(StatusCode::REQUEST_TIMEOUT, &cause))
         }
     }
--- a/crates/entry/src/admin/mod.rs
+++ b/crates/entry/src/admin/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::driver::inbox::Inbox;
 use crate::listen::Listener;
-use crate::logs::Recent;
+use crate::logs::RecentDecisions;
 use crate::metrics::Metrics;
 use crate::secret::Secret;
 use crate::stop::Stop;
@@ -32,7 +32,7 @@
     /// The way to the core.
     pub inbox: Inbox,
     /// Decision lines.
-    pub recent: Arc<Recent>,
+    pub recent: Arc<RecentDecisions>,
     /// Figures.
     pub metrics: Arc<Metrics>,
     /// The platform, for the history of edits.
@@ -57,7 +57,7 @@
             .route("/{*path}", any(handler)),
     )
     .http1_only()
-    .register_shutdown_hook(move || Box::pin(async move { stop.ended().await }))
+    .register_shutdown_hook(move || Box::pin(async move { stop.wait_until_ended().await }))
     .run(listener)
     .await
     .map_err(|error| Error::Start {
@@ -69,11 +69,11 @@
 async fn handle(shared: &Shared, request: Request) -> Response<Body> {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
-    let open = path == "/health" || path == "/metrics";
+    let public = path == "/health" || path == "/metrics";
     let operator = match auth::operator(&shared.operators, request.headers()) {
         Some(operator) => operator,
-        None if open => String::new(),
-        None => return auth::denial(),
+        None if public => String::new(),
+        None => return auth::unauthorized(),
     };
     let query = request.uri().query().unwrap_or_default().to_owned();
     match (&method, path.as_str()) {
--- a/crates/entry/src/admin/view.rs
+++ b/crates/entry/src/admin/view.rs
@@ -10,12 +10,12 @@
 
 use super::Shared;
 use super::answer;
-use crate::driver::inbox::Question;
+use crate::driver::inbox::StateQuery;
 use crate::platform;
 
 /// Whether the daemon decides.
 pub(super) async fn health(shared: &Shared) -> Response<Body> {
-    let ready = state(shared)
+    let ready = read_status(shared)
         .await
         .is_some_and(|status| status.generation > 0 && status.fresh && !status.leaving);
     let code = if ready {
@@ -28,29 +28,29 @@
 
 /// Figures.
 pub(super) async fn metrics(shared: &Shared) -> Response<Body> {
-    match state(shared).await {
+    match read_status(shared).await {
         Some(status) => answer::text(shared.metrics.text(&status)),
-        None => answer::ending(),
+        None => answer::stopping(),
     }
 }
 
 /// The whole state.
 pub(super) async fn status(shared: &Shared) -> Response<Body> {
-    match state(shared).await {
+    match read_status(shared).await {
         Some(status) => answer::json(StatusCode::OK, &status),
-        None => answer::ending(),
+        None => answer::stopping(),
     }
 }
 
 /// The table in force.
 pub(super) async fn table(shared: &Shared) -> Response<Body> {
-    match shared.inbox.ask(Question::Table).await {
+    match shared.inbox.query(StateQuery::Table).await {
         Some(Some(table)) => answer::json(StatusCode::OK, &table),
         Some(None) => answer::error(
             StatusCode::SERVICE_UNAVAILABLE,
             "no table has been read yet; try again",
         ),
-        None => answer::ending(),
+        None => answer::stopping(),
     }
 }
 
@@ -63,11 +63,11 @@
     };
     match shared
         .inbox
-        .ask(|sender| Question::Force(generation, sender))
+        .query(|sender| StateQuery::Force(generation, sender))
         .await
     {
         Some(force) => answer::json(StatusCode::OK, &force),
-        None => answer::ending(),
+        None => answer::stopping(),
     }
 }
 
@@ -75,7 +75,7 @@
 pub(super) async fn history(shared: &Shared) -> Response<Body> {
     match platform::history(&shared.client).await {
         Ok(edits) => {
-            let edits: Vec<Value> = edits.iter().map(edit).collect();
+            let edits: Vec<Value> = edits.iter().map(edit_json).collect();
             answer::json(StatusCode::OK, &json!({"edits": edits}))
         }
         Err(error) => answer::error(StatusCode::BAD_GATEWAY, &error.to_string()),
@@ -96,11 +96,11 @@
     }
 }
 
-async fn state(shared: &Shared) -> Option<Status> {
-    shared.inbox.ask(Question::Status).await
+async fn read_status(shared: &Shared) -> Option<Status> {
+    shared.inbox.query(StateQuery::Status).await
 }
 
-fn edit(history: &History) -> Value {
+fn edit_json(history: &History) -> Value {
     json!({
         "generation": history.generation,
         "id": history.edit.id,
--- a/crates/entry/src/backends/mod.rs
+++ b/crates/entry/src/backends/mod.rs
@@ -4,7 +4,7 @@
 //! is aborted; an order that was aborted before its task ran has sent nothing.
 
 mod inspect;
-mod plan;
+mod prepare;
 mod run;
 
 use std::collections::HashMap;
@@ -22,20 +22,20 @@
 use node::ids::OrderId;
 use tokio::sync::oneshot;
 
-use crate::backends::plan::Plan;
+use crate::backends::prepare::PreparedOrder;
 use crate::directory::Directory;
-use crate::driver::content::Store;
+use crate::driver::content::ContentStore;
 use crate::driver::inbox::Inbox;
 use crate::metrics::Metrics;
 
 /// Longest answer of a plain call, in bytes.
-const ANSWER_BYTES: usize = 4 << 20;
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 /// Longest wait for the answer to a cancel or an inspection.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An order whose end the core has not been told.
 #[derive(Debug)]
-struct Running {
+struct RunningOrder {
     handle: Handle,
     abort: Option<oneshot::Sender<()>>,
 }
@@ -47,7 +47,7 @@
     directory: Arc<Directory>,
     inbox: Inbox,
     metrics: Arc<Metrics>,
-    running: HashMap<OrderId, Running>,
+    running: HashMap<OrderId, RunningOrder>,
 }
 
 impl Backends {
@@ -55,7 +55,7 @@
     pub fn new(directory: Arc<Directory>, inbox: Inbox, metrics: Arc<Metrics>) -> Self {
         let client = Client::new()
             .with_control_timeout(CONTROL_TIMEOUT)
-            .with_body_limit(ANSWER_BYTES);
+            .with_body_limit(MAX_ANSWER_BYTES);
         Self {
             client,
             directory,
@@ -66,20 +66,20 @@
     }
 
     /// Carries out `task` on `replica`; bodies are taken from `contents`.
-    pub fn order(
+    pub fn start(
         &mut self,
         order: OrderId,
         replica: Replica,
         claim: Claim,
         task: &Task,
-        contents: &Store,
+        contents: &ContentStore,
     ) {
-        let kind = plan::kind(task);
-        let plan = Plan::new(&self.directory, replica, claim, task, contents);
+        let kind = prepare::kind(task);
+        let prepared = PreparedOrder::new(&self.directory, replica, claim, task, contents);
         let (sender, mut abort) = oneshot::channel();
         self.running.insert(
             order,
-            Running {
+            RunningOrder {
                 handle: claim.handle,
                 abort: Some(sender),
             },
@@ -88,17 +88,17 @@
         let inbox = self.inbox.clone();
         let metrics = Arc::clone(&self.metrics);
         tokio::spawn(async move {
-            let mut began = false;
+            let mut started = false;
             let work = async {
-                began = true;
-                run::run(&client, &inbox, order, claim.handle, plan).await
+                started = true;
+                run::run(&client, &inbox, order, claim.handle, prepared).await
             };
             let event = tokio::select! {
                 biased;
                 Ok(()) = &mut abort => None,
                 event = work => Some(event),
             };
-            let event = event.unwrap_or_else(|| aborted(order, began));
+            let event = event.unwrap_or_else(|| aborted(order, started));
             metrics.order(kind, result(&event));
             inbox.event(event).await;
         });
@@ -145,13 +145,13 @@
     }
 
     /// The core is told of the end of `order` now.
-    pub fn ended(&mut self, order: OrderId) {
+    pub fn mark_ended(&mut self, order: OrderId) {
         self.running.remove(&order);
     }
 }
 
-fn aborted(order: OrderId, began: bool) -> Event {
-    let failure = if began {
+fn aborted(order: OrderId, started: bool) -> Event {
+    let failure = if started {
         Failure::Lost
     } else {
         Failure::NotSent
--- a/crates/entry/src/backends/plan.rs
+++ b/crates/entry/src/backends/prepare.rs
@@ -14,8 +14,8 @@
 
 use crate::directory::Directory;
 use crate::driver::content::Content;
+use crate::driver::content::ContentStore;
 use crate::driver::content::Plain;
-use crate::driver::content::Store;
 
 const CALL: &str = "waxwing-call";
 const KEY: &str = "idempotency-key";
@@ -37,16 +37,16 @@
 
 /// A request and where it goes; nothing if something it needs is not known.
 #[derive(Debug)]
-pub(super) struct Plan(pub(super) Option<(SocketAddr, Request)>);
+pub(super) struct PreparedOrder(pub(super) Option<(SocketAddr, Request)>);
 
-impl Plan {
+impl PreparedOrder {
     /// Gathers what `task` needs.
     pub(super) fn new(
         directory: &Directory,
         replica: Replica,
         claim: Claim,
         task: &Task,
-        contents: &Store,
+        contents: &ContentStore,
     ) -> Self {
         let address = directory.backend(replica).map(|backend| backend.address);
         let request = request(directory, claim, task, contents);
@@ -73,7 +73,12 @@
     }
 }
 
-fn request(directory: &Directory, claim: Claim, task: &Task, contents: &Store) -> Option<Request> {
+fn request(
+    directory: &Directory,
+    claim: Claim,
+    task: &Task,
+    contents: &ContentStore,
+) -> Option<Request> {
     match task {
         Task::Prefill {
             call,
--- a/crates/entry/src/backends/run.rs
+++ b/crates/entry/src/backends/run.rs
@@ -15,8 +15,8 @@
 use node::event::Reply;
 use node::ids::OrderId;
 
-use super::plan::Plan;
-use super::plan::Request;
+use super::prepare::PreparedOrder;
+use super::prepare::Request;
 use crate::driver::inbox::Inbox;
 
 /// Status by which a replica says that it knows nothing of an attempt.
@@ -25,7 +25,7 @@
 const HTTP_GONE: u16 = 410;
 
 /// Why an order ended badly.
-enum Fault {
+enum OrderError {
     /// The client says so.
     Client(Error),
     /// The stream ended with a reason that is no good end.
@@ -34,7 +34,7 @@
     Incomplete,
 }
 
-impl From<Error> for Fault {
+impl From<Error> for OrderError {
     fn from(error: Error) -> Self {
         Self::Client(error)
     }
@@ -46,11 +46,11 @@
     inbox: &Inbox,
     order: OrderId,
     handle: Handle,
-    plan: Plan,
+    prepared: PreparedOrder,
 ) -> Event {
-    let ended = match plan.0 {
+    let ended = match prepared.0 {
         Some((peer, request)) => send(client, inbox, order, peer, request).await,
-        None => Err(Fault::Incomplete),
+        None => Err(OrderError::Incomplete),
     };
     match ended {
         Ok(reply) => Event::Answered { order, reply },
@@ -67,7 +67,7 @@
     order: OrderId,
     peer: SocketAddr,
     request: Request,
-) -> Result<Reply, Fault> {
+) -> Result<Reply, OrderError> {
     match request {
         Request::Prefill(request) => {
             let reply = client.prefill(peer, &request).await?;
@@ -99,7 +99,7 @@
     }
 }
 
-async fn read(mut stream: Stream, inbox: &Inbox, order: OrderId) -> Result<Reply, Fault> {
+async fn read(mut stream: Stream, inbox: &Inbox, order: OrderId) -> Result<Reply, OrderError> {
     while let Some(event) = stream.next().await {
         let piece = piece(event?)?;
         inbox.event(Event::Streamed { order, piece }).await;
@@ -107,7 +107,7 @@
     Ok(Reply::StreamEnded)
 }
 
-fn piece(event: stream::Event) -> Result<Piece, Fault> {
+fn piece(event: stream::Event) -> Result<Piece, OrderError> {
     match event {
         stream::Event::Imported => Ok(Piece::Imported),
         stream::Event::Tokens { offset, text } => Ok(Piece::Tokens {
@@ -119,29 +119,29 @@
             offset,
             reason: Reason::Stop,
         } => Ok(Piece::End { offset }),
-        stream::Event::End { reason, .. } => Err(Fault::Stream(reason)),
+        stream::Event::End { reason, .. } => Err(OrderError::Stream(reason)),
         stream::Event::Superseded => Ok(Piece::Superseded),
     }
 }
 
-fn failure(handle: Handle, fault: &Fault) -> Failure {
-    if let Fault::Client(error) = fault {
+fn failure(handle: Handle, fault: &OrderError) -> Failure {
+    if let OrderError::Client(error) = fault {
         let handle = handle.to_string();
         log::info!(step = "order", request = handle.as_str(); "{error}");
     }
     match fault {
-        Fault::Incomplete | Fault::Client(Error::NotSent { .. }) => Failure::NotSent,
-        Fault::Client(Error::Lost { .. } | Error::Malformed { .. }) => Failure::Lost,
-        Fault::Client(error @ Error::Refused { status, .. }) => Failure::Refused {
+        OrderError::Incomplete | OrderError::Client(Error::NotSent { .. }) => Failure::NotSent,
+        OrderError::Client(Error::Lost { .. } | Error::Malformed { .. }) => Failure::Lost,
+        OrderError::Client(error @ Error::Refused { status, .. }) => Failure::Refused {
             status: *status,
             fence: engine::error::fence(error),
         },
         // Both free all that the attempt held there.
-        Fault::Stream(Reason::Lost) => Failure::Refused {
+        OrderError::Stream(Reason::Lost) => Failure::Refused {
             status: HTTP_GONE,
             fence: None,
         },
-        Fault::Stream(_) => Failure::Refused {
+        OrderError::Stream(_) => Failure::Refused {
             status: HTTP_NOT_FOUND,
             fence: None,
         },
--- a/crates/entry/src/callers/addresses.rs
+++ b/crates/entry/src/callers/addresses.rs
@@ -13,7 +13,7 @@
 use super::Shared;
 use super::answer;
 use crate::clock;
-use crate::driver::inbox::Question;
+use crate::driver::inbox::StateQuery;
 
 /// Answers with the addresses, those of the wanted data centre first.
 pub(super) async fn response(shared: &Shared, request: &Request) -> Response<Body> {
@@ -27,9 +27,9 @@
     let near = Zone::new(&wanted);
     let addresses = shared
         .inbox
-        .ask(|sender| Question::Addresses(near, sender))
+        .query(|sender| StateQuery::Addresses(near, sender))
         .await;
-    let issued = clock::unix().as_secs();
+    let issued = clock::unix_time().as_secs();
     let addresses = addresses.unwrap_or_default();
     let lines = addresses
         .iter()
--- a/crates/entry/src/callers/answer.rs
+++ b/crates/entry/src/callers/answer.rs
@@ -21,7 +21,7 @@
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 const BYTES: HeaderValue = HeaderValue::from_static("application/octet-stream");
 /// A plain answer is handed to the connection in parts of this size.
-const PART: usize = 64 << 10;
+const CHUNK_BYTES: usize = 64 << 10;
 /// When to come back to an instance without memory for a body, in milliseconds.
 const FULL_RETRY_MS: u64 = 1_000;
 
@@ -30,26 +30,26 @@
     status: u16,
     body: Bytes,
     repeated: bool,
-    response: stop::Response,
+    response: stop::PendingResponse,
 ) -> Response<Body> {
-    let word = if repeated {
+    let outcome = if repeated {
         "answered_before"
     } else {
         "answered"
     };
     let kind = if looks_like_json(&body) { JSON } else { BYTES };
     let length = body.len();
-    let parts = stream::unfold((body, response), |(mut body, response)| async move {
-        let part = body.split_to(body.len().min(PART));
-        let frame = Ok::<_, BoxError>(Frame::data(part.clone()));
-        (!part.is_empty()).then_some((frame, (body, response)))
+    let chunks = stream::unfold((body, response), |(mut body, response)| async move {
+        let chunk = body.split_to(body.len().min(CHUNK_BYTES));
+        let frame = Ok::<_, BoxError>(Frame::data(chunk.clone()));
+        (!chunk.is_empty()).then_some((frame, (body, response)))
     });
-    let mut answer = Response::new(Body::from_stream(parts));
+    let mut answer = Response::new(Body::from_stream(chunks));
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = answer.headers_mut();
     headers.insert(header::CONTENT_TYPE, kind);
     headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length));
-    headers.insert(OUTCOME, HeaderValue::from_static(word));
+    headers.insert(OUTCOME, HeaderValue::from_static(outcome));
     answer
 }
 
@@ -76,13 +76,13 @@
 
 /// A request that was not understood or not read.
 pub(super) fn invalid(status: StatusCode, outcome: Outcome, cause: &str) -> Response<Body> {
-    let body = rejected(outcome, Reason::Invalid, 0, cause);
+    let body = rejection_json(outcome, Reason::Invalid, 0, cause);
     typed(status, outcome, 0, &body)
 }
 
 /// A request whose body has no space.
 pub(super) fn full(outcome: Outcome, cause: &str) -> Response<Body> {
-    let body = rejected(outcome, Reason::Full, FULL_RETRY_MS, cause);
+    let body = rejection_json(outcome, Reason::Full, FULL_RETRY_MS, cause);
     let status = StatusCode::TOO_MANY_REQUESTS;
     typed(status, outcome, FULL_RETRY_MS, &body)
 }
@@ -105,7 +105,7 @@
     answer
 }
 
-fn rejected(result: Outcome, why: Reason, retry_after_ms: u64, cause: &str) -> Value {
+fn rejection_json(result: Outcome, why: Reason, retry_after_ms: u64, cause: &str) -> Value {
     json!({
         "outcome": result.word(),
         "reason": why.word(),
--- a/crates/entry/src/callers/body.rs
+++ b/crates/entry/src/callers/body.rs
@@ -17,9 +17,9 @@
 use crate::budget::Grant;
 
 /// A body has this long to arrive.
-const TIMEOUT: Duration = Duration::from_secs(30);
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Bytes of an oversized body that are read and dropped, so that its sender reads the answer.
-const DRAIN: usize = 8 << 20;
+const MAX_DRAIN_BYTES: usize = 8 << 20;
 
 /// Reads a body; its memory is granted by the budget.
 pub(super) async fn read(
@@ -28,17 +28,20 @@
     body: Body,
 ) -> Result<(Bytes, Grant), Rejection> {
     let limit = shared.body_bytes;
-    let announced = announced(headers);
-    if announced.is_some_and(|length| length > limit) && headers.contains_key(header::EXPECT) {
+    let content_length = content_length(headers);
+    if content_length.is_some_and(|length| length > limit) && headers.contains_key(header::EXPECT) {
         return Err(too_long(limit));
     }
-    let reading = collect(shared, body, announced.unwrap_or(0).min(limit));
+    let reading = collect(shared, body, content_length.unwrap_or(0).min(limit));
     let keyed = headers.contains_key(KEY);
-    let result = match timeout(TIMEOUT, reading).await {
+    let result = match timeout(BODY_TIMEOUT, reading).await {
         Ok(result) => result,
         Err(_) => Err(Rejection::new(
             StatusCode::REQUEST_TIMEOUT,
-            format!("the body did not arrive within {} s", TIMEOUT.as_secs()),
+            format!(
+                "the body did not arrive within {} s",
+                BODY_TIMEOUT.as_secs()
+            ),
         )),
     };
     result.map_err(|rejection| rejection.with_key(keyed))
@@ -75,13 +78,13 @@
 async fn drain(mut body: Body, mut read: usize) {
     while let Some(Ok(frame)) = body.frame().await {
         read += frame.data_ref().map_or(0, Bytes::len);
-        if read > DRAIN {
+        if read > MAX_DRAIN_BYTES {
             return;
         }
     }
 }
 
-fn announced(headers: &HeaderMap) -> Option<usize> {
+fn content_length(headers: &HeaderMap) -> Option<usize> {
     headers
         .get(header::CONTENT_LENGTH)?
         .to_str()
--- a/crates/entry/src/callers/header.rs
+++ b/crates/entry/src/callers/header.rs
@@ -9,9 +9,9 @@
 /// Most bytes in all headers together.
 const MAX_BYTES: usize = 16 << 10;
 /// Longest name of a customer or class.
-const MAX_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// Longest resume token.
-const MAX_TOKEN: usize = 4 << 10;
+const MAX_TOKEN_BYTES: usize = 4 << 10;
 
 const CUSTOMER: &str = "waxwing-customer";
 const CLASS: &str = "waxwing-class";
@@ -37,7 +37,7 @@
 
 /// The customer.
 pub(super) fn customer(headers: &HeaderMap) -> Result<String, Rejection> {
-    match text(headers, CUSTOMER, MAX_NAME)? {
+    match header_text(headers, CUSTOMER, MAX_NAME_BYTES)? {
         Some(name) => Ok(name.to_owned()),
         None => Err(Rejection::bad(format!("header `{CUSTOMER}` is missing"))),
     }
@@ -45,19 +45,19 @@
 
 /// The caller class.
 pub(super) fn class(headers: &HeaderMap) -> Result<String, Rejection> {
-    Ok(text(headers, CLASS, MAX_NAME)?
+    Ok(header_text(headers, CLASS, MAX_NAME_BYTES)?
         .unwrap_or("default")
         .to_owned())
 }
 
 /// The idempotency key, if there is one.
 pub(super) fn key(headers: &HeaderMap) -> Result<Option<String>, Rejection> {
-    Ok(text(headers, KEY, Key::MAX_LEN)?.map(str::to_owned))
+    Ok(header_text(headers, KEY, Key::MAX_LEN)?.map(str::to_owned))
 }
 
 /// Whether the caller marks the call as safe to repeat.
 pub(super) fn repeatable(headers: &HeaderMap) -> Result<bool, Rejection> {
-    match text(headers, REPEATABLE, MAX_NAME)? {
+    match header_text(headers, REPEATABLE, MAX_NAME_BYTES)? {
         None | Some("yes") => Ok(true),
         Some("no") => Ok(false),
         Some(other) => Err(Rejection::bad(format!(
@@ -68,7 +68,7 @@
 
 /// The resume token.
 pub(super) fn token(headers: &HeaderMap) -> Result<String, Rejection> {
-    match text(headers, RESUME, MAX_TOKEN)? {
+    match header_text(headers, RESUME, MAX_TOKEN_BYTES)? {
         Some(token) => Ok(token.to_owned()),
         None => Err(Rejection::bad(format!("header `{RESUME}` is missing"))),
     }
@@ -76,7 +76,7 @@
 
 /// Number of tokens that the caller has.
 pub(super) fn offset(headers: &HeaderMap) -> Result<u32, Rejection> {
-    let text = text(headers, LAST_EVENT, MAX_NAME)?.unwrap_or("0");
+    let text = header_text(headers, LAST_EVENT, MAX_NAME_BYTES)?.unwrap_or("0");
     text.parse().map_err(|_| {
         Rejection::bad(format!(
             "header `{LAST_EVENT}`: `{text}` is not a number of tokens"
@@ -84,7 +84,7 @@
     })
 }
 
-fn text<'a>(
+fn header_text<'a>(
     headers: &'a HeaderMap,
     name: &str,
     longest: usize,
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -28,7 +28,7 @@
 use crate::callers::rejection::Rejection;
 use crate::directory::Directory;
 use crate::driver::inbox::Inbox;
-use crate::driver::inbox::Wish;
+use crate::driver::inbox::Operation;
 use crate::listen::Listener;
 use crate::stop::Stop;
 
@@ -61,7 +61,7 @@
     let stop = shared.stop.clone();
     Server::new(router(Arc::new(shared)))
         .http1_only()
-        .register_shutdown_hook(move || Box::pin(async move { stop.ended().await }))
+        .register_shutdown_hook(move || Box::pin(async move { stop.wait_until_ended().await }))
         .run(listener)
         .await
         .map_err(|error| Error::Start {
@@ -78,20 +78,20 @@
     let completions = {
         let shared = Arc::clone(&shared);
         move |request: Request| async move {
-            let wish = request::completion(&shared, request).await;
-            answer(&shared, wish).await
+            let operation = request::completion(&shared, request).await;
+            respond(&shared, operation).await
         }
     };
     let resume = {
         let shared = Arc::clone(&shared);
         move |request: Request| async move {
-            let wish = request::resume(&request);
-            answer(&shared, wish).await
+            let operation = request::resume(&request);
+            respond(&shared, operation).await
         }
     };
     let call = move |request: Request| async move {
-        let wish = request::call(&shared, request).await;
-        answer(&shared, wish).await
+        let operation = request::call(&shared, request).await;
+        respond(&shared, operation).await
     };
     Router::new()
         .route("/v1/addresses", get(addresses).fallback(wrong_method))
@@ -115,13 +115,13 @@
 }
 
 /// Passes the wish to the core and turns what the core tells into a response.
-async fn answer(shared: &Shared, wish: Result<Wish, Rejection>) -> Response<Body> {
-    let response = shared.stop.response();
-    let wish = match wish {
-        Ok(wish) => wish,
+async fn respond(shared: &Shared, operation: Result<Operation, Rejection>) -> Response<Body> {
+    let response = shared.stop.begin_response();
+    let operation = match operation {
+        Ok(operation) => operation,
         Err(rejection) => return rejection.into_response(),
     };
-    let mut open = shared.inbox.open(wish).await;
+    let mut open = shared.inbox.open(operation).await;
     match open.next().await {
         Some(Tell::Answer {
             status,
--- a/crates/entry/src/callers/prompt.rs
+++ b/crates/entry/src/callers/prompt.rs
@@ -7,13 +7,13 @@
 use rapidhash::v3::rapidhash_v3;
 
 /// Words in a block.
-const BLOCK: u32 = 64;
+const BLOCK_WORDS: u32 = 64;
 /// Blocks that are hashed at most; a longer common prefix gains nothing more.
 const MAX_BLOCKS: usize = 64;
 
 /// A measured prompt.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct Measure {
+pub(super) struct PromptSize {
     /// Words.
     pub(super) tokens: u32,
     /// Hashes of the whole blocks, in order.
@@ -21,7 +21,7 @@
 }
 
 /// Measures `prompt`.
-pub(super) fn measure(prompt: &str) -> Measure {
+pub(super) fn measure(prompt: &str) -> PromptSize {
     let mut tokens: u32 = 0;
     let mut blocks = Vec::new();
     let mut block = Vec::new();
@@ -32,7 +32,7 @@
         }
         block.extend_from_slice(word.as_bytes());
         block.push(b' ');
-        if tokens.is_multiple_of(BLOCK) {
+        if tokens.is_multiple_of(BLOCK_WORDS) {
             let hash = rapidhash_v3(&block);
             blocks.push(hash);
             // The next block begins with the hash of everything before it.
@@ -40,5 +40,5 @@
             block.extend_from_slice(&hash.to_le_bytes());
         }
     }
-    Measure { tokens, blocks }
+    PromptSize { tokens, blocks }
 }
--- a/crates/entry/src/callers/request.rs
+++ b/crates/entry/src/callers/request.rs
@@ -14,7 +14,7 @@
 use super::rejection::Rejection;
 use crate::driver::content::Content;
 use crate::driver::content::Plain;
-use crate::driver::inbox::Wish;
+use crate::driver::inbox::Operation;
 
 /// Start of the paths of plain calls.
 const CALL_PATH: &str = "/v1/call/";
@@ -28,14 +28,17 @@
 }
 
 /// Reads a completion request.
-pub(super) async fn completion(shared: &Shared, request: HttpRequest) -> Result<Wish, Rejection> {
+pub(super) async fn completion(
+    shared: &Shared,
+    request: HttpRequest,
+) -> Result<Operation, Rejection> {
     let (parts, body) = request.into_parts();
     field::check(&parts.headers)?;
     let (bytes, grant) = body::read(shared, &parts.headers, body).await?;
     let completion: Completion = serde_json::from_slice(&bytes).map_err(|error| {
         Rejection::bad(format!("the body is not a completion request: {error}"))
     })?;
-    let measure = prompt::measure(&completion.prompt);
+    let size = prompt::measure(&completion.prompt);
     match &completion {
         Completion { max_tokens: 0, .. } => {
             return Err(Rejection::bad("`max_tokens` must be 1 or more"));
@@ -43,17 +46,17 @@
         Completion { model, .. } if model.is_empty() => {
             return Err(Rejection::bad("`model` is empty"));
         }
-        _ if measure.tokens == 0 => return Err(Rejection::bad("`prompt` is empty")),
+        _ if size.tokens == 0 => return Err(Rejection::bad("`prompt` is empty")),
         _ => {}
     }
     let work = Work::Model {
-        prompt_tokens: measure.tokens,
+        prompt_tokens: size.tokens,
         max_tokens: completion.max_tokens,
-        blocks: measure.blocks,
+        blocks: size.blocks,
     };
-    let request = request_with(&parts.headers, completion.model, work)?;
+    let request = build_request(&parts.headers, completion.model, work)?;
     let content = Box::new(Content::Prompt(completion.prompt));
-    Ok(Wish::Request {
+    Ok(Operation::Request {
         request,
         content,
         grant,
@@ -61,7 +64,7 @@
 }
 
 /// Reads a plain call.
-pub(super) async fn call(shared: &Shared, request: HttpRequest) -> Result<Wish, Rejection> {
+pub(super) async fn call(shared: &Shared, request: HttpRequest) -> Result<Operation, Rejection> {
     let (parts, body) = request.into_parts();
     field::check(&parts.headers)?;
     let target = parts
@@ -76,7 +79,7 @@
             "the path names no service; write /v1/call/SERVICE/PATH",
         ));
     }
-    let request = request_with(&parts.headers, service.to_owned(), Work::Plain)?;
+    let request = build_request(&parts.headers, service.to_owned(), Work::Plain)?;
     let path = if path.starts_with('/') {
         path.to_owned()
     } else {
@@ -86,11 +89,11 @@
     let content = Box::new(Content::Plain(Plain {
         method: parts.method,
         path,
-        headers: passed_on(&parts.headers),
+        headers: forwarded_headers(&parts.headers),
         key: request.key.clone(),
         body: bytes,
     }));
-    Ok(Wish::Request {
+    Ok(Operation::Request {
         request,
         content,
         grant,
@@ -98,17 +101,17 @@
 }
 
 /// Reads a resume request.
-pub(super) fn resume(request: &HttpRequest) -> Result<Wish, Rejection> {
+pub(super) fn resume(request: &HttpRequest) -> Result<Operation, Rejection> {
     let headers = request.headers();
     field::check(headers)?;
-    Ok(Wish::Resume {
+    Ok(Operation::Resume {
         customer: field::customer(headers)?,
         token: field::token(headers)?,
         offset: field::offset(headers)?,
     })
 }
 
-fn request_with(
+fn build_request(
     headers: &HeaderMap,
     service: String,
     work: Work,
@@ -124,7 +127,7 @@
 }
 
 /// The headers that an application gets.
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = HeaderMap::new();
     if let Some(kind) = headers.get(header::CONTENT_TYPE) {
         kept.insert(header::CONTENT_TYPE, kind.clone());
--- a/crates/entry/src/callers/stream.rs
+++ b/crates/entry/src/callers/stream.rs
@@ -15,39 +15,43 @@
 use volo_http::server::response::sse::Sse;
 
 use super::answer;
-use crate::driver::inbox::Open;
+use crate::driver::inbox::OpenRequest;
 use crate::stop;
 
 /// A comment is sent after this long without an event, so that a lost connection is noticed.
 const KEEP_ALIVE: Duration = Duration::from_secs(10);
 
-struct State {
+struct StreamState {
     first: Option<Tell>,
-    open: Open,
-    over: bool,
+    open: OpenRequest,
+    ended: bool,
     // Counted as being written until the connection drops the stream.
-    _response: stop::Response,
+    _response: stop::PendingResponse,
 }
 
 /// The response whose stream begins with `first` and goes on with what `open` is told.
 ///
 /// It ends without a last event if the core gave the connection up; the caller resumes then.
-pub(super) fn response(first: Tell, open: Open, response: stop::Response) -> Response<Body> {
-    let state = State {
+pub(super) fn response(
+    first: Tell,
+    open: OpenRequest,
+    response: stop::PendingResponse,
+) -> Response<Body> {
+    let state = StreamState {
         first: Some(first),
         open,
-        over: false,
+        ended: false,
         _response: response,
     };
     let events = stream::unfold(state, |mut state| async move {
-        if state.over {
+        if state.ended {
             return None;
         }
         let tell = match state.first.take() {
             Some(first) => first,
             None => state.open.next().await?,
         };
-        state.over = !matches!(tell, Tell::Head { .. } | Tell::Tokens { .. });
+        state.ended = !matches!(tell, Tell::Head { .. } | Tell::Tokens { .. });
         Some((Ok::<_, Infallible>(event(&tell)), state))
     });
     Sse::new(events)
--- a/crates/entry/src/config/field.rs
+++ b/crates/entry/src/config/field.rs
@@ -15,11 +15,11 @@
 
 /// A secret as it is written in the file.
 #[derive(Debug)]
-pub(super) struct Written(pub(super) Secret);
+pub(super) struct SecretText(pub(super) Secret);
 
-impl<'de> Deserialize<'de> for Written {
+impl<'de> Deserialize<'de> for SecretText {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_str(Text(|text| match text.len() {
+        from.deserialize_str(TextVisitor(|text| match text.len() {
             length if length < SECRET_MIN => {
                 Err(format!("has {length} bytes; write at least {SECRET_MIN}"))
             }
@@ -30,7 +30,7 @@
 
 /// A text that is not empty.
 pub(super) fn name<'de, D: Deserializer<'de>>(from: D) -> Result<String, D::Error> {
-    from.deserialize_str(Text(|text| match text.trim() {
+    from.deserialize_str(TextVisitor(|text| match text.trim() {
         "" => Err("must not be empty; write a name".to_owned()),
         _ => Ok(text.to_owned()),
     }))
@@ -38,7 +38,7 @@
 
 /// `ip:port` with a port.
 pub(super) fn address<'de, D: Deserializer<'de>>(from: D) -> Result<SocketAddr, D::Error> {
-    from.deserialize_str(Text(|text| match text.parse::<SocketAddr>() {
+    from.deserialize_str(TextVisitor(|text| match text.parse::<SocketAddr>() {
         Ok(address) if address.port() != 0 => Ok(address),
         Ok(_) => Err(format!("`{text}` has port 0; write a port from 1 to 65535")),
         Err(_) => Err(format!(
@@ -49,13 +49,13 @@
 
 /// A number from 1 up.
 pub(super) fn positive<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
-    from.deserialize_any(Positive)
+    from.deserialize_any(PositiveVisitor)
 }
 
 /// Reads a text by a function that tells what is wrong with it.
-struct Text<T>(fn(&str) -> Result<T, String>);
+struct TextVisitor<T>(fn(&str) -> Result<T, String>);
 
-impl<T> Visitor<'_> for Text<T> {
+impl<T> Visitor<'_> for TextVisitor<T> {
     type Value = T;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -67,9 +67,9 @@
     }
 }
 
-struct Positive;
+struct PositiveVisitor;
 
-impl Visitor<'_> for Positive {
+impl Visitor<'_> for PositiveVisitor {
     type Value = u64;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/entry/src/config/file.rs
+++ b/crates/entry/src/config/file.rs
@@ -12,11 +12,11 @@
 use super::Seed;
 use super::Timing;
 use super::field;
-use super::field::Written;
+use super::field::SecretText;
 
 /// What is wrong with a settings file.
 #[derive(Debug)]
-pub(super) struct Fault {
+pub(super) struct ParseError {
     /// Line, counted from 1; 0 if the fault has none.
     pub(super) line: usize,
     /// The field and what is wrong with it.
@@ -35,8 +35,8 @@
     platform: SocketAddr,
     #[serde(default)]
     seeds: Vec<SeedPart>,
-    secret: Written,
-    operators: BTreeMap<String, Written>,
+    secret: SecretText,
+    operators: BTreeMap<String, SecretText>,
     #[serde(default)]
     timing: TimingPart,
     #[serde(default)]
@@ -115,30 +115,30 @@
 }
 
 /// Reads and checks settings.
-pub(super) fn parse(text: &str) -> Result<Config, Fault> {
+pub(super) fn parse(text: &str) -> Result<Config, ParseError> {
     let file: File = serde_norway::from_str(text).map_err(|error| fault(&error))?;
     check(&file)?;
     Ok(config(file))
 }
 
-fn fault(error: &serde_norway::Error) -> Fault {
+fn fault(error: &serde_norway::Error) -> ParseError {
     let cause = error.to_string();
-    let Some(place) = error.location() else {
-        return Fault { line: 0, cause };
+    let Some(location) = error.location() else {
+        return ParseError { line: 0, cause };
     };
     // The library tells the place at the end of its text; here it comes first.
-    let suffix = format!(" at line {} column {}", place.line(), place.column());
+    let suffix = format!(" at line {} column {}", location.line(), location.column());
     let cause = cause
         .strip_suffix(suffix.as_str())
         .unwrap_or(&cause)
         .to_owned();
-    Fault {
-        line: place.line(),
+    ParseError {
+        line: location.line(),
         cause,
     }
 }
 
-fn check(file: &File) -> Result<(), Fault> {
+fn check(file: &File) -> Result<(), ParseError> {
     let ListenPart {
         caller,
         peer,
@@ -146,7 +146,7 @@
     } = file.listen;
     if caller == peer || peer == admin || caller == admin {
         let cause = "listen: two addresses are equal; write three different ports".to_owned();
-        return Err(Fault { line: 0, cause });
+        return Err(ParseError { line: 0, cause });
     }
     Ok(())
 }
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -23,11 +23,11 @@
 use crate::config::Config;
 use crate::directory::Directory;
 use crate::driver::Driver;
-use crate::driver::Outlets;
+use crate::driver::Outputs;
 use crate::driver::inbox::Inbox;
 use crate::listen::Listener;
 use crate::logs;
-use crate::logs::Recent;
+use crate::logs::RecentDecisions;
 use crate::metrics::Metrics;
 use crate::peers;
 use crate::peers::Peers;
@@ -37,9 +37,9 @@
 use crate::stop::Stop;
 
 /// Bytes of request bodies held at once.
-const BODIES: usize = 256 << 20;
+const BODY_MEMORY_BYTES: usize = 256 << 20;
 /// The last frames to peers have this long to be sent.
-const FAREWELL: Duration = Duration::from_millis(200);
+const FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// The sockets that a daemon listens on.
 struct Sockets {
@@ -49,11 +49,11 @@
 }
 
 /// What the parts share.
-struct Parts {
+struct Components {
     inbox: Inbox,
     directory: Arc<Directory>,
     metrics: Arc<Metrics>,
-    recent: Arc<Recent>,
+    recent: Arc<RecentDecisions>,
     client: store::Client,
     stop: Stop,
 }
@@ -77,51 +77,51 @@
 }
 
 async fn serve(config: Config) -> Result<(), Error> {
-    let sockets = sockets(&config).await?;
+    let sockets = bind_sockets(&config).await?;
     let (inbox, inputs) = Inbox::new();
     stop::listen(inbox.clone()).map_err(|cause| Error::Start {
         step: "signals",
         cause: cause.to_string(),
     })?;
-    let parts = Parts {
+    let components = Components {
         inbox,
         directory: Arc::new(Directory::new(&config)),
         metrics: Arc::new(Metrics::new()?),
-        recent: Arc::new(Recent::new()),
+        recent: Arc::new(RecentDecisions::new()),
         client: platform::client(&config),
         stop: Stop::new(),
     };
     let clock = Clock::new();
-    let node = Node::new(settings(&config), clock.now(), rand::random());
+    let node = Node::new(node_settings(&config), clock.now(), rand::random());
     let peers = peers::Shared {
-        directory: Arc::clone(&parts.directory),
-        inbox: parts.inbox.clone(),
-        metrics: Arc::clone(&parts.metrics),
-        proof: config.secret.proof(peers::PURPOSE),
+        directory: Arc::clone(&components.directory),
+        inbox: components.inbox.clone(),
+        metrics: Arc::clone(&components.metrics),
+        proof: config.secret.proof(peers::PROOF_PURPOSE),
     };
-    let outlets = outlets(&parts, peers.clone());
-    tokio::spawn(clock::watch());
-    tokio::spawn(Driver::new(clock, node, outlets).run(inputs));
+    let outputs = outputs(&components, peers.clone());
+    tokio::spawn(clock::log_suspensions());
+    tokio::spawn(Driver::new(clock, node, outputs).run(inputs));
     tokio::spawn(peers::serve(sockets.peer, peers));
-    tokio::spawn(platform::watch_list(
-        parts.client.clone(),
+    tokio::spawn(platform::poll_list(
+        components.client.clone(),
         config.name.clone(),
-        Arc::clone(&parts.directory),
-        parts.inbox.clone(),
+        Arc::clone(&components.directory),
+        components.inbox.clone(),
     ));
-    tokio::spawn(platform::watch_outcomes(
-        parts.client.clone(),
-        parts.inbox.clone(),
+    tokio::spawn(platform::sweep_periodically(
+        components.client.clone(),
+        components.inbox.clone(),
         config.timing.window,
     ));
     log::info!(step = "start"; "{} serves callers at {}", config.name, config.listen.caller);
-    serve_http(&config, &parts, sockets.caller, sockets.admin).await?;
-    sleep(FAREWELL).await;
+    serve_http(&config, &components, sockets.caller, sockets.admin).await?;
+    sleep(FLUSH_TIME).await;
     log::info!(step = "stop"; "planned stop ended");
     Ok(())
 }
 
-async fn sockets(config: &Config) -> Result<Sockets, Error> {
+async fn bind_sockets(config: &Config) -> Result<Sockets, Error> {
     Ok(Sockets {
         caller: bind("caller", config.listen.caller).await?,
         peer: bind("peer", config.listen.peer).await?,
@@ -129,42 +129,42 @@
     })
 }
 
-fn outlets(parts: &Parts, peers: peers::Shared) -> Outlets {
-    Outlets {
+fn outputs(components: &Components, peers: peers::Shared) -> Outputs {
+    Outputs {
         backends: Backends::new(
-            Arc::clone(&parts.directory),
-            parts.inbox.clone(),
-            Arc::clone(&parts.metrics),
+            Arc::clone(&components.directory),
+            components.inbox.clone(),
+            Arc::clone(&components.metrics),
         ),
         peers: Peers::new(peers),
-        platform: Platform::new(parts.client.clone(), parts.inbox.clone()),
-        recent: Arc::clone(&parts.recent),
-        directory: Arc::clone(&parts.directory),
-        metrics: Arc::clone(&parts.metrics),
-        stop: parts.stop.clone(),
+        platform: Platform::new(components.client.clone(), components.inbox.clone()),
+        recent: Arc::clone(&components.recent),
+        directory: Arc::clone(&components.directory),
+        metrics: Arc::clone(&components.metrics),
+        stop: components.stop.clone(),
     }
 }
 
 /// Serves callers and operators; ends when callers need no more serving.
 async fn serve_http(
     config: &Config,
-    parts: &Parts,
+    components: &Components,
     caller: TcpListener,
     operator: TcpListener,
 ) -> Result<(), Error> {
     let admin = admin::Shared {
-        inbox: parts.inbox.clone(),
-        recent: Arc::clone(&parts.recent),
-        metrics: Arc::clone(&parts.metrics),
-        client: parts.client.clone(),
+        inbox: components.inbox.clone(),
+        recent: Arc::clone(&components.recent),
+        metrics: Arc::clone(&components.metrics),
+        client: components.client.clone(),
         operators: config.operators.clone(),
-        stop: parts.stop.clone(),
+        stop: components.stop.clone(),
     };
     let callers = callers::Shared {
-        inbox: parts.inbox.clone(),
-        directory: Arc::clone(&parts.directory),
-        budget: Budget::new(BODIES.max(config.limits.body_bytes)),
-        stop: parts.stop.clone(),
+        inbox: components.inbox.clone(),
+        directory: Arc::clone(&components.directory),
+        budget: Budget::new(BODY_MEMORY_BYTES.max(config.limits.body_bytes)),
+        stop: components.stop.clone(),
         body_bytes: config.limits.body_bytes,
         address_ttl: config.timing.address_ttl,
         data_centre: config.data_centre.clone(),
@@ -173,13 +173,13 @@
     callers::serve(Listener::from(caller), callers).await
 }
 
-fn settings(config: &Config) -> Settings {
+fn node_settings(config: &Config) -> Settings {
     Settings {
         instance: Instance::new(&config.name),
         name: config.name.clone(),
         zone: Zone::new(&config.data_centre),
         incarnation: Incarnation(rand::random()),
-        started_ms: clock::unix().as_millis() as u64,
+        started_ms: clock::unix_time().as_millis() as u64,
         seeds: config
             .seeds
             .iter()
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -38,7 +38,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Content {
+struct Entries {
     seeds: HashMap<Instance, Peer>,
     peers: HashMap<Instance, Peer>,
     backends: HashMap<Replica, Backend>,
@@ -48,7 +48,7 @@
 /// Names and addresses by key.
 #[derive(Debug)]
 pub struct Directory {
-    content: RwLock<Content>,
+    entries: RwLock<Entries>,
 }
 
 impl Directory {
@@ -62,13 +62,13 @@
             (Instance::new(&seed.name), peer)
         });
         let zone = (Zone::new(&config.data_centre), config.data_centre.clone());
-        let content = Content {
+        let entries = Entries {
             seeds: seeds.collect(),
             zones: HashMap::from([zone]),
-            ..Content::default()
+            ..Entries::default()
         };
         Self {
-            content: RwLock::new(content),
+            entries: RwLock::new(entries),
         }
     }
 
@@ -79,21 +79,21 @@
         backends: HashMap<Replica, Backend>,
         zones: impl IntoIterator<Item = String>,
     ) {
-        let mut content = self.write();
-        content.peers = peers;
-        content.backends = backends;
-        content
+        let mut entries = self.write();
+        entries.peers = peers;
+        entries.backends = backends;
+        entries
             .zones
             .extend(zones.into_iter().map(|name| (Zone::new(&name), name)));
     }
 
     /// Where the daemon `instance` listens.
     pub fn peer(&self, instance: Instance) -> Option<Peer> {
-        let content = self.read();
-        content
+        let entries = self.read();
+        entries
             .peers
             .get(&instance)
-            .or_else(|| content.seeds.get(&instance))
+            .or_else(|| entries.seeds.get(&instance))
             .cloned()
     }
 
@@ -111,11 +111,11 @@
             .unwrap_or_else(|| zone.to_string())
     }
 
-    fn read(&self) -> RwLockReadGuard<'_, Content> {
-        self.content.read().unwrap_or_else(PoisonError::into_inner)
+    fn read(&self) -> RwLockReadGuard<'_, Entries> {
+        self.entries.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn write(&self) -> RwLockWriteGuard<'_, Content> {
-        self.content.write().unwrap_or_else(PoisonError::into_inner)
+    fn write(&self) -> RwLockWriteGuard<'_, Entries> {
+        self.entries.write().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/entry/src/driver/content/mod.rs
+++ b/crates/entry/src/driver/content/mod.rs
@@ -14,12 +14,12 @@
 use slotmap::new_key_type;
 
 use crate::budget::Grant;
-use crate::driver::content::text::Text;
+use crate::driver::content::text::GeneratedText;
 
 /// Most bytes kept for requests whose caller has been answered or has left.
-const CLOSED_BYTES: usize = 32 << 20;
+const MAX_CLOSED_BYTES: usize = 32 << 20;
 /// Most such requests.
-const CLOSED_COUNT: usize = 4_096;
+const MAX_CLOSED_COUNT: usize = 4_096;
 
 new_key_type! {
     /// A text that is being generated.
@@ -61,7 +61,7 @@
 
 /// What is kept under one call.
 #[derive(Debug)]
-struct Record {
+struct StoredContent {
     content: Content,
     text: Option<TextKey>,
     // Gives the bytes back to the budget when the record is dropped.
@@ -77,15 +77,15 @@
 /// The text generated for a request belongs to all calls that ask for the same answer: the first
 /// one, whose prompt was prefilled, and repeats, which are told the head of the same attempt.
 #[derive(Debug, Default)]
-pub struct Store {
-    records: HashMap<CallId, Record>,
-    texts: SlotMap<TextKey, Text>,
+pub struct ContentStore {
+    records: HashMap<CallId, StoredContent>,
+    texts: SlotMap<TextKey, GeneratedText>,
     handles: HashMap<Handle, TextKey>,
     closed: VecDeque<(CallId, usize)>,
     closed_bytes: usize,
 }
 
-impl Store {
+impl ContentStore {
     /// An empty store.
     pub fn new() -> Self {
         Self::default()
@@ -95,7 +95,7 @@
     pub fn insert(&mut self, call: CallId, content: Content, grant: Grant) {
         self.records.insert(
             call,
-            Record {
+            StoredContent {
                 content,
                 text: None,
                 _grant: grant,
@@ -110,8 +110,8 @@
         };
         self.closed.push_back((call, len));
         self.closed_bytes += len;
-        while self.closed_bytes > CLOSED_BYTES || self.closed.len() > CLOSED_COUNT {
-            self.drop_oldest();
+        while self.closed_bytes > MAX_CLOSED_BYTES || self.closed.len() > MAX_CLOSED_COUNT {
+            self.evict_oldest();
         }
     }
 
@@ -128,25 +128,25 @@
             .text
             .and_then(|key| self.texts.get(key));
         match text {
-            Some(text) => text.head(count),
+            Some(text) => text.first_tokens(count),
             None => (count == 0).then(Vec::new),
         }
     }
 
     /// `handle` is a new attempt at the request kept under `call`.
-    pub fn begin(&mut self, handle: Handle, call: CallId) {
+    pub fn add_attempt(&mut self, handle: Handle, call: CallId) {
         let Some(record) = self.records.get_mut(&call) else {
             return;
         };
         let key = *record
             .text
-            .get_or_insert_with(|| self.texts.insert(Text::with_user()));
+            .get_or_insert_with(|| self.texts.insert(GeneratedText::with_one_user()));
         self.texts[key].handles.push(handle);
         self.handles.insert(handle, key);
     }
 
     /// `call` reads the answer that the attempt `handle` generates.
-    pub fn join(&mut self, call: CallId, handle: Handle) {
+    pub fn add_reader(&mut self, call: CallId, handle: Handle) {
         match (self.records.get_mut(&call), self.handles.get(&handle)) {
             (Some(record), Some(key)) if record.text.is_none() => {
                 record.text = Some(*key);
@@ -157,7 +157,7 @@
     }
 
     /// Appends text that the attempt `handle` generated.
-    pub fn generated(&mut self, handle: Handle, offset: u32, text: &[u8]) {
+    pub fn append(&mut self, handle: Handle, offset: u32, text: &[u8]) {
         if let Some(key) = self.handles.get(&handle) {
             self.texts[*key].push(offset, text);
         }
@@ -169,17 +169,17 @@
         Some(record.content.len() + text)
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some((call, len)) = self.closed.pop_front() else {
             return;
         };
         self.closed_bytes -= len;
         if let Some(key) = self.records.remove(&call).and_then(|record| record.text) {
-            self.leave(key);
+            self.release_text(key);
         }
     }
 
-    fn leave(&mut self, key: TextKey) {
+    fn release_text(&mut self, key: TextKey) {
         self.texts[key].users -= 1;
         if self.texts[key].users > 0 {
             return;
--- a/crates/entry/src/driver/content/text.rs
+++ b/crates/entry/src/driver/content/text.rs
@@ -4,7 +4,7 @@
 
 /// Tokens generated so far.
 #[derive(Debug)]
-pub(super) struct Text {
+pub(super) struct GeneratedText {
     bytes: Vec<u8>,
     /// Where each token ends.
     ends: Vec<usize>,
@@ -14,9 +14,9 @@
     pub(super) users: usize,
 }
 
-impl Text {
+impl GeneratedText {
     /// An empty text to which one call refers.
-    pub(super) const fn with_user() -> Self {
+    pub(super) const fn with_one_user() -> Self {
         Self {
             bytes: Vec::new(),
             ends: Vec::new(),
@@ -34,7 +34,7 @@
     }
 
     /// The first `count` tokens, if so many are known.
-    pub(super) fn head(&self, count: u32) -> Option<Vec<String>> {
+    pub(super) fn first_tokens(&self, count: u32) -> Option<Vec<String>> {
         let ends = self.ends.get(..count as usize)?;
         let mut from = 0;
         let tokens = ends.iter().map(|end| {
--- a/crates/entry/src/driver/inbox.rs
+++ b/crates/entry/src/driver/inbox.rs
@@ -19,13 +19,13 @@
 use crate::driver::content::Content;
 
 /// Events that may wait for the driver.
-const DEPTH: usize = 8_192;
+const MAX_INPUTS: usize = 8_192;
 /// Tells that may wait for one caller; one that reads too slowly loses its connection.
-const TELLS: usize = 4_096;
+const MAX_MESSAGES: usize = 4_096;
 
 /// What a caller or operator wants.
 #[derive(Debug)]
-pub enum Wish {
+pub enum Operation {
     /// A request with its body.
     Request {
         /// Without the body.
@@ -50,7 +50,7 @@
 
 /// A question about the state of the core.
 #[derive(Debug)]
-pub enum Question {
+pub enum StateQuery {
     /// The whole state.
     Status(oneshot::Sender<status::Status>),
     /// The table in force.
@@ -71,14 +71,14 @@
         /// Its number.
         call: CallId,
         /// What it wants.
-        wish: Wish,
+        operation: Operation,
         /// Where its answers go.
-        teller: mpsc::Sender<Tell>,
+        channel: mpsc::Sender<Tell>,
     },
     /// A connection closed.
     Closed(CallId),
     /// A question.
-    Question(Question),
+    Query(StateQuery),
 }
 
 /// Sends to the driver.
@@ -91,7 +91,7 @@
 impl Inbox {
     /// An inbox and the end that the driver reads.
     pub fn new() -> (Self, mpsc::Receiver<Input>) {
-        let (sender, receiver) = mpsc::channel(DEPTH);
+        let (sender, receiver) = mpsc::channel(MAX_INPUTS);
         (
             Self {
                 sender,
@@ -107,22 +107,30 @@
     }
 
     /// Passes a wish to the core; answers come out of the receiver.
-    pub async fn open(&self, wish: Wish) -> Open {
+    pub async fn open(&self, operation: Operation) -> OpenRequest {
         let call = CallId(self.calls.fetch_add(1, Ordering::Relaxed));
-        let (teller, tells) = mpsc::channel(TELLS);
-        let open = Open {
+        let (channel, messages) = mpsc::channel(MAX_MESSAGES);
+        let open = OpenRequest {
             call,
-            tells,
+            messages,
             inbox: self.clone(),
         };
-        self.send(Input::Opened { call, wish, teller }).await;
+        self.send(Input::Opened {
+            call,
+            operation,
+            channel,
+        })
+        .await;
         open
     }
 
     /// Asks the driver; `None` after its end.
-    pub async fn ask<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> Question) -> Option<T> {
+    pub async fn query<T>(
+        &self,
+        query: impl FnOnce(oneshot::Sender<T>) -> StateQuery,
+    ) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
-        self.send(Input::Question(question(sender))).await;
+        self.send(Input::Query(query(sender))).await;
         receiver.await.ok()
     }
 
@@ -143,13 +151,13 @@
 
 /// An open connection; dropping it tells the driver that it closed.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenRequest {
     call: CallId,
-    tells: mpsc::Receiver<Tell>,
+    messages: mpsc::Receiver<Tell>,
     inbox: Inbox,
 }
 
-impl Open {
+impl OpenRequest {
     /// The number of the connection.
     pub const fn call(&self) -> CallId {
         self.call
@@ -157,11 +165,11 @@
 
     /// The next thing to tell the caller; `None` if the driver gave the connection up.
     pub async fn next(&mut self) -> Option<Tell> {
-        self.tells.recv().await
+        self.messages.recv().await
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.inbox.close(self.call);
     }
--- a/crates/entry/src/driver/mod.rs
+++ b/crates/entry/src/driver/mod.rs
@@ -5,7 +5,7 @@
 
 pub mod content;
 pub mod inbox;
-mod tellers;
+mod response_channels;
 
 use std::sync::Arc;
 
@@ -23,12 +23,12 @@
 use crate::backends::Backends;
 use crate::clock::Clock;
 use crate::directory::Directory;
-use crate::driver::content::Store;
+use crate::driver::content::ContentStore;
 use crate::driver::inbox::Input;
-use crate::driver::inbox::Question;
-use crate::driver::inbox::Wish;
-use crate::driver::tellers::Tellers;
-use crate::logs::Recent;
+use crate::driver::inbox::Operation;
+use crate::driver::inbox::StateQuery;
+use crate::driver::response_channels::ResponseChannels;
+use crate::logs::RecentDecisions;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::platform::Platform;
@@ -36,11 +36,11 @@
 use crate::stop::Stop;
 
 /// Inputs that are handled before the clock is read again.
-const BATCH: usize = 64;
+const MAX_BATCH: usize = 64;
 
 /// Where actions go.
 #[derive(Debug)]
-pub struct Outlets {
+pub struct Outputs {
     /// Orders to replicas.
     pub backends: Backends,
     /// Frames to peers.
@@ -48,7 +48,7 @@
     /// Queries to the store.
     pub platform: Platform,
     /// Decision lines.
-    pub recent: Arc<Recent>,
+    pub recent: Arc<RecentDecisions>,
     /// Figures.
     pub metrics: Arc<Metrics>,
     /// Addresses of peers and replicas.
@@ -62,32 +62,32 @@
 pub struct Driver {
     clock: Clock,
     node: Node,
-    outlets: Outlets,
-    contents: Store,
-    tellers: Tellers,
+    outputs: Outputs,
+    contents: ContentStore,
+    response_channels: ResponseChannels,
     actions: Vec<Action>,
 }
 
 impl Driver {
     /// A driver of `node`.
-    pub fn new(clock: Clock, node: Node, outlets: Outlets) -> Self {
+    pub fn new(clock: Clock, node: Node, outputs: Outputs) -> Self {
         Self {
             clock,
             node,
-            outlets,
-            contents: Store::new(),
-            tellers: Tellers::default(),
+            outputs,
+            contents: ContentStore::new(),
+            response_channels: ResponseChannels::default(),
             actions: Vec::new(),
         }
     }
 
     /// Runs until every sender of `inputs` is gone.
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut batch = Vec::with_capacity(MAX_BATCH);
         loop {
             let pause = self.clock.until(self.node.wake());
             tokio::select! {
-                count = inputs.recv_many(&mut batch, BATCH) => {
+                count = inputs.recv_many(&mut batch, MAX_BATCH) => {
                     if count == 0 {
                         return;
                     }
@@ -106,21 +106,25 @@
     fn handle(&mut self, input: Input) {
         match input {
             Input::Event(event) => {
-                self.note(&event);
+                self.record_event(&event);
                 self.step(event);
             }
-            Input::Opened { call, wish, teller } => {
-                self.tellers.insert(call, teller);
-                self.open(call, wish);
+            Input::Opened {
+                call,
+                operation,
+                channel,
+            } => {
+                self.response_channels.insert(call, channel);
+                self.open(call, operation);
             }
             Input::Closed(call) => self.close(call),
-            Input::Question(question) => self.answer(question),
+            Input::Query(query) => self.answer_query(query),
         }
     }
 
-    fn open(&mut self, call: CallId, wish: Wish) {
-        let event = match wish {
-            Wish::Request {
+    fn open(&mut self, call: CallId, operation: Operation) {
+        let event = match operation {
+            Operation::Request {
                 request,
                 content,
                 grant,
@@ -131,7 +135,7 @@
                     request: *request,
                 }
             }
-            Wish::Resume {
+            Operation::Resume {
                 customer,
                 token,
                 offset,
@@ -141,31 +145,31 @@
                 token,
                 offset,
             },
-            Wish::Edit(edit) => Event::Edited { call, edit },
+            Operation::Edit(edit) => Event::Edited { call, edit },
         };
         self.step(event);
     }
 
     fn close(&mut self, call: CallId) {
         // A call that got its last answer is known to be over; the core isn't told again.
-        if self.tellers.remove(call) {
+        if self.response_channels.remove(call) {
             self.contents.close(call);
             self.step(Event::Left { call });
         }
     }
 
-    fn note(&mut self, event: &Event) {
+    fn record_event(&mut self, event: &Event) {
         match event {
             Event::Streamed {
                 order,
                 piece: Piece::Tokens { offset, text, .. },
             } => {
-                if let Some(handle) = self.outlets.backends.handle(*order) {
-                    self.contents.generated(handle, *offset, text);
+                if let Some(handle) = self.outputs.backends.handle(*order) {
+                    self.contents.append(handle, *offset, text);
                 }
             }
             Event::Answered { order, .. } | Event::Failed { order, .. } => {
-                self.outlets.backends.ended(*order);
+                self.outputs.backends.mark_ended(*order);
             }
             _ => {}
         }
@@ -191,59 +195,59 @@
                 task,
             } => {
                 let claim = Claim::new(handle, owner, fence);
-                self.outlets
+                self.outputs
                     .backends
-                    .order(order, replica, claim, &task, &self.contents);
+                    .start(order, replica, claim, &task, &self.contents);
                 if let Task::Prefill { call, .. } = task {
-                    self.contents.begin(handle, call);
+                    self.contents.add_attempt(handle, call);
                 }
             }
-            Action::Abort { order } => self.outlets.backends.abort(order),
+            Action::Abort { order } => self.outputs.backends.abort(order),
             Action::Inspect {
                 replica,
                 after,
                 asked,
-            } => self.outlets.backends.inspect(replica, after, asked),
-            Action::Tell { call, tell } => self.tell(call, tell),
-            Action::Send { to, frame } => self.outlets.peers.send(to, &frame),
-            Action::Query { query, ask } => self.outlets.platform.query(query, ask),
+            } => self.outputs.backends.inspect(replica, after, asked),
+            Action::Tell { call, tell } => self.send_to_caller(call, tell),
+            Action::Send { to, frame } => self.outputs.peers.send(to, &frame),
+            Action::Query { query, ask } => self.outputs.platform.query(query, ask),
             Action::UseList(copy) => self.use_list(&copy),
-            Action::Log(decision) => self.outlets.recent.decision(&decision),
+            Action::Log(decision) => self.outputs.recent.record(&decision),
             Action::Fault { cause } => {
                 log::error!(kind = "fault"; "{cause}");
-                self.outlets.metrics.fault();
+                self.outputs.metrics.fault();
             }
-            Action::Count(count) => self.outlets.metrics.count(count),
-            Action::Finished => self.outlets.stop.finish(),
+            Action::Count(count) => self.outputs.metrics.count(count),
+            Action::Finished => self.outputs.stop.finish(),
         }
     }
 
     fn use_list(&mut self, copy: &[u8]) {
-        match list::take_copy(&self.outlets.directory, copy) {
+        match list::apply_copy(&self.outputs.directory, copy) {
             Some(event) => self.step(event),
             None => log::warn!(step = "list"; "a peer's copy of the list is damaged"),
         }
     }
 
-    fn tell(&mut self, call: CallId, tell: Tell) {
+    fn send_to_caller(&mut self, call: CallId, tell: Tell) {
         if let Tell::Head { handle, .. } = &tell {
-            self.contents.join(call, *handle);
+            self.contents.add_reader(call, *handle);
         }
-        if self.tellers.tell(call, tell) {
+        if self.response_channels.send(call, tell) {
             self.contents.close(call);
         }
     }
 
-    fn answer(&self, question: Question) {
+    fn answer_query(&self, query: StateQuery) {
         let now = self.clock.now();
         // An asker that is gone needs no answer.
-        match question {
-            Question::Status(sender) => drop(sender.send(self.node.status(now))),
-            Question::Table(sender) => drop(sender.send(self.node.table().cloned())),
-            Question::Addresses(zone, sender) => {
+        match query {
+            StateQuery::Status(sender) => drop(sender.send(self.node.status(now))),
+            StateQuery::Table(sender) => drop(sender.send(self.node.table().cloned())),
+            StateQuery::Addresses(zone, sender) => {
                 drop(sender.send(self.node.addresses(now, zone)));
             }
-            Question::Force(generation, sender) => {
+            StateQuery::Force(generation, sender) => {
                 drop(sender.send(self.node.force(now, generation)));
             }
         }
--- a/crates/entry/src/driver/tellers.rs
+++ b/crates/entry/src/driver/response_channels.rs
@@ -8,11 +8,11 @@
 
 /// The response channels of open connections.
 #[derive(Debug, Default)]
-pub(super) struct Tellers {
+pub(super) struct ResponseChannels {
     senders: HashMap<CallId, mpsc::Sender<Tell>>,
 }
 
-impl Tellers {
+impl ResponseChannels {
     /// Answers of `call` go to `sender`.
     pub(super) fn insert(&mut self, call: CallId, sender: mpsc::Sender<Tell>) {
         self.senders.insert(call, sender);
@@ -27,7 +27,7 @@
     ///
     /// A caller that does not read loses its connection: the channel is left full and closed
     /// without a last answer, the caller's task drops it and the core hears that the caller left.
-    pub(super) fn tell(&mut self, call: CallId, tell: Tell) -> bool {
+    pub(super) fn send(&mut self, call: CallId, tell: Tell) -> bool {
         let last = is_last(&tell);
         let Some(sender) = self.senders.get_mut(&call) else {
             return false;
--- a/crates/entry/src/listen.rs
+++ b/crates/entry/src/listen.rs
@@ -13,7 +13,7 @@
 use volo::net::incoming::MakeIncoming;
 
 /// A caller whose machine is gone is noticed after about four times this.
-const KEEPALIVE: Duration = Duration::from_secs(5);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 const KEEPALIVE_RETRIES: u32 = 3;
 /// Pause after a failed accept; the usual cause is too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
@@ -50,8 +50,8 @@
         match self.listener.accept().await {
             Ok((socket, _)) => {
                 let keepalive = TcpKeepalive::new()
-                    .with_time(KEEPALIVE)
-                    .with_interval(KEEPALIVE)
+                    .with_time(KEEPALIVE_INTERVAL)
+                    .with_interval(KEEPALIVE_INTERVAL)
                     .with_retries(KEEPALIVE_RETRIES);
                 SockRef::from(&socket).set_tcp_keepalive(&keepalive)?;
                 Ok(Some(Conn::from(socket)))
--- a/crates/entry/src/logs.rs
+++ b/crates/entry/src/logs.rs
@@ -13,18 +13,18 @@
 use serde_json::Value;
 
 /// What is logged: everything of this product, warnings of its libraries.
-const LEVELS: &str = "warn, entry=info, waxwingd=info";
+const LOG_LEVELS: &str = "warn, entry=info, waxwingd=info";
 /// Decision lines kept for `explain`.
-const RECENT: usize = 8_000;
+const MAX_LINES: usize = 8_000;
 /// Longest part of a decision line that is kept, in bytes.
-const MAX_PART: usize = 256;
+const MAX_FIELD_BYTES: usize = 256;
 
 /// Starts logging; it ends when the handle is dropped.
 ///
 /// # Errors
 /// `Start` if a logger runs already.
 pub fn start() -> Result<LoggerHandle, Error> {
-    LogSpecification::parse(LEVELS)
+    LogSpecification::parse(LOG_LEVELS)
         .map(Logger::with)
         .and_then(|logger| logger.format(logs::line::write).start())
         .map_err(|error| Error::Start {
@@ -35,7 +35,7 @@
 
 /// The latest decision lines.
 #[derive(Debug, Default)]
-pub struct Recent {
+pub struct RecentDecisions {
     lines: Mutex<VecDeque<Line>>,
 }
 
@@ -46,14 +46,14 @@
     decision: Decision,
 }
 
-impl Recent {
+impl RecentDecisions {
     /// Without lines.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Logs `decision` and keeps its line.
-    pub fn decision(&self, decision: &Decision) {
+    pub fn record(&self, decision: &Decision) {
         log::info!(
             kind = "decision",
             request = decision.request.as_str(),
@@ -65,12 +65,12 @@
             "{}", decision.step.word()
         );
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.len() == RECENT {
+        if lines.len() == MAX_LINES {
             lines.pop_front();
         }
         lines.push_back(Line {
             time: DeferredNow::new().format_rfc3339(),
-            decision: shortened(decision),
+            decision: truncated(decision),
         });
     }
 
@@ -85,15 +85,15 @@
     }
 }
 
-fn shortened(decision: &Decision) -> Decision {
+fn truncated(decision: &Decision) -> Decision {
     let mut kept = decision.clone();
-    for part in [
+    for field in [
         &mut kept.request,
         &mut kept.choice,
         &mut kept.alternatives,
         &mut kept.reason,
     ] {
-        part.truncate(part.floor_char_boundary(MAX_PART));
+        field.truncate(field.floor_char_boundary(MAX_FIELD_BYTES));
     }
     kept
 }
--- a/crates/entry/src/metrics/mod.rs
+++ b/crates/entry/src/metrics/mod.rs
@@ -73,7 +73,7 @@
             step: "metrics",
             cause: error.to_string(),
         })?;
-        metrics.show_zeros();
+        metrics.initialize_labels();
         Ok(metrics)
     }
 
@@ -83,12 +83,12 @@
             Count::FirstToken { micros, target } => {
                 self.first_token
                     .observe(Duration::from_micros(micros).as_secs_f64());
-                self.target("first_token", micros <= target);
+                self.count_target("first_token", micros <= target);
             }
             Count::TokenGap { micros, target } => {
                 self.token_gap
                     .observe(Duration::from_micros(micros).as_secs_f64());
-                self.target("token_gap", micros <= target);
+                self.count_target("token_gap", micros <= target);
             }
             Count::Good => self.good.inc(),
             Count::Answered => self.requests.with_label_values(&["answered"]).inc(),
@@ -137,14 +137,14 @@
 
     /// The figures as text, with the gauges taken from `status`.
     pub fn text(&self, status: &Status) -> String {
-        self.gauges(status);
+        self.set_gauges(status);
         let mut text = Vec::new();
         // Writing to a vector cannot fail.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    fn gauges(&self, status: &Status) {
+    fn set_gauges(&self, status: &Status) {
         self.open.set(status.open as u64);
         self.holds.set(status.holds as u64);
         self.keys.set(status.keys as u64);
@@ -162,7 +162,7 @@
     }
 
     /// Shows labels that are known before they are counted, so that a rate has a start.
-    fn show_zeros(&self) {
+    fn initialize_labels(&self) {
         for outcome in ["answered", "not_run", "unknown", "failed"] {
             self.requests.with_label_values(&[outcome]).reset();
         }
@@ -182,7 +182,7 @@
         }
     }
 
-    fn target(&self, target: &str, met: bool) {
+    fn count_target(&self, target: &str, met: bool) {
         let result = if met { "met" } else { "missed" };
         self.within_target
             .with_label_values(&[target, result])
--- a/crates/entry/src/peers/link.rs
+++ b/crates/entry/src/peers/link.rs
@@ -17,21 +17,21 @@
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-use super::PATH;
-use super::PROOF;
+use super::FRAMES_PATH;
+use super::PROOF_HEADER;
 use super::Shared;
 use super::error::Error;
 use super::queue::Queue;
 use crate::directory::Peer;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const PING_EVERY: Duration = Duration::from_secs(2);
+const PING_INTERVAL: Duration = Duration::from_secs(2);
 const PING_TIMEOUT: Duration = Duration::from_secs(3);
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// How a session came to be, and how it ended.
-enum End {
+enum SessionEnd {
     /// No connection was made.
     Unreachable(Error),
     /// The connection was lost.
@@ -40,15 +40,15 @@
 
 /// Sends the frames of `queue` to `to` for as long as the daemon lives.
 pub(super) async fn run(shared: Shared, to: Instance, queue: Arc<Queue>) {
-    let mut backoff = FIRST_BACKOFF;
+    let mut backoff = MIN_BACKOFF;
     loop {
-        queue.filled().await;
+        queue.wait_until_filled().await;
         match session(&shared, to, &queue).await {
-            End::Lost(error) => {
+            SessionEnd::Lost(error) => {
                 report(&shared, to, &error);
-                backoff = FIRST_BACKOFF;
+                backoff = MIN_BACKOFF;
             }
-            End::Unreachable(error) => {
+            SessionEnd::Unreachable(error) => {
                 report(&shared, to, &error);
                 shared.metrics.frames_dropped(queue.clear());
                 backoff = (backoff * 2).min(MAX_BACKOFF);
@@ -66,18 +66,20 @@
     log::info!(step = error.step(), peer = name.as_str(); "link: {error}");
 }
 
-async fn session(shared: &Shared, to: Instance, queue: &Queue) -> End {
+async fn session(shared: &Shared, to: Instance, queue: &Queue) -> SessionEnd {
     let Some(peer) = shared.directory.peer(to) else {
-        return End::Unreachable(Error::NoAddress);
+        return SessionEnd::Unreachable(Error::NoAddress);
     };
     let socket = match connect(&peer).await {
         Ok(socket) => socket,
-        Err(error) => return End::Unreachable(error),
+        Err(error) => return SessionEnd::Unreachable(error),
     };
     match timeout(CONNECT_TIMEOUT, client::handshake(socket)).await {
-        Ok(Ok((requests, connection))) => carry(shared, to, queue, requests, connection).await,
-        Ok(Err(cause)) => End::Unreachable(Error::http("handshake")(cause)),
-        Err(_) => End::Unreachable(Error::Timeout("handshake")),
+        Ok(Ok((requests, connection))) => {
+            run_connection(shared, to, queue, requests, connection).await
+        }
+        Ok(Err(cause)) => SessionEnd::Unreachable(Error::http("handshake")(cause)),
+        Err(_) => SessionEnd::Unreachable(Error::Timeout("handshake")),
     }
 }
 
@@ -94,44 +96,44 @@
     Ok(socket)
 }
 
-async fn carry(
+async fn run_connection(
     shared: &Shared,
     to: Instance,
     queue: &Queue,
     mut requests: client::SendRequest<Bytes>,
     mut connection: client::Connection<TcpStream, Bytes>,
-) -> End {
+) -> SessionEnd {
     let pings = connection.ping_pong();
     let proof = shared.proof.expose();
-    let request = Request::post(PATH)
-        .header(PROOF, proof)
+    let request = Request::post(FRAMES_PATH)
+        .header(PROOF_HEADER, proof)
         .body(())
         .unwrap_or_default();
     let (response, stream) = match requests.send_request(request, false) {
         Ok(opened) => opened,
-        Err(cause) => return End::Unreachable(Error::http("request")(cause)),
+        Err(cause) => return SessionEnd::Unreachable(Error::http("request")(cause)),
     };
     let work = async {
-        if let Err(error) = accepted(response).await {
-            return End::Unreachable(error);
+        if let Err(error) = check_response(response).await {
+            return SessionEnd::Unreachable(error);
         }
-        let still_listed = moved(shared, to);
+        let address_change = address_changed(shared, to);
         tokio::select! {
-            error = send(shared, queue, stream) => End::Lost(error),
-            error = ping(pings) => End::Lost(error),
-            error = still_listed => End::Lost(error),
+            error = send(shared, queue, stream) => SessionEnd::Lost(error),
+            error = ping(pings) => SessionEnd::Lost(error),
+            error = address_change => SessionEnd::Lost(error),
         }
     };
     tokio::select! {
         end = work => end,
         closed = &mut connection => match closed {
-            Ok(()) => End::Lost(Error::Closed),
-            Err(cause) => End::Lost(Error::http("connection")(cause)),
+            Ok(()) => SessionEnd::Lost(Error::Closed),
+            Err(cause) => SessionEnd::Lost(Error::http("connection")(cause)),
         },
     }
 }
 
-async fn accepted(response: ResponseFuture) -> Result<(), Error> {
+async fn check_response(response: ResponseFuture) -> Result<(), Error> {
     let response = timeout(CONNECT_TIMEOUT, response)
         .await
         .map_err(|_| Error::Timeout("response"))?
@@ -143,10 +145,10 @@
 }
 
 /// Ends when the peer has another address than at the start.
-async fn moved(shared: &Shared, to: Instance) -> Error {
+async fn address_changed(shared: &Shared, to: Instance) -> Error {
     let first = shared.directory.peer(to);
     while shared.directory.peer(to) == first {
-        sleep(PING_EVERY).await;
+        sleep(PING_INTERVAL).await;
     }
     Error::Closed
 }
@@ -157,7 +159,7 @@
     };
     loop {
         match timeout(PING_TIMEOUT, pings.ping(Ping::opaque())).await {
-            Ok(Ok(_)) => sleep(PING_EVERY).await,
+            Ok(Ok(_)) => sleep(PING_INTERVAL).await,
             Ok(Err(cause)) => return Error::http("ping")(cause),
             Err(_) => return Error::Timeout("ping"),
         }
@@ -166,8 +168,8 @@
 
 async fn send(shared: &Shared, queue: &Queue, mut stream: SendStream<Bytes>) -> Error {
     loop {
-        let (bytes, old) = queue.next().await;
-        shared.metrics.frames_dropped(old);
+        let (bytes, expired) = queue.next().await;
+        shared.metrics.frames_dropped(expired);
         match write(&mut stream, bytes).await {
             Ok(()) => shared.metrics.frame_sent(),
             Err(error) => return error,
--- a/crates/entry/src/peers/mod.rs
+++ b/crates/entry/src/peers/mod.rs
@@ -28,12 +28,12 @@
 pub use server::serve;
 
 /// Path of the request that carries frames.
-const PATH: &str = "/v1/frames";
+const FRAMES_PATH: &str = "/v1/frames";
 
 /// Header by which the dialling side proves that it holds the fleet's secret.
-const PROOF: &str = "waxwing-proof";
+const PROOF_HEADER: &str = "waxwing-proof";
 /// What the proof of the dialling side is for.
-pub const PURPOSE: &str = "peer frames";
+pub const PROOF_PURPOSE: &str = "peer frames";
 
 /// What links share.
 #[derive(Debug, Clone)]
--- a/crates/entry/src/peers/queue.rs
+++ b/crates/entry/src/peers/queue.rs
@@ -12,9 +12,9 @@
 use wire::Body;
 
 /// Frames that may wait.
-const DEPTH: usize = 4_096;
+const MAX_FRAMES: usize = 4_096;
 /// Bytes that may wait.
-const BYTES: usize = 8 << 20;
+const MAX_BYTES: usize = 8 << 20;
 /// How long a frame may wait; the ages that it tells are wrong by as much.
 const MAX_WAIT: Duration = Duration::from_millis(500);
 
@@ -65,8 +65,8 @@
     pub(super) fn push(&self, bytes: Bytes, membership: bool) -> usize {
         let mut items = self.lock();
         let before = items.queue.len();
-        while items.queue.len() >= DEPTH
-            || (!items.queue.is_empty() && items.bytes + bytes.len() > BYTES)
+        while items.queue.len() >= MAX_FRAMES
+            || (!items.queue.is_empty() && items.bytes + bytes.len() > MAX_BYTES)
         {
             items.evict();
         }
@@ -83,7 +83,7 @@
     }
 
     /// Waits until a frame is there.
-    pub(super) async fn filled(&self) {
+    pub(super) async fn wait_until_filled(&self) {
         while self.lock().queue.is_empty() {
             self.filled.notified().await;
         }
@@ -91,12 +91,12 @@
 
     /// The next frame that is not too old, after waiting for one; and how many were too old.
     pub(super) async fn next(&self) -> (Bytes, usize) {
-        let mut old = 0;
+        let mut expired = 0;
         loop {
-            self.filled().await;
+            self.wait_until_filled().await;
             match self.pop() {
-                Some(item) if item.since.elapsed() <= MAX_WAIT => return (item.bytes, old),
-                Some(_) => old += 1,
+                Some(item) if item.since.elapsed() <= MAX_WAIT => return (item.bytes, expired),
+                Some(_) => expired += 1,
                 None => {}
             }
         }
--- a/crates/entry/src/peers/server.rs
+++ b/crates/entry/src/peers/server.rs
@@ -26,19 +26,19 @@
 use tokio::task::JoinSet;
 use wire::Decoder;
 
-use super::PATH;
-use super::PROOF;
+use super::FRAMES_PATH;
+use super::PROOF_HEADER;
 use super::Shared;
 use super::error::Error;
 use super::watchdog;
 
 const MAX_CONNECTIONS: usize = 1_024;
 const MAX_STREAMS: u32 = 2;
-const MAX_HEADERS: u32 = 4_096;
+const MAX_HEADER_BYTES: u32 = 4_096;
 const STREAM_WINDOW: u32 = 1 << 20;
 const CONNECTION_WINDOW: u32 = 2 << 20;
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-const KEEPALIVE: Duration = Duration::from_secs(5);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 /// Pause after a failed accept; the usual cause is too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
@@ -89,14 +89,14 @@
 
 async fn read_link(socket: TcpStream, shared: &Shared) -> Result<(), Error> {
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     SockRef::from(&socket)
         .set_tcp_keepalive(&keepalive)
         .map_err(Error::Connect)?;
     let handshake = server::Builder::new()
         .max_concurrent_streams(MAX_STREAMS)
-        .max_header_list_size(MAX_HEADERS)
+        .max_header_list_size(MAX_HEADER_BYTES)
         .initial_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
         .handshake(socket);
@@ -155,10 +155,10 @@
 fn check(request: &Request<RecvStream>, shared: &Shared) -> Result<(), (StatusCode, Error)> {
     let proof = request
         .headers()
-        .get(PROOF)
+        .get(PROOF_HEADER)
         .and_then(|proof| proof.to_str().ok());
     match proof {
-        _ if request.method() != Method::POST || request.uri().path() != PATH => {
+        _ if request.method() != Method::POST || request.uri().path() != FRAMES_PATH => {
             let line = format!("{} {}", request.method(), request.uri().path());
             Err((StatusCode::NOT_FOUND, Error::Request(line)))
         }
--- a/crates/entry/src/peers/watchdog.rs
+++ b/crates/entry/src/peers/watchdog.rs
@@ -6,9 +6,9 @@
 use boottime::timer::sleep;
 use tokio::sync::watch;
 
-const EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// A gap this long counts as a pause.
-const PAUSE: Duration = Duration::from_secs(1);
+const MIN_PAUSE: Duration = Duration::from_secs(1);
 
 /// Starts watching; the value changes after each pause.
 pub(super) fn start() -> watch::Receiver<u64> {
@@ -16,8 +16,8 @@
     tokio::spawn(async move {
         let mut last = Instant::now();
         loop {
-            sleep(EVERY).await;
-            if last.elapsed() > PAUSE {
+            sleep(CHECK_INTERVAL).await;
+            if last.elapsed() > MIN_PAUSE {
                 log::warn!(step = "watchdog"; "the process was paused for {:?}", last.elapsed());
                 sender.send_modify(|count| *count += 1);
             }
--- a/crates/entry/src/platform/commit.rs
+++ b/crates/entry/src/platform/commit.rs
@@ -21,14 +21,14 @@
 use super::read;
 use crate::clock;
 
-const TRIES: u32 = 5;
-const PAUSE: Duration = Duration::from_millis(150);
+const MAX_TRIES: u32 = 5;
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Commits `edit` at most once.
 pub(super) async fn commit(client: &Client, edit: &Edit) -> Outcome {
     let mut uncertain = false;
-    let mut last = Error::Contended { tries: TRIES };
-    for _ in 0..TRIES {
+    let mut last = Error::Contended { tries: MAX_TRIES };
+    for _ in 0..MAX_TRIES {
         match attempt(client, edit, uncertain).await {
             Ok(Some(outcome)) => return Ok(outcome),
             Ok(None) => {}
@@ -37,9 +37,9 @@
                 uncertain |= error.is_uncertain();
                 last = Error::Store(error);
             }
-            Err(error) => return refused(error),
+            Err(error) => return conflict_or_error(error),
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
     match last {
         Error::Store(error) if uncertain => Err(Error::Uncertain(error)),
@@ -51,7 +51,7 @@
 async fn attempt(client: &Client, edit: &Edit, sent: bool) -> Result<Option<Stored>, Error> {
     let txn = read::scans().with_read(&stored::edit_id_key(&edit.id));
     let records = read::records(client, txn).await?;
-    match table::plan::plan(edit, &records, clock::unix().as_secs())? {
+    match table::plan::plan(edit, &records, clock::unix_time().as_secs())? {
         Step::Applied(generation) if sent => Ok(Some(Stored::Committed { generation })),
         Step::Applied(generation) => Ok(Some(Stored::Repeated { generation })),
         Step::Commit(plan) => match client.txn(&transaction(&plan)).await? {
@@ -72,7 +72,7 @@
     })
 }
 
-fn refused(error: Error) -> Outcome {
+fn conflict_or_error(error: Error) -> Outcome {
     match error {
         Error::Record(stored::Error::Conflict(conflict)) => {
             let lines = conflict.clashes.iter().map(ToString::to_string).collect();
--- a/crates/entry/src/platform/list.rs
+++ b/crates/entry/src/platform/list.rs
@@ -24,12 +24,12 @@
 use crate::driver::inbox::Inbox;
 
 /// Pause between two reads in a small fleet.
-const EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Further pause for each listed instance: it bounds the reads of the whole fleet.
-const EVERY_PER_INSTANCE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(10);
 
 /// Reads the list as shown to `name`, fills `directory` and tells the core; never ends.
-pub async fn watch(client: Client, name: String, directory: Arc<Directory>, inbox: Inbox) {
+pub async fn poll(client: Client, name: String, directory: Arc<Directory>, inbox: Inbox) {
     let mut failing = false;
     let mut instances = 0;
     loop {
@@ -40,7 +40,7 @@
                 if let Ok(copy) = serde_json::to_vec(&list) {
                     inbox.event(Event::ListCopy(copy.into())).await;
                 }
-                inbox.event(take(&directory, list)).await;
+                inbox.event(apply(&directory, list)).await;
             }
             Err(error) if !failing => {
                 failing = true;
@@ -48,22 +48,22 @@
             }
             Err(_) => {}
         }
-        sleep(EVERY + EVERY_PER_INSTANCE * instances).await;
+        sleep(POLL_INTERVAL + POLL_INTERVAL_PER_INSTANCE * instances).await;
     }
 }
 
 /// Fills `directory` from a peer's copy of the list; `None` if it is damaged.
-pub fn take_copy(directory: &Directory, copy: &[u8]) -> Option<Event> {
+pub fn apply_copy(directory: &Directory, copy: &[u8]) -> Option<Event> {
     let list = serde_json::from_slice(copy).ok()?;
-    Some(take(directory, list))
+    Some(apply(directory, list))
 }
 
-fn take(directory: &Directory, list: list::List) -> Event {
-    fill(directory, &list);
+fn apply(directory: &Directory, list: list::List) -> Event {
+    update_directory(directory, &list);
     Event::Listed(convert(list))
 }
 
-fn fill(directory: &Directory, list: &list::List) {
+fn update_directory(directory: &Directory, list: &list::List) {
     let peers = list.instances.iter().map(|instance| {
         let peer = Peer {
             name: instance.name.clone(),
@@ -97,12 +97,12 @@
 
 fn convert(list: list::List) -> List {
     List {
-        instances: list.instances.into_iter().map(seat).collect(),
-        replicas: list.replicas.into_iter().map(backend).collect(),
+        instances: list.instances.into_iter().map(listed_instance).collect(),
+        replicas: list.replicas.into_iter().map(listed_replica).collect(),
     }
 }
 
-fn seat(instance: list::Instance) -> Seat {
+fn listed_instance(instance: list::Instance) -> Seat {
     Seat {
         instance: Instance::new(&instance.name),
         zone: Zone::new(&instance.data_centre),
@@ -112,7 +112,7 @@
     }
 }
 
-fn backend(replica: list::Replica) -> Backend {
+fn listed_replica(replica: list::Replica) -> Backend {
     Backend {
         replica: Replica::new(&replica.name),
         zone: Zone::new(&replica.data_centre),
--- a/crates/entry/src/platform/mod.rs
+++ b/crates/entry/src/platform/mod.rs
@@ -21,16 +21,16 @@
 use crate::platform::error::Error;
 
 pub use history::history;
-pub use list::watch as watch_list;
+pub use list::poll as poll_list;
+pub use sweep::run as sweep_periodically;
 pub use sweep::sweep;
-pub use sweep::watch as watch_outcomes;
 
 /// A call to the platform is given up after this time.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A client of the platform at the address of `config`.
 pub fn client(config: &Config) -> Client {
-    Client::new(config.platform, TIMEOUT)
+    Client::new(config.platform, CALL_TIMEOUT)
 }
 
 /// Carries out queries of the core, each in a task of its own.
@@ -51,13 +51,13 @@
         let client = self.client.clone();
         let inbox = self.inbox.clone();
         tokio::spawn(async move {
-            let outcome = carry_out(&client, ask).await;
+            let outcome = execute(&client, ask).await;
             inbox.event(Event::Stored { query, outcome }).await;
         });
     }
 }
 
-async fn carry_out(client: &Client, ask: Ask) -> Stored {
+async fn execute(client: &Client, ask: Ask) -> Stored {
     let outcome = match ask {
         Ask::Generation => read::generation(client).await,
         Ask::Table => read::table(client).await,
--- a/crates/entry/src/platform/outcomes.rs
+++ b/crates/entry/src/platform/outcomes.rs
@@ -78,7 +78,7 @@
         body: body.as_ref().map(|body| body.to_vec()),
     });
     let row = Row {
-        unix_s: clock::unix().as_secs(),
+        unix_s: clock::unix_time().as_secs(),
         lines: lines.collect(),
     };
     serde_json::to_string(&row).expect("texts and numbers always serialise")
--- a/crates/entry/src/platform/sweep.rs
+++ b/crates/entry/src/platform/sweep.rs
@@ -15,17 +15,17 @@
 use super::outcomes;
 use crate::clock;
 use crate::driver::inbox::Inbox;
-use crate::driver::inbox::Question;
+use crate::driver::inbox::StateQuery;
 
 /// Rows deleted with one transaction.
-const BATCH: usize = 64;
+const BATCH_ROWS: usize = 64;
 
 /// Sweeps now and then; never ends. Rows are kept for twice the `window` of keys.
-pub async fn watch(client: Client, inbox: Inbox, window: Duration) {
+pub async fn run(client: Client, inbox: Inbox, window: Duration) {
     loop {
         sleep(window / 2).await;
-        let status = inbox.ask(Question::Status).await;
-        let members = status.as_ref().map_or(1, alive);
+        let status = inbox.query(StateQuery::Status).await;
+        let members = status.as_ref().map_or(1, alive_count);
         if rand::random_range(0..members) > 0 {
             continue;
         }
@@ -42,13 +42,13 @@
 /// # Errors
 /// The platform did not carry it out in full.
 pub async fn sweep(client: &Client, age: Duration) -> Result<usize, Error> {
-    let limit = clock::unix().saturating_sub(age).as_secs();
+    let limit = clock::unix_time().saturating_sub(age).as_secs();
     let rows = client.rows(outcomes::PREFIX).await?;
     let old: Vec<Row> = rows
         .into_iter()
         .filter(|row| is_older(row, limit))
         .collect();
-    for batch in old.chunks(BATCH) {
+    for batch in old.chunks(BATCH_ROWS) {
         let txn = batch
             .iter()
             .fold(Txn::new(), |txn, row| txn.with_write(&row.key, None));
@@ -57,7 +57,7 @@
     Ok(old.len())
 }
 
-fn alive(status: &Status) -> usize {
+fn alive_count(status: &Status) -> usize {
     status
         .members
         .iter()
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -20,7 +20,7 @@
 use crate::driver::inbox::Inbox;
 
 /// How often unwritten responses are looked for at the end.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Tells when the planned stop has ended, and counts responses that are being written.
 #[derive(Debug, Clone)]
@@ -31,11 +31,11 @@
 
 /// A response that is being written.
 #[derive(Debug)]
-pub struct Response {
+pub struct PendingResponse {
     responses: Arc<AtomicUsize>,
 }
 
-impl Drop for Response {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
         self.responses.fetch_sub(1, Ordering::Relaxed);
     }
@@ -56,20 +56,20 @@
     }
 
     /// Counts a response as being written until the value is dropped.
-    pub fn response(&self) -> Response {
+    pub fn begin_response(&self) -> PendingResponse {
         self.responses.fetch_add(1, Ordering::Relaxed);
-        Response {
+        PendingResponse {
             responses: Arc::clone(&self.responses),
         }
     }
 
     /// Waits until the stop has ended and every response has been written.
-    pub async fn ended(&self) {
+    pub async fn wait_until_ended(&self) {
         let mut finished = self.finished.subscribe();
         // The sender is held by `self`, so waiting cannot fail.
         let _ = finished.wait_for(|finished| *finished).await;
         while self.responses.load(Ordering::Relaxed) > 0 {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/entry/tests/callers.rs
+++ b/crates/entry/tests/callers.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
 
-use crate::common::Place;
+use crate::common::Site;
 use crate::common::http;
 
 const PATH: &str = "/v1/completions";
@@ -28,15 +28,19 @@
 )]
 #[tokio::test]
 async fn a_body_that_is_no_request_is_not_run(#[case] body: &str, #[case] cause: &str) {
-    let place = Place::start(1).await;
-    let answer = http::send(place.daemon.caller, &http::caller("POST", PATH, "", body)).await;
+    let site = Site::start(1).await;
+    let answer = http::send_and_read(
+        site.daemon.caller,
+        &http::caller_request("POST", PATH, "", body),
+    )
+    .await;
     assert_eq!(
         (answer.status, answer.reason()),
         (400, "invalid".to_owned()),
         "{answer:?}"
     );
     assert!(answer.body.contains(cause), "{answer:?}");
-    place.serves().await;
+    site.assert_serves().await;
 }
 
 #[rstest]
@@ -44,32 +48,32 @@
 #[case::in_chunks(false)]
 #[tokio::test]
 async fn an_oversized_body_is_refused(#[case] announced: bool) {
-    let place = Place::start(1).await;
+    let site = Site::start(1).await;
     let body = "x".repeat((1 << 20) + 1);
     let bytes = if announced {
-        http::caller("POST", PATH, "", &body)
+        http::caller_request("POST", PATH, "", &body)
     } else {
         http::chunked(PATH, &body)
     };
-    let answer = http::send(place.daemon.caller, &bytes).await;
+    let answer = http::send_and_read(site.daemon.caller, &bytes).await;
     assert_eq!(
         (answer.status, answer.reason()),
         (413, "invalid".to_owned()),
         "{answer:?}"
     );
-    place.serves().await;
+    site.assert_serves().await;
 }
 
 #[rstest]
 #[tokio::test]
 async fn a_body_that_breaks_off_is_not_run() {
-    let place = Place::start(1).await;
+    let site = Site::start(1).await;
     let whole = http::completion(8);
-    let mut socket = http::open(place.daemon.caller, &whole[..whole.len() - 9]).await;
+    let mut socket = http::open(site.daemon.caller, &whole[..whole.len() - 9]).await;
     socket.shutdown().await.unwrap();
     http::read(socket).await;
-    place.serves().await;
-    let record = fake::control::record(place.decode).await.unwrap();
+    site.assert_serves().await;
+    let record = fake::control::record(site.decode).await.unwrap();
     assert_eq!(
         record["decodes"], 1,
         "only the request of `serves` ran: {record}"
@@ -90,10 +94,10 @@
 )]
 #[tokio::test]
 async fn wrong_headers_are_named(#[case] headers: &str, #[case] status: u16, #[case] cause: &str) {
-    let place = Place::start(1).await;
+    let site = Site::start(1).await;
     let body = "{\"model\": \"ration\", \"prompt\": \"a\", \"max_tokens\": 4}";
     let bytes = http::request("POST", PATH, headers, body);
-    let answer = http::send(place.daemon.caller, &bytes).await;
+    let answer = http::send_and_read(site.daemon.caller, &bytes).await;
     assert_eq!(
         (answer.status, answer.reason()),
         (status, "invalid".to_owned()),
@@ -105,11 +109,11 @@
 #[rstest]
 #[tokio::test]
 async fn oversized_headers_are_refused() {
-    let place = Place::start(1).await;
+    let site = Site::start(1).await;
     let headers = format!("Waxwing-Class: {}\r\n", "x".repeat(17 << 10));
-    let answer = http::send(
-        place.daemon.caller,
-        &http::caller("POST", PATH, &headers, "{}"),
+    let answer = http::send_and_read(
+        site.daemon.caller,
+        &http::caller_request("POST", PATH, &headers, "{}"),
     )
     .await;
     assert_eq!(
@@ -125,8 +129,12 @@
 #[case::no_service("POST", "/v1/call/", 404)]
 #[tokio::test]
 async fn wrong_calls_are_refused(#[case] method: &str, #[case] path: &str, #[case] status: u16) {
-    let place = Place::start(1).await;
-    let answer = http::send(place.daemon.caller, &http::caller(method, path, "", "")).await;
+    let site = Site::start(1).await;
+    let answer = http::send_and_read(
+        site.daemon.caller,
+        &http::caller_request(method, path, "", ""),
+    )
+    .await;
     assert_eq!(
         (answer.status, answer.reason()),
         (status, "invalid".to_owned()),
--- a/crates/entry/tests/common/daemon.rs
+++ b/crates/entry/tests/common/daemon.rs
@@ -28,7 +28,7 @@
 
 /// The exit code of a daemon that cannot listen.
 const EXIT_LISTEN: i32 = 4;
-const START_LIMIT: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running daemon; dropping it kills exactly this process.
 #[derive(Debug)]
@@ -52,8 +52,11 @@
         let start = Instant::now();
         loop {
             let mut daemon = Self::spawn(platform, more);
-            while daemon.runs() && !daemon.listens() {
-                assert!(start.elapsed() < START_LIMIT, "the daemon does not listen");
+            while daemon.is_running() && !daemon.is_listening() {
+                assert!(
+                    start.elapsed() < START_TIMEOUT,
+                    "the daemon does not listen"
+                );
                 thread::sleep(Duration::from_millis(10));
             }
             match daemon
@@ -91,12 +94,12 @@
 
     /// Whether it says that it listens. Its ports alone would not tell: another test's daemon may
     /// have taken one of them.
-    fn listens(&self) -> bool {
+    fn is_listening(&self) -> bool {
         fs::read_to_string(&self.log).is_ok_and(|log| log.contains("serves callers at"))
     }
 
     /// Its place on the platform's list.
-    pub fn seat(&self) -> Value {
+    pub fn list_entry(&self) -> Value {
         json!({"name": "entry-1", "data_centre": "osijek-a", "peer": self.peer,
             "caller": self.caller, "state": "live"})
     }
@@ -108,14 +111,14 @@
     }
 
     /// Whether it runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 
     /// How it ended, after waiting for at most `limit`.
-    pub async fn ended(&mut self, limit: Duration) -> Option<ExitStatus> {
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<ExitStatus> {
         let start = Instant::now();
-        while start.elapsed() < limit && self.runs() {
+        while start.elapsed() < limit && self.is_running() {
             sleep(Duration::from_millis(20)).await;
         }
         self.child.try_wait().unwrap()
--- a/crates/entry/tests/common/http.rs
+++ b/crates/entry/tests/common/http.rs
@@ -12,7 +12,7 @@
 
 use super::daemon::Daemon;
 
-const PATIENCE: Duration = Duration::from_secs(90);
+const TIMEOUT: Duration = Duration::from_secs(90);
 
 /// A response.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
 
 impl Answer {
     /// Everything that was read, for a connection whose head was read before.
-    pub fn whole(&self) -> String {
+    pub fn raw(&self) -> String {
         format!("{}{}", self.head, self.body)
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// The text of the tokens in a whole stream; `None` if it has another last event than `done`.
-    pub fn text(&self) -> Option<String> {
+    pub fn streamed_text(&self) -> Option<String> {
         let lines = self
             .body
             .lines()
@@ -84,7 +84,7 @@
             bytes.extend_from_slice(&part[..count]);
         }
     };
-    timeout(PATIENCE, reading)
+    timeout(TIMEOUT, reading)
         .await
         .expect("the connection ends");
     let text = String::from_utf8_lossy(&bytes);
@@ -102,7 +102,7 @@
 }
 
 /// Sends bytes and reads the answer.
-pub async fn send(address: SocketAddr, bytes: &[u8]) -> Answer {
+pub async fn send_and_read(address: SocketAddr, bytes: &[u8]) -> Answer {
     read(open(address, bytes).await).await
 }
 
@@ -118,11 +118,11 @@
 
 /// A request without headers and body.
 pub async fn get(address: SocketAddr, path: &str) -> Answer {
-    send(address, &request("GET", path, "", "")).await
+    send_and_read(address, &request("GET", path, "", "")).await
 }
 
 /// A call by the operator `ana` with `token`.
-pub async fn operator(
+pub async fn send_as_operator(
     daemon: &Daemon,
     method: &str,
     path: &str,
@@ -130,11 +130,11 @@
     body: &str,
 ) -> Answer {
     let headers = format!("Waxwing-Operator: ana\r\nAuthorization: Bearer {token}\r\n");
-    send(daemon.admin, &request(method, path, &headers, body)).await
+    send_and_read(daemon.admin, &request(method, path, &headers, body)).await
 }
 
 /// A caller's request with the usual headers.
-pub fn caller(method: &str, path: &str, headers: &str, body: &str) -> Vec<u8> {
+pub fn caller_request(method: &str, path: &str, headers: &str, body: &str) -> Vec<u8> {
     request(
         method,
         path,
@@ -159,7 +159,7 @@
 /// A completion request for at most `tokens` tokens.
 pub fn completion(tokens: usize) -> Vec<u8> {
     let body = json!({"model": "ration", "prompt": PROMPT, "max_tokens": tokens}).to_string();
-    caller("POST", "/v1/completions", "", &body)
+    caller_request("POST", "/v1/completions", "", &body)
 }
 
 /// Reads until `mark` has come; everything read so far.
@@ -173,6 +173,6 @@
             text.push_str(&String::from_utf8_lossy(&part[..count]));
         }
     };
-    timeout(PATIENCE, reading).await.expect("the mark comes");
+    timeout(TIMEOUT, reading).await.expect("the mark comes");
     text
 }
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -26,11 +26,11 @@
 /// A free port of this machine.
 pub const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 /// Longest wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A daemon with a platform, a prefill engine, a decode engine and an application behind it.
 #[derive(Debug)]
-pub struct Place {
+pub struct Site {
     /// The daemon.
     pub daemon: Daemon,
     /// The platform.
@@ -43,7 +43,7 @@
     pub application: SocketAddr,
 }
 
-impl Place {
+impl Site {
     /// Starts everything and waits until the daemon is ready; decoding takes `token_ms` a token.
     pub async fn start(token_ms: u64) -> Self {
         Self::start_with(token_ms, "").await
@@ -62,28 +62,28 @@
             .await
             .unwrap();
         let daemon = Daemon::start(platform, more);
-        let place = Self {
+        let site = Self {
             daemon,
             platform,
             prefill,
             decode,
             application,
         };
-        place.publish().await;
-        place.edit().await;
-        place.ready().await;
-        place
+        site.publish_list().await;
+        site.submit_table().await;
+        site.wait_until_ready().await;
+        site
     }
 
     /// Waits until `found` is true of what the decode engine records.
-    pub async fn until_decode(&self, found: impl Fn(&Value) -> bool) {
+    pub async fn wait_for_decode(&self, found: impl Fn(&Value) -> bool) {
         let start = Instant::now();
         loop {
             let record = control::record(self.decode).await.unwrap();
             if found(&record) {
                 return;
             }
-            assert!(start.elapsed() < PATIENCE, "{record}");
+            assert!(start.elapsed() < TIMEOUT, "{record}");
             sleep(Duration::from_millis(20)).await;
         }
     }
@@ -98,29 +98,29 @@
     }
 
     /// Sees that a request is served.
-    pub async fn serves(&self) {
-        let answer = http::send(self.daemon.caller, &http::completion(8)).await;
+    pub async fn assert_serves(&self) {
+        let answer = http::send_and_read(self.daemon.caller, &http::completion(8)).await;
         let expected = fake::text::expected(http::PROMPT, 8).concat();
-        assert_eq!(answer.text(), Some(expected), "{answer:?}");
+        assert_eq!(answer.streamed_text(), Some(expected), "{answer:?}");
     }
 
     /// Waits until one connection was closed at `step` of reading frames.
-    pub async fn counts(&self, step: &str) {
-        self.metric(&format!(
+    pub async fn wait_for_rejection(&self, step: &str) {
+        self.wait_for_metric(&format!(
             "waxwing_frames_rejected_total{{step=\"{step}\"}} 1"
         ))
         .await;
     }
 
     /// Waits until the metrics have `line`.
-    pub async fn metric(&self, line: &str) {
+    pub async fn wait_for_metric(&self, line: &str) {
         let start = Instant::now();
         loop {
             let text = http::get(self.daemon.admin, "/metrics").await.body;
             if text.lines().any(|found| found == line) {
                 return;
             }
-            assert!(start.elapsed() < PATIENCE, "no {line} in {text}");
+            assert!(start.elapsed() < TIMEOUT, "no {line} in {text}");
             sleep(Duration::from_millis(20)).await;
         }
     }
@@ -133,13 +133,13 @@
             .unwrap();
     }
 
-    async fn publish(&self) {
+    async fn publish_list(&self) {
         let replica = |name: &str, address: SocketAddr, service: &str, role: &str| {
             json!({"name": name, "data_centre": "osijek-a", "address": address,
                 "service": service, "role": role, "slots": 20, "fences": true, "state": "live"})
         };
         let list = json!({
-            "instances": [self.daemon.seat()],
+            "instances": [self.daemon.list_entry()],
             "replicas": [
                 replica("prefill-1", self.prefill, "ration", "prefill"),
                 replica("decode-1", self.decode, "ration", "decode"),
@@ -153,30 +153,30 @@
             .unwrap();
     }
 
-    async fn edit(&self) {
+    async fn submit_table(&self) {
         let rows = [table::row::Row::new("ration", "default", "ration"), lorry()];
         let edit = table::edit::Edit::between("edit-1", "ana", &table::Table::default(), &rows);
         let body = serde_json::to_string(&edit).unwrap();
         let start = Instant::now();
         loop {
             let answer =
-                http::operator(&self.daemon, "POST", "/v1/table/edits", TOKEN, &body).await;
+                http::send_as_operator(&self.daemon, "POST", "/v1/table/edits", TOKEN, &body).await;
             if answer.status == 200 {
                 return;
             }
-            assert!(start.elapsed() < PATIENCE, "{answer:?}");
+            assert!(start.elapsed() < TIMEOUT, "{answer:?}");
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    async fn ready(&self) {
+    async fn wait_until_ready(&self) {
         let start = Instant::now();
         loop {
             let answer = http::get(self.daemon.admin, "/health").await;
             if answer.status == 200 {
                 return;
             }
-            assert!(start.elapsed() < PATIENCE, "{answer:?}");
+            assert!(start.elapsed() < TIMEOUT, "{answer:?}");
             sleep(Duration::from_millis(50)).await;
         }
     }
--- a/crates/entry/tests/operators.rs
+++ b/crates/entry/tests/operators.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 
-use crate::common::Place;
+use crate::common::Site;
 use crate::common::http;
 use crate::common::settings::TOKEN;
 
@@ -25,44 +25,38 @@
 #[case::unknown("GET", "/v1/nothing")]
 #[tokio::test]
 async fn a_forged_token_opens_nothing(#[case] method: &str, #[case] path: &str) {
-    let place = Place::start(1).await;
+    let site = Site::start(1).await;
     let longer = format!("{TOKEN}!");
     for token in ["", "forged", &TOKEN[1..], &longer] {
-        let answer = http::operator(&place.daemon, method, path, token, &edit("ana")).await;
+        let answer = http::send_as_operator(&site.daemon, method, path, token, &edit("ana")).await;
         assert_eq!(answer.status, 401, "{token}: {answer:?}");
     }
-    let answer = http::operator(&place.daemon, "GET", "/v1/table", TOKEN, "").await;
+    let answer = http::send_as_operator(&site.daemon, "GET", "/v1/table", TOKEN, "").await;
     assert_eq!(answer.json()["generation"], 1, "{answer:?}");
 }
 
 #[rstest]
 #[tokio::test]
 async fn an_edit_in_another_operators_name_is_refused() {
-    let place = Place::start(1).await;
+    let site = Site::start(1).await;
     let path = "/v1/table/edits";
-    let answer = http::operator(&place.daemon, "POST", path, TOKEN, &edit("marko")).await;
+    let answer = http::send_as_operator(&site.daemon, "POST", path, TOKEN, &edit("marko")).await;
     assert_eq!(answer.status, 403, "{answer:?}");
-    let answer = http::operator(&place.daemon, "POST", path, TOKEN, &edit("ana")).await;
+    let answer = http::send_as_operator(&site.daemon, "POST", path, TOKEN, &edit("ana")).await;
     assert_eq!(answer.json()["result"], "accepted", "{answer:?}");
-    let answer = http::operator(&place.daemon, "POST", path, TOKEN, &edit("ana")).await;
+    let answer = http::send_as_operator(&site.daemon, "POST", path, TOKEN, &edit("ana")).await;
     assert_eq!(answer.json()["result"], "repeated", "{answer:?}");
-    let answer = http::operator(&place.daemon, "GET", "/v1/table/history", TOKEN, "").await;
+    let answer = http::send_as_operator(&site.daemon, "GET", "/v1/table/history", TOKEN, "").await;
     assert_eq!(answer.json()["edits"][0]["id"], "edit-2", "{answer:?}");
 }
 
 #[rstest]
 #[tokio::test]
 async fn decisions_of_a_request_are_explained() {
-    let place = Place::start(1).await;
-    place.serves().await;
-    let answer = http::operator(
-        &place.daemon,
-        "GET",
-        "/v1/explain?request=farm-7",
-        TOKEN,
-        "",
-    )
-    .await;
+    let site = Site::start(1).await;
+    site.assert_serves().await;
+    let answer =
+        http::send_as_operator(&site.daemon, "GET", "/v1/explain?request=farm-7", TOKEN, "").await;
     let steps: Vec<String> = answer.json()["lines"]
         .as_array()
         .unwrap()
@@ -76,9 +70,9 @@
 #[rstest]
 #[tokio::test]
 async fn metrics_show_requests_and_targets() {
-    let place = Place::start(1).await;
-    place.serves().await;
-    let text = http::get(place.daemon.admin, "/metrics").await.body;
+    let site = Site::start(1).await;
+    site.assert_serves().await;
+    let text = http::get(site.daemon.admin, "/metrics").await.body;
     for line in [
         "waxwing_requests_total{outcome=\"answered\"} 1",
         "waxwing_table_generation 1",
--- a/crates/entry/tests/outcomes.rs
+++ b/crates/entry/tests/outcomes.rs
@@ -17,7 +17,7 @@
 const WINDOW: Duration = Duration::from_mins(10);
 
 fn row(age: u64) -> String {
-    let unix_s = clock::unix().as_secs() - age;
+    let unix_s = clock::unix_time().as_secs() - age;
     format!(r#"{{"unix_s": {unix_s}, "lines": []}}"#)
 }
 
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use bytes::BytesMut;
-use entry::peers::PURPOSE;
+use entry::peers::PROOF_PURPOSE;
 use entry::secret::Secret;
 use ident::Incarnation;
 use ident::Instance;
@@ -15,7 +15,7 @@
 use wire::Body;
 use wire::Frame;
 
-use crate::common::Place;
+use crate::common::Site;
 use crate::common::http as by_hand;
 use crate::common::settings::SECRET;
 use crate::common::settings::TOKEN;
@@ -45,7 +45,7 @@
 
 /// Sends `bytes` as a peer would, after a frame that is in order, until the daemon closes.
 async fn send(peer: SocketAddr, secret: &str, bytes: Bytes) {
-    let proof = Secret::new(secret.to_owned()).proof(PURPOSE);
+    let proof = Secret::new(secret.to_owned()).proof(PROOF_PURPOSE);
     let socket = TcpStream::connect(peer).await.unwrap();
     let (mut requests, connection) = h2::client::handshake(socket).await.unwrap();
     let request = http::Request::post("/v1/frames")
@@ -68,39 +68,39 @@
     #[case] bytes: Bytes,
     #[case] step: &str,
 ) {
-    let place = Place::start(1).await;
-    send(place.daemon.peer, SECRET, bytes).await;
-    place.counts(step).await;
-    place.serves().await;
+    let site = Site::start(1).await;
+    send(site.daemon.peer, SECRET, bytes).await;
+    site.wait_for_rejection(step).await;
+    site.assert_serves().await;
 }
 
 #[rstest]
 #[tokio::test]
 async fn bytes_that_are_not_http_close_their_connection() {
-    let place = Place::start(1).await;
-    by_hand::send(
-        place.daemon.peer,
+    let site = Site::start(1).await;
+    by_hand::send_and_read(
+        site.daemon.peer,
         b"GET /v1/frames HTTP/1.1\r\nHost: test\r\n\r\n",
     )
     .await;
-    place.counts("handshake").await;
-    place.serves().await;
+    site.wait_for_rejection("handshake").await;
+    site.assert_serves().await;
 }
 
 #[rstest]
 #[tokio::test]
 async fn a_stranger_cannot_send_frames() {
-    let place = Place::start(1).await;
+    let site = Site::start(1).await;
     let rows = vec![table::row::Row::new("stolen", "default", "stolen")];
     let table = Box::new(table::Table::new(99, rows));
     let push = Frame::new(Instance::new("entry-9"), Incarnation(9), Body::Push(table));
     send(
-        place.daemon.peer,
+        site.daemon.peer,
         "another secret than the fleet's",
         wire::encode(&push).unwrap(),
     )
     .await;
-    place.counts("proof").await;
-    let answer = by_hand::operator(&place.daemon, "GET", "/v1/table", TOKEN, "").await;
+    site.wait_for_rejection("proof").await;
+    let answer = by_hand::send_as_operator(&site.daemon, "GET", "/v1/table", TOKEN, "").await;
     assert_eq!(answer.json()["generation"], 1, "{answer:?}");
 }
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -29,7 +29,7 @@
         .unwrap()
 }
 
-fn refused(text: &str, line: &str, parts: &[&str]) {
+fn assert_refused(text: &str, line: &str, parts: &[&str]) {
     let output = check(text);
     let message = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(EXIT_SETTINGS), "{message}");
@@ -54,7 +54,7 @@
 #[case::secret("secret of the test fleet", "short", &["line 5", "secret", "at least 16"])]
 #[case::token(settings::TOKEN, "short", &["line 6", "operators.ana", "at least 16"])]
 fn wrong_values_are_refused(#[case] from: &str, #[case] to: &str, #[case] parts: &[&str]) {
-    refused(&valid().replace(from, to), parts[0], &parts[1..]);
+    assert_refused(&valid().replace(from, to), parts[0], &parts[1..]);
 }
 
 #[rstest]
@@ -66,7 +66,7 @@
 #[case::twice("name: entry-2\n", "line 1", &["duplicate", "name"])]
 #[case::seed("seeds:\n  - {name: a, address: \"::1\"}\n", "line 8", &["seeds[0].address", "ip:port"])]
 fn wrong_additions_are_refused(#[case] more: &str, #[case] line: &str, #[case] parts: &[&str]) {
-    refused(&(valid() + more), line, parts);
+    assert_refused(&(valid() + more), line, parts);
 }
 
 #[rstest]
@@ -76,7 +76,7 @@
 fn missing_fields_are_named(#[case] field: &str) {
     let text = valid();
     let lines = text.lines().filter(|line| !line.starts_with(field));
-    refused(
+    assert_refused(
         &lines.collect::<Vec<_>>().join("\n"),
         "missing field",
         &[field],
@@ -85,7 +85,7 @@
 
 #[rstest]
 fn equal_addresses_are_refused() {
-    refused(
+    assert_refused(
         &valid().replace("7002", "7001"),
         "listen",
         &["different ports"],
--- a/crates/entry/tests/stop.rs
+++ b/crates/entry/tests/stop.rs
@@ -9,25 +9,25 @@
 use rustix::process::Signal;
 use tokio::time::sleep;
 
-use crate::common::Place;
+use crate::common::Site;
 use crate::common::http;
 use crate::common::settings::TOKEN;
 
 /// `volo-http`'s server would cut connections off about this long after a signal.
-const LIBRARY_LIMIT: Duration = Duration::from_secs(30);
+const LIBRARY_STOP_TIMEOUT: Duration = Duration::from_secs(30);
 /// Callers may keep an address for this long, and a leaving daemon serves them for longer.
 const SHORT_TTL: &str = "timing: {address_ttl_ms: 100}\n";
 /// After this time a leaving daemon with `SHORT_TTL` takes nothing new.
-const LEAVING: Duration = Duration::from_secs(2);
+const LEAVING_TIME: Duration = Duration::from_secs(2);
 /// Tokens of the answer that is in progress.
 const TOKENS: usize = 64;
 /// Time from the last byte of the answer to the end of the process.
-const END_LIMIT: Duration = Duration::from_secs(20);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time between tokens at which the answer lasts longer than the library's limit.
 fn token_ms() -> u64 {
     let count = fake::text::expected(http::PROMPT, TOKENS).len() as u64;
-    (LIBRARY_LIMIT + Duration::from_secs(8)).as_millis() as u64 / count
+    (LIBRARY_STOP_TIMEOUT + Duration::from_secs(8)).as_millis() as u64 / count
 }
 
 #[rstest]
@@ -35,65 +35,65 @@
 #[case::interrupt(Signal::INT)]
 #[tokio::test]
 async fn a_stream_longer_than_thirty_seconds_ends_whole(#[case] signal: Signal) {
-    let mut place = Place::start_with(token_ms(), SHORT_TTL).await;
-    let mut socket = http::open(place.daemon.caller, &http::completion(TOKENS)).await;
+    let mut site = Site::start_with(token_ms(), SHORT_TTL).await;
+    let mut socket = http::open(site.daemon.caller, &http::completion(TOKENS)).await;
     let start = http::read_until(&mut socket, "id: 1\n").await;
-    place.daemon.signal(signal);
-    let asked = Instant::now();
+    site.daemon.signal(signal);
+    let signalled_at = Instant::now();
 
-    sleep(LEAVING).await;
-    let refused = http::send(place.daemon.caller, &http::completion(TOKENS)).await;
+    sleep(LEAVING_TIME).await;
+    let refused = http::send_and_read(site.daemon.caller, &http::completion(TOKENS)).await;
     assert_eq!(
         (refused.status, refused.reason()),
         (503, "leaving".to_owned()),
         "{refused:?}"
     );
-    let health = http::get(place.daemon.admin, "/health").await;
+    let health = http::get(site.daemon.admin, "/health").await;
     assert_eq!(health.status, 503, "{health:?}");
 
     let rest = http::read(socket).await;
     assert!(
-        asked.elapsed() > LIBRARY_LIMIT,
+        signalled_at.elapsed() > LIBRARY_STOP_TIMEOUT,
         "the stream was too short to show anything"
     );
-    let status = http::operator(&place.daemon, "GET", "/v1/status", TOKEN, "").await;
+    let status = http::send_as_operator(&site.daemon, "GET", "/v1/status", TOKEN, "").await;
     assert!(matches!(status.status, 0 | 200), "{status:?}");
     let whole = http::Answer {
-        body: start + &rest.whole(),
+        body: start + &rest.raw(),
         ..rest
     };
     let expected = fake::text::expected(http::PROMPT, TOKENS).concat();
-    assert_eq!(whole.text(), Some(expected), "{whole:?}");
-    let ended = place.daemon.ended(END_LIMIT).await;
+    assert_eq!(whole.streamed_text(), Some(expected), "{whole:?}");
+    let ended = site.daemon.wait_for_exit(EXIT_TIMEOUT).await;
     assert_eq!(ended.and_then(|status| status.code()), Some(0));
 }
 
 #[rstest]
 #[tokio::test]
 async fn an_idle_daemon_stops_with_success() {
-    let mut place = Place::start(1).await;
-    place.serves().await;
-    place.daemon.signal(Signal::TERM);
-    let ended = place.daemon.ended(END_LIMIT).await;
+    let mut site = Site::start(1).await;
+    site.assert_serves().await;
+    site.daemon.signal(Signal::TERM);
+    let ended = site.daemon.wait_for_exit(EXIT_TIMEOUT).await;
     assert_eq!(ended.and_then(|status| status.code()), Some(0));
 }
 
 #[rstest]
 #[tokio::test]
 async fn a_request_right_after_the_signal_is_answered() {
-    let place = Place::start(1).await;
-    place.daemon.signal(Signal::TERM);
-    place.metric("waxwing_leaving 1").await;
-    let answer = http::send(place.daemon.caller, &http::completion(8)).await;
+    let site = Site::start(1).await;
+    site.daemon.signal(Signal::TERM);
+    site.wait_for_metric("waxwing_leaving 1").await;
+    let answer = http::send_and_read(site.daemon.caller, &http::completion(8)).await;
     assert!(matches!(answer.status, 200 | 503), "{answer:?}");
 }
 
 #[rstest]
 #[tokio::test]
 async fn a_hangup_stops_nothing() {
-    let mut place = Place::start(1).await;
-    place.daemon.signal(Signal::HUP);
+    let mut site = Site::start(1).await;
+    site.daemon.signal(Signal::HUP);
     sleep(Duration::from_secs(4)).await;
-    assert!(place.daemon.runs());
-    place.serves().await;
+    assert!(site.daemon.is_running());
+    site.assert_serves().await;
 }
