--- a/crates/entry/src/driver/inbox.rs
+++ b/crates/entry/src/driver/inbox.rs
@@ -73,7 +73,7 @@
         /// What it wants.
         operation: Operation,
         /// Where its answers go.
-        channel: mpsc::Sender<Tell>,
+        replies: mpsc::Sender<Tell>,
     },
     /// A connection closed.
     Closed(CallId),
@@ -109,7 +109,7 @@
     /// Passes a wish to the core; answers come out of the receiver.
     pub async fn open(&self, operation: Operation) -> OpenRequest {
         let call = CallId(self.calls.fetch_add(1, Ordering::Relaxed));
-        let (channel, messages) = mpsc::channel(MAX_MESSAGES);
+        let (replies, messages) = mpsc::channel(MAX_MESSAGES);
         let open = OpenRequest {
             call,
             messages,
@@ -118,7 +118,7 @@
         self.send(Input::Opened {
             call,
             operation,
-            channel,
+            replies,
         })
         .await;
         open
--- a/crates/entry/src/driver/mod.rs
+++ b/crates/entry/src/driver/mod.rs
@@ -112,9 +112,9 @@
             Input::Opened {
                 call,
                 operation,
-                channel,
+                replies,
             } => {
-                self.response_channels.insert(call, channel);
+                self.response_channels.insert(call, replies);
                 self.open(call, operation);
             }
             Input::Closed(call) => self.close(call),
