--- a/crates/entry/src/driver/inbox.rs
+++ b/crates/entry/src/driver/inbox.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 
 use ident::Zone;
-use node::action::Tell;
+use node::action::CallerMessage;
 use node::event::Event;
 use node::ids::CallId;
 use node::request::Request;
@@ -58,7 +58,7 @@
     /// Addresses for callers near a data centre.
     Addresses(Zone, oneshot::Sender<Vec<status::Address>>),
     /// How far a generation is in force.
-    Force(u64, oneshot::Sender<status::Force>),
+    Force(u64, oneshot::Sender<status::Rollout>),
 }
 
 /// What reaches the driver.
@@ -73,7 +73,7 @@
         /// What it wants.
         operation: Operation,
         /// Where its answers go.
-        replies: mpsc::Sender<Tell>,
+        replies: mpsc::Sender<CallerMessage>,
     },
     /// A connection closed.
     Closed(CallId),
@@ -153,7 +153,7 @@
 #[derive(Debug)]
 pub struct OpenRequest {
     call: CallId,
-    messages: mpsc::Receiver<Tell>,
+    messages: mpsc::Receiver<CallerMessage>,
     inbox: Inbox,
 }
 
@@ -164,7 +164,7 @@
     }
 
     /// The next thing to tell the caller; `None` if the driver gave the connection up.
-    pub async fn next(&mut self) -> Option<Tell> {
+    pub async fn next(&mut self) -> Option<CallerMessage> {
         self.messages.recv().await
     }
 }
--- a/crates/entry/src/driver/mod.rs
+++ b/crates/entry/src/driver/mod.rs
@@ -13,8 +13,8 @@
 use engine::Claim;
 use node::Node;
 use node::action::Action;
+use node::action::CallerMessage;
 use node::action::Task;
-use node::action::Tell;
 use node::event::Event;
 use node::event::Piece;
 use node::ids::CallId;
@@ -85,7 +85,7 @@
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
         let mut batch = Vec::with_capacity(MAX_BATCH);
         loop {
-            let pause = self.clock.until(self.node.wake());
+            let pause = self.clock.until(self.node.next_wake());
             tokio::select! {
                 count = inputs.recv_many(&mut batch, MAX_BATCH) => {
                     if count == 0 {
@@ -97,7 +97,7 @@
                 }
                 () = sleep(pause) => {}
             }
-            if self.clock.now() >= self.node.wake() {
+            if self.clock.now() >= self.node.next_wake() {
                 self.step(Event::Tick);
             }
         }
@@ -154,7 +154,7 @@
         // A call that got its last answer is known to be over; the core isn't told again.
         if self.response_channels.remove(call) {
             self.contents.close(call);
-            self.step(Event::Left { call });
+            self.step(Event::Disconnected { call });
         }
     }
 
@@ -208,9 +208,9 @@
                 after,
                 asked,
             } => self.outputs.backends.inspect(replica, after, asked),
-            Action::Tell { call, tell } => self.send_to_caller(call, tell),
+            Action::SendToCaller { call, message } => self.send_to_caller(call, message),
             Action::Send { to, frame } => self.outputs.peers.send(to, &frame),
-            Action::Query { query, ask } => self.outputs.platform.query(query, ask),
+            Action::Query { query, request } => self.outputs.platform.query(query, request),
             Action::UseList(copy) => self.use_list(&copy),
             Action::Log(decision) => self.outputs.recent.record(&decision),
             Action::Fault { cause } => {
@@ -229,8 +229,8 @@
         }
     }
 
-    fn send_to_caller(&mut self, call: CallId, tell: Tell) {
-        if let Tell::Head { handle, .. } = &tell {
+    fn send_to_caller(&mut self, call: CallId, tell: CallerMessage) {
+        if let CallerMessage::Head { handle, .. } = &tell {
             self.contents.add_reader(call, *handle);
         }
         if self.response_channels.send(call, tell) {
@@ -248,7 +248,7 @@
                 drop(sender.send(self.node.addresses(now, zone)));
             }
             StateQuery::Force(generation, sender) => {
-                drop(sender.send(self.node.force(now, generation)));
+                drop(sender.send(self.node.rollout(now, generation)));
             }
         }
     }
--- a/crates/entry/src/driver/response_channels.rs
+++ b/crates/entry/src/driver/response_channels.rs
@@ -2,19 +2,19 @@
 
 use std::collections::HashMap;
 
-use node::action::Tell;
+use node::action::CallerMessage;
 use node::ids::CallId;
 use tokio::sync::mpsc;
 
 /// The response channels of open connections.
 #[derive(Debug, Default)]
 pub(super) struct ResponseChannels {
-    senders: HashMap<CallId, mpsc::Sender<Tell>>,
+    senders: HashMap<CallId, mpsc::Sender<CallerMessage>>,
 }
 
 impl ResponseChannels {
     /// Answers of `call` go to `sender`.
-    pub(super) fn insert(&mut self, call: CallId, sender: mpsc::Sender<Tell>) {
+    pub(super) fn insert(&mut self, call: CallId, sender: mpsc::Sender<CallerMessage>) {
         self.senders.insert(call, sender);
     }
 
@@ -27,7 +27,7 @@
     ///
     /// A caller that does not read loses its connection: the channel is left full and closed
     /// without a last answer, the caller's task drops it and the core hears that the caller left.
-    pub(super) fn send(&mut self, call: CallId, tell: Tell) -> bool {
+    pub(super) fn send(&mut self, call: CallId, tell: CallerMessage) -> bool {
         let last = is_last(&tell);
         let Some(sender) = self.senders.get_mut(&call) else {
             return false;
@@ -40,13 +40,13 @@
     }
 }
 
-const fn is_last(tell: &Tell) -> bool {
+const fn is_last(tell: &CallerMessage) -> bool {
     match tell {
-        Tell::Head { .. } | Tell::Tokens { .. } => false,
-        Tell::Done { .. }
-        | Tell::Superseded
-        | Tell::Answer { .. }
-        | Tell::Refusal(_)
-        | Tell::Edit(_) => true,
+        CallerMessage::Head { .. } | CallerMessage::Tokens { .. } => false,
+        CallerMessage::Done { .. }
+        | CallerMessage::Superseded
+        | CallerMessage::Answer { .. }
+        | CallerMessage::Refusal(_)
+        | CallerMessage::Edit(_) => true,
     }
 }
--- a/crates/gateway/src/callers.rs
+++ b/crates/gateway/src/callers.rs
@@ -1,4 +1,4 @@
-//! Requests of callers: checks, limits and the route.
+//! Serves requests of callers: checks them, applies limits and finds their route.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,26 +25,26 @@
 use relay::plan::Limits;
 
 use crate::body::Body;
-use crate::guard::Open;
+use crate::guard::OpenRequest;
 use crate::job;
 use crate::job::Job;
-use crate::own;
 use crate::plain;
 use crate::quota;
+use crate::responses;
 use crate::shared::Shared;
 use crate::stream;
 use crate::target;
 use crate::target::Owner;
 
-/// Time after which a caller may come back to a daemon that has no plan yet.
-const STARTING: Duration = Duration::from_millis(500);
-/// Time after which a caller may come back when this daemon is stopping; another one serves it.
-const STOPPING: Duration = Duration::from_millis(50);
+/// `Retry-After` while this daemon has no plan yet.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// `Retry-After` while this daemon is stopping; another daemon serves the retry.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Serves one request.
 pub async fn serve(shared: Rc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let arrived = Instant::now();
-    let open = Open::new(&shared);
+    let open = OpenRequest::new(&shared);
     let (parts, body) = request.into_parts();
     let mut response = match admit(&shared, parts, body, arrived).await {
         Ok(job) => dispatch(&shared, job).await,
@@ -54,13 +54,13 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    response.map(|body| body.with_open(open))
+    response.map(|body| body.with_open_request(open))
 }
 
-/// Serves `job`, unless replicas ended under the same request: then it has not run and will not.
+/// Serves `job`. A request whose content is quarantined is refused without running.
 async fn dispatch(shared: &Rc<Shared>, mut job: Job) -> Response<Body> {
     match shared.quarantined_for(job.fingerprint) {
-        Some(left) => plain::refuse_quarantined(&mut job, left),
+        Some(remaining) => plain::refuse_quarantined(&mut job, remaining),
         None => {
             if let Some(response) = quota::admit(shared, &mut job).await {
                 return response;
@@ -74,10 +74,10 @@
     }
 }
 
-/// Reads the request in full and finds its route.
+/// Reads the whole request and finds its route.
 ///
 /// # Errors
-/// The answer to a request that is not served.
+/// The response to a request that is not served.
 async fn admit(
     shared: &Rc<Shared>,
     mut parts: Parts,
@@ -100,12 +100,12 @@
     let host = host(&parts).unwrap_or_default();
     let key = caller::key(&parts.headers);
     let target = target::find(shared, &host, parts.uri.path(), key)
-        .map_err(|error| answer(shared, &call.id, key, &error))?;
+        .map_err(|error| error_response(shared, &call.id, key, &error))?;
     if target.owner != Owner::Anyone {
         caller::drop_key(&mut parts.headers);
     }
     shared.count_request(&target.service);
-    let path = job::path(&parts.uri);
+    let path = job::path_and_query(&parts.uri);
     let fingerprint = Fingerprint::new(parts.method.as_str(), &host, path, &body);
     Ok(Job::new(
         shared,
@@ -118,12 +118,17 @@
     ))
 }
 
-/// The answer to the request `id`, which came with `key` and has no target.
-fn answer(shared: &Shared, id: &str, key: Option<Digest>, error: &target::Error) -> Response<Body> {
+/// The response to request `id`, which came with `key` and has no target.
+fn error_response(
+    shared: &Shared,
+    id: &str,
+    key: Option<Digest>,
+    error: &target::Error,
+) -> Response<Body> {
     match error {
-        target::Error::NoPlan => put_off(shared, id, STARTING, "no plan is known yet"),
-        target::Error::NoRoute { place, plan } => {
-            let cause = format!("no route for {place} in plan {plan}");
+        target::Error::NoPlan => refuse(shared, id, STARTING_RETRY_AFTER, "no plan is known yet"),
+        target::Error::NoRoute { location, plan } => {
+            let cause = format!("no route for {location} in plan {plan}");
             reject(shared, id, StatusCode::NOT_FOUND, &cause, "no route\n")
         }
         target::Error::Denied { denied, plan } => {
@@ -141,8 +146,12 @@
                 caller::KEY_HELP,
             )
         }
-        target::Error::Stopping => put_off(shared, id, STOPPING, "this daemon is stopping"),
-        target::Error::NoService => put_off(shared, id, STARTING, "the route has no service"),
+        target::Error::Stopping => {
+            refuse(shared, id, STOPPING_RETRY_AFTER, "this daemon is stopping")
+        }
+        target::Error::NoService => {
+            refuse(shared, id, STARTING_RETRY_AFTER, "the route has no service")
+        }
     }
 }
 
@@ -192,7 +201,7 @@
     named.map(str::to_owned)
 }
 
-/// Answers that the request is not proper.
+/// Rejects an invalid request.
 fn reject(
     shared: &Shared,
     id: &str,
@@ -204,14 +213,14 @@
     if let Some(omitted) = shared.may_log() {
         log::info!(kind = "end", request = id, outcome = "rejected", omitted = omitted, status = status.as_u16(), cause = cause; "request rejected");
     }
-    own::answer(status, id, text)
+    responses::answer(status, id, text)
 }
 
-/// Answers that this daemon does not take the request now.
-fn put_off(shared: &Shared, id: &str, come_back: Duration, cause: &'static str) -> Response<Body> {
+/// Refuses a request that this daemon cannot serve now.
+fn refuse(shared: &Shared, id: &str, retry_after: Duration, cause: &'static str) -> Response<Body> {
     shared.metrics.request("refused");
     if let Some(omitted) = shared.may_log() {
         log::info!(kind = "end", request = id, outcome = "refused", status = 503, omitted = omitted, cause = cause; "request refused");
     }
-    own::refuse(id, come_back, "not now; the request has not run\n")
+    responses::refuse(id, retry_after, "not now; the request has not run\n")
 }
--- /dev/null
+++ b/crates/gateway/src/forward.rs
@@ -0,0 +1,183 @@
+//! Forwards the events of a stream to the caller. A resumable stream continues at another replica
+//! when its replica fails.
+
+mod replica_stream;
+mod resume;
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use boottime::Instant;
+use http::Response;
+use platform::reply;
+use relay::attempt::Attempt;
+use relay::attempt::Outcome as Sent;
+use relay::event;
+use relay::event::Splitter;
+use relay::server::Key;
+use tokio::sync::mpsc;
+use tokio::sync::mpsc::Sender;
+
+use crate::body::Body;
+use crate::body::Part;
+use crate::job::Job;
+use crate::migration::StoppedRun;
+use crate::placement::Placement;
+use crate::run_tracking::TrackedRun;
+use crate::search::Opened;
+use crate::send;
+use crate::send::Reply;
+use crate::shared::Shared;
+
+/// Parts of a response buffered for a slow caller; beyond that, the replica is not read.
+const MAX_BUFFERED_PARTS: usize = 32;
+/// Silence after which a replica is probed. After twice this time, a resumable stream continues at
+/// another replica. Callers give up after two seconds of silence or more, and the other replica
+/// needs a few hundred milliseconds to prefill the prompt.
+const STALL_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// Pause between two events that is logged if the route sets no limit for pauses.
+const LONG_GAP: Duration = Duration::from_millis(300);
+
+/// Returns a response with the replica's head and spawns a task that forwards its events.
+pub fn start(
+    shared: &Rc<Shared>,
+    job: Job,
+    attempt: Attempt,
+    tried: Vec<Key>,
+    opened: Opened,
+) -> Response<Body> {
+    job.response_started.set(true);
+    let (parts, body) = mpsc::channel(MAX_BUFFERED_PARTS);
+    let mut response = Response::new(Body::parts(body));
+    *response.headers_mut() = reply::headers(opened.reply.response.headers());
+    let forwarder = Forwarder {
+        shared: Rc::clone(shared),
+        job,
+        attempt,
+        tried,
+        splitter: Splitter::new(),
+        parts,
+        started: false,
+        tracked_run: opened.tracked_run,
+        events: 0,
+        may_have_stopped: false,
+    };
+    tokio::task::spawn_local(forwarder.run(opened.reply));
+    response
+}
+
+/// A stream that is being forwarded.
+struct Forwarder {
+    shared: Rc<Shared>,
+    job: Job,
+    attempt: Attempt,
+    tried: Vec<Key>,
+    splitter: Splitter,
+    parts: Sender<Part>,
+    started: bool,
+    /// The run at the current replica, if it is tracked.
+    tracked_run: Option<TrackedRun>,
+    /// Events forwarded so far.
+    events: u64,
+    /// Whether the run at the current replica may have been stopped by a request that got no
+    /// answer.
+    may_have_stopped: bool,
+}
+
+/// How the part of a stream from one replica ended.
+enum End {
+    /// The stream is complete.
+    Complete,
+    /// The caller closed the connection.
+    CallerLeft,
+    /// The deadline of the request passed.
+    TimedOut,
+    /// The replica's part was cut off.
+    Broken(String),
+    /// The replica stalled, and there is a placement at another one.
+    Silent(Placement),
+    /// The run stopped to continue at another replica.
+    Stopped(StoppedRun),
+}
+
+impl Forwarder {
+    async fn run(mut self, reply: Reply) {
+        let mut reply = reply;
+        loop {
+            let key = reply.guard.key;
+            match self.forward_from(reply).await {
+                End::Complete => {
+                    send::record_success(&self.shared, key);
+                    self.shared.note_served(self.job.fingerprint);
+                    if let Some(tracked_run) = &mut self.tracked_run {
+                        tracked_run.mark_complete();
+                    }
+                    self.job.end("answered", 200, "");
+                    // The caller may be gone; then the end is not needed.
+                    let _ = self.parts.send(Part::End).await;
+                    return;
+                }
+                // Dropping the job logs it.
+                End::CallerLeft => return,
+                End::TimedOut => return self.abort("overdue", "the deadline passed"),
+                End::Stopped(stopped) => match self.continue_run(stopped).await {
+                    Some(next) => reply = next,
+                    None => return self.abort("broken", "the run could not continue"),
+                },
+                End::Broken(cause) => {
+                    send::record_failure(&self.shared, &self.job, key, Sent::Lost, &cause, 0);
+                    match self.resume(None).await {
+                        Some(next) => reply = next,
+                        None => return self.abort("broken", "the replica cut off its answer"),
+                    }
+                }
+                End::Silent(placement) => {
+                    let cause = "the replica sent no event for too long";
+                    send::record_failure(&self.shared, &self.job, key, Sent::Lost, cause, 0);
+                    match self.resume(Some(placement)).await {
+                        Some(next) => reply = next,
+                        None => return self.abort("broken", "the replica stalled"),
+                    }
+                }
+            }
+        }
+    }
+
+    /// Sends bytes to the caller; `false` if the caller is gone.
+    async fn send_to_caller(&mut self, bytes: Vec<u8>) -> bool {
+        if bytes.is_empty() {
+            return true;
+        }
+        let events = event::count_events(&bytes);
+        self.events += events;
+        if let Some(tracked_run) = &self.tracked_run {
+            tracked_run.record_events(events);
+        }
+        if !self.started {
+            self.started = true;
+            let age = self.job.age();
+            let route = &self.job.route.name;
+            self.shared.metrics.latency(route, age.as_secs_f64());
+            log::info!(kind = "first", request = self.job.call.id, ms = age.as_millis() as u64, late = age > self.job.route.objective; "forwarded the first event");
+        }
+        self.parts.send(Part::Data(bytes.into())).await.is_ok()
+    }
+
+    /// Records the time since the last event. A long pause is logged: the run was preempted or its
+    /// replica stalled.
+    fn record_gap(&self, key: Key, last: Instant) {
+        let gap = last.elapsed();
+        self.shared.metrics.gap(gap.as_secs_f64());
+        if self.started && gap > self.job.route.pause.unwrap_or(LONG_GAP) {
+            let pool = self.shared.pool.borrow();
+            let replica = pool.get(key).map_or("", |server| &server.replica.id);
+            log::info!(kind = "gap", request = self.job.call.id, replica = replica, ms = gap.as_millis() as u64, events = self.events; "long pause between two events");
+        }
+    }
+
+    /// Ends the request and cuts off its response.
+    fn abort(mut self, outcome: &'static str, cause: &str) {
+        self.job.end(outcome, 200, cause);
+    }
+}
--- a/crates/gateway/src/guard.rs
+++ b/crates/gateway/src/guard.rs
@@ -1,4 +1,4 @@
-//! What is counted for as long as it lasts.
+//! Guards that count requests while they are held.
 
 use std::rc::Rc;
 
@@ -6,14 +6,14 @@
 
 use crate::shared::Shared;
 
-/// A request in progress; it is over when this is dropped.
+/// An open request; closed when this is dropped.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenRequest {
     shared: Rc<Shared>,
 }
 
-impl Open {
-    /// Counts one more request in progress.
+impl OpenRequest {
+    /// Counts one more open request.
     pub fn new(shared: &Rc<Shared>) -> Self {
         shared.set_open(shared.open() + 1);
         Self {
@@ -22,46 +22,46 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.shared.set_open(self.shared.open() - 1);
     }
 }
 
-/// A request at work at a replica; it is over there when this is dropped.
+/// A request in flight at a replica; finished there when this is dropped.
 #[derive(Debug)]
-pub struct Claim {
+pub struct InFlight {
     shared: Rc<Shared>,
     /// The replica.
     pub key: Key,
     tokens: u64,
-    /// Whether it only reads a prompt.
-    reads: bool,
+    /// Whether the replica only prefills the prompt.
+    prefill_only: bool,
 }
 
-impl Claim {
-    /// Counts one more request of `tokens` at the replica `key`, which `reads` its prompt and no more.
-    pub fn new(shared: &Rc<Shared>, key: Key, tokens: u64, reads: bool) -> Self {
+impl InFlight {
+    /// Counts one more request of `tokens` at the replica `key`.
+    pub fn new(shared: &Rc<Shared>, key: Key, tokens: u64, prefill_only: bool) -> Self {
         shared.pool.borrow_mut().start_request(key, tokens);
-        if reads {
+        if prefill_only {
             shared.runs_changed.notify_one();
         }
         Self {
             shared: Rc::clone(shared),
             key,
             tokens,
-            reads,
+            prefill_only,
         }
     }
 }
 
-impl Drop for Claim {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.shared
             .pool
             .borrow_mut()
             .end_request(self.key, self.tokens);
-        if self.reads {
+        if self.prefill_only {
             self.shared.runs_changed.notify_one();
         }
     }
--- /dev/null
+++ b/crates/gateway/src/placement.rs
@@ -0,0 +1,298 @@
+//! Reserves a slot and KV cache memory at a decode replica before the prompt is prefilled.
+//! Otherwise a prefill could be wasted, or a request could queue at a replica without room.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use boottime::Instant;
+use boottime::timer::timeout;
+use http::Method;
+use http::StatusCode;
+use platform::engine as wire;
+use platform::engine::Reservation;
+use relay::admission::MemoryDemand;
+use relay::plan::Engine;
+use relay::replica::Stage;
+use relay::server::Key;
+use relay::timing::Kind;
+use relay::timing::Terms;
+
+use crate::control;
+use crate::control::Call;
+use crate::job::Job;
+use crate::limit;
+use crate::plain;
+use crate::run_tracking::TrackedRun;
+use crate::shared::Shared;
+use crate::wait_queue::QueueEntry;
+
+/// Pause between two rounds over replicas without room; under overload, a place becomes free about
+/// every 60 ms.
+const ROUND_PAUSE: Duration = Duration::from_millis(30);
+/// Replicas asked in one round.
+const REPLICAS_PER_ROUND: usize = 3;
+
+/// The decode replica chosen for a request, with the reservation there.
+#[derive(Debug)]
+pub struct Placement {
+    key: Key,
+    reserved: Option<HeldReservation>,
+    tracked_run: Option<TrackedRun>,
+}
+
+/// A reservation; released if it is dropped unused.
+#[derive(Debug)]
+struct HeldReservation {
+    shared: Rc<Shared>,
+    address: SocketAddr,
+    replica: String,
+    id: String,
+    used: bool,
+}
+
+/// Result of asking one replica for a reservation.
+enum ReserveOutcome {
+    Granted(HeldReservation),
+    NoRoom,
+    /// The replica did not answer.
+    Failed(String),
+}
+
+impl Placement {
+    /// The chosen replica.
+    pub const fn key(&self) -> Key {
+        self.key
+    }
+
+    /// Id of the reservation, if there is one.
+    pub fn reservation(&self) -> Option<&str> {
+        self.reserved.as_ref().map(|reserved| reserved.id.as_str())
+    }
+
+    /// Records that the replica prefills the prompt itself.
+    pub fn note_local_prefill(&self) {
+        if let Some(tracked_run) = &self.tracked_run {
+            tracked_run.note_local_prefill(self.key);
+        }
+    }
+
+    /// Marks the reservation as used and returns the run that has begun.
+    pub fn into_run(self) -> Option<TrackedRun> {
+        if let Some(mut reserved) = self.reserved {
+            reserved.used = true;
+        }
+        self.tracked_run
+    }
+}
+
+/// Finds a placement for `job`, which has generated `generated` tokens so far, outside of `tried`;
+/// `None` if no replica has room.
+pub async fn find(
+    shared: &Rc<Shared>,
+    job: &Job,
+    tried: &[Key],
+    generated: u64,
+) -> Option<Placement> {
+    let Some(engine) = reserving_engine(shared, job) else {
+        let key = plain::choose_replica(shared, job, Some(Stage::Decode), tried).await?;
+        return Some(Placement {
+            key,
+            reserved: None,
+            tracked_run: None,
+        });
+    };
+    let begun = Instant::now();
+    let objective = job.route.objective;
+    let kind = generation_kind(job, generated);
+    // For a request that is already late, the wait starts now.
+    let from = if kind == Kind::New {
+        job.arrived
+    } else {
+        begun
+    };
+    let until = from + objective.mul_f64(kind.terms(new_request_terms(shared)).wait);
+    let queue_entry = QueueEntry::new(shared, &job.service, job.priority(), kind == Kind::Returned);
+    let mut rounds = 0;
+    loop {
+        // A resumed stream does not wait for its turn: without a placement it is aborted.
+        let found = if kind == Kind::Due || queue_entry.is_first() {
+            try_round(shared, job, tried, engine, kind, generated).await
+        } else {
+            None
+        };
+        if let Some(placement) = found {
+            shared.metrics.wait(begun.elapsed().as_secs_f64());
+            return Some(placement);
+        }
+        rounds += 1;
+        if Instant::now() + ROUND_PAUSE > until {
+            let prefill_time = shared.read_time(&job.service, job.prompt_tokens());
+            let read_ms = prefill_time.unwrap_or_default().as_millis() as u64;
+            log::info!(kind = "reserve", request = job.call.id, class = format!("{kind:?}"), rounds = rounds, tokens = job.expected_tokens(), read_ms = read_ms; "no decode replica has room");
+            return None;
+        }
+        // Start another round early when a run ends here or peers report that theirs ended.
+        let _ = timeout(ROUND_PAUSE, shared.room.notified()).await;
+    }
+}
+
+/// Like [`find`], but without waiting.
+pub async fn find_now(
+    shared: &Rc<Shared>,
+    job: &Job,
+    tried: &[Key],
+    generated: u64,
+) -> Option<Placement> {
+    let Some(engine) = reserving_engine(shared, job) else {
+        let choose = || shared.choose(&job.service, Some(Stage::Decode), tried);
+        let key = limit::choose_admitted(shared, choose).await?;
+        return Some(Placement {
+            key,
+            reserved: None,
+            tracked_run: None,
+        });
+    };
+    try_round(shared, job, tried, engine, Kind::Due, generated).await
+}
+
+/// Asks up to [`REPLICAS_PER_ROUND`] replicas for a reservation, the best one first.
+async fn try_round(
+    shared: &Rc<Shared>,
+    job: &Job,
+    tried: &[Key],
+    engine: Engine,
+    kind: Kind,
+    generated: u64,
+) -> Option<Placement> {
+    let placing = shared.settings().placing;
+    let size = job.size(generated);
+    let prefill_time = shared.read_time(&job.service, size.prompt);
+    let idle = kind.required_idle_share(
+        job.route.objective,
+        job.age(),
+        prefill_time.unwrap_or_default(),
+    );
+    let memory_demand = MemoryDemand {
+        curve: shared.runs.borrow().forecast(&job.service, size),
+        spreads: placing.spreads,
+        spare: kind.terms(new_request_terms(shared)).spare.max(idle),
+    };
+    let expected = size.estimate as f64 * placing.reserve;
+    let tokens = size.prompt + (expected as u64).max(generated);
+    let mut asked = tried.to_vec();
+    for _ in 0..REPLICAS_PER_ROUND {
+        let choose = || shared.choose_room(&job.service, &asked, memory_demand);
+        let key = limit::choose_admitted(shared, choose).await?;
+        asked.push(key);
+        let tracked_run = TrackedRun::new(shared, &job.service, key, size, engine.event_tokens);
+        match reserve(shared, tokens, key, engine.max_reservation).await {
+            ReserveOutcome::Granted(reserved) => {
+                let now = shared.clock.now();
+                shared.pool.borrow_mut().record_room(now, key);
+                return Some(Placement {
+                    key,
+                    reserved: Some(reserved),
+                    tracked_run: Some(tracked_run),
+                });
+            }
+            ReserveOutcome::NoRoom => shared
+                .pool
+                .borrow_mut()
+                .record_full(shared.clock.now(), key),
+            ReserveOutcome::Failed(cause) => {
+                shared
+                    .pool
+                    .borrow_mut()
+                    .record_result(shared.clock.now(), key, true);
+                shared.note_silent(key);
+                log::info!(kind = "reserve", request = job.call.id, cause = cause; "a replica did not answer");
+            }
+        }
+    }
+    None
+}
+
+/// The kind of generation, given that `job` has generated `generated` tokens so far.
+fn generation_kind(job: &Job, generated: u64) -> Kind {
+    match job.call.last_event {
+        None if generated == 0 && job.returned => Kind::Returned,
+        None if generated == 0 => Kind::New,
+        _ => Kind::Due,
+    }
+}
+
+/// The terms of a new generation.
+fn new_request_terms(shared: &Shared) -> Terms {
+    let placing = shared.settings().placing;
+    Terms {
+        wait: placing.wait,
+        spare: placing.spare,
+    }
+}
+
+/// The engine that serves `job`; `None` if its replicas do not support reservations.
+fn reserving_engine(shared: &Shared, job: &Job) -> Option<Engine> {
+    let plan = shared.plan()?;
+    let engine = plan.services.get(&job.service)?.engine?;
+    (!engine.max_reservation.is_zero()).then_some(engine)
+}
+
+async fn reserve(shared: &Rc<Shared>, tokens: u64, key: Key, lifetime: Duration) -> ReserveOutcome {
+    let replica = shared.pool.borrow().get(key).map(|s| s.replica.clone());
+    let Some(replica) = replica else {
+        return ReserveOutcome::Failed("the replica is no longer listed".to_owned());
+    };
+    let call = Call {
+        to: replica.address,
+        replica: replica.id.clone(),
+        method: Method::POST,
+        path: wire::RESERVE_PATH.to_owned(),
+        body: wire::reserve_body(tokens, lifetime),
+    };
+    match control::call(shared, call).await {
+        // The replica accepts no more connections.
+        Err(control::Error::Closed { cause }) => {
+            log::info!(kind = "reserve", replica = replica.id, cause = cause; "a replica closed the connection of a reservation request");
+            ReserveOutcome::NoRoom
+        }
+        Err(error) => ReserveOutcome::Failed(error.to_string()),
+        Ok(answer) if answer.status == StatusCode::OK => match Reservation::read(&answer.body) {
+            Ok(reservation) => {
+                shared.note_birth(key, reservation.birth);
+                ReserveOutcome::Granted(HeldReservation {
+                    shared: Rc::clone(shared),
+                    address: replica.address,
+                    replica: replica.id,
+                    id: reservation.id,
+                    used: false,
+                })
+            }
+            Err(error) => ReserveOutcome::Failed(error.to_string()),
+        },
+        Ok(_) => ReserveOutcome::NoRoom,
+    }
+}
+
+impl Drop for HeldReservation {
+    fn drop(&mut self) {
+        if self.used {
+            return;
+        }
+        let shared = Rc::clone(&self.shared);
+        let call = Call {
+            to: self.address,
+            replica: self.replica.clone(),
+            method: Method::DELETE,
+            path: wire::unreserve_path(&self.id),
+            body: Vec::new(),
+        };
+        tokio::task::spawn_local(async move {
+            let replica = call.replica.clone();
+            let released = control::call(&shared, call).await;
+            if !released.is_ok_and(|answer| answer.status == StatusCode::OK) {
+                log::info!(kind = "reserve", replica = replica; "a reservation could not be released; it will expire");
+            }
+        });
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/quota/client.rs
@@ -0,0 +1,159 @@
+//! Asks other daemons for quota decisions.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use boottime::timer::timeout;
+use customer::keeper::Decision;
+use customer::keeper::Purpose;
+use customer::keeper::QuotaReply;
+use customer::local_budget::SpendId;
+use customer::quota::Limit;
+use customer::subject::Subject;
+use tokio::sync::oneshot;
+
+use crate::gossip;
+use crate::quota::keeper;
+use crate::quota::keeper::NO_REPLY;
+use crate::quotas::Demand;
+use crate::quotas::Message;
+use crate::quotas::Pending;
+use crate::shared::Shared;
+
+/// Time for an answer. A round trip takes a few milliseconds, a busy daemon some tens.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time for which an unresponsive daemon is not asked again; each attempt would delay its request
+/// by [`ANSWER_TIMEOUT`].
+const SILENT_PERIOD: Duration = Duration::from_secs(1);
+/// Time after which a late answer is ignored and the units that it grants are not refunded.
+const PENDING_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// A decision on a quota, with its source.
+#[derive(Debug, Clone, Copy)]
+pub struct KeeperReply {
+    /// The decision.
+    pub answer: QuotaReply,
+    /// Address of the daemon that decided; `None` for this one.
+    pub keeper: Option<SocketAddr>,
+}
+
+impl KeeperReply {
+    /// Address or name of the daemon that decided.
+    pub fn keeper_name(&self, shared: &Shared) -> String {
+        match self.keeper {
+            Some(keeper) => keeper.ip().to_string(),
+            None => shared.own_card().name,
+        }
+    }
+}
+
+/// Takes units from the local budget, if the customer has used little of it.
+pub fn spend_locally(shared: &Shared, demand: Demand) -> Option<SpendId> {
+    let (window, allowance) = local_budget(shared, demand.limit);
+    let now = shared.clock.now();
+    let mut quotas = shared.quotas.borrow_mut();
+    let budget = quotas.pocket(demand.subject);
+    budget.spend(now, window, allowance, demand.units)
+}
+
+/// Takes units from the local budget because no keeper can be asked.
+pub fn overspend_locally(shared: &Shared, demand: Demand) -> Option<SpendId> {
+    let (window, allowance) = local_budget(shared, demand.limit);
+    let now = shared.clock.now();
+    let mut quotas = shared.quotas.borrow_mut();
+    let budget = quotas.pocket(demand.subject);
+    budget.overspend(now, window, allowance, demand.units)
+}
+
+/// Window and size of a local budget.
+fn local_budget(shared: &Shared, limit: Limit) -> (Duration, f64) {
+    let tolerance = shared.settings().quota_tolerance();
+    let daemons = shared.members.borrow().known();
+    (tolerance.window, tolerance.local_budget(limit, daemons))
+}
+
+/// Asks the keeper, and its deputy if the keeper is unresponsive or undecided; `None` if neither
+/// decides.
+pub async fn ask(shared: &Rc<Shared>, demand: Demand, purpose: Purpose) -> Option<KeeperReply> {
+    let mut keepers = shared.members.borrow().keepers(demand.subject.key());
+    if matches!(demand.subject, Subject::Replica(_)) {
+        // For a replica's limit, only the keeper may grant requests.
+        keepers.truncate(1);
+    }
+    let own = shared.own_card().instance();
+    for (instance, address) in keepers {
+        let reply = if instance == own {
+            Some(KeeperReply {
+                answer: keeper::decide(shared, &demand.ask(purpose), demand.limit),
+                keeper: None,
+            })
+        } else {
+            let answer = ask_peer(shared, address, demand, purpose).await;
+            answer.map(|answer| KeeperReply {
+                answer,
+                keeper: Some(address),
+            })
+        };
+        if let Some(reply) = reply.filter(|reply| reply.answer.decision != Decision::Unsure) {
+            return Some(reply);
+        }
+    }
+    None
+}
+
+/// Refunds the units of a request that did not run to the daemon at `keeper`, or to this one.
+pub fn refund(shared: &Rc<Shared>, keeper: Option<SocketAddr>, demand: Demand) {
+    let ask = demand.ask(Purpose::GiveBack);
+    let Some(keeper) = keeper else {
+        keeper::decide(shared, &ask, demand.limit);
+        return;
+    };
+    let shared = Rc::clone(shared);
+    let message = keeper::refund_message(demand);
+    tokio::task::spawn_local(async move { gossip::tell_quota(&shared, keeper, message).await });
+}
+
+/// Asks the daemon at `to`; `None` if it does not answer in time, or failed to do so recently.
+async fn ask_peer(
+    shared: &Shared,
+    to: SocketAddr,
+    demand: Demand,
+    purpose: Purpose,
+) -> Option<QuotaReply> {
+    let now = shared.clock.now();
+    let (answer, answered) = oneshot::channel();
+    let number = rand::random_range(NO_REPLY + 1..=u32::MAX);
+    {
+        let mut quotas = shared.quotas.borrow_mut();
+        quotas.silent.retain(|_, until| *until > now);
+        if quotas.silent.contains_key(&to) {
+            return None;
+        }
+        quotas
+            .pending
+            .retain(|_, pending| now.since(pending.sent) < PENDING_TIMEOUT);
+        let pending = Pending {
+            to,
+            demand,
+            sent: now,
+            answer,
+        };
+        quotas.pending.insert(number, pending);
+    }
+    let message = Message::Ask {
+        number,
+        ask: demand.ask(purpose),
+        limit: demand.limit,
+    };
+    gossip::tell_quota(shared, to, message).await;
+    match timeout(ANSWER_TIMEOUT, answered).await {
+        Ok(reply) => reply.ok(),
+        Err(_) => {
+            let until = shared.clock.now() + SILENT_PERIOD;
+            shared.quotas.borrow_mut().silent.insert(to, until);
+            log::info!(kind = "quota", peer = to.to_string(), ms = ANSWER_TIMEOUT.as_millis() as u64; "a quota keeper does not answer");
+            None
+        }
+    }
+}
--- a/crates/gateway/tests/gateway/second_store.rs
+++ b/crates/gateway/tests/gateway/second_store.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use gateway::links;
+use gateway::connections;
 use gateway::store::Store;
 use prometheus::IntCounterVec;
 use prometheus::Opts;
@@ -163,14 +163,14 @@
     let attempts = async {
         let mut connected = false;
         for _ in 0..MAX_ATTEMPTS {
-            connected |= links::connect_twice(lossy_listener(SHORT_DROP_TIME))
+            connected |= connections::connect_with_retry(lossy_listener(SHORT_DROP_TIME))
                 .await
                 .is_ok();
             if connected {
                 break;
             }
         }
-        let once = links::connect(lossy_listener(SHORT_DROP_TIME)).await;
+        let once = connections::connect(lossy_listener(SHORT_DROP_TIME)).await;
         (once.is_ok(), connected)
     };
     let connected = LocalSet::new().block_on(&runtime.unwrap(), attempts);
--- a/crates/node/src/queries.rs
+++ b/crates/node/src/introspection.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells about itself, without changing.
+//! Read-only views of a daemon's state.
 
 use ident::Instance;
 use ident::Time;
@@ -12,47 +12,47 @@
 use crate::status::Pool;
 use crate::status::Status;
 
-/// Weight of an address in the asked data centre.
-const NEAR_WEIGHT: u32 = 10;
-/// Weight of an address elsewhere.
-const FAR_WEIGHT: u32 = 1;
+/// Weight of an address in the caller's data centre.
+const LOCAL_WEIGHT: u32 = 10;
+/// Weight of an address in another data centre.
+const REMOTE_WEIGHT: u32 = 1;
 
 impl Node {
-    /// The table in force here.
+    /// Returns the table in force on this daemon.
     pub fn table(&self) -> Option<&Table> {
         self.tables.view.table()
     }
 
-    /// The state of this daemon.
+    /// Returns the state of this daemon.
     pub fn status(&self, now: Time) -> Status {
         Status {
             name: self.settings.name.clone(),
             incarnation: self.incarnation().to_string(),
             generation: self.tables.view.generation(),
-            fresh: self.tables.view.fresh(now) && self.replicas.is_listed,
-            store_age_ms: self.tables.desk.store_age(now).map(millis),
-            leaving: self.life.leaving.is_some(),
+            fresh: self.tables.view.fresh(now) && self.replicas.has_list,
+            store_age_ms: self.tables.sync.store_age(now).map(millis),
+            leaving: self.lifecycle.leaving.is_some(),
             open: self.requests.open.len(),
             holds: self.requests.holds.len(),
             keys: self.requests.keys.len(),
             pools: self.pools(),
             members: self
                 .members
-                .seats
+                .listed
                 .values()
-                .map(|seat| self.member(now, seat.instance))
+                .map(|listed| self.member(now, listed.instance))
                 .collect(),
         }
     }
 
     fn pools(&self) -> Vec<Pool> {
         self.pools
-            .cells
+            .kept
             .values()
             .map(|kept| Pool {
                 name: kept.name.clone(),
-                waiting: kept.cell.waiting(),
-                placed: kept.cell.in_progress(),
+                waiting: kept.scheduler.waiting(),
+                placed: kept.scheduler.in_progress(),
             })
             .collect()
     }
@@ -66,7 +66,7 @@
         Member {
             name: self.instance_name(instance),
             state,
-            generation: self.tables.desk.generation_told(instance),
+            generation: self.tables.sync.peer_generation(instance),
             heard_ms: self
                 .members
                 .fleet
@@ -75,29 +75,29 @@
         }
     }
 
-    /// Addresses for callers: live instances that take requests, those of `near` first.
+    /// Returns the addresses of live instances that admit requests, those in `near` first.
     pub fn addresses(&self, _now: Time, near: Zone) -> Vec<Address> {
         let mut addresses: Vec<Address> = self
             .members
             .fleet
             .serving()
             .filter_map(|member| {
-                let seat = self.members.seats.get(&member.instance)?;
+                let listed = self.members.listed.get(&member.instance)?;
                 let marked = self
                     .tables
                     .view
                     .table()
-                    .is_some_and(|table| table.drains_instance(&seat.name));
-                let usable = !seat.leaving && !marked;
+                    .is_some_and(|table| table.drains_instance(&listed.name));
+                let usable = !listed.leaving && !marked;
                 usable.then(|| Address {
-                    name: seat.name.clone(),
-                    address: seat.caller.clone(),
-                    zone: seat.zone,
+                    name: listed.name.clone(),
+                    address: listed.caller.clone(),
+                    zone: listed.zone,
                     runner: member.incarnation,
-                    weight: if seat.zone == near {
-                        NEAR_WEIGHT
+                    weight: if listed.zone == near {
+                        LOCAL_WEIGHT
                     } else {
-                        FAR_WEIGHT
+                        REMOTE_WEIGHT
                     },
                 })
             })
--- a/crates/node/src/question.rs
+++ b/crates/node/src/key_lookup.rs
@@ -1,4 +1,4 @@
-//! A caller that waits for what another instance knows of its key.
+//! Lookup of a key that belongs to another run.
 
 use ident::Instance;
 use ident::Key;
@@ -8,15 +8,15 @@
 
 use crate::request::Request;
 
-/// A caller waits for what another instance knows of its key.
+/// A caller that waits for the outcome of its key from the runner or from the store.
 #[derive(Debug)]
-pub(crate) struct Question {
+pub(crate) struct KeyLookup {
     /// The caller's connection.
     pub(crate) call: CallId,
     pub(crate) key: Key,
     pub(crate) request: Option<Request>,
     pub(crate) runner: Option<Instance>,
-    pub(crate) heard: Time,
-    pub(crate) asked: Time,
-    pub(crate) lookup: Option<QueryId>,
+    pub(crate) last_answer: Time,
+    pub(crate) last_sent: Time,
+    pub(crate) store_query: Option<QueryId>,
 }
--- a/crates/node/src/releases.rs
+++ b/crates/node/src/releases.rs
@@ -1,4 +1,4 @@
-//! Release of memory on replicas.
+//! Releases memory on replicas.
 
 use ledger::holds::HoldKey;
 use ledger::ids::OrderId;
@@ -9,10 +9,10 @@
 use crate::event::Failure;
 use crate::http_status;
 use crate::node::Node;
-use crate::state::Purpose;
+use crate::state::OrderPurpose;
 
 impl Node {
-    /// Begins the release of a hold; its starting order is aborted first.
+    /// Starts the release of a hold after aborting the order that created it.
     pub(crate) fn release_hold(&mut self, hold: Option<HoldKey>, out: &mut Vec<Action>) {
         let now = self.now;
         let start = hold.and_then(|hold| self.requests.holds.release(now, hold));
@@ -22,7 +22,7 @@
     /// Sends the releases that are due.
     pub(crate) fn run_releases(&mut self, out: &mut Vec<Action>) {
         while let Some(cancel) = self.requests.holds.due(self.now) {
-            let order = self.order(Purpose::Cancel);
+            let order = self.new_order(OrderPurpose::Cancel);
             self.requests.holds.sent(cancel.hold, order);
             let handle = cancel.handle;
             let replica = self.replica_name(cancel.replica);
