--- a/crates/entry/src/callers/stream.rs
+++ b/crates/entry/src/callers/stream.rs
@@ -47,23 +47,23 @@
         if state.ended {
             return None;
         }
-        let tell = match state.first.take() {
+        let message = match state.first.take() {
             Some(first) => first,
             None => state.open.next().await?,
         };
         state.ended = !matches!(
-            tell,
+            message,
             CallerMessage::Head { .. } | CallerMessage::Tokens { .. }
         );
-        Some((Ok::<_, Infallible>(event(&tell)), state))
+        Some((Ok::<_, Infallible>(event(&message)), state))
     });
     Sse::new(events)
         .keep_alive(KeepAlive::new().interval(KEEP_ALIVE))
         .into_response()
 }
 
-fn event(tell: &CallerMessage) -> Event {
-    match tell {
+fn event(message: &CallerMessage) -> Event {
+    match message {
         CallerMessage::Head { handle, token } => named(
             "head",
             &json!({"request": handle.to_string(), "resume": token}),
--- a/crates/entry/src/driver/mod.rs
+++ b/crates/entry/src/driver/mod.rs
@@ -229,11 +229,11 @@
         }
     }
 
-    fn send_to_caller(&mut self, call: CallId, tell: CallerMessage) {
-        if let CallerMessage::Head { handle, .. } = &tell {
+    fn send_to_caller(&mut self, call: CallId, message: CallerMessage) {
+        if let CallerMessage::Head { handle, .. } = &message {
             self.contents.add_reader(call, *handle);
         }
-        if self.response_channels.send(call, tell) {
+        if self.response_channels.send(call, message) {
             self.contents.close(call);
         }
     }
--- a/crates/entry/src/driver/response_channels.rs
+++ b/crates/entry/src/driver/response_channels.rs
@@ -23,16 +23,16 @@
         self.senders.remove(&call).is_some()
     }
 
-    /// Passes `tell` on; true if it was the last of `call`.
+    /// Passes `message` on; true if it was the last of `call`.
     ///
     /// A caller that does not read loses its connection: the channel is left full and closed
     /// without a last answer, the caller's task drops it and the core hears that the caller left.
-    pub(super) fn send(&mut self, call: CallId, tell: CallerMessage) -> bool {
-        let last = is_last(&tell);
+    pub(super) fn send(&mut self, call: CallId, message: CallerMessage) -> bool {
+        let last = is_last(&message);
         let Some(sender) = self.senders.get_mut(&call) else {
             return false;
         };
-        if sender.try_send(tell).is_err() {
+        if sender.try_send(message).is_err() {
             // Replaced by a closed channel, so that the entry stays until the connection closes.
             *sender = mpsc::channel(1).0;
         }
@@ -40,8 +40,8 @@
     }
 }
 
-const fn is_last(tell: &CallerMessage) -> bool {
-    match tell {
+const fn is_last(message: &CallerMessage) -> bool {
+    match message {
         CallerMessage::Head { .. } | CallerMessage::Tokens { .. } => false,
         CallerMessage::Done { .. }
         | CallerMessage::Superseded
--- a/crates/entry/src/platform/mod.rs
+++ b/crates/entry/src/platform/mod.rs
@@ -46,19 +46,19 @@
         Self { client, inbox }
     }
 
-    /// Carries out `ask`; `Event::StoreReplied` follows.
-    pub fn query(&self, query: QueryId, ask: StoreRequest) {
+    /// Carries out `request`; `Event::StoreReplied` follows.
+    pub fn query(&self, query: QueryId, request: StoreRequest) {
         let client = self.client.clone();
         let inbox = self.inbox.clone();
         tokio::spawn(async move {
-            let outcome = execute(&client, ask).await;
+            let outcome = execute(&client, request).await;
             inbox.event(Event::StoreReplied { query, outcome }).await;
         });
     }
 }
 
-async fn execute(client: &Client, ask: StoreRequest) -> StoreReply {
-    let outcome = match ask {
+async fn execute(client: &Client, request: StoreRequest) -> StoreReply {
+    let outcome = match request {
         StoreRequest::Generation => read::generation(client).await,
         StoreRequest::Table => read::table(client).await,
         StoreRequest::Commit(edit) => commit::commit(client, &edit).await,
