--- a/crates/entry/src/admin/answer.rs
+++ b/crates/entry/src/admin/answer.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use volo_http::body::Body;
 
-/// `value` as JSON.
+/// A response with `value` as JSON.
 pub(super) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     match serde_json::to_string(value) {
         Ok(text) => with_type(status, "application/json", text),
@@ -20,12 +20,12 @@
     }
 }
 
-/// An error with its cause.
+/// An error response with its cause.
 pub(super) fn error(status: StatusCode, cause: &str) -> Response<Body> {
     json(status, &json!({"error": cause}))
 }
 
-/// Plain text.
+/// Metrics as plain text.
 pub(super) fn text(text: String) -> Response<Body> {
     with_type(
         StatusCode::OK,
@@ -34,7 +34,7 @@
     )
 }
 
-/// The daemon is about to end.
+/// The response when the daemon is about to end.
 pub(super) fn stopping() -> Response<Body> {
     error(
         StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/entry/src/admin/auth.rs
+++ b/crates/entry/src/admin/auth.rs
@@ -1,4 +1,4 @@
-//! Who may call.
+//! Authentication of operators.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
 const OPERATOR: &str = "waxwing-operator";
 const SCHEME: &str = "Bearer ";
 
-/// The response to a call without a known operator's token. It does not tell whether the name or
-/// the token is wrong.
+/// The response to a call without valid credentials; it does not reveal whether the name or the
+/// token is wrong.
 pub(super) fn unauthorized() -> Response<Body> {
     let cause = "unknown operator or wrong token; send `Waxwing-Operator: NAME` and \
                  `Authorization: Bearer TOKEN` as in the settings";
     answer::error(StatusCode::UNAUTHORIZED, cause)
 }
 
-/// The operator that the headers prove, if they do.
+/// The operator authenticated by the headers, if any.
 pub(super) fn operator(
     operators: &BTreeMap<String, Secret>,
     headers: &HeaderMap,
@@ -31,7 +31,7 @@
     let token = header_text(headers, header::AUTHORIZATION.as_str())
         .and_then(|value| value.strip_prefix(SCHEME))
         .unwrap_or_default();
-    // A token is compared for unknown names too, so that the time taken does not show them.
+    // Unknown names are compared too, so that the time taken does not reveal which names exist.
     let nobody = Secret::new(String::new());
     let expected = operators.get(name).unwrap_or(&nobody);
     let authenticated = expected.matches(token) && *expected != nobody;
--- a/crates/entry/src/admin/edit.rs
+++ b/crates/entry/src/admin/edit.rs
@@ -24,7 +24,7 @@
 const MAX_BYTES: usize = 4 << 20;
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Passes an edit to the core and answers with its verdict.
+/// Submits an edit to the core and responds with the verdict.
 pub(super) async fn edit(shared: &Shared, operator: &str, request: Request) -> Response<Body> {
     let bytes = match read(request).await {
         Ok(bytes) => bytes,
@@ -44,7 +44,7 @@
             return answer::error(StatusCode::BAD_REQUEST, &cause);
         }
     };
-    // Counted as being written, so that a planned stop waits for the verdict.
+    // Keeps a planned stop waiting until the verdict is sent.
     let _response = shared.stop.begin_response();
     let mut open = shared.inbox.open(Operation::Edit(edit)).await;
     match open.next().await {
--- a/crates/entry/src/admin/mod.rs
+++ b/crates/entry/src/admin/mod.rs
@@ -26,20 +26,20 @@
 use crate::secret::Secret;
 use crate::stop::Stop;
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Debug)]
 pub struct Shared {
-    /// The way to the core.
+    /// Sends operations and queries to the core.
     pub inbox: Inbox,
-    /// Decision lines.
+    /// Recent decision lines.
     pub recent: Arc<RecentDecisions>,
-    /// Figures.
+    /// Metrics.
     pub metrics: Arc<Metrics>,
     /// The platform, for the history of edits.
     pub client: Client,
-    /// Tokens of the operators, by name.
+    /// Operator tokens by name.
     pub operators: BTreeMap<String, Secret>,
-    /// The end of a planned stop.
+    /// The planned stop.
     pub stop: Stop,
 }
 
--- a/crates/entry/src/admin/view.rs
+++ b/crates/entry/src/admin/view.rs
@@ -1,4 +1,4 @@
-//! Calls that only look.
+//! Read-only calls.
 
 use http::Response;
 use http::StatusCode;
@@ -13,7 +13,7 @@
 use crate::driver::inbox::StateQuery;
 use crate::platform;
 
-/// Whether the daemon decides.
+/// Whether the daemon is ready to decide requests.
 pub(super) async fn health(shared: &Shared) -> Response<Body> {
     let ready = read_status(shared)
         .await
@@ -26,7 +26,7 @@
     answer::json(code, &json!({"ready": ready}))
 }
 
-/// Figures.
+/// The metrics in the Prometheus text format.
 pub(super) async fn metrics(shared: &Shared) -> Response<Body> {
     match read_status(shared).await {
         Some(status) => answer::text(shared.metrics.text(&status)),
@@ -34,7 +34,7 @@
     }
 }
 
-/// The whole state.
+/// The full status.
 pub(super) async fn status(shared: &Shared) -> Response<Body> {
     match read_status(shared).await {
         Some(status) => answer::json(StatusCode::OK, &status),
@@ -54,7 +54,7 @@
     }
 }
 
-/// How far a generation is in force.
+/// Which instances have a generation in force.
 pub(super) async fn force(shared: &Shared, query: &str) -> Response<Body> {
     let text = parameter(query, "generation").unwrap_or_default();
     let Ok(generation) = text.parse() else {
--- a/crates/entry/src/backends/inspect.rs
+++ b/crates/entry/src/backends/inspect.rs
@@ -1,4 +1,4 @@
-//! The state of a replica.
+//! Reads the state of a replica.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use route::replica::CacheEvent;
 use route::replica::Report;
 
-/// Asks the replica at `address`; `None` if it does not answer in time.
+/// Reads the state of the replica at `address`; `None` if it does not answer in time.
 pub(super) async fn inspect(
     client: &Client,
     address: SocketAddr,
@@ -29,7 +29,7 @@
 
 fn report(state: State, works: &[HeldAttempt]) -> Report {
     Report {
-        // Replicas do not tell how old their figures are.
+        // Replicas do not report the age of their load figures.
         age: Duration::ZERO,
         boot: state.boot,
         running: state.running,
--- a/crates/entry/src/backends/mod.rs
+++ b/crates/entry/src/backends/mod.rs
@@ -1,7 +1,7 @@
 //! Orders to replicas: model engines and plain applications.
 //!
-//! Each order is a task. It ends in exactly one `Event::Answered` or `Event::Failed`, also when it
-//! is aborted; an order that was aborted before its task ran has sent nothing.
+//! Each order runs in its own task and ends with exactly one `Event::Answered` or `Event::Failed`,
+//! even if it is aborted. An order that is aborted before its task runs has sent nothing.
 
 mod inspect;
 mod prepare;
@@ -30,17 +30,17 @@
 
 /// Longest answer of a plain call, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Longest wait for the answer to a cancel or an inspection.
+/// Timeout for a cancel or an inspection.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An order whose end the core has not been told.
+/// An order whose end has not reached the core yet.
 #[derive(Debug)]
 struct RunningOrder {
     handle: Handle,
     abort: Option<oneshot::Sender<()>>,
 }
 
-/// Carries out orders.
+/// Runs the orders of the core.
 #[derive(Debug)]
 pub struct Backends {
     client: Client,
@@ -51,7 +51,7 @@
 }
 
 impl Backends {
-    /// Without orders; replicas are found by `directory`, and events go to `inbox`.
+    /// Creates a runner that looks replicas up in `directory` and sends events to `inbox`.
     pub fn new(directory: Arc<Directory>, inbox: Inbox, metrics: Arc<Metrics>) -> Self {
         let client = Client::new()
             .with_control_timeout(CONTROL_TIMEOUT)
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Carries out `task` on `replica`; bodies are taken from `contents`.
+    /// Starts `task` on `replica`; request bodies come from `contents`.
     pub fn start(
         &mut self,
         order: OrderId,
@@ -111,12 +111,12 @@
             .get_mut(&order)
             .and_then(|running| running.abort.take());
         if let Some(abort) = abort {
-            // A task that has just ended needs no abort.
+            // The send fails if the task has just ended.
             let _ = abort.send(());
         }
     }
 
-    /// Asks `replica` for its state; `Event::Inspected` follows and repeats `asked`.
+    /// Reads the state of `replica`; the resulting `Event::Inspected` carries `asked`.
     pub fn inspect(&self, replica: Replica, after: u64, asked: Time) {
         let address = self
             .directory
@@ -139,12 +139,12 @@
         });
     }
 
-    /// The attempt of `order`, until the core is told of its end.
+    /// The attempt of `order`, until its end reaches the core.
     pub fn handle(&self, order: OrderId) -> Option<Handle> {
         self.running.get(&order).map(|running| running.handle)
     }
 
-    /// The core is told of the end of `order` now.
+    /// Removes `order`, whose end has reached the core.
     pub fn mark_ended(&mut self, order: OrderId) {
         self.running.remove(&order);
     }
@@ -159,7 +159,7 @@
     Event::Failed { order, failure }
 }
 
-/// How an order ended, as a label of the metrics.
+/// The result of an order, as a metrics label.
 fn result(event: &Event) -> &'static str {
     match event {
         Event::Answered { .. } => "answered",
--- a/crates/entry/src/backends/prepare.rs
+++ b/crates/entry/src/backends/prepare.rs
@@ -1,4 +1,4 @@
-//! What an order needs, gathered before its task starts.
+//! Prepares an order: looks up the address, body and headers before its task starts.
 
 use std::net::SocketAddr;
 
@@ -20,14 +20,14 @@
 const CALL: &str = "waxwing-call";
 const KEY: &str = "idempotency-key";
 
-/// A request ready to be sent.
+/// A request that is ready to be sent.
 #[derive(Debug)]
 pub(super) enum Request {
     /// A prefill.
     Prefill(prefill::Request),
     /// A decode.
     Decode(decode::Request),
-    /// Reading a stream.
+    /// An attach to a stream.
     Attach(attach::Request),
     /// A cancel.
     Cancel(Claim),
@@ -35,12 +35,12 @@
     Plain(call::Request),
 }
 
-/// A request and where it goes; nothing if something it needs is not known.
+/// The request of an order and its address; `None` if something that it needs is unknown.
 #[derive(Debug)]
 pub(super) struct PreparedOrder(pub(super) Option<(SocketAddr, Request)>);
 
 impl PreparedOrder {
-    /// Gathers what `task` needs.
+    /// Looks up everything that `task` needs.
     pub(super) fn new(
         directory: &Directory,
         replica: Replica,
@@ -62,7 +62,7 @@
     }
 }
 
-/// The kind of an order, as a label of the metrics.
+/// The kind of an order, as a metrics label.
 pub(super) const fn kind(task: &Task) -> &'static str {
     match task {
         Task::Prefill { .. } => "prefill",
--- a/crates/entry/src/backends/run.rs
+++ b/crates/entry/src/backends/run.rs
@@ -1,4 +1,4 @@
-//! One order, from its request to its last event.
+//! Runs one order, from its request to its last event.
 
 use std::net::SocketAddr;
 
@@ -19,18 +19,18 @@
 use super::prepare::Request;
 use crate::driver::inbox::Inbox;
 
-/// Status by which a replica says that it knows nothing of an attempt.
+/// Status of a replica that does not hold the attempt.
 const HTTP_NOT_FOUND: u16 = 404;
-/// Status by which a replica says that the prefill result is gone.
+/// Status of a replica that no longer holds the prefill result.
 const HTTP_GONE: u16 = 410;
 
-/// Why an order ended badly.
+/// Why an order failed.
 enum OrderError {
-    /// The client says so.
+    /// The client returned an error.
     Client(Error),
-    /// The stream ended with a reason that is no good end.
+    /// The stream ended for another reason than a complete answer.
     Stream(Reason),
-    /// Something that the order needs is not known here.
+    /// Something that the order needs is unknown to this daemon.
     Incomplete,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Carries out the order of an attempt; the event that ends it.
+/// Runs the order of an attempt and returns the event that ends it.
 pub(super) async fn run(
     client: &Client,
     inbox: &Inbox,
@@ -136,7 +136,7 @@
             status: *status,
             fence: engine::error::fence(error),
         },
-        // Both free all that the attempt held there.
+        // Both reasons mean that the replica has freed everything that the attempt held.
         OrderError::Stream(Reason::Lost) => Failure::Refused {
             status: HTTP_GONE,
             fence: None,
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -1,10 +1,10 @@
-//! A bound on the memory of request bodies.
+//! Limits the total memory of request bodies.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
 
-/// Bytes that may be taken by all bodies together.
+/// The memory available to all request bodies together.
 #[derive(Debug, Clone)]
 pub struct Budget {
     free: Arc<AtomicUsize>,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Bytes taken from a budget; given back when dropped.
+/// Bytes taken from a budget; returned to it when dropped.
 #[derive(Debug)]
 pub struct Grant {
     free: Arc<AtomicUsize>,
@@ -35,7 +35,7 @@
 }
 
 impl Grant {
-    /// Takes `bytes` more; false if the budget has too few left.
+    /// Takes `bytes` more; false if the budget does not have that many left.
     pub fn take(&mut self, bytes: usize) -> bool {
         let taken = self
             .free
--- a/crates/entry/src/callers/addresses.rs
+++ b/crates/entry/src/callers/addresses.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers are to use.
+//! The addresses that callers should use.
 
 use http::Response;
 use http::StatusCode;
@@ -15,7 +15,7 @@
 use crate::clock;
 use crate::driver::inbox::StateQuery;
 
-/// Answers with the addresses, those of the wanted data centre first.
+/// Responds with the addresses, starting with those of the requested data centre.
 pub(super) async fn response(shared: &Shared, request: &Request) -> Response<Body> {
     let query = request.uri().query().unwrap_or_default();
     let wanted = form_urlencoded::parse(query.as_bytes())
--- a/crates/entry/src/callers/answer.rs
+++ b/crates/entry/src/callers/answer.rs
@@ -20,12 +20,12 @@
 const OUTCOME: &str = "waxwing-outcome";
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 const BYTES: HeaderValue = HeaderValue::from_static("application/octet-stream");
-/// A plain answer is handed to the connection in parts of this size.
+/// Chunk size in which a plain answer is passed to the connection.
 const CHUNK_BYTES: usize = 64 << 10;
-/// When to come back to an instance without memory for a body, in milliseconds.
+/// Retry delay sent by an instance without memory for a body, in milliseconds.
 const FULL_RETRY_MS: u64 = 1_000;
 
-/// The application's answer; `response` is dropped when the last part is handed over.
+/// The application's answer; `response` is dropped once the last chunk has been passed on.
 pub(super) fn plain(
     status: u16,
     body: Bytes,
@@ -53,7 +53,7 @@
     answer
 }
 
-/// A typed refusal.
+/// A refusal with its outcome and reason.
 pub(super) fn refusal(refusal: &Refusal) -> Response<Body> {
     let status = status(refusal.outcome, refusal.reason);
     typed(
@@ -64,7 +64,7 @@
     )
 }
 
-/// The core gave the connection up without an answer.
+/// The response when the core closes the connection without an answer.
 pub(super) fn lost() -> Response<Body> {
     refusal(&Refusal {
         outcome: Outcome::Unknown,
@@ -74,13 +74,13 @@
     })
 }
 
-/// A request that was not understood or not read.
+/// The response to a request that could not be read or parsed.
 pub(super) fn invalid(status: StatusCode, outcome: Outcome, cause: &str) -> Response<Body> {
     let body = rejection_json(outcome, Reason::Invalid, 0, cause);
     typed(status, outcome, 0, &body)
 }
 
-/// A request whose body has no space.
+/// The response to a request whose body exceeds the memory budget.
 pub(super) fn full(outcome: Outcome, cause: &str) -> Response<Body> {
     let body = rejection_json(outcome, Reason::Full, FULL_RETRY_MS, cause);
     let status = StatusCode::TOO_MANY_REQUESTS;
--- a/crates/entry/src/callers/body.rs
+++ b/crates/entry/src/callers/body.rs
@@ -1,4 +1,4 @@
-//! Reading of request bodies within their limits.
+//! Reads request bodies within the limits of size, time and memory.
 
 use std::time::Duration;
 
@@ -16,12 +16,13 @@
 use super::rejection::Rejection;
 use crate::budget::Grant;
 
-/// A body has this long to arrive.
+/// Time for a body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of an oversized body that are read and dropped, so that its sender reads the answer.
+/// Most bytes of an oversized body that are read and discarded, so that its sender gets to read the
+/// answer.
 const MAX_DRAIN_BYTES: usize = 8 << 20;
 
-/// Reads a body; its memory is granted by the budget.
+/// Reads a body; its memory is taken from the budget.
 pub(super) async fn read(
     shared: &Shared,
     headers: &HeaderMap,
--- a/crates/entry/src/callers/header.rs
+++ b/crates/entry/src/callers/header.rs
@@ -1,4 +1,4 @@
-//! Headers of callers' requests.
+//! Parses the headers of callers' requests.
 
 use http::HeaderMap;
 use http::StatusCode;
@@ -6,11 +6,11 @@
 
 use super::rejection::Rejection;
 
-/// Most bytes in all headers together.
+/// Maximum total size of all headers, in bytes.
 const MAX_BYTES: usize = 16 << 10;
-/// Longest name of a customer or class.
+/// Longest name of a customer or class, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Longest resume token.
+/// Longest resume token, in bytes.
 const MAX_TOKEN_BYTES: usize = 4 << 10;
 
 const CUSTOMER: &str = "waxwing-customer";
@@ -20,7 +20,7 @@
 const RESUME: &str = "waxwing-resume";
 const LAST_EVENT: &str = "last-event-id";
 
-/// Checks the size of all headers together.
+/// Checks the total size of all headers.
 pub(super) fn check(headers: &HeaderMap) -> Result<(), Rejection> {
     let bytes = headers
         .iter()
@@ -74,7 +74,7 @@
     }
 }
 
-/// Number of tokens that the caller has.
+/// Number of tokens that the caller has already received.
 pub(super) fn offset(headers: &HeaderMap) -> Result<u32, Rejection> {
     let text = header_text(headers, LAST_EVENT, MAX_NAME_BYTES)?.unwrap_or("0");
     text.parse().map_err(|_| {
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -34,20 +34,20 @@
 
 pub use answer::refusal_json;
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Debug)]
 pub struct Shared {
-    /// The way to the core.
+    /// Sends operations and queries to the core.
     pub inbox: Inbox,
     /// Names of data centres.
     pub directory: Arc<Directory>,
-    /// Memory for bodies.
+    /// Memory for request bodies.
     pub budget: Budget,
-    /// The end of a planned stop.
+    /// The planned stop.
     pub stop: Stop,
-    /// Longest body.
+    /// Longest request body, in bytes.
     pub body_bytes: usize,
-    /// How long an address answer may be kept.
+    /// How long callers may cache an address answer.
     pub address_ttl: Duration,
     /// This instance's data centre.
     pub data_centre: String,
@@ -114,7 +114,7 @@
     Rejection::new(StatusCode::NOT_FOUND, cause).into_response()
 }
 
-/// Passes the wish to the core and turns what the core tells into a response.
+/// Submits the operation to the core and converts its messages into a response.
 async fn respond(shared: &Shared, operation: Result<Operation, Rejection>) -> Response<Body> {
     let response = shared.stop.begin_response();
     let operation = match operation {
--- a/crates/entry/src/callers/prompt.rs
+++ b/crates/entry/src/callers/prompt.rs
@@ -1,22 +1,22 @@
 //! Length and prefix blocks of a prompt.
 //!
-//! The models' tokenizers are not at hand here, so a prompt is measured in words: a token is
-//! counted for each run of characters between white space, and a block is 64 words. The hash of a
-//! block covers all words up to its end, so that equal hashes mean equal prefixes.
+//! The models' tokenizers are not available here, so each word separated by white space counts as
+//! one token, and a block is 64 words. The hash of a block covers all words up to its end, so that
+//! equal hashes mean equal prefixes.
 
 use rapidhash::v3::rapidhash_v3;
 
 /// Words in a block.
 const BLOCK_WORDS: u32 = 64;
-/// Blocks that are hashed at most; a longer common prefix gains nothing more.
+/// Most blocks that are hashed; a longer common prefix has no further benefit.
 const MAX_BLOCKS: usize = 64;
 
-/// A measured prompt.
+/// The size of a prompt and its prefix blocks.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct PromptSize {
-    /// Words.
+    /// Length in words.
     pub(super) tokens: u32,
-    /// Hashes of the whole blocks, in order.
+    /// Hashes of the complete blocks, in order.
     pub(super) blocks: Vec<u64>,
 }
 
@@ -35,7 +35,7 @@
         if tokens.is_multiple_of(BLOCK_WORDS) {
             let hash = rapidhash_v3(&block);
             blocks.push(hash);
-            // The next block begins with the hash of everything before it.
+            // The next block starts with the hash of all words before it.
             block.clear();
             block.extend_from_slice(&hash.to_le_bytes());
         }
--- a/crates/entry/src/callers/rejection.rs
+++ b/crates/entry/src/callers/rejection.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused before the core sees them.
+//! Requests that are rejected before they reach the core.
 
 use http::Response;
 use http::StatusCode;
@@ -7,7 +7,7 @@
 
 use super::answer;
 
-/// A request that was not understood or not read; no byte of it reached a back end.
+/// A request that could not be read or parsed; no byte of it reached a replica.
 #[derive(Debug)]
 pub(super) struct Rejection {
     status: StatusCode,
@@ -17,7 +17,7 @@
 }
 
 impl Rejection {
-    /// A rejection with an HTTP status and what is wrong.
+    /// A rejection with an HTTP status and a cause.
     pub(super) fn new(status: StatusCode, cause: impl Into<String>) -> Self {
         Self {
             status,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A rejection of a request that cannot be understood.
+    /// A rejection of a malformed request.
     pub(super) fn bad(cause: impl Into<String>) -> Self {
         Self::new(StatusCode::BAD_REQUEST, cause)
     }
@@ -43,8 +43,8 @@
         }
     }
 
-    /// The same rejection of a request that was not read to its end. If it carries a key, an earlier
-    /// try with that key may have run, and the key was not looked up.
+    /// Marks a rejection of a request that was not read completely. If the request has a key, an
+    /// earlier attempt with that key may have run, because the key has not been looked up.
     pub(super) fn with_key(mut self, keyed: bool) -> Self {
         self.keyed = keyed;
         self
--- a/crates/entry/src/callers/request.rs
+++ b/crates/entry/src/callers/request.rs
@@ -1,4 +1,4 @@
-//! From HTTP requests to wishes for the core.
+//! Converts HTTP requests into operations for the core.
 
 use http::HeaderMap;
 use http::header;
@@ -16,7 +16,7 @@
 use crate::driver::content::Plain;
 use crate::driver::inbox::Operation;
 
-/// Start of the paths of plain calls.
+/// Path prefix of plain calls.
 const CALL_PATH: &str = "/v1/call/";
 
 /// Body of a completion request.
@@ -27,7 +27,7 @@
     max_tokens: u32,
 }
 
-/// Reads a completion request.
+/// Parses a completion request.
 pub(super) async fn completion(
     shared: &Shared,
     request: HttpRequest,
@@ -63,7 +63,7 @@
     })
 }
 
-/// Reads a plain call.
+/// Parses a plain call.
 pub(super) async fn call(shared: &Shared, request: HttpRequest) -> Result<Operation, Rejection> {
     let (parts, body) = request.into_parts();
     field::check(&parts.headers)?;
@@ -100,7 +100,7 @@
     })
 }
 
-/// Reads a resume request.
+/// Parses a resume request.
 pub(super) fn resume(request: &HttpRequest) -> Result<Operation, Rejection> {
     let headers = request.headers();
     field::check(headers)?;
@@ -126,7 +126,7 @@
     }))
 }
 
-/// The headers that an application gets.
+/// The headers that are forwarded to the application.
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = HeaderMap::new();
     if let Some(kind) = headers.get(header::CONTENT_TYPE) {
--- a/crates/entry/src/callers/stream.rs
+++ b/crates/entry/src/callers/stream.rs
@@ -18,20 +18,20 @@
 use crate::driver::inbox::OpenRequest;
 use crate::stop;
 
-/// A comment is sent after this long without an event, so that a lost connection is noticed.
+/// Time without an event after which a comment is sent, to detect a lost connection.
 const KEEP_ALIVE: Duration = Duration::from_secs(10);
 
 struct StreamState {
     first: Option<CallerMessage>,
     open: OpenRequest,
     ended: bool,
-    // Counted as being written until the connection drops the stream.
+    // Held until the connection drops the stream.
     _response: stop::PendingResponse,
 }
 
-/// The response whose stream begins with `first` and goes on with what `open` is told.
+/// A streamed response that starts with `first` and continues with the messages of `open`.
 ///
-/// It ends without a last event if the core gave the connection up; the caller resumes then.
+/// It ends without a final event if the core closes the connection; the caller then resumes.
 pub(super) fn response(
     first: CallerMessage,
     open: OpenRequest,
@@ -83,7 +83,7 @@
         CallerMessage::Done { tokens } => named("done", &json!({"tokens": tokens})),
         CallerMessage::Superseded => named("superseded", &json!({})),
         CallerMessage::Refusal(refusal) => named("error", &answer::refusal_json(refusal)),
-        // Neither belongs to a stream; the caller resumes.
+        // Neither is part of a stream; the caller resumes.
         CallerMessage::Answer { .. } | CallerMessage::Edit(_) => Event::new().comment("cut off"),
     }
 }
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,4 +1,4 @@
-//! The daemon's clocks.
+//! The clocks of the daemon.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -9,17 +9,18 @@
 
 pub use boottime::Clock;
 
-/// Time between two looks whether the machine was suspended.
+/// Time between two checks for a suspension of the machine.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time since the start of the Unix clock; zero if the system's clock is set before it.
+/// Time since the Unix epoch; zero if the system clock is set to an earlier time.
 pub fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
 }
 
-/// Has all timers count the time for which the machine was suspended, forever.
+/// Makes all timers include the time of suspensions of the machine, and logs each one; never
+/// returns.
 pub async fn log_suspensions() {
     let mut detector = SuspendDetector::new();
     loop {
--- a/crates/entry/src/config/field.rs
+++ b/crates/entry/src/config/field.rs
@@ -1,4 +1,4 @@
-//! Checks of single fields, made by the visitors that read them, so that an error knows its line.
+//! Checks of single fields, done while parsing so that errors have a line number.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 /// Shortest secret and shortest operator token, in bytes.
 const SECRET_MIN: usize = 16;
 
-/// A secret as it is written in the file.
+/// A secret in the settings file, checked for its length.
 #[derive(Debug)]
 pub(super) struct SecretText(pub(super) Secret);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A text that is not empty.
+/// Parses a text that is not empty.
 pub(super) fn name<'de, D: Deserializer<'de>>(from: D) -> Result<String, D::Error> {
     from.deserialize_str(TextVisitor(|text| match text.trim() {
         "" => Err("must not be empty; write a name".to_owned()),
@@ -36,7 +36,7 @@
     }))
 }
 
-/// `ip:port` with a port.
+/// Parses `ip:port` with a port other than 0.
 pub(super) fn address<'de, D: Deserializer<'de>>(from: D) -> Result<SocketAddr, D::Error> {
     from.deserialize_str(TextVisitor(|text| match text.parse::<SocketAddr>() {
         Ok(address) if address.port() != 0 => Ok(address),
@@ -47,12 +47,12 @@
     }))
 }
 
-/// A number from 1 up.
+/// Parses a number of at least 1.
 pub(super) fn positive<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
     from.deserialize_any(PositiveVisitor)
 }
 
-/// Reads a text by a function that tells what is wrong with it.
+/// Parses a text with a function that returns the cause of an error.
 struct TextVisitor<T>(fn(&str) -> Result<T, String>);
 
 impl<T> Visitor<'_> for TextVisitor<T> {
--- a/crates/entry/src/config/file.rs
+++ b/crates/entry/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The layout of the settings file.
+//! The format of the settings file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 use super::field;
 use super::field::SecretText;
 
-/// What is wrong with a settings file.
+/// An error in a settings file.
 #[derive(Debug)]
 pub(super) struct ParseError {
-    /// Line, counted from 1; 0 if the fault has none.
+    /// Line, counted from 1; 0 if unknown.
     pub(super) line: usize,
     /// The field and what is wrong with it.
     pub(super) cause: String,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Reads and checks settings.
+/// Parses and checks settings.
 pub(super) fn parse(text: &str) -> Result<Config, ParseError> {
     let file: File = serde_norway::from_str(text).map_err(|error| fault(&error))?;
     check(&file)?;
@@ -126,7 +126,7 @@
     let Some(location) = error.location() else {
         return ParseError { line: 0, cause };
     };
-    // The library tells the place at the end of its text; here it comes first.
+    // The library appends the location to its message; our errors start with it.
     let suffix = format!(" at line {} column {}", location.line(), location.column());
     let cause = cause
         .strip_suffix(suffix.as_str())
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, checked before anything starts.
+//! Settings of the daemon, which are checked before anything starts.
 
 mod field;
 mod file;
@@ -20,15 +20,15 @@
     pub name: String,
     /// Name of its data centre.
     pub data_centre: String,
-    /// Where it listens.
+    /// Its listening addresses.
     pub listen: Listen,
     /// The platform's service.
     pub platform: SocketAddr,
-    /// Instances to start from, besides the platform's list.
+    /// Initial peers, in addition to the platform's list.
     pub seeds: Vec<Seed>,
-    /// Secret shared by all instances; seals resume tokens and admits peers.
+    /// Secret shared by all instances; seals resume tokens and authenticates peers.
     pub secret: Secret,
-    /// Tokens of the operators, by name.
+    /// Operator tokens by name.
     pub operators: BTreeMap<String, Secret>,
     /// Time limits.
     pub timing: Timing,
@@ -36,7 +36,7 @@
     pub limits: Limits,
 }
 
-/// Where a daemon listens.
+/// The listening addresses of a daemon.
 #[derive(Debug, Clone)]
 pub struct Listen {
     /// For callers.
@@ -47,7 +47,7 @@
     pub admin: SocketAddr,
 }
 
-/// An instance to start from.
+/// An initial peer.
 #[derive(Debug, Clone)]
 pub struct Seed {
     /// Its name.
@@ -59,11 +59,11 @@
 /// Time limits.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// How long a table may be decided by without proof that it is the newest.
+    /// How long a table may be used without proof that it is the newest.
     pub lease: Duration,
     /// How long keys are remembered.
     pub window: Duration,
-    /// How long callers may keep an address answer.
+    /// How long callers may cache an address answer.
     pub address_ttl: Duration,
     /// How long an attempt may be without a live owner before it is cancelled.
     pub orphan_grace: Duration,
@@ -76,9 +76,9 @@
 /// Size limits.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Most requests open at once.
+    /// Most requests open at the same time.
     pub open: usize,
-    /// Most keys remembered at once.
+    /// Most keys remembered at the same time.
     pub keys: usize,
     /// Longest request body, in bytes.
     pub body_bytes: usize,
@@ -88,7 +88,7 @@
     /// Reads and checks the settings file at `path`.
     ///
     /// # Errors
-    /// `Read` if the file cannot be opened, `Settings` with line and field if it is wrong.
+    /// `Read` if the file cannot be read, `Settings` with line and field if it is invalid.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let text = fs::read_to_string(path).map_err(|cause| Error::Read {
             path: path.to_owned(),
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and runs them.
+//! Builds the components of the daemon and runs them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,9 +36,9 @@
 use crate::stop;
 use crate::stop::Stop;
 
-/// Bytes of request bodies held at once.
+/// Memory for all request bodies, in bytes.
 const BODY_MEMORY_BYTES: usize = 256 << 20;
-/// The last frames to peers have this long to be sent.
+/// Time for the last frames to peers to be sent before the process ends.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// The sockets that a daemon listens on.
@@ -48,7 +48,7 @@
     admin: TcpListener,
 }
 
-/// What the parts share.
+/// What the components share.
 struct Components {
     inbox: Inbox,
     directory: Arc<Directory>,
@@ -58,10 +58,10 @@
     stop: Stop,
 }
 
-/// Runs a daemon until a planned stop has ended.
+/// Runs the daemon until a planned stop has ended.
 ///
 /// # Errors
-/// An address cannot be listened on, or a part cannot be started.
+/// An address cannot be listened on, or a component cannot be started.
 pub fn run(config: Config) -> Result<(), Error> {
     let _logs = logs::start()?;
     let runtime = Builder::new_multi_thread()
@@ -145,7 +145,7 @@
     }
 }
 
-/// Serves callers and operators; ends when callers need no more serving.
+/// Serves callers and operators until the planned stop has ended.
 async fn serve_http(
     config: &Config,
     components: &Components,
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -1,6 +1,6 @@
 //! Names and addresses of instances, replicas and data centres.
 //!
-//! Filled from the settings and from the platform's list; the core knows only keys.
+//! They come from the settings and the platform's list; the core itself handles only keys.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 use crate::config::Config;
 
-/// Where another daemon listens.
+/// Name and peer address of another daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// Its name.
@@ -24,7 +24,7 @@
     pub address: SocketAddr,
 }
 
-/// Where a replica listens.
+/// Name, address and kind of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
     /// Its name.
@@ -45,14 +45,14 @@
     zones: HashMap<Zone, String>,
 }
 
-/// Names and addresses by key.
+/// Names and addresses of instances, replicas and data centres by key.
 #[derive(Debug)]
 pub struct Directory {
     entries: RwLock<Entries>,
 }
 
 impl Directory {
-    /// The seeds and the own data centre of `config`.
+    /// A directory with the seeds and the data centre of `config`.
     pub fn new(config: &Config) -> Self {
         let seeds = config.seeds.iter().map(|seed| {
             let peer = Peer {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Replaces what the platform's list told before. Data centres once known are kept.
+    /// Replaces the entries of the previous list; known data centres are kept.
     pub fn replace(
         &self,
         peers: HashMap<Instance, Peer>,
@@ -87,7 +87,7 @@
             .extend(zones.into_iter().map(|name| (Zone::new(&name), name)));
     }
 
-    /// Where the daemon `instance` listens.
+    /// The peer address of `instance`, from the list or else from the seeds.
     pub fn peer(&self, instance: Instance) -> Option<Peer> {
         let entries = self.read();
         entries
@@ -97,12 +97,12 @@
             .cloned()
     }
 
-    /// Where `replica` listens.
+    /// The address and kind of `replica`.
     pub fn backend(&self, replica: Replica) -> Option<Backend> {
         self.read().backends.get(&replica).cloned()
     }
 
-    /// The name of `zone`; its key in hexadecimal if the name is not known.
+    /// The name of `zone`, or its key in hexadecimal if the name is unknown.
     pub fn zone(&self, zone: Zone) -> String {
         self.read()
             .zones
--- a/crates/entry/src/driver/content/text.rs
+++ b/crates/entry/src/driver/content/text.rs
@@ -1,4 +1,4 @@
-//! Text that is being generated, token by token.
+//! Generated text, stored token by token.
 
 use ident::Handle;
 
@@ -6,11 +6,11 @@
 #[derive(Debug)]
 pub(super) struct GeneratedText {
     bytes: Vec<u8>,
-    /// Where each token ends.
+    /// End of each token in `bytes`.
     ends: Vec<usize>,
     /// Attempts that generate it.
     pub(super) handles: Vec<Handle>,
-    /// Calls that refer to it.
+    /// Number of calls that refer to it.
     pub(super) users: usize,
 }
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Appends the token at `offset`; one that is known already, or leaves a gap, is passed over.
+    /// Appends the token at `offset`; ignores one that is already known or leaves a gap.
     pub(super) fn push(&mut self, offset: u32, token: &[u8]) {
         if offset as usize == self.ends.len() {
             self.bytes.extend_from_slice(token);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The first `count` tokens, if so many are known.
+    /// The first `count` tokens, if that many are known.
     pub(super) fn first_tokens(&self, count: u32) -> Option<Vec<String>> {
         let ends = self.ends.get(..count as usize)?;
         let mut from = 0;
@@ -45,7 +45,7 @@
         Some(tokens.collect())
     }
 
-    /// Bytes that it takes.
+    /// Memory used, in bytes.
     pub(super) const fn len(&self) -> usize {
         self.bytes.len() + self.ends.len() * size_of::<usize>()
     }
--- a/crates/entry/src/driver/inbox.rs
+++ b/crates/entry/src/driver/inbox.rs
@@ -1,4 +1,4 @@
-//! The way into the driver.
+//! The channel into the driver.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -18,70 +18,70 @@
 use crate::budget::Grant;
 use crate::driver::content::Content;
 
-/// Events that may wait for the driver.
+/// Most inputs queued for the driver.
 const MAX_INPUTS: usize = 8_192;
-/// Tells that may wait for one caller; one that reads too slowly loses its connection.
+/// Most messages queued for one caller; a caller that reads too slowly loses its connection.
 const MAX_MESSAGES: usize = 4_096;
 
-/// What a caller or operator wants.
+/// An operation requested by a caller or operator.
 #[derive(Debug)]
 pub enum Operation {
     /// A request with its body.
     Request {
-        /// Without the body.
+        /// The request without its body.
         request: Box<Request>,
         /// The body.
         content: Box<Content>,
-        /// Memory of the body.
+        /// The memory taken by the body.
         grant: Grant,
     },
     /// The rest of a stream.
     Resume {
         /// The customer.
         customer: String,
-        /// Sealed token.
+        /// The sealed resume token.
         token: String,
-        /// Tokens already had.
+        /// Number of tokens already received.
         offset: u32,
     },
     /// An edit of the table.
     Edit(Edit),
 }
 
-/// A question about the state of the core.
+/// A query of the state of the core.
 #[derive(Debug)]
 pub enum StateQuery {
-    /// The whole state.
+    /// The full status.
     Status(oneshot::Sender<status::Status>),
     /// The table in force.
     Table(oneshot::Sender<Option<Table>>),
     /// Addresses for callers near a data centre.
     Addresses(Zone, oneshot::Sender<Vec<status::Address>>),
-    /// How far a generation is in force.
+    /// Which instances have a generation in force.
     Force(u64, oneshot::Sender<status::Rollout>),
 }
 
-/// What reaches the driver.
+/// An input of the driver.
 #[derive(Debug)]
 pub enum Input {
     /// An event for the core.
     Event(Event),
-    /// A connection wants something.
+    /// A connection requested an operation.
     Opened {
         /// Its number.
         call: CallId,
-        /// What it wants.
+        /// The requested operation.
         operation: Operation,
-        /// Where its answers go.
+        /// The channel for its answers.
         replies: mpsc::Sender<CallerMessage>,
     },
     /// A connection closed.
     Closed(CallId),
-    /// A question.
+    /// A query.
     Query(StateQuery),
 }
 
-/// Sends to the driver.
+/// Sends inputs to the driver.
 #[derive(Debug, Clone)]
 pub struct Inbox {
     sender: mpsc::Sender<Input>,
@@ -89,7 +89,7 @@
 }
 
 impl Inbox {
-    /// An inbox and the end that the driver reads.
+    /// Creates an inbox and the receiver for the driver.
     pub fn new() -> (Self, mpsc::Receiver<Input>) {
         let (sender, receiver) = mpsc::channel(MAX_INPUTS);
         (
@@ -101,12 +101,12 @@
         )
     }
 
-    /// Passes `event` to the core, after waiting for space. After the driver's end it is dropped.
+    /// Sends `event` to the core, waiting for space; the event is dropped if the driver has ended.
     pub async fn event(&self, event: Event) {
         self.send(Input::Event(event)).await;
     }
 
-    /// Passes a wish to the core; answers come out of the receiver.
+    /// Submits an operation to the core; the returned value receives the answers.
     pub async fn open(&self, operation: Operation) -> OpenRequest {
         let call = CallId(self.calls.fetch_add(1, Ordering::Relaxed));
         let (replies, messages) = mpsc::channel(MAX_MESSAGES);
@@ -124,7 +124,7 @@
         open
     }
 
-    /// Asks the driver; `None` after its end.
+    /// Queries the driver; `None` if it has ended.
     pub async fn query<T>(
         &self,
         query: impl FnOnce(oneshot::Sender<T>) -> StateQuery,
@@ -135,7 +135,7 @@
     }
 
     async fn send(&self, input: Input) {
-        // The receiver is gone only when the process is about to end.
+        // The receiver is only gone when the process is about to end.
         let _ = self.sender.send(input).await;
     }
 
@@ -149,7 +149,7 @@
     }
 }
 
-/// An open connection; dropping it tells the driver that it closed.
+/// An open connection; dropping it reports to the driver that it has closed.
 #[derive(Debug)]
 pub struct OpenRequest {
     call: CallId,
@@ -163,7 +163,7 @@
         self.call
     }
 
-    /// The next thing to tell the caller; `None` if the driver gave the connection up.
+    /// The next message for the caller; `None` if the driver has closed the connection.
     pub async fn next(&mut self) -> Option<CallerMessage> {
         self.messages.recv().await
     }
--- a/crates/entry/src/driver/mod.rs
+++ b/crates/entry/src/driver/mod.rs
@@ -1,7 +1,7 @@
 //! The task that owns the core.
 //!
-//! Events reach it through one bounded channel. It steps the core and dispatches the actions; it
-//! never waits for anything but the channel and the core's next wake-up.
+//! It receives events through one bounded channel, steps the core and dispatches the actions. It
+//! waits only for the channel and the core's next wake-up.
 
 pub mod content;
 pub mod inbox;
@@ -35,29 +35,29 @@
 use crate::platform::list;
 use crate::stop::Stop;
 
-/// Inputs that are handled before the clock is read again.
+/// Most inputs handled before the next wake-up is checked.
 const MAX_BATCH: usize = 64;
 
-/// Where actions go.
+/// The components that execute actions.
 #[derive(Debug)]
 pub struct Outputs {
-    /// Orders to replicas.
+    /// Executes orders to replicas.
     pub backends: Backends,
-    /// Frames to peers.
+    /// Sends frames to peers.
     pub peers: Peers,
-    /// Queries to the store.
+    /// Executes store requests.
     pub platform: Platform,
-    /// Decision lines.
+    /// Recent decision lines.
     pub recent: Arc<RecentDecisions>,
-    /// Figures.
+    /// Metrics.
     pub metrics: Arc<Metrics>,
     /// Addresses of peers and replicas.
     pub directory: Arc<Directory>,
-    /// The end of a planned stop.
+    /// The planned stop.
     pub stop: Stop,
 }
 
-/// Owns the core and everything kept for it.
+/// Owns the core and the data kept on its behalf.
 #[derive(Debug)]
 pub struct Driver {
     clock: Clock,
@@ -151,7 +151,7 @@
     }
 
     fn close(&mut self, call: CallId) {
-        // A call that got its last answer is known to be over; the core isn't told again.
+        // The core already knows that a call with its last answer has ended.
         if self.response_channels.remove(call) {
             self.contents.close(call);
             self.step(Event::Disconnected { call });
@@ -240,7 +240,7 @@
 
     fn answer_query(&self, query: StateQuery) {
         let now = self.clock.now();
-        // An asker that is gone needs no answer.
+        // A send fails if the requester is gone, which is harmless.
         match query {
             StateQuery::Status(sender) => drop(sender.send(self.node.status(now))),
             StateQuery::Table(sender) => drop(sender.send(self.node.table().cloned())),
--- a/crates/entry/src/driver/response_channels.rs
+++ b/crates/entry/src/driver/response_channels.rs
@@ -1,4 +1,4 @@
-//! Answers to open connections.
+//! Sends answers to open connections.
 
 use std::collections::HashMap;
 
@@ -13,27 +13,27 @@
 }
 
 impl ResponseChannels {
-    /// Answers of `call` go to `sender`.
+    /// Registers `sender` for the answers of `call`.
     pub(super) fn insert(&mut self, call: CallId, sender: mpsc::Sender<CallerMessage>) {
         self.senders.insert(call, sender);
     }
 
-    /// Forgets `call`; true if it was open.
+    /// Removes `call`; true if it was open.
     pub(super) fn remove(&mut self, call: CallId) -> bool {
         self.senders.remove(&call).is_some()
     }
 
-    /// Passes `message` on; true if it was the last of `call`.
+    /// Sends `message` to the caller; true if it was the last one of `call`.
     ///
-    /// A caller that does not read loses its connection: the channel is left full and closed
-    /// without a last answer, the caller's task drops it and the core hears that the caller left.
+    /// A caller that does not read loses its connection: its full channel is closed without a last
+    /// answer, and when the caller's task drops it, the core is notified of the disconnect.
     pub(super) fn send(&mut self, call: CallId, message: CallerMessage) -> bool {
         let last = is_last(&message);
         let Some(sender) = self.senders.get_mut(&call) else {
             return false;
         };
         if sender.try_send(message).is_err() {
-            // Replaced by a closed channel, so that the entry stays until the connection closes.
+            // A closed channel keeps the entry until the connection closes.
             *sender = mpsc::channel(1).0;
         }
         last && self.remove(call)
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,7 @@
-//! The entry daemon: sockets, settings, logs and metrics round the core.
+//! The entry daemon: sockets, settings, logs and metrics around the core.
 //!
-//! [`driver`] owns the core ([`node::Node`]) and carries out what it decides; the other modules
-//! bring events to it and take actions from it.
+//! [`driver`] owns the core ([`node::Node`]) and dispatches its actions; the other modules send
+//! events to the driver and execute actions.
 
 pub mod admin;
 pub mod backends;
--- a/crates/entry/src/listen.rs
+++ b/crates/entry/src/listen.rs
@@ -12,13 +12,13 @@
 use volo::net::incoming::Incoming;
 use volo::net::incoming::MakeIncoming;
 
-/// A caller whose machine is gone is noticed after about four times this.
+/// Interval of TCP keepalive; an unreachable caller is detected after about four intervals.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 const KEEPALIVE_RETRIES: u32 = 3;
 /// Pause after a failed accept; the usual cause is too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Accepts connections for an HTTP server.
+/// A TCP listener for an HTTP server, which enables TCP keepalive on accepted connections.
 pub struct Listener {
     listener: TcpListener,
 }
@@ -57,7 +57,7 @@
                 Ok(Some(Conn::from(socket)))
             }
             Err(error) => {
-                // The server calls again at once.
+                // The server retries immediately.
                 sleep(ACCEPT_PAUSE).await;
                 Err(error)
             }
--- a/crates/entry/src/logs.rs
+++ b/crates/entry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: one JSON object a line on standard error.
+//! Logging to standard error, one JSON object per line, and the decision lines for `explain`.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -12,17 +12,17 @@
 use node::decision::Decision;
 use serde_json::Value;
 
-/// What is logged: everything of this product, warnings of its libraries.
+/// Log levels: `info` for this product, `warn` for libraries.
 const LOG_LEVELS: &str = "warn, entry=info, waxwingd=info";
 /// Decision lines kept for `explain`.
 const MAX_LINES: usize = 8_000;
-/// Longest part of a decision line that is kept, in bytes.
+/// Longest field of a kept decision line, in bytes; longer ones are truncated.
 const MAX_FIELD_BYTES: usize = 256;
 
-/// Starts logging; it ends when the handle is dropped.
+/// Starts logging; dropping the handle ends it.
 ///
 /// # Errors
-/// `Start` if a logger runs already.
+/// `Start` if a logger is already running.
 pub fn start() -> Result<LoggerHandle, Error> {
     LogSpecification::parse(LOG_LEVELS)
         .map(Logger::with)
@@ -41,13 +41,13 @@
 
 #[derive(Debug)]
 struct Line {
-    /// RFC 3339.
+    /// Time in RFC 3339 format.
     time: String,
     decision: Decision,
 }
 
 impl RecentDecisions {
-    /// Without lines.
+    /// Creates an empty buffer.
     pub fn new() -> Self {
         Self::default()
     }
@@ -74,7 +74,7 @@
         });
     }
 
-    /// The kept lines whose request contains `text`, oldest first.
+    /// Returns the kept lines whose request contains `text`, oldest first.
     pub fn find(&self, text: &str) -> Vec<Value> {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines
--- a/crates/entry/src/metrics/mod.rs
+++ b/crates/entry/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Figures in the text format of Prometheus.
+//! Metrics in the Prometheus text format.
 
 mod register;
 
@@ -36,7 +36,7 @@
     "frame_body",
 ];
 
-/// All figures of a daemon.
+/// All metrics of a daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -64,7 +64,7 @@
 }
 
 impl Metrics {
-    /// All figures at zero.
+    /// Creates all metrics at zero.
     ///
     /// # Errors
     /// `Start` if a name is registered twice.
@@ -77,7 +77,7 @@
         Ok(metrics)
     }
 
-    /// Counts what the core tells.
+    /// Counts an event reported by the core.
     pub fn count(&self, count: Count) {
         match count {
             Count::FirstToken { micros, target } => {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Counts an order that ended.
+    /// Counts an ended order.
     pub fn order(&self, kind: &str, result: &str) {
         self.orders.with_label_values(&[kind, result]).inc();
     }
@@ -120,7 +120,7 @@
         self.faults.inc();
     }
 
-    /// Counts a peer connection that was closed for what it sent.
+    /// Counts a peer connection that was closed because of invalid input.
     pub fn frame_rejected(&self, step: &str) {
         self.frames_rejected.with_label_values(&[step]).inc();
     }
@@ -135,7 +135,7 @@
         self.frames_sent.inc();
     }
 
-    /// The figures as text, with the gauges taken from `status`.
+    /// Encodes the metrics as text, with the gauges taken from `status`.
     pub fn text(&self, status: &Status) -> String {
         self.set_gauges(status);
         let mut text = Vec::new();
@@ -161,7 +161,7 @@
         self.members.set(alive as u64);
     }
 
-    /// Shows labels that are known before they are counted, so that a rate has a start.
+    /// Initializes known labels to zero, so that rates have a starting value.
     fn initialize_labels(&self) {
         for outcome in ["answered", "not_run", "unknown", "failed"] {
             self.requests.with_label_values(&[outcome]).reset();
@@ -229,15 +229,11 @@
             "attempts_swept_total",
             "Attempts without an owner that were cancelled.",
         )?,
-        retries: counter(
-            r,
-            "attempts_retried_total",
-            "Attempts that were made again.",
-        )?,
+        retries: counter(r, "attempts_retried_total", "Retried attempts.")?,
         faults: counter(
             r,
             "faults_total",
-            "Steps that the core refused itself; never to be seen.",
+            "Internal errors of the core; zero in normal operation.",
         )?,
         orders: vector(
             r,
@@ -248,7 +244,7 @@
         frames_rejected: vector(
             r,
             "frames_rejected_total",
-            "Peer connections closed for what they sent, by step.",
+            "Peer connections closed because of invalid input, by step.",
             &["step"],
         )?,
         frames_dropped: counter(r, "frames_dropped_total", "Frames dropped before sending.")?,
@@ -261,14 +257,22 @@
         )?,
         keys: gauge(r, "keys", "Idempotency keys remembered.")?,
         generation: gauge(r, "table_generation", "Table generation in force here.")?,
-        fresh: gauge(r, "table_fresh", "1 if the table may be decided by.")?,
+        fresh: gauge(
+            r,
+            "table_fresh",
+            "1 if the table is fresh enough to be used.",
+        )?,
         store_age: seconds(
             r,
             "store_age_seconds",
             "Time since the store was read; -1 if never.",
         )?,
         leaving: gauge(r, "leaving", "1 during a planned stop.")?,
-        members: gauge(r, "members_alive", "Instances seen alive, with this one.")?,
+        members: gauge(
+            r,
+            "members_alive",
+            "Instances seen alive, including this one.",
+        )?,
         registry,
     })
 }
--- a/crates/entry/src/metrics/register.rs
+++ b/crates/entry/src/metrics/register.rs
@@ -1,4 +1,4 @@
-//! Figures by name, each with the prefix of this product.
+//! Registers metrics under names with the common prefix.
 
 use prometheus::Error;
 use prometheus::Gauge;
@@ -12,7 +12,7 @@
 use prometheus::core::Collector;
 use prometheus::core::GenericGauge;
 
-/// A gauge of whole numbers from zero up.
+/// A gauge of non-negative integers.
 pub(super) type IntGauge = GenericGauge<AtomicU64>;
 
 fn register<C: Collector + Clone + 'static>(registry: &Registry, metric: C) -> Result<C, Error> {
@@ -24,22 +24,22 @@
     format!("waxwing_{name}")
 }
 
-/// A counter.
+/// Registers a counter.
 pub(super) fn counter(registry: &Registry, name: &str, help: &str) -> Result<IntCounter, Error> {
     register(registry, IntCounter::new(full(name), help)?)
 }
 
-/// A gauge of whole numbers.
+/// Registers a gauge of non-negative integers.
 pub(super) fn gauge(registry: &Registry, name: &str, help: &str) -> Result<IntGauge, Error> {
     register(registry, IntGauge::new(full(name), help)?)
 }
 
-/// A gauge of seconds.
+/// Registers a gauge of seconds.
 pub(super) fn seconds(registry: &Registry, name: &str, help: &str) -> Result<Gauge, Error> {
     register(registry, Gauge::new(full(name), help)?)
 }
 
-/// Counters by `labels`.
+/// Registers counters with `labels`.
 pub(super) fn vector(
     registry: &Registry,
     name: &str,
@@ -52,7 +52,7 @@
     )
 }
 
-/// A histogram with `buckets`.
+/// Registers a histogram with `buckets`.
 pub(super) fn histogram(
     registry: &Registry,
     name: &str,
--- a/crates/entry/src/peers/error.rs
+++ b/crates/entry/src/peers/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong on a link.
+//! Errors of links.
 
 use std::fmt;
 use std::io;
@@ -8,31 +8,31 @@
 pub(super) enum Error {
     /// No address is known for the peer.
     NoAddress,
-    /// Connecting, or preparing the socket.
+    /// Connecting or configuring the socket failed.
     Connect(io::Error),
-    /// Waiting for the step named.
+    /// The named step timed out.
     Timeout(&'static str),
-    /// The step named, in HTTP/2.
+    /// The named step failed in HTTP/2.
     Http {
         /// The step.
         step: &'static str,
-        /// What the library said.
+        /// The error of the library.
         cause: h2::Error,
     },
     /// The peer answered the request for frames with another status.
     Status(u16),
     /// The peer closed the connection.
     Closed,
-    /// A request that carries no frames.
+    /// A request to another path or with another method.
     Request(String),
-    /// The peer does not hold the fleet's secret.
+    /// The peer did not prove that it holds the fleet's secret.
     Proof,
-    /// Bytes that are no frame.
+    /// The received bytes are not a valid frame.
     Frame(wire::Error),
 }
 
 impl Error {
-    /// The step as a label of the metrics.
+    /// The step as a metrics label.
     pub(super) const fn step(&self) -> &'static str {
         match self {
             Self::NoAddress => "address",
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A mapping of HTTP/2 errors at `step`.
+    /// Returns a function that maps HTTP/2 errors at `step`.
     pub(super) fn http(step: &'static str) -> impl Fn(h2::Error) -> Self {
         move |cause| Self::Http { step, cause }
     }
--- a/crates/entry/src/peers/link.rs
+++ b/crates/entry/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! The dialling side of a link.
+//! The dialling side of a link: connects to a peer and sends frames.
 
 use std::future;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How a session came to be, and how it ended.
+/// How a session ended.
 enum SessionEnd {
     /// No connection was made.
     Unreachable(Error),
@@ -38,7 +38,7 @@
     Lost(Error),
 }
 
-/// Sends the frames of `queue` to `to` for as long as the daemon lives.
+/// Sends the frames of `queue` to `to`; never returns.
 pub(super) async fn run(shared: Shared, to: Instance, queue: Arc<Queue>) {
     let mut backoff = MIN_BACKOFF;
     loop {
@@ -89,7 +89,7 @@
         .map_err(|_| Error::Timeout("connect"))?
         .map_err(Error::Connect)?;
     socket.set_nodelay(true).map_err(Error::Connect)?;
-    // Closing must drop what the system still holds: old frames tell wrong ages.
+    // Closing must discard data buffered by the system: the ages in old frames are wrong.
     SockRef::from(&socket)
         .set_linger(Some(Duration::ZERO))
         .map_err(Error::Connect)?;
@@ -144,7 +144,7 @@
     }
 }
 
-/// Ends when the peer has another address than at the start.
+/// Returns when the address of the peer has changed.
 async fn address_changed(shared: &Shared, to: Instance) -> Error {
     let first = shared.directory.peer(to);
     while shared.directory.peer(to) == first {
--- a/crates/entry/src/peers/mod.rs
+++ b/crates/entry/src/peers/mod.rs
@@ -1,11 +1,13 @@
 //! Frames between daemons: one HTTP/2 connection for each direction of each pair.
 //!
-//! A daemon dials a peer when it first has a frame for it and sends all frames on the body of one
-//! long `POST`, whose head proves that the sender holds the fleet's secret: a stranger's frames
-//! could replace the table. Frames tell ages (`wire::TableStatus`), so one that is late lies: a frame that waited too
-//! long here is dropped, a connection whose peer does not answer pings is reset together with what
-//! the system buffered for it, and a daemon that was paused drops its incoming connections before
-//! it reads from them.
+//! A daemon connects to a peer when it has the first frame for it, and sends all frames in the body
+//! of one long `POST`. The head of the request proves that the sender holds the fleet's secret,
+//! because frames of an outsider could replace the table.
+//!
+//! Frames contain ages (`wire::TableStatus`), which are wrong in a late frame. Therefore a frame that
+//! has waited too long is dropped, a connection whose peer does not answer pings is reset together
+//! with the data that the system has buffered for it, and a daemon that was paused drops its
+//! incoming connections before reading from them.
 
 mod error;
 mod link;
@@ -32,17 +34,17 @@
 
 /// Header by which the dialling side proves that it holds the fleet's secret.
 const PROOF_HEADER: &str = "waxwing-proof";
-/// What the proof of the dialling side is for.
+/// Purpose of the proof of the dialling side; see [`Secret::proof`].
 pub const PROOF_PURPOSE: &str = "peer frames";
 
-/// What links share.
+/// State shared by the links.
 #[derive(Debug, Clone)]
 pub struct Shared {
     /// Addresses of peers.
     pub directory: Arc<Directory>,
-    /// Where events go.
+    /// Sends events to the core.
     pub inbox: Inbox,
-    /// Figures.
+    /// Metrics.
     pub metrics: Arc<Metrics>,
     /// Proof that the dialling side holds the fleet's secret.
     pub proof: Secret,
@@ -56,7 +58,7 @@
 }
 
 impl Peers {
-    /// Without links; each begins with its first frame.
+    /// Creates a sender without links; a link opens with its first frame.
     pub fn new(shared: Shared) -> Self {
         Self {
             shared,
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Queues `frame` for `to`. A frame that cannot be encoded or has no space is dropped.
+    /// Queues `frame` for `to`. A frame that cannot be encoded is dropped; a full queue evicts older
+    /// frames.
     pub fn send(&mut self, to: Instance, frame: &Frame) {
         let bytes = match wire::encode(frame) {
             Ok(bytes) => bytes,
--- a/crates/entry/src/peers/queue.rs
+++ b/crates/entry/src/peers/queue.rs
@@ -1,4 +1,4 @@
-//! Frames that wait for a link.
+//! The queue of frames that wait for a link.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -11,11 +11,11 @@
 use tokio::sync::Notify;
 use wire::Body;
 
-/// Frames that may wait.
+/// Most frames that may wait.
 const MAX_FRAMES: usize = 4_096;
-/// Bytes that may wait.
+/// Most bytes that may wait.
 const MAX_BYTES: usize = 8 << 20;
-/// How long a frame may wait; the ages that it tells are wrong by as much.
+/// How long a frame may wait; the ages in it become wrong by this time.
 const MAX_WAIT: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
@@ -32,7 +32,7 @@
 }
 
 impl Items {
-    /// Takes out the oldest membership frame, or else the oldest frame.
+    /// Removes the oldest membership frame, or else the oldest frame.
     fn evict(&mut self) {
         let index = self
             .queue
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Appends a frame; the number of frames that had to go for it.
+    /// Appends a frame and returns the number of frames evicted for it.
     pub(super) fn push(&self, bytes: Bytes, membership: bool) -> usize {
         let mut items = self.lock();
         let before = items.queue.len();
@@ -82,14 +82,14 @@
         dropped
     }
 
-    /// Waits until a frame is there.
+    /// Waits until the queue is not empty.
     pub(super) async fn wait_until_filled(&self) {
         while self.lock().queue.is_empty() {
             self.filled.notified().await;
         }
     }
 
-    /// The next frame that is not too old, after waiting for one; and how many were too old.
+    /// Waits for the next frame that has not expired; also returns the number of expired frames.
     pub(super) async fn next(&self) -> (Bytes, usize) {
         let mut expired = 0;
         loop {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Drops all frames; their number.
+    /// Drops all frames and returns their number.
     pub(super) fn clear(&self) -> usize {
         let mut items = self.lock();
         items.bytes = 0;
@@ -121,7 +121,7 @@
     }
 }
 
-/// Whether `body` is repeated often, so that it goes first when space is short.
+/// Whether `body` is sent again often, so that it is evicted first when space is short.
 pub(super) const fn is_membership(body: &Body) -> bool {
     matches!(body, Body::Gossip(_) | Body::News(_))
 }
--- a/crates/entry/src/peers/server.rs
+++ b/crates/entry/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! The accepting side of links.
+//! The accepting side of links: receives frames from peers.
 
 use std::future;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
 /// Pause after a failed accept; the usual cause is too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Accepts links and passes their frames on.
+/// Accepts links and forwards their frames to the core.
 pub async fn serve(listener: TcpListener, shared: Shared) {
     let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let pauses = watchdog::start();
@@ -55,10 +55,10 @@
                 continue;
             }
         };
-        // Without a free slot the socket is dropped, and the peer tries again later.
+        // Without a free slot, the socket is dropped and the peer retries later.
         if let Ok(slot) = Arc::clone(&slots).try_acquire_owned() {
             let shared = shared.clone();
-            // Only a pause after the accept concerns this link.
+            // Only pauses after the accept matter for this link.
             let mut pauses = pauses.clone();
             pauses.mark_unchanged();
             tokio::spawn(async move {
@@ -77,7 +77,7 @@
 ) {
     let ended = tokio::select! {
         ended = read_link(socket, shared) => ended,
-        // What arrived during the pause is too old to be read.
+        // Frames that arrived during the pause are too old.
         _ = pauses.changed() => return,
     };
     if let Err(error) = ended {
@@ -118,13 +118,13 @@
                 Some(Ok((request, respond))) => {
                     streams.spawn(read_stream(request, respond, shared.clone()));
                 }
-                // Connections end by a reset: the dialling side has no other way to drop frames.
+                // The dialling side ends connections by a reset, its only way to discard buffered frames.
                 Some(Err(cause)) if cause.is_io() => return Ok(()),
                 Some(Err(cause)) => return Err(Error::http("connection")(cause)),
                 None => return Ok(()),
             },
             Some(ended) = streams.join_next() => {
-                // A task that panicked ended its stream only.
+                // A panic ends only its own stream.
                 ended.unwrap_or(Ok(()))?;
             }
         }
@@ -144,14 +144,14 @@
             .map_err(Error::http("response"))?;
         return Err(error);
     }
-    // Held until the end: dropping it would reset the stream.
+    // Held until the end because dropping it resets the stream.
     let _open = respond
         .send_response(Response::new(()), false)
         .map_err(Error::http("response"))?;
     read_frames(request.into_body(), &shared).await
 }
 
-/// Whether `request` carries frames of a daemon of this fleet.
+/// Checks that `request` carries frames and proves that the sender belongs to this fleet.
 fn check(request: &Request<RecvStream>, shared: &Shared) -> Result<(), (StatusCode, Error)> {
     let proof = request
         .headers()
--- a/crates/entry/src/peers/watchdog.rs
+++ b/crates/entry/src/peers/watchdog.rs
@@ -1,4 +1,4 @@
-//! Notices that the process was paused.
+//! Detects pauses of the process.
 
 use boottime::Instant;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 /// A gap this long counts as a pause.
 const MIN_PAUSE: Duration = Duration::from_secs(1);
 
-/// Starts watching; the value changes after each pause.
+/// Starts the watchdog; the returned value changes after each pause.
 pub(super) fn start() -> watch::Receiver<u64> {
     let (sender, receiver) = watch::channel(0);
     tokio::spawn(async move {
--- a/crates/entry/src/platform/commit.rs
+++ b/crates/entry/src/platform/commit.rs
@@ -1,8 +1,8 @@
 //! Commits of edits.
 //!
 //! A commit whose answer is lost may have taken effect or may still do so. It is planned again
-//! from a new read: the record of the edit's id then tells that it was applied, and otherwise the
-//! same requirements let at most one of the two commits through.
+//! from a new read: a record with the edit's id shows that the edit was applied; otherwise the
+//! requirements, which are the same, let at most one of the two commits succeed.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
         match attempt(client, edit, uncertain).await {
             Ok(Some(outcome)) => return Ok(outcome),
             Ok(None) => {}
-            // A read that fails before any commit was sent decides nothing and may be repeated.
+            // A read that fails before any commit was sent has no effect and may be repeated.
             Err(Error::Store(error)) => {
                 uncertain |= error.is_uncertain();
                 last = Error::Store(error);
--- a/crates/entry/src/platform/error.rs
+++ b/crates/entry/src/platform/error.rs
@@ -1,28 +1,28 @@
-//! What can go wrong with a query.
+//! Errors of store queries.
 
 use std::fmt;
 
 use table::stored;
 
-/// Why a query was not answered.
+/// Why a query failed.
 #[derive(Debug)]
 pub enum Error {
     /// The call to the platform failed.
     Store(store::Error),
-    /// A call of the query failed earlier and may have taken effect; this one failed too.
+    /// An earlier call of the query failed and may have taken effect; this one failed too.
     Uncertain(store::Error),
-    /// Records that cannot be read, or an edit that is not valid.
+    /// Records that cannot be parsed, or an invalid edit.
     Record(stored::Error),
-    /// A recorded outcome that cannot be read.
+    /// A recorded outcome that cannot be parsed.
     Outcome {
         /// Its key.
         key: String,
         /// What is wrong with it.
         cause: String,
     },
-    /// Other edits came first each time.
+    /// Other edits were committed first in every try.
     Contended {
-        /// How often it was tried.
+        /// Number of tries.
         tries: u32,
     },
 }
--- a/crates/entry/src/platform/history.rs
+++ b/crates/entry/src/platform/history.rs
@@ -8,13 +8,13 @@
 use super::error::Error;
 use super::read;
 
-/// Edits that are shown at most.
+/// Most edits returned.
 const MAX_EDITS: u64 = 200;
 
 /// The latest edits, newest first.
 ///
 /// # Errors
-/// The platform did not answer, or a record cannot be read.
+/// The platform did not answer, or a record cannot be parsed.
 pub async fn history(client: &Client) -> Result<Vec<History>, Error> {
     let records = read::records(client, Txn::new().with_read(stored::GENERATION)).await?;
     let newest = stored::read(&records)?.0.generation;
--- a/crates/entry/src/platform/list.rs
+++ b/crates/entry/src/platform/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list, read again and again.
+//! Polls the platform's list.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,12 +23,12 @@
 use crate::directory::Peer;
 use crate::driver::inbox::Inbox;
 
-/// Pause between two reads in a small fleet.
+/// Pause between two reads of the list.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Further pause for each listed instance: it bounds the reads of the whole fleet.
+/// Additional pause per listed instance, which bounds the read rate of the whole fleet.
 const POLL_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(10);
 
-/// Reads the list as shown to `name`, fills `directory` and tells the core; never ends.
+/// Reads the list as shown to `name`, updates `directory` and sends it to the core; never returns.
 pub async fn poll(client: Client, name: String, directory: Arc<Directory>, inbox: Inbox) {
     let mut failing = false;
     let mut instances = 0;
@@ -52,7 +52,7 @@
     }
 }
 
-/// Fills `directory` from a peer's copy of the list; `None` if it is damaged.
+/// Updates `directory` from a peer's copy of the list; `None` if the copy is damaged.
 pub fn apply_copy(directory: &Directory, copy: &[u8]) -> Option<Event> {
     let list = serde_json::from_slice(copy).ok()?;
     Some(apply(directory, list))
--- a/crates/entry/src/platform/mod.rs
+++ b/crates/entry/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's service: queries of the core, the list, and the history of edits.
+//! Access to the platform: store requests of the core, the list and the history of edits.
 
 mod commit;
 mod error;
@@ -25,15 +25,15 @@
 pub use sweep::run as sweep_periodically;
 pub use sweep::sweep;
 
-/// A call to the platform is given up after this time.
+/// Timeout of a call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A client of the platform at the address of `config`.
+/// A client for the platform address in `config`.
 pub fn client(config: &Config) -> Client {
     Client::new(config.platform, CALL_TIMEOUT)
 }
 
-/// Carries out queries of the core, each in a task of its own.
+/// Executes the store requests of the core, each in its own task.
 #[derive(Debug)]
 pub struct Platform {
     client: Client,
@@ -41,12 +41,12 @@
 }
 
 impl Platform {
-    /// Answers of `client` go to `inbox`.
+    /// Creates an executor that sends the replies of `client` to `inbox`.
     pub fn new(client: Client, inbox: Inbox) -> Self {
         Self { client, inbox }
     }
 
-    /// Carries out `request`; `Event::StoreReplied` follows.
+    /// Executes `request` and sends its reply as `Event::StoreReplied`.
     pub fn query(&self, query: QueryId, request: StoreRequest) {
         let client = self.client.clone();
         let inbox = self.inbox.clone();
--- a/crates/entry/src/platform/outcomes.rs
+++ b/crates/entry/src/platform/outcomes.rs
@@ -14,13 +14,13 @@
 use super::read;
 use crate::clock;
 
-/// Prefix of the rows of all incarnations.
+/// Key prefix of the rows of all incarnations.
 pub(super) const PREFIX: &str = "outcome/";
 
 /// The value of a row.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Row {
-    /// When it was written, in seconds of the Unix clock.
+    /// Time of the write, in seconds since the Unix epoch.
     pub(super) unix_s: u64,
     lines: Vec<Line>,
 }
@@ -30,11 +30,11 @@
 struct Line {
     key: String,
     status: u16,
-    /// Bytes as numbers: a body need not be text.
+    /// Stored as numbers because a body need not be text.
     body: Option<Vec<u8>>,
 }
 
-/// Writes one row of outcomes. Writing the same row twice does no harm, so nothing is required.
+/// Writes one row of outcomes. The write is idempotent, so the transaction has no requirements.
 pub(super) async fn record(
     client: &Client,
     incarnation: Incarnation,
@@ -48,7 +48,7 @@
     Ok(StoreReply::Recorded)
 }
 
-/// Looks for the outcome of `key` among those recorded by `incarnation`.
+/// Finds the outcome of `key` among those recorded by `incarnation`.
 pub(super) async fn find(client: &Client, incarnation: Incarnation, key: &str) -> Outcome {
     let txn = Txn::new().with_scan(&prefix(incarnation));
     for record in read::records(client, txn).await? {
--- a/crates/entry/src/platform/read.rs
+++ b/crates/entry/src/platform/read.rs
@@ -32,7 +32,7 @@
     stored::SCANS.into_iter().fold(Txn::new(), Txn::with_scan)
 }
 
-/// What `txn`, which requires nothing, reads.
+/// The records read by `txn`, which must have no requirements.
 pub(super) async fn records(client: &Client, txn: Txn) -> Result<Vec<Record>, Error> {
     let (Reply::Committed(rows) | Reply::Conflict(rows)) = client.txn(&txn).await?;
     Ok(rows.into_iter().map(record).collect())
--- a/crates/entry/src/platform/sweep.rs
+++ b/crates/entry/src/platform/sweep.rs
@@ -1,7 +1,7 @@
-//! Deletes recorded outcomes that are past their window.
+//! Deletes expired outcomes.
 //!
-//! The rows outlive the daemons that wrote them, so each daemon deletes those of all. On average
-//! one of them does so in each period, whatever their number.
+//! The rows outlive the daemons that wrote them, so each daemon deletes the rows of all daemons. On
+//! average, one daemon does so per period, regardless of their number.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 use crate::driver::inbox::Inbox;
 use crate::driver::inbox::StateQuery;
 
-/// Rows deleted with one transaction.
+/// Most rows deleted in one transaction.
 const BATCH_ROWS: usize = 64;
 
-/// Sweeps now and then; never ends. Rows are kept for twice the `window` of keys.
+/// Deletes expired rows periodically; never returns. Rows are kept for twice the `window` of keys.
 pub async fn run(client: Client, inbox: Inbox, window: Duration) {
     loop {
         sleep(window / 2).await;
@@ -37,10 +37,10 @@
     }
 }
 
-/// Deletes rows of outcomes that were written more than `age` ago; their number.
+/// Deletes rows of outcomes written more than `age` ago and returns their number.
 ///
 /// # Errors
-/// The platform did not carry it out in full.
+/// A call to the platform failed; some rows may have been deleted.
 pub async fn sweep(client: &Client, age: Duration) -> Result<usize, Error> {
     let limit = clock::unix_time().saturating_sub(age).as_secs();
     let rows = client.rows(outcomes::PREFIX).await?;
@@ -66,7 +66,7 @@
         .max(1)
 }
 
-/// Whether `row` was written before `limit`; one that cannot be read is left alone.
+/// Whether `row` was written before `limit`; false for one that cannot be parsed.
 fn is_older(row: &Row, limit: u64) -> bool {
     let value = row.value.as_deref().unwrap_or_default();
     serde_json::from_str::<outcomes::Row>(value).is_ok_and(|row| row.unix_s < limit)
--- a/crates/entry/src/secret.rs
+++ b/crates/entry/src/secret.rs
@@ -1,4 +1,4 @@
-//! Secrets and their comparison.
+//! Secrets, compared in constant time.
 
 use std::fmt;
 use std::hint::black_box;
@@ -8,7 +8,7 @@
 use hmac::Mac;
 use sha2::Sha256;
 
-/// A secret text; its debug form does not show it.
+/// A secret text, which its `Debug` output does not contain.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(String);
 
@@ -23,15 +23,15 @@
         &self.0
     }
 
-    /// Whether `given` is the secret, in a time that depends on the length of `given` alone.
+    /// Whether `given` is the secret; the time taken depends only on the length of `given`.
     pub fn matches(&self, given: &str) -> bool {
         equal(given.as_bytes(), self.0.as_bytes())
     }
 
-    /// A text that only holders of the secret can make, for one `purpose`.
+    /// An HMAC of `purpose`, which only holders of the secret can compute.
     ///
     /// # Panics
-    /// Never: a key of any length is taken.
+    /// Never: HMAC accepts a key of any length.
     #[must_use]
     pub fn proof(&self, purpose: &str) -> Self {
         let mut mac = Hmac::<Sha256>::new_from_slice(self.0.as_bytes())
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -1,9 +1,9 @@
 //! The planned stop.
 //!
-//! `SIGTERM` and `SIGINT` ask the core to stop; everything goes on until the core says that
-//! nothing is in progress and every response has been written. `volo-http`'s server reacts to the
-//! same signals (and to `SIGHUP`) and ends its connections about 30 s later, but awaits its
-//! shutdown hook first; the hook waits for that point.
+//! `SIGTERM` and `SIGINT` request a stop from the core. The daemon keeps running until the core
+//! reports that nothing is in progress and every response has been written. `volo-http`'s server
+//! handles the same signals (and `SIGHUP`) and closes its connections about 30 s later, but awaits
+//! its shutdown hook first; the hook waits for the end of the planned stop.
 
 use std::io;
 use std::sync::Arc;
@@ -19,17 +19,17 @@
 
 use crate::driver::inbox::Inbox;
 
-/// How often unwritten responses are looked for at the end.
+/// Interval of the checks for unwritten responses at the end.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Tells when the planned stop has ended, and counts responses that are being written.
+/// Signals the end of the planned stop and counts the responses that are being written.
 #[derive(Debug, Clone)]
 pub struct Stop {
     finished: watch::Sender<bool>,
     responses: Arc<AtomicUsize>,
 }
 
-/// A response that is being written.
+/// Counts a response as being written until dropped.
 #[derive(Debug)]
 pub struct PendingResponse {
     responses: Arc<AtomicUsize>,
@@ -42,7 +42,7 @@
 }
 
 impl Stop {
-    /// A stop that nobody has asked for.
+    /// A stop that has not been requested.
     pub fn new() -> Self {
         Self {
             finished: watch::Sender::new(false),
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Nothing is in progress and a stop was asked for.
+    /// Marks the stop as finished: it was requested and nothing is in progress.
     pub fn finish(&self) {
         self.finished.send_replace(true);
     }
 
-    /// Counts a response as being written until the value is dropped.
+    /// Counts a response as being written until the returned guard is dropped.
     pub fn begin_response(&self) -> PendingResponse {
         self.responses.fetch_add(1, Ordering::Relaxed);
         PendingResponse {
@@ -80,10 +80,10 @@
     }
 }
 
-/// Passes the first `SIGTERM` or `SIGINT` on to the core.
+/// Forwards the first `SIGTERM` or `SIGINT` to the core.
 ///
 /// # Errors
-/// The signals cannot be listened for.
+/// The signal handlers cannot be installed.
 pub fn listen(inbox: Inbox) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -92,7 +92,7 @@
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        log::info!(step = "stop"; "planned stop asked for");
+        log::info!(step = "stop"; "planned stop requested");
         inbox.event(Event::Stop).await;
     });
     Ok(())
--- a/crates/entry/tests/callers.rs
+++ b/crates/entry/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Requests that are malformed: a clear refusal, and the next request is served.
+//! Malformed requests are refused with a clear cause, and the next request is served.
 
 mod common;
 
@@ -27,7 +27,7 @@
     "`prompt`"
 )]
 #[tokio::test]
-async fn a_body_that_is_no_request_is_not_run(#[case] body: &str, #[case] cause: &str) {
+async fn a_malformed_body_is_refused(#[case] body: &str, #[case] cause: &str) {
     let site = Site::start(1).await;
     let answer = http::send_and_read(
         site.daemon.caller,
@@ -66,7 +66,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_body_that_breaks_off_is_not_run() {
+async fn a_truncated_body_is_not_run() {
     let site = Site::start(1).await;
     let whole = http::completion(8);
     let mut socket = http::open(site.daemon.caller, &whole[..whole.len() - 9]).await;
@@ -76,7 +76,7 @@
     let record = fake::control::record(site.decode).await.unwrap();
     assert_eq!(
         record["decodes"], 1,
-        "only the request of `serves` ran: {record}"
+        "only the request of `assert_serves` ran: {record}"
     );
 }
 
@@ -93,7 +93,11 @@
     "neither yes nor no"
 )]
 #[tokio::test]
-async fn wrong_headers_are_named(#[case] headers: &str, #[case] status: u16, #[case] cause: &str) {
+async fn an_invalid_header_is_named_in_the_refusal(
+    #[case] headers: &str,
+    #[case] status: u16,
+    #[case] cause: &str,
+) {
     let site = Site::start(1).await;
     let body = "{\"model\": \"ration\", \"prompt\": \"a\", \"max_tokens\": 4}";
     let bytes = http::request("POST", PATH, headers, body);
@@ -128,7 +132,11 @@
 #[case::path("POST", "/v2/completions", 404)]
 #[case::no_service("POST", "/v1/call/", 404)]
 #[tokio::test]
-async fn wrong_calls_are_refused(#[case] method: &str, #[case] path: &str, #[case] status: u16) {
+async fn calls_with_a_wrong_method_or_path_are_refused(
+    #[case] method: &str,
+    #[case] path: &str,
+    #[case] status: u16,
+) {
     let site = Site::start(1).await;
     let answer = http::send_and_read(
         site.daemon.caller,
--- a/crates/entry/tests/common/daemon.rs
+++ b/crates/entry/tests/common/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon's process.
+//! Runs the daemon as a child process.
 
 use std::fs;
 use std::fs::File;
@@ -23,10 +23,10 @@
 use super::ANY;
 use super::settings;
 
-/// The program.
+/// Path of the program.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_waxwingd");
 
-/// The exit code of a daemon that cannot listen.
+/// Exit code of a daemon that cannot listen.
 const EXIT_LISTEN: i32 = 4;
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -46,8 +46,8 @@
 impl Daemon {
     /// Starts a daemon with `more` settings and waits until it listens.
     ///
-    /// Free ports may be taken by somebody else before the daemon listens on them; it then ends
-    /// with a code that says so, and others are tried.
+    /// Another process may take a free port before the daemon listens on it; the daemon then exits
+    /// with `EXIT_LISTEN`, and the start is repeated with other ports.
     pub fn start(platform: SocketAddr, more: &str) -> Self {
         let start = Instant::now();
         loop {
@@ -92,13 +92,13 @@
         }
     }
 
-    /// Whether it says that it listens. Its ports alone would not tell: another test's daemon may
-    /// have taken one of them.
+    /// Whether its log says that it listens. Connecting to its ports is not enough, because the
+    /// daemon of another test may have taken one of them.
     fn is_listening(&self) -> bool {
         fs::read_to_string(&self.log).is_ok_and(|log| log.contains("serves callers at"))
     }
 
-    /// Its place on the platform's list.
+    /// Its entry on the platform's list.
     pub fn list_entry(&self) -> Value {
         json!({"name": "entry-1", "data_centre": "osijek-a", "peer": self.peer,
             "caller": self.caller, "state": "live"})
@@ -110,12 +110,12 @@
         kill_process(pid, signal).unwrap();
     }
 
-    /// Whether it runs.
+    /// Whether it is running.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 
-    /// How it ended, after waiting for at most `limit`.
+    /// Waits for its exit for at most `limit`; `None` if it is still running.
     pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<ExitStatus> {
         let start = Instant::now();
         while start.elapsed() < limit && self.is_running() {
@@ -127,7 +127,7 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // A process that has ended leaves nothing to kill.
+        // Killing fails if the process has already ended.
         drop(self.child.kill());
         drop(self.child.wait());
     }
--- a/crates/entry/tests/common/http.rs
+++ b/crates/entry/tests/common/http.rs
@@ -1,4 +1,4 @@
-//! Requests written by hand, so that they can be wrong in any way.
+//! Requests written as raw bytes, so that tests can send malformed ones.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,12 +21,12 @@
     pub status: u16,
     /// Status line and headers.
     pub head: String,
-    /// Body, still in chunks if it was sent so.
+    /// Body, with its chunk framing if it was sent in chunks.
     pub body: String,
 }
 
 impl Answer {
-    /// Everything that was read, for a connection whose head was read before.
+    /// Everything that was read, for a connection whose head has already been read.
     pub fn raw(&self) -> String {
         format!("{}{}", self.head, self.body)
     }
@@ -36,7 +36,7 @@
         serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("{self:?}"))
     }
 
-    /// The reason of a typed refusal that says "not run".
+    /// The reason of a refusal with the outcome `not_run`.
     pub fn reason(&self) -> String {
         let body = self.json();
         assert_eq!(body["outcome"], "not_run", "{self:?}");
@@ -44,7 +44,7 @@
         body["reason"].as_str().unwrap().to_owned()
     }
 
-    /// The text of the tokens in a whole stream; `None` if it has another last event than `done`.
+    /// The text of the tokens in a complete stream; `None` if its last event is not `done`.
     pub fn streamed_text(&self) -> Option<String> {
         let lines = self
             .body
@@ -67,7 +67,7 @@
     }
 }
 
-/// Opens a connection and sends bytes.
+/// Opens a connection and sends `bytes`.
 pub async fn open(address: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut socket = TcpStream::connect(address).await.unwrap();
     // The daemon may answer and close before it has read everything.
@@ -86,7 +86,7 @@
     };
     timeout(TIMEOUT, reading)
         .await
-        .expect("the connection ends");
+        .expect("the connection did not end");
     let text = String::from_utf8_lossy(&bytes);
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
     let status = head
@@ -101,7 +101,7 @@
     }
 }
 
-/// Sends bytes and reads the answer.
+/// Sends `bytes` and reads the answer.
 pub async fn send_and_read(address: SocketAddr, bytes: &[u8]) -> Answer {
     read(open(address, bytes).await).await
 }
@@ -116,12 +116,12 @@
     .into_bytes()
 }
 
-/// A request without headers and body.
+/// Sends a request without headers and body.
 pub async fn get(address: SocketAddr, path: &str) -> Answer {
     send_and_read(address, &request("GET", path, "", "")).await
 }
 
-/// A call by the operator `ana` with `token`.
+/// Sends a call of the operator `ana` with `token`.
 pub async fn send_as_operator(
     daemon: &Daemon,
     method: &str,
@@ -143,7 +143,7 @@
     )
 }
 
-/// A caller's request whose body comes in one chunk, without a length before it.
+/// A caller's request with its body in one chunk and without `Content-Length`.
 pub fn chunked(path: &str, body: &str) -> Vec<u8> {
     format!(
         "POST {path} HTTP/1.1\r\nHost: test\r\nConnection: close\r\nWaxwing-Customer: farm-7\r\n\
@@ -162,7 +162,7 @@
     caller_request("POST", "/v1/completions", "", &body)
 }
 
-/// Reads until `mark` has come; everything read so far.
+/// Reads until `mark` arrives and returns everything read so far.
 pub async fn read_until(socket: &mut TcpStream, mark: &str) -> String {
     let mut text = String::new();
     let reading = async {
@@ -173,6 +173,8 @@
             text.push_str(&String::from_utf8_lossy(&part[..count]));
         }
     };
-    timeout(TIMEOUT, reading).await.expect("the mark comes");
+    timeout(TIMEOUT, reading)
+        .await
+        .expect("the mark did not arrive");
     text
 }
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! One real daemon on loopback, with stand-ins in the test's own process.
+//! One real daemon on loopback, with fake replicas and platform in the test's own process.
 #![allow(dead_code, reason = "no test file uses all of it")]
 
 pub mod daemon;
@@ -23,9 +23,9 @@
 use self::daemon::Daemon;
 use self::settings::TOKEN;
 
-/// A free port of this machine.
+/// A free port on loopback.
 pub const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// Longest wait for something that must come.
+/// Longest wait for an expected state.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A daemon with a platform, a prefill engine, a decode engine and an application behind it.
@@ -44,12 +44,12 @@
 }
 
 impl Site {
-    /// Starts everything and waits until the daemon is ready; decoding takes `token_ms` a token.
+    /// Starts everything and waits until the daemon is ready; decoding takes `token_ms` per token.
     pub async fn start(token_ms: u64) -> Self {
         Self::start_with(token_ms, "").await
     }
 
-    /// The same with `more` settings for the daemon.
+    /// Like [`Site::start`], with `more` settings for the daemon.
     pub async fn start_with(token_ms: u64, more: &str) -> Self {
         let platform = platform::start(&platform::Settings::default(), ANY)
             .await
@@ -75,7 +75,7 @@
         site
     }
 
-    /// Waits until `found` is true of what the decode engine records.
+    /// Waits until `found` is true for the record of the decode engine.
     pub async fn wait_for_decode(&self, found: impl Fn(&Value) -> bool) {
         let start = Instant::now();
         loop {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The start of keys for the daemon.
+    /// The prefix of idempotency keys for the daemon.
     pub async fn key_prefix(&self) -> String {
         let answer = http::get(self.daemon.caller, "/v1/addresses").await.json();
         answer["addresses"][0]["key_prefix"]
@@ -97,14 +97,14 @@
             .to_owned()
     }
 
-    /// Sees that a request is served.
+    /// Asserts that a request is served.
     pub async fn assert_serves(&self) {
         let answer = http::send_and_read(self.daemon.caller, &http::completion(8)).await;
         let expected = fake::text::expected(http::PROMPT, 8).concat();
         assert_eq!(answer.streamed_text(), Some(expected), "{answer:?}");
     }
 
-    /// Waits until one connection was closed at `step` of reading frames.
+    /// Waits until one peer connection has been rejected at `step`.
     pub async fn wait_for_rejection(&self, step: &str) {
         self.wait_for_metric(&format!(
             "waxwing_frames_rejected_total{{step=\"{step}\"}} 1"
@@ -112,7 +112,7 @@
         .await;
     }
 
-    /// Waits until the metrics have `line`.
+    /// Waits until the metrics contain `line`.
     pub async fn wait_for_metric(&self, line: &str) {
         let start = Instant::now();
         loop {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Prefills do not end any more.
+    /// Makes prefills hang.
     pub async fn stall_prefill(&self) {
         let stall = json!({"mode": "stall", "ms": 0});
         control::post(self.prefill, "/control/fault", &stall)
--- a/crates/entry/tests/common/settings.rs
+++ b/crates/entry/tests/common/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files.
+//! Builds settings files.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
     )
 }
 
-/// Writes settings to a file of their own.
+/// Writes settings to a new file.
 pub fn write(text: &str) -> PathBuf {
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     let name = format!("entry-{}-{number}.yaml", process::id());
--- a/crates/entry/tests/operators.rs
+++ b/crates/entry/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Who may act as an operator.
+//! Authentication of operators and the calls of the admin address.
 
 mod common;
 
@@ -24,7 +24,7 @@
 #[case::edits("POST", "/v1/table/edits")]
 #[case::unknown("GET", "/v1/nothing")]
 #[tokio::test]
-async fn a_forged_token_opens_nothing(#[case] method: &str, #[case] path: &str) {
+async fn a_forged_token_is_refused_by_every_call(#[case] method: &str, #[case] path: &str) {
     let site = Site::start(1).await;
     let longer = format!("{TOKEN}!");
     for token in ["", "forged", &TOKEN[1..], &longer] {
@@ -37,7 +37,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_edit_in_another_operators_name_is_refused() {
+async fn an_edit_in_the_name_of_another_operator_is_refused() {
     let site = Site::start(1).await;
     let path = "/v1/table/edits";
     let answer = http::send_as_operator(&site.daemon, "POST", path, TOKEN, &edit("marko")).await;
@@ -52,7 +52,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn decisions_of_a_request_are_explained() {
+async fn explain_returns_the_decisions_of_a_request() {
     let site = Site::start(1).await;
     site.assert_serves().await;
     let answer =
--- a/crates/entry/tests/outcomes.rs
+++ b/crates/entry/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Recorded outcomes at the platform.
+//! Deletion of recorded outcomes at the platform.
 
 mod common;
 
@@ -23,7 +23,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn old_rows_are_deleted_and_others_left_alone() {
+async fn only_expired_outcome_rows_are_deleted() {
     let address = fake::platform::start(&Settings::default(), ANY)
         .await
         .unwrap();
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Bytes at the peer address that are no frames of this version.
+//! Invalid frames and unauthenticated senders at the peer address.
 
 mod common;
 
@@ -43,7 +43,7 @@
     bytes.freeze()
 }
 
-/// Sends `bytes` as a peer would, after a frame that is in order, until the daemon closes.
+/// Sends a valid frame and then `bytes` as a peer, and waits until the daemon closes the connection.
 async fn send(peer: SocketAddr, secret: &str, bytes: Bytes) {
     let proof = Secret::new(secret.to_owned()).proof(PROOF_PURPOSE);
     let socket = TcpStream::connect(peer).await.unwrap();
@@ -55,7 +55,7 @@
     let (_response, mut stream) = requests.send_request(request, false).unwrap();
     stream.send_data(frame(), false).unwrap();
     stream.send_data(bytes, false).unwrap();
-    // The end of the connection is what is waited for, however it comes.
+    // Only the end of the connection matters, not its result.
     let _ = connection.await;
 }
 
@@ -64,10 +64,7 @@
 #[case::garbage_body(garbage_body(), "frame_body")]
 #[case::huge_length(Bytes::from_static(&[0xff; 64]), "frame_length")]
 #[tokio::test]
-async fn a_frame_that_cannot_be_read_closes_its_connection(
-    #[case] bytes: Bytes,
-    #[case] step: &str,
-) {
+async fn an_invalid_frame_closes_its_connection(#[case] bytes: Bytes, #[case] step: &str) {
     let site = Site::start(1).await;
     send(site.daemon.peer, SECRET, bytes).await;
     site.wait_for_rejection(step).await;
@@ -89,7 +86,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_stranger_cannot_send_frames() {
+async fn frames_without_a_valid_proof_are_refused() {
     let site = Site::start(1).await;
     let rows = vec![table::row::Row::new("stolen", "default", "stolen")];
     let table = Box::new(table::Table::new(99, rows));
--- a/crates/entry/tests/requests.rs
+++ b/crates/entry/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from end to end.
+//! Requests end to end.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_completion_streams_whole_and_once() {
+async fn a_completion_streams_completely_and_once() {
     let site = Site::start(1).await;
     let answer = http::send_and_read(site.daemon.caller, &http::completion(TOKENS)).await;
     let expected = fake::text::expected(http::PROMPT, TOKENS).concat();
@@ -20,7 +20,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_caller_that_leaves_frees_its_slot() {
+async fn a_disconnected_caller_frees_its_slot() {
     let site = Site::start(500).await;
     let socket = http::open(site.daemon.caller, &http::completion(1_000)).await;
     site.wait_for_decode(|record| record["held"][0].is_string())
@@ -32,7 +32,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_caller_that_leaves_before_the_head_is_noticed() {
+async fn a_disconnect_before_the_head_is_detected() {
     let site = Site::start(1).await;
     site.stall_prefill().await;
     let socket = http::open(site.daemon.caller, &http::completion(TOKENS)).await;
@@ -86,7 +86,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_cut_stream_is_resumed_with_the_rest() {
+async fn resuming_a_cut_stream_returns_the_rest() {
     let site = Site::start(20).await;
     let mut socket = http::open(site.daemon.caller, &http::completion(TOKENS)).await;
     let start = http::read_until(&mut socket, "id: 3\n").await;
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files that are wrong: an error with line, field and what to try.
+//! Errors in settings files are reported with line, field and a hint.
 
 mod common;
 
@@ -42,7 +42,7 @@
 }
 
 #[rstest]
-fn valid_settings_pass() {
+fn valid_settings_are_accepted() {
     assert!(check(&valid()).status.success());
 }
 
@@ -53,7 +53,7 @@
 #[case::port("caller: \"127.0.0.1:7001\"", "caller: \"127.0.0.1:0\"", &["line 3", "listen.caller", "port 0"])]
 #[case::secret("secret of the test fleet", "short", &["line 5", "secret", "at least 16"])]
 #[case::token(settings::TOKEN, "short", &["line 6", "operators.ana", "at least 16"])]
-fn wrong_values_are_refused(#[case] from: &str, #[case] to: &str, #[case] parts: &[&str]) {
+fn invalid_values_are_refused(#[case] from: &str, #[case] to: &str, #[case] parts: &[&str]) {
     assert_refused(&valid().replace(from, to), parts[0], &parts[1..]);
 }
 
@@ -65,7 +65,11 @@
 #[case::wrong_type("limits: {open: many}\n", "line 7", &["limits.open", "many"])]
 #[case::twice("name: entry-2\n", "line 1", &["duplicate", "name"])]
 #[case::seed("seeds:\n  - {name: a, address: \"::1\"}\n", "line 8", &["seeds[0].address", "ip:port"])]
-fn wrong_additions_are_refused(#[case] more: &str, #[case] line: &str, #[case] parts: &[&str]) {
+fn invalid_additional_fields_are_refused(
+    #[case] more: &str,
+    #[case] line: &str,
+    #[case] parts: &[&str],
+) {
     assert_refused(&(valid() + more), line, parts);
 }
 
@@ -98,7 +102,7 @@
 #[case::absent(&["--config", "absent.yaml"][..], EXIT_SETTINGS)]
 #[case::help(&["--help"][..], 0)]
 #[case::version(&["--version"][..], 0)]
-fn command_lines_end_with_their_code(#[case] args: &[&str], #[case] code: i32) {
+fn command_lines_exit_with_their_code(#[case] args: &[&str], #[case] code: i32) {
     let output = Command::new(PROGRAM).args(args).output().unwrap();
     assert_eq!(output.status.code(), Some(code), "{output:?}");
 }
--- a/crates/entry/tests/stop.rs
+++ b/crates/entry/tests/stop.rs
@@ -13,18 +13,18 @@
 use crate::common::http;
 use crate::common::settings::TOKEN;
 
-/// `volo-http`'s server would cut connections off about this long after a signal.
+/// `volo-http`'s server closes connections about this long after a signal, unless prevented.
 const LIBRARY_STOP_TIMEOUT: Duration = Duration::from_secs(30);
-/// Callers may keep an address for this long, and a leaving daemon serves them for longer.
+/// A short time for which callers may cache an address; a leaving daemon accepts requests for longer.
 const SHORT_TTL: &str = "timing: {address_ttl_ms: 100}\n";
-/// After this time a leaving daemon with `SHORT_TTL` takes nothing new.
+/// Time after which a leaving daemon with `SHORT_TTL` refuses new requests.
 const LEAVING_TIME: Duration = Duration::from_secs(2);
-/// Tokens of the answer that is in progress.
+/// Tokens of the answer in progress.
 const TOKENS: usize = 64;
-/// Time from the last byte of the answer to the end of the process.
+/// Longest time from the last byte of the answer to the end of the process.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time between tokens at which the answer lasts longer than the library's limit.
+/// Time between tokens that makes the answer last longer than the library's timeout.
 fn token_ms() -> u64 {
     let count = fake::text::expected(http::PROMPT, TOKENS).len() as u64;
     (LIBRARY_STOP_TIMEOUT + Duration::from_secs(8)).as_millis() as u64 / count
@@ -34,7 +34,7 @@
 #[case::terminate(Signal::TERM)]
 #[case::interrupt(Signal::INT)]
 #[tokio::test]
-async fn a_stream_longer_than_thirty_seconds_ends_whole(#[case] signal: Signal) {
+async fn a_stream_longer_than_thirty_seconds_completes(#[case] signal: Signal) {
     let mut site = Site::start_with(token_ms(), SHORT_TTL).await;
     let mut socket = http::open(site.daemon.caller, &http::completion(TOKENS)).await;
     let start = http::read_until(&mut socket, "id: 1\n").await;
@@ -54,7 +54,7 @@
     let rest = http::read(socket).await;
     assert!(
         signalled_at.elapsed() > LIBRARY_STOP_TIMEOUT,
-        "the stream was too short to show anything"
+        "the stream was too short for this test"
     );
     let status = http::send_as_operator(&site.daemon, "GET", "/v1/status", TOKEN, "").await;
     assert!(matches!(status.status, 0 | 200), "{status:?}");
@@ -70,7 +70,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_idle_daemon_stops_with_success() {
+async fn an_idle_daemon_exits_with_success() {
     let mut site = Site::start(1).await;
     site.assert_serves().await;
     site.daemon.signal(Signal::TERM);
@@ -90,7 +90,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_hangup_stops_nothing() {
+async fn a_hangup_signal_does_not_stop_the_daemon() {
     let mut site = Site::start(1).await;
     site.daemon.signal(Signal::HUP);
     sleep(Duration::from_secs(4)).await;
