--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients for model engines and plain applications.
 //!
-//! The clients never retry a request. [`error::Error`] distinguishes failed requests of which no byte
-//! reached the peer from those that may have reached it.
+//! The clients never retry a request. [`error::Error`] distinguishes requests of which no byte was
+//! sent from those that may have reached the peer.
 
 pub mod attach;
 pub mod call;
--- a/crates/engine/tests/call.rs
+++ b/crates/engine/tests/call.rs
@@ -131,7 +131,7 @@
     let (peer, bookings) = raw_peer(Behavior::Close).await;
     let client = Client::new();
     for tries in 1..=TRIES {
-        // The peer keeps the connection open; its answer is not a valid state, which is irrelevant here.
+        // The peer keeps the connection open. Its answer is not a valid state, as expected.
         let state = client.state(peer, 0).await;
         assert!(matches!(state, Err(Error::Malformed { .. })), "{state:?}");
         let stock = client
--- a/crates/entry/src/peers/mod.rs
+++ b/crates/entry/src/peers/mod.rs
@@ -4,8 +4,8 @@
 //! of one long `POST`. The head of the request proves that the sender holds the fleet's secret,
 //! because frames of an outsider could replace the table.
 //!
-//! Frames contain ages (`wire::TableStatus`), which are wrong in a late frame. Therefore a frame that
-//! has waited too long is dropped, a connection whose peer does not answer pings is reset together
+//! Frames contain ages (`wire::TableStatus`), which are wrong in a late frame. Therefore a frame
+//! that has waited too long is dropped, a connection whose peer does not answer pings is reset together
 //! with the data that the system has buffered for it, and a daemon that was paused drops its
 //! incoming connections before reading from them.
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Queues `frame` for `to`. A frame that cannot be encoded is dropped; a full queue evicts older
+    /// Queues `frame` for `to`, dropping it if it cannot be encoded. A full queue evicts other
     /// frames.
     pub fn send(&mut self, to: Instance, frame: &Frame) {
         let bytes = match wire::encode(frame) {
--- a/crates/entry/src/peers/server.rs
+++ b/crates/entry/src/peers/server.rs
@@ -118,7 +118,7 @@
                 Some(Ok((request, respond))) => {
                     streams.spawn(read_stream(request, respond, shared.clone()));
                 }
-                // The dialling side ends connections by a reset, its only way to discard buffered frames.
+                // The dialling side ends connections by a reset, the only way to discard frames.
                 Some(Err(cause)) if cause.is_io() => return Ok(()),
                 Some(Err(cause)) => return Err(Error::http("connection")(cause)),
                 None => return Ok(()),
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -43,7 +43,7 @@
     bytes.freeze()
 }
 
-/// Sends a valid frame and then `bytes` as a peer, and waits until the daemon closes the connection.
+/// Sends a valid frame and then `bytes` as a peer; returns when the connection has closed.
 async fn send(peer: SocketAddr, secret: &str, bytes: Bytes) {
     let proof = Secret::new(secret.to_owned()).proof(PROOF_PURPOSE);
     let socket = TcpStream::connect(peer).await.unwrap();
