--- a/crates/ctl/src/commands/show.rs
+++ b/crates/ctl/src/commands/show.rs
@@ -18,7 +18,7 @@
     for target in &table.drains {
         output.line(&format!("# draining: {target}"));
     }
-    output.line(file::print(&table.rows).trim_end());
+    output.line(file::to_yaml(&table.rows).trim_end());
     output.value(&table);
     Ok(())
 }
--- a/crates/entry/src/platform/sweep.rs
+++ b/crates/entry/src/platform/sweep.rs
@@ -43,7 +43,7 @@
 /// A call to the platform failed; some rows may have been deleted.
 pub async fn sweep(client: &Client, age: Duration) -> Result<usize, Error> {
     let limit = clock::unix_time().saturating_sub(age).as_secs();
-    let rows = client.rows(outcomes::PREFIX).await?;
+    let rows = client.read_rows(outcomes::PREFIX).await?;
     let old: Vec<Row> = rows
         .into_iter()
         .filter(|row| is_older(row, limit))
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -17,7 +17,7 @@
 use hyper::client::conn::http1::SendRequest;
 use hyper_util::rt::TokioIo;
 use platform::reply::Head;
-use platform::reply::Subject;
+use platform::reply::RequestMatch;
 use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
@@ -147,7 +147,7 @@
     /// Keeps `connection` after a complete answer with this head, unless the replica closes it or
     /// did not name the request: without an id, a late duplicate looks like the next answer.
     pub fn keep_after(&self, head: &Head, connection: Connection) {
-        if head.subject == Subject::Own && !head.closes {
+        if head.request_match == RequestMatch::Same && !head.closes {
             self.keep(connection, head.keep_alive_s);
         }
     }
@@ -204,11 +204,11 @@
     /// Whether an answer for `subject` can belong to the last exchange. Replicas may answer twice,
     /// the second time late: after an earlier exchange, only the request id tells the answers
     /// apart.
-    pub const fn may_match(&self, subject: Subject) -> bool {
+    pub const fn may_match(&self, subject: RequestMatch) -> bool {
         match subject {
-            Subject::Own => true,
-            Subject::Other => false,
-            Subject::Unnamed => self.exchanges_before() == 0,
+            RequestMatch::Same => true,
+            RequestMatch::Other => false,
+            RequestMatch::Unnamed => self.exchanges_before() == 0,
         }
     }
 
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -100,7 +100,7 @@
 /// # Errors
 /// [`Error`].
 pub async fn call(shared: &Shared, call: Call) -> Result<Answer, Error> {
-    let (name, id) = engine::aimed_at(&call.replica);
+    let (name, id) = engine::expected_replica(&call.replica);
     let request = Request::builder()
         .method(call.method)
         .uri(call.path)
@@ -183,7 +183,7 @@
     match call(shared, report).await {
         Ok(answer) if answer.status == StatusCode::OK => {
             let report = Report::read(&answer.body).ok();
-            shared.note_birth(key, report.and_then(|report| report.birth));
+            shared.update_birth(key, report.and_then(|report| report.birth));
             presence_after_report(shared, key)
         }
         Ok(answer) if answer.status == StatusCode::MISDIRECTED_REQUEST => Presence::Ended,
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,6 +1,7 @@
-//! What daemons tell each other while the store does not: plan, replicas, instances.
+//! Exchange of plan, replicas, instances and quarantine records between daemons, for when the store
+//! is silent.
 //!
-//! One `h2` stream a question; question and answer are `bincode`.
+//! Each request is one `h2` stream; requests and responses are encoded with `bincode`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,107 +31,108 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-use crate::card::Card;
+use crate::instance_info::InstanceInfo;
 use crate::shared::Shared;
 
-/// Time for one question, the connection included.
-const ASK_TIMEOUT: Duration = Duration::from_millis(800);
-/// Bytes of a message at most; a plan of some thousand routes stays below.
+/// Timeout of one request, including the connection.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum size of a message in bytes; a plan of some thousand routes stays below.
 const MAX_MESSAGE: usize = 4 * 1024 * 1024;
-/// Time between two questions while the store is silent.
+/// Interval between requests while the store is silent.
 const PERIOD: Duration = Duration::from_millis(700);
-/// Silence of the store from which on peers are asked.
+/// Time without an answer of the store after which peers are asked.
 const STORE_SILENCE: Duration = Duration::from_millis(1_500);
-/// Connections served at once.
-const MAX_SERVED: usize = 64;
+/// Maximum number of connections served at once.
+const MAX_CONNECTIONS: usize = 64;
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Ask {
-    /// Version of the asker's plan; 0 if it has none.
+struct SyncRequest {
+    /// Version of the requester's plan; 0 if it has none.
     plan: u64,
-    /// Version of the store at which the asker's replicas stand.
+    /// Store version of the requester's replicas.
     replicas: u64,
-    /// Hash of the asker's replicas.
+    /// Hash of the requester's replicas.
     digest: u64,
-    /// Instances that the asker knows.
+    /// Number of instances that the requester knows.
     instances: u32,
-    /// Requests under which replicas ended, as the asker knows.
+    /// The requester's records of suspect requests.
     quarantine: Vec<Record>,
-    /// Whether the asker has to be told of all of these, and not of the suspect ones alone.
+    /// Whether the response has to contain all quarantine records instead of the suspect ones only.
     all_records: bool,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Tell {
-    /// The plan, if it is newer than the asker's.
+struct SyncResponse {
+    /// The plan, if it is newer than the requester's.
     plan: Option<Plan>,
-    /// The replicas, if they are newer than the asker's.
+    /// The replicas, if they are newer than the requester's.
     replicas: Option<Update>,
-    /// Time since the teller's replicas were read from the store.
+    /// Time since the responder's replicas were read from the store.
     replicas_age: Duration,
-    /// The instances, if the asker knows fewer.
-    cards: Vec<Card>,
-    /// Requests under which replicas ended, as the teller knows.
+    /// The instances, if the requester knows fewer.
+    cards: Vec<InstanceInfo>,
+    /// The responder's quarantine records.
     quarantine: Vec<Record>,
 }
 
-/// Answers other daemons, forever.
+/// Answers requests of other daemons, forever.
 pub async fn serve(shared: Rc<Shared>, listener: TcpListener) {
-    let served = Arc::new(Semaphore::new(MAX_SERVED));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(permit) = Arc::clone(&served).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&slots).acquire_owned().await else {
             return;
         };
         match listener.accept().await {
             Ok((socket, peer)) => {
                 let shared = Rc::clone(&shared);
                 tokio::task::spawn_local(async move {
-                    let told = timeout(ASK_TIMEOUT, tell(&shared, socket)).await;
-                    if let Ok(Err(error)) = told {
-                        log::debug!(kind = "exchange", peer = peer.to_string(), cause = error.to_string(); "a question was not answered");
+                    let answered =
+                        timeout(REQUEST_TIMEOUT, serve_connection(&shared, socket)).await;
+                    if let Ok(Err(error)) = answered {
+                        log::debug!(kind = "exchange", peer = peer.to_string(), cause = error.to_string(); "a request was not answered");
                     }
                     drop(permit);
                 });
             }
             Err(error) => {
-                log::warn!(kind = "exchange", cause = error.to_string(); "a connection could not be accepted");
+                log::warn!(kind = "exchange", cause = error.to_string(); "failed to accept a connection");
                 sleep(PERIOD).await;
             }
         }
     }
 }
 
-/// Asks peers while the store is silent or no plan is known, forever.
-pub async fn follow(shared: Rc<Shared>) {
+/// Fetches newer state from random peers while the store is silent or no plan is known, forever.
+pub async fn poll_peers(shared: Rc<Shared>) {
     loop {
         sleep(PERIOD).await;
-        if shared.plan_version() > 0 && shared.store_silence() < STORE_SILENCE {
+        if shared.plan_version() > 0 && shared.time_since_store_answer() < STORE_SILENCE {
             continue;
         }
-        let mut peers = shared.members.borrow().peers();
+        let mut peers = shared.members.borrow().peer_addresses();
         peers.extend(shared.settings().seed_peers());
         if let Some(peer) = peers.choose(&mut rand::rng()) {
-            ask(&shared, *peer).await;
+            fetch_newer(&shared, *peer).await;
         }
     }
 }
 
-/// Asks the daemon at `peer` for what is newer there; `false` if it does not answer.
-pub async fn ask(shared: &Shared, peer: SocketAddr) -> bool {
-    let ask = Ask {
+/// Fetches and applies what is newer at the daemon at `peer`; `false` if it does not answer.
+pub async fn fetch_newer(shared: &Shared, peer: SocketAddr) -> bool {
+    let message = SyncRequest {
         plan: shared.plan_version(),
         replicas: shared.replicas_version(),
         digest: shared.pool.borrow().digest(),
-        instances: shared.members.borrow().known() as u32,
+        instances: shared.members.borrow().known_count() as u32,
         quarantine: shared.quarantine.borrow().suspects(),
         all_records: !shared.has_all_records(),
     };
-    let begun = Instant::now();
-    let asked_at = shared.clock.now();
-    match timeout(ASK_TIMEOUT, question(peer, &ask)).await {
-        // A list that came later was told before the machine was suspended.
-        Ok(Ok(told)) if begun.elapsed() <= ASK_TIMEOUT => {
-            take(shared, asked_at, told);
+    let started = Instant::now();
+    let sent_at = shared.clock.now();
+    match timeout(REQUEST_TIMEOUT, request_update(peer, &message)).await {
+        // A response that arrives later was sent before the machine was suspended.
+        Ok(Ok(response)) if started.elapsed() <= REQUEST_TIMEOUT => {
+            apply(shared, sent_at, response);
             return true;
         }
         Ok(Err(error)) => {
@@ -143,30 +145,30 @@
     false
 }
 
-/// Applies the answer to a question that was sent at `asked_at`.
-fn take(shared: &Shared, asked_at: Time, told: Tell) {
+/// Applies the response to a request that was sent at `sent_at`.
+fn apply(shared: &Shared, sent_at: Time, response: SyncResponse) {
     let now = shared.clock.now();
-    for card in &told.cards {
-        shared.members.borrow_mut().learn(now, card);
+    for instance in &response.cards {
+        shared.members.borrow_mut().learn(now, instance);
     }
-    shared.take_records("peer", &told.quarantine);
+    shared.merge_records("peer", &response.quarantine);
     shared.note_all_records();
-    if let Some(plan) = told.plan {
-        shared.take_plan("peer", plan);
+    if let Some(plan) = response.plan {
+        shared.apply_plan("peer", plan);
     }
-    if let Some(replicas) = told.replicas {
-        shared.take_replicas(Source::Peer, asked_at - told.replicas_age, &replicas);
+    if let Some(replicas) = response.replicas {
+        shared.apply_replicas(Source::Peer, sent_at - response.replicas_age, &replicas);
     }
 }
 
-async fn question(peer: SocketAddr, ask: &Ask) -> io::Result<Tell> {
+async fn request_update(peer: SocketAddr, message: &SyncRequest) -> io::Result<SyncResponse> {
     let socket = TcpStream::connect(peer).await?;
     let (mut client, connection) = h2::client::handshake(socket)
         .await
         .map_err(io::Error::other)?;
     let driver = tokio::task::spawn_local(async move {
         if let Err(error) = connection.await {
-            log::debug!(kind = "exchange", cause = error.to_string(); "connection ended");
+            log::debug!(kind = "exchange", cause = error.to_string(); "connection to a peer ended");
         }
     });
     let request = Request::post(format!("http://{peer}/"))
@@ -175,15 +177,15 @@
     let (answer, mut body) = client
         .send_request(request, false)
         .map_err(io::Error::other)?;
-    body.send_data(encode(ask)?, true)
+    body.send_data(encode(message)?, true)
         .map_err(io::Error::other)?;
     let answer = answer.await.map_err(io::Error::other)?;
-    let told = decode(answer.into_body()).await;
+    let response = decode(answer.into_body()).await;
     driver.abort();
-    told
+    response
 }
 
-async fn tell(shared: &Shared, socket: TcpStream) -> io::Result<()> {
+async fn serve_connection(shared: &Shared, socket: TcpStream) -> io::Result<()> {
     let mut connection = h2::server::handshake(socket)
         .await
         .map_err(io::Error::other)?;
@@ -191,14 +193,14 @@
         let (request, mut respond) = request.map_err(io::Error::other)?;
         let body = request.into_body();
         let answer = async {
-            let ask: Ask = decode(body).await?;
-            let told = encode(&shared_view(shared, &ask))?;
+            let message: SyncRequest = decode(body).await?;
+            let encoded = encode(&response_to(shared, &message))?;
             let mut stream = respond
                 .send_response(Response::new(()), false)
                 .map_err(io::Error::other)?;
-            stream.send_data(told, true).map_err(io::Error::other)
+            stream.send_data(encoded, true).map_err(io::Error::other)
         };
-        // The connection has to be driven for the body of the question to arrive.
+        // The body of the request arrives only while the connection is polled.
         let mut answer = std::pin::pin!(answer);
         tokio::select! {
             done = &mut answer => done?,
@@ -210,25 +212,25 @@
     Ok(())
 }
 
-fn shared_view(shared: &Shared, ask: &Ask) -> Tell {
-    let mut records = shared.take_records("peer", &ask.quarantine);
+fn response_to(shared: &Shared, request: &SyncRequest) -> SyncResponse {
+    let mut records = shared.merge_records("peer", &request.quarantine);
     let quarantine = shared.quarantine.borrow();
-    records.extend(if ask.all_records {
+    records.extend(if request.all_records {
         quarantine.all()
     } else {
         quarantine.suspects()
     });
     let members = shared.members.borrow();
-    let knows_more = members.known() as u32 > ask.instances;
-    Tell {
+    let knows_more = members.known_count() as u32 > request.instances;
+    SyncResponse {
         plan: shared
             .plan()
-            .filter(|plan| plan.version > ask.plan)
+            .filter(|plan| plan.version > request.plan)
             .map(|plan| (*plan).clone()),
-        replicas: shared.newer_replicas(ask.replicas, ask.digest),
+        replicas: shared.newer_replicas(request.replicas, request.digest),
         replicas_age: shared.replicas_age(),
         cards: if knows_more {
-            members.cards()
+            members.all_instances()
         } else {
             Vec::new()
         },
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -50,7 +50,7 @@
     job.response_started.set(true);
     let (parts, body) = mpsc::channel(MAX_BUFFERED_PARTS);
     let mut response = Response::new(Body::parts(body));
-    *response.headers_mut() = reply::headers(opened.reply.response.headers());
+    *response.headers_mut() = reply::caller_headers(opened.reply.response.headers());
     let forwarder = Forwarder {
         shared: Rc::clone(shared),
         job,
@@ -168,7 +168,7 @@
     /// replica stalled.
     fn record_gap(&self, key: Key, last: Instant) {
         let gap = last.elapsed();
-        self.shared.metrics.gap(gap.as_secs_f64());
+        self.shared.metrics.event_gap(gap.as_secs_f64());
         if self.started && gap > self.job.route.pause.unwrap_or(LONG_GAP) {
             let pool = self.shared.pool.borrow();
             let replica = pool.get(key).map_or("", |server| &server.replica.id);
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,4 +1,8 @@
-//! Datagrams between daemons: membership, and which plan the sender has.
+//! Datagrams between daemons: membership, status of the poller, claims, quarantine records and
+//! quotas.
+//!
+//! Each datagram also carries the version of the sender's plan and a hash of its quarantine
+//! records, from which the receiver sees whether it has to fetch newer ones.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,68 +23,69 @@
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
 
-use crate::card::Card;
 use crate::exchange;
-use crate::members::Send;
-use crate::news::News;
+use crate::instance_info::InstanceInfo;
+use crate::members::Outgoing;
+use crate::poller_status::PollerStatus;
 use crate::quota::keeper;
 use crate::quotas;
 use crate::shared::Shared;
 
-/// Largest datagram that is sent; below the usual packet size, so that none is cut into parts.
+/// Size in bytes above which a datagram is logged; larger ones exceed the usual packet size and are
+/// fragmented.
 const MAX_DATAGRAM: usize = 1_400;
-/// Longest sleep without a step.
+/// Maximum sleep between two membership steps.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
-/// Time that the store gets to tell a newer plan before the peer that has it is asked.
-const PLAN_PATIENCE: Duration = Duration::from_millis(300);
+/// Time to wait for a newer plan from the store before it is fetched from a peer.
+const PLAN_DELAY: Duration = Duration::from_millis(300);
 
-/// Records of requests under which replicas ended, in one datagram: 75 bytes each, and 200 for its head.
+/// Maximum number of quarantine records in one datagram: 75 bytes each, and 200 for its head.
 const MAX_RECORDS: usize = 12;
-/// Time that datagrams on their way get before a peer whose records differ is asked for them.
-const RECORDS_PATIENCE: Duration = Duration::from_millis(300);
-/// Pause after such a question, so that many differences are made good by few.
+/// Time to wait for datagrams in flight before differing records are fetched from a peer.
+const RECORDS_DELAY: Duration = Duration::from_millis(300);
+/// Pause after such a fetch, so that one fetch covers many differences.
 const RECORDS_PAUSE: Duration = Duration::from_millis(700);
 
 /// One datagram.
 #[derive(Debug, Serialize, Deserialize)]
 struct Datagram {
-    from: Card,
+    from: InstanceInfo,
     /// Version of the sender's plan; 0 if it has none.
     plan: u64,
     /// Whether the sender is overloaded.
     overloaded: bool,
-    /// Hash of the sender's records of requests under which replicas ended.
+    /// Hash of the sender's quarantine records.
     quarantine: u64,
     content: Content,
 }
 
-/// What a datagram is for.
+/// Content of a datagram.
 #[derive(Debug, Serialize, Deserialize)]
 enum Content {
-    /// Membership.
+    /// Membership protocol.
     Member {
         message: Message,
-        /// Another instance's card.
-        hint: Option<Card>,
+        /// Info of another instance.
+        hint: Option<InstanceInfo>,
     },
-    /// Asks the reader of the store for this data centre for news.
+    /// Asks another daemon how current its plan and replicas are.
     Question {
         /// Repeated in the answer.
         number: u32,
         /// Hash of the sender's replicas.
         digest: u64,
     },
-    /// The answer.
+    /// Reply to `Question`.
     News {
         /// The number of the question.
         number: u32,
-        news: News,
+        news: PollerStatus,
     },
-    /// What the sender's runs at decode replicas hold.
+    /// What the sender's runs hold at decode replicas.
     Claims(ClaimUpdate),
-    /// Requests under which replicas ended.
+    /// Records of requests under which replicas ended.
     Quarantine(Vec<Record>),
-    /// What customers use of their quotas.
+    /// Use of customers' quotas.
     Quota(quotas::Message),
 }
 
@@ -90,7 +95,7 @@
 /// If the socket cannot be opened.
 pub async fn run(shared: Rc<Shared>) -> io::Result<()> {
     let socket = UdpSocket::bind(shared.settings().listen.peers).await?;
-    let socket = shared.datagrams.get_or_init(|| socket);
+    let socket = shared.gossip_socket.get_or_init(|| socket);
     let mut buffer = vec![0; 64 * 1024];
     let mut next = Time::ZERO;
     loop {
@@ -99,7 +104,7 @@
         tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => receive(&shared, &buffer[..length], from).await,
-                Err(error) => log::debug!(kind = "gossip", cause = error.to_string(); "a datagram could not be received"),
+                Err(error) => log::debug!(kind = "gossip", cause = error.to_string(); "failed to receive a datagram"),
             },
             () = sleep_until(due.min(latest)) => {}
         }
@@ -114,71 +119,76 @@
         let name = shared.members.borrow().name(member.instance);
         log::info!(kind = "member", member = name, state = format!("{:?}", member.state); "a member changed");
     }
-    for send in sends {
-        let Send { to, message, hint } = send;
-        transmit(shared, to, Content::Member { message, hint }).await;
+    for outgoing in sends {
+        let Outgoing { to, message, hint } = outgoing;
+        send(shared, to, Content::Member { message, hint }).await;
     }
     next
 }
 
-/// Asks the daemon at `peer` for news, whose age counts from the question on; `None` if it does not answer in time.
-pub async fn question(shared: &Shared, peer: SocketAddr, patience: Duration) -> Option<News> {
-    let begun = Instant::now();
+/// Requests the status of the daemon at `peer`, whose age counts from the request on; `None` if it
+/// does not answer in time.
+pub async fn request_status(
+    shared: &Shared,
+    peer: SocketAddr,
+    limit: Duration,
+) -> Option<PollerStatus> {
+    let started = Instant::now();
     let number = rand::random();
     let (answer, answered) = oneshot::channel();
-    shared.questions.borrow_mut().insert(number, answer);
+    shared.status_requests.borrow_mut().insert(number, answer);
     let digest = shared.pool.borrow().digest();
-    transmit(shared, peer, Content::Question { number, digest }).await;
-    let news = timeout(patience, answered).await;
-    shared.questions.borrow_mut().remove(&number);
-    let news = news.ok()?.ok()?;
-    // The answer may have waited here while the machine was suspended.
-    let news = news.older_by(begun.elapsed());
+    send(shared, peer, Content::Question { number, digest }).await;
+    let reply = timeout(limit, answered).await;
+    shared.status_requests.borrow_mut().remove(&number);
+    let status = reply.ok()?.ok()?;
+    // The reply may have waited unread while the machine was suspended.
+    let status = status.aged_by(started.elapsed());
     let is_unchanged = shared.pool.borrow().digest() == digest;
     Some(if is_unchanged {
-        news
+        status
     } else {
-        news.of_another_list()
+        status.for_changed_list()
     })
 }
 
-/// Tells the daemon at `peer` what this one's runs hold.
-pub async fn tell(shared: &Shared, peer: SocketAddr, told: ClaimUpdate) {
-    transmit(shared, peer, Content::Claims(told)).await;
+/// Sends to the daemon at `peer` what this one's runs hold.
+pub async fn send_claims(shared: &Shared, peer: SocketAddr, update: ClaimUpdate) {
+    send(shared, peer, Content::Claims(update)).await;
 }
 
-/// Tells the daemon at `peer` of `records`.
-pub async fn tell_records(shared: &Shared, peer: SocketAddr, records: &[Record]) {
-    for some in records.chunks(MAX_RECORDS) {
-        transmit(shared, peer, Content::Quarantine(some.to_vec())).await;
+/// Sends `records` to the daemon at `peer`, in as many datagrams as needed.
+pub async fn send_records(shared: &Shared, peer: SocketAddr, records: &[Record]) {
+    for chunk in records.chunks(MAX_RECORDS) {
+        send(shared, peer, Content::Quarantine(chunk.to_vec())).await;
     }
 }
 
-/// Tells the daemon at `peer` of a customer's quota.
-pub async fn tell_quota(shared: &Shared, peer: SocketAddr, message: quotas::Message) {
-    transmit(shared, peer, Content::Quota(message)).await;
+/// Sends a message about a customer's quota to the daemon at `peer`.
+pub async fn send_quota(shared: &Shared, peer: SocketAddr, message: quotas::Message) {
+    send(shared, peer, Content::Quota(message)).await;
 }
 
-async fn transmit(shared: &Shared, to: SocketAddr, content: Content) {
+async fn send(shared: &Shared, to: SocketAddr, content: Content) {
     let datagram = Datagram {
-        from: shared.own_card(),
+        from: shared.own_info(),
         plan: shared.plan_version(),
         overloaded: shared.is_overloaded(),
         quarantine: shared.quarantine.borrow().digest(),
         content,
     };
-    if let Err(error) = write(shared, to, &datagram).await {
-        log::debug!(kind = "gossip", peer = to.to_string(), cause = error.to_string(); "a datagram could not be sent");
+    if let Err(error) = send_datagram(shared, to, &datagram).await {
+        log::debug!(kind = "gossip", peer = to.to_string(), cause = error.to_string(); "failed to send a datagram");
     }
 }
 
-async fn write(shared: &Shared, to: SocketAddr, datagram: &Datagram) -> io::Result<()> {
+async fn send_datagram(shared: &Shared, to: SocketAddr, datagram: &Datagram) -> io::Result<()> {
     let bytes =
         bincode::serde::encode_to_vec(datagram, config::standard()).map_err(io::Error::other)?;
     if bytes.len() > MAX_DATAGRAM {
-        log::debug!(kind = "gossip", bytes = bytes.len(); "a datagram is large");
+        log::debug!(kind = "gossip", bytes = bytes.len(); "a datagram is large and may be fragmented");
     }
-    let socket = shared.datagrams.get();
+    let socket = shared.gossip_socket.get();
     let socket = socket.ok_or_else(|| io::Error::other("the socket is not open yet"))?;
     socket.send_to(&bytes, to).await?;
     Ok(())
@@ -194,8 +204,8 @@
         }
     };
     let sender = &datagram.from;
-    if datagram.overloaded && sender.data_centre == shared.own_card().data_centre {
-        shared.heard_overload();
+    if datagram.overloaded && sender.data_centre == shared.own_info().data_centre {
+        shared.record_overload_report();
     }
     match datagram.content {
         Content::Member { message, hint } => {
@@ -206,42 +216,42 @@
             members.receive(shared.clock.now(), sender, &message);
         }
         Content::Question { number, digest } => {
-            let news = shared.news(digest);
-            transmit(shared, sender.peers, Content::News { number, news }).await;
+            let news = shared.poller_status(digest);
+            send(shared, sender.peers, Content::News { number, news }).await;
         }
         Content::News { number, news } => {
-            if let Some(answer) = shared.questions.borrow_mut().remove(&number) {
-                // The question may have timed out just now.
+            if let Some(answer) = shared.status_requests.borrow_mut().remove(&number) {
+                // The request may have timed out just now.
                 let _ = answer.send(news);
             }
         }
         Content::Quarantine(records) => {
-            let served = shared.take_records("peer", &records);
-            tell_records(shared, sender.peers, &served).await;
+            let served = shared.merge_records("peer", &records);
+            send_records(shared, sender.peers, &served).await;
         }
         Content::Quota(quotas::Message::Ask { number, ask, limit }) => {
             if let Some(answer) = keeper::answer(shared, number, ask, limit) {
-                transmit(shared, sender.peers, Content::Quota(answer)).await;
+                send(shared, sender.peers, Content::Quota(answer)).await;
             }
         }
         Content::Quota(quotas::Message::Told { number, told }) => {
             if let Some((to, message)) = keeper::handle_answer(shared, number, told) {
-                transmit(shared, to, Content::Quota(message)).await;
+                send(shared, to, Content::Quota(message)).await;
             }
         }
-        Content::Claims(told) => {
+        Content::Claims(update) => {
             let now = shared.clock.now();
             let peer = sender.instance();
-            let reads = told.all || !told.readings.is_empty();
-            if !told.silent.is_empty() {
+            let has_readings = update.all || !update.readings.is_empty();
+            if !update.silent.is_empty() {
                 shared
                     .pool
                     .borrow_mut()
-                    .apply_silent_report(now, &told.silent);
+                    .apply_silent_report(now, &update.silent);
             }
             let mut claims = shared.claims.borrow_mut();
-            claims.apply(now, peer, told);
-            if reads {
+            claims.apply(now, peer, update);
+            if has_readings {
                 shared
                     .pool
                     .borrow_mut()
@@ -253,33 +263,34 @@
         compare_records(Rc::clone(shared), datagram.from.peers, datagram.quarantine);
     }
     if datagram.plan > shared.plan_version() {
-        ask_for_plan(Rc::clone(shared), datagram.plan, datagram.from.peers);
+        fetch_plan(Rc::clone(shared), datagram.plan, datagram.from.peers);
     }
 }
 
-/// Asks `peer` for its plan, unless the store tells it first.
-fn ask_for_plan(shared: Rc<Shared>, version: u64, peer: SocketAddr) {
-    if !shared.begin_asking(version) {
+/// Fetches plan `version` from `peer`, unless the store delivers it first.
+fn fetch_plan(shared: Rc<Shared>, version: u64, peer: SocketAddr) {
+    if !shared.begin_plan_fetch(version) {
         return;
     }
     tokio::task::spawn_local(async move {
-        sleep(PLAN_PATIENCE).await;
+        sleep(PLAN_DELAY).await;
         if shared.plan_version() < version {
-            exchange::ask(&shared, peer).await;
+            exchange::fetch_newer(&shared, peer).await;
         }
-        shared.end_asking();
+        shared.end_plan_fetch();
     });
 }
 
-/// Compares records with `peer`, whose hash of them is `digest`, once what is on its way has come.
+/// Fetches the records of `peer` if their hash `digest` still differs from the own one after
+/// [`RECORDS_DELAY`].
 fn compare_records(shared: Rc<Shared>, peer: SocketAddr, digest: u64) {
     if !shared.begin_comparing() {
         return;
     }
     tokio::task::spawn_local(async move {
-        sleep(RECORDS_PATIENCE).await;
+        sleep(RECORDS_DELAY).await;
         if shared.quarantine.borrow().digest() != digest {
-            exchange::ask(&shared, peer).await;
+            exchange::fetch_newer(&shared, peer).await;
             sleep(RECORDS_PAUSE).await;
         }
         shared.end_comparing();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,13 +1,12 @@
-//! The daemon that relays callers' requests on the users' platform.
+//! The gateway daemon: relays callers' requests to replicas on the users' platform.
 //!
-//! Decisions are made by the `relay` crate, names and formats of the platform are translated by the
-//! `platform` crate; here are sockets, timers, settings, logs and metrics. One thread does all work
-//! but the writing of log lines.
+//! The `relay` crate makes the decisions, the `platform` crate translates names and formats of the
+//! platform; this crate holds sockets, timers, settings, logs and metrics. All work but the writing
+//! of log lines is done on one thread.
 
 pub mod auxiliary;
 pub mod body;
 pub mod callers;
-pub mod card;
 pub mod clock;
 pub mod connections;
 pub mod control;
@@ -15,19 +14,20 @@
 pub mod forward;
 pub mod gossip;
 pub mod guard;
-pub mod inquiries;
+pub mod instance_info;
 pub mod job;
 pub mod limit;
 pub mod listen;
 pub mod members;
 pub mod metrics;
 pub mod migration;
-pub mod news;
 pub mod outbox;
 pub mod phase;
 pub mod placement;
 pub mod plain;
+pub mod poller_status;
 pub mod prefill;
+pub mod probes;
 pub mod quarantine;
 pub mod quota;
 pub mod quotas;
@@ -59,7 +59,7 @@
 use flexi_logger::LoggerHandle;
 use launch::error::Error;
 use launch::listen::bind;
-use logs::queue::Count;
+use logs::queue::LineCounters;
 use logs::queue::Queue;
 use relay::plan::Limits;
 use tokio::runtime::Builder;
@@ -72,22 +72,22 @@
 use crate::shared::Shared;
 use crate::stop::Signals;
 
-/// What is logged: everything of this product, warnings of its libraries.
+/// Log levels: everything of this product, warnings of its libraries.
 const LEVELS: &str = "warn, gateway=info, waxwing_gateway=info";
-/// Bound of the numbers that tell the runs of an instance apart in its log lines.
-const MAX_RUN: u32 = 1 << 24;
-/// Time between two looks after idle connections and readiness.
-const HOUSEKEEPING: Duration = Duration::from_millis(100);
-/// Time that the last log lines of the process get; nobody may be reading them.
-const LAST_LINES: Duration = Duration::from_millis(200);
-/// Pause between the last line and the end of the process, for collectors that read its output from
-/// time to time and drop what is left at its end: without it the line that it stopped was lost in 7
-/// of 7 stops.
+/// Upper bound of the random numbers that identify a run of an instance in its log lines.
+const MAX_RUN_ID: u32 = 1 << 24;
+/// Interval between checks of idle connections and readiness.
+const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(100);
+/// Timeout for writing the last log lines; the reader of the output may be gone.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Pause between the last log line and the end of the process. Collectors that poll the output drop
+/// what is unread when the process ends: without the pause the line "stopped" was lost in 7 of 7
+/// stops.
 const COLLECTOR_PAUSE: Duration = Duration::from_millis(50);
-/// Sleep of the housekeeping from which on the process is said to have stood still.
-const PAUSED: Duration = Duration::from_secs(1);
-/// Bounds of the servers that callers send no requests to.
-const ASIDE: Bounds = Bounds {
+/// Duration of a housekeeping sleep above which a pause of the process is logged.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
+/// Limits of the servers for addresses, readiness and metrics.
+const AUXILIARY: Bounds = Bounds {
     header_bytes: 8 * 1024,
     header_timeout: Duration::from_secs(3),
     idle_timeout: Duration::from_secs(15),
@@ -99,20 +99,21 @@
 /// If it cannot start.
 pub fn run(settings: Settings, path: &Path) -> Result<(), Error> {
     let (_logs, lines) = start_logs(&settings.instance)?;
-    let metrics = Metrics::new(Arc::clone(&lines)).map_err(|error| start("metrics", &error))?;
+    let metrics =
+        Metrics::new(Arc::clone(&lines)).map_err(|error| start_error("metrics", &error))?;
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|error| start("runtime", &error))?;
+        .map_err(|error| start_error("runtime", &error))?;
     let shared = Rc::new(Shared::new(settings, metrics));
     let served = LocalSet::new().block_on(&runtime, serve(shared, path));
-    lines.settle(LAST_LINES);
+    lines.wait_until_written(LOG_FLUSH_TIMEOUT);
     std::thread::sleep(COLLECTOR_PAUSE);
     served
 }
 
 async fn serve(shared: Rc<Shared>, path: &Path) -> Result<(), Error> {
-    // Before anything that takes time: a signal that comes earlier ends the process.
+    // First, since a signal that arrives before its handler is installed kills the process.
     let signals = Signals::new()?;
     let settings = shared.settings();
     log::info!(kind = "start", data_centre = settings.data_centre, version = env!("CARGO_PKG_VERSION"); "starting");
@@ -123,59 +124,60 @@
     let metrics = bind("metrics", listen.metrics).await?;
     let peers = bind("peers", listen.peers).await?;
 
-    let own = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     let bounds = Rc::clone(&shared);
     spawn_local(listen::serve(
         callers,
-        move || bounds_of(&bounds),
-        move |request| callers::serve(Rc::clone(&own), request),
+        move || caller_bounds(&bounds),
+        move |request| callers::serve(Rc::clone(&state), request),
     ));
-    let own = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     spawn_local(listen::serve(
         addresses,
-        || ASIDE,
-        move |request| std::future::ready(auxiliary::addresses(&own, &request)),
+        || AUXILIARY,
+        move |request| std::future::ready(auxiliary::addresses(&state, &request)),
     ));
-    let own = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     spawn_local(listen::serve(
         readiness,
-        || ASIDE,
-        move |request| std::future::ready(auxiliary::readiness(&own, &request)),
+        || AUXILIARY,
+        move |request| std::future::ready(auxiliary::readiness(&state, &request)),
     ));
-    let own = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     spawn_local(listen::serve(
         metrics,
-        || ASIDE,
-        move |_| std::future::ready(auxiliary::metrics(&own)),
+        || AUXILIARY,
+        move |_| std::future::ready(auxiliary::metrics(&state)),
     ));
     spawn_local(exchange::serve(Rc::clone(&shared), peers));
-    spawn_local(exchange::follow(Rc::clone(&shared)));
-    spawn_local(watch::plan(Rc::clone(&shared)));
-    spawn_local(watch::replicas(Rc::clone(&shared)));
+    spawn_local(exchange::poll_peers(Rc::clone(&shared)));
+    spawn_local(watch::follow_plan(Rc::clone(&shared)));
+    spawn_local(watch::follow_replicas(Rc::clone(&shared)));
     spawn_local(watch::instances::follow(Rc::clone(&shared)));
     spawn_local(stages::run(Rc::clone(&shared)));
     spawn_local(run_tracking::run(Rc::clone(&shared)));
-    spawn_local(quarantine::inquiry::run(Rc::clone(&shared)));
-    spawn_local(quarantine::tell::run(Rc::clone(&shared)));
-    spawn_local(quarantine::kept::run(Rc::clone(&shared)));
-    spawn_local(quarantine::sweep(Rc::clone(&shared)));
-    // Nobody has records when all start together for the first time.
+    spawn_local(quarantine::probe::run(Rc::clone(&shared)));
+    spawn_local(quarantine::announce::run(Rc::clone(&shared)));
+    spawn_local(quarantine::storage::run(Rc::clone(&shared)));
+    spawn_local(quarantine::remove_expired(Rc::clone(&shared)));
+    // At the first start of the whole system no peer has records.
     if !settings.first_start {
-        spawn_local(quarantine::catch_up(Rc::clone(&shared)));
+        spawn_local(quarantine::fetch_records(Rc::clone(&shared)));
     }
     spawn_local(reload::follow(Rc::clone(&shared), path.to_owned()));
     spawn_local(housekeeping(Rc::clone(&shared)));
-    let own = Rc::clone(&shared);
+    let state = Rc::clone(&shared);
     spawn_local(async move {
-        if let Err(error) = gossip::run(own).await {
-            log::error!(kind = "gossip", cause = error.to_string(); "membership is off");
+        if let Err(error) = gossip::run(state).await {
+            log::error!(kind = "gossip", cause = error.to_string(); "failed to open the socket for gossip; membership is off");
         }
     });
     stop::wait(&shared, path, signals).await;
     Ok(())
 }
 
-/// Becomes a member once ready, and closes connections that were idle for too long.
+/// Joins the fleet once ready, closes idle connections, and logs pauses and suspensions of the
+/// process.
 async fn housekeeping(shared: Rc<Shared>) {
     let mut suspensions = SuspendDetector::new();
     loop {
@@ -186,20 +188,20 @@
             log::info!(kind = "ready", plan = shared.plan_version(); "taking callers");
         }
         shared.connections.close_expired();
-        let begun = shared.clock.now();
-        sleep(HOUSEKEEPING).await;
+        let started = shared.clock.now();
+        sleep(HOUSEKEEPING_PERIOD).await;
         if let Some(time) = suspensions.check() {
             log::warn!(kind = "suspended", ms = time.as_millis() as u64; "the machine was suspended");
         }
-        let slept = shared.clock.now().since(begun);
-        shared.note_late(slept.saturating_sub(HOUSEKEEPING));
-        if slept > PAUSED {
-            log::warn!(kind = "pause", ms = slept.as_millis() as u64, open = shared.open() as u64; "the process stood still");
+        let slept = shared.clock.now().since(started);
+        shared.record_delay(slept.saturating_sub(HOUSEKEEPING_PERIOD));
+        if slept > PAUSE_THRESHOLD {
+            log::warn!(kind = "pause", ms = slept.as_millis() as u64, open = shared.open_requests() as u64; "the process stood still");
         }
     }
 }
 
-fn bounds_of(shared: &Shared) -> Bounds {
+fn caller_bounds(shared: &Shared) -> Bounds {
     let limits = shared
         .plan()
         .map_or_else(Limits::default, |plan| plan.limits);
@@ -210,20 +212,20 @@
     }
 }
 
-/// Starts the logs; gives their handle and the counts of lines.
-fn start_logs(instance: &str) -> Result<(LoggerHandle, Arc<Count>), Error> {
-    let run = format!("{:06x}", rand::random_range(0..MAX_RUN));
+/// Starts logging; returns the logger's handle and the line counters.
+fn start_logs(instance: &str) -> Result<(LoggerHandle, Arc<LineCounters>), Error> {
+    let run = format!("{:06x}", rand::random_range(0..MAX_RUN_ID));
     let queue = Queue::new(Box::new(io::stdout()), instance.to_owned(), run)
-        .map_err(|error| start("logs", &error))?;
-    let count = queue.count();
+        .map_err(|error| start_error("logs", &error))?;
+    let count = queue.counters();
     let handle = LogSpecification::parse(LEVELS)
         .map(Logger::with)
         .and_then(|logger| logger.log_to_writer(Box::new(queue)).start())
-        .map_err(|error| start("logs", &error))?;
+        .map_err(|error| start_error("logs", &error))?;
     Ok((handle, count))
 }
 
-fn start(step: &'static str, cause: &impl ToString) -> Error {
+fn start_error(step: &'static str, cause: &impl ToString) -> Error {
     Error::Start {
         step,
         cause: cause.to_string(),
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,4 +1,4 @@
-//! The other instances: who is there, and where.
+//! The known instances: which are members, and their addresses.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -21,70 +21,71 @@
 use rand::seq::SliceRandom;
 use relay::directory::Endpoint;
 
-use crate::card::Card;
-
-/// Key by which the members of a data centre choose the one that reads the store for all.
-const POLLER: u64 = 1;
-/// Time after joining for which listed instances count that were not heard of yet: the members are met
-/// within a few seconds, and until then each newcomer would take itself for the one that reads the store.
-const SETTLING: Duration = Duration::from_secs(3);
-/// Time for which an instance that was lost may be at work out of reach. Later it counts as gone, or a fleet would lose its
-/// majority by replacements alone.
-const ABSENCE: Duration = Duration::from_mins(10);
-/// Daemons that are asked in turn for what is kept at one of them.
+use crate::instance_info::InstanceInfo;
+
+/// Key whose owner among the members of a data centre is its poller, the one that reads the store
+/// for all.
+const POLLER_KEY: u64 = 1;
+/// Time after joining during which all listed instances count as members. Members are discovered
+/// within a few seconds; until then each newcomer would take itself for the poller.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
+/// Time for which an unreachable instance is assumed to be running. Later it counts as gone, or
+/// replacing instances would be enough to lose the majority.
+const ABSENCE_TIMEOUT: Duration = Duration::from_mins(10);
+/// Number of daemons that may keep a key: the keeper and its deputy.
 const KEEPERS: usize = 2;
 
 /// The instances that this daemon knows.
 #[derive(Debug)]
 pub struct Members {
-    own: Card,
-    /// `None` until this daemon takes callers: to be a member is to be told to callers.
+    own: InstanceInfo,
+    /// `None` until this daemon accepts callers, since members are advertised to them.
     fleet: Option<Fleet>,
-    /// When the fleet counts alone; see [`SETTLING`].
-    settled: bool,
+    /// Whether only members count; see [`SETTLING_TIME`].
+    is_settled: bool,
     joined_at: Time,
-    cards: HashMap<Instance, Card>,
+    others: HashMap<Instance, InstanceInfo>,
     listed: Vec<Listed>,
-    /// Whether the store has told which instances there are.
+    /// Whether the list of instances was read from the store.
     is_listed: bool,
-    /// Since when instances are known that are not members in reach, of those that did not leave.
+    /// Instances that are not reachable members and did not leave, with the time since when.
     absent: HashMap<Instance, Time>,
-    /// When a member last came or went, as far as this daemon knows.
+    /// Time of the last known change of the membership.
     changed_at: Time,
-    /// Most instances seen at once; bounds the share of what all may retry together.
-    most: usize,
+    /// Largest number of instances seen at once; divides the retry budget that all share.
+    max_alive: usize,
 }
 
 /// A datagram to send.
 #[derive(Debug)]
-pub struct Send {
-    /// The receiver.
+pub struct Outgoing {
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// What it is told.
+    /// Membership message.
     pub message: Message,
-    /// Another instance's card, taken in turn.
-    pub hint: Option<Card>,
+    /// Info of a random other instance.
+    pub hint: Option<InstanceInfo>,
 }
 
 impl Members {
-    /// This instance alone, not yet a member.
-    pub fn new(own: Card) -> Self {
+    /// Knows this instance only, which is not yet a member.
+    pub fn new(own: InstanceInfo) -> Self {
         Self {
             own,
             fleet: None,
-            settled: false,
+            is_settled: false,
             joined_at: Time::ZERO,
-            cards: HashMap::new(),
+            others: HashMap::new(),
             listed: Vec::new(),
             is_listed: false,
             absent: HashMap::new(),
             changed_at: Time::ZERO,
-            most: 1,
+            max_alive: 1,
         }
     }
 
-    /// This instance's card.
-    pub const fn own(&self) -> &Card {
+    /// Info of this instance.
+    pub const fn own(&self) -> &InstanceInfo {
         &self.own
     }
 
@@ -93,62 +94,62 @@
         self.fleet.is_some()
     }
 
-    /// Becomes a member; `started` orders the runs of this instance.
+    /// Joins the fleet; `started` orders the runs of this instance.
     pub fn join(&mut self, now: Time, started: u64) {
         let incarnation = Incarnation(rand::random());
         let instance = self.own.instance();
-        let me = Member::new(instance, incarnation, started, self.own.data_centre);
-        let mut fleet = Fleet::new(me, Settings::new(), rand::random());
+        let local_member = Member::new(instance, incarnation, started, self.own.data_centre);
+        let mut fleet = Fleet::new(local_member, Settings::new(), rand::random());
         fleet.set_list(now, &self.listed);
-        for instance in self.cards.keys() {
+        for instance in self.others.keys() {
             self.absent.entry(*instance).or_insert(now);
         }
         self.fleet = Some(fleet);
         self.joined_at = now;
         self.changed_at = now;
-        // Members are heard of one after the other; until then the list says how many there are.
-        self.most = self.most.max(self.listed.len());
+        // Members are discovered one by one; until then the list gives their number.
+        self.max_alive = self.max_alive.max(self.listed.len());
     }
 
-    /// Tells others that this daemon takes no new callers.
+    /// Announces that this daemon accepts no new callers.
     pub fn leave(&mut self, now: Time) {
         if let Some(fleet) = &mut self.fleet {
             fleet.leave(now);
         }
     }
 
-    /// Takes the instances that the store lists.
-    pub fn list(&mut self, now: Time, cards: &[Card]) {
+    /// Sets the instances that the store lists.
+    pub fn set_listed(&mut self, now: Time, instances: &[InstanceInfo]) {
         self.is_listed = true;
-        self.listed = cards
+        self.listed = instances
             .iter()
-            .map(|card| Listed::new(card.instance(), card.data_centre))
+            .map(|info| Listed::new(info.instance(), info.data_centre))
             .collect();
-        for card in cards {
-            self.learn(now, card);
+        for info in instances {
+            self.learn(now, info);
         }
         if let Some(fleet) = &mut self.fleet {
             fleet.set_list(now, &self.listed);
         }
     }
 
-    /// Takes a card that another daemon told.
-    pub fn learn(&mut self, now: Time, card: &Card) {
-        let instance = card.instance();
+    /// Adds or updates an instance.
+    pub fn learn(&mut self, now: Time, info: &InstanceInfo) {
+        let instance = info.instance();
         if instance == self.own.instance() {
             return;
         }
-        if !self.cards.contains_key(&instance) {
+        if !self.others.contains_key(&instance) {
             self.absent.insert(instance, now);
         }
-        self.cards.insert(instance, card.clone());
+        self.others.insert(instance, info.clone());
         if !self.listed.iter().any(|entry| entry.instance == instance) {
-            self.listed.push(Listed::new(instance, card.data_centre));
+            self.listed.push(Listed::new(instance, info.data_centre));
         }
     }
 
-    /// Takes a datagram in.
-    pub fn receive(&mut self, now: Time, from: &Card, message: &Message) {
+    /// Handles a membership message of the instance `from`.
+    pub fn receive(&mut self, now: Time, from: &InstanceInfo, message: &Message) {
         let known = self.listed.len();
         self.learn(now, from);
         let Some(fleet) = &mut self.fleet else { return };
@@ -158,12 +159,13 @@
         fleet.receive(now, from.instance(), message);
     }
 
-    /// Does what is due; gives the datagrams to send, what changed, and when to come back.
-    pub fn step(&mut self, now: Time) -> (Vec<Send>, Vec<Member>, Time) {
+    /// Runs the due steps; returns the datagrams to send, the members that changed, and the time of
+    /// the next step.
+    pub fn step(&mut self, now: Time) -> (Vec<Outgoing>, Vec<Member>, Time) {
         let Some(fleet) = &mut self.fleet else {
             return (Vec::new(), Vec::new(), Time::NEVER);
         };
-        self.settled |= now.since(self.joined_at) > SETTLING;
+        self.is_settled |= now.since(self.joined_at) > SETTLING_TIME;
         let mut outputs = Vec::new();
         let next = fleet.step(now, &mut outputs);
         if fleet.declared_dead() {
@@ -175,22 +177,22 @@
         let mut changed = Vec::new();
         for output in outputs {
             match output {
-                Output::Send { to, message } => sends.extend(self.address(to, message)),
+                Output::Send { to, message } => sends.extend(self.outgoing(to, message)),
                 Output::Changed { member, before } => {
                     self.note_absence(now, &member, before);
                     changed.push(member);
                 }
             }
         }
-        self.most = self.most.max(self.count());
+        self.max_alive = self.max_alive.max(self.alive_count());
         (sends, changed, next)
     }
 
-    /// Notes whether `member` is in reach.
+    /// Records whether `member` is reachable.
     fn note_absence(&mut self, now: Time, member: &Member, before: Option<State>) {
         self.changed_at = now;
         match member.state {
-            // One that leaves by itself is not on the other side of a cut.
+            // A member that leaves on purpose is not on the other side of a network partition.
             State::Alive | State::Leaving => {
                 self.absent.remove(&member.instance);
             }
@@ -201,101 +203,102 @@
         }
     }
 
-    /// When a member last came or went, as far as this daemon knows.
+    /// Time of the last known change of the membership.
     pub const fn changed_at(&self) -> Time {
         self.changed_at
     }
 
-    /// Whether the members in reach are more than the instances that may be at work out of reach. Until the members are met,
-    /// all that are known count as members; a daemon that knows of none does not take itself for the only one.
+    /// Whether the reachable members outnumber the instances that may be running out of reach. For
+    /// `SETTLING_TIME` after joining, all known instances count as members. A daemon that knows of
+    /// no other is not a majority.
     pub fn is_majority(&self, now: Time) -> bool {
-        let knows_others = self.is_listed || !self.cards.is_empty();
+        let knows_others = self.is_listed || !self.others.is_empty();
         match &self.fleet {
             None => false,
             Some(_) if !knows_others => false,
-            Some(fleet) => !self.settled || fleet.alive().count() > self.absent(now, fleet),
+            Some(fleet) => !self.is_settled || fleet.alive().count() > self.absent(now, fleet),
         }
     }
 
-    /// Instances out of reach that may be at work.
+    /// Number of unreachable instances that may be running.
     fn absent(&self, now: Time, fleet: &Fleet) -> usize {
-        let in_reach: HashSet<Instance> = fleet.alive().map(|member| member.instance).collect();
+        let reachable: HashSet<Instance> = fleet.alive().map(|member| member.instance).collect();
         let absent = self.absent.iter().filter(|(instance, since)| {
-            // Of a member in reach, the card may have come after the news of it.
-            now.since(**since) < ABSENCE && !in_reach.contains(*instance)
+            // The info of a reachable member may have arrived after its membership record.
+            now.since(**since) < ABSENCE_TIMEOUT && !reachable.contains(*instance)
         });
         absent.count()
     }
 
-    /// The keeper of what is kept under `key`, and its deputy: instances with where they listen.
+    /// The keeper of `key` and its deputy, with their addresses for peers.
     pub fn keepers(&self, key: u64) -> Vec<(Instance, SocketAddr)> {
         let fleet = self.fleet.as_ref();
-        let ranked = match fleet.filter(|_| self.settled) {
+        let ranked = match fleet.filter(|_| self.is_settled) {
             Some(fleet) => owner::rank(key, fleet.serving().map(|member| member.instance), KEEPERS),
-            None => owner::rank(key, self.not_dead().map(Card::instance), KEEPERS),
+            None => owner::rank(key, self.not_dead().map(InstanceInfo::instance), KEEPERS),
         };
-        let at = |instance| Some((instance, self.card(instance)?.peers));
+        let at = |instance| Some((instance, self.info(instance)?.peers));
         ranked.into_iter().filter_map(at).collect()
     }
 
-    /// Name of an instance, or its key where the name is not known.
+    /// Name of an instance, or its key if the name is not known.
     pub fn name(&self, instance: Instance) -> String {
-        let card = self.cards.get(&instance);
-        card.map_or_else(|| instance.to_string(), |card| card.name.clone())
+        let info = self.others.get(&instance);
+        info.map_or_else(|| instance.to_string(), |info| info.name.clone())
     }
 
-    /// Instances that share what may be retried: the most that were members at once.
+    /// Number of instances that share the retry budget: the largest number of members seen at once.
     pub const fn sharers(&self) -> usize {
-        self.most
+        self.max_alive
     }
 
-    /// Instances that callers are told of: members that are neither leaving nor suspected.
-    pub fn open(&self) -> Vec<Endpoint> {
+    /// Instances that are advertised to callers: members that are neither leaving nor suspected.
+    pub fn advertised(&self) -> Vec<Endpoint> {
         let Some(fleet) = &self.fleet else {
             return Vec::new();
         };
         let alive = fleet.alive().filter(|member| member.state == State::Alive);
         alive
-            .filter_map(|member| self.card(member.instance))
-            .map(|card| Endpoint {
-                data_centre: card.data_centre,
-                address: card.callers,
-                capacity: card.capacity,
+            .filter_map(|member| self.info(member.instance))
+            .map(|info| Endpoint {
+                data_centre: info.data_centre,
+                address: info.callers,
+                capacity: info.capacity,
             })
             .collect()
     }
 
-    /// Whether this daemon is the one that is to act on `key`.
-    pub fn owns(&self, key: u64) -> bool {
+    /// Whether this daemon owns `key`.
+    pub fn is_owner(&self, key: u64) -> bool {
         let owner = self.fleet.as_ref().and_then(|fleet| fleet.owner(key));
         owner == Some(self.own.instance())
     }
 
-    /// Where the daemon listens that reads the store for this data centre; `None` if that is this one.
+    /// Peer address of this data centre's poller; `None` if that is this daemon.
     pub fn poller(&self) -> Option<SocketAddr> {
         let poller = self.poller_in(self.own.data_centre)?;
-        self.cards.get(&poller).map(|card| card.peers)
+        self.others.get(&poller).map(|info| info.peers)
     }
 
-    /// The instance that reads the store for `data_centre`: among the members, or, until these are met,
-    /// among all that are listed and not known to be dead.
+    /// The poller of `data_centre`: chosen among the members, or, for [`SETTLING_TIME`] after
+    /// joining, among all listed instances that are not known to be dead.
     fn poller_in(&self, data_centre: Zone) -> Option<Instance> {
         let fleet = self.fleet.as_ref();
-        match fleet.filter(|_| self.settled) {
-            Some(fleet) => fleet.owner_in(data_centre, POLLER),
+        match fleet.filter(|_| self.is_settled) {
+            Some(fleet) => fleet.owner_in(data_centre, POLLER_KEY),
             None => {
-                let near = self
+                let local = self
                     .not_dead()
-                    .filter(|card| card.data_centre == data_centre);
-                owner::choose(POLLER, near.map(Card::instance))
+                    .filter(|info| info.data_centre == data_centre);
+                owner::choose(POLLER_KEY, local.map(InstanceInfo::instance))
             }
         }
     }
 
-    /// The instances that are listed and not known to be dead, this one among them.
-    fn not_dead(&self) -> impl Iterator<Item = &Card> {
-        let all = std::iter::once(&self.own).chain(self.cards.values());
-        all.filter(|card| !self.is_dead(card.instance()))
+    /// Instances that are not known to be dead, including this one.
+    fn not_dead(&self) -> impl Iterator<Item = &InstanceInfo> {
+        let all = std::iter::once(&self.own).chain(self.others.values());
+        all.filter(|info| !self.is_dead(info.instance()))
     }
 
     fn is_dead(&self, instance: Instance) -> bool {
@@ -304,74 +307,74 @@
         member.is_some_and(|member| member.state == State::Dead)
     }
 
-    /// Where a daemon of this data centre listens, drawn anew each time; `None` if no other is known.
-    pub fn neighbour(&self) -> Option<SocketAddr> {
-        let near = self.own.data_centre;
-        let others = self.cards.values();
-        let others = others.filter(|card| card.data_centre == near);
-        others.map(|card| card.peers).choose(&mut rand::rng())
+    /// Peer address of a random other daemon of this data centre; `None` if no other is known.
+    pub fn random_local_peer(&self) -> Option<SocketAddr> {
+        let local = self.own.data_centre;
+        let others = self.others.values();
+        let others = others.filter(|info| info.data_centre == local);
+        others.map(|info| info.peers).choose(&mut rand::rng())
     }
 
-    /// Instances of this data centre, this one among them.
-    pub fn near_count(&self) -> usize {
-        let near = self.own.data_centre;
-        let others = self.cards.values();
-        1 + others.filter(|card| card.data_centre == near).count()
+    /// Number of known instances of this data centre, including this one.
+    pub fn local_count(&self) -> usize {
+        let local = self.own.data_centre;
+        let others = self.others.values();
+        1 + others.filter(|info| info.data_centre == local).count()
     }
 
-    /// Peer addresses of the daemons that read the store for other data centres, in random order.
-    pub fn distant_pollers(&self) -> Vec<SocketAddr> {
-        let near = self.own.data_centre;
-        let mut distant: Vec<Zone> = self.cards.values().map(|card| card.data_centre).collect();
-        distant.retain(|zone| *zone != near);
-        distant.sort_unstable();
-        distant.dedup();
-        distant.shuffle(&mut rand::rng());
-        let pollers = distant.into_iter().filter_map(|zone| self.poller_in(zone));
-        let cards = pollers.filter_map(|poller| self.cards.get(&poller));
-        cards.map(|card| card.peers).collect()
+    /// Peer addresses of the pollers of other data centres, in random order.
+    pub fn remote_pollers(&self) -> Vec<SocketAddr> {
+        let local = self.own.data_centre;
+        let mut remote: Vec<Zone> = self.others.values().map(|info| info.data_centre).collect();
+        remote.retain(|zone| *zone != local);
+        remote.sort_unstable();
+        remote.dedup();
+        remote.shuffle(&mut rand::rng());
+        let pollers = remote.into_iter().filter_map(|zone| self.poller_in(zone));
+        let instances = pollers.filter_map(|poller| self.others.get(&poller));
+        instances.map(|info| info.peers).collect()
     }
 
-    /// Where the daemon of `instance` listens for others, if it is known.
-    pub fn peer(&self, instance: Instance) -> Option<SocketAddr> {
-        self.cards.get(&instance).map(|card| card.peers)
+    /// Peer address of `instance`, if it is known.
+    pub fn peer_address(&self, instance: Instance) -> Option<SocketAddr> {
+        self.others.get(&instance).map(|info| info.peers)
     }
 
-    /// Where daemons of other known instances listen.
-    pub fn peers(&self) -> Vec<SocketAddr> {
-        self.cards.values().map(|card| card.peers).collect()
+    /// Peer addresses of all other known instances.
+    pub fn peer_addresses(&self) -> Vec<SocketAddr> {
+        self.others.values().map(|info| info.peers).collect()
     }
 
-    /// How many instances are known, this one among them.
-    pub fn known(&self) -> usize {
-        1 + self.cards.len()
+    /// Number of known instances, including this one.
+    pub fn known_count(&self) -> usize {
+        1 + self.others.len()
     }
 
-    /// Cards of all instances known, this one's first.
-    pub fn cards(&self) -> Vec<Card> {
+    /// Infos of all known instances, this one first.
+    pub fn all_instances(&self) -> Vec<InstanceInfo> {
         let own = std::iter::once(&self.own);
-        own.chain(self.cards.values()).cloned().collect()
+        own.chain(self.others.values()).cloned().collect()
     }
 
-    /// Members in reach, this one among them.
-    pub fn count(&self) -> usize {
+    /// Number of reachable members, including this one.
+    pub fn alive_count(&self) -> usize {
         self.fleet.as_ref().map_or(1, |fleet| fleet.alive().count())
     }
 
-    fn card(&self, instance: Instance) -> Option<&Card> {
+    fn info(&self, instance: Instance) -> Option<&InstanceInfo> {
         if instance == self.own.instance() {
             return Some(&self.own);
         }
-        self.cards.get(&instance)
+        self.others.get(&instance)
     }
 
-    fn address(&self, to: Instance, message: Message) -> Option<Send> {
-        let card = self.cards.get(&to)?;
-        let hint = self.cards.values().choose(&mut rand::rng());
-        Some(Send {
-            to: card.peers,
+    fn outgoing(&self, to: Instance, message: Message) -> Option<Outgoing> {
+        let info = self.others.get(&to)?;
+        let hint = self.others.values().choose(&mut rand::rng());
+        Some(Outgoing {
+            to: info.peers,
             message,
-            hint: hint.filter(|hint| hint.name != card.name).cloned(),
+            hint: hint.filter(|hint| hint.name != info.name).cloned(),
         })
     }
 }
--- /dev/null
+++ b/crates/gateway/src/quarantine/probe.rs
@@ -0,0 +1,97 @@
+//! Probes replicas that were lost while at work, to find out whether they ended.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use boottime::Instant;
+use boottime::timer::sleep;
+use boottime::timer::timeout;
+use relay::fingerprint::Fingerprint;
+use relay::quarantine::LIMIT;
+use relay::server::Key;
+
+use crate::clock;
+use crate::control;
+use crate::control::Presence;
+use crate::shared::Shared;
+
+/// Pause between two probes of a replica that does not answer.
+const PROBE_PAUSE: Duration = Duration::from_millis(300);
+/// Unanswered probes after which a replica counts as ended, about a second after its answer broke
+/// off: a retry of the request must see it by then, and the list shows the end up to 3.6 s later.
+/// Probes are counted instead of time because time also passes while this process is stopped or its
+/// machine suspended.
+const MAX_UNANSWERED: usize = 3;
+/// Maximum number of probes. Their pauses take 3.9 s, longer than the 3.6 s after which an ended
+/// replica is no longer listed; one that still closes connections then is alive.
+const MAX_PROBES: usize = 14;
+/// Maximum time that a request waits for probes before it is sent again: a live replica answers
+/// within some milliseconds, and a closed port refuses as fast.
+const MAX_WAIT: Duration = Duration::from_millis(400);
+
+/// Starts a probe of each lost replica, forever.
+pub async fn run(shared: Rc<Shared>) {
+    loop {
+        for (key, replica) in shared.probes.take_new() {
+            tokio::task::spawn_local(probe(Rc::clone(&shared), key, replica));
+        }
+        shared.probes.added().await;
+    }
+}
+
+/// Probes `replica`, behind `key`, and records its end if it has ended.
+async fn probe(shared: Rc<Shared>, key: Key, replica: u64) {
+    let started = Instant::now();
+    let presence = probe_presence(&shared, key).await;
+    for fingerprint in shared.probes.take_requests(key) {
+        if presence != Presence::Here {
+            shared.note_end(fingerprint, replica);
+        }
+    }
+    shared.probes.notify_finished();
+    log::info!(kind = "inquiry", replica = format!("{replica:016x}"), presence = format!("{presence:?}"), ms = started.elapsed().as_millis() as u64; "a replica was lost while at work");
+}
+
+async fn probe_presence(shared: &Shared, key: Key) -> Presence {
+    let mut unanswered = 0;
+    for number in 1..=MAX_PROBES {
+        match control::probe(shared, key).await {
+            Presence::Unknown if unanswered + 1 == MAX_UNANSWERED => return Presence::Unknown,
+            Presence::Unknown => unanswered += 1,
+            Presence::Closing => {}
+            presence => return presence,
+        }
+        if number < MAX_PROBES {
+            sleep(PROBE_PAUSE).await;
+        }
+    }
+    Presence::Here
+}
+
+impl Shared {
+    /// Whether the request may be sent to a replica. Waits up to `MAX_WAIT` while the outcome of
+    /// probes may quarantine it.
+    pub async fn may_send(&self, fingerprint: Fingerprint) -> bool {
+        let decision = async {
+            loop {
+                let finished = self.probes.finished();
+                if self.quarantined_for(fingerprint).is_some() {
+                    return false;
+                }
+                if !self.may_become_quarantined(fingerprint) {
+                    return true;
+                }
+                finished.await;
+            }
+        };
+        timeout(MAX_WAIT, decision).await.unwrap_or(false)
+    }
+
+    /// Whether the request would be quarantined if all replicas being probed have ended.
+    fn may_become_quarantined(&self, fingerprint: Fingerprint) -> bool {
+        let quarantine = self.quarantine.borrow();
+        let ends = quarantine.get(fingerprint).map_or(0, |r| r.ends.len());
+        ends + self.probes.count(fingerprint) >= LIMIT
+            && !quarantine.was_served_lately(clock::unix(), fingerprint)
+    }
+}
--- a/crates/gateway/src/quota/charge.rs
+++ b/crates/gateway/src/quota/charge.rs
@@ -62,7 +62,7 @@
                 self.shared
                     .quotas
                     .borrow_mut()
-                    .pocket(self.demand.subject)
+                    .local_budget(self.demand.subject)
                     .settle(number);
             }
             (Source::LocalBudget(number), true) => {
@@ -79,7 +79,7 @@
     let decision = reply.map(|reply| reply.answer.decision);
     let now = shared.clock.now();
     let mut quotas = shared.quotas.borrow_mut();
-    let budget = quotas.pocket(demand.subject);
+    let budget = quotas.local_budget(demand.subject);
     match decision {
         Some(Decision::Counted) => budget.settle(number),
         Some(Decision::Overdrawn { free_ms }) => {
--- a/crates/gateway/src/quota/keeper.rs
+++ b/crates/gateway/src/quota/keeper.rs
@@ -45,7 +45,7 @@
 pub const fn refund_message(demand: Demand) -> Message {
     Message::Ask {
         number: NO_REPLY,
-        ask: demand.ask(Purpose::GiveBack),
+        ask: demand.request(Purpose::GiveBack),
         limit: demand.limit,
     }
 }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use platform::caller::Task;
 use platform::reply::Head;
-use platform::reply::Subject;
+use platform::reply::RequestMatch;
 use relay::attempt::Outcome;
 use relay::permit::Permit;
 use relay::permit::Work;
@@ -57,7 +57,7 @@
     };
     let sent = if !shared.may_send(job.fingerprint).await {
         Err(Outcome::Quarantined)
-    } else if shared.is_denied(job) {
+    } else if shared.is_revoked(job) {
         Err(Outcome::Denied)
     } else {
         with_charge(job, work, send_once(shared, job, key, task, reservation)).await
@@ -139,7 +139,7 @@
         Err(failure) => return Err(record_exchange_failure(shared, job, key, &failure)),
     };
     let head = Head::read(&job.call.id, response.status(), response.headers());
-    if !connection.may_match(head.subject) {
+    if !connection.may_match(head.request_match) {
         return Err(record_foreign_answer(shared, job, key, &head, &connection));
     }
     if let Some(load) = head.load {
@@ -164,7 +164,7 @@
         return Err(outcome);
     }
     if decode {
-        shared.note_pace(key, begun.elapsed(), 1.0);
+        shared.record_work(key, begun.elapsed(), 1.0);
     }
     Ok(Reply {
         head,
@@ -187,8 +187,8 @@
     shared
         .connections
         .record_duplicate_answer(connection.address());
-    let whose = match head.subject {
-        Subject::Unnamed => "the answer names no request",
+    let whose = match head.request_match {
+        RequestMatch::Unnamed => "the answer names no request",
         _ => "the answer is another request's",
     };
     let cause = format!(
@@ -222,7 +222,7 @@
     status: u16,
 ) {
     if outcome == Outcome::Lost {
-        shared.inquire(job.fingerprint, key);
+        shared.probe_lost(job.fingerprint, key);
     }
     let now = shared.clock.now();
     let mut pool = shared.pool.borrow_mut();
@@ -288,7 +288,7 @@
 /// Handle of the KV cache that `task` continues from; empty if there is none.
 fn cache_handle(task: &Task) -> &str {
     match task {
-        Task::Decode { handle, .. } | Task::GoOn { handle, .. } => handle,
+        Task::Decode { handle, .. } | Task::Continue { handle, .. } => handle,
         Task::Answer | Task::Prefill | Task::Resume { .. } => "",
     }
 }
@@ -298,7 +298,7 @@
         Task::Answer => "answer",
         Task::Prefill => "prefill",
         Task::Decode { .. } => "decode",
-        Task::GoOn { .. } => "go-on",
+        Task::Continue { .. } => "go-on",
         Task::Resume { .. } => "resume",
     }
 }
--- a/crates/gateway/tests/gateway/second_calls.rs
+++ b/crates/gateway/tests/gateway/second_calls.rs
@@ -387,6 +387,6 @@
         statuses.starts_with(&logged),
         "{statuses:?}, in the log {logged:?}"
     );
-    let unread = site.daemon.logged("an engine did not tell its state");
+    let unread = site.daemon.logged("an engine did not report its state");
     assert!(unread.is_empty(), "{unread:?}");
 }
--- a/crates/launch/tests/cli.rs
+++ b/crates/launch/tests/cli.rs
@@ -12,9 +12,9 @@
 const PROGRAM: Program = Program {
     name: "sample",
     version: "1.2.3",
-    brief: "Usage: sample --config FILE",
-    page: "docs/SAMPLE.md",
-    variable: None,
+    usage: "Usage: sample --config FILE",
+    settings_page: "docs/SAMPLE.md",
+    settings_variable: None,
 };
 
 fn parse(args: &[&str]) -> Result<Command, Error> {
@@ -28,7 +28,7 @@
 #[case(&["--config", "a.yaml"], Command::Run { path: PathBuf::from("a.yaml") })]
 #[case(&["-c", "a.yaml", "--check"], Command::Check { path: PathBuf::from("a.yaml") })]
 #[case(&["--help", "--config", "a.yaml"], Command::Help)]
-fn a_proper_command_line(#[case] args: &[&str], #[case] expected: Command) {
+fn a_valid_command_line(#[case] args: &[&str], #[case] expected: Command) {
     assert_eq!(parse(args).unwrap(), expected);
 }
 
@@ -37,15 +37,15 @@
 #[case(&["--check"], "`--config FILE` is missing")]
 #[case(&["--config", "a.yaml", "more"], "unexpected argument `more`")]
 #[case(&["--wrong"], "wrong")]
-fn an_improper_command_line(#[case] args: &[&str], #[case] cause: &str) {
+fn an_invalid_command_line(#[case] args: &[&str], #[case] cause: &str) {
     let error = parse(args).unwrap_err();
     assert!(error.to_string().contains(cause), "{error}");
     assert_eq!(error.exit_code(), ExitCode::Usage);
-    assert_eq!(error.advice(&PROGRAM), "`sample --help`");
+    assert_eq!(error.hint(&PROGRAM), "`sample --help`");
 }
 
 #[test]
-fn a_fault_of_the_settings_names_file_line_and_page() {
+fn an_error_in_the_settings_names_file_line_and_page() {
     let error = Error::Settings {
         path: PathBuf::from("a.yaml"),
         line: 7,
@@ -55,11 +55,11 @@
         error.to_string(),
         "settings file a.yaml, line 7: grace_s: missing"
     );
-    assert!(error.advice(&PROGRAM).contains("docs/SAMPLE.md"));
+    assert!(error.hint(&PROGRAM).contains("docs/SAMPLE.md"));
     assert_eq!(error.exit_code().code(), 3);
 }
 
 #[test]
-fn the_help_text_begins_with_the_brief() {
-    assert!(cli::help(&PROGRAM).starts_with(PROGRAM.brief));
+fn the_help_text_begins_with_the_usage() {
+    assert!(cli::help(&PROGRAM).starts_with(PROGRAM.usage));
 }
--- a/crates/node/src/edits.rs
+++ b/crates/node/src/edits.rs
@@ -67,14 +67,14 @@
             Some(committed) => self.announce(number, committed, out),
             None => self.close_edit(number, verdict_of(outcome), out),
         }
-        if self.tables.view.behind() {
+        if self.tables.view.is_behind() {
             self.read_store(StoreRequest::Table, out);
         }
     }
 
     fn announce(&mut self, number: u64, committed: (u64, bool), out: &mut Vec<Action>) {
         let now = self.now;
-        self.tables.view.announce(committed.0);
+        self.tables.view.record_generation(committed.0);
         if let Some(pending) = self.tables.sync.pending_edits.get_mut(&number) {
             pending.committed = Some(committed);
             pending.since = now;
@@ -119,9 +119,9 @@
         generation: u64,
         out: &mut Vec<Action>,
     ) {
-        self.tables.view.announce(generation);
+        self.tables.view.record_generation(generation);
         self.send(from, Body::Noted { edit }, out);
-        if self.tables.view.behind() {
+        if self.tables.view.is_behind() {
             self.send(from, Body::Pull, out);
         }
     }
--- a/crates/node/src/tables.rs
+++ b/crates/node/src/tables.rs
@@ -13,7 +13,7 @@
 use ident::Instance;
 use ledger::ids::QueryId;
 use table::Table;
-use table::view::Offer;
+use table::view::OfferResult;
 use wire::Body;
 
 use crate::action::Action;
@@ -92,15 +92,15 @@
         };
         match outcome {
             StoreReply::Generation { generation } => {
-                self.tables.view.announce(generation);
-                if self.tables.view.behind() {
+                self.tables.view.record_generation(generation);
+                if self.tables.view.is_behind() {
                     self.read_store(StoreRequest::Table, out);
                 } else {
                     self.record_proof(since);
                 }
             }
             StoreReply::Table(table) => {
-                self.tables.view.announce(table.generation);
+                self.tables.view.record_generation(table.generation);
                 self.apply_table(*table, out);
                 self.record_proof(since);
             }
@@ -110,7 +110,7 @@
 
     pub(crate) fn apply_table(&mut self, table: Table, out: &mut Vec<Action>) {
         let generation = table.generation;
-        if self.tables.view.offer(self.now, table) == Offer::Taken {
+        if self.tables.view.offer(self.now, table) == OfferResult::Accepted {
             let name = self.settings.name.clone();
             let choice = format!("generation {generation}");
             self.log(&name, Step::Table, &choice, "in force here", out);
@@ -123,7 +123,7 @@
                 .tables
                 .view
                 .table()
-                .is_some_and(|table| table.drains_instance(&self.settings.name));
+                .is_some_and(|table| table.is_instance_draining(&self.settings.name));
             self.lifecycle.drained = marked.then(|| self.lifecycle.drained.unwrap_or(self.now));
             self.refresh_schedulers();
             self.send_news(out);
--- a/crates/table/src/error.rs
+++ b/crates/table/src/error.rs
@@ -1,24 +1,24 @@
-//! What is wrong with a table, and what to try.
+//! Errors in a table or an edit, each with a suggested correction.
 
 use std::fmt;
 
 use crate::Table;
-use crate::limits::MAX_TEXT;
+use crate::limits::MAX_NAME_BYTES;
 
-/// Where a fault stands.
+/// Location of an error.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
-    /// The line of the file, counted from 1; `None` if the rows come from no file or can't be
-    /// told apart in it by lines.
+pub struct Location {
+    /// The line of the file, counted from 1; `None` if the rows are not read from a file or do not
+    /// start on separate lines.
     pub line: Option<usize>,
-    /// The row, as `service/class/pool`; empty if it is not known.
+    /// The row, as `service/class/pool`; empty if unknown.
     pub row: String,
-    /// The column; empty if the fault is in no single column.
+    /// The column; empty if the error is not in a single column.
     pub field: String,
 }
 
-impl Place {
-    /// The column `field` of the row `row`, in no file.
+impl Location {
+    /// The column `field` of the row `row`, without a line.
     pub fn new(row: &str, field: &str) -> Self {
         Self {
             line: None,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The same place at `line` of a file.
+    /// The same location at `line` of a file.
     #[must_use]
     pub fn with_line(mut self, line: Option<usize>) -> Self {
         self.line = line;
@@ -35,7 +35,7 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let line = self.line.map(|line| format!("line {line}"));
         let row = (!self.row.is_empty()).then(|| format!("row {}", self.row));
@@ -48,99 +48,99 @@
     }
 }
 
-/// One fault.
+/// An error in a table or an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// The file is no YAML list of rows, or a column is unknown or of the wrong type.
+    /// The file is not a YAML list of rows, or a column is unknown or of the wrong type.
     Syntax {
-        /// Where it stands.
-        place: Place,
-        /// What the parser found.
+        /// Location of the error.
+        location: Location,
+        /// Message of the parser.
         found: String,
     },
     /// A column that has no default is missing.
-    Missing {
-        /// Where it should stand.
-        place: Place,
+    MissingColumn {
+        /// Location of the row, and the column.
+        location: Location,
     },
-    /// A number outside the values that its column may take.
-    Range {
-        /// Where it stands.
-        place: Place,
+    /// A number outside the range of its column.
+    OutOfRange {
+        /// Location of the number.
+        location: Location,
         /// The number found.
         value: i64,
-        /// The least value allowed.
-        least: i64,
-        /// The greatest value allowed.
-        most: i64,
+        /// The smallest allowed value.
+        min: i64,
+        /// The largest allowed value.
+        max: i64,
     },
-    /// A name with characters that are not allowed, or of a wrong length.
-    Text {
-        /// Where it stands.
-        place: Place,
+    /// A name that is empty, too long or contains characters that are not allowed.
+    InvalidName {
+        /// Location of the name.
+        location: Location,
         /// The text found.
         value: String,
     },
-    /// Two columns of a row that can't both hold.
+    /// Two columns of a row that contradict each other.
     Contradiction {
-        /// Where the smaller one stands.
-        place: Place,
-        /// Its value.
+        /// Location of the column whose value is too small.
+        location: Location,
+        /// The value of that column.
         value: i64,
-        /// The column that it must not be below.
+        /// The column whose value is the lower bound.
         other: &'static str,
-        /// The value of that column.
+        /// The value of the other column.
         bound: i64,
     },
-    /// A key that stands twice.
-    Duplicate {
-        /// Where the second one stands.
-        place: Place,
-        /// The line of the first one.
+    /// A key that occurs more than once.
+    DuplicateKey {
+        /// Location of the second occurrence.
+        location: Location,
+        /// The line of the first occurrence.
         first: Option<usize>,
     },
-    /// More rows than a table may have.
-    Count {
-        /// The number of rows found.
+    /// More rows than allowed in a table.
+    TooManyRows {
+        /// The number of rows.
         rows: usize,
     },
-    /// A file longer than is read.
-    Size {
-        /// The length found, in bytes.
+    /// A file or note longer than allowed.
+    TooLong {
+        /// The length, in bytes.
         bytes: usize,
-        /// The longest that is read, in bytes.
-        most: usize,
+        /// The maximum length, in bytes.
+        max: usize,
     },
-    /// An edit without any change.
-    Empty,
+    /// An edit without changes.
+    NoChanges,
 }
 
 impl Error {
-    /// The same fault at `line` of a file.
+    /// The same error at `line` of a file.
     #[must_use]
     pub fn with_line(mut self, line: Option<usize>) -> Self {
         match &mut self {
-            Self::Syntax { place, .. }
-            | Self::Missing { place }
-            | Self::Range { place, .. }
-            | Self::Text { place, .. }
-            | Self::Contradiction { place, .. }
-            | Self::Duplicate { place, .. } => place.line = line,
-            Self::Count { .. } | Self::Size { .. } | Self::Empty => {}
+            Self::Syntax { location, .. }
+            | Self::MissingColumn { location }
+            | Self::OutOfRange { location, .. }
+            | Self::InvalidName { location, .. }
+            | Self::Contradiction { location, .. }
+            | Self::DuplicateKey { location, .. } => location.line = line,
+            Self::TooManyRows { .. } | Self::TooLong { .. } | Self::NoChanges => {}
         }
         self
     }
 
-    /// Where the fault stands, if it stands at one place.
-    pub fn place(&self) -> Option<&Place> {
+    /// The location of the error, if it has a single one.
+    pub fn location(&self) -> Option<&Location> {
         match self {
-            Self::Syntax { place, .. }
-            | Self::Missing { place }
-            | Self::Range { place, .. }
-            | Self::Text { place, .. }
-            | Self::Contradiction { place, .. }
-            | Self::Duplicate { place, .. } => Some(place),
-            Self::Count { .. } | Self::Size { .. } | Self::Empty => None,
+            Self::Syntax { location, .. }
+            | Self::MissingColumn { location }
+            | Self::OutOfRange { location, .. }
+            | Self::InvalidName { location, .. }
+            | Self::Contradiction { location, .. }
+            | Self::DuplicateKey { location, .. } => Some(location),
+            Self::TooManyRows { .. } | Self::TooLong { .. } | Self::NoChanges => None,
         }
     }
 }
@@ -148,65 +148,68 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Syntax { place, found } => {
+            Self::Syntax { location, found } => {
                 write!(
                     f,
-                    "{place}: {found}; write a list of rows with the documented columns"
+                    "{location}: {found}; write a list of rows with the documented columns"
                 )
             }
-            Self::Missing { place } => {
-                write!(f, "{place}: missing; add it, it has no default")
+            Self::MissingColumn { location } => {
+                write!(f, "{location}: missing; add it, it has no default")
             }
-            Self::Range {
-                place,
+            Self::OutOfRange {
+                location,
                 value,
-                least,
-                most,
+                min,
+                max,
             } => {
-                write!(f, "{place}: {value} is out of range; use {least} to {most}")
+                write!(f, "{location}: {value} is out of range; use {min} to {max}")
             }
-            Self::Text { place, value } => write!(
+            Self::InvalidName { location, value } => write!(
                 f,
-                "{place}: `{value}` is not a name; use 1 to {MAX_TEXT} letters, digits, `-`, `_` or `.`"
+                "{location}: `{value}` is not a name; use 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`"
             ),
             Self::Contradiction {
-                place,
+                location,
                 value,
                 other,
                 bound,
             } => write!(
                 f,
-                "{place}: {value} is below {other} ({bound}); raise it to {bound} or lower {other}"
+                "{location}: {value} is below {other} ({bound}); raise it to {bound} or lower {other}"
             ),
-            Self::Duplicate {
-                place,
+            Self::DuplicateKey {
+                location,
                 first: Some(first),
             } => {
                 write!(
                     f,
-                    "{place}: the key stands on line {first} already; keep one of the two"
+                    "{location}: the key already occurs on line {first}; remove one of the two"
                 )
             }
-            Self::Duplicate { place, first: None } => {
-                write!(f, "{place}: the key stands twice; keep one of the two")
+            Self::DuplicateKey {
+                location,
+                first: None,
+            } => {
+                write!(f, "{location}: the key occurs twice; remove one of the two")
             }
-            Self::Count { rows } => {
+            Self::TooManyRows { rows } => {
                 write!(f, "table: {rows} rows; use at most {}", Table::MAX_ROWS)
             }
-            Self::Size { bytes, most } => {
-                write!(f, "file: {bytes} bytes; use at most {most}")
+            Self::TooLong { bytes, max } => {
+                write!(f, "file: {bytes} bytes; use at most {max}")
             }
-            Self::Empty => write!(f, "edit: no change; nothing is left to apply"),
+            Self::NoChanges => write!(f, "edit: it contains no changes"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// All faults of a file or an edit, never empty.
+/// All errors of a file or an edit, never empty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// The faults, in file order.
+    /// The errors, in file order.
     pub errors: Vec<Error>,
 }
 
@@ -215,7 +218,7 @@
     ///
     /// # Errors
     ///
-    /// The report of `errors`.
+    /// The report of `errors`, if there are any.
     pub fn check(errors: Vec<Error>) -> Result<(), Self> {
         if errors.is_empty() {
             Ok(())
