--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -52,7 +52,7 @@
 }
 
 impl Client {
-    /// A client with the usual timeouts.
+    /// A client with the default limits.
     pub fn new() -> Self {
         Self {
             timeouts: Timeouts {
--- a/crates/entry/src/peers/mod.rs
+++ b/crates/entry/src/peers/mod.rs
@@ -5,9 +5,9 @@
 //! because frames of an outsider could replace the table.
 //!
 //! Frames contain ages (`wire::TableStatus`), which are wrong in a late frame. Therefore a frame
-//! that has waited too long is dropped, a connection whose peer does not answer pings is reset together
-//! with the data that the system has buffered for it, and a daemon that was paused drops its
-//! incoming connections before reading from them.
+//! that has waited too long is dropped, a connection whose peer does not answer pings is reset
+//! together with the data that the system has buffered for it, and a daemon that was paused drops
+//! its incoming connections before reading from them.
 
 mod error;
 mod link;
--- a/crates/entry/src/platform/commit.rs
+++ b/crates/entry/src/platform/commit.rs
@@ -54,20 +54,23 @@
     match table::transaction::plan_edit(edit, &records, clock::unix_time().as_secs())? {
         Decision::Applied(generation) if sent => Ok(Some(StoreReply::Committed { generation })),
         Decision::Applied(generation) => Ok(Some(StoreReply::Repeated { generation })),
-        Decision::Commit(plan) => match client.txn(&transaction(&plan)).await? {
+        Decision::Commit(transaction) => match client.txn(&build_txn(&transaction)).await? {
             Reply::Committed(_) => Ok(Some(StoreReply::Committed {
-                generation: plan.table.generation,
+                generation: transaction.table.generation,
             })),
             Reply::Conflict(_) => Ok(None),
         },
     }
 }
 
-fn transaction(plan: &Transaction) -> Txn {
-    let required = plan.require.iter().fold(Txn::new(), |txn, requirement| {
-        txn.with_requirement(&requirement.key, requirement.version)
-    });
-    plan.write.iter().fold(required, |txn, write| {
+fn build_txn(transaction: &Transaction) -> Txn {
+    let required = transaction
+        .require
+        .iter()
+        .fold(Txn::new(), |txn, requirement| {
+            txn.with_requirement(&requirement.key, requirement.version)
+        });
+    transaction.write.iter().fold(required, |txn, write| {
         txn.with_write(&write.key, write.value.as_deref())
     })
 }
--- a/crates/entry/tests/stop.rs
+++ b/crates/entry/tests/stop.rs
@@ -15,7 +15,7 @@
 
 /// `volo-http`'s server closes connections about this long after a signal, unless prevented.
 const LIBRARY_STOP_TIMEOUT: Duration = Duration::from_secs(30);
-/// A short time for which callers may cache an address; a leaving daemon accepts requests for longer.
+/// Shortens the time for which callers cache an address; a leaving daemon serves them for longer.
 const SHORT_TTL: &str = "timing: {address_ttl_ms: 100}\n";
 /// Time after which a leaving daemon with `SHORT_TTL` refuses new requests.
 const LEAVING_TIME: Duration = Duration::from_secs(2);
