--- a/crates/node/examples/drive.rs
+++ b/crates/node/examples/drive.rs
@@ -127,11 +127,11 @@
                 });
             }
             Action::SendToCaller { call, message } => {
-                println!("{call:?} receives {}", shown(&message))
+                println!("{call:?} receives {}", shown(&message));
             }
             Action::Log(decision) => println!(
                 "  {} {}: {} ({})",
-                decision.step.word(),
+                decision.step.as_str(),
                 decision.request,
                 decision.choice,
                 decision.reason
