--- a/crates/entry/src/callers/addresses.rs
+++ b/crates/entry/src/callers/addresses.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers are to use.
+//! The addresses that callers should use.
 
 use http::Response;
 use http::StatusCode;
@@ -13,9 +13,9 @@
 use super::Shared;
 use super::answer;
 use crate::clock;
-use crate::driver::inbox::Question;
+use crate::driver::inbox::StateQuery;
 
-/// Answers with the addresses, those of the wanted data centre first.
+/// Responds with the addresses, starting with those of the requested data centre.
 pub(super) async fn response(shared: &Shared, request: &Request) -> Response<Body> {
     let query = request.uri().query().unwrap_or_default();
     let wanted = form_urlencoded::parse(query.as_bytes())
@@ -27,9 +27,9 @@
     let near = Zone::new(&wanted);
     let addresses = shared
         .inbox
-        .ask(|sender| Question::Addresses(near, sender))
+        .query(|sender| StateQuery::Addresses(near, sender))
         .await;
-    let issued = clock::unix().as_secs();
+    let issued = clock::unix_time().as_secs();
     let addresses = addresses.unwrap_or_default();
     let lines = addresses
         .iter()
--- a/crates/entry/src/callers/stream.rs
+++ b/crates/entry/src/callers/stream.rs
@@ -15,55 +15,55 @@
 use volo_http::server::response::sse::Sse;
 
 use super::answer;
-use crate::driver::inbox::Open;
+use crate::driver::inbox::OpenRequest;
 use crate::stop;
 
-/// A comment is sent after this long without an event, so that a lost connection is noticed.
+/// Time without an event after which a comment is sent, to detect a lost connection.
 const KEEP_ALIVE: Duration = Duration::from_secs(10);
 
-struct State {
+struct StreamState {
     first: Option<CallerMessage>,
-    open: Open,
-    over: bool,
-    // Counted as being written until the connection drops the stream.
-    _response: stop::Response,
+    open: OpenRequest,
+    ended: bool,
+    // Held until the connection drops the stream.
+    _response: stop::PendingResponse,
 }
 
-/// The response whose stream begins with `first` and goes on with what `open` is told.
+/// A streamed response that starts with `first` and continues with the messages of `open`.
 ///
-/// It ends without a last event if the core gave the connection up; the caller resumes then.
+/// It ends without a final event if the core closes the connection; the caller then resumes.
 pub(super) fn response(
     first: CallerMessage,
-    open: Open,
-    response: stop::Response,
+    open: OpenRequest,
+    response: stop::PendingResponse,
 ) -> Response<Body> {
-    let state = State {
+    let state = StreamState {
         first: Some(first),
         open,
-        over: false,
+        ended: false,
         _response: response,
     };
     let events = stream::unfold(state, |mut state| async move {
-        if state.over {
+        if state.ended {
             return None;
         }
-        let tell = match state.first.take() {
+        let message = match state.first.take() {
             Some(first) => first,
             None => state.open.next().await?,
         };
-        state.over = !matches!(
-            tell,
+        state.ended = !matches!(
+            message,
             CallerMessage::Head { .. } | CallerMessage::Tokens { .. }
         );
-        Some((Ok::<_, Infallible>(event(&tell)), state))
+        Some((Ok::<_, Infallible>(event(&message)), state))
     });
     Sse::new(events)
         .keep_alive(KeepAlive::new().interval(KEEP_ALIVE))
         .into_response()
 }
 
-fn event(tell: &CallerMessage) -> Event {
-    match tell {
+fn event(message: &CallerMessage) -> Event {
+    match message {
         CallerMessage::Head { handle, token } => named(
             "head",
             &json!({"request": handle.to_string(), "resume": token}),
@@ -83,7 +83,7 @@
         CallerMessage::Done { tokens } => named("done", &json!({"tokens": tokens})),
         CallerMessage::Superseded => named("superseded", &json!({})),
         CallerMessage::Refusal(refusal) => named("error", &answer::refusal_json(refusal)),
-        // Neither belongs to a stream; the caller resumes.
+        // Neither is part of a stream; the caller resumes.
         CallerMessage::Answer { .. } | CallerMessage::Edit(_) => Event::new().comment("cut off"),
     }
 }
--- a/crates/entry/src/config/field.rs
+++ b/crates/entry/src/config/field.rs
@@ -1,4 +1,4 @@
-//! Checks of single fields, made by the visitors that read them, so that an error knows its line.
+//! Checks of single fields, done while parsing so that errors have a line number.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 /// Shortest secret and shortest operator token, in bytes.
 const SECRET_MIN: usize = 16;
 
-/// A secret as it is written in the file.
+/// A secret in the settings file, checked for its length.
 #[derive(Debug)]
-pub(super) struct Written(pub(super) Secret);
+pub(super) struct SecretText(pub(super) Secret);
 
-impl<'de> Deserialize<'de> for Written {
+impl<'de> Deserialize<'de> for SecretText {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_str(Text(|text| match text.len() {
+        from.deserialize_str(TextVisitor(|text| match text.len() {
             length if length < SECRET_MIN => {
                 Err(format!("has {length} bytes; write at least {SECRET_MIN}"))
             }
@@ -28,17 +28,17 @@
     }
 }
 
-/// A text that is not empty.
+/// Parses a text that is not empty.
 pub(super) fn name<'de, D: Deserializer<'de>>(from: D) -> Result<String, D::Error> {
-    from.deserialize_str(Text(|text| match text.trim() {
+    from.deserialize_str(TextVisitor(|text| match text.trim() {
         "" => Err("must not be empty; write a name".to_owned()),
         _ => Ok(text.to_owned()),
     }))
 }
 
-/// `ip:port` with a port.
+/// Parses `ip:port` with a port other than 0.
 pub(super) fn address<'de, D: Deserializer<'de>>(from: D) -> Result<SocketAddr, D::Error> {
-    from.deserialize_str(Text(|text| match text.parse::<SocketAddr>() {
+    from.deserialize_str(TextVisitor(|text| match text.parse::<SocketAddr>() {
         Ok(address) if address.port() != 0 => Ok(address),
         Ok(_) => Err(format!("`{text}` has port 0; write a port from 1 to 65535")),
         Err(_) => Err(format!(
@@ -47,15 +47,15 @@
     }))
 }
 
-/// A number from 1 up.
+/// Parses a number of at least 1.
 pub(super) fn positive<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
-    from.deserialize_any(Positive)
+    from.deserialize_any(PositiveVisitor)
 }
 
-/// Reads a text by a function that tells what is wrong with it.
-struct Text<T>(fn(&str) -> Result<T, String>);
+/// Parses a text with a function that returns the cause of an error.
+struct TextVisitor<T>(fn(&str) -> Result<T, String>);
 
-impl<T> Visitor<'_> for Text<T> {
+impl<T> Visitor<'_> for TextVisitor<T> {
     type Value = T;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -67,9 +67,9 @@
     }
 }
 
-struct Positive;
+struct PositiveVisitor;
 
-impl Visitor<'_> for Positive {
+impl Visitor<'_> for PositiveVisitor {
     type Value = u64;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -1,6 +1,6 @@
 //! Names and addresses of instances, replicas and data centres.
 //!
-//! Filled from the settings and from the platform's list; the core knows only keys.
+//! They come from the settings and the platform's list; the core itself handles only keys.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 use crate::config::Config;
 
-/// Where another daemon listens.
+/// Name and peer address of another daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
     /// Its name.
@@ -24,7 +24,7 @@
     pub address: SocketAddr,
 }
 
-/// Where a replica listens.
+/// Name, address and kind of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
     /// Its name.
@@ -38,21 +38,21 @@
 }
 
 #[derive(Debug, Default)]
-struct Content {
+struct Entries {
     seeds: HashMap<Instance, Peer>,
     peers: HashMap<Instance, Peer>,
     backends: HashMap<Replica, Backend>,
     zones: HashMap<Zone, String>,
 }
 
-/// Names and addresses by key.
+/// Names and addresses of instances, replicas and data centres by key.
 #[derive(Debug)]
 pub struct Directory {
-    content: RwLock<Content>,
+    entries: RwLock<Entries>,
 }
 
 impl Directory {
-    /// The seeds and the own data centre of `config`.
+    /// A directory with the seeds and the data centre of `config`.
     pub fn new(config: &Config) -> Self {
         let seeds = config.seeds.iter().map(|seed| {
             let peer = Peer {
@@ -62,47 +62,47 @@
             (Instance::new(&seed.name), peer)
         });
         let zone = (Zone::new(&config.data_centre), config.data_centre.clone());
-        let content = Content {
+        let entries = Entries {
             seeds: seeds.collect(),
             zones: HashMap::from([zone]),
-            ..Content::default()
+            ..Entries::default()
         };
         Self {
-            content: RwLock::new(content),
+            entries: RwLock::new(entries),
         }
     }
 
-    /// Replaces what the platform's list told before. Data centres once known are kept.
+    /// Replaces the entries of the previous list; known data centres are kept.
     pub fn replace(
         &self,
         peers: HashMap<Instance, Peer>,
         backends: HashMap<Replica, Backend>,
         zones: impl IntoIterator<Item = String>,
     ) {
-        let mut content = self.write();
-        content.peers = peers;
-        content.backends = backends;
-        content
+        let mut entries = self.write();
+        entries.peers = peers;
+        entries.backends = backends;
+        entries
             .zones
             .extend(zones.into_iter().map(|name| (Zone::new(&name), name)));
     }
 
-    /// Where the daemon `instance` listens.
+    /// The peer address of `instance`, from the list or else from the seeds.
     pub fn peer(&self, instance: Instance) -> Option<Peer> {
-        let content = self.read();
-        content
+        let entries = self.read();
+        entries
             .peers
             .get(&instance)
-            .or_else(|| content.seeds.get(&instance))
+            .or_else(|| entries.seeds.get(&instance))
             .cloned()
     }
 
-    /// Where `replica` listens.
+    /// The address and kind of `replica`.
     pub fn backend(&self, replica: Replica) -> Option<Backend> {
         self.read().backends.get(&replica).cloned()
     }
 
-    /// The name of `zone`; its key in hexadecimal if the name is not known.
+    /// The name of `zone`, or its key in hexadecimal if the name is unknown.
     pub fn zone(&self, zone: Zone) -> String {
         self.read()
             .zones
@@ -111,11 +111,11 @@
             .unwrap_or_else(|| zone.to_string())
     }
 
-    fn read(&self) -> RwLockReadGuard<'_, Content> {
-        self.content.read().unwrap_or_else(PoisonError::into_inner)
+    fn read(&self) -> RwLockReadGuard<'_, Entries> {
+        self.entries.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn write(&self) -> RwLockWriteGuard<'_, Content> {
-        self.content.write().unwrap_or_else(PoisonError::into_inner)
+    fn write(&self) -> RwLockWriteGuard<'_, Entries> {
+        self.entries.write().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/entry/src/logs.rs
+++ b/crates/entry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: one JSON object a line on standard error.
+//! Logging to standard error, one JSON object per line, and the decision lines for `explain`.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -12,19 +12,19 @@
 use node::decision::Decision;
 use serde_json::Value;
 
-/// What is logged: everything of this product, warnings of its libraries.
-const LEVELS: &str = "warn, entry=info, waxwingd=info";
+/// Log levels: `info` for this product, `warn` for libraries.
+const LOG_LEVELS: &str = "warn, entry=info, waxwingd=info";
 /// Decision lines kept for `explain`.
-const RECENT: usize = 8_000;
-/// Longest part of a decision line that is kept, in bytes.
-const MAX_PART: usize = 256;
+const MAX_LINES: usize = 8_000;
+/// Longest field of a kept decision line, in bytes; longer ones are truncated.
+const MAX_FIELD_BYTES: usize = 256;
 
-/// Starts logging; it ends when the handle is dropped.
+/// Starts logging; dropping the handle ends it.
 ///
 /// # Errors
-/// `Start` if a logger runs already.
+/// `Start` if a logger is already running.
 pub fn start() -> Result<LoggerHandle, Error> {
-    LogSpecification::parse(LEVELS)
+    LogSpecification::parse(LOG_LEVELS)
         .map(Logger::with)
         .and_then(|logger| logger.format(logs::line::write).start())
         .map_err(|error| Error::Start {
@@ -35,25 +35,25 @@
 
 /// The latest decision lines.
 #[derive(Debug, Default)]
-pub struct Recent {
+pub struct RecentDecisions {
     lines: Mutex<VecDeque<Line>>,
 }
 
 #[derive(Debug)]
 struct Line {
-    /// RFC 3339.
+    /// Time in RFC 3339 format.
     time: String,
     decision: Decision,
 }
 
-impl Recent {
-    /// Without lines.
+impl RecentDecisions {
+    /// Creates an empty buffer.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Logs `decision` and keeps its line.
-    pub fn decision(&self, decision: &Decision) {
+    pub fn record(&self, decision: &Decision) {
         log::info!(
             kind = "decision",
             request = decision.request.as_str(),
@@ -65,16 +65,16 @@
             "{}", decision.step.as_str()
         );
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.len() == RECENT {
+        if lines.len() == MAX_LINES {
             lines.pop_front();
         }
         lines.push_back(Line {
             time: DeferredNow::new().format_rfc3339(),
-            decision: shortened(decision),
+            decision: truncated(decision),
         });
     }
 
-    /// The kept lines whose request contains `text`, oldest first.
+    /// Returns the kept lines whose request contains `text`, oldest first.
     pub fn find(&self, text: &str) -> Vec<Value> {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines
@@ -85,15 +85,15 @@
     }
 }
 
-fn shortened(decision: &Decision) -> Decision {
+fn truncated(decision: &Decision) -> Decision {
     let mut kept = decision.clone();
-    for part in [
+    for field in [
         &mut kept.request,
         &mut kept.choice,
         &mut kept.alternatives,
         &mut kept.reason,
     ] {
-        part.truncate(part.floor_char_boundary(MAX_PART));
+        field.truncate(field.floor_char_boundary(MAX_FIELD_BYTES));
     }
     kept
 }
--- a/crates/entry/src/peers/server.rs
+++ b/crates/entry/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! The accepting side of links.
+//! The accepting side of links: receives frames from peers.
 
 use std::future;
 use std::net::SocketAddr;
@@ -26,23 +26,23 @@
 use tokio::task::JoinSet;
 use wire::Decoder;
 
-use super::PATH;
-use super::PROOF;
+use super::FRAMES_PATH;
+use super::PROOF_HEADER;
 use super::Shared;
 use super::error::Error;
 use super::watchdog;
 
 const MAX_CONNECTIONS: usize = 1_024;
 const MAX_STREAMS: u32 = 2;
-const MAX_HEADERS: u32 = 4_096;
+const MAX_HEADER_BYTES: u32 = 4_096;
 const STREAM_WINDOW: u32 = 1 << 20;
 const CONNECTION_WINDOW: u32 = 2 << 20;
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-const KEEPALIVE: Duration = Duration::from_secs(5);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 /// Pause after a failed accept; the usual cause is too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Accepts links and passes their frames on.
+/// Accepts links and forwards their frames to the core.
 pub async fn serve(listener: TcpListener, shared: Shared) {
     let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let pauses = watchdog::start();
@@ -55,10 +55,10 @@
                 continue;
             }
         };
-        // Without a free slot the socket is dropped, and the peer tries again later.
+        // Without a free slot, the socket is dropped and the peer retries later.
         if let Ok(slot) = Arc::clone(&slots).try_acquire_owned() {
             let shared = shared.clone();
-            // Only a pause after the accept concerns this link.
+            // Only pauses after the accept matter for this link.
             let mut pauses = pauses.clone();
             pauses.mark_unchanged();
             tokio::spawn(async move {
@@ -77,7 +77,7 @@
 ) {
     let ended = tokio::select! {
         ended = read_link(socket, shared) => ended,
-        // What arrived during the pause is too old to be read.
+        // Frames that arrived during the pause are too old.
         _ = pauses.changed() => return,
     };
     if let Err(error) = ended {
@@ -89,14 +89,14 @@
 
 async fn read_link(socket: TcpStream, shared: &Shared) -> Result<(), Error> {
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     SockRef::from(&socket)
         .set_tcp_keepalive(&keepalive)
         .map_err(Error::Connect)?;
     let handshake = server::Builder::new()
         .max_concurrent_streams(MAX_STREAMS)
-        .max_header_list_size(MAX_HEADERS)
+        .max_header_list_size(MAX_HEADER_BYTES)
         .initial_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
         .handshake(socket);
@@ -118,13 +118,13 @@
                 Some(Ok((request, respond))) => {
                     streams.spawn(read_stream(request, respond, shared.clone()));
                 }
-                // Connections end by a reset: the dialling side has no other way to drop frames.
+                // The dialling side ends connections by a reset, the only way to discard frames.
                 Some(Err(cause)) if cause.is_io() => return Ok(()),
                 Some(Err(cause)) => return Err(Error::http("connection")(cause)),
                 None => return Ok(()),
             },
             Some(ended) = streams.join_next() => {
-                // A task that panicked ended its stream only.
+                // A panic ends only its own stream.
                 ended.unwrap_or(Ok(()))?;
             }
         }
@@ -144,21 +144,21 @@
             .map_err(Error::http("response"))?;
         return Err(error);
     }
-    // Held until the end: dropping it would reset the stream.
+    // Held until the end because dropping it resets the stream.
     let _open = respond
         .send_response(Response::new(()), false)
         .map_err(Error::http("response"))?;
     read_frames(request.into_body(), &shared).await
 }
 
-/// Whether `request` carries frames of a daemon of this fleet.
+/// Checks that `request` carries frames and proves that the sender belongs to this fleet.
 fn check(request: &Request<RecvStream>, shared: &Shared) -> Result<(), (StatusCode, Error)> {
     let proof = request
         .headers()
-        .get(PROOF)
+        .get(PROOF_HEADER)
         .and_then(|proof| proof.to_str().ok());
     match proof {
-        _ if request.method() != Method::POST || request.uri().path() != PATH => {
+        _ if request.method() != Method::POST || request.uri().path() != FRAMES_PATH => {
             let line = format!("{} {}", request.method(), request.uri().path());
             Err((StatusCode::NOT_FOUND, Error::Request(line)))
         }
--- a/crates/entry/src/platform/mod.rs
+++ b/crates/entry/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's service: queries of the core, the list, and the history of edits.
+//! Access to the platform: store requests of the core, the list and the history of edits.
 
 mod commit;
 mod error;
@@ -21,19 +21,19 @@
 use crate::platform::error::Error;
 
 pub use history::history;
-pub use list::watch as watch_list;
+pub use list::poll as poll_list;
+pub use sweep::run as sweep_periodically;
 pub use sweep::sweep;
-pub use sweep::watch as watch_outcomes;
 
-/// A call to the platform is given up after this time.
-const TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a call to the platform.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A client of the platform at the address of `config`.
+/// A client for the platform address in `config`.
 pub fn client(config: &Config) -> Client {
-    Client::new(config.platform, TIMEOUT)
+    Client::new(config.platform, CALL_TIMEOUT)
 }
 
-/// Carries out queries of the core, each in a task of its own.
+/// Executes the store requests of the core, each in its own task.
 #[derive(Debug)]
 pub struct Platform {
     client: Client,
@@ -41,24 +41,24 @@
 }
 
 impl Platform {
-    /// Answers of `client` go to `inbox`.
+    /// Creates an executor that sends the replies of `client` to `inbox`.
     pub fn new(client: Client, inbox: Inbox) -> Self {
         Self { client, inbox }
     }
 
-    /// Carries out `ask`; `Event::StoreReplied` follows.
-    pub fn query(&self, query: QueryId, ask: StoreRequest) {
+    /// Executes `request` and sends its reply as `Event::StoreReplied`.
+    pub fn query(&self, query: QueryId, request: StoreRequest) {
         let client = self.client.clone();
         let inbox = self.inbox.clone();
         tokio::spawn(async move {
-            let outcome = carry_out(&client, ask).await;
+            let outcome = execute(&client, request).await;
             inbox.event(Event::StoreReplied { query, outcome }).await;
         });
     }
 }
 
-async fn carry_out(client: &Client, ask: StoreRequest) -> StoreReply {
-    let outcome = match ask {
+async fn execute(client: &Client, request: StoreRequest) -> StoreReply {
+    let outcome = match request {
         StoreRequest::Generation => read::generation(client).await,
         StoreRequest::Table => read::table(client).await,
         StoreRequest::Commit(edit) => commit::commit(client, &edit).await,
--- a/crates/entry/tests/outcomes.rs
+++ b/crates/entry/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Recorded outcomes at the platform.
+//! Deletion of recorded outcomes at the platform.
 
 mod common;
 
@@ -17,13 +17,13 @@
 const WINDOW: Duration = Duration::from_mins(10);
 
 fn row(age: u64) -> String {
-    let unix_s = clock::unix().as_secs() - age;
+    let unix_s = clock::unix_time().as_secs() - age;
     format!(r#"{{"unix_s": {unix_s}, "lines": []}}"#)
 }
 
 #[rstest]
 #[tokio::test]
-async fn old_rows_are_deleted_and_others_left_alone() {
+async fn only_expired_outcome_rows_are_deleted() {
     let address = fake::platform::start(&Settings::default(), ANY)
         .await
         .unwrap();
