--- a/crates/entry/src/backends/mod.rs
+++ b/crates/entry/src/backends/mod.rs
@@ -99,7 +99,7 @@
                 event = work => Some(event),
             };
             let event = event.unwrap_or_else(|| aborted(order, started));
-            metrics.order(kind, result(&event));
+            metrics.record_order(kind, result(&event));
             inbox.event(event).await;
         });
     }
--- a/crates/entry/src/callers/body.rs
+++ b/crates/entry/src/callers/body.rs
@@ -57,7 +57,7 @@
     let mut bytes = BytesMut::with_capacity(expected.min(shared.body_bytes));
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| {
-            Rejection::bad(format!("the body ended before its length: {error}"))
+            Rejection::malformed(format!("the body ended before its length: {error}"))
         })?;
         let Some(data) = frame.data_ref() else {
             continue;
--- a/crates/entry/src/callers/header.rs
+++ b/crates/entry/src/callers/header.rs
@@ -39,7 +39,9 @@
 pub(super) fn customer(headers: &HeaderMap) -> Result<String, Rejection> {
     match header_text(headers, CUSTOMER, MAX_NAME_BYTES)? {
         Some(name) => Ok(name.to_owned()),
-        None => Err(Rejection::bad(format!("header `{CUSTOMER}` is missing"))),
+        None => Err(Rejection::malformed(format!(
+            "header `{CUSTOMER}` is missing"
+        ))),
     }
 }
 
@@ -60,7 +62,7 @@
     match header_text(headers, REPEATABLE, MAX_NAME_BYTES)? {
         None | Some("yes") => Ok(true),
         Some("no") => Ok(false),
-        Some(other) => Err(Rejection::bad(format!(
+        Some(other) => Err(Rejection::malformed(format!(
             "header `{REPEATABLE}`: `{other}` is neither yes nor no"
         ))),
     }
@@ -70,7 +72,9 @@
 pub(super) fn token(headers: &HeaderMap) -> Result<String, Rejection> {
     match header_text(headers, RESUME, MAX_TOKEN_BYTES)? {
         Some(token) => Ok(token.to_owned()),
-        None => Err(Rejection::bad(format!("header `{RESUME}` is missing"))),
+        None => Err(Rejection::malformed(format!(
+            "header `{RESUME}` is missing"
+        ))),
     }
 }
 
@@ -78,7 +82,7 @@
 pub(super) fn offset(headers: &HeaderMap) -> Result<u32, Rejection> {
     let text = header_text(headers, LAST_EVENT, MAX_NAME_BYTES)?.unwrap_or("0");
     text.parse().map_err(|_| {
-        Rejection::bad(format!(
+        Rejection::malformed(format!(
             "header `{LAST_EVENT}`: `{text}` is not a number of tokens"
         ))
     })
@@ -94,15 +98,15 @@
         return Ok(None);
     };
     match value.to_str() {
-        _ if values.next().is_some() => Err(Rejection::bad(format!(
+        _ if values.next().is_some() => Err(Rejection::malformed(format!(
             "header `{name}` is given more than once"
         ))),
-        Ok("") => Err(Rejection::bad(format!("header `{name}` is empty"))),
-        Ok(text) if text.len() > longest => Err(Rejection::bad(format!(
+        Ok("") => Err(Rejection::malformed(format!("header `{name}` is empty"))),
+        Ok(text) if text.len() > longest => Err(Rejection::malformed(format!(
             "header `{name}` is longer than {longest} bytes"
         ))),
         Ok(text) => Ok(Some(text)),
-        Err(_) => Err(Rejection::bad(format!(
+        Err(_) => Err(Rejection::malformed(format!(
             "header `{name}` has other than visible characters"
         ))),
     }
--- a/crates/entry/src/callers/rejection.rs
+++ b/crates/entry/src/callers/rejection.rs
@@ -28,7 +28,7 @@
     }
 
     /// A rejection of a malformed request.
-    pub(super) fn bad(cause: impl Into<String>) -> Self {
+    pub(super) fn malformed(cause: impl Into<String>) -> Self {
         Self::new(StatusCode::BAD_REQUEST, cause)
     }
 
--- a/crates/entry/src/callers/request.rs
+++ b/crates/entry/src/callers/request.rs
@@ -36,17 +36,17 @@
     field::check(&parts.headers)?;
     let (bytes, grant) = body::read(shared, &parts.headers, body).await?;
     let completion: Completion = serde_json::from_slice(&bytes).map_err(|error| {
-        Rejection::bad(format!("the body is not a completion request: {error}"))
+        Rejection::malformed(format!("the body is not a completion request: {error}"))
     })?;
     let size = prompt::measure(&completion.prompt);
     match &completion {
         Completion { max_tokens: 0, .. } => {
-            return Err(Rejection::bad("`max_tokens` must be 1 or more"));
+            return Err(Rejection::malformed("`max_tokens` must be 1 or more"));
         }
         Completion { model, .. } if model.is_empty() => {
-            return Err(Rejection::bad("`model` is empty"));
+            return Err(Rejection::malformed("`model` is empty"));
         }
-        _ if size.tokens == 0 => return Err(Rejection::bad("`prompt` is empty")),
+        _ if size.tokens == 0 => return Err(Rejection::malformed("`prompt` is empty")),
         _ => {}
     }
     let work = Work::Model {
@@ -75,7 +75,7 @@
     let end = target.find(['/', '?']).unwrap_or(target.len());
     let (service, path) = target.split_at(end);
     if service.is_empty() {
-        return Err(Rejection::bad(
+        return Err(Rejection::malformed(
             "the path names no service; write /v1/call/SERVICE/PATH",
         ));
     }
--- a/crates/entry/src/config/file.rs
+++ b/crates/entry/src/config/file.rs
@@ -116,12 +116,12 @@
 
 /// Parses and checks settings.
 pub(super) fn parse(text: &str) -> Result<Config, ParseError> {
-    let file: File = serde_norway::from_str(text).map_err(|error| fault(&error))?;
+    let file: File = serde_norway::from_str(text).map_err(|error| parse_error(&error))?;
     check(&file)?;
     Ok(config(file))
 }
 
-fn fault(error: &serde_norway::Error) -> ParseError {
+fn parse_error(error: &serde_norway::Error) -> ParseError {
     let cause = error.to_string();
     let Some(location) = error.location() else {
         return ParseError { line: 0, cause };
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -94,10 +94,10 @@
             path: path.to_owned(),
             cause,
         })?;
-        file::parse(&text).map_err(|fault| Error::Settings {
+        file::parse(&text).map_err(|error| Error::Settings {
             path: path.to_owned(),
-            line: fault.line,
-            cause: fault.cause,
+            line: error.line,
+            cause: error.cause,
         })
     }
 }
--- a/crates/entry/src/metrics/mod.rs
+++ b/crates/entry/src/metrics/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// Counts an ended order.
-    pub fn order(&self, kind: &str, result: &str) {
+    pub fn record_order(&self, kind: &str, result: &str) {
         self.orders.with_label_values(&[kind, result]).inc();
     }
 
--- a/crates/entry/tests/callers.rs
+++ b/crates/entry/tests/callers.rs
@@ -68,8 +68,8 @@
 #[tokio::test]
 async fn a_truncated_body_is_not_run() {
     let site = Site::start(1).await;
-    let whole = http::completion(8);
-    let mut socket = http::open(site.daemon.caller, &whole[..whole.len() - 9]).await;
+    let request = http::completion(8);
+    let mut socket = http::open(site.daemon.caller, &request[..request.len() - 9]).await;
     socket.shutdown().await.unwrap();
     http::read(socket).await;
     site.assert_serves().await;
