--- a/crates/node/tests/one/mod.rs
+++ b/crates/node/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! One core with idle replicas and a store; the test answers its orders.
+//! Drives one core with idle replicas, a store and peers; tests answer its orders.
 #![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::time::Duration;
@@ -44,49 +44,49 @@
 const INCARNATION: Incarnation = Incarnation(0x91c5_b8f0_aa31_e2d4);
 const STARTED_MS: u64 = 1_700_000_000_000;
 const ZONE: &str = "osijek-a";
-const PACE: Duration = Duration::from_millis(1);
-/// How long a peer takes to answer a ping.
-const PING_ANSWER: Duration = Duration::from_millis(20);
+const STEP_TIME: Duration = Duration::from_millis(1);
+/// Time that a peer takes to answer a ping.
+const PING_DELAY: Duration = Duration::from_millis(20);
 
-/// A core with idle replicas and a store; orders are answered by the test.
-pub struct One {
+/// A core whose store queries and inspections are answered here, and whose orders the test answers.
+pub struct Harness {
     node: Node,
     now: Time,
     pub orders: Vec<(OrderId, Task)>,
-    pub tells: Vec<(CallId, CallerMessage)>,
+    pub responses: Vec<(CallId, CallerMessage)>,
     pub sent: Vec<(Instance, Body)>,
     /// Whether replicas answer inspections.
-    pub inspected: bool,
-    /// Inspections that the test is to answer.
+    pub replicas_answer: bool,
+    /// Inspections that wait for an answer from the test.
     pub inspections: Vec<(Replica, Time)>,
     /// Whether the store answers.
-    pub stored: bool,
+    pub store_answers: bool,
 }
 
-impl One {
+impl Harness {
     pub fn new() -> Self {
         Self::with_incarnation(INCARNATION)
     }
 
-    /// The core as the run `incarnation` of its instance.
+    /// Starts the core with `incarnation`, as one run of its instance.
     pub fn with_incarnation(incarnation: Incarnation) -> Self {
         let settings = Settings {
             incarnation,
             ..settings()
         };
-        let mut one = Self {
+        let mut harness = Self {
             node: Node::new(settings, Time::ZERO, 7),
             now: Time::ZERO,
             orders: Vec::new(),
-            tells: Vec::new(),
+            responses: Vec::new(),
             sent: Vec::new(),
-            inspected: true,
+            replicas_answer: true,
             inspections: Vec::new(),
-            stored: true,
+            store_answers: true,
         };
-        one.feed(Event::Listed(list()));
-        one.run(Duration::from_millis(500));
-        one
+        harness.feed(Event::Listed(list()));
+        harness.run_for(Duration::from_millis(500));
+        harness
     }
 
     pub fn feed(&mut self, event: Event) {
@@ -94,7 +94,7 @@
         while !events.is_empty() {
             let mut actions = Vec::new();
             for event in events.drain(..) {
-                self.now = self.now + PACE;
+                self.now = self.now + STEP_TIME;
                 self.node.step(self.now, event, &mut actions);
             }
             for action in actions {
@@ -106,19 +106,19 @@
     fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Order { order, task, .. } => self.orders.push((order, task)),
-            Action::SendToCaller { call, message } => self.tells.push((call, message)),
+            Action::SendToCaller { call, message } => self.responses.push((call, message)),
             Action::Send { to, frame } => self.sent.push((to, frame.body)),
             Action::Fault { cause } => panic!("fault: {cause}"),
             Action::Query { query, request } => {
-                let outcome = if self.stored {
-                    answer(&request)
+                let outcome = if self.store_answers {
+                    store_answer(&request)
                 } else {
-                    failed()
+                    query_failed()
                 };
                 return Some(Event::StoreReplied { query, outcome });
             }
-            Action::Inspect { replica, asked, .. } if self.inspected => {
-                let state = Some(idle());
+            Action::Inspect { replica, asked, .. } if self.replicas_answer => {
+                let state = Some(idle_inspection());
                 return Some(Event::Inspected {
                     replica,
                     asked,
@@ -131,42 +131,42 @@
         None
     }
 
-    pub fn run(&mut self, span: Duration) {
+    pub fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            let wake = self.node.next_wake().max(self.now + PACE).min(end);
-            self.now = wake - PACE;
+            let wake = self.node.next_wake().max(self.now + STEP_TIME).min(end);
+            self.now = wake - STEP_TIME;
             self.feed(Event::Tick);
         }
     }
 
-    /// The last order that is not a cancel.
-    pub fn last(&self) -> (OrderId, Task) {
+    /// Returns the last order that is not a cancellation.
+    pub fn last_order(&self) -> (OrderId, Task) {
         let is_work = |(_, task): &&(OrderId, Task)| !matches!(task, Task::Cancel);
         let found = self.orders.iter().rev().find(is_work);
-        found.cloned().expect("an order was put out")
+        found.cloned().expect("an order was sent")
     }
 
-    pub fn arrive(&mut self, call: CallId) {
+    pub fn send_request(&mut self, call: CallId) {
         let request = request();
         self.feed(Event::Arrived { call, request });
-        self.run(Duration::from_millis(100));
+        self.run_for(Duration::from_millis(100));
     }
 
-    /// Lets the core take a frame from `peer`, a live member.
-    pub fn hear(&mut self, peer: &Member, body: Body) {
+    /// Delivers a frame from `peer`, a live member.
+    pub fn receive_frame(&mut self, peer: &Member, body: Body) {
         let frame = Box::new(Frame::new(peer.instance, peer.incarnation, body));
         self.feed(Event::Frame(frame));
     }
 
-    /// Lets `peer` join.
-    pub fn join(&mut self, peer: &Member) {
+    /// Makes `peer` a known member by a ping from it.
+    pub fn add_peer(&mut self, peer: &Member) {
         let news = vec![*peer];
-        self.hear(peer, Body::Gossip(Message::Ping { seq: 1, news }));
+        self.receive_frame(peer, Body::Gossip(Message::Ping { seq: 1, news }));
     }
 
-    /// Answers `inspections`: each replica holds the stream told last, with this core as its reader
-    /// and `fence`.
+    /// Answers `inspections`: each replica holds the last stream begun, with this core as its owner
+    /// and the fencing number `fence`.
     pub fn answer_inspections(&mut self, inspections: Vec<(Replica, Time)>, fence: u64) {
         let held = HeldAttempt {
             handle: self.handle(),
@@ -177,7 +177,7 @@
         for (replica, asked) in inspections {
             let state = Some(Inspection {
                 works: vec![held],
-                ..idle()
+                ..idle_inspection()
             });
             self.feed(Event::Inspected {
                 replica,
@@ -188,24 +188,28 @@
     }
 
     fn handle(&self) -> Handle {
-        let mut heads = self.tells.iter().rev().filter_map(|(_, tell)| match tell {
-            CallerMessage::Head { handle, .. } => Some(*handle),
-            _ => None,
-        });
-        heads.next().expect("a head was told")
+        let mut heads = self
+            .responses
+            .iter()
+            .rev()
+            .filter_map(|(_, message)| match message {
+                CallerMessage::Head { handle, .. } => Some(*handle),
+                _ => None,
+            });
+        heads.next().expect("a head was sent")
     }
 
-    /// Lets time pass in which the core is paused.
+    /// Advances the clock by `span` without running the core, as if the process were paused.
     pub fn pause(&mut self, span: Duration) {
         self.now = self.now + span;
     }
 
-    /// Runs for `span`, in which `peer` answers the pings it gets.
-    pub fn run_beside(&mut self, peer: &Member, span: Duration) {
+    /// Runs for `span` while `peer` answers pings.
+    pub fn run_with_peer(&mut self, peer: &Member, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             let first = self.sent.len();
-            self.run(PING_ANSWER);
+            self.run_for(PING_DELAY);
             let pings = self.sent[first..]
                 .iter()
                 .filter_map(|(to, body)| match body {
@@ -214,14 +218,14 @@
                 });
             for seq in pings.collect::<Vec<u32>>() {
                 let news = vec![*peer];
-                self.hear(peer, Body::Gossip(Message::Ack { seq, news }));
+                self.receive_frame(peer, Body::Gossip(Message::Ack { seq, news }));
             }
         }
     }
 
-    /// Lets the prefill that was ordered last end well; the decode order that follows.
-    pub fn prefill(&mut self) -> (OrderId, Task) {
-        let (order, task) = self.last();
+    /// Completes the last prefill and returns the decode order that follows.
+    pub fn finish_prefill(&mut self) -> (OrderId, Task) {
+        let (order, task) = self.last_order();
         assert!(matches!(task, Task::Prefill { .. }), "{task:?}");
         let reply = Reply::Prefilled {
             computed: 400,
@@ -229,10 +233,10 @@
             boot: 1,
         };
         self.feed(Event::Answered { order, reply });
-        self.last()
+        self.last_order()
     }
 
-    pub fn stream(&mut self, order: OrderId, from: u32, count: u32) {
+    pub fn send_tokens(&mut self, order: OrderId, from: u32, count: u32) {
         let tokens = Piece::Tokens {
             offset: from,
             count,
@@ -243,49 +247,50 @@
         }
     }
 
-    pub fn fail(&mut self, order: OrderId, failure: Failure) {
+    pub fn fail_order(&mut self, order: OrderId, failure: Failure) {
         self.feed(Event::Failed { order, failure });
-        self.run(Duration::from_millis(200));
+        self.run_for(Duration::from_millis(200));
     }
 
-    /// Offsets and counts of the tokens that `call` was told.
-    pub fn tokens(&self, call: CallId) -> Vec<(u32, u32)> {
-        let told = self.tells.iter().filter(|(to, _)| *to == call);
-        told.filter_map(|(_, tell)| match tell {
-            CallerMessage::Tokens { offset, count, .. } => Some((*offset, *count)),
-            _ => None,
-        })
-        .collect()
+    /// Returns the offsets and counts of the tokens sent to `call`.
+    pub fn tokens_sent(&self, call: CallId) -> Vec<(u32, u32)> {
+        let responses = self.responses.iter().filter(|(to, _)| *to == call);
+        responses
+            .filter_map(|(_, message)| match message {
+                CallerMessage::Tokens { offset, count, .. } => Some((*offset, *count)),
+                _ => None,
+            })
+            .collect()
     }
 
-    pub fn token(&self) -> String {
-        let heads = self.tells.iter().rev();
-        let mut tokens = heads.filter_map(|(_, tell)| match tell {
+    pub fn resume_token(&self) -> String {
+        let heads = self.responses.iter().rev();
+        let mut tokens = heads.filter_map(|(_, message)| match message {
             CallerMessage::Head { token, .. } => Some(token.clone()),
             _ => None,
         });
-        tokens.next().expect("a head was told")
+        tokens.next().expect("a head was sent")
     }
 }
 
-fn answer(ask: &StoreRequest) -> StoreReply {
-    match ask {
+fn store_answer(request: &StoreRequest) -> StoreReply {
+    match request {
         StoreRequest::Generation => StoreReply::Generation { generation: 1 },
         StoreRequest::Table => StoreReply::Table(Box::new(table())),
         StoreRequest::Outcome { .. } => StoreReply::Outcome(None),
         StoreRequest::Record { .. } => StoreReply::Recorded,
-        StoreRequest::Commit(_) => failed(),
+        StoreRequest::Commit(_) => query_failed(),
     }
 }
 
-fn failed() -> StoreReply {
+fn query_failed() -> StoreReply {
     StoreReply::Failed {
         maybe: false,
         cause: "not answered here".to_owned(),
     }
 }
 
-pub fn idle() -> Inspection {
+pub fn idle_inspection() -> Inspection {
     let report = Report {
         age: Duration::ZERO,
         boot: 1,
@@ -301,7 +306,7 @@
     }
 }
 
-/// The beginning of the keys that name the run `runner`.
+/// Returns the prefix of the keys that name the run `runner`.
 pub fn prefix(runner: Incarnation) -> Prefix {
     Prefix::new(runner, STARTED_MS / 1_000)
 }
@@ -327,7 +332,7 @@
 }
 
 fn list() -> PlatformList {
-    let backend = |name: &str, role| ListedReplica {
+    let replica = |name: &str, role| ListedReplica {
         replica: Replica::new(name),
         name: name.to_owned(),
         zone: Zone::new(ZONE),
@@ -337,7 +342,7 @@
         fences: true,
         leaving: false,
     };
-    let seat = ListedInstance {
+    let instance = ListedInstance {
         instance: Instance::new("entry-1"),
         name: "entry-1".to_owned(),
         zone: Zone::new(ZONE),
@@ -345,11 +350,11 @@
         leaving: false,
     };
     PlatformList {
-        instances: vec![seat],
+        instances: vec![instance],
         replicas: vec![
-            backend("ration-p0", Role::Prefill),
-            backend("ration-d0", Role::Decode),
-            backend("ration-d1", Role::Decode),
+            replica("ration-p0", Role::Prefill),
+            replica("ration-d0", Role::Decode),
+            replica("ration-d1", Role::Decode),
         ],
     }
 }
--- a/crates/node/tests/world/store.rs
+++ b/crates/node/tests/simulation/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's table service.
+//! A simulated store of the platform.
 
 use std::collections::BTreeMap;
 
@@ -10,49 +10,49 @@
 use table::Table;
 use table::edit::Edit;
 
-/// The store, linearizable.
+/// A linearizable store of the table and of recorded outcomes.
 #[derive(Debug)]
 pub struct Store {
-    /// The table.
+    /// The newest table.
     pub table: Table,
-    /// Generations that edits made, by their ids.
+    /// Generations of committed edits, by edit id.
     pub applied: BTreeMap<String, u64>,
     outcomes: BTreeMap<String, (u16, Option<Bytes>)>,
-    /// Until when every query is refused.
-    pub down: Time,
-    /// Until when answers are lost.
-    pub loses: Time,
-    /// Until when it is slow.
-    pub slow: Time,
+    /// End of the time in which every query is refused.
+    pub down_until: Time,
+    /// End of the time in which answers are lost.
+    pub loses_answers_until: Time,
+    /// End of the time in which queries are slow.
+    pub slow_until: Time,
 }
 
 impl Store {
-    /// A store that holds `table`.
+    /// Creates a store that holds `table`.
     pub const fn new(table: Table) -> Self {
         Self {
             table,
             applied: BTreeMap::new(),
             outcomes: BTreeMap::new(),
-            down: Time::ZERO,
-            loses: Time::ZERO,
-            slow: Time::ZERO,
+            down_until: Time::ZERO,
+            loses_answers_until: Time::ZERO,
+            slow_until: Time::ZERO,
         }
     }
 
-    /// Carries a query out.
-    pub fn carry_out(&mut self, now: Time, ask: StoreRequest) -> StoreReply {
-        if now < self.down {
+    /// Executes a query, subject to the current faults.
+    pub fn carry_out(&mut self, now: Time, request: StoreRequest) -> StoreReply {
+        if now < self.down_until {
             return failed(false, "store: down");
         }
-        let stored = self.answer(ask);
-        if now < self.loses {
+        let reply = self.answer(request);
+        if now < self.loses_answers_until {
             return failed(true, "store: answer lost");
         }
-        stored
+        reply
     }
 
-    fn answer(&mut self, ask: StoreRequest) -> StoreReply {
-        match ask {
+    fn answer(&mut self, request: StoreRequest) -> StoreReply {
+        match request {
             StoreRequest::Generation => StoreReply::Generation {
                 generation: self.table.generation,
             },
