--- a/crates/entry/src/backends/mod.rs
+++ b/crates/entry/src/backends/mod.rs
@@ -1,10 +1,10 @@
 //! Orders to replicas: model engines and plain applications.
 //!
-//! Each order is a task. It ends in exactly one `Event::Answered` or `Event::Failed`, also when it
-//! is aborted; an order that was aborted before its task ran has sent nothing.
+//! Each order runs in its own task and ends with exactly one `Event::Answered` or `Event::Failed`,
+//! even if it is aborted. An order that is aborted before its task runs has sent nothing.
 
 mod inspect;
-mod plan;
+mod prepare;
 mod run;
 
 use std::collections::HashMap;
@@ -22,40 +22,40 @@
 use node::ids::OrderId;
 use tokio::sync::oneshot;
 
-use crate::backends::plan::Plan;
+use crate::backends::prepare::PreparedOrder;
 use crate::directory::Directory;
-use crate::driver::content::Store;
+use crate::driver::content::ContentStore;
 use crate::driver::inbox::Inbox;
 use crate::metrics::Metrics;
 
 /// Longest answer of a plain call, in bytes.
-const ANSWER_BYTES: usize = 4 << 20;
-/// Longest wait for the answer to a cancel or an inspection.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Timeout for a cancel or an inspection.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An order whose end the core has not been told.
+/// An order whose end has not reached the core yet.
 #[derive(Debug)]
-struct Running {
+struct RunningOrder {
     handle: Handle,
     abort: Option<oneshot::Sender<()>>,
 }
 
-/// Carries out orders.
+/// Runs the orders of the core.
 #[derive(Debug)]
 pub struct Backends {
     client: Client,
     directory: Arc<Directory>,
     inbox: Inbox,
     metrics: Arc<Metrics>,
-    running: HashMap<OrderId, Running>,
+    running: HashMap<OrderId, RunningOrder>,
 }
 
 impl Backends {
-    /// Without orders; replicas are found by `directory`, and events go to `inbox`.
+    /// Creates a runner that looks replicas up in `directory` and sends events to `inbox`.
     pub fn new(directory: Arc<Directory>, inbox: Inbox, metrics: Arc<Metrics>) -> Self {
         let client = Client::new()
             .with_control_timeout(CONTROL_TIMEOUT)
-            .with_body_limit(ANSWER_BYTES);
+            .with_body_limit(MAX_ANSWER_BYTES);
         Self {
             client,
             directory,
@@ -65,21 +65,21 @@
         }
     }
 
-    /// Carries out `task` on `replica`; bodies are taken from `contents`.
-    pub fn order(
+    /// Starts `task` on `replica`; request bodies come from `contents`.
+    pub fn start(
         &mut self,
         order: OrderId,
         replica: Replica,
         claim: Claim,
         task: &Task,
-        contents: &Store,
+        contents: &ContentStore,
     ) {
-        let kind = plan::kind(task);
-        let plan = Plan::new(&self.directory, replica, claim, task, contents);
+        let kind = prepare::kind(task);
+        let prepared = PreparedOrder::new(&self.directory, replica, claim, task, contents);
         let (sender, mut abort) = oneshot::channel();
         self.running.insert(
             order,
-            Running {
+            RunningOrder {
                 handle: claim.handle,
                 abort: Some(sender),
             },
@@ -88,18 +88,18 @@
         let inbox = self.inbox.clone();
         let metrics = Arc::clone(&self.metrics);
         tokio::spawn(async move {
-            let mut began = false;
+            let mut started = false;
             let work = async {
-                began = true;
-                run::run(&client, &inbox, order, claim.handle, plan).await
+                started = true;
+                run::run(&client, &inbox, order, claim.handle, prepared).await
             };
             let event = tokio::select! {
                 biased;
                 Ok(()) = &mut abort => None,
                 event = work => Some(event),
             };
-            let event = event.unwrap_or_else(|| aborted(order, began));
-            metrics.order(kind, result(&event));
+            let event = event.unwrap_or_else(|| aborted(order, started));
+            metrics.record_order(kind, result(&event));
             inbox.event(event).await;
         });
     }
@@ -111,12 +111,12 @@
             .get_mut(&order)
             .and_then(|running| running.abort.take());
         if let Some(abort) = abort {
-            // A task that has just ended needs no abort.
+            // The send fails if the task has just ended.
             let _ = abort.send(());
         }
     }
 
-    /// Asks `replica` for its state; `Event::Inspected` follows and repeats `asked`.
+    /// Reads the state of `replica`; the resulting `Event::Inspected` carries `asked`.
     pub fn inspect(&self, replica: Replica, after: u64, asked: Time) {
         let address = self
             .directory
@@ -139,19 +139,19 @@
         });
     }
 
-    /// The attempt of `order`, until the core is told of its end.
+    /// The attempt of `order`, until its end reaches the core.
     pub fn handle(&self, order: OrderId) -> Option<Handle> {
         self.running.get(&order).map(|running| running.handle)
     }
 
-    /// The core is told of the end of `order` now.
-    pub fn ended(&mut self, order: OrderId) {
+    /// Removes `order`, whose end has reached the core.
+    pub fn mark_ended(&mut self, order: OrderId) {
         self.running.remove(&order);
     }
 }
 
-fn aborted(order: OrderId, began: bool) -> Event {
-    let failure = if began {
+fn aborted(order: OrderId, started: bool) -> Event {
+    let failure = if started {
         Failure::Lost
     } else {
         Failure::NotSent
@@ -159,7 +159,7 @@
     Event::Failed { order, failure }
 }
 
-/// How an order ended, as a label of the metrics.
+/// The result of an order, as a metrics label.
 fn result(event: &Event) -> &'static str {
     match event {
         Event::Answered { .. } => "answered",
--- a/crates/entry/src/backends/plan.rs
+++ b/crates/entry/src/backends/prepare.rs
@@ -1,4 +1,4 @@
-//! What an order needs, gathered before its task starts.
+//! Prepares an order: looks up the address, body and headers before its task starts.
 
 use std::net::SocketAddr;
 
@@ -14,20 +14,20 @@
 
 use crate::directory::Directory;
 use crate::driver::content::Content;
+use crate::driver::content::ContentStore;
 use crate::driver::content::Plain;
-use crate::driver::content::Store;
 
 const CALL: &str = "waxwing-call";
 const KEY: &str = "idempotency-key";
 
-/// A request ready to be sent.
+/// A request that is ready to be sent.
 #[derive(Debug)]
 pub(super) enum Request {
     /// A prefill.
     Prefill(prefill::Request),
     /// A decode.
     Decode(decode::Request),
-    /// Reading a stream.
+    /// An attach to a stream.
     Attach(attach::Request),
     /// A cancel.
     Cancel(Claim),
@@ -35,18 +35,18 @@
     Plain(call::Request),
 }
 
-/// A request and where it goes; nothing if something it needs is not known.
+/// The request of an order and its address; `None` if something that it needs is unknown.
 #[derive(Debug)]
-pub(super) struct Plan(pub(super) Option<(SocketAddr, Request)>);
+pub(super) struct PreparedOrder(pub(super) Option<(SocketAddr, Request)>);
 
-impl Plan {
-    /// Gathers what `task` needs.
+impl PreparedOrder {
+    /// Looks up everything that `task` needs.
     pub(super) fn new(
         directory: &Directory,
         replica: Replica,
         claim: Claim,
         task: &Task,
-        contents: &Store,
+        contents: &ContentStore,
     ) -> Self {
         let address = directory.backend(replica).map(|backend| backend.address);
         let request = request(directory, claim, task, contents);
@@ -62,7 +62,7 @@
     }
 }
 
-/// The kind of an order, as a label of the metrics.
+/// The kind of an order, as a metrics label.
 pub(super) const fn kind(task: &Task) -> &'static str {
     match task {
         Task::Prefill { .. } => "prefill",
@@ -73,7 +73,12 @@
     }
 }
 
-fn request(directory: &Directory, claim: Claim, task: &Task, contents: &Store) -> Option<Request> {
+fn request(
+    directory: &Directory,
+    claim: Claim,
+    task: &Task,
+    contents: &ContentStore,
+) -> Option<Request> {
     match task {
         Task::Prefill {
             call,
--- a/crates/entry/src/backends/run.rs
+++ b/crates/entry/src/backends/run.rs
@@ -1,4 +1,4 @@
-//! One order, from its request to its last event.
+//! Runs one order, from its request to its last event.
 
 use std::net::SocketAddr;
 
@@ -15,42 +15,42 @@
 use node::event::Reply;
 use node::ids::OrderId;
 
-use super::plan::Plan;
-use super::plan::Request;
+use super::prepare::PreparedOrder;
+use super::prepare::Request;
 use crate::driver::inbox::Inbox;
 
-/// Status by which a replica says that it knows nothing of an attempt.
+/// Status of a replica that does not hold the attempt.
 const HTTP_NOT_FOUND: u16 = 404;
-/// Status by which a replica says that the prefill result is gone.
+/// Status of a replica that no longer holds the prefill result.
 const HTTP_GONE: u16 = 410;
 
-/// Why an order ended badly.
-enum Fault {
-    /// The client says so.
+/// Why an order failed.
+enum OrderError {
+    /// The client returned an error.
     Client(Error),
-    /// The stream ended with a reason that is no good end.
+    /// The stream ended for another reason than a complete answer.
     Stream(Reason),
-    /// Something that the order needs is not known here.
+    /// Something that the order needs is unknown to this daemon.
     Incomplete,
 }
 
-impl From<Error> for Fault {
+impl From<Error> for OrderError {
     fn from(error: Error) -> Self {
         Self::Client(error)
     }
 }
 
-/// Carries out the order of an attempt; the event that ends it.
+/// Runs the order of an attempt and returns the event that ends it.
 pub(super) async fn run(
     client: &Client,
     inbox: &Inbox,
     order: OrderId,
     handle: Handle,
-    plan: Plan,
+    prepared: PreparedOrder,
 ) -> Event {
-    let ended = match plan.0 {
+    let ended = match prepared.0 {
         Some((peer, request)) => send(client, inbox, order, peer, request).await,
-        None => Err(Fault::Incomplete),
+        None => Err(OrderError::Incomplete),
     };
     match ended {
         Ok(reply) => Event::Answered { order, reply },
@@ -67,7 +67,7 @@
     order: OrderId,
     peer: SocketAddr,
     request: Request,
-) -> Result<Reply, Fault> {
+) -> Result<Reply, OrderError> {
     match request {
         Request::Prefill(request) => {
             let reply = client.prefill(peer, &request).await?;
@@ -99,7 +99,7 @@
     }
 }
 
-async fn read(mut stream: Stream, inbox: &Inbox, order: OrderId) -> Result<Reply, Fault> {
+async fn read(mut stream: Stream, inbox: &Inbox, order: OrderId) -> Result<Reply, OrderError> {
     while let Some(event) = stream.next().await {
         let piece = piece(event?)?;
         inbox.event(Event::Streamed { order, piece }).await;
@@ -107,7 +107,7 @@
     Ok(Reply::StreamEnded)
 }
 
-fn piece(event: stream::Event) -> Result<Piece, Fault> {
+fn piece(event: stream::Event) -> Result<Piece, OrderError> {
     match event {
         stream::Event::Imported => Ok(Piece::Imported),
         stream::Event::Tokens { offset, text } => Ok(Piece::Tokens {
@@ -119,29 +119,29 @@
             offset,
             reason: Reason::Stop,
         } => Ok(Piece::End { offset }),
-        stream::Event::End { reason, .. } => Err(Fault::Stream(reason)),
+        stream::Event::End { reason, .. } => Err(OrderError::Stream(reason)),
         stream::Event::Superseded => Ok(Piece::Superseded),
     }
 }
 
-fn failure(handle: Handle, fault: &Fault) -> Failure {
-    if let Fault::Client(error) = fault {
+fn failure(handle: Handle, fault: &OrderError) -> Failure {
+    if let OrderError::Client(error) = fault {
         let handle = handle.to_string();
         log::info!(step = "order", request = handle.as_str(); "{error}");
     }
     match fault {
-        Fault::Incomplete | Fault::Client(Error::NotSent { .. }) => Failure::NotSent,
-        Fault::Client(Error::Lost { .. } | Error::Malformed { .. }) => Failure::Lost,
-        Fault::Client(error @ Error::Refused { status, .. }) => Failure::Refused {
+        OrderError::Incomplete | OrderError::Client(Error::NotSent { .. }) => Failure::NotSent,
+        OrderError::Client(Error::Lost { .. } | Error::Malformed { .. }) => Failure::Lost,
+        OrderError::Client(error @ Error::Refused { status, .. }) => Failure::Refused {
             status: *status,
             fence: engine::error::fence(error),
         },
-        // Both free all that the attempt held there.
-        Fault::Stream(Reason::Lost) => Failure::Refused {
+        // Both reasons mean that the replica has freed everything that the attempt held.
+        OrderError::Stream(Reason::Lost) => Failure::Refused {
             status: HTTP_GONE,
             fence: None,
         },
-        Fault::Stream(_) => Failure::Refused {
+        OrderError::Stream(_) => Failure::Refused {
             status: HTTP_NOT_FOUND,
             fence: None,
         },
--- a/crates/entry/src/callers/body.rs
+++ b/crates/entry/src/callers/body.rs
@@ -1,4 +1,4 @@
-//! Reading of request bodies within their limits.
+//! Reads request bodies within the limits of size, time and memory.
 
 use std::time::Duration;
 
@@ -16,29 +16,33 @@
 use super::rejection::Rejection;
 use crate::budget::Grant;
 
-/// A body has this long to arrive.
-const TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of an oversized body that are read and dropped, so that its sender reads the answer.
-const DRAIN: usize = 8 << 20;
+/// Time for a body to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Most bytes of an oversized body that are read and discarded, so that its sender gets to read the
+/// answer.
+const MAX_DRAIN_BYTES: usize = 8 << 20;
 
-/// Reads a body; its memory is granted by the budget.
+/// Reads a body; its memory is taken from the budget.
 pub(super) async fn read(
     shared: &Shared,
     headers: &HeaderMap,
     body: Body,
 ) -> Result<(Bytes, Grant), Rejection> {
     let limit = shared.body_bytes;
-    let announced = announced(headers);
-    if announced.is_some_and(|length| length > limit) && headers.contains_key(header::EXPECT) {
+    let content_length = content_length(headers);
+    if content_length.is_some_and(|length| length > limit) && headers.contains_key(header::EXPECT) {
         return Err(too_long(limit));
     }
-    let reading = collect(shared, body, announced.unwrap_or(0).min(limit));
+    let reading = collect(shared, body, content_length.unwrap_or(0).min(limit));
     let keyed = headers.contains_key(KEY);
-    let result = match timeout(TIMEOUT, reading).await {
+    let result = match timeout(BODY_TIMEOUT, reading).await {
         Ok(result) => result,
         Err(_) => Err(Rejection::new(
             StatusCode::REQUEST_TIMEOUT,
-            format!("the body did not arrive within {} s", TIMEOUT.as_secs()),
+            format!(
+                "the body did not arrive within {} s",
+                BODY_TIMEOUT.as_secs()
+            ),
         )),
     };
     result.map_err(|rejection| rejection.with_key(keyed))
@@ -53,7 +57,7 @@
     let mut bytes = BytesMut::with_capacity(expected.min(shared.body_bytes));
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| {
-            Rejection::bad(format!("the body ended before its length: {error}"))
+            Rejection::malformed(format!("the body ended before its length: {error}"))
         })?;
         let Some(data) = frame.data_ref() else {
             continue;
@@ -75,13 +79,13 @@
 async fn drain(mut body: Body, mut read: usize) {
     while let Some(Ok(frame)) = body.frame().await {
         read += frame.data_ref().map_or(0, Bytes::len);
-        if read > DRAIN {
+        if read > MAX_DRAIN_BYTES {
             return;
         }
     }
 }
 
-fn announced(headers: &HeaderMap) -> Option<usize> {
+fn content_length(headers: &HeaderMap) -> Option<usize> {
     headers
         .get(header::CONTENT_LENGTH)?
         .to_str()
--- a/crates/entry/src/driver/content/mod.rs
+++ b/crates/entry/src/driver/content/mod.rs
@@ -1,4 +1,4 @@
-//! Request bodies and generated text, which the core does not see.
+//! Request bodies and generated text, which the core does not hold.
 
 mod text;
 
@@ -14,15 +14,15 @@
 use slotmap::new_key_type;
 
 use crate::budget::Grant;
-use crate::driver::content::text::Text;
+use crate::driver::content::text::GeneratedText;
 
-/// Most bytes kept for requests whose caller has been answered or has left.
-const CLOSED_BYTES: usize = 32 << 20;
-/// Most such requests.
-const CLOSED_COUNT: usize = 4_096;
+/// Most bytes kept for requests whose caller has been answered or has disconnected.
+const MAX_CLOSED_BYTES: usize = 32 << 20;
+/// Most such requests that are kept.
+const MAX_CLOSED_COUNT: usize = 4_096;
 
 new_key_type! {
-    /// A text that is being generated.
+    /// Key of a generated text.
     struct TextKey;
 }
 
@@ -31,9 +31,9 @@
 pub struct Plain {
     /// The method.
     pub method: Method,
-    /// Path and query, as the application gets them.
+    /// Path and query, as sent to the application.
     pub path: String,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
     /// The idempotency key, if the caller gave one.
     pub key: Option<String>,
@@ -41,7 +41,7 @@
     pub body: Bytes,
 }
 
-/// What a caller sent.
+/// The content of a request.
 #[derive(Debug, Clone)]
 pub enum Content {
     /// A prompt.
@@ -59,43 +59,43 @@
     }
 }
 
-/// What is kept under one call.
+/// The data kept for one call.
 #[derive(Debug)]
-struct Record {
+struct StoredContent {
     content: Content,
     text: Option<TextKey>,
-    // Gives the bytes back to the budget when the record is dropped.
+    // Returns the bytes to the budget when dropped.
     _grant: Grant,
 }
 
-/// Everything kept for the core under the numbers of calls.
+/// Request contents and generated texts by call number.
 ///
-/// A request may go on after its caller left, so its content is not dropped then; it joins a queue
-/// of bounded size and is dropped when newer ones push it out. An order whose content is gone
-/// fails as not sent.
+/// A request may continue after its caller disconnects, so its content is not dropped at once but
+/// moves to a bounded queue, from which newer ones evict it. An order whose content is gone fails
+/// as not sent.
 ///
-/// The text generated for a request belongs to all calls that ask for the same answer: the first
-/// one, whose prompt was prefilled, and repeats, which are told the head of the same attempt.
+/// A generated text is shared by all calls for the same answer: the first one, whose prompt was
+/// prefilled, and repeats, which receive the head of the same attempt.
 #[derive(Debug, Default)]
-pub struct Store {
-    records: HashMap<CallId, Record>,
-    texts: SlotMap<TextKey, Text>,
+pub struct ContentStore {
+    records: HashMap<CallId, StoredContent>,
+    texts: SlotMap<TextKey, GeneratedText>,
     handles: HashMap<Handle, TextKey>,
     closed: VecDeque<(CallId, usize)>,
     closed_bytes: usize,
 }
 
-impl Store {
+impl ContentStore {
     /// An empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Keeps `content` under `call`.
+    /// Stores `content` for `call`.
     pub fn insert(&mut self, call: CallId, content: Content, grant: Grant) {
         self.records.insert(
             call,
-            Record {
+            StoredContent {
                 content,
                 text: None,
                 _grant: grant,
@@ -103,24 +103,24 @@
         );
     }
 
-    /// The caller of `call` needs no more answers; its content may go when space is short.
+    /// Marks `call` as needing no more answers; its content may be evicted when space is short.
     pub fn close(&mut self, call: CallId) {
         let Some(len) = self.len(call) else {
             return;
         };
         self.closed.push_back((call, len));
         self.closed_bytes += len;
-        while self.closed_bytes > CLOSED_BYTES || self.closed.len() > CLOSED_COUNT {
-            self.drop_oldest();
+        while self.closed_bytes > MAX_CLOSED_BYTES || self.closed.len() > MAX_CLOSED_COUNT {
+            self.evict_oldest();
         }
     }
 
-    /// The content kept under `call`.
+    /// The content of `call`.
     pub fn content(&self, call: CallId) -> Option<&Content> {
         self.records.get(&call).map(|record| &record.content)
     }
 
-    /// The first `count` tokens generated for `call`, if so many are known.
+    /// The first `count` tokens generated for `call`, if that many are known.
     pub fn tokens(&self, call: CallId, count: u32) -> Option<Vec<String>> {
         let text = self
             .records
@@ -128,25 +128,25 @@
             .text
             .and_then(|key| self.texts.get(key));
         match text {
-            Some(text) => text.head(count),
+            Some(text) => text.first_tokens(count),
             None => (count == 0).then(Vec::new),
         }
     }
 
-    /// `handle` is a new attempt at the request kept under `call`.
-    pub fn begin(&mut self, handle: Handle, call: CallId) {
+    /// Adds `handle` as a new attempt at the request of `call`.
+    pub fn add_attempt(&mut self, handle: Handle, call: CallId) {
         let Some(record) = self.records.get_mut(&call) else {
             return;
         };
         let key = *record
             .text
-            .get_or_insert_with(|| self.texts.insert(Text::with_user()));
+            .get_or_insert_with(|| self.texts.insert(GeneratedText::with_one_user()));
         self.texts[key].handles.push(handle);
         self.handles.insert(handle, key);
     }
 
-    /// `call` reads the answer that the attempt `handle` generates.
-    pub fn join(&mut self, call: CallId, handle: Handle) {
+    /// Adds `call` as a reader of the answer that the attempt `handle` generates.
+    pub fn add_reader(&mut self, call: CallId, handle: Handle) {
         match (self.records.get_mut(&call), self.handles.get(&handle)) {
             (Some(record), Some(key)) if record.text.is_none() => {
                 record.text = Some(*key);
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Appends text that the attempt `handle` generated.
-    pub fn generated(&mut self, handle: Handle, offset: u32, text: &[u8]) {
+    /// Appends text generated by the attempt `handle`.
+    pub fn append(&mut self, handle: Handle, offset: u32, text: &[u8]) {
         if let Some(key) = self.handles.get(&handle) {
             self.texts[*key].push(offset, text);
         }
@@ -169,17 +169,17 @@
         Some(record.content.len() + text)
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some((call, len)) = self.closed.pop_front() else {
             return;
         };
         self.closed_bytes -= len;
         if let Some(key) = self.records.remove(&call).and_then(|record| record.text) {
-            self.leave(key);
+            self.release_text(key);
         }
     }
 
-    fn leave(&mut self, key: TextKey) {
+    fn release_text(&mut self, key: TextKey) {
         self.texts[key].users -= 1;
         if self.texts[key].users > 0 {
             return;
--- a/crates/entry/src/driver/content/text.rs
+++ b/crates/entry/src/driver/content/text.rs
@@ -1,22 +1,22 @@
-//! Text that is being generated, token by token.
+//! Generated text, stored token by token.
 
 use ident::Handle;
 
 /// Tokens generated so far.
 #[derive(Debug)]
-pub(super) struct Text {
+pub(super) struct GeneratedText {
     bytes: Vec<u8>,
-    /// Where each token ends.
+    /// End of each token in `bytes`.
     ends: Vec<usize>,
     /// Attempts that generate it.
     pub(super) handles: Vec<Handle>,
-    /// Calls that refer to it.
+    /// Number of calls that refer to it.
     pub(super) users: usize,
 }
 
-impl Text {
+impl GeneratedText {
     /// An empty text to which one call refers.
-    pub(super) const fn with_user() -> Self {
+    pub(super) const fn with_one_user() -> Self {
         Self {
             bytes: Vec::new(),
             ends: Vec::new(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Appends the token at `offset`; one that is known already, or leaves a gap, is passed over.
+    /// Appends the token at `offset`; ignores one that is already known or leaves a gap.
     pub(super) fn push(&mut self, offset: u32, token: &[u8]) {
         if offset as usize == self.ends.len() {
             self.bytes.extend_from_slice(token);
@@ -33,8 +33,8 @@
         }
     }
 
-    /// The first `count` tokens, if so many are known.
-    pub(super) fn head(&self, count: u32) -> Option<Vec<String>> {
+    /// The first `count` tokens, if that many are known.
+    pub(super) fn first_tokens(&self, count: u32) -> Option<Vec<String>> {
         let ends = self.ends.get(..count as usize)?;
         let mut from = 0;
         let tokens = ends.iter().map(|end| {
@@ -45,7 +45,7 @@
         Some(tokens.collect())
     }
 
-    /// Bytes that it takes.
+    /// Memory used, in bytes.
     pub(super) const fn len(&self) -> usize {
         self.bytes.len() + self.ends.len() * size_of::<usize>()
     }
--- a/crates/entry/src/listen.rs
+++ b/crates/entry/src/listen.rs
@@ -12,13 +12,13 @@
 use volo::net::incoming::Incoming;
 use volo::net::incoming::MakeIncoming;
 
-/// A caller whose machine is gone is noticed after about four times this.
-const KEEPALIVE: Duration = Duration::from_secs(5);
+/// Interval of TCP keepalive; an unreachable caller is detected after about four intervals.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 const KEEPALIVE_RETRIES: u32 = 3;
 /// Pause after a failed accept; the usual cause is too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Accepts connections for an HTTP server.
+/// A TCP listener for an HTTP server, which enables TCP keepalive on accepted connections.
 pub struct Listener {
     listener: TcpListener,
 }
@@ -50,14 +50,14 @@
         match self.listener.accept().await {
             Ok((socket, _)) => {
                 let keepalive = TcpKeepalive::new()
-                    .with_time(KEEPALIVE)
-                    .with_interval(KEEPALIVE)
+                    .with_time(KEEPALIVE_INTERVAL)
+                    .with_interval(KEEPALIVE_INTERVAL)
                     .with_retries(KEEPALIVE_RETRIES);
                 SockRef::from(&socket).set_tcp_keepalive(&keepalive)?;
                 Ok(Some(Conn::from(socket)))
             }
             Err(error) => {
-                // The server calls again at once.
+                // The server retries immediately.
                 sleep(ACCEPT_PAUSE).await;
                 Err(error)
             }
--- a/crates/entry/src/platform/sweep.rs
+++ b/crates/entry/src/platform/sweep.rs
@@ -1,7 +1,7 @@
-//! Deletes recorded outcomes that are past their window.
+//! Deletes expired outcomes.
 //!
-//! The rows outlive the daemons that wrote them, so each daemon deletes those of all. On average
-//! one of them does so in each period, whatever their number.
+//! The rows outlive the daemons that wrote them, so each daemon deletes the rows of all daemons. On
+//! average, one daemon does so per period, regardless of their number.
 
 use std::time::Duration;
 
@@ -15,17 +15,17 @@
 use super::outcomes;
 use crate::clock;
 use crate::driver::inbox::Inbox;
-use crate::driver::inbox::Question;
+use crate::driver::inbox::StateQuery;
 
-/// Rows deleted with one transaction.
-const BATCH: usize = 64;
+/// Most rows deleted in one transaction.
+const BATCH_ROWS: usize = 64;
 
-/// Sweeps now and then; never ends. Rows are kept for twice the `window` of keys.
-pub async fn watch(client: Client, inbox: Inbox, window: Duration) {
+/// Deletes expired rows periodically; never returns. Rows are kept for twice the `window` of keys.
+pub async fn run(client: Client, inbox: Inbox, window: Duration) {
     loop {
         sleep(window / 2).await;
-        let status = inbox.ask(Question::Status).await;
-        let members = status.as_ref().map_or(1, alive);
+        let status = inbox.query(StateQuery::Status).await;
+        let members = status.as_ref().map_or(1, alive_count);
         if rand::random_range(0..members) > 0 {
             continue;
         }
@@ -37,18 +37,18 @@
     }
 }
 
-/// Deletes rows of outcomes that were written more than `age` ago; their number.
+/// Deletes rows of outcomes written more than `age` ago and returns their number.
 ///
 /// # Errors
-/// The platform did not carry it out in full.
+/// A call to the platform failed; some rows may have been deleted.
 pub async fn sweep(client: &Client, age: Duration) -> Result<usize, Error> {
-    let limit = clock::unix().saturating_sub(age).as_secs();
+    let limit = clock::unix_time().saturating_sub(age).as_secs();
     let rows = client.read_rows(outcomes::PREFIX).await?;
     let old: Vec<Row> = rows
         .into_iter()
         .filter(|row| is_older(row, limit))
         .collect();
-    for batch in old.chunks(BATCH) {
+    for batch in old.chunks(BATCH_ROWS) {
         let txn = batch
             .iter()
             .fold(Txn::new(), |txn, row| txn.with_write(&row.key, None));
@@ -57,7 +57,7 @@
     Ok(old.len())
 }
 
-fn alive(status: &Status) -> usize {
+fn alive_count(status: &Status) -> usize {
     status
         .members
         .iter()
@@ -66,7 +66,7 @@
         .max(1)
 }
 
-/// Whether `row` was written before `limit`; one that cannot be read is left alone.
+/// Whether `row` was written before `limit`; false for one that cannot be parsed.
 fn is_older(row: &Row, limit: u64) -> bool {
     let value = row.value.as_deref().unwrap_or_default();
     serde_json::from_str::<outcomes::Row>(value).is_ok_and(|row| row.unix_s < limit)
--- a/crates/entry/tests/callers.rs
+++ b/crates/entry/tests/callers.rs
@@ -1,11 +1,11 @@
-//! Requests that are malformed: a clear refusal, and the next request is served.
+//! Malformed requests are refused with a clear cause, and the next request is served.
 
 mod common;
 
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
 
-use crate::common::Place;
+use crate::common::Site;
 use crate::common::http;
 
 const PATH: &str = "/v1/completions";
@@ -27,16 +27,20 @@
     "`prompt`"
 )]
 #[tokio::test]
-async fn a_body_that_is_no_request_is_not_run(#[case] body: &str, #[case] cause: &str) {
-    let place = Place::start(1).await;
-    let answer = http::send(place.daemon.caller, &http::caller("POST", PATH, "", body)).await;
+async fn a_malformed_body_is_refused(#[case] body: &str, #[case] cause: &str) {
+    let site = Site::start(1).await;
+    let answer = http::send_and_read(
+        site.daemon.caller,
+        &http::caller_request("POST", PATH, "", body),
+    )
+    .await;
     assert_eq!(
         (answer.status, answer.reason()),
         (400, "invalid".to_owned()),
         "{answer:?}"
     );
     assert!(answer.body.contains(cause), "{answer:?}");
-    place.serves().await;
+    site.assert_serves().await;
 }
 
 #[rstest]
@@ -44,35 +48,35 @@
 #[case::in_chunks(false)]
 #[tokio::test]
 async fn an_oversized_body_is_refused(#[case] announced: bool) {
-    let place = Place::start(1).await;
+    let site = Site::start(1).await;
     let body = "x".repeat((1 << 20) + 1);
     let bytes = if announced {
-        http::caller("POST", PATH, "", &body)
+        http::caller_request("POST", PATH, "", &body)
     } else {
         http::chunked(PATH, &body)
     };
-    let answer = http::send(place.daemon.caller, &bytes).await;
+    let answer = http::send_and_read(site.daemon.caller, &bytes).await;
     assert_eq!(
         (answer.status, answer.reason()),
         (413, "invalid".to_owned()),
         "{answer:?}"
     );
-    place.serves().await;
+    site.assert_serves().await;
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_body_that_breaks_off_is_not_run() {
-    let place = Place::start(1).await;
-    let whole = http::completion(8);
-    let mut socket = http::open(place.daemon.caller, &whole[..whole.len() - 9]).await;
+async fn a_truncated_body_is_not_run() {
+    let site = Site::start(1).await;
+    let request = http::completion(8);
+    let mut socket = http::open(site.daemon.caller, &request[..request.len() - 9]).await;
     socket.shutdown().await.unwrap();
     http::read(socket).await;
-    place.serves().await;
-    let record = fake::control::record(place.decode).await.unwrap();
+    site.assert_serves().await;
+    let record = fake::control::record(site.decode).await.unwrap();
     assert_eq!(
         record["decodes"], 1,
-        "only the request of `serves` ran: {record}"
+        "only the request of `assert_serves` ran: {record}"
     );
 }
 
@@ -89,11 +93,15 @@
     "neither yes nor no"
 )]
 #[tokio::test]
-async fn wrong_headers_are_named(#[case] headers: &str, #[case] status: u16, #[case] cause: &str) {
-    let place = Place::start(1).await;
+async fn an_invalid_header_is_named_in_the_refusal(
+    #[case] headers: &str,
+    #[case] status: u16,
+    #[case] cause: &str,
+) {
+    let site = Site::start(1).await;
     let body = "{\"model\": \"ration\", \"prompt\": \"a\", \"max_tokens\": 4}";
     let bytes = http::request("POST", PATH, headers, body);
-    let answer = http::send(place.daemon.caller, &bytes).await;
+    let answer = http::send_and_read(site.daemon.caller, &bytes).await;
     assert_eq!(
         (answer.status, answer.reason()),
         (status, "invalid".to_owned()),
@@ -105,11 +113,11 @@
 #[rstest]
 #[tokio::test]
 async fn oversized_headers_are_refused() {
-    let place = Place::start(1).await;
+    let site = Site::start(1).await;
     let headers = format!("Waxwing-Class: {}\r\n", "x".repeat(17 << 10));
-    let answer = http::send(
-        place.daemon.caller,
-        &http::caller("POST", PATH, &headers, "{}"),
+    let answer = http::send_and_read(
+        site.daemon.caller,
+        &http::caller_request("POST", PATH, &headers, "{}"),
     )
     .await;
     assert_eq!(
@@ -124,9 +132,17 @@
 #[case::path("POST", "/v2/completions", 404)]
 #[case::no_service("POST", "/v1/call/", 404)]
 #[tokio::test]
-async fn wrong_calls_are_refused(#[case] method: &str, #[case] path: &str, #[case] status: u16) {
-    let place = Place::start(1).await;
-    let answer = http::send(place.daemon.caller, &http::caller(method, path, "", "")).await;
+async fn calls_with_a_wrong_method_or_path_are_refused(
+    #[case] method: &str,
+    #[case] path: &str,
+    #[case] status: u16,
+) {
+    let site = Site::start(1).await;
+    let answer = http::send_and_read(
+        site.daemon.caller,
+        &http::caller_request(method, path, "", ""),
+    )
+    .await;
     assert_eq!(
         (answer.status, answer.reason()),
         (status, "invalid".to_owned()),
--- a/crates/node/tests/pauses.rs
+++ b/crates/node/tests/pauses.rs
@@ -1,6 +1,6 @@
-//! What a core holds of its own past after a pause.
+//! What a core may claim about earlier requests after its process was paused.
 
-mod one;
+mod harness;
 
 use std::time::Duration;
 
@@ -10,33 +10,36 @@
 use node::ids::CallId;
 use rstest::rstest;
 
-use crate::one::One;
+use crate::harness::Harness;
 
 const CALL: CallId = CallId(1);
-/// Longer than the others wait before they run a repeatable request of a silent daemon.
+/// Longer than other daemons wait before they run a repeatable request of an unresponsive one.
 const PAUSE: Duration = Duration::from_secs(10);
-/// Until a stopping daemon takes no more requests.
-const CLOSED: Duration = Duration::from_millis(4_100);
+/// Time after which a stopping daemon accepts no more requests.
+const REQUESTS_CLOSED: Duration = Duration::from_millis(4_100);
 
-/// A daemon was paused so long that others took it for dead, and one of them ran a request whose
-/// key named this daemon. The caller repeated it here after the pause: the daemon did not know
-/// that it had been paused, and told that the request had never run.
+/// During a long pause, other daemons declare this one dead, and one of them runs a request whose
+/// key names it. Without noticing the pause, the daemon would answer a repeat of that request
+/// with `not run`.
 #[rstest]
 #[case::paused(PAUSE, Outcome::Unknown)]
 #[case::not_paused(Duration::ZERO, Outcome::NotRun)]
-fn after_a_pause_nobody_is_told_that_a_key_never_ran(
+fn after_a_pause_a_key_is_not_reported_as_never_run(
     #[case] pause: Duration,
     #[case] expected: Outcome,
 ) {
-    let mut one = One::new();
-    one.pause(pause);
-    one.run(Duration::from_secs(1));
-    one.feed(Event::Stop);
-    one.run(CLOSED);
-    one.arrive(CALL);
-    let outcome = one.tells.iter().find_map(|(_, tell)| match tell {
-        CallerMessage::Refusal(refusal) => Some(refusal.outcome),
-        _ => None,
-    });
+    let mut harness = Harness::new();
+    harness.pause(pause);
+    harness.run_for(Duration::from_secs(1));
+    harness.feed(Event::Stop);
+    harness.run_for(REQUESTS_CLOSED);
+    harness.send_request(CALL);
+    let outcome = harness
+        .responses
+        .iter()
+        .find_map(|(_, message)| match message {
+            CallerMessage::Refusal(refusal) => Some(refusal.outcome),
+            _ => None,
+        });
     assert_eq!(outcome, Some(expected));
 }
--- a/crates/node/tests/world/callers.rs
+++ b/crates/node/tests/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that follow the interface, some with little patience.
+//! Callers that follow the interface; some drop their connections or abandon their requests.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use node::request::Work;
 use rand::RngExt;
 
-use super::World;
-use super::conns::Peer;
-use super::item::Item;
-use super::item::Note;
+use super::Simulation;
+use super::connections::Peer;
+use super::sim_event::CallerEvent;
+use super::sim_event::SimEvent;
 
-/// Most tokens that a patient caller asks for.
+/// Most tokens requested by a caller that waits for its answer.
 const MAX_TOKENS: u32 = 40;
-/// Tokens that a caller asks for who goes away: far more than are made before the run ends, so
-/// that only a cancel frees the slot.
+/// Tokens requested by a caller that abandons its request: far more than are generated before the
+/// run ends, so only a cancellation frees the slot.
 const ENDLESS_TOKENS: u32 = 20_000;
 
-/// Where a caller is.
+/// State of the request of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It wants its answer.
+    /// The answer is not complete; the caller keeps trying.
     Trying,
-    /// It has the whole answer.
+    /// The whole answer has arrived.
     Complete,
-    /// It was told an outcome that it does not try again after.
-    Without(Outcome),
-    /// It went away.
+    /// The request ended with an outcome that forbids a retry.
+    NoAnswer(Outcome),
+    /// The caller abandoned the request.
     Gone,
 }
 
@@ -36,23 +36,23 @@
 #[derive(Debug)]
 pub struct Caller {
     pub service: &'static str,
-    /// Tokens of its answer.
+    /// Length of the answer, in tokens.
     pub length: u32,
     pub repeatable: bool,
     pub state: State,
-    /// Connections that reached a daemon.
+    /// Number of connections that reached a daemon.
     pub connections: u32,
-    /// Whether a byte of the request has reached a replica under its present key.
-    pub touched: bool,
-    /// How often replicas began to run it.
+    /// Whether a byte of the request has reached a replica under its current key.
+    pub reached_replica: bool,
+    /// How often a replica began to run the request.
     pub runs: u32,
     pub keyed: bool,
     pub key: Option<String>,
     pub token: Option<String>,
-    pub had: u32,
+    pub received_tokens: u32,
     pub conn: Option<CallId>,
-    /// Where to go next.
-    pub hint: Option<usize>,
+    /// Daemon named by the last address list or refusal, tried first at the next attempt.
+    pub next_daemon: Option<usize>,
     pub tries: u32,
 }
 
@@ -64,19 +64,19 @@
             repeatable,
             state: State::Trying,
             connections: 0,
-            touched: false,
+            reached_replica: false,
             runs: 0,
             keyed,
             key: None,
             token: None,
-            had: 0,
+            received_tokens: 0,
             conn: None,
-            hint: None,
+            next_daemon: None,
             tries: 0,
         }
     }
 
-    /// Whether its request may run only once.
+    /// Whether the request may run only once.
     pub fn is_single(&self) -> bool {
         !self.repeatable || self.service == "booking"
     }
@@ -102,7 +102,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn add_caller(&mut self, caller: usize) {
         let length = self.rng.random_range(1..=MAX_TOKENS);
         let kind = self.rng.random_range(0..100);
@@ -115,55 +115,58 @@
             _ => Caller::new("booking", 0, true, false),
         });
         let begin = self.rng.random_range(200..9_000);
-        self.note_in(begin, caller, Note::Try);
+        self.schedule_caller(begin, caller, CallerEvent::Try);
         let later = begin + self.rng.random_range(1..3_000);
         match self.rng.random_range(0..100) {
             0..16 => {
                 self.callers[caller].length = ENDLESS_TOKENS;
-                self.note_in(later, caller, Note::Vanish);
+                self.schedule_caller(later, caller, CallerEvent::Abandon);
             }
-            16..32 => self.note_in(later, caller, Note::Drop),
-            32..48 => self.note_in(later, caller, Note::Double),
+            16..32 => self.schedule_caller(later, caller, CallerEvent::Drop),
+            32..48 => self.schedule_caller(later, caller, CallerEvent::OpenSecond),
             _ => (),
         }
     }
 
-    pub(super) fn note_in(&mut self, ms: u64, caller: usize, note: Note) {
-        self.after(Duration::from_millis(ms), Item::Caller { caller, note });
+    pub(super) fn schedule_caller(&mut self, ms: u64, caller: usize, event: CallerEvent) {
+        self.schedule(
+            Duration::from_millis(ms),
+            SimEvent::Caller { caller, event },
+        );
     }
 
-    pub(super) fn caller_notes(&mut self, caller: usize, note: Note) {
+    pub(super) fn handle_caller_event(&mut self, caller: usize, event: CallerEvent) {
         if self.callers[caller].state != State::Trying {
             return;
         }
-        match note {
-            Note::Try => self.attempt(caller),
-            Note::Double => {
+        match event {
+            CallerEvent::Try => self.connect_or_give_up(caller),
+            CallerEvent::OpenSecond => {
                 if self.callers[caller].conn.is_some() {
                     self.connect_somewhere(caller);
                 }
             }
-            Note::Drop => {
+            CallerEvent::Drop => {
                 if let Some(call) = self.callers[caller].conn.take() {
                     self.close_conn(call);
                     let ms = self.rng.random_range(10..5_000);
-                    self.note_in(ms, caller, Note::Try);
+                    self.schedule_caller(ms, caller, CallerEvent::Try);
                 }
             }
-            Note::Vanish => self.end_caller(caller, State::Gone),
-            Note::Connect { host, resume } => self.connect(caller, host, resume),
-            Note::Told { call, tell } => self.told(caller, call, tell),
-            Note::Broken { call } if call == self.callers[caller].conn => {
+            CallerEvent::Abandon => self.end_caller(caller, State::Gone),
+            CallerEvent::Connect { daemon, resume } => self.connect(caller, daemon, resume),
+            CallerEvent::Received { call, message } => self.receive(caller, call, message),
+            CallerEvent::Disconnected { call } if call == self.callers[caller].conn => {
                 self.callers[caller].conn = None;
                 let ms = self.rng.random_range(50..800);
-                self.note_in(ms, caller, Note::Try);
+                self.schedule_caller(ms, caller, CallerEvent::Try);
             }
-            Note::Broken { .. } => (),
+            CallerEvent::Disconnected { .. } => (),
         }
     }
 
     pub(super) fn end_caller(&mut self, caller: usize, state: State) {
-        self.note(|| format!("caller {caller} ends: {state:?}"));
+        self.trace_line(|| format!("caller {caller} ends: {state:?}"));
         self.callers[caller].state = state;
         self.callers[caller].conn = None;
         let of_caller = |peer| peer == Peer::Caller(caller) || peer == Peer::Reader(caller);
@@ -174,12 +177,12 @@
         }
     }
 
-    /// A replica began to run the request of `caller`.
+    /// Counts a run of the request of `caller` at a replica.
     pub(super) fn count_run(&mut self, caller: usize) {
-        let slot = &mut self.callers[caller];
-        slot.runs += 1;
-        if slot.runs > 1 && slot.is_single() {
-            self.violate(format!("the request of caller {caller} runs twice"));
+        let entry = &mut self.callers[caller];
+        entry.runs += 1;
+        if entry.runs > 1 && entry.is_single() {
+            self.record_violation(format!("the request of caller {caller} runs twice"));
         }
     }
 }
--- a/crates/node/tests/world/conns.rs
+++ b/crates/node/tests/simulation/connections.rs
@@ -6,32 +6,32 @@
 use node::ids::CallId;
 use rand::RngExt;
 
-use super::World;
-use super::item::Item;
-use super::item::Note;
-use super::item::Verdict;
+use super::Simulation;
+use super::sim_event::CallerEvent;
+use super::sim_event::OperatorEvent;
+use super::sim_event::SimEvent;
 
-/// Who is at the other end of a connection.
+/// Client side of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Peer {
-    /// A caller with a request.
+    /// A caller that sends a request.
     Caller(usize),
-    /// A caller with a resume token.
+    /// A caller that presents a resume token.
     Reader(usize),
     /// An operator.
     Operator(usize),
 }
 
-/// Where a connection is.
+/// State of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It has no last answer.
+    /// The last response has not been sent.
     Open,
-    /// Its last answer was told.
+    /// The last response was sent.
     Answered,
-    /// It was closed from outside, or its daemon died.
+    /// The client closed it, or the daemon died.
     Closed,
-    /// Its daemon died, and what was under way is lost.
+    /// The daemon died, and responses in flight are lost.
     Dropped,
 }
 
@@ -39,18 +39,18 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Conn {
     pub peer: Peer,
-    pub host: usize,
+    pub daemon: usize,
     run: u32,
-    /// Whether its daemon has seen it.
+    /// Whether the daemon has received its first event.
     pub seen: bool,
-    /// Whether a byte of its request has reached a replica.
-    pub touched: bool,
-    /// The attempt whose head it was last told.
+    /// Whether a byte of the request has reached a replica.
+    pub reached_replica: bool,
+    /// The attempt named in the last response head.
     pub handle: Option<Handle>,
-    /// Index of the token that is due next.
+    /// Index of the next expected token.
     pub next: u32,
     pub state: State,
-    /// Time that each answer takes, in microseconds.
+    /// Delay of each response, in microseconds.
     pub delay: u64,
 }
 
@@ -60,17 +60,17 @@
     }
 }
 
-impl World {
-    /// Opens a connection to `host`, whose process must be there.
-    pub(super) fn open_conn(&mut self, host: usize, peer: Peer, next: u32) -> CallId {
+impl Simulation {
+    /// Opens a connection to `daemon`, which must be running.
+    pub(super) fn open_conn(&mut self, daemon: usize, peer: Peer, next: u32) -> CallId {
         self.counter += 1;
         let call = CallId(self.counter);
         let conn = Conn {
             peer,
-            host,
-            run: self.hosts[host].run,
+            daemon,
+            run: self.daemons[daemon].run,
             seen: false,
-            touched: false,
+            reached_replica: false,
             handle: None,
             next,
             state: State::Open,
@@ -80,30 +80,30 @@
         call
     }
 
-    /// Closes a connection from outside.
+    /// Closes a connection from the client side.
     pub(super) fn close_conn(&mut self, call: CallId) {
         let Some(conn) = self.conns.get_mut(&call).filter(|conn| conn.is_open()) else {
             return;
         };
         conn.state = State::Closed;
-        let (host, run) = (conn.host, conn.run);
+        let (daemon, run) = (conn.daemon, conn.run);
         let event = Event::Disconnected { call };
-        self.note(|| format!("{call:?} at entry-{host} closes"));
-        self.after_micros(500, Item::Event { host, run, event });
+        self.trace_line(|| format!("{call:?} at entry-{daemon} closes"));
+        self.schedule_micros(500, SimEvent::DaemonEvent { daemon, run, event });
     }
 
-    /// Connections of the present process of `host` that have no last answer.
-    pub(super) fn open_conns(&self, host: usize) -> Vec<CallId> {
-        let run = self.hosts[host].run;
+    /// Returns the open connections of the current process of `daemon`.
+    pub(super) fn open_conns(&self, daemon: usize) -> Vec<CallId> {
+        let run = self.daemons[daemon].run;
         self.conns
             .iter()
-            .filter(|(_, conn)| conn.host == host && conn.run == run && conn.is_open())
+            .filter(|(_, conn)| conn.daemon == daemon && conn.run == run && conn.is_open())
             .map(|(call, _)| *call)
             .collect()
     }
 
-    pub(super) fn break_conns(&mut self, host: usize) {
-        for call in self.open_conns(host) {
+    pub(super) fn break_conns(&mut self, daemon: usize) {
+        for call in self.open_conns(daemon) {
             let dropped = self.rng.random_bool(0.5);
             let Some(conn) = self.conns.get_mut(&call) else {
                 continue;
@@ -113,21 +113,21 @@
             } else {
                 State::Closed
             };
-            let item = match conn.peer {
-                Peer::Caller(caller) | Peer::Reader(caller) => Item::Caller {
+            let event = match conn.peer {
+                Peer::Caller(caller) | Peer::Reader(caller) => SimEvent::Caller {
                     caller,
-                    note: Note::Broken { call: Some(call) },
+                    event: CallerEvent::Disconnected { call: Some(call) },
                 },
-                Peer::Operator(operator) => Item::Operator {
+                Peer::Operator(operator) => SimEvent::Operator {
                     operator,
-                    verdict: Verdict::Broken,
+                    event: OperatorEvent::Disconnected,
                 },
             };
-            self.after_micros(4_000, item);
+            self.schedule_micros(4_000, event);
         }
     }
 
-    /// Whose body an order carries, and under which connection, if the daemon still keeps it.
+    /// Returns the connection and caller whose body `task` carries, if that connection is open.
     pub(super) fn origin_of(&self, task: &Task) -> Option<(CallId, usize)> {
         let (Task::Prefill { call, .. } | Task::Plain { call }) = task else {
             return None;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Whether something told to `call` reaches its caller.
+    /// Whether responses to `call` are lost on the way.
     pub(super) fn is_lost(&self, call: CallId) -> bool {
         self.conns
             .get(&call)
