--- a/crates/lab/src/decode/replica.rs
+++ b/crates/lab/src/decode/replica.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Resumes the oldest preempted run with a prefill, once there is memory.
+    /// Resumes the run that was preempted first, with a prefill, once there is memory.
     fn resume_preempted(&mut self) {
         let room = self.engine.memory as f64 - self.used_tokens();
         if self
--- a/crates/lab/src/decode/run.rs
+++ b/crates/lab/src/decode/run.rs
@@ -51,7 +51,7 @@
     arrived: f64,
     state: State,
     /// When the last event arrived; at first, when the request did.
-    last: f64,
+    last_event: f64,
     late: bool,
     retried: bool,
 }
@@ -117,7 +117,7 @@
         if self.now < self.setup.length_ms {
             self.arrive();
         }
-        self.deliver();
+        self.deliver_claims();
         for request in 0..self.requests.len() {
             self.advance(request);
         }
@@ -142,9 +142,9 @@
     }
 
     /// Draws a size from a log-normal distribution.
-    fn size(&self, sigma: Distribution) -> f64 {
-        let median = sigma.mean / (sigma.sigma * sigma.sigma / 2.0).exp();
-        (median * (sigma.sigma * self.normal()).exp()).clamp(1.0, sigma.max)
+    fn size(&self, distribution: Distribution) -> f64 {
+        let median = distribution.mean / (distribution.sigma * distribution.sigma / 2.0).exp();
+        (median * (distribution.sigma * self.normal()).exp()).clamp(1.0, distribution.max)
     }
 
     fn normal(&self) -> f64 {
@@ -159,24 +159,24 @@
         }
         let answer = self.size(self.setup.answer);
         let estimate = answer * (self.setup.estimate_sigma * self.normal()).exp();
-        let most = self.setup.answer.max;
+        let max = self.setup.answer.max;
         let prompt = self.size(self.setup.prompt);
         let wait = self.setup.objective_ms * WAIT_FRACTION;
         self.requests.push(Request {
             daemon: (self.draw() * self.setup.daemons as f64) as usize,
             size: Size {
                 prompt: prompt as u64,
-                estimate: estimate.min(most) as u64,
-                max_tokens: most as u64,
+                estimate: estimate.min(max) as u64,
+                max_tokens: max as u64,
                 generated: 0,
             },
-            total: (answer * length).min(most),
+            total: (answer * length).min(max),
             arrived: self.now,
             state: State::Waiting {
                 next: self.now,
                 until: self.now + wait,
             },
-            last: self.now,
+            last_event: self.now,
             late: false,
             retried: false,
         });
@@ -189,7 +189,7 @@
         usize::from(prompt > self.setup.prompt.mean * LARGE_PROMPT)
     }
 
-    fn deliver(&mut self) {
+    fn deliver_claims(&mut self) {
         let now = self.now;
         let time = self.time();
         let (due, rest) = std::mem::take(&mut self.in_transit)
@@ -256,9 +256,9 @@
             let replica = self.daemons[daemon].replica(key);
             if self.replicas[replica].reserve(tokens) {
                 let id = self.daemons[daemon].begin(time, key, size);
-                let read = size.prompt as f64 / self.setup.engine.prefill_tokens_ms;
+                let prefill = size.prompt as f64 / self.setup.engine.prefill_tokens_ms;
                 self.requests[request].state = State::Prefilling {
-                    until: self.now + PREFILL_OVERHEAD_MS + read,
+                    until: self.now + PREFILL_OVERHEAD_MS + prefill,
                     id,
                     key,
                     reserved: tokens,
@@ -290,8 +290,8 @@
         for replica in &mut self.replicas {
             replica.advance(self.now, TICK_MS, &mut out);
         }
-        for what in out {
-            match what {
+        for event in out {
+            match event {
                 ReplicaEvent::Preempted(tokens) => {
                     self.stats.preempted += 1;
                     self.stats.recomputed += tokens;
@@ -300,24 +300,24 @@
                     request,
                     events,
                     complete,
-                } => self.event(request, events, complete),
+                } => self.record_event(request, events, complete),
             }
         }
     }
 
-    fn event(&mut self, number: usize, events: u64, complete: bool) {
+    fn record_event(&mut self, number: usize, events: u64, complete: bool) {
         let time = self.time();
         let request = &mut self.requests[number];
         let State::Decoding { id } = request.state else {
             return;
         };
-        let allowed = if events <= 1 && request.last <= request.arrived {
+        let allowed = if events <= 1 && request.last_event <= request.arrived {
             self.setup.objective_ms
         } else {
             self.setup.pause_ms
         };
-        request.late |= self.now - request.last > allowed;
-        request.last = self.now;
+        request.late |= self.now - request.last_event > allowed;
+        request.last_event = self.now;
         let tokens = self.setup.engine.event_tokens;
         let daemon = &mut self.daemons[request.daemon];
         daemon.runs.record_tokens(time, id, tokens);
@@ -362,7 +362,7 @@
         if let Some(run) = self.replicas[source].stop(request) {
             self.replicas[target].begin(self.now, run, held);
             self.daemons[daemon].runs.record_move(id, to);
-            self.requests[request].last -= MOVE_PAUSE_MS;
+            self.requests[request].last_event -= MOVE_PAUSE_MS;
             self.stats.moved += 1;
         }
     }
--- a/crates/lab/src/quota/scheme.rs
+++ b/crates/lab/src/quota/scheme.rs
@@ -24,7 +24,7 @@
 /// Time between two broadcasts of a daemon.
 const BROADCAST_INTERVAL: Duration = Duration::from_millis(100);
 /// Delay of a message.
-const TRANSIT: Duration = Duration::from_millis(10);
+const MESSAGE_DELAY: Duration = Duration::from_millis(10);
 
 /// How the daemons enforce a quota together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -108,7 +108,8 @@
             let units = std::mem::take(&mut self.daemons[from].unreported);
             if units > 0.0 {
                 self.messages += self.daemons.len() as u64 - 1;
-                self.in_transit.push_back((now + TRANSIT, from, units));
+                self.in_transit
+                    .push_back((now + MESSAGE_DELAY, from, units));
             }
         }
     }
@@ -132,10 +133,10 @@
                     rate: limit.rate / live,
                     burst: limit.burst / live,
                 };
-                self.take(now, daemon, share, units)
+                self.take_local(now, daemon, share, units)
             }
             Scheme::Told => {
-                let taken = self.take(now, daemon, limit, units);
+                let taken = self.take_local(now, daemon, limit, units);
                 if taken {
                     self.daemons[daemon].unreported += units;
                 }
@@ -145,7 +146,7 @@
         }
     }
 
-    fn take(&mut self, now: Time, daemon: usize, limit: Limit, units: f64) -> bool {
+    fn take_local(&mut self, now: Time, daemon: usize, limit: Limit, units: f64) -> bool {
         let bucket = &mut self.daemons[daemon].bucket;
         let taken = bucket.take(now, limit, units, Duration::ZERO);
         matches!(taken, Verdict::Granted { .. })
