--- a/crates/fake/src/application.rs
+++ b/crates/fake/src/application.rs
@@ -87,7 +87,7 @@
         let slots = Semaphore::new(settings.slots);
         Self {
             settings,
-            boot: web::boot(),
+            boot: web::random_boot_id(),
             slots,
             record: Mutex::default(),
         }
@@ -113,7 +113,7 @@
     }
 
     fn state(&self) -> Response {
-        let running = self.record().reported(self.settings.load_lag);
+        let running = self.record().load_before(self.settings.load_lag);
         web::ok(&json!({ "boot": self.boot, "slots": self.settings.slots, "running": running }))
     }
 
@@ -133,7 +133,7 @@
                 self.record().fault = fault;
                 web::status(StatusCode::OK)
             }
-            Err(malformed) => malformed.response(),
+            Err(invalid) => invalid.response(),
         }
     }
 
@@ -143,27 +143,27 @@
             return web::status(StatusCode::SERVICE_UNAVAILABLE);
         }
         // The call runs on when its caller goes away, as in a real application.
-        let work = tokio::spawn(self.work(call, fault));
+        let work = tokio::spawn(self.execute(call, fault));
         match work.await {
             Ok(answer) => answer,
             Err(_) => web::status(StatusCode::INTERNAL_SERVER_ERROR),
         }
     }
 
-    async fn work(self: Arc<Self>, call: Call, fault: Fault) -> Response {
+    async fn execute(self: Arc<Self>, call: Call, fault: Fault) -> Response {
         let Ok(_slot) = self.slots.acquire().await else {
             return web::status(StatusCode::SERVICE_UNAVAILABLE);
         };
-        let key = key(&call);
-        let run = self.record().begin(&key);
+        let key = call_key(&call);
+        let run = self.record().start_run(&key);
         let extra = match fault.mode {
             Mode::Slow => Duration::from_millis(fault.ms),
             _ => Duration::ZERO,
         };
         tokio::time::sleep(self.settings.service + extra).await;
-        self.record().end();
+        self.record().end_run();
         match fault.mode {
-            Mode::Lose => web::dropped(),
+            Mode::Lose => web::close_connection(),
             _ => web::ok(&json!({
                 "key": key,
                 "run": run,
@@ -179,30 +179,30 @@
 }
 
 impl Record {
-    fn begin(&mut self, key: &str) -> u64 {
+    fn start_run(&mut self, key: &str) -> u64 {
         self.total += 1;
         self.last_new_work_ms = web::unix_ms();
-        self.note_load(self.running + 1);
+        self.record_load(self.running + 1);
         let runs = self.runs.entry(key.to_owned()).or_default();
         *runs += 1;
         *runs
     }
 
-    fn end(&mut self) {
-        self.note_load(self.running - 1);
+    fn end_run(&mut self) {
+        self.record_load(self.running - 1);
     }
 
-    fn note_load(&mut self, running: usize) {
-        const KEPT: usize = 100_000;
+    fn record_load(&mut self, running: usize) {
+        const MAX_SAMPLES: usize = 100_000;
         self.running = running;
         self.loads.push_back((Instant::now(), running));
-        if self.loads.len() > KEPT {
+        if self.loads.len() > MAX_SAMPLES {
             self.loads.pop_front();
         }
     }
 
     /// The load as it was `lag` ago.
-    fn reported(&mut self, lag: Duration) -> usize {
+    fn load_before(&mut self, lag: Duration) -> usize {
         while self.loads.get(1).is_some_and(|(at, _)| at.elapsed() >= lag) {
             self.loads.pop_front();
         }
@@ -214,7 +214,7 @@
 }
 
 /// The idempotency key of a call, or else the handle of its attempt.
-fn key(call: &Call) -> String {
+fn call_key(call: &Call) -> String {
     ["Idempotency-Key", "Waxwing-Call"]
         .iter()
         .find_map(|name| call.headers.get(*name)?.to_str().ok())
--- a/crates/fake/src/bin/fake-link.rs
+++ b/crates/fake/src/bin/fake-link.rs
@@ -19,7 +19,7 @@
     let routes: Result<Vec<Route>, _> = values.all("route").iter().map(|r| r.parse()).collect();
     let routes = match routes {
         Ok(routes) => routes,
-        Err(e) => options::fail(PROGRAM, &e.to_string()),
+        Err(e) => options::exit_with_error(PROGRAM, &e.to_string()),
     };
     let listener = web::bind(values.listen()).await?;
     let address = listener.local_addr()?;
--- a/crates/fake/src/engine/work.rs
+++ b/crates/fake/src/engine/attempt.rs
@@ -55,7 +55,7 @@
 
 /// One attempt.
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct Attempt {
     pub(super) owner: String,
     pub(super) fence: u64,
     pub(super) phase: Phase,
@@ -80,7 +80,7 @@
     pub(super) progress: watch::Sender<Progress>,
 }
 
-impl Work {
+impl Attempt {
     /// An attempt that has just come.
     pub(super) fn new(claim: &Claim, phase: Phase, number: u64) -> Self {
         let (progress, _) = watch::channel(Progress::default());
--- a/crates/fake/src/engine/cache.rs
+++ b/crates/fake/src/engine/cache.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 /// Events that are kept for readers.
-const EVENTS: usize = 16_384;
+const MAX_EVENTS: usize = 16_384;
 
 /// A block was stored or evicted.
 #[derive(Debug, Clone, Copy, Serialize)]
@@ -26,23 +26,23 @@
 pub(super) struct Cache {
     capacity: usize,
     clock: u64,
-    used: HashMap<u64, u64>,
+    last_used: HashMap<u64, u64>,
     events: VecDeque<(Instant, Event)>,
     seq: u64,
-    gap: f64,
+    loss_probability: f64,
     random: Pcg64,
 }
 
 impl Cache {
     /// A cache of `capacity` blocks that drops an event with probability `gap`.
-    pub(super) fn new(capacity: usize, gap: f64, seed: u64) -> Self {
+    pub(super) fn new(capacity: usize, loss_probability: f64, seed: u64) -> Self {
         Self {
             capacity,
             clock: 0,
-            used: HashMap::new(),
+            last_used: HashMap::new(),
             events: VecDeque::new(),
             seq: 0,
-            gap,
+            loss_probability,
             random: Pcg64::seed_from_u64(seed),
         }
     }
@@ -51,7 +51,7 @@
     pub(super) fn hits(&self, blocks: &[u64]) -> usize {
         blocks
             .iter()
-            .take_while(|block| self.used.contains_key(block))
+            .take_while(|block| self.last_used.contains_key(block))
             .count()
     }
 
@@ -59,7 +59,7 @@
     pub(super) fn store(&mut self, blocks: &[u64], publish: bool) {
         for &block in blocks {
             self.clock += 1;
-            if self.used.insert(block, self.clock).is_none() {
+            if self.last_used.insert(block, self.clock).is_none() {
                 self.publish(block, true, publish);
             }
             self.evict(publish);
@@ -77,23 +77,23 @@
     }
 
     fn evict(&mut self, publish: bool) {
-        if self.used.len() <= self.capacity {
+        if self.last_used.len() <= self.capacity {
             return;
         }
         let oldest = self
-            .used
+            .last_used
             .iter()
             .min_by_key(|(_, used)| **used)
             .map(|(block, _)| *block);
         if let Some(block) = oldest {
-            self.used.remove(&block);
+            self.last_used.remove(&block);
             self.publish(block, false, publish);
         }
     }
 
     fn publish(&mut self, block: u64, stored: bool, publish: bool) {
         self.seq += 1;
-        if !publish || self.random.random_bool(self.gap) {
+        if !publish || self.random.random_bool(self.loss_probability) {
             return;
         }
         self.events.push_back((
@@ -104,7 +104,7 @@
                 stored,
             },
         ));
-        if self.events.len() > EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/fake/src/engine/decode.rs
+++ b/crates/fake/src/engine/decode.rs
@@ -12,39 +12,39 @@
 use volo_http::response::Response;
 
 use super::Engine;
+use super::attempt::Attempt;
+use super::attempt::Phase;
+use super::attempt::Reason;
 use super::inner::Mode;
 use super::message;
-use super::message::Cargo;
+use super::message::ExportHeader;
 use super::message::Refusal;
 use super::settings::Role;
 use super::stream::Reader;
-use super::work::Phase;
-use super::work::Reason;
-use super::work::Work;
 use crate::text;
 use crate::web::Call;
 
 /// How long a finished stream stays readable.
-const READABLE: Duration = Duration::from_secs(30);
+const FINISHED_TTL: Duration = Duration::from_secs(30);
 
 /// Tells the waiting caller whether the import has begun.
-type Opened = oneshot::Sender<Result<(), Refusal>>;
+type ImportStarted = oneshot::Sender<Result<(), Refusal>>;
 
 impl Engine {
     /// Answers `POST /v1/decode`.
     pub(super) async fn decode(self: &Arc<Self>, call: &Call) -> Response {
         let request: message::Decode = match call.json() {
             Ok(request) => request,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
-        let reader = match self.take_slot(&request) {
+        let reader = match self.reserve_slot(&request) {
             Ok(reader) => reader,
             Err(refusal) => return refusal.response(),
         };
-        let (opened, opening) = oneshot::channel();
+        let (started, starting) = oneshot::channel();
         // The decode goes on when its caller goes away: another reader may attach.
-        tokio::spawn(Arc::clone(self).import(request, opened));
-        match opening.await {
+        tokio::spawn(Arc::clone(self).import(request, started));
+        match starting.await {
             Ok(Ok(())) => reader.response(),
             Ok(Err(refusal)) => refusal.response(),
             Err(_) => Refusal::Cancelled.response(),
@@ -55,7 +55,7 @@
     pub(super) fn attach(&self, call: &Call) -> Response {
         let request: message::Attach = match call.json() {
             Ok(request) => request,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         match self.replace_reader(&request) {
             Ok(reader) => reader.response(),
@@ -67,7 +67,7 @@
     pub(super) async fn run_batch(self: Arc<Self>) {
         loop {
             self.wait_while(Mode::Stall).await;
-            let running = self.inner().count(|work| work.phase == Phase::Decode);
+            let running = self.inner().count(|attempt| attempt.phase == Phase::Decode);
             if running == 0 {
                 self.decoding.notified().await;
                 continue;
@@ -77,18 +77,18 @@
         }
     }
 
-    fn take_slot(&self, request: &message::Decode) -> Result<Reader, Refusal> {
+    fn reserve_slot(&self, request: &message::Decode) -> Result<Reader, Refusal> {
         let claim = &request.claim;
         let mut inner = self.inner();
         inner.fences.admit_work(claim)?;
         inner.check(Role::Decode, claim.handle)?;
-        if inner.count(Work::holds_slot) >= self.settings.slots {
+        if inner.count(Attempt::holds_slot) >= self.settings.slots {
             return Err(Refusal::Full);
         }
-        let number = inner.number();
-        let work = Work::new(claim, Phase::Import, number);
-        let reader = Reader::new(&work, request.offset);
-        inner.add(claim.handle, work);
+        let number = inner.next_number();
+        let attempt = Attempt::new(claim, Phase::Import, number);
+        let reader = Reader::new(&attempt, request.offset);
+        inner.add(claim.handle, attempt);
         inner.record.decodes += 1;
         Ok(reader)
     }
@@ -97,48 +97,53 @@
         let claim = &request.claim;
         let mut inner = self.inner();
         inner.fences.admit_work(claim)?;
-        let work = inner.works.get_mut(&claim.handle).ok_or(Refusal::Unknown)?;
-        if matches!(work.phase, Phase::Prefill | Phase::Kept) {
+        let attempt = inner
+            .attempts
+            .get_mut(&claim.handle)
+            .ok_or(Refusal::Unknown)?;
+        if matches!(attempt.phase, Phase::Prefill | Phase::Kept) {
             return Err(Refusal::Unknown);
         }
-        work.owner.clone_from(&claim.owner);
-        work.fence = work.fence.max(claim.fence);
-        work.progress.send_modify(|progress| progress.reader += 1);
-        Ok(Reader::new(work, request.offset))
+        attempt.owner.clone_from(&claim.owner);
+        attempt.fence = attempt.fence.max(claim.fence);
+        attempt
+            .progress
+            .send_modify(|progress| progress.reader += 1);
+        Ok(Reader::new(attempt, request.offset))
     }
 
-    async fn import(self: Arc<Self>, request: message::Decode, opened: Opened) {
+    async fn import(self: Arc<Self>, request: message::Decode, started: ImportStarted) {
         let handle = request.claim.handle;
         let Some(mut progress) = self
             .inner()
-            .works
+            .attempts
             .get(&handle)
             .map(|w| w.progress.subscribe())
         else {
             return;
         };
         tokio::select! {
-            () = self.pull(&request, opened) => {}
+            () = self.fetch_kv_cache(&request, started) => {}
             _ = progress.wait_for(|now| now.end.is_some()) => {}
         }
     }
 
     /// Pulls the KV cache from its source and joins the batch, or gives the slot up.
-    async fn pull(self: &Arc<Self>, request: &message::Decode, opened: Opened) {
+    async fn fetch_kv_cache(self: &Arc<Self>, request: &message::Decode, started: ImportStarted) {
         let handle = request.claim.handle;
-        let body = match self.open(handle, request.source).await {
+        let body = match self.request_kv_cache(handle, request.source).await {
             Ok(body) => body,
             Err(refusal) => {
                 self.inner().remove(handle, Reason::Lost);
-                let _caller_gone = opened.send(Err(refusal));
+                let _caller_gone = started.send(Err(refusal));
                 return;
             }
         };
-        let _caller_gone = opened.send(Ok(()));
-        match receive(body).await {
-            Some(cargo) => {
-                tokio::spawn(Arc::clone(self).confirm(handle, request.source));
-                self.join_batch(handle, &cargo, request.max_tokens);
+        let _caller_gone = started.send(Ok(()));
+        match read_export(body).await {
+            Some(header) => {
+                tokio::spawn(Arc::clone(self).confirm_import(handle, request.source));
+                self.join_batch(handle, &header, request.max_tokens);
             }
             None => {
                 self.inner().remove(handle, Reason::Lost);
@@ -146,7 +151,7 @@
         }
     }
 
-    async fn open(&self, handle: Handle, source: SocketAddr) -> Result<Body, Refusal> {
+    async fn request_kv_cache(&self, handle: Handle, source: SocketAddr) -> Result<Body, Refusal> {
         let uri = format!("http://{source}/v1/kv/{handle}");
         let response = self
             .client
@@ -162,22 +167,22 @@
     }
 
     /// Tells the source that the KV cache has arrived.
-    async fn confirm(self: Arc<Self>, handle: Handle, source: SocketAddr) {
+    async fn confirm_import(self: Arc<Self>, handle: Handle, source: SocketAddr) {
         let uri = format!("http://{source}/v1/kv/{handle}");
         // Without the confirmation, the source frees the KV cache a little later by itself.
         let _answer = self.client.delete(uri).send().await;
     }
 
-    fn join_batch(&self, handle: Handle, cargo: &Cargo, max_tokens: usize) {
+    fn join_batch(&self, handle: Handle, header: &ExportHeader, max_tokens: usize) {
         let mut inner = self.inner();
-        let Some(work) = inner.works.get_mut(&handle) else {
+        let Some(attempt) = inner.attempts.get_mut(&handle) else {
             return;
         };
-        let words = text::expected(&cargo.prompt, max_tokens);
-        let produced = cargo.generated.min(words.len());
-        work.text.get_or_init(|| words);
-        work.phase = Phase::Decode;
-        work.progress.send_modify(|progress| {
+        let words = text::expected(&header.prompt, max_tokens);
+        let produced = header.generated.min(words.len());
+        attempt.text.get_or_init(|| words);
+        attempt.phase = Phase::Decode;
+        attempt.progress.send_modify(|progress| {
             progress.ready = true;
             progress.produced = produced;
         });
@@ -190,35 +195,35 @@
         let mut inner = self.inner();
         let mut ended = Vec::new();
         let mut tokens = 0;
-        for (&handle, work) in &mut inner.works {
-            if work.phase != Phase::Decode {
+        for (&handle, attempt) in &mut inner.attempts {
+            if attempt.phase != Phase::Decode {
                 continue;
             }
             tokens += 1;
-            if work.step() {
-                work.phase = Phase::Done;
+            if attempt.step() {
+                attempt.phase = Phase::Done;
                 ended.push(handle);
             }
         }
         inner.record.tokens += tokens;
         if !ended.is_empty() {
-            inner.note_load();
+            inner.record_load();
         }
         drop(inner);
         for handle in ended {
-            tokio::spawn(Arc::clone(self).forget(handle));
+            tokio::spawn(Arc::clone(self).remove_finished(handle));
         }
     }
 
-    async fn forget(self: Arc<Self>, handle: Handle) {
-        tokio::time::sleep(READABLE).await;
+    async fn remove_finished(self: Arc<Self>, handle: Handle) {
+        tokio::time::sleep(FINISHED_TTL).await;
         let mut inner = self.inner();
-        inner.works.remove(&handle);
+        inner.attempts.remove(&handle);
     }
 }
 
 /// Reads an exported KV cache to its end; `None` if it breaks off.
-async fn receive(mut body: Body) -> Option<Cargo> {
+async fn read_export(mut body: Body) -> Option<ExportHeader> {
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame.ok()?.into_data() {
@@ -226,7 +231,7 @@
         }
     }
     let mut lines = bytes.split(|byte| *byte == b'\n');
-    let cargo: Cargo = serde_json::from_slice(lines.next()?).ok()?;
+    let header: ExportHeader = serde_json::from_slice(lines.next()?).ok()?;
     let chunks = lines.filter(|line| !line.is_empty()).count();
-    (chunks == cargo.chunks).then_some(cargo)
+    (chunks == header.chunks).then_some(header)
 }
--- a/crates/fake/src/engine/export.rs
+++ b/crates/fake/src/engine/export.rs
@@ -11,43 +11,43 @@
 use volo_http::response::Response;
 
 use super::Engine;
+use super::attempt::Phase;
+use super::attempt::Reason;
 use super::inner::Mode;
-use super::message::Cargo;
+use super::message::ExportHeader;
 use super::message::Refusal;
-use super::work::Phase;
-use super::work::Reason;
 use crate::web;
 
 /// Pieces in which a KV cache leaves; transfers that run at once alternate by pieces.
 const CHUNKS: usize = 16;
 /// Longest time that an export may take.
-const LIMIT: Duration = Duration::from_secs(10);
+const EXPORT_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a KV cache that was sent waits for the reader's confirmation.
-const CONFIRMATION: Duration = Duration::from_millis(500);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Engine {
     /// Answers `GET /v1/kv/{handle}`.
     pub(super) fn export(self: &Arc<Self>, handle: Handle) -> Response {
-        let cargo = match self.begin_export(handle) {
-            Ok(cargo) => cargo,
+        let header = match self.begin_export(handle) {
+            Ok(header) => header,
             Err(refusal) => return refusal.response(),
         };
         let (sender, receiver) = mpsc::channel(1);
-        tokio::spawn(Arc::clone(self).send(handle, cargo, sender));
+        tokio::spawn(Arc::clone(self).run_export(handle, header, sender));
         web::streaming(receiver)
     }
 
-    fn begin_export(&self, handle: Handle) -> Result<Cargo, Refusal> {
+    fn begin_export(&self, handle: Handle) -> Result<ExportHeader, Refusal> {
         let mut inner = self.inner();
-        let work = inner.works.get_mut(&handle).ok_or(Refusal::Gone)?;
-        if work.phase != Phase::Kept || work.exporting {
+        let attempt = inner.attempts.get_mut(&handle).ok_or(Refusal::Gone)?;
+        if attempt.phase != Phase::Kept || attempt.exporting {
             return Err(Refusal::Gone);
         }
-        work.exporting = true;
-        Ok(Cargo {
-            prompt: work.prompt.clone(),
-            generated: work.generated,
-            tokens: work.tokens,
+        attempt.exporting = true;
+        Ok(ExportHeader {
+            prompt: attempt.prompt.clone(),
+            generated: attempt.generated,
+            tokens: attempt.tokens,
             chunks: CHUNKS,
         })
     }
@@ -55,36 +55,44 @@
     /// Answers `DELETE /v1/kv/{handle}`: the reader has got the KV cache.
     pub(super) fn release(&self, handle: Handle) -> Response {
         let mut inner = self.inner();
-        let exported = inner.works.get(&handle).is_some_and(|work| work.exporting);
+        let exported = inner
+            .attempts
+            .get(&handle)
+            .is_some_and(|attempt| attempt.exporting);
         if !exported {
             return web::status(StatusCode::NOT_FOUND);
         }
-        if let Some(work) = inner.works.remove(&handle) {
-            work.end(Reason::Stop);
+        if let Some(attempt) = inner.attempts.remove(&handle) {
+            attempt.end(Reason::Stop);
         }
         web::status(StatusCode::OK)
     }
 
-    async fn send(self: Arc<Self>, handle: Handle, cargo: Cargo, out: mpsc::Sender<Bytes>) {
-        let sent = tokio::time::timeout(LIMIT, self.send_chunks(&cargo, &out)).await;
+    async fn run_export(
+        self: Arc<Self>,
+        handle: Handle,
+        header: ExportHeader,
+        out: mpsc::Sender<Bytes>,
+    ) {
+        let sent = tokio::time::timeout(EXPORT_TIMEOUT, self.send_chunks(&header, &out)).await;
         drop(out);
         if let Ok(Some(())) = sent {
             // Bytes that were sent may hang on the way; only the reader knows that they arrived.
-            tokio::time::sleep(CONFIRMATION).await;
+            tokio::time::sleep(CONFIRMATION_TIMEOUT).await;
         }
         self.end_export(handle);
     }
 
     /// Sends head and chunks; `None` if the reader went away.
-    async fn send_chunks(&self, cargo: &Cargo, out: &mpsc::Sender<Bytes>) -> Option<()> {
-        let mut head = serde_json::to_vec(cargo).ok()?;
+    async fn send_chunks(&self, header: &ExportHeader, out: &mpsc::Sender<Bytes>) -> Option<()> {
+        let mut head = serde_json::to_vec(header).ok()?;
         head.push(b'\n');
         out.send(Bytes::from(head)).await.ok()?;
         let time = self
             .settings
-            .transfer_time(cargo.tokens)
-            .div_f64(cargo.chunks as f64);
-        for _ in 0..cargo.chunks {
+            .transfer_time(header.tokens)
+            .div_f64(header.chunks as f64);
+        for _ in 0..header.chunks {
             tokio::select! {
                 () = self.wait_while(Mode::StallTransfer) => {}
                 () = out.closed() => return None,
@@ -101,11 +109,13 @@
     fn end_export(&self, handle: Handle) {
         let overdue = {
             let mut inner = self.inner();
-            let Some(work) = inner.works.get_mut(&handle) else {
+            let Some(attempt) = inner.attempts.get_mut(&handle) else {
                 return;
             };
-            work.exporting = false;
-            work.expiry.is_some_and(|expiry| expiry <= Instant::now())
+            attempt.exporting = false;
+            attempt
+                .expiry
+                .is_some_and(|expiry| expiry <= Instant::now())
         };
         if overdue {
             self.expire_now(handle);
--- a/crates/fake/src/engine/fence.rs
+++ b/crates/fake/src/engine/fence.rs
@@ -10,14 +10,14 @@
 use super::message::Refusal;
 
 /// How long a cancelled handle is refused.
-const CANCELLED: Duration = Duration::from_mins(1);
+const CANCELLATION_TTL: Duration = Duration::from_mins(1);
 /// How long a handle is remembered after it was last presented.
-const MEMORY: Duration = Duration::from_mins(10);
+const HANDLE_TTL: Duration = Duration::from_mins(10);
 /// Handles remembered before old ones are looked for.
-const CROWD: usize = 1_024;
+const MIN_SWEEP_COUNT: usize = 1_024;
 
 #[derive(Debug)]
-struct Past {
+struct HandleRecord {
     fence: u64,
     cancelled: Option<Instant>,
     seen: Instant,
@@ -27,8 +27,8 @@
 #[derive(Debug)]
 pub(super) struct Fences {
     enforced: bool,
-    pasts: HashMap<Handle, Past>,
-    crowd: usize,
+    handles: HashMap<Handle, HandleRecord>,
+    sweep_above: usize,
 }
 
 impl Fences {
@@ -36,28 +36,28 @@
     pub(super) fn new(enforced: bool) -> Self {
         Self {
             enforced,
-            pasts: HashMap::new(),
-            crowd: CROWD,
+            handles: HashMap::new(),
+            sweep_above: MIN_SWEEP_COUNT,
         }
     }
 
     /// Notes a call and refuses it if its fencing number is too low.
     pub(super) fn admit(&mut self, claim: &Claim) -> Result<(), Refusal> {
-        self.forget();
+        self.remove_expired();
         let enforced = self.enforced;
-        let past = self.past(claim);
-        if enforced && claim.fence < past.fence {
-            return Err(Refusal::Fenced(past.fence));
+        let record = self.record(claim);
+        if enforced && claim.fence < record.fence {
+            return Err(Refusal::Fenced(record.fence));
         }
-        past.fence = past.fence.max(claim.fence);
+        record.fence = record.fence.max(claim.fence);
         Ok(())
     }
 
     /// Notes a call that brings work. A cancelled handle is refused first, whatever its number: no
     /// other reader is in place.
     pub(super) fn admit_work(&mut self, claim: &Claim) -> Result<(), Refusal> {
-        match self.past(claim).cancelled {
-            Some(at) if at.elapsed() < CANCELLED => Err(Refusal::Cancelled),
+        match self.record(claim).cancelled {
+            Some(at) if at.elapsed() < CANCELLATION_TTL => Err(Refusal::Cancelled),
             _ => self.admit(claim),
         }
     }
@@ -65,25 +65,26 @@
     /// Notes a cancellation.
     pub(super) fn cancel(&mut self, claim: &Claim) -> Result<(), Refusal> {
         self.admit(claim)?;
-        self.past(claim).cancelled = Some(Instant::now());
+        self.record(claim).cancelled = Some(Instant::now());
         Ok(())
     }
 
-    fn past(&mut self, claim: &Claim) -> &mut Past {
+    fn record(&mut self, claim: &Claim) -> &mut HandleRecord {
         let now = Instant::now();
-        let past = self.pasts.entry(claim.handle).or_insert(Past {
+        let record = self.handles.entry(claim.handle).or_insert(HandleRecord {
             fence: claim.fence,
             cancelled: None,
             seen: now,
         });
-        past.seen = now;
-        past
+        record.seen = now;
+        record
     }
 
-    fn forget(&mut self) {
-        if self.pasts.len() > self.crowd {
-            self.pasts.retain(|_, past| past.seen.elapsed() < MEMORY);
-            self.crowd = CROWD.max(self.pasts.len() * 2);
+    fn remove_expired(&mut self) {
+        if self.handles.len() > self.sweep_above {
+            self.handles
+                .retain(|_, record| record.seen.elapsed() < HANDLE_TTL);
+            self.sweep_above = MIN_SWEEP_COUNT.max(self.handles.len() * 2);
         }
     }
 }
--- a/crates/fake/src/engine/inner.rs
+++ b/crates/fake/src/engine/inner.rs
@@ -7,17 +7,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use super::attempt::Attempt;
+use super::attempt::Phase;
+use super::attempt::Reason;
 use super::cache::Cache;
 use super::fence::Fences;
 use super::load::Load;
-use super::load::Loads;
+use super::load::LoadHistory;
 use super::message::Order;
 use super::message::Refusal;
 use super::settings::Role;
 use super::settings::Settings;
-use super::work::Phase;
-use super::work::Reason;
-use super::work::Work;
 use crate::web;
 
 /// What goes wrong on purpose.
@@ -55,10 +55,10 @@
 pub(super) struct Inner {
     pub(super) role: Role,
     pub(super) order: Order,
-    pub(super) works: HashMap<Handle, Work>,
+    pub(super) attempts: HashMap<Handle, Attempt>,
     pub(super) cache: Cache,
     pub(super) fences: Fences,
-    pub(super) loads: Loads,
+    pub(super) loads: LoadHistory,
     pub(super) record: Record,
     pub(super) mode: Mode,
     /// Number of the fault that is set.
@@ -72,10 +72,10 @@
         Self {
             role: settings.role,
             order: Order::default(),
-            works: HashMap::new(),
+            attempts: HashMap::new(),
             cache: Cache::new(settings.blocks, settings.event_gap, settings.seed),
             fences: Fences::new(settings.fences),
-            loads: Loads::default(),
+            loads: LoadHistory::default(),
             record: Record::default(),
             mode: Mode::Ok,
             fault: 0,
@@ -87,57 +87,60 @@
     pub(super) fn check(&self, role: Role, handle: Handle) -> Result<(), Refusal> {
         match self.role {
             own if own != role => Err(Refusal::Role(own)),
-            _ if self.works.contains_key(&handle) => Err(Refusal::Duplicate),
+            _ if self.attempts.contains_key(&handle) => Err(Refusal::Duplicate),
             _ => Ok(()),
         }
     }
 
     /// A number for an attempt that comes.
-    pub(super) fn number(&mut self) -> u64 {
+    pub(super) fn next_number(&mut self) -> u64 {
         self.count += 1;
         self.count
     }
 
     /// Adds an attempt.
-    pub(super) fn add(&mut self, handle: Handle, work: Work) {
+    pub(super) fn add(&mut self, handle: Handle, attempt: Attempt) {
         *self.record.runs.entry(handle.to_string()).or_default() += 1;
         self.record.last_new_work_ms = web::unix_ms();
-        self.works.insert(handle, work);
-        self.note_load();
+        self.attempts.insert(handle, attempt);
+        self.record_load();
     }
 
     /// Removes an attempt and tells all who wait for it why; `false` if it was unknown.
     pub(super) fn remove(&mut self, handle: Handle, reason: Reason) -> bool {
-        let Some(work) = self.works.remove(&handle) else {
+        let Some(attempt) = self.attempts.remove(&handle) else {
             return false;
         };
-        let computed = work.phase == Phase::Prefill && work.started;
+        let computed = attempt.phase == Phase::Prefill && attempt.started;
         self.record.prefills += u64::from(computed);
-        self.record.prefills_wasted += u64::from(computed || work.phase == Phase::Kept);
-        work.end(reason);
-        self.note_load();
+        self.record.prefills_wasted += u64::from(computed || attempt.phase == Phase::Kept);
+        attempt.end(reason);
+        self.record_load();
         true
     }
 
     /// Notes the load after a change.
-    pub(super) fn note_load(&mut self) {
+    pub(super) fn record_load(&mut self) {
         let mut load = Load::default();
-        for work in self.works.values() {
-            match work.phase {
+        for attempt in self.attempts.values() {
+            match attempt.phase {
                 Phase::Prefill => {
-                    load.running += usize::from(work.started);
-                    load.waiting += usize::from(!work.started);
-                    load.queued_tokens += work.tokens;
+                    load.running += usize::from(attempt.started);
+                    load.waiting += usize::from(!attempt.started);
+                    load.queued_tokens += attempt.tokens;
                 }
                 Phase::Import | Phase::Decode => load.running += 1,
                 Phase::Kept | Phase::Done => {}
             }
         }
-        self.loads.note(load);
+        self.loads.record(load);
     }
 
     /// The number of attempts that `test` picks.
-    pub(super) fn count(&self, test: impl Fn(&Work) -> bool) -> usize {
-        self.works.values().filter(|work| test(work)).count()
+    pub(super) fn count(&self, test: impl Fn(&Attempt) -> bool) -> usize {
+        self.attempts
+            .values()
+            .filter(|attempt| test(attempt))
+            .count()
     }
 }
--- a/crates/fake/src/engine/load.rs
+++ b/crates/fake/src/engine/load.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Loads that are kept for the report.
-const KEPT: usize = 10_000;
+/// LoadHistory that are kept for the report.
+const MAX_SAMPLES: usize = 10_000;
 
 /// Load at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -17,26 +17,31 @@
 
 /// The loads of the recent past.
 #[derive(Debug, Default)]
-pub(super) struct Loads {
-    past: VecDeque<(Instant, Load)>,
+pub(super) struct LoadHistory {
+    samples: VecDeque<(Instant, Load)>,
     reported: Load,
 }
 
-impl Loads {
+impl LoadHistory {
     /// Notes the present load.
-    pub(super) fn note(&mut self, load: Load) {
-        if self.past.back().is_none_or(|(_, last)| *last != load) {
-            self.past.push_back((Instant::now(), load));
+    pub(super) fn record(&mut self, load: Load) {
+        if self.samples.back().is_none_or(|(_, last)| *last != load) {
+            self.samples.push_back((Instant::now(), load));
         }
-        if self.past.len() > KEPT {
-            self.past.pop_front();
+        if self.samples.len() > MAX_SAMPLES {
+            self.samples.pop_front();
         }
     }
 
     /// The load as it was `lag` ago; the one reported last if `frozen`.
     pub(super) fn report(&mut self, lag: Duration, frozen: bool) -> Load {
-        while self.past.front().is_some_and(|(at, _)| at.elapsed() >= lag) && !frozen {
-            if let Some((_, load)) = self.past.pop_front() {
+        while self
+            .samples
+            .front()
+            .is_some_and(|(at, _)| at.elapsed() >= lag)
+            && !frozen
+        {
+            if let Some((_, load)) = self.samples.pop_front() {
                 self.reported = load;
             }
         }
--- a/crates/fake/src/engine/message.rs
+++ b/crates/fake/src/engine/message.rs
@@ -70,7 +70,7 @@
 
 /// The first line of an exported KV cache.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct Cargo {
+pub(super) struct ExportHeader {
     pub(super) prompt: String,
     pub(super) generated: usize,
     pub(super) tokens: usize,
--- a/crates/fake/src/engine/mod.rs
+++ b/crates/fake/src/engine/mod.rs
@@ -4,6 +4,7 @@
 //! is real: slots, queues, results that expire, transfers over a shared link, readers that come
 //! and go, fencing numbers, and reports that lag.
 
+mod attempt;
 mod cache;
 mod decode;
 mod export;
@@ -14,7 +15,6 @@
 mod prefill;
 mod settings;
 mod stream;
-mod work;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,6 +33,7 @@
 use volo_http::client::Client;
 use volo_http::response::Response;
 
+use self::attempt::Reason;
 use self::inner::Inner;
 use self::inner::Mode;
 use self::message::Claim;
@@ -41,7 +42,6 @@
 pub use self::settings::ParseError;
 pub use self::settings::Role;
 pub use self::settings::Settings;
-use self::work::Reason;
 use crate::web;
 use crate::web::Call;
 
@@ -77,7 +77,7 @@
     pub fn new(settings: Settings) -> Self {
         let (fault, _) = watch::channel(Mode::Ok);
         Self {
-            boot: web::boot(),
+            boot: web::random_boot_id(),
             inner: Mutex::new(Inner::new(&settings)),
             fault,
             queued: Notify::new(),
@@ -120,7 +120,7 @@
     fn cancel(&self, call: &Call) -> Response {
         let claim: Claim = match call.json() {
             Ok(claim) => claim,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let mut inner = self.inner();
         if let Err(refusal) = inner.fences.cancel(&claim) {
@@ -134,7 +134,7 @@
     fn order(&self, call: &Call) -> Response {
         let order: Order = match call.json() {
             Ok(order) => order,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let mut inner = self.inner();
         if self.settings.fences && order.fence < inner.order.fence {
@@ -165,15 +165,15 @@
         let events = inner.cache.events(after, self.settings.event_lag);
         let last_seq = events.last().map_or(after, |event| event.seq);
         let works: Vec<Value> = inner
-            .works
+            .attempts
             .iter()
-            .map(|(handle, work)| {
+            .map(|(handle, attempt)| {
                 json!({
                     "handle": handle.to_string(),
-                    "owner": work.owner,
-                    "fence": work.fence,
-                    "phase": work.phase,
-                    "held_ms": work.since.elapsed().as_millis() as u64,
+                    "owner": attempt.owner,
+                    "fence": attempt.fence,
+                    "phase": attempt.phase,
+                    "held_ms": attempt.since.elapsed().as_millis() as u64,
                 })
             })
             .collect();
@@ -196,7 +196,7 @@
 
     fn record(&self) -> Response {
         let inner = self.inner();
-        let holding = inner.works.iter().filter(|(_, work)| work.holds());
+        let holding = inner.attempts.iter().filter(|(_, attempt)| attempt.holds());
         let held: Vec<String> = holding.map(|(handle, _)| handle.to_string()).collect();
         let mut record = json!(inner.record);
         record["boot"] = Value::from(self.boot);
@@ -207,7 +207,7 @@
     fn set_fault(self: &Arc<Self>, call: &Call) -> Response {
         let fault: Fault = match call.json() {
             Ok(fault) => fault,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let number = self.set_mode(fault.mode);
         if fault.ms > 0 {
--- a/crates/fake/src/engine/prefill.rs
+++ b/crates/fake/src/engine/prefill.rs
@@ -10,21 +10,21 @@
 use volo_http::response::Response;
 
 use super::Engine;
+use super::attempt::Attempt;
+use super::attempt::Phase;
+use super::attempt::Progress;
+use super::attempt::Reason;
 use super::inner::Inner;
 use super::inner::Mode;
 use super::message;
 use super::message::Refusal;
 use super::settings::Role;
-use super::work::Phase;
-use super::work::Progress;
-use super::work::Reason;
-use super::work::Work;
 use crate::web;
 use crate::web::Call;
 
 /// A prefill about to be computed.
 #[derive(Debug)]
-struct Job {
+struct PrefillJob {
     handle: Handle,
     computed: usize,
     progress: watch::Receiver<Progress>,
@@ -35,7 +35,7 @@
     pub(super) async fn prefill(&self, call: &Call) -> Response {
         let request: message::Prefill = match call.json() {
             Ok(request) => request,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let tokens = request.prompt_tokens + request.generated.len();
         let mut progress = match self.enqueue(request) {
@@ -57,7 +57,7 @@
     pub(super) async fn run_prefills(self: Arc<Self>) {
         loop {
             self.wait_while(Mode::Stall).await;
-            let job = next(&mut self.inner());
+            let job = start_next(&mut self.inner());
             match job {
                 Some(job) => self.compute(job).await,
                 None => self.queued.notified().await,
@@ -69,48 +69,48 @@
         let mut inner = self.inner();
         inner.fences.admit_work(&request.claim)?;
         inner.check(Role::Prefill, request.claim.handle)?;
-        let waiting = inner.count(|work| work.phase == Phase::Prefill && !work.started);
+        let waiting = inner.count(|attempt| attempt.phase == Phase::Prefill && !attempt.started);
         if waiting >= self.settings.queue {
             return Err(Refusal::Full);
         }
-        let number = inner.number();
-        let mut work = Work::new(&request.claim, Phase::Prefill, number);
-        work.generated = request.generated.len();
-        work.tokens = request.prompt_tokens + work.generated;
-        work.prompt = request.prompt;
-        work.priority = request.priority;
-        work.blocks = request.blocks;
-        let progress = work.progress.subscribe();
-        inner.add(request.claim.handle, work);
+        let number = inner.next_number();
+        let mut attempt = Attempt::new(&request.claim, Phase::Prefill, number);
+        attempt.generated = request.generated.len();
+        attempt.tokens = request.prompt_tokens + attempt.generated;
+        attempt.prompt = request.prompt;
+        attempt.priority = request.priority;
+        attempt.blocks = request.blocks;
+        let progress = attempt.progress.subscribe();
+        inner.add(request.claim.handle, attempt);
         Ok(progress)
     }
 
-    async fn compute(self: &Arc<Self>, mut job: Job) {
+    async fn compute(self: &Arc<Self>, mut job: PrefillJob) {
         let time = self.settings.prefill_time(job.computed);
         let cancelled = job.progress.wait_for(|now| now.end.is_some());
         if tokio::time::timeout(time, cancelled).await.is_err() {
-            self.keep(job.handle, job.computed);
+            self.keep_result(job.handle, job.computed);
         }
     }
 
     /// Ends a prefill: its result is kept for a short time.
-    fn keep(self: &Arc<Self>, handle: Handle, computed: usize) {
+    fn keep_result(self: &Arc<Self>, handle: Handle, computed: usize) {
         let mut inner = self.inner();
         let publish = inner.mode != Mode::DropEvents;
-        let Some(work) = inner.works.get_mut(&handle) else {
+        let Some(attempt) = inner.attempts.get_mut(&handle) else {
             return;
         };
-        work.phase = Phase::Kept;
-        work.expiry = Some(Instant::now() + self.settings.result);
-        let blocks = std::mem::take(&mut work.blocks);
-        work.progress.send_modify(|progress| {
+        attempt.phase = Phase::Kept;
+        attempt.expiry = Some(Instant::now() + self.settings.result);
+        let blocks = std::mem::take(&mut attempt.blocks);
+        attempt.progress.send_modify(|progress| {
             progress.ready = true;
             progress.produced = computed;
         });
         inner.cache.store(&blocks, publish);
         inner.record.prefills += 1;
         inner.record.prefill_tokens += computed as u64;
-        inner.note_load();
+        inner.record_load();
         let engine = Arc::clone(self);
         tokio::spawn(engine.expire(handle, self.settings.result));
     }
@@ -124,9 +124,9 @@
     pub(super) fn expire_now(&self, handle: Handle) {
         let mut inner = self.inner();
         let idle = inner
-            .works
+            .attempts
             .get(&handle)
-            .is_some_and(|work| work.phase == Phase::Kept && !work.exporting);
+            .is_some_and(|attempt| attempt.phase == Phase::Kept && !attempt.exporting);
         if idle {
             inner.remove(handle, Reason::Lost);
         }
@@ -134,21 +134,21 @@
 }
 
 /// Takes the prefill that comes next: the lowest priority number, then the oldest.
-fn next(inner: &mut Inner) -> Option<Job> {
+fn start_next(inner: &mut Inner) -> Option<PrefillJob> {
     let waiting = inner
-        .works
+        .attempts
         .iter()
-        .filter(|(_, work)| work.phase == Phase::Prefill);
-    let (&handle, _) = waiting.min_by_key(|(_, work)| (work.priority, work.number))?;
-    let hits = inner.cache.hits(&inner.works[&handle].blocks);
-    let work = inner.works.get_mut(&handle)?;
-    work.started = true;
-    let cached = work.tokens * hits / work.blocks.len().max(1);
-    let job = Job {
+        .filter(|(_, attempt)| attempt.phase == Phase::Prefill);
+    let (&handle, _) = waiting.min_by_key(|(_, attempt)| (attempt.priority, attempt.number))?;
+    let hits = inner.cache.hits(&inner.attempts[&handle].blocks);
+    let attempt = inner.attempts.get_mut(&handle)?;
+    attempt.started = true;
+    let cached = attempt.tokens * hits / attempt.blocks.len().max(1);
+    let job = PrefillJob {
         handle,
-        computed: work.tokens - cached,
-        progress: work.progress.subscribe(),
+        computed: attempt.tokens - cached,
+        progress: attempt.progress.subscribe(),
     };
-    inner.note_load();
+    inner.record_load();
     Some(job)
 }
--- a/crates/fake/src/engine/stream.rs
+++ b/crates/fake/src/engine/stream.rs
@@ -7,13 +7,13 @@
 use tokio::sync::watch;
 use volo_http::response::Response;
 
-use super::work::Progress;
-use super::work::Text;
-use super::work::Work;
+use super::attempt::Attempt;
+use super::attempt::Progress;
+use super::attempt::Text;
 use crate::web;
 
 /// Pieces that wait for a slow reader.
-const PIECES: usize = 16;
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
 /// One reader of one attempt.
 #[derive(Debug)]
@@ -26,20 +26,20 @@
 
 impl Reader {
     /// The present reader of `work`, which begins at token `offset`.
-    pub(super) fn new(work: &Work, offset: usize) -> Self {
-        let progress = work.progress.subscribe();
+    pub(super) fn new(attempt: &Attempt, offset: usize) -> Self {
+        let progress = attempt.progress.subscribe();
         let number = progress.borrow().reader;
         Self {
             number,
             next: offset,
-            text: Text::clone(&work.text),
+            text: Text::clone(&attempt.text),
             progress,
         }
     }
 
     /// The streamed answer.
     pub(super) fn response(self) -> Response {
-        let (sender, receiver) = mpsc::channel(PIECES);
+        let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         tokio::spawn(self.run(sender));
         web::streaming(receiver)
     }
--- a/crates/fake/src/link/forward.rs
+++ b/crates/fake/src/link/forward.rs
@@ -16,9 +16,9 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::answer::Answer;
+use super::last_answer::LastAnswer;
 
-/// Chunks under way in one direction of one connection.
+/// Chunks under direction in one direction of one connection.
 const CHUNKS: usize = 64;
 /// Size of a chunk.
 const CHUNK_BYTES: usize = 16 * 1024;
@@ -40,11 +40,11 @@
     Repeat,
 }
 
-/// Which way bytes go.
+/// Which direction bytes go.
 #[derive(Debug, Clone, Copy)]
-enum Way {
+enum Direction {
     /// From the near side, which asks.
-    There,
+    Forth,
     /// From the far side, which answers.
     Back,
 }
@@ -69,11 +69,11 @@
         let (far_read, far_write) = far.into_split();
         let (there, sent) = mpsc::channel(CHUNKS);
         let (back, returned) = mpsc::channel(CHUNKS);
-        let answer = Answer::new(back.downgrade());
+        let answer = LastAnswer::new(back.downgrade());
         tokio::join!(
-            read(near_read, there, state.clone(), Way::There, &answer),
+            read(near_read, there, state.clone(), Direction::Forth, &answer),
             write(far_write, sent, state.clone()),
-            read(far_read, back, state.clone(), Way::Back, &answer),
+            read(far_read, back, state.clone(), Direction::Back, &answer),
             write(near_write, returned, state.clone())
         );
         Some(())
@@ -102,8 +102,8 @@
     mut from: OwnedReadHalf,
     chunks: mpsc::Sender<(Instant, Bytes)>,
     state: watch::Receiver<State>,
-    way: Way,
-    answer: &Answer,
+    direction: Direction,
+    answer: &LastAnswer,
 ) {
     loop {
         let mut buffer = BytesMut::with_capacity(CHUNK_BYTES);
@@ -117,10 +117,10 @@
             Mode::Pass | Mode::Cut | Mode::Hang | Mode::Repeat => Duration::ZERO,
         };
         let chunk = buffer.freeze();
-        match way {
+        match direction {
             _ if state.mode != Mode::Repeat => {}
-            Way::There => answer.repeat().await,
-            Way::Back => answer.note(&chunk),
+            Direction::Forth => answer.repeat().await,
+            Direction::Back => answer.append(&chunk),
         }
         if chunks.send((Instant::now() + delay, chunk)).await.is_err() {
             return;
--- a/crates/fake/src/link/answer.rs
+++ b/crates/fake/src/link/last_answer.rs
@@ -11,12 +11,12 @@
 
 /// What came back on a connection since its last request.
 #[derive(Debug)]
-pub(super) struct Answer {
+pub(super) struct LastAnswer {
     bytes: Mutex<BytesMut>,
     back: WeakSender<(Instant, Bytes)>,
 }
 
-impl Answer {
+impl LastAnswer {
     /// Nothing yet; the second copy goes to `back`.
     pub(super) fn new(back: WeakSender<(Instant, Bytes)>) -> Self {
         Self {
@@ -26,7 +26,7 @@
     }
 
     /// Notes a part of the answer.
-    pub(super) fn note(&self, part: &Bytes) {
+    pub(super) fn append(&self, part: &Bytes) {
         self.lock().extend_from_slice(part);
     }
 
--- a/crates/fake/src/link/mod.rs
+++ b/crates/fake/src/link/mod.rs
@@ -1,7 +1,7 @@
 //! A TCP forwarder that can be cut, held up or delayed, or sends answers twice.
 
-mod answer;
 mod forward;
+mod last_answer;
 mod route;
 
 use std::collections::HashMap;
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug)]
-struct Path {
+struct RouteState {
     target: SocketAddr,
     connections: Arc<AtomicU64>,
     state: watch::Sender<State>,
@@ -49,7 +49,7 @@
 /// The forwarder.
 #[derive(Debug)]
 pub struct Link {
-    paths: HashMap<u16, Path>,
+    routes: HashMap<u16, RouteState>,
 }
 
 impl Link {
@@ -59,28 +59,28 @@
     ///
     /// An error of binding.
     pub async fn bind(ip: IpAddr, routes: &[Route]) -> io::Result<Self> {
-        let mut paths = HashMap::new();
+        let mut states = HashMap::new();
         for route in routes {
-            let entrance = TcpListener::bind((ip, route.port)).await?;
-            let port = entrance.local_addr()?.port();
+            let listener = TcpListener::bind((ip, route.port)).await?;
+            let port = listener.local_addr()?.port();
             let (state, _) = watch::channel(State::default());
             let connections = Arc::new(AtomicU64::new(0));
             tokio::spawn(accept(
-                entrance,
+                listener,
                 route.target,
                 state.clone(),
                 Arc::clone(&connections),
             ));
-            paths.insert(
+            states.insert(
                 port,
-                Path {
+                RouteState {
                     target: route.target,
                     connections,
                     state,
                 },
             );
         }
-        Ok(Self { paths })
+        Ok(Self { routes: states })
     }
 
     /// Serves the control calls at `listener`.
@@ -106,30 +106,30 @@
     }
 
     fn record(&self) -> Response {
-        let entry = |(port, path): (&u16, &Path)| {
+        let entry = |(port, route): (&u16, &RouteState)| {
             json!({
                 "port": port,
-                "target": path.target,
-                "mode": path.state.borrow().mode,
-                "connections": path.connections.load(Ordering::Relaxed),
+                "target": route.target,
+                "mode": route.state.borrow().mode,
+                "connections": route.connections.load(Ordering::Relaxed),
             })
         };
-        let routes: Vec<_> = self.paths.iter().map(entry).collect();
+        let routes: Vec<_> = self.routes.iter().map(entry).collect();
         web::ok(&json!({ "routes": routes }))
     }
 
     fn change(&self, call: &Call) -> Response {
         let change: Change = match call.json() {
             Ok(change) => change,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let state = State {
             mode: change.mode,
             delay: Duration::from_millis(change.ms),
         };
-        match self.paths.get(&change.port) {
-            Some(path) => {
-                path.state.send_replace(state);
+        match self.routes.get(&change.port) {
+            Some(route) => {
+                route.state.send_replace(state);
                 web::status(StatusCode::OK)
             }
             None => web::status(StatusCode::NOT_FOUND),
@@ -138,13 +138,13 @@
 }
 
 async fn accept(
-    entrance: TcpListener,
+    listener: TcpListener,
     target: SocketAddr,
     state: watch::Sender<State>,
     connections: Arc<AtomicU64>,
 ) {
     loop {
-        match entrance.accept().await {
+        match listener.accept().await {
             Ok((near, _)) => {
                 connections.fetch_add(1, Ordering::Relaxed);
                 tokio::spawn(forward(near, target, state.subscribe()));
--- a/crates/fake/src/options.rs
+++ b/crates/fake/src/options.rs
@@ -53,7 +53,7 @@
         let arguments: Vec<String> = std::env::args().skip(1).collect();
         let matches = match self.options.parse(arguments) {
             Ok(matches) => matches,
-            Err(e) => fail(self.program, &e.to_string()),
+            Err(e) => exit_with_error(self.program, &e.to_string()),
         };
         if matches.opt_present("help") {
             print!(
@@ -74,7 +74,7 @@
     /// The value of option `name`, or `default` if it is not given.
     pub fn get<T: FromStr>(&self, name: &str, default: T) -> T {
         match self.matches.opt_str(name) {
-            Some(text) => self.read(name, &text),
+            Some(text) => self.parse(name, &text),
             None => default,
         }
     }
@@ -94,17 +94,17 @@
         self.get("listen", SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    fn read<T: FromStr>(&self, name: &str, text: &str) -> T {
+    fn parse<T: FromStr>(&self, name: &str, text: &str) -> T {
         match text.parse() {
             Ok(value) => value,
-            Err(_) => fail(self.program, &format!("`{text}` is no value for --{name}")),
+            Err(_) => exit_with_error(self.program, &format!("`{text}` is no value for --{name}")),
         }
     }
 }
 
 /// Prints `message` and ends the process.
-pub fn fail(program: &str, message: &str) -> ! {
-    const USAGE: i32 = 64;
+pub fn exit_with_error(program: &str, message: &str) -> ! {
+    const EX_USAGE: i32 = 64;
     eprintln!("{program}: {message}");
-    std::process::exit(USAGE);
+    std::process::exit(EX_USAGE);
 }
--- a/crates/fake/src/platform/inner.rs
+++ b/crates/fake/src/platform/inner.rs
@@ -29,7 +29,7 @@
 
 /// What is asked of a rate limit.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Kind {
+pub(super) enum CallKind {
     Read,
     Write,
     Weight,
@@ -66,22 +66,22 @@
     }
 
     /// Counts a call; the answer to give if it exceeds its rate.
-    pub(super) fn refuse(&mut self, kind: Kind) -> Option<Response> {
+    pub(super) fn check_rate(&mut self, kind: CallKind) -> Option<Response> {
         let taken = match kind {
-            Kind::Read => self.reads.take(),
-            Kind::Write => self.writes.take(),
-            Kind::Weight => self.weight_calls.take(),
+            CallKind::Read => self.reads.try_acquire(),
+            CallKind::Write => self.writes.try_acquire(),
+            CallKind::Weight => self.weight_calls.try_acquire(),
         };
         match (taken, kind) {
-            (true, Kind::Write) => self.record.writes += 1,
-            (true, Kind::Read | Kind::Weight) => self.record.reads += 1,
+            (true, CallKind::Write) => self.record.writes += 1,
+            (true, CallKind::Read | CallKind::Weight) => self.record.reads += 1,
             (false, _) => self.record.refused += 1,
         }
-        (!taken).then(too_many)
+        (!taken).then(too_many_requests)
     }
 }
 
-fn too_many() -> Response {
+fn too_many_requests() -> Response {
     let mut answer = web::status(StatusCode::TOO_MANY_REQUESTS);
     answer
         .headers_mut()
@@ -90,7 +90,11 @@
 }
 
 /// Stores or fetches an object.
-pub(super) fn keep(objects: &mut HashMap<String, Bytes>, call: &Call, name: String) -> Response {
+pub(super) fn put_or_get(
+    objects: &mut HashMap<String, Bytes>,
+    call: &Call,
+    name: String,
+) -> Response {
     if call.method == Method::PUT {
         objects.insert(name, call.body.clone());
         return web::status(StatusCode::OK);
--- a/crates/fake/src/platform/list.rs
+++ b/crates/fake/src/platform/list.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Addresses that an asker sees in place of the true ones.
+/// Addresses that an requester sees in place of the true ones.
 type View = HashMap<String, String>;
 
 /// A list as it is set, with the views of askers.
@@ -38,22 +38,22 @@
         self.pending.push((due, list));
     }
 
-    /// The list as `asker` sees it now.
-    pub(super) fn view(&mut self, asker: &str) -> Value {
+    /// The list as `requester` sees it now.
+    pub(super) fn view(&mut self, requester: &str) -> Value {
         let now = Instant::now();
         while self.pending.first().is_some_and(|(due, _)| *due <= now) {
             self.current = self.pending.remove(0).1;
         }
-        let view = self.current.views.get(asker);
+        let view = self.current.views.get(requester);
         json!({
-            "instances": readdressed(&self.current.instances, "peer", view),
-            "replicas": readdressed(&self.current.replicas, "address", view),
+            "instances": replace_addresses(&self.current.instances, "peer", view),
+            "replicas": replace_addresses(&self.current.replicas, "address", view),
         })
     }
 }
 
 /// `entries` with the addresses in `field` replaced by those of `view`.
-fn readdressed(entries: &[Value], field: &str, view: Option<&View>) -> Vec<Value> {
+fn replace_addresses(entries: &[Value], field: &str, view: Option<&View>) -> Vec<Value> {
     let mut entries = entries.to_vec();
     for entry in &mut entries {
         let name = entry["name"].as_str().unwrap_or("");
--- a/crates/fake/src/platform/mod.rs
+++ b/crates/fake/src/platform/mod.rs
@@ -21,9 +21,9 @@
 
 use self::fault::Fault;
 use self::fault::Mode;
+use self::inner::CallKind;
 use self::inner::Inner;
-use self::inner::Kind;
-use self::inner::keep;
+use self::inner::put_or_get;
 use self::rows::Txn;
 use crate::web;
 use crate::web::Call;
@@ -86,12 +86,12 @@
             ("GET", "/control/record") => web::ok(&self.inner().record),
             ("POST", "/control/fault") => self.set_fault(&call),
             ("POST", "/control/list") => self.set_list(&call),
-            _ => self.faulty(call).await,
+            _ => self.execute_with_fault(call).await,
         }
     }
 
     /// Carries a call out under the fault that is set when it arrives.
-    async fn faulty(self: Arc<Self>, call: Call) -> Response {
+    async fn execute_with_fault(self: Arc<Self>, call: Call) -> Response {
         let fault = *self.fault.borrow();
         match fault.mode {
             Mode::Down => {
@@ -100,21 +100,21 @@
             }
             Mode::Hang => {
                 self.wait_while_hanging().await;
-                return web::dropped();
+                return web::close_connection();
             }
             Mode::Ok | Mode::Slow | Mode::Lose | Mode::Stale => {}
         }
         let lose = fault.mode == Mode::Lose && call.path == "/v1/txn";
         // A call that was received takes effect even when its caller no longer waits.
-        let work = tokio::spawn(self.work(call, fault));
+        let work = tokio::spawn(self.execute(call, fault));
         match work.await {
-            Ok(_) if lose => web::dropped(),
+            Ok(_) if lose => web::close_connection(),
             Ok(answer) => answer,
             Err(_) => web::status(StatusCode::INTERNAL_SERVER_ERROR),
         }
     }
 
-    async fn work(self: Arc<Self>, call: Call, fault: Fault) -> Response {
+    async fn execute(self: Arc<Self>, call: Call, fault: Fault) -> Response {
         let extra = match fault.mode {
             Mode::Slow => Duration::from_millis(fault.ms),
             _ => Duration::ZERO,
@@ -135,15 +135,15 @@
     fn transact(&self, call: &Call) -> Response {
         let txn: Txn = match call.json() {
             Ok(txn) => txn,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let kind = if txn.writes() {
-            Kind::Write
+            CallKind::Write
         } else {
-            Kind::Read
+            CallKind::Read
         };
         let mut inner = self.inner();
-        if let Some(refusal) = inner.refuse(kind) {
+        if let Some(refusal) = inner.check_rate(kind) {
             return refusal;
         }
         inner.record.transactions += 1;
@@ -158,39 +158,39 @@
 
     fn rows(&self, prefix: &str) -> Response {
         let mut inner = self.inner();
-        if let Some(refusal) = inner.refuse(Kind::Read) {
+        if let Some(refusal) = inner.check_rate(CallKind::Read) {
             return refusal;
         }
         let rows = inner.stale.as_ref().unwrap_or(&inner.rows).scan(prefix);
         web::ok(&json!({ "rows": rows }))
     }
 
-    fn list(&self, asker: &str) -> Response {
+    fn list(&self, requester: &str) -> Response {
         let mut inner = self.inner();
-        match inner.refuse(Kind::Read) {
+        match inner.check_rate(CallKind::Read) {
             Some(refusal) => refusal,
-            None => web::ok(&inner.lists.view(asker)),
+            None => web::ok(&inner.lists.view(requester)),
         }
     }
 
     fn object(&self, call: &Call, name: String) -> Response {
         let kind = if call.method == Method::PUT {
-            Kind::Write
+            CallKind::Write
         } else {
-            Kind::Read
+            CallKind::Read
         };
         let mut inner = self.inner();
-        match inner.refuse(kind) {
+        match inner.check_rate(kind) {
             Some(refusal) => refusal,
-            None => keep(&mut inner.objects, call, name),
+            None => put_or_get(&mut inner.objects, call, name),
         }
     }
 
     fn weight(&self, call: &Call, name: String) -> Response {
         let mut inner = self.inner();
-        match inner.refuse(Kind::Weight) {
+        match inner.check_rate(CallKind::Weight) {
             Some(refusal) => refusal,
-            None => keep(&mut inner.weights, call, name),
+            None => put_or_get(&mut inner.weights, call, name),
         }
     }
 
@@ -200,14 +200,14 @@
                 self.inner().lists.replace(list);
                 web::status(StatusCode::OK)
             }
-            Err(malformed) => malformed.response(),
+            Err(invalid) => invalid.response(),
         }
     }
 
     fn set_fault(&self, call: &Call) -> Response {
         let fault: Fault = match call.json() {
             Ok(fault) => fault,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let mut inner = self.inner();
         inner.stale = match fault.mode {
--- a/crates/fake/src/platform/rate.rs
+++ b/crates/fake/src/platform/rate.rs
@@ -24,7 +24,7 @@
     }
 
     /// Counts a call; `false` if the limit of this second is reached.
-    pub(super) fn take(&mut self) -> bool {
+    pub(super) fn try_acquire(&mut self) -> bool {
         if self.since.elapsed() >= WINDOW {
             self.since = Instant::now();
             self.used = 0;
--- a/crates/fake/src/platform/rows.rs
+++ b/crates/fake/src/platform/rows.rs
@@ -48,7 +48,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Cell {
+struct StoredRow {
     value: String,
     version: u64,
 }
@@ -59,7 +59,7 @@
 /// version it had before.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Rows {
-    cells: BTreeMap<String, Cell>,
+    stored: BTreeMap<String, StoredRow>,
     version: u64,
 }
 
@@ -84,7 +84,7 @@
 
     /// All rows whose key begins with `prefix`, in order.
     pub(super) fn scan(&self, prefix: &str) -> Vec<Row> {
-        self.cells
+        self.stored
             .range(prefix.to_owned()..)
             .take_while(|(key, _)| key.starts_with(prefix))
             .map(|(key, _)| self.row(key))
@@ -98,25 +98,25 @@
         for Write { key, value } in writes {
             match value {
                 Some(value) => {
-                    let cell = Cell {
+                    let row = StoredRow {
                         value: value.clone(),
                         version: self.version,
                     };
-                    self.cells.insert(key.clone(), cell);
+                    self.stored.insert(key.clone(), row);
                 }
                 None => {
-                    self.cells.remove(key);
+                    self.stored.remove(key);
                 }
             }
         }
     }
 
     fn row(&self, key: &str) -> Row {
-        let cell = self.cells.get(key);
+        let row = self.stored.get(key);
         Row {
             key: key.to_owned(),
-            value: cell.map(|cell| cell.value.clone()),
-            version: cell.map_or(0, |cell| cell.version),
+            value: row.map(|row| row.value.clone()),
+            version: row.map_or(0, |row| row.version),
         }
     }
 }
--- a/crates/fake/src/web.rs
+++ b/crates/fake/src/web.rs
@@ -27,9 +27,9 @@
 
 /// A body that is not of the wanted form.
 #[derive(Debug)]
-pub struct Malformed(String);
+pub struct InvalidBody(String);
 
-impl Malformed {
+impl InvalidBody {
     /// The answer that tells what is wrong.
     pub fn response(&self) -> Response {
         json(
@@ -39,13 +39,13 @@
     }
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for InvalidBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for InvalidBody {}
 
 /// A request that has been read in full.
 #[derive(Debug)]
@@ -68,8 +68,8 @@
     /// # Errors
     ///
     /// The body is not of the wanted form.
-    pub fn json<T: DeserializeOwned>(&self) -> Result<T, Malformed> {
-        serde_json::from_slice(&self.body).map_err(|e| Malformed(e.to_string()))
+    pub fn json<T: DeserializeOwned>(&self) -> Result<T, InvalidBody> {
+        serde_json::from_slice(&self.body).map_err(|e| InvalidBody(e.to_string()))
     }
 
     /// A query parameter; empty if absent.
@@ -114,7 +114,7 @@
     F: Fn(Call) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Response> + Send + 'static,
 {
-    let entry = move |request: Request| {
+    let route = move |request: Request| {
         let handler = handler.clone();
         async move {
             match Call::read(request).await {
@@ -123,7 +123,7 @@
             }
         }
     };
-    Server::new(Router::new().fallback(entry))
+    Server::new(Router::new().fallback(route))
         .register_shutdown_hook(|| Box::pin(async { std::process::exit(0) }))
         .run(DefaultIncoming::from(listener))
         .await
@@ -162,7 +162,7 @@
 }
 
 /// An answer that closes the connection without a byte of an answer.
-pub fn dropped() -> Response {
+pub fn close_connection() -> Response {
     let broken = stream::once(async { Err("dropped on purpose".into()) });
     Response::new(Body::from_stream(broken))
 }
@@ -175,7 +175,7 @@
 }
 
 /// A start number: chosen at random, small enough for every JSON reader.
-pub fn boot() -> u64 {
+pub fn random_boot_id() -> u64 {
     const BITS_ABOVE_JSON_INTEGERS: u32 = 11;
     rand::random::<u64>() >> BITS_ABOVE_JSON_INTEGERS
 }
