--- a/crates/fake/src/application.rs
+++ b/crates/fake/src/application.rs
@@ -1,4 +1,4 @@
-//! A plain application: nothing protects it against a call that arrives twice.
+//! A plain application. It runs a call again each time that it arrives; nothing deduplicates.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -19,14 +19,14 @@
 use crate::web;
 use crate::web::Call;
 
-/// Knobs of the application.
+/// Settings of the application.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Calls it runs at once; more wait.
+    /// Maximum number of concurrent calls; further calls wait.
     pub slots: usize,
-    /// How long one call runs.
+    /// Duration of one call.
     pub service: Duration,
-    /// How late its load report is.
+    /// Lag of the load report.
     pub load_lag: Duration,
 }
 
@@ -40,16 +40,16 @@
     }
 }
 
-/// What goes wrong on purpose.
+/// Injected fault.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Mode {
-    /// Nothing.
+    /// No fault.
     #[default]
     Ok,
     /// Calls run longer.
     Slow,
-    /// Calls run, and the connection closes without an answer.
+    /// Calls run, but the connection closes without a response.
     Lose,
     /// Calls are refused with status 503 and do not run.
     Refuse,
@@ -82,7 +82,7 @@
 }
 
 impl Application {
-    /// An application with `settings`.
+    /// Creates an application with `settings`.
     pub fn new(settings: Settings) -> Self {
         let slots = Semaphore::new(settings.slots);
         Self {
@@ -93,11 +93,11 @@
         }
     }
 
-    /// Serves at `listener`.
+    /// Serves connections accepted by `listener`.
     ///
     /// # Errors
     ///
-    /// An error of the listener.
+    /// Returns an error if the listener fails.
     pub async fn serve(self, listener: TcpListener) -> std::io::Result<()> {
         let application = Arc::new(self);
         web::serve(listener, move |call| Arc::clone(&application).answer(call)).await
@@ -142,7 +142,7 @@
         if fault.mode == Mode::Refuse {
             return web::status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        // The call runs on when its caller goes away, as in a real application.
+        // The call continues after its caller disconnects, as in a real application.
         let work = tokio::spawn(self.execute(call, fault));
         match work.await {
             Ok(answer) => answer,
@@ -174,7 +174,7 @@
     }
 
     fn record(&self) -> MutexGuard<'_, Record> {
-        self.record.lock().expect("no holder of the lock panics")
+        self.record.lock().expect("lock is not poisoned")
     }
 }
 
@@ -201,7 +201,7 @@
         }
     }
 
-    /// The load as it was `lag` ago.
+    /// Returns the load `lag` ago.
     fn load_before(&mut self, lag: Duration) -> usize {
         while self.loads.get(1).is_some_and(|(at, _)| at.elapsed() >= lag) {
             self.loads.pop_front();
@@ -213,7 +213,7 @@
     }
 }
 
-/// The idempotency key of a call, or else the handle of its attempt.
+/// Returns the idempotency key of a call, or the handle of its attempt if it has no key.
 fn call_key(call: &Call) -> String {
     ["Idempotency-Key", "Waxwing-Call"]
         .iter()
@@ -222,11 +222,11 @@
         .to_owned()
 }
 
-/// Starts an application in this process and tells its address.
+/// Starts an application in this process and returns its address.
 ///
 /// # Errors
 ///
-/// An error of binding.
+/// Returns an error if `listen` cannot be bound.
 pub async fn start(settings: Settings, listen: SocketAddr) -> std::io::Result<SocketAddr> {
     let listener = web::bind(listen).await?;
     let address = listener.local_addr()?;
--- a/crates/fake/src/bin/fake-app.rs
+++ b/crates/fake/src/bin/fake-app.rs
@@ -1,4 +1,4 @@
-//! A plain application as a program of its own.
+//! Runs the stand-in for a plain application.
 
 use fake::application::Application;
 use fake::application::Settings;
@@ -8,9 +8,9 @@
 #[tokio::main]
 async fn main() -> std::io::Result<()> {
     let values = Options::new("fake-app")
-        .with("slots", "calls run at once; more wait (50)")
-        .with("service-ms", "how long one call runs (5)")
-        .with("load-lag-ms", "how late the load report is (200)")
+        .with("slots", "concurrent calls; further calls wait (50)")
+        .with("service-ms", "duration of one call (5)")
+        .with("load-lag-ms", "lag of the load report (200)")
         .parse();
     let default = Settings::default();
     let settings = Settings {
--- a/crates/fake/src/bin/fake-engine.rs
+++ b/crates/fake/src/bin/fake-engine.rs
@@ -1,4 +1,4 @@
-//! A model engine as a program of its own.
+//! Runs the stand-in for a model engine.
 
 use std::time::Duration;
 
@@ -19,27 +19,27 @@
 
 fn options() -> Options {
     Options::new("fake-engine")
-        .with("name", "name in its state (engine)")
+        .with("name", "name in the state report (engine)")
         .with("role", "prefill or decode (prefill)")
-        .with("slots", "requests that its memory holds (20)")
-        .with("queue", "prefills that may wait (32)")
-        .with("fences", "whether lower fencing numbers are refused (true)")
-        .with("seed", "seed of its random choices (1)")
-        .with("speed", "factor on prefill, decode and link (1.0)")
+        .with("slots", "requests that fit in memory (20)")
+        .with("queue", "maximum number of queued prefills (32)")
+        .with("fences", "refuse lower fencing numbers (true)")
+        .with("seed", "seed of the random generator (1)")
+        .with("speed", "speed factor of prefill, decode and link (1.0)")
         .with("prefill-ms", "fixed time of a prefill (40)")
-        .with("prefill-rate", "tokens a second of a prefill (8000)")
-        .with("decode-ms", "time between tokens of an empty batch (12)")
+        .with("prefill-rate", "prefill rate in tokens per second (8000)")
+        .with("decode-ms", "time between tokens with an empty batch (12)")
         .with(
             "decode-each-ms",
-            "time that each running request adds (0.6)",
+            "time added by each request in the batch (0.6)",
         )
-        .with("kv-bytes", "bytes of KV cache a token (130000)")
-        .with("link-rate", "bytes a second of its link (3e9)")
-        .with("result-ms", "how long a finished prefill is kept (800)")
-        .with("load-lag-ms", "how late the load report is (300)")
-        .with("event-lag-ms", "how late cache events are (500)")
-        .with("event-gap", "probability that a cache event is lost (0.02)")
-        .with("blocks", "blocks of the prefix cache (4096)")
+        .with("kv-bytes", "bytes of KV cache per token (130000)")
+        .with("link-rate", "link rate in bytes per second (3e9)")
+        .with("result-ms", "retention of a finished prefill (800)")
+        .with("load-lag-ms", "lag of the load report (300)")
+        .with("event-lag-ms", "lag of cache events (500)")
+        .with("event-gap", "probability of losing a cache event (0.02)")
+        .with("blocks", "capacity of the prefix cache in blocks (4096)")
 }
 
 fn settings(values: &Values) -> Settings {
--- a/crates/fake/src/bin/fake-link.rs
+++ b/crates/fake/src/bin/fake-link.rs
@@ -1,4 +1,4 @@
-//! A TCP forwarder as a program of its own.
+//! Runs the stand-in for a network link.
 
 use fake::link::Link;
 use fake::link::Route;
@@ -13,7 +13,7 @@
     let values = Options::new(PROGRAM)
         .with_many(
             "route",
-            "port=ip:port, from a port at the IP address of --listen; repeatable",
+            "port=ip:port; the port is opened at the IP address of --listen; repeatable",
         )
         .parse();
     let routes: Result<Vec<Route>, _> = values.all("route").iter().map(|r| r.parse()).collect();
--- a/crates/fake/src/bin/fake-platform.rs
+++ b/crates/fake/src/bin/fake-platform.rs
@@ -1,4 +1,4 @@
-//! The platform as a program of its own.
+//! Runs the stand-in for the platform.
 
 use fake::options::Options;
 use fake::platform::Platform;
@@ -8,10 +8,10 @@
 #[tokio::main]
 async fn main() -> std::io::Result<()> {
     let values = Options::new("fake-platform")
-        .with("writes", "writes a second (500)")
-        .with("reads", "reads a second (2000)")
-        .with("weights", "weight store calls a second (2)")
-        .with("latency-ms", "time that each call takes (2)")
+        .with("writes", "writes per second (500)")
+        .with("reads", "reads per second (2000)")
+        .with("weights", "weight store calls per second (2)")
+        .with("latency-ms", "latency of each call (2)")
         .parse();
     let default = Settings::default();
     let settings = Settings {
--- a/crates/fake/src/control.rs
+++ b/crates/fake/src/control.rs
@@ -1,4 +1,4 @@
-//! Client for the control calls of the stand-ins.
+//! Client for the control API of the stand-ins.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 /// A control call that failed.
 #[derive(Debug)]
 pub enum Error {
-    /// No answer came.
+    /// No complete and valid response was received.
     Unanswered {
         /// The stand-in.
         peer: SocketAddr,
-        /// What went wrong.
+        /// Cause.
         cause: String,
     },
-    /// The stand-in answered with an error.
+    /// The stand-in answered with an error status.
     Refused {
         /// The stand-in.
         peer: SocketAddr,
@@ -32,7 +32,7 @@
         match self {
             Self::Unanswered { peer, cause } => write!(f, "control call to {peer}: {cause}"),
             Self::Refused { peer, status } => {
-                write!(f, "control call to {peer}: refused with status {status}")
+                write!(f, "control call to {peer}: unexpected status {status}")
             }
         }
     }
@@ -49,7 +49,7 @@
     send(Method::GET, peer, "/control/record", &Value::Null).await
 }
 
-/// Posts `body` to the control call `path` of the stand-in at `peer`.
+/// Posts `body` to the control path `path` of the stand-in at `peer`.
 ///
 /// # Errors
 ///
--- a/crates/fake/src/engine/attempt.rs
+++ b/crates/fake/src/engine/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt as the engine holds it.
+//! State of an attempt at the engine.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -9,15 +9,15 @@
 
 use super::message::Claim;
 
-/// Where an attempt stands.
+/// Phase of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Phase {
-    /// A prefill that waits or runs.
+    /// A queued or running prefill.
     Prefill,
     /// A finished prefill whose KV cache is kept for export.
     Kept,
-    /// A decode whose KV cache is under way; holds a slot.
+    /// A decode whose KV cache is being imported; holds a slot.
     Import,
     /// A decode in the batch; holds a slot.
     Decode,
@@ -25,7 +25,7 @@
     Done,
 }
 
-/// Why a stream ended.
+/// Reason for the end of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Reason {
@@ -37,16 +37,16 @@
     Lost,
 }
 
-/// What those who wait for an attempt are told.
+/// Progress that is published to the waiters of an attempt.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Progress {
     /// The prefill has ended, or the KV cache has been imported.
     pub(super) ready: bool,
-    /// Tokens of the whole answer that exist, those of earlier attempts included.
+    /// Tokens of the answer generated so far, including those of earlier attempts.
     pub(super) produced: usize,
-    /// Why the attempt ended.
+    /// Reason for the end, once the attempt has ended.
     pub(super) end: Option<Reason>,
-    /// Number of the present reader; earlier ones are superseded.
+    /// Number of the current reader; earlier ones are superseded.
     pub(super) reader: u64,
 }
 
@@ -59,20 +59,20 @@
     pub(super) owner: String,
     pub(super) fence: u64,
     pub(super) phase: Phase,
-    /// When it came.
+    /// Time of arrival.
     pub(super) since: Instant,
-    /// When a kept result is to be dropped.
+    /// When a kept result expires.
     pub(super) expiry: Option<Instant>,
-    /// Its place among the attempts that came.
+    /// Sequence number in order of arrival.
     pub(super) number: u64,
-    /// Whether its prefill has begun.
+    /// Whether the prefill has started.
     pub(super) started: bool,
-    /// Whether its KV cache is being exported.
+    /// Whether the KV cache is being exported.
     pub(super) exporting: bool,
     pub(super) prompt: String,
     /// Tokens that earlier attempts generated.
     pub(super) generated: usize,
-    /// Length of the KV cache.
+    /// Length of the KV cache in tokens.
     pub(super) tokens: usize,
     pub(super) priority: u8,
     pub(super) blocks: Vec<u64>,
@@ -81,7 +81,7 @@
 }
 
 impl Attempt {
-    /// An attempt that has just come.
+    /// Creates an attempt that has just arrived.
     pub(super) fn new(claim: &Claim, phase: Phase, number: u64) -> Self {
         let (progress, _) = watch::channel(Progress::default());
         Self {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Whether it holds a slot or a KV cache.
+    /// Returns whether it holds a slot or a KV cache.
     pub(super) fn holds(&self) -> bool {
         match self.phase {
             Phase::Prefill => self.started,
@@ -112,18 +112,18 @@
         }
     }
 
-    /// Whether it holds a decode slot.
+    /// Returns whether it holds a decode slot.
     pub(super) fn holds_slot(&self) -> bool {
         matches!(self.phase, Phase::Import | Phase::Decode)
     }
 
-    /// Tells all who wait that the attempt ended.
+    /// Notifies all waiters that the attempt ended.
     pub(super) fn end(&self, reason: Reason) {
         self.progress
             .send_modify(|progress| progress.end = Some(reason));
     }
 
-    /// Adds a token; `true` if it was the last.
+    /// Adds a token. Returns `true` if it was the last.
     pub(super) fn step(&self) -> bool {
         let length = self.text.get().map_or(0, Vec::len);
         self.progress.send_modify(|progress| {
--- a/crates/fake/src/engine/cache.rs
+++ b/crates/fake/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache and the events it publishes late and with gaps.
+//! The prefix cache. Its events are published with a lag, and some are lost.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -10,10 +10,10 @@
 use rand_pcg::Pcg64;
 use serde::Serialize;
 
-/// Events that are kept for readers.
+/// Maximum number of retained events.
 const MAX_EVENTS: usize = 16_384;
 
-/// A block was stored or evicted.
+/// Reports that a block was stored or evicted.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(super) struct Event {
     pub(super) seq: u64,
@@ -21,7 +21,7 @@
     stored: bool,
 }
 
-/// Least recently used blocks go first.
+/// A prefix cache with least-recently-used eviction.
 #[derive(Debug)]
 pub(super) struct Cache {
     capacity: usize,
@@ -34,7 +34,7 @@
 }
 
 impl Cache {
-    /// A cache of `capacity` blocks that drops an event with probability `gap`.
+    /// Creates a cache of `capacity` blocks that loses events with `loss_probability`.
     pub(super) fn new(capacity: usize, loss_probability: f64, seed: u64) -> Self {
         Self {
             capacity,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// How many of `blocks`, from the first on, are cached.
+    /// Returns how many leading `blocks` are cached.
     pub(super) fn hits(&self, blocks: &[u64]) -> usize {
         blocks
             .iter()
@@ -55,7 +55,7 @@
             .count()
     }
 
-    /// Stores `blocks`; `publish` tells whether events are published at all.
+    /// Stores `blocks`. Events are published only if `publish` is set.
     pub(super) fn store(&mut self, blocks: &[u64], publish: bool) {
         for &block in blocks {
             self.clock += 1;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Events after `after` that are at least `lag` old.
+    /// Returns the events after sequence number `after` that are at least `lag` old.
     pub(super) fn events(&self, after: u64, lag: Duration) -> Vec<Event> {
         self.events
             .iter()
--- a/crates/fake/src/engine/decode.rs
+++ b/crates/fake/src/engine/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes: import of the KV cache, then a continuous batch.
+//! Decodes: imports the KV cache, then generates tokens in a continuous batch.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,14 +24,14 @@
 use crate::text;
 use crate::web::Call;
 
-/// How long a finished stream stays readable.
+/// Time for which a finished stream can be read.
 const FINISHED_TTL: Duration = Duration::from_secs(30);
 
-/// Tells the waiting caller whether the import has begun.
+/// Reports to the waiting request handler whether the import has started.
 type ImportStarted = oneshot::Sender<Result<(), Refusal>>;
 
 impl Engine {
-    /// Answers `POST /v1/decode`.
+    /// Handles `POST /v1/decode`.
     pub(super) async fn decode(self: &Arc<Self>, call: &Call) -> Response {
         let request: message::Decode = match call.json() {
             Ok(request) => request,
@@ -42,7 +42,7 @@
             Err(refusal) => return refusal.response(),
         };
         let (started, starting) = oneshot::channel();
-        // The decode goes on when its caller goes away: another reader may attach.
+        // The decode continues after its caller disconnects, because another reader may attach.
         tokio::spawn(Arc::clone(self).import(request, started));
         match starting.await {
             Ok(Ok(())) => reader.response(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Answers `POST /v1/attach`.
+    /// Handles `POST /v1/attach`.
     pub(super) fn attach(&self, call: &Call) -> Response {
         let request: message::Attach = match call.json() {
             Ok(request) => request,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Steps the batch for ever.
+    /// Steps the batch until the process ends.
     pub(super) async fn run_batch(self: Arc<Self>) {
         loop {
             self.wait_while(Mode::Stall).await;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Pulls the KV cache from its source and joins the batch, or gives the slot up.
+    /// Fetches the KV cache from its source and joins the batch, or releases the slot.
     async fn fetch_kv_cache(self: &Arc<Self>, request: &message::Decode, started: ImportStarted) {
         let handle = request.claim.handle;
         let body = match self.request_kv_cache(handle, request.source).await {
@@ -166,10 +166,10 @@
         }
     }
 
-    /// Tells the source that the KV cache has arrived.
+    /// Confirms to the source that the KV cache has arrived.
     async fn confirm_import(self: Arc<Self>, handle: Handle, source: SocketAddr) {
         let uri = format!("http://{source}/v1/kv/{handle}");
-        // Without the confirmation, the source frees the KV cache a little later by itself.
+        // Without a confirmation, the source frees the KV cache after a timeout.
         let _answer = self.client.delete(uri).send().await;
     }
 
@@ -190,7 +190,7 @@
         self.decoding.notify_one();
     }
 
-    /// Gives each request of the batch a token.
+    /// Generates one token for each request of the batch.
     fn step(self: &Arc<Self>) {
         let mut inner = self.inner();
         let mut ended = Vec::new();
@@ -222,7 +222,7 @@
     }
 }
 
-/// Reads an exported KV cache to its end; `None` if it breaks off.
+/// Reads an exported KV cache. Returns `None` if it is incomplete.
 async fn read_export(mut body: Body) -> Option<ExportHeader> {
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
--- a/crates/fake/src/engine/export.rs
+++ b/crates/fake/src/engine/export.rs
@@ -1,4 +1,4 @@
-//! Export of KV caches over the engine's link.
+//! Exports KV caches over the engine's link.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,15 +18,15 @@
 use super::message::Refusal;
 use crate::web;
 
-/// Pieces in which a KV cache leaves; transfers that run at once alternate by pieces.
+/// Chunks per KV cache. Concurrent transfers take turns on the link, one chunk at a time.
 const CHUNKS: usize = 16;
-/// Longest time that an export may take.
+/// Maximum duration of an export.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a KV cache that was sent waits for the reader's confirmation.
+/// Maximum wait for the reader's confirmation after the KV cache was sent.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Engine {
-    /// Answers `GET /v1/kv/{handle}`.
+    /// Handles `GET /v1/kv/{handle}`.
     pub(super) fn export(self: &Arc<Self>, handle: Handle) -> Response {
         let header = match self.begin_export(handle) {
             Ok(header) => header,
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Answers `DELETE /v1/kv/{handle}`: the reader has got the KV cache.
+    /// Handles `DELETE /v1/kv/{handle}`: the reader confirms that it has the KV cache.
     pub(super) fn release(&self, handle: Handle) -> Response {
         let mut inner = self.inner();
         let exported = inner
@@ -77,13 +77,13 @@
         let sent = tokio::time::timeout(EXPORT_TIMEOUT, self.send_chunks(&header, &out)).await;
         drop(out);
         if let Ok(Some(())) = sent {
-            // Bytes that were sent may hang on the way; only the reader knows that they arrived.
+            // Sent bytes may be delayed on the link; only the reader knows when they arrive.
             tokio::time::sleep(CONFIRMATION_TIMEOUT).await;
         }
         self.end_export(handle);
     }
 
-    /// Sends head and chunks; `None` if the reader went away.
+    /// Sends the header and the chunks. Returns `None` if the reader disconnects.
     async fn send_chunks(&self, header: &ExportHeader, out: &mpsc::Sender<Bytes>) -> Option<()> {
         let mut head = serde_json::to_vec(header).ok()?;
         head.push(b'\n');
@@ -105,7 +105,7 @@
         Some(())
     }
 
-    /// Ends an export that was not confirmed.
+    /// Ends an unconfirmed export, and expires the result if it is overdue.
     fn end_export(&self, handle: Handle) {
         let overdue = {
             let mut inner = self.inner();
--- a/crates/fake/src/engine/fence.rs
+++ b/crates/fake/src/engine/fence.rs
@@ -1,4 +1,4 @@
-//! What the engine remembers of handles: fencing numbers and cancellations.
+//! Fencing numbers and cancellations by handle.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use super::message::Claim;
 use super::message::Refusal;
 
-/// How long a cancelled handle is refused.
+/// Time for which a cancelled handle is refused.
 const CANCELLATION_TTL: Duration = Duration::from_mins(1);
-/// How long a handle is remembered after it was last presented.
+/// Time for which a handle is remembered after its last use.
 const HANDLE_TTL: Duration = Duration::from_mins(10);
-/// Handles remembered before old ones are looked for.
+/// Number of handles above which expired ones are removed.
 const MIN_SWEEP_COUNT: usize = 1_024;
 
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     seen: Instant,
 }
 
-/// The handles that were presented.
+/// Handles used so far.
 #[derive(Debug)]
 pub(super) struct Fences {
     enforced: bool,
@@ -32,7 +32,7 @@
 }
 
 impl Fences {
-    /// Remembers handles; refuses lower fencing numbers if `enforced`.
+    /// Creates an empty set that refuses lower fencing numbers if `enforced`.
     pub(super) fn new(enforced: bool) -> Self {
         Self {
             enforced,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Notes a call and refuses it if its fencing number is too low.
+    /// Records a call, or refuses it if its fencing number is too low.
     pub(super) fn admit(&mut self, claim: &Claim) -> Result<(), Refusal> {
         self.remove_expired();
         let enforced = self.enforced;
@@ -53,8 +53,8 @@
         Ok(())
     }
 
-    /// Notes a call that brings work. A cancelled handle is refused first, whatever its number: no
-    /// other reader is in place.
+    /// Records a call that starts or attaches to work. A cancelled handle is refused whatever its
+    /// fencing number, because its attempt has no other reader.
     pub(super) fn admit_work(&mut self, claim: &Claim) -> Result<(), Refusal> {
         match self.record(claim).cancelled {
             Some(at) if at.elapsed() < CANCELLATION_TTL => Err(Refusal::Cancelled),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Notes a cancellation.
+    /// Records a cancellation.
     pub(super) fn cancel(&mut self, claim: &Claim) -> Result<(), Refusal> {
         self.admit(claim)?;
         self.record(claim).cancelled = Some(Instant::now());
--- a/crates/fake/src/engine/inner.rs
+++ b/crates/fake/src/engine/inner.rs
@@ -1,4 +1,4 @@
-//! The state of the engine, behind one lock.
+//! Mutable state of the engine, guarded by one lock.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -20,16 +20,16 @@
 use super::settings::Settings;
 use crate::web;
 
-/// What goes wrong on purpose.
+/// Injected fault.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Mode {
-    /// Nothing.
+    /// No fault.
     #[default]
     Ok,
-    /// Neither prefills nor decodes go on.
+    /// Prefills and decodes make no progress.
     Stall,
-    /// Exports do not go on.
+    /// Exports make no progress.
     StallTransfer,
     /// The load report does not change.
     FreezeLoad,
@@ -37,7 +37,7 @@
     DropEvents,
 }
 
-/// Counts of what happened.
+/// Counters reported by `GET /control/record`.
 #[derive(Debug, Default, Serialize)]
 pub(super) struct Record {
     pub(super) prefills: u64,
@@ -50,7 +50,7 @@
     pub(super) last_new_work_ms: u64,
 }
 
-/// All that changes.
+/// Mutable state.
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) role: Role,
@@ -61,13 +61,13 @@
     pub(super) loads: LoadHistory,
     pub(super) record: Record,
     pub(super) mode: Mode,
-    /// Number of the fault that is set.
+    /// Number of fault changes so far.
     pub(super) fault: u64,
     count: u64,
 }
 
 impl Inner {
-    /// The state of an engine that has just started.
+    /// Creates the state of an engine that has just started.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             role: settings.role,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Refuses work for a role that the engine has not, or for a handle that is at work.
+    /// Refuses work for another role, or for a handle that has an attempt here.
     pub(super) fn check(&self, role: Role, handle: Handle) -> Result<(), Refusal> {
         match self.role {
             own if own != role => Err(Refusal::Role(own)),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// A number for an attempt that comes.
+    /// Returns the sequence number for a new attempt.
     pub(super) fn next_number(&mut self) -> u64 {
         self.count += 1;
         self.count
@@ -106,7 +106,7 @@
         self.record_load();
     }
 
-    /// Removes an attempt and tells all who wait for it why; `false` if it was unknown.
+    /// Removes an attempt and notifies its waiters of `reason`. Returns `false` if it is unknown.
     pub(super) fn remove(&mut self, handle: Handle, reason: Reason) -> bool {
         let Some(attempt) = self.attempts.remove(&handle) else {
             return false;
@@ -119,7 +119,7 @@
         true
     }
 
-    /// Notes the load after a change.
+    /// Records the current load.
     pub(super) fn record_load(&mut self) {
         let mut load = Load::default();
         for attempt in self.attempts.values() {
@@ -136,7 +136,7 @@
         self.loads.record(load);
     }
 
-    /// The number of attempts that `test` picks.
+    /// Returns the number of attempts for which `test` is true.
     pub(super) fn count(&self, test: impl Fn(&Attempt) -> bool) -> usize {
         self.attempts
             .values()
--- a/crates/fake/src/engine/load.rs
+++ b/crates/fake/src/engine/load.rs
@@ -1,13 +1,13 @@
-//! The load report, which lags.
+//! The load report, which lags behind the actual load.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// LoadHistory that are kept for the report.
+/// Maximum number of retained samples.
 const MAX_SAMPLES: usize = 10_000;
 
-/// Load at one moment.
+/// Load at one point in time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Load {
     pub(super) running: usize,
@@ -15,7 +15,7 @@
     pub(super) queued_tokens: usize,
 }
 
-/// The loads of the recent past.
+/// Recent load samples.
 #[derive(Debug, Default)]
 pub(super) struct LoadHistory {
     samples: VecDeque<(Instant, Load)>,
@@ -23,7 +23,7 @@
 }
 
 impl LoadHistory {
-    /// Notes the present load.
+    /// Records the current load.
     pub(super) fn record(&mut self, load: Load) {
         if self.samples.back().is_none_or(|(_, last)| *last != load) {
             self.samples.push_back((Instant::now(), load));
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The load as it was `lag` ago; the one reported last if `frozen`.
+    /// Returns the load `lag` ago, or the last reported one if `frozen`.
     pub(super) fn report(&mut self, lag: Duration, frozen: bool) -> Load {
         while self
             .samples
--- a/crates/fake/src/engine/message.rs
+++ b/crates/fake/src/engine/message.rs
@@ -1,4 +1,4 @@
-//! Bodies of the calls.
+//! Request bodies and refusals.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 use super::settings::Role;
 use crate::web;
 
-/// The fields by which every call names an attempt.
+/// Fields that identify the attempt in every call.
 #[derive(Debug, Clone, Deserialize)]
 pub(super) struct Claim {
     #[serde(deserialize_with = "handle")]
@@ -24,7 +24,7 @@
     pub(super) fence: u64,
 }
 
-/// `POST /v1/prefill`.
+/// Body of `POST /v1/prefill`.
 #[derive(Debug, Deserialize)]
 pub(super) struct Prefill {
     #[serde(flatten)]
@@ -39,7 +39,7 @@
     pub(super) blocks: Vec<u64>,
 }
 
-/// `POST /v1/decode`.
+/// Body of `POST /v1/decode`.
 #[derive(Debug, Deserialize)]
 pub(super) struct Decode {
     #[serde(flatten)]
@@ -50,7 +50,7 @@
     pub(super) offset: usize,
 }
 
-/// `POST /v1/attach`.
+/// Body of `POST /v1/attach`.
 #[derive(Debug, Deserialize)]
 pub(super) struct Attach {
     #[serde(flatten)]
@@ -58,7 +58,7 @@
     pub(super) offset: usize,
 }
 
-/// `POST /v1/order`; an absent field stays as it is.
+/// Body of `POST /v1/order`. Absent fields are left unchanged.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub(super) struct Order {
     pub(super) fence: u64,
@@ -77,14 +77,14 @@
     pub(super) chunks: usize,
 }
 
-/// Why a call is refused.
+/// Reason for refusing a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Refusal {
     /// A higher fencing number has been seen.
     Fenced(u64),
     /// The handle was cancelled less than a minute ago.
     Cancelled,
-    /// The handle is already at work here.
+    /// The handle already has an attempt here.
     Duplicate,
     /// The engine has another role.
     Role(Role),
@@ -92,14 +92,14 @@
     Full,
     /// The handle is unknown.
     Unknown,
-    /// The prefill result is gone.
+    /// The prefill result has been removed.
     Gone,
     /// The source of the KV cache cannot be reached.
     Source,
 }
 
 impl Refusal {
-    /// The answer that tells the refusal.
+    /// Returns the response for this refusal.
     pub(super) fn response(self) -> Response {
         let (status, body) = match self {
             Self::Fenced(fence) => (StatusCode::CONFLICT, json!({ "fence": fence })),
--- a/crates/fake/src/engine/mod.rs
+++ b/crates/fake/src/engine/mod.rs
@@ -1,8 +1,8 @@
-//! A model engine: prefill one at a time, decode in a continuous batch.
+//! A model engine that runs prefills one at a time and decodes in a continuous batch.
 //!
-//! Text depends on the prompt alone ([`crate::text`]); all the rest that a router has to cope with
-//! is real: slots, queues, results that expire, transfers over a shared link, readers that come
-//! and go, fencing numbers, and reports that lag.
+//! The generated text depends only on the prompt ([`crate::text`]). Everything that a router has to
+//! handle is modelled: slots, queues, results that expire, transfers over a shared link, readers
+//! that detach and attach, fencing numbers, and delayed reports.
 
 mod attempt;
 mod cache;
@@ -73,7 +73,7 @@
 }
 
 impl Engine {
-    /// An engine with `settings`.
+    /// Creates an engine with `settings`.
     pub fn new(settings: Settings) -> Self {
         let (fault, _) = watch::channel(Mode::Ok);
         Self {
@@ -88,11 +88,11 @@
         }
     }
 
-    /// Serves at `listener`.
+    /// Serves connections accepted by `listener`.
     ///
     /// # Errors
     ///
-    /// An error of the listener.
+    /// Returns an error if the listener fails.
     pub async fn serve(self, listener: TcpListener) -> std::io::Result<()> {
         let engine = Arc::new(self);
         tokio::spawn(Arc::clone(&engine).run_prefills());
@@ -217,7 +217,7 @@
         web::status(StatusCode::OK)
     }
 
-    /// Sets a fault and numbers it.
+    /// Sets the fault mode and returns the number of this change.
     fn set_mode(&self, mode: Mode) -> u64 {
         let mut inner = self.inner();
         inner.mode = mode;
@@ -226,7 +226,7 @@
         inner.fault
     }
 
-    /// Ends fault `number` after `span`, unless another was set since.
+    /// Clears fault `number` after `span`, unless another was set since.
     async fn end_fault(self: Arc<Self>, number: u64, span: Duration) {
         tokio::time::sleep(span).await;
         if self.inner().fault == number {
@@ -234,23 +234,23 @@
         }
     }
 
-    /// Waits while the engine has the fault `mode`.
+    /// Waits until the fault mode is not `mode`.
     async fn wait_while(&self, mode: Mode) {
         let mut fault = self.fault.subscribe();
-        // The sender lives as long as the engine, so that waiting can only end well.
+        // The engine owns the sender, so the wait cannot fail.
         let _ended = fault.wait_for(|present| *present != mode).await;
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no holder of the lock panics")
+        self.inner.lock().expect("lock is not poisoned")
     }
 }
 
-/// Starts an engine in this process and tells its address.
+/// Starts an engine in this process and returns its address.
 ///
 /// # Errors
 ///
-/// An error of binding.
+/// Returns an error if `listen` cannot be bound.
 pub async fn start(settings: Settings, listen: SocketAddr) -> std::io::Result<SocketAddr> {
     let listener = web::bind(listen).await?;
     let address = listener.local_addr()?;
--- a/crates/fake/src/engine/prefill.rs
+++ b/crates/fake/src/engine/prefill.rs
@@ -1,4 +1,4 @@
-//! Prefills: a queue by priority, one at a time.
+//! Prefills: a priority queue, processed one at a time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use crate::web;
 use crate::web::Call;
 
-/// A prefill about to be computed.
+/// A prefill to compute.
 #[derive(Debug)]
 struct PrefillJob {
     handle: Handle,
@@ -31,7 +31,7 @@
 }
 
 impl Engine {
-    /// Answers `POST /v1/prefill`.
+    /// Handles `POST /v1/prefill`.
     pub(super) async fn prefill(&self, call: &Call) -> Response {
         let request: message::Prefill = match call.json() {
             Ok(request) => request,
@@ -53,7 +53,7 @@
         web::ok(&json!({ "boot": self.boot, "computed": computed, "cached": tokens - computed }))
     }
 
-    /// Computes prefills for ever.
+    /// Computes queued prefills until the process ends.
     pub(super) async fn run_prefills(self: Arc<Self>) {
         loop {
             self.wait_while(Mode::Stall).await;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Ends a prefill: its result is kept for a short time.
+    /// Finishes a prefill and keeps its result for the configured time.
     fn keep_result(self: &Arc<Self>, handle: Handle, computed: usize) {
         let mut inner = self.inner();
         let publish = inner.mode != Mode::DropEvents;
@@ -120,7 +120,7 @@
         self.expire_now(handle);
     }
 
-    /// Drops a result that nobody took, unless it is being exported.
+    /// Drops a result, unless it is being exported.
     pub(super) fn expire_now(&self, handle: Handle) {
         let mut inner = self.inner();
         let idle = inner
@@ -133,7 +133,7 @@
     }
 }
 
-/// Takes the prefill that comes next: the lowest priority number, then the oldest.
+/// Starts the next prefill: the one with the lowest priority number, the oldest first.
 fn start_next(inner: &mut Inner) -> Option<PrefillJob> {
     let waiting = inner
         .attempts
--- a/crates/fake/src/engine/settings.rs
+++ b/crates/fake/src/engine/settings.rs
@@ -1,4 +1,4 @@
-//! Knobs of the engine.
+//! Settings of the engine.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an engine does.
+/// Role of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -17,7 +17,7 @@
     Decode,
 }
 
-/// A text that is not a role.
+/// A string that is not a role.
 #[derive(Debug)]
 pub struct ParseError(String);
 
@@ -41,44 +41,44 @@
     }
 }
 
-/// Knobs of the engine.
+/// Settings of the engine.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name, shown in its state.
+    /// Name in the state report.
     pub name: String,
-    /// What it does at first.
+    /// Initial role.
     pub role: Role,
-    /// Requests whose KV cache its memory holds at once.
+    /// Number of requests whose KV caches fit in memory.
     pub slots: usize,
-    /// Prefills that may wait.
+    /// Maximum number of queued prefills.
     pub queue: usize,
-    /// Whether it refuses lower fencing numbers.
+    /// Whether lower fencing numbers are refused.
     pub fences: bool,
-    /// Seed of its random choices.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Factor on the speed of prefill, decode and link.
+    /// Speed factor of prefill, decode and link.
     pub speed: f64,
-    /// Part of a prefill's time that does not depend on its length.
+    /// Fixed time of a prefill.
     pub prefill_fixed: Duration,
-    /// Tokens that a prefill computes a second.
+    /// Tokens that a prefill computes per second.
     pub prefill_rate: f64,
     /// Time between tokens with an empty batch.
     pub decode_base: Duration,
-    /// What each request of the batch adds to the time between tokens.
+    /// Time that each request of the batch adds between tokens.
     pub decode_each: Duration,
-    /// Bytes of KV cache a token.
+    /// Bytes of KV cache per token.
     pub kv_bytes: f64,
-    /// Bytes a second that leave the engine by its link.
+    /// Outgoing bytes per second of the link.
     pub link_rate: f64,
-    /// How long a finished prefill is kept.
+    /// Time for which a finished prefill is kept.
     pub result: Duration,
-    /// How late its load report is.
+    /// Lag of the load report.
     pub load_lag: Duration,
-    /// How late its cache events are.
+    /// Lag of cache events.
     pub event_lag: Duration,
-    /// Probability that a cache event is never published.
+    /// Probability that a cache event is lost.
     pub event_gap: f64,
-    /// Blocks that its prefix cache holds.
+    /// Capacity of the prefix cache in blocks.
     pub blocks: usize,
 }
 
@@ -108,19 +108,19 @@
 }
 
 impl Settings {
-    /// The time to compute `tokens` in a prefill.
+    /// Returns the time to prefill `tokens`.
     pub(super) fn prefill_time(&self, tokens: usize) -> Duration {
         let computing = Duration::from_secs_f64(tokens as f64 / self.prefill_rate);
         (self.prefill_fixed + computing).div_f64(self.speed)
     }
 
-    /// The time between tokens with `running` requests in the batch.
+    /// Returns the time between tokens with `running` requests in the batch.
     pub(super) fn token_time(&self, running: usize) -> Duration {
         let batch = self.decode_each * running as u32;
         (self.decode_base + batch).div_f64(self.speed)
     }
 
-    /// The time that the KV cache of `tokens` takes on an idle link.
+    /// Returns the time to transfer the KV cache of `tokens` over an idle link.
     pub(super) fn transfer_time(&self, tokens: usize) -> Duration {
         let bytes = tokens as f64 * self.kv_bytes;
         Duration::from_secs_f64(bytes / (self.link_rate * self.speed))
--- a/crates/fake/src/engine/stream.rs
+++ b/crates/fake/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! Readers of a stream.
+//! Streams the tokens of an attempt to a reader.
 
 use bytes::Bytes;
 use serde_json::Value;
@@ -12,10 +12,10 @@
 use super::attempt::Text;
 use crate::web;
 
-/// Pieces that wait for a slow reader.
+/// Chunks buffered for a slow reader.
 const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// One reader of one attempt.
+/// A reader of one attempt.
 #[derive(Debug)]
 pub(super) struct Reader {
     number: u64,
@@ -25,7 +25,7 @@
 }
 
 impl Reader {
-    /// The present reader of `work`, which begins at token `offset`.
+    /// Creates the current reader of `attempt`, starting at token `offset`.
     pub(super) fn new(attempt: &Attempt, offset: usize) -> Self {
         let progress = attempt.progress.subscribe();
         let number = progress.borrow().reader;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The streamed answer.
+    /// Returns the streaming response.
     pub(super) fn response(self) -> Response {
         let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         tokio::spawn(self.run(sender));
@@ -45,12 +45,12 @@
     }
 
     async fn run(mut self, out: mpsc::Sender<Bytes>) {
-        let mut told_ready = false;
+        let mut ready_sent = false;
         loop {
             let now = *self.progress.borrow_and_update();
             let mut lines = Vec::new();
-            if now.ready && !told_ready {
-                told_ready = true;
+            if now.ready && !ready_sent {
+                ready_sent = true;
                 push(&mut lines, &json!({ "imported": true }));
             }
             let ended = match now.end {
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the platform, engines, applications and links, for demo and tests only.
+//! Stand-ins for the platform, engines, applications and links, for the demo and tests only.
 //!
-//! Each speaks its side of `docs/PROTOCOLS.md` over real sockets and counts what happened, so that
-//! a test can compare what a daemon says with what a back end did.
+//! Each implements its side of `docs/PROTOCOLS.md` over real sockets and counts the work it does,
+//! which tests compare with what the daemons report.
 
 pub mod application;
 pub mod control;
--- a/crates/fake/src/link/forward.rs
+++ b/crates/fake/src/link/forward.rs
@@ -1,4 +1,4 @@
-//! One forwarded connection.
+//! Forwards one connection and applies the mode of its route.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,45 +18,46 @@
 
 use super::last_answer::LastAnswer;
 
-/// Chunks under direction in one direction of one connection.
+/// Maximum number of chunks in flight in one direction of a connection.
 const CHUNKS: usize = 64;
-/// Size of a chunk.
+/// Maximum size of a chunk.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a route does with its connections, old and new.
+/// What a route does with its connections, both open and new ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Mode {
-    /// Forwards.
+    /// Forwards bytes unchanged.
     #[default]
     Pass,
-    /// Closes connections, also new ones as soon as they are accepted.
+    /// Closes open connections, and new ones as soon as they are accepted.
     Cut,
-    /// Keeps connections open and forwards nothing until the mode changes.
+    /// Keeps connections open but forwards nothing until the mode changes.
     Hang,
-    /// Forwards each byte later.
+    /// Forwards each byte after a delay.
     Delay,
-    /// Sends each answer a second time, as soon as the next request comes on the same connection.
+    /// Sends each answer a second time when the next request arrives on the same connection.
     Repeat,
 }
 
-/// Which direction bytes go.
+/// Direction of bytes.
 #[derive(Debug, Clone, Copy)]
 enum Direction {
-    /// From the near side, which asks.
+    /// From the near side, which sends requests.
     Forth,
     /// From the far side, which answers.
     Back,
 }
 
-/// The mode of a route, and its delay.
+/// Mode of a route, with its delay.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct State {
     pub(super) mode: Mode,
     pub(super) delay: Duration,
 }
 
-/// Joins `near` with a new connection to `target` until either side closes or the route is cut.
+/// Forwards between `near` and a new connection to `target` until either side closes or the route
+/// is cut.
 pub(super) async fn forward(near: TcpStream, target: SocketAddr, state: watch::Receiver<State>) {
     let mut opening = state.clone();
     let cut = state.clone();
@@ -85,7 +86,7 @@
 }
 
 async fn wait_for_cut(mut state: watch::Receiver<State>) {
-    // An error means that the forwarder is gone, and its connections go with it.
+    // An error means that the forwarder was dropped, which ends its connections too.
     let _cut = state.wait_for(|state| state.mode == Mode::Cut).await;
 }
 
@@ -97,7 +98,7 @@
     Some(())
 }
 
-/// Reads the bytes of one direction until its side ends.
+/// Reads the bytes of one direction until that side closes.
 async fn read(
     mut from: OwnedReadHalf,
     chunks: mpsc::Sender<(Instant, Bytes)>,
@@ -140,7 +141,7 @@
             return;
         }
     }
-    // A connection that hangs must not show its end either.
+    // A hanging connection must not forward the close either.
     if wait_while_hanging(&mut state).await.is_some() {
         let _closed = to.shutdown().await;
     }
--- a/crates/fake/src/link/last_answer.rs
+++ b/crates/fake/src/link/last_answer.rs
@@ -1,4 +1,4 @@
-//! Answers that are sent a second time.
+//! Records the latest answer of a connection, to send it a second time.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::WeakSender;
 use tokio::time::Instant;
 
-/// What came back on a connection since its last request.
+/// Bytes received from the target since the last request.
 #[derive(Debug)]
 pub(super) struct LastAnswer {
     bytes: Mutex<BytesMut>,
@@ -17,7 +17,7 @@
 }
 
 impl LastAnswer {
-    /// Nothing yet; the second copy goes to `back`.
+    /// Creates an empty record whose copy is sent to `back`.
     pub(super) fn new(back: WeakSender<(Instant, Bytes)>) -> Self {
         Self {
             bytes: Mutex::default(),
@@ -25,15 +25,15 @@
         }
     }
 
-    /// Notes a part of the answer.
+    /// Appends a part of the answer.
     pub(super) fn append(&self, part: &Bytes) {
         self.lock().extend_from_slice(part);
     }
 
-    /// Sends the answer again, where the answer to a request that has just come is due.
+    /// Sends the answer again in place of the answer to the request that has just arrived.
     pub(super) async fn repeat(&self) {
         let bytes = self.lock().split().freeze();
-        // Without a sender the far side has ended, and nothing more goes back.
+        // The sender is gone once the target has closed; nothing can be sent back then.
         if let Some(back) = self.back.upgrade().filter(|_| !bytes.is_empty()) {
             let _near_gone = back.send((Instant::now(), bytes)).await;
         }
--- a/crates/fake/src/link/mod.rs
+++ b/crates/fake/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! A TCP forwarder that can be cut, held up or delayed, or sends answers twice.
+//! A TCP forwarder that can close, stall or delay connections, or send answers twice.
 
 mod forward;
 mod last_answer;
@@ -28,7 +28,7 @@
 use crate::web;
 use crate::web::Call;
 
-/// Wait after a connection could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Deserialize)]
@@ -53,11 +53,11 @@
 }
 
 impl Link {
-    /// A forwarder of `routes`, which are open at `ip` when this returns.
+    /// Opens the ports of `routes` at `ip` and starts to forward.
     ///
     /// # Errors
     ///
-    /// An error of binding.
+    /// Returns an error if an address cannot be bound.
     pub async fn bind(ip: IpAddr, routes: &[Route]) -> io::Result<Self> {
         let mut states = HashMap::new();
         for route in routes {
@@ -83,11 +83,11 @@
         Ok(Self { routes: states })
     }
 
-    /// Serves the control calls at `listener`.
+    /// Serves the control API at `listener`.
     ///
     /// # Errors
     ///
-    /// An error of the listener.
+    /// Returns an error if the listener fails.
     pub async fn serve(self, listener: TcpListener) -> io::Result<()> {
         let link = Arc::new(self);
         web::serve(listener, move |call| {
@@ -149,17 +149,17 @@
                 connections.fetch_add(1, Ordering::Relaxed);
                 tokio::spawn(forward(near, target, state.subscribe()));
             }
-            // Out of file descriptors, most likely: connections that end free some.
+            // Usually out of file descriptors; connections that close free some.
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
 }
 
-/// Starts a forwarder in this process and tells its control address.
+/// Starts a forwarder in this process and returns its control address.
 ///
 /// # Errors
 ///
-/// An error of binding.
+/// Returns an error if an address cannot be bound.
 pub async fn start(routes: &[Route], listen: SocketAddr) -> io::Result<SocketAddr> {
     let listener = web::bind(listen).await?;
     let address = listener.local_addr()?;
--- a/crates/fake/src/link/route.rs
+++ b/crates/fake/src/link/route.rs
@@ -1,19 +1,19 @@
-//! Routes of a forwarder.
+//! Routes of the forwarder and their text form.
 
 use std::fmt;
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// A listening port and where it leads, written `port=ip:port`.
+/// A listening port and its target, written `port=ip:port`.
 #[derive(Debug, Clone, Copy)]
 pub struct Route {
-    /// Port to listen at; 0 takes a free one.
+    /// Port to listen on; 0 selects a free one.
     pub port: u16,
-    /// Where connections lead.
+    /// Address to which connections are forwarded.
     pub target: SocketAddr,
 }
 
-/// A text that is not a route.
+/// A string that is not a route.
 #[derive(Debug)]
 pub struct ParseError(String);
 
--- a/crates/fake/src/options.rs
+++ b/crates/fake/src/options.rs
@@ -1,4 +1,4 @@
-//! Command lines of the stand-ins.
+//! Command-line parsing for the stand-ins.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -6,14 +6,14 @@
 
 use getopts::Matches;
 
-/// Options of one program: every one takes a value and has a default.
+/// Options of one program. Each takes a value and has a default.
 #[derive(Debug)]
 pub struct Options {
     program: &'static str,
     options: getopts::Options,
 }
 
-/// The values given on one command line.
+/// Parsed option values.
 #[derive(Debug)]
 pub struct Values {
     program: &'static str,
@@ -21,16 +21,16 @@
 }
 
 impl Options {
-    /// The options of `program`, which always include `--listen`.
+    /// Creates the options of `program`: `--listen` and `--help`.
     pub fn new(program: &'static str) -> Self {
         let mut options = getopts::Options::new();
         options.optopt(
             "",
             "listen",
-            "address to listen at; port 0 takes a free one",
+            "address to listen on; port 0 selects a free port",
             "IP:PORT",
         );
-        options.optflag("h", "help", "print this text");
+        options.optflag("h", "help", "print this help");
         Self { program, options }
     }
 
@@ -48,7 +48,7 @@
         self
     }
 
-    /// Reads the command line; prints help or a fault and ends the process where it must.
+    /// Parses the command line. Exits the process after printing help or an error.
     pub fn parse(self) -> Values {
         let arguments: Vec<String> = std::env::args().skip(1).collect();
         let matches = match self.options.parse(arguments) {
@@ -71,7 +71,7 @@
 }
 
 impl Values {
-    /// The value of option `name`, or `default` if it is not given.
+    /// Returns the value of option `name`, or `default` if it is not given.
     pub fn get<T: FromStr>(&self, name: &str, default: T) -> T {
         match self.matches.opt_str(name) {
             Some(text) => self.parse(name, &text),
@@ -79,17 +79,17 @@
         }
     }
 
-    /// All values of option `name`.
+    /// Returns all values of option `name`.
     pub fn all(&self, name: &str) -> Vec<String> {
         self.matches.opt_strs(name)
     }
 
-    /// The value of option `name` in milliseconds.
+    /// Returns the value of option `name`, which is in milliseconds.
     pub fn millis(&self, name: &str, default: u64) -> Duration {
         Duration::from_millis(self.get(name, default))
     }
 
-    /// Where to listen.
+    /// Returns the address to listen on; by default, a free port of the loopback address.
     pub fn listen(&self) -> SocketAddr {
         self.get("listen", SocketAddr::from(([127, 0, 0, 1], 0)))
     }
@@ -97,12 +97,15 @@
     fn parse<T: FromStr>(&self, name: &str, text: &str) -> T {
         match text.parse() {
             Ok(value) => value,
-            Err(_) => exit_with_error(self.program, &format!("`{text}` is no value for --{name}")),
+            Err(_) => exit_with_error(
+                self.program,
+                &format!("invalid value `{text}` for --{name}"),
+            ),
         }
     }
 }
 
-/// Prints `message` and ends the process.
+/// Prints `message` to standard error and exits with code 64.
 pub fn exit_with_error(program: &str, message: &str) -> ! {
     const EX_USAGE: i32 = 64;
     eprintln!("{program}: {message}");
--- a/crates/fake/src/platform/fault.rs
+++ b/crates/fake/src/platform/fault.rs
@@ -1,27 +1,27 @@
-//! Faults of the platform.
+//! Injected faults of the platform.
 
 use serde::Deserialize;
 
-/// What goes wrong on purpose.
+/// Kind of fault.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Mode {
-    /// Nothing.
+    /// No fault.
     #[default]
     Ok,
     /// Every call is refused with status 503.
     Down,
     /// No call is answered.
     Hang,
-    /// Every call takes effect, and is answered, later.
+    /// Every call takes effect and is answered after a delay.
     Slow,
-    /// Transactions take effect, and the connection closes without an answer.
+    /// Transactions take effect, but the connection closes without a response.
     Lose,
-    /// Plain reads serve the state as it was when the fault was set.
+    /// Reads outside transactions return the state at the time the fault was set.
     Stale,
 }
 
-/// A mode and its delay.
+/// A mode with its delay in milliseconds.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 pub(super) struct Fault {
     pub(super) mode: Mode,
--- a/crates/fake/src/platform/inner.rs
+++ b/crates/fake/src/platform/inner.rs
@@ -1,4 +1,4 @@
-//! The state of the platform, behind one lock.
+//! Mutable state of the platform, guarded by one lock.
 
 use std::collections::HashMap;
 
@@ -18,7 +18,7 @@
 use crate::web;
 use crate::web::Call;
 
-/// Counts of what happened.
+/// Counters reported by `GET /control/record`.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub(super) struct Record {
     pub(super) reads: u64,
@@ -27,7 +27,7 @@
     pub(super) refused: u64,
 }
 
-/// What is asked of a rate limit.
+/// Kind of call; each has a rate limit of its own.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum CallKind {
     Read,
@@ -35,7 +35,7 @@
     Weight,
 }
 
-/// All that changes.
+/// Mutable state.
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) rows: Rows,
@@ -50,7 +50,7 @@
 }
 
 impl Inner {
-    /// The state of a platform that has just started.
+    /// Creates the state of a platform that has just started.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             rows: Rows::default(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Counts a call; the answer to give if it exceeds its rate.
+    /// Counts a call. Returns a 429 response if it exceeds its rate.
     pub(super) fn check_rate(&mut self, kind: CallKind) -> Option<Response> {
         let taken = match kind {
             CallKind::Read => self.reads.try_acquire(),
@@ -89,7 +89,7 @@
     answer
 }
 
-/// Stores or fetches an object.
+/// Stores an object on `PUT`, otherwise returns it.
 pub(super) fn put_or_get(
     objects: &mut HashMap<String, Bytes>,
     call: &Call,
--- a/crates/fake/src/platform/list.rs
+++ b/crates/fake/src/platform/list.rs
@@ -1,4 +1,4 @@
-//! The lagging list of instances and replicas.
+//! The list of instances and replicas, whose changes become visible after a lag.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Addresses that an requester sees in place of the true ones.
+/// Addresses, by name, that replace the actual ones for a requester.
 type View = HashMap<String, String>;
 
-/// A list as it is set, with the views of askers.
+/// A list as posted, with the views of requesters.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub(super) struct List {
     #[serde(default)]
@@ -24,7 +24,7 @@
     lag_ms: u64,
 }
 
-/// The list that is served, and those that are served once their lag is over.
+/// The current list, and those that are served after their lag.
 #[derive(Debug, Default)]
 pub(super) struct Lists {
     current: List,
@@ -38,7 +38,7 @@
         self.pending.push((due, list));
     }
 
-    /// The list as `requester` sees it now.
+    /// Returns the list as `requester` sees it now.
     pub(super) fn view(&mut self, requester: &str) -> Value {
         let now = Instant::now();
         while self.pending.first().is_some_and(|(due, _)| *due <= now) {
@@ -52,7 +52,7 @@
     }
 }
 
-/// `entries` with the addresses in `field` replaced by those of `view`.
+/// Returns `entries` with the addresses in `field` replaced by those of `view`.
 fn replace_addresses(entries: &[Value], field: &str, view: Option<&View>) -> Vec<Value> {
     let mut entries = entries.to_vec();
     for entry in &mut entries {
--- a/crates/fake/src/platform/mod.rs
+++ b/crates/fake/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform: transactional rows, lists, objects and weights, with faults.
+//! The platform: transactional rows, lists, objects and weights, with fault injection.
 
 mod fault;
 mod inner;
@@ -28,16 +28,16 @@
 use crate::web;
 use crate::web::Call;
 
-/// Knobs of the platform.
+/// Settings of the platform.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Transactions that write, and objects stored, each second.
+    /// Maximum number of writing transactions and stored objects per second.
     pub writes: u32,
-    /// Reads each second.
+    /// Maximum number of reads per second.
     pub reads: u32,
-    /// Weight store calls each second.
+    /// Maximum number of weight store calls per second.
     pub weights: u32,
-    /// Time that every call takes.
+    /// Latency of every call.
     pub latency: Duration,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Platform {
-    /// A platform with `settings`.
+    /// Creates a platform with `settings`.
     pub fn new(settings: &Settings) -> Self {
         let (fault, _) = watch::channel(Fault::default());
         Self {
@@ -71,11 +71,11 @@
         }
     }
 
-    /// Serves at `listener`.
+    /// Serves connections accepted by `listener`.
     ///
     /// # Errors
     ///
-    /// An error of the listener.
+    /// Returns an error if the listener fails.
     pub async fn serve(self, listener: TcpListener) -> std::io::Result<()> {
         let platform = Arc::new(self);
         web::serve(listener, move |call| Arc::clone(&platform).answer(call)).await
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Carries a call out under the fault that is set when it arrives.
+    /// Executes a call under the fault that is set when it arrives.
     async fn execute_with_fault(self: Arc<Self>, call: Call) -> Response {
         let fault = *self.fault.borrow();
         match fault.mode {
@@ -105,7 +105,7 @@
             Mode::Ok | Mode::Slow | Mode::Lose | Mode::Stale => {}
         }
         let lose = fault.mode == Mode::Lose && call.path == "/v1/txn";
-        // A call that was received takes effect even when its caller no longer waits.
+        // A received call takes effect even if its caller disconnects.
         let work = tokio::spawn(self.execute(call, fault));
         match work.await {
             Ok(_) if lose => web::close_connection(),
@@ -220,20 +220,20 @@
 
     async fn wait_while_hanging(&self) {
         let mut fault = self.fault.subscribe();
-        // The sender lives as long as the platform, so that waiting can only end well.
+        // The platform owns the sender, so the wait cannot fail.
         let _ended = fault.wait_for(|fault| fault.mode != Mode::Hang).await;
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no holder of the lock panics")
+        self.inner.lock().expect("lock is not poisoned")
     }
 }
 
-/// Starts a platform in this process and tells its address.
+/// Starts a platform in this process and returns its address.
 ///
 /// # Errors
 ///
-/// An error of binding.
+/// Returns an error if `listen` cannot be bound.
 pub async fn start(settings: &Settings, listen: SocketAddr) -> std::io::Result<SocketAddr> {
     let listener = web::bind(listen).await?;
     let address = listener.local_addr()?;
--- a/crates/fake/src/platform/rate.rs
+++ b/crates/fake/src/platform/rate.rs
@@ -1,4 +1,4 @@
-//! A limit on calls a second.
+//! A limit on calls per second.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,7 +14,7 @@
 }
 
 impl Rate {
-    /// At most `limit` calls a second.
+    /// Creates a limit of `limit` calls per second.
     pub(super) fn new(limit: u32) -> Self {
         Self {
             limit,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Counts a call; `false` if the limit of this second is reached.
+    /// Counts a call. Returns `false` if the limit of the current window is reached.
     pub(super) fn try_acquire(&mut self) -> bool {
         if self.since.elapsed() >= WINDOW {
             self.since = Instant::now();
--- a/crates/fake/src/platform/rows.rs
+++ b/crates/fake/src/platform/rows.rs
@@ -1,11 +1,11 @@
-//! Rows with versions, and transactions on them.
+//! Versioned rows and transactions on them.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A row as it is answered; an absent one has version 0 and no value.
+/// A row in a response. An absent row has version 0 and no value.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Row {
     key: String,
@@ -13,7 +13,7 @@
     version: u64,
 }
 
-/// A version that a row must have.
+/// A required version of a row.
 #[derive(Debug, Deserialize)]
 struct Requirement {
     key: String,
@@ -41,7 +41,7 @@
 }
 
 impl Txn {
-    /// Whether it changes anything.
+    /// Returns whether it writes any row.
     pub(super) fn writes(&self) -> bool {
         !self.write.is_empty()
     }
@@ -55,8 +55,8 @@
 
 /// All rows.
 ///
-/// Versions come from one counter, so that a row that is deleted and made again never gets a
-/// version it had before.
+/// All versions come from one counter, so a row that is deleted and created again never repeats a
+/// version.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Rows {
     stored: BTreeMap<String, StoredRow>,
@@ -64,7 +64,7 @@
 }
 
 impl Rows {
-    /// Carries out a transaction; the error holds the rows whose requirement failed.
+    /// Executes a transaction. The error holds the rows that do not meet a requirement.
     pub(super) fn transact(&mut self, txn: &Txn) -> Result<Vec<Row>, Vec<Row>> {
         let failed: Vec<Row> = txn
             .require
@@ -82,7 +82,7 @@
         Ok(read.chain(scanned).collect())
     }
 
-    /// All rows whose key begins with `prefix`, in order.
+    /// Returns all rows whose key begins with `prefix`, in key order.
     pub(super) fn scan(&self, prefix: &str) -> Vec<Row> {
         self.stored
             .range(prefix.to_owned()..)
--- a/crates/fake/src/text.rs
+++ b/crates/fake/src/text.rs
@@ -1,16 +1,16 @@
 //! The text that stand-in engines generate.
 //!
-//! It depends on the prompt alone, so that any engine continues what another began, and a test can
-//! compare an answer with the whole text that its prompt demands.
+//! It depends only on the prompt, so any engine can continue an answer begun by another, and a test
+//! can compute the expected answer.
 
 use rapidhash::v3::rapidhash_v3;
 
-/// Distinct words that are generated.
+/// Number of distinct words.
 const WORDS: u64 = 10_000;
 
-/// The whole answer to `prompt`, one entry a token, of at most `max_tokens` tokens.
+/// Returns the complete answer to `prompt`, one entry per token.
 ///
-/// Its length lies between half of `max_tokens` and `max_tokens`.
+/// It has between `max_tokens / 2` and `max_tokens` tokens.
 pub fn expected(prompt: &str, max_tokens: usize) -> Vec<String> {
     let seed = rapidhash_v3(prompt.as_bytes());
     (0..length(seed, max_tokens))
--- a/crates/fake/src/web.rs
+++ b/crates/fake/src/web.rs
@@ -1,4 +1,4 @@
-//! HTTP plumbing shared by the stand-ins.
+//! HTTP server and responses shared by the stand-ins.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -25,12 +25,12 @@
 use volo_http::server::Router;
 use volo_http::server::Server;
 
-/// A body that is not of the wanted form.
+/// A request body that could not be parsed.
 #[derive(Debug)]
 pub struct InvalidBody(String);
 
 impl InvalidBody {
-    /// The answer that tells what is wrong.
+    /// Returns a 400 response with the parse error.
     pub fn response(&self) -> Response {
         json(
             StatusCode::BAD_REQUEST,
@@ -63,16 +63,16 @@
 }
 
 impl Call {
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// The body is not of the wanted form.
+    /// Returns [`InvalidBody`] if the body is not JSON that matches `T`.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, InvalidBody> {
         serde_json::from_slice(&self.body).map_err(|e| InvalidBody(e.to_string()))
     }
 
-    /// A query parameter; empty if absent.
+    /// Returns a query parameter, or an empty string if it is absent.
     pub fn parameter(&self, name: &str) -> &str {
         self.query.get(name).map_or("", String::as_str)
     }
@@ -93,22 +93,22 @@
     }
 }
 
-/// Binds `listen`.
+/// Binds a listener to `listen`.
 ///
 /// # Errors
 ///
-/// An error of binding.
+/// Returns an error if `listen` cannot be bound.
 pub async fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(listen).await
 }
 
-/// Serves every request at `listener` by `handler` until the process ends.
+/// Passes every request accepted by `listener` to `handler` until the process ends.
 ///
-/// A planned stop ends the process at once: a stand-in has no promise to keep.
+/// On a termination signal, the process exits at once: a stand-in need not finish open requests.
 ///
 /// # Errors
 ///
-/// An error of the listener.
+/// Returns an error if the listener fails.
 pub async fn serve<F, R>(listener: TcpListener, handler: F) -> io::Result<()>
 where
     F: Fn(Call) -> R + Clone + Send + Sync + 'static,
@@ -130,7 +130,7 @@
         .map_err(io::Error::other)
 }
 
-/// An answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     let text = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(Body::from(text));
@@ -142,39 +142,39 @@
     response
 }
 
-/// An answer with status 200 and a JSON body.
+/// Returns a response with status 200 and a JSON body.
 pub fn ok<T: Serialize>(value: &T) -> Response {
     json(StatusCode::OK, value)
 }
 
-/// An answer without a body.
+/// Returns a response without a body.
 pub fn status(status: StatusCode) -> Response {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = status;
     response
 }
 
-/// An answer with status 200 whose body is what arrives on `chunks`.
+/// Returns a response with status 200 that streams `chunks` as its body.
 pub fn streaming(mut chunks: mpsc::Receiver<Bytes>) -> Response {
     let chunks = stream::poll_fn(move |cx| chunks.poll_recv(cx));
     let frames = futures::StreamExt::map(chunks, |chunk| Ok(http_body::Frame::data(chunk)));
     Response::new(Body::from_stream(frames))
 }
 
-/// An answer that closes the connection without a byte of an answer.
+/// Returns a response that closes the connection before any byte is sent.
 pub fn close_connection() -> Response {
-    let broken = stream::once(async { Err("dropped on purpose".into()) });
+    let broken = stream::once(async { Err("connection closed by an injected fault".into()) });
     Response::new(Body::from_stream(broken))
 }
 
-/// The wall clock, in milliseconds of the Unix epoch.
+/// Returns the time since the Unix epoch in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |age| age.as_millis() as u64)
 }
 
-/// A start number: chosen at random, small enough for every JSON reader.
+/// Returns a random boot id of at most 53 bits, which every JSON parser reads exactly.
 pub fn random_boot_id() -> u64 {
     const BITS_ABOVE_JSON_INTEGERS: u32 = 11;
     rand::random::<u64>() >> BITS_ABOVE_JSON_INTEGERS
--- a/crates/fake/tests/application.rs
+++ b/crates/fake/tests/application.rs
@@ -1,4 +1,4 @@
-//! The stand-in for a plain application.
+//! Tests of the application stand-in.
 
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_call_that_arrives_twice_runs_twice() {
+async fn repeated_call_runs_again() {
     let peer = application::start(Settings::default(), ANY).await.unwrap();
     let client = Client::new();
     for run in 1..=2 {
@@ -48,7 +48,7 @@
 #[case::lose("lose", 1)]
 #[case::refuse("refuse", 0)]
 #[tokio::test]
-async fn a_fault_tells_whether_the_call_ran(#[case] mode: &str, #[case] runs: u64) {
+async fn call_runs_under_lose_but_not_under_refuse(#[case] mode: &str, #[case] runs: u64) {
     let peer = application::start(Settings::default(), ANY).await.unwrap();
     control::post(peer, "/control/fault", &json!({ "mode": mode }))
         .await
--- a/crates/fake/tests/common/mod.rs
+++ b/crates/fake/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Attempts and engines for the tests of the stand-in for a model engine.
-#![allow(dead_code, reason = "no test file uses all of it")]
+//! Requests and engines for the tests of the model engine stand-in.
+#![allow(dead_code, reason = "each test file uses a part")]
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -17,16 +17,16 @@
 use ident::Handle;
 use ident::Incarnation;
 
-/// A free port of this machine.
+/// Any free port of the loopback address.
 pub const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// The owner of all attempts.
+/// Owner of all attempts.
 pub const OWNER: Incarnation = Incarnation(7);
-/// The prompt of all attempts.
+/// Prompt of all attempts.
 pub const PROMPT: &str = "reorder for the sow unit at Vinkovci";
-/// Most tokens of the answer.
+/// Maximum number of tokens of the answer.
 pub const MAX_TOKENS: u32 = 40;
 
-/// A fast engine.
+/// Returns the settings of a fast engine.
 pub fn settings(role: Role) -> Settings {
     Settings {
         role,
@@ -44,12 +44,12 @@
     fake::engine::start(settings(role), ANY).await.unwrap()
 }
 
-/// A claim of the owner.
+/// Returns a claim of [`OWNER`].
 pub fn claim(sequence: u64, fence: u64) -> Claim {
     Claim::new(Handle::new(OWNER, sequence), OWNER, fence)
 }
 
-/// A prefill of ten blocks.
+/// Returns a prefill of 400 tokens in ten blocks.
 pub fn prefill(claim: Claim) -> prefill::Request {
     prefill::Request {
         claim,
@@ -62,7 +62,7 @@
     }
 }
 
-/// A decode of the whole answer from `offset` on.
+/// Returns a decode that starts at token `offset`.
 pub fn decode(claim: Claim, source: SocketAddr, offset: u32) -> decode::Request {
     decode::Request {
         claim,
@@ -73,8 +73,8 @@
     }
 }
 
-/// Reads a stream to its end: its tokens, checked to be in order from `offset` on.
-pub async fn read(stream: &mut Stream, offset: u32) -> (Vec<String>, Event) {
+/// Reads a stream to its end and checks that its tokens are in order from `offset` on.
+pub async fn read_to_end(stream: &mut Stream, offset: u32) -> (Vec<String>, Event) {
     let mut tokens = Vec::new();
     loop {
         match stream.next().await.unwrap().unwrap() {
@@ -88,7 +88,7 @@
     }
 }
 
-/// The whole answer.
-pub fn whole() -> Vec<String> {
+/// Returns the complete answer.
+pub fn expected_answer() -> Vec<String> {
     text::expected(PROMPT, MAX_TOKENS as usize)
 }
--- a/crates/fake/tests/engine.rs
+++ b/crates/fake/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Decodes and streams of the stand-in for a model engine.
+//! Decodes and streams of the model engine stand-in.
 
 mod common;
 
@@ -23,15 +23,15 @@
 use common::ANY;
 use common::claim;
 use common::decode;
+use common::expected_answer;
 use common::prefill;
-use common::read;
+use common::read_to_end;
 use common::settings;
 use common::start;
-use common::whole;
 
 #[rstest]
 #[tokio::test]
-async fn a_request_is_answered_in_full_and_leaves_nothing_held() {
+async fn request_is_answered_in_full_and_releases_everything() {
     let (source, target) = (start(Role::Prefill).await, start(Role::Decode).await);
     let client = Client::new();
     let reply = client.prefill(source, &prefill(claim(1, 1))).await.unwrap();
@@ -40,12 +40,12 @@
         .decode(target, &decode(claim(1, 1), source, 0))
         .await
         .unwrap();
-    let (tokens, end) = read(&mut stream, 0).await;
-    assert_eq!(tokens, whole());
+    let (tokens, end) = read_to_end(&mut stream, 0).await;
+    assert_eq!(tokens, expected_answer());
     assert_eq!(
         end,
         Event::End {
-            offset: whole().len() as u32,
+            offset: expected_answer().len() as u32,
             reason: Reason::Stop
         }
     );
@@ -65,7 +65,7 @@
     let (source, target) = (start(Role::Prefill).await, start(Role::Decode).await);
     let client = Client::new();
     let request = prefill::Request {
-        generated: whole()[..9].to_vec(),
+        generated: expected_answer()[..9].to_vec(),
         ..prefill(claim(2, 1))
     };
     client.prefill(source, &request).await.unwrap();
@@ -73,13 +73,13 @@
         .decode(target, &decode(claim(2, 1), source, 9))
         .await
         .unwrap();
-    let (tokens, _) = read(&mut stream, 9).await;
-    assert_eq!(tokens, whole()[9..]);
+    let (tokens, _) = read_to_end(&mut stream, 9).await;
+    assert_eq!(tokens, expected_answer()[9..]);
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_decode_goes_on_without_a_reader_and_a_new_one_supersedes() {
+async fn decode_continues_without_a_reader_and_a_new_reader_supersedes() {
     let (source, target) = (start(Role::Prefill).await, start(Role::Decode).await);
     let client = Client::new();
     client.prefill(source, &prefill(claim(5, 1))).await.unwrap();
@@ -93,18 +93,18 @@
         offset: 3,
     };
     let mut second = client.attach(target, &request).await.unwrap();
-    assert_eq!(read(&mut first, 0).await.1, Event::Superseded);
+    assert_eq!(read_to_end(&mut first, 0).await.1, Event::Superseded);
     assert!(first.next().await.is_none());
     drop(second.next().await);
     drop(second);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let mut third = client.attach(target, &request).await.unwrap();
-    assert_eq!(read(&mut third, 3).await.0, whole()[3..]);
+    assert_eq!(read_to_end(&mut third, 3).await.0, expected_answer()[3..]);
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_cancel_frees_the_slot_and_bars_the_handle() {
+async fn cancel_frees_the_slot_and_blocks_the_handle() {
     let (source, target) = (start(Role::Prefill).await, start(Role::Decode).await);
     let client = Client::new();
     client.prefill(source, &prefill(claim(6, 1))).await.unwrap();
@@ -114,7 +114,7 @@
         .unwrap();
     stream.next().await.unwrap().unwrap();
     assert!(client.cancel(target, &claim(6, 1)).await.unwrap().released);
-    let (_, end) = read(&mut stream, 0).await;
+    let (_, end) = read_to_end(&mut stream, 0).await;
     assert!(matches!(
         end,
         Event::End {
@@ -125,10 +125,10 @@
     assert_eq!(control::record(target).await.unwrap()["held"], json!([]));
 
     assert!(!client.cancel(source, &claim(7, 1)).await.unwrap().released);
-    let barred = client.prefill(source, &prefill(claim(7, 1))).await;
+    let blocked = client.prefill(source, &prefill(claim(7, 1))).await;
     assert!(
-        matches!(barred, Err(Error::Refused { status: 409, .. })),
-        "{barred:?}"
+        matches!(blocked, Err(Error::Refused { status: 409, .. })),
+        "{blocked:?}"
     );
 }
 
@@ -158,7 +158,7 @@
         let last = streams.last_mut().unwrap();
         assert_eq!(last.next().await.unwrap().unwrap(), Event::Imported);
         let begin = Instant::now();
-        read(last, 0).await;
+        read_to_end(last, 0).await;
         spans.push(begin.elapsed());
     }
     assert!(spans[1] > spans[0] * 2, "{spans:?}");
@@ -166,7 +166,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_decode_whose_caller_left_before_its_answer_can_be_read_later() {
+async fn decode_can_be_read_after_its_caller_timed_out() {
     let (source, target) = (start(Role::Prefill).await, start(Role::Decode).await);
     let routes = [Route {
         port: 0,
@@ -175,7 +175,7 @@
     let link = link::start(&routes, ANY).await.unwrap();
     let record = control::record(link).await.unwrap();
     let port = record["routes"][0]["port"].as_u64().unwrap() as u16;
-    let mode = |mode: &str| {
+    let set_mode = |mode: &str| {
         let body = json!({ "port": port, "mode": mode });
         async move { control::post(link, "/control/link", &body).await.unwrap() }
     };
@@ -184,17 +184,17 @@
         .prefill(source, &prefill(claim(40, 1)))
         .await
         .unwrap();
-    mode("hang").await;
-    let entrance = SocketAddr::new(link.ip(), port);
+    set_mode("hang").await;
+    let link_address = SocketAddr::new(link.ip(), port);
     let lost = client
-        .decode(target, &decode(claim(40, 1), entrance, 0))
+        .decode(target, &decode(claim(40, 1), link_address, 0))
         .await;
     assert!(matches!(lost, Err(Error::Lost { .. })), "{lost:?}");
-    mode("pass").await;
+    set_mode("pass").await;
     let request = attach::Request {
         claim: claim(40, 2),
         offset: 0,
     };
     let mut stream = client.attach(target, &request).await.unwrap();
-    assert_eq!(read(&mut stream, 0).await.0, whole());
+    assert_eq!(read_to_end(&mut stream, 0).await.0, expected_answer());
 }
--- a/crates/fake/tests/link.rs
+++ b/crates/fake/tests/link.rs
@@ -1,4 +1,4 @@
-//! The stand-in for a network link.
+//! Tests of the link stand-in.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -19,8 +19,8 @@
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const SHORT: Duration = Duration::from_millis(200);
 
-/// A link to a peer that sends back what it gets; its control address and the port of its route.
-async fn link_to_echo() -> (SocketAddr, u16) {
+/// Starts a link to an echo server. Returns its control address and the port of its route.
+async fn start_link_to_echo() -> (SocketAddr, u16) {
     let echo = TcpListener::bind(ANY).await.unwrap();
     let target = echo.local_addr().unwrap();
     tokio::spawn(async move {
@@ -39,14 +39,14 @@
     (control, port)
 }
 
-async fn set(control: SocketAddr, port: u16, mode: &str, ms: u64) {
+async fn set_mode(control: SocketAddr, port: u16, mode: &str, ms: u64) {
     let body = json!({ "port": port, "mode": mode, "ms": ms });
     control::post(control, "/control/link", &body)
         .await
         .unwrap();
 }
 
-async fn echo(stream: &mut TcpStream) -> std::io::Result<()> {
+async fn exchange_ping(stream: &mut TcpStream) -> std::io::Result<()> {
     stream.write_all(b"ping").await?;
     let mut answer = [0; 4];
     stream.read_exact(&mut answer).await?;
@@ -56,66 +56,66 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_cut_closes_connections_old_and_new() {
-    let (control, port) = link_to_echo().await;
+async fn cut_closes_open_and_new_connections() {
+    let (control, port) = start_link_to_echo().await;
     let mut old = TcpStream::connect((Ipv4Addr::LOCALHOST, port))
         .await
         .unwrap();
-    echo(&mut old).await.unwrap();
-    set(control, port, "cut", 0).await;
+    exchange_ping(&mut old).await.unwrap();
+    set_mode(control, port, "cut", 0).await;
     let mut new = TcpStream::connect((Ipv4Addr::LOCALHOST, port))
         .await
         .unwrap();
-    assert!(echo(&mut old).await.is_err());
-    assert!(echo(&mut new).await.is_err());
-    set(control, port, "pass", 0).await;
-    let mut healed = TcpStream::connect((Ipv4Addr::LOCALHOST, port))
+    assert!(exchange_ping(&mut old).await.is_err());
+    assert!(exchange_ping(&mut new).await.is_err());
+    set_mode(control, port, "pass", 0).await;
+    let mut reconnected = TcpStream::connect((Ipv4Addr::LOCALHOST, port))
         .await
         .unwrap();
-    echo(&mut healed).await.unwrap();
+    exchange_ping(&mut reconnected).await.unwrap();
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_hanging_link_holds_bytes_back_until_it_passes_again() {
-    let (control, port) = link_to_echo().await;
+async fn hanging_link_holds_bytes_until_it_passes_again() {
+    let (control, port) = start_link_to_echo().await;
     let mut stream = TcpStream::connect((Ipv4Addr::LOCALHOST, port))
         .await
         .unwrap();
-    echo(&mut stream).await.unwrap();
-    set(control, port, "hang", 0).await;
+    exchange_ping(&mut stream).await.unwrap();
+    set_mode(control, port, "hang", 0).await;
     stream.write_all(b"pong").await.unwrap();
     let mut answer = [0; 4];
     let held = tokio::time::timeout(SHORT, stream.read_exact(&mut answer)).await;
     assert!(held.is_err());
-    set(control, port, "pass", 0).await;
+    set_mode(control, port, "pass", 0).await;
     stream.read_exact(&mut answer).await.unwrap();
     assert_eq!(&answer, b"pong");
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_delay_applies_in_both_directions() {
-    let (control, port) = link_to_echo().await;
+async fn delay_applies_in_both_directions() {
+    let (control, port) = start_link_to_echo().await;
     let mut stream = TcpStream::connect((Ipv4Addr::LOCALHOST, port))
         .await
         .unwrap();
-    echo(&mut stream).await.unwrap();
-    set(control, port, "delay", 100).await;
+    exchange_ping(&mut stream).await.unwrap();
+    set_mode(control, port, "delay", 100).await;
     let begin = Instant::now();
-    echo(&mut stream).await.unwrap();
+    exchange_ping(&mut stream).await.unwrap();
     assert!(begin.elapsed() >= SHORT, "{:?}", begin.elapsed());
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_repeating_link_sends_an_answer_again_where_the_next_one_is_due() {
-    let (control, port) = link_to_echo().await;
-    set(control, port, "repeat", 0).await;
+async fn repeating_link_sends_an_answer_again_in_place_of_the_next() {
+    let (control, port) = start_link_to_echo().await;
+    set_mode(control, port, "repeat", 0).await;
     let mut stream = TcpStream::connect((Ipv4Addr::LOCALHOST, port))
         .await
         .unwrap();
-    echo(&mut stream).await.unwrap();
+    exchange_ping(&mut stream).await.unwrap();
     stream.write_all(b"next").await.unwrap();
     let mut answers = [0; 8];
     stream.read_exact(&mut answers).await.unwrap();
--- a/crates/fake/tests/platform.rs
+++ b/crates/fake/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform.
+//! Tests of the platform stand-in.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -18,32 +18,32 @@
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const TIMEOUT: Duration = Duration::from_millis(300);
 
-async fn platform() -> (SocketAddr, Client) {
+async fn start_platform() -> (SocketAddr, Client) {
     let peer = platform::start(&Settings::default(), ANY).await.unwrap();
     (peer, Client::new(peer, TIMEOUT))
 }
 
-async fn fault(peer: SocketAddr, mode: &str, ms: u64) {
+async fn set_fault(peer: SocketAddr, mode: &str, ms: u64) {
     let body = json!({ "mode": mode, "ms": ms });
     control::post(peer, "/control/fault", &body).await.unwrap();
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_transaction_commits_as_a_whole_or_not_at_all() {
-    let (_, client) = platform().await;
+async fn transaction_commits_completely_or_not_at_all() {
+    let (_, client) = start_platform().await;
     let first = Txn::new()
         .with_requirement("t/a", 0)
         .with_write("t/a", Some("1"))
         .with_write("t/b", Some("2"))
         .with_scan("t/");
     let Reply::Committed(rows) = client.txn(&first).await.unwrap() else {
-        panic!("the rows were absent");
+        panic!("the rows did not exist, but the transaction conflicted");
     };
     assert_eq!(rows.len(), 2);
 
     let Reply::Conflict(rows) = client.txn(&first).await.unwrap() else {
-        panic!("the row is there by now");
+        panic!("the row exists, but the transaction committed");
     };
     assert_eq!(
         (rows[0].key.as_str(), rows[0].value.as_deref()),
@@ -57,17 +57,17 @@
     client.txn(&delete.with_read("t/a")).await.unwrap();
     client.txn(&first.with_read("t/a")).await.unwrap();
     let rows = client.read_rows("t/a").await.unwrap();
-    assert!(rows[0].version > version, "a version must not come back");
+    assert!(rows[0].version > version, "a version was reused");
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_lost_answer_hides_a_commit() {
-    let (peer, client) = platform().await;
-    fault(peer, "lose", 0).await;
+async fn transaction_commits_although_its_answer_is_lost() {
+    let (peer, client) = start_platform().await;
+    set_fault(peer, "lose", 0).await;
     let lost = client.txn(&Txn::new().with_write("k", Some("v"))).await;
     assert!(matches!(lost, Err(Error::Lost { .. })), "{lost:?}");
-    fault(peer, "ok", 0).await;
+    set_fault(peer, "ok", 0).await;
     assert_eq!(
         client.read_rows("k").await.unwrap()[0].value.as_deref(),
         Some("v")
@@ -76,12 +76,12 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_slow_call_takes_effect_after_its_caller_gave_up() {
-    let (peer, client) = platform().await;
-    fault(peer, "slow", 600).await;
+async fn slow_call_takes_effect_after_its_caller_timed_out() {
+    let (peer, client) = start_platform().await;
+    set_fault(peer, "slow", 600).await;
     let lost = client.txn(&Txn::new().with_write("k", Some("v"))).await;
     assert!(matches!(lost, Err(Error::Lost { .. })), "{lost:?}");
-    fault(peer, "ok", 0).await;
+    set_fault(peer, "ok", 0).await;
     assert!(client.read_rows("k").await.unwrap().is_empty());
     tokio::time::sleep(Duration::from_millis(700)).await;
     assert_eq!(client.read_rows("k").await.unwrap().len(), 1);
@@ -89,31 +89,31 @@
 
 #[rstest]
 #[tokio::test]
-async fn outages_refuse_hang_and_serve_stale_rows() {
-    let (peer, client) = platform().await;
-    fault(peer, "stale", 0).await;
+async fn faults_refuse_hang_and_serve_stale_rows() {
+    let (peer, client) = start_platform().await;
+    set_fault(peer, "stale", 0).await;
     client
         .txn(&Txn::new().with_write("k", Some("v")))
         .await
         .unwrap();
     assert!(client.read_rows("k").await.unwrap().is_empty());
-    fault(peer, "down", 0).await;
+    set_fault(peer, "down", 0).await;
     let down = client.read_rows("k").await;
     assert!(
         matches!(down, Err(Error::Refused { status: 503, .. })),
         "{down:?}"
     );
-    fault(peer, "hang", 0).await;
+    set_fault(peer, "hang", 0).await;
     let hung = client.read_rows("k").await;
     assert!(matches!(hung, Err(Error::Lost { .. })), "{hung:?}");
-    fault(peer, "ok", 0).await;
+    set_fault(peer, "ok", 0).await;
     assert_eq!(client.read_rows("k").await.unwrap().len(), 1);
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_list_lags_and_shows_each_asker_its_addresses() {
-    let (peer, client) = platform().await;
+async fn list_lags_and_shows_each_requester_its_addresses() {
+    let (peer, client) = start_platform().await;
     let list = json!({
         "instances": [{ "name": "e1", "data_centre": "johar", "peer": "127.0.0.1:1",
             "caller": "127.0.0.1:2", "state": "live" }],
@@ -165,8 +165,8 @@
 
 #[rstest]
 #[tokio::test]
-async fn objects_are_kept() {
-    let (_, client) = platform().await;
+async fn objects_are_stored() {
+    let (_, client) = start_platform().await;
     assert_eq!(client.get_object("a/b").await.unwrap(), None);
     client.put_object("a/b", b"bytes".to_vec()).await.unwrap();
     assert_eq!(
--- a/crates/fake/tests/prefill.rs
+++ b/crates/fake/tests/prefill.rs
@@ -1,4 +1,4 @@
-//! Prefills, exports and orders of the stand-in for a model engine.
+//! Prefills, exports and orders of the model engine stand-in.
 
 mod common;
 
@@ -25,7 +25,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_result_is_wasted_after_its_time_and_shortens_the_next_prefill() {
+async fn result_expires_and_its_cached_blocks_shorten_the_next_prefill() {
     let (source, target) = (start(Role::Prefill).await, start(Role::Decode).await);
     let client = Client::new();
     client.prefill(source, &prefill(claim(3, 1))).await.unwrap();
@@ -53,7 +53,7 @@
 #[case::enforced(true)]
 #[case::ignored(false)]
 #[tokio::test]
-async fn a_lower_fence_is_refused_only_by_an_engine_with_fences(#[case] fences: bool) {
+async fn lower_fence_is_refused_only_if_fences_are_enforced(#[case] fences: bool) {
     let settings = Settings {
         fences,
         ..settings(Role::Prefill)
@@ -79,7 +79,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_full_engine_refuses_and_a_role_can_be_changed() {
+async fn full_engine_refuses_and_role_can_be_changed() {
     let (source, target) = (start(Role::Prefill).await, start(Role::Decode).await);
     let client = Client::new();
     let role = Some(state::Role::Decode);
@@ -121,7 +121,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_stalled_transfer_holds_and_a_cancel_ends_it() {
+async fn stalled_transfer_holds_its_slot_until_cancelled() {
     let (source, target) = (start(Role::Prefill).await, start(Role::Decode).await);
     let client = Client::new();
     let stall = json!({ "mode": "stall_transfer" });
@@ -147,7 +147,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn prefills_run_one_at_a_time_by_priority_and_load_lags() {
+async fn prefills_run_one_at_a_time_by_priority_and_load_report_lags() {
     let slow = Settings {
         prefill_fixed: Duration::from_millis(100),
         ..settings(Role::Prefill)
@@ -187,7 +187,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn transfers_share_the_link_and_an_unconfirmed_one_is_wasted() {
+async fn transfers_share_the_link_and_unconfirmed_ones_count_as_wasted() {
     let slow = Settings {
         link_rate: 400.0 * 130_000.0 / 0.2,
         ..settings(Role::Prefill)
--- a/crates/fake/tests/program.rs
+++ b/crates/fake/tests/program.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as programs.
+//! Command lines of the stand-in programs.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -10,12 +10,12 @@
 use fake::control;
 use rstest::rstest;
 
-/// A program that ends with the test.
+/// A child process that is killed when dropped.
 struct Program(Child);
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // It may have ended by itself, which is all the same here.
+        // Both calls may fail if the process has already exited.
         let _ended = self.0.kill();
         let _status = self.0.wait();
     }
@@ -27,7 +27,7 @@
 #[case::application(env!("CARGO_BIN_EXE_fake-app"), &["--slots=3"])]
 #[case::link(env!("CARGO_BIN_EXE_fake-link"), &["--route=0=127.0.0.1:9", "--route", "0=127.0.0.1:9"])]
 #[tokio::test]
-async fn a_program_tells_where_it_listens(#[case] program: &str, #[case] args: &[&str]) {
+async fn program_prints_its_address(#[case] program: &str, #[case] args: &[&str]) {
     let child = Command::new(program)
         .args(["--listen", "127.0.0.1:0"])
         .args(args)
@@ -50,7 +50,7 @@
 #[rstest]
 #[case::unknown_option("--speeed=2")]
 #[case::bad_value("--speed=fast")]
-fn a_wrong_command_line_ends_the_program(#[case] arg: &str) {
+fn invalid_command_line_exits_with_an_error(#[case] arg: &str) {
     let program = env!("CARGO_BIN_EXE_fake-engine");
     let output = Command::new(program).arg(arg).output().unwrap();
     assert_eq!(output.status.code(), Some(64));
