--- a/crates/bench/src/arms.rs
+++ b/crates/bench/src/arms.rs
@@ -17,13 +17,13 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use scenario::ask::Ask;
-use scenario::ask::PlainCall;
 use scenario::caller::Caller;
+use scenario::http_client::HttpClient;
 use scenario::reply::Outcome;
 use scenario::reply::Reply;
+use scenario::requests::Completion;
+use scenario::requests::PlainCall;
 use scenario::stream::Event;
-use scenario::web::Web;
 
 use crate::load::Sample;
 use crate::stage;
@@ -76,7 +76,7 @@
     /// One language-model request of `tokens` tokens.
     pub async fn model(&self, number: u64, prompt: &str, tokens: u32) -> Option<Sample> {
         let begun = Instant::now();
-        let ask = Ask::new(stage::MODEL, prompt, tokens);
+        let ask = Completion::new(stage::MODEL, prompt, tokens);
         let reply = self
             .caller
             .complete(self.address(number), &ask)
@@ -111,7 +111,7 @@
     decodes: Arc<Vec<SocketAddr>>,
     applications: Arc<Vec<String>>,
     client: Client,
-    web: Web,
+    web: HttpClient,
     owner: Incarnation,
 }
 
@@ -129,7 +129,7 @@
             decodes: Arc::new(parse(decodes)),
             applications: Arc::new(applications),
             client: Client::new(),
-            web: Web::new(),
+            web: HttpClient::new(),
             owner: Incarnation(rand::random::<u64>() ^ seed),
         }
     }
--- a/crates/bench/src/slopes/process.rs
+++ b/crates/bench/src/slopes/process.rs
@@ -5,13 +5,13 @@
 
 use http::Method;
 use scenario::error::Error;
+use scenario::http_client::HttpClient;
 use scenario::list;
 use scenario::list::List;
 use scenario::list::State;
 use scenario::plan::PLATFORM;
 use scenario::plan::Role;
 use scenario::plan::Timing;
-use scenario::web::Web;
 use tokio::time::sleep;
 
 use crate::arms::Through;
@@ -169,8 +169,8 @@
         replicas: (0..count).map(|index| replica(index, &engines)).collect(),
         ..List::default()
     };
-    let web = Web::new();
-    let platform = stage.fleet.back(PLATFORM)?;
+    let web = HttpClient::new();
+    let platform = stage.fleet.backend_address(PLATFORM)?;
     let body = serde_json::to_value(&list).unwrap_or_default();
     let request = web.request(Method::POST, platform, "/control/list");
     web.send(request.json(&body), platform).await?;
@@ -189,7 +189,7 @@
         data_centre: format!("centre-{}", index % 11),
         address: addresses[index % addresses.len()].clone(),
         service: format!("model-{}", index % POOLS),
-        role: role.word().to_owned(),
+        role: role.as_str().to_owned(),
         slots: 20,
         fences: true,
         state: State::Live,
--- a/crates/bench/src/stage.rs
+++ b/crates/bench/src/stage.rs
@@ -4,12 +4,12 @@
 
 use scenario::error::Error;
 use scenario::fleet::Fleet;
+use scenario::http_client::HttpClient;
 use scenario::plan::PLATFORM;
 use scenario::plan::Plan;
 use scenario::plan::Replica;
 use scenario::plan::Role;
 use scenario::plan::Timing;
-use scenario::web::Web;
 
 use crate::usage;
 use crate::usage::Usage;
@@ -117,7 +117,7 @@
 
 /// The name of engine `index` of `role`.
 pub fn engine(role: Role, index: usize) -> String {
-    format!("{}-{}", role.word(), index + 1)
+    format!("{}-{}", role.as_str(), index + 1)
 }
 
 /// The name of application `index`.
@@ -131,7 +131,7 @@
     /// The processes.
     pub fleet: Fleet,
     size: Size,
-    web: Web,
+    web: HttpClient,
 }
 
 impl Stage {
@@ -143,11 +143,11 @@
     pub async fn start(size: Size) -> Result<Self, Error> {
         let mut fleet = Fleet::start(size.plan()).await?;
         fleet.apply(TABLE).await?;
-        fleet.ready().await?;
+        fleet.wait_until_ready().await?;
         Ok(Self {
             fleet,
             size,
-            web: Web::new(),
+            web: HttpClient::new(),
         })
     }
 
@@ -155,7 +155,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`].
+    /// [`Error::UnknownName`].
     pub fn callers(&self) -> Result<Vec<String>, Error> {
         (0..self.size.daemons)
             .map(|index| Ok(self.fleet.daemon(&daemon(index))?.caller.clone()))
@@ -166,10 +166,10 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`].
+    /// [`Error::UnknownName`].
     pub fn engines(&self, role: Role) -> Result<Vec<String>, Error> {
         (0..self.size.engines)
-            .map(|index| Ok(self.fleet.back(&engine(role, index))?.to_owned()))
+            .map(|index| Ok(self.fleet.backend_address(&engine(role, index))?.to_owned()))
             .collect()
     }
 
@@ -177,10 +177,10 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`].
+    /// [`Error::UnknownName`].
     pub fn applications(&self) -> Result<Vec<String>, Error> {
         (0..self.size.applications)
-            .map(|index| Ok(self.fleet.back(&application(index))?.to_owned()))
+            .map(|index| Ok(self.fleet.backend_address(&application(index))?.to_owned()))
             .collect()
     }
 
@@ -188,7 +188,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] or [`Error::Io`].
+    /// [`Error::UnknownName`] or [`Error::Io`].
     pub fn usage(&mut self, name: &str) -> Result<Usage, Error> {
         let id = self.fleet.process(name)?.id();
         Usage::of(id).map_err(|cause| io("read the usage of", name, cause))
--- a/crates/scenario/src/caller.rs
+++ b/crates/scenario/src/caller.rs
@@ -2,15 +2,15 @@
 //!
 //! ```no_run
 //! # async fn example(address: &str) -> Result<(), scenario::error::Error> {
-//! use scenario::ask::Ask;
+//! use scenario::requests::Completion;
 //! use scenario::caller::Caller;
 //!
 //! let caller = Caller::new("krmiva");
 //! let addresses = caller.addresses(address, None).await?;
 //! let key = addresses.key(0, "order-17");
-//! let ask = Ask::new("ration", "reorder for farm 12", 16).with_key(&key);
-//! let stream = caller.complete(&addresses.first().address, &ask).await?.stream()?;
-//! let rest = stream.finish().await;
+//! let completion = Completion::new("ration", "reorder for farm 12", 16).with_key(&key);
+//! let stream = caller.complete(&addresses.first().address, &completion).await?.stream()?;
+//! let rest = stream.read_to_end().await;
 //! println!("{} tokens: {}", rest.tokens, rest.text);
 //! # Ok(())
 //! # }
@@ -24,16 +24,16 @@
 use volo_http::response::Response;
 
 use crate::address::Addresses;
-use crate::ask::Ask;
-use crate::ask::PlainCall;
 use crate::error::Error;
+use crate::http_client;
+use crate::http_client::Answer;
+use crate::http_client::HttpClient;
 use crate::refusal::Refusal;
 use crate::reply::Outcome;
 use crate::reply::Reply;
+use crate::requests::Completion;
+use crate::requests::PlainCall;
 use crate::stream::Stream;
-use crate::web;
-use crate::web::Answer;
-use crate::web::Web;
 
 /// Caller class if none is chosen.
 pub const DEFAULT_CLASS: &str = "default";
@@ -49,7 +49,7 @@
 /// One customer's caller.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    web: Web,
+    client: HttpClient,
     customer: String,
     class: String,
 }
@@ -58,7 +58,7 @@
     /// A caller of `customer` in the default class.
     pub fn new(customer: &str) -> Self {
         Self {
-            web: Web::new(),
+            client: HttpClient::new(),
             customer: customer.to_owned(),
             class: DEFAULT_CLASS.to_owned(),
         }
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Http`], or [`Error::Answer`] if the answer has no address or can't be read.
+    /// [`Error::Http`], or [`Error::UnexpectedAnswer`] if the answer has no address or can't be read.
     pub async fn addresses(
         &self,
         address: &str,
@@ -85,10 +85,10 @@
             .map(|name| format!("?data_centre={name}"))
             .unwrap_or_default();
         let path = format!("/v1/addresses{query}");
-        let answer = self.web.get(address, &path).await?;
+        let answer = self.client.get(address, &path).await?;
         let parsed: Option<Addresses> = serde_json::from_str(&answer.body).ok();
         let filled = parsed.filter(|parsed| !parsed.addresses.is_empty());
-        filled.ok_or_else(|| Error::Answer {
+        filled.ok_or_else(|| Error::UnexpectedAnswer {
             step: format!("GET {path}"),
             peer: address.to_owned(),
             status: answer.status,
@@ -101,12 +101,16 @@
     /// # Errors
     ///
     /// [`Error::Http`] if the connection is lost before the head of the answer.
-    pub async fn complete(&self, address: &str, ask: &Ask) -> Result<Reply, Error> {
-        let body =
-            json!({ "model": ask.model, "prompt": ask.prompt, "max_tokens": ask.max_tokens });
-        let request = self.request(Method::POST, address, COMPLETIONS, ask.key.as_deref());
-        let response = self.web.open(request.json(&body), address).await?;
-        reply(response, address, COMPLETIONS, 0).await
+    pub async fn complete(&self, address: &str, completion: &Completion) -> Result<Reply, Error> {
+        let body = json!({ "model": completion.model, "prompt": completion.prompt, "max_tokens": completion.max_tokens });
+        let request = self.request(
+            Method::POST,
+            address,
+            COMPLETIONS,
+            completion.key.as_deref(),
+        );
+        let response = self.client.open(request.json(&body), address).await?;
+        read_reply(response, address, COMPLETIONS, 0).await
     }
 
     /// Reads the rest of a stream from `offset` tokens on, at any instance.
@@ -119,8 +123,8 @@
             .request(Method::POST, address, RESUME, None)
             .header("Waxwing-Resume", token)
             .header("Last-Event-ID", offset.to_string());
-        let response = self.web.open(request, address).await?;
-        reply(response, address, RESUME, offset).await
+        let response = self.client.open(request, address).await?;
+        read_reply(response, address, RESUME, offset).await
     }
 
     /// Sends a call to a plain application through the instance at `address`.
@@ -139,8 +143,8 @@
                 .data(call.body.clone())
                 .header("Content-Type", "application/json");
         }
-        let answer = self.web.send(request, address).await?;
-        Ok(outcome(answer))
+        let answer = self.client.send(request, address).await?;
+        Ok(read_outcome(answer))
     }
 
     fn request(
@@ -151,7 +155,7 @@
         key: Option<&str>,
     ) -> RequestBuilder<Client> {
         let request = self
-            .web
+            .client
             .request(method, address, path)
             .header("Waxwing-Customer", self.customer.clone())
             .header("Waxwing-Class", self.class.clone());
@@ -162,7 +166,7 @@
     }
 }
 
-async fn reply(
+async fn read_reply(
     response: Response<Body>,
     address: &str,
     path: &str,
@@ -171,7 +175,7 @@
     if response.status() == http::StatusCode::OK {
         return Stream::open(response, offset, address).map(Reply::Stream);
     }
-    let answer = web::read(response, format!("POST {path}"), address).await?;
+    let answer = http_client::read(response, format!("POST {path}"), address).await?;
     Ok(Reply::Refused(Refusal::with_body(
         answer.status,
         &answer.body,
@@ -179,14 +183,14 @@
 }
 
 /// An application's own errors are answers; the outcome header tells them from refusals.
-fn outcome(answer: Answer) -> Outcome {
-    let word = answer.header(OUTCOME).unwrap_or_default();
-    if word != ANSWERED && word != ANSWERED_BEFORE {
+fn read_outcome(answer: Answer) -> Outcome {
+    let header = answer.header(OUTCOME).unwrap_or_default();
+    if header != ANSWERED && header != ANSWERED_BEFORE {
         return Outcome::Refused(Refusal::with_body(answer.status, &answer.body));
     }
     Outcome::Answered {
         status: answer.status,
-        before: word == ANSWERED_BEFORE,
+        before: header == ANSWERED_BEFORE,
         body: answer.body,
     }
 }
--- a/crates/scenario/src/command.rs
+++ b/crates/scenario/src/command.rs
@@ -16,10 +16,10 @@
     /// # Errors
     ///
     /// [`Error::Exited`] with the command's output unless it exits with 0.
-    pub async fn waxwing<S: AsRef<OsStr>>(&self, args: &[S]) -> Result<String, Error> {
+    pub async fn run_waxwing<S: AsRef<OsStr>>(&self, args: &[S]) -> Result<String, Error> {
         let program = self.programs.join(COMMAND);
         if !program.exists() {
-            return Err(Error::Missing { program });
+            return Err(Error::MissingProgram { program });
         }
         let mut command = Command::new(&program);
         command
--- a/crates/scenario/src/control.rs
+++ b/crates/scenario/src/control.rs
@@ -8,10 +8,10 @@
 
 use crate::error::Error;
 use crate::fleet::Fleet;
-use crate::fleet::LOOK_EVERY;
+use crate::fleet::POLL_INTERVAL;
 use crate::list::State;
 use crate::plan::PLATFORM;
-use crate::process::START_LIMIT;
+use crate::process::START_TIMEOUT;
 use crate::settings::OPERATOR;
 use crate::settings::TOKEN;
 use crate::start;
@@ -21,20 +21,22 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`], [`Error::Http`] or [`Error::Answer`].
+    /// [`Error::UnknownName`], [`Error::Http`] or [`Error::UnexpectedAnswer`].
     pub async fn record(&self, name: &str) -> Result<Value, Error> {
-        self.web.get_json(self.back(name)?, "/control/record").await
+        self.client
+            .get_json(self.backend_address(name)?, "/control/record")
+            .await
     }
 
     /// Sets a fault of the stand-in `name`; see `docs/PROTOCOLS.md` for the modes.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`], [`Error::Http`] or [`Error::Answer`].
-    pub async fn fault(&self, name: &str, mode: &str, ms: u64) -> Result<(), Error> {
+    /// [`Error::UnknownName`], [`Error::Http`] or [`Error::UnexpectedAnswer`].
+    pub async fn set_fault(&self, name: &str, mode: &str, ms: u64) -> Result<(), Error> {
         let body = json!({ "mode": mode, "ms": ms });
-        self.web
-            .post_json(self.back(name)?, "/control/fault", &body)
+        self.client
+            .post_json(self.backend_address(name)?, "/control/fault", &body)
             .await
             .map(drop)
     }
@@ -44,18 +46,28 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] if the plan has no such link, [`Error::Http`] or [`Error::Answer`].
-    pub async fn link(&self, from: &str, to: &str, mode: &str, ms: u64) -> Result<(), Error> {
-        let entrance = self.links.get(&(from.to_owned(), to.to_owned()));
-        let port = entrance.and_then(|address| address.rsplit_once(':')?.1.parse::<u16>().ok());
+    /// [`Error::UnknownName`] if the plan has no such link, [`Error::Http`] or [`Error::UnexpectedAnswer`].
+    pub async fn set_link_mode(
+        &self,
+        from: &str,
+        to: &str,
+        mode: &str,
+        ms: u64,
+    ) -> Result<(), Error> {
+        let link_address = self.links.get(&(from.to_owned(), to.to_owned()));
+        let port = link_address.and_then(|address| address.rsplit_once(':')?.1.parse::<u16>().ok());
         let Some(port) = port else {
-            return Err(Error::Unknown {
+            return Err(Error::UnknownName {
                 name: format!("{from}->{to}"),
             });
         };
         let body = json!({ "port": port, "mode": mode, "ms": ms });
-        self.web
-            .post_json(self.back(start::FORWARDER)?, "/control/link", &body)
+        self.client
+            .post_json(
+                self.backend_address(start::FORWARDER)?,
+                "/control/link",
+                &body,
+            )
             .await
             .map(drop)
     }
@@ -64,69 +76,69 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`], [`Error::Http`] or [`Error::Answer`].
-    pub async fn mark(&mut self, name: &str, state: State) -> Result<(), Error> {
+    /// [`Error::UnknownName`], [`Error::Http`] or [`Error::UnexpectedAnswer`].
+    pub async fn set_list_state(&mut self, name: &str, state: State) -> Result<(), Error> {
         if !self.list.mark(name, state) {
-            return Err(Error::Unknown {
+            return Err(Error::UnknownName {
                 name: name.to_owned(),
             });
         }
-        self.publish().await
+        self.publish_list().await
     }
 
     /// Takes an instance or replica off the platform's list.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`], [`Error::Http`] or [`Error::Answer`].
-    pub async fn unlist(&mut self, name: &str) -> Result<(), Error> {
+    /// [`Error::UnknownName`], [`Error::Http`] or [`Error::UnexpectedAnswer`].
+    pub async fn remove_from_list(&mut self, name: &str) -> Result<(), Error> {
         if !self.list.remove(name) {
-            return Err(Error::Unknown {
+            return Err(Error::UnknownName {
                 name: name.to_owned(),
             });
         }
-        self.publish().await
+        self.publish_list().await
     }
 
     /// How late changes of the platform's list show from now on.
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] or [`Error::Answer`].
-    pub async fn lag(&mut self, ms: u64) -> Result<(), Error> {
+    /// [`Error::Http`] or [`Error::UnexpectedAnswer`].
+    pub async fn set_list_lag(&mut self, ms: u64) -> Result<(), Error> {
         self.list.lag_ms = ms;
-        self.publish().await
+        self.publish_list().await
     }
 
     /// Gives the list to the platform.
-    pub(crate) async fn publish(&self) -> Result<(), Error> {
+    pub(crate) async fn publish_list(&self) -> Result<(), Error> {
         let body = serde_json::to_value(&self.list).unwrap_or_default();
-        self.web
-            .post_json(self.back(PLATFORM)?, "/control/list", &body)
+        self.client
+            .post_json(self.backend_address(PLATFORM)?, "/control/list", &body)
             .await
             .map(drop)
     }
 
     /// Waits until every daemon has read the table and sees all the others.
-    pub(crate) async fn settled(&self) -> Result<(), Error> {
-        let end = Instant::now() + START_LIMIT;
+    pub(crate) async fn wait_until_settled(&self) -> Result<(), Error> {
+        let end = Instant::now() + START_TIMEOUT;
         for (name, listen) in &self.daemons {
             while !self.is_settled(&listen.admin).await {
                 if Instant::now() > end {
-                    return Err(Error::Late {
+                    return Err(Error::Timeout {
                         step: "see the other daemons",
                         peer: name.clone(),
                     });
                 }
-                sleep(LOOK_EVERY).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
     async fn is_settled(&self, admin: &str) -> bool {
-        let table = self.as_operator(admin, "/v1/table").await;
-        let status = self.as_operator(admin, "/v1/status").await;
+        let table = self.get_as_operator(admin, "/v1/table").await;
+        let status = self.get_as_operator(admin, "/v1/status").await;
         let members = status
             .as_ref()
             .and_then(|status| status["members"].as_array());
@@ -136,13 +148,13 @@
     }
 
     /// What `path` of an admin address answers the operator, if that is 200.
-    pub(crate) async fn as_operator(&self, admin: &str, path: &str) -> Option<Value> {
+    pub(crate) async fn get_as_operator(&self, admin: &str, path: &str) -> Option<Value> {
         let request = self
-            .web
+            .client
             .request(Method::GET, admin, path)
             .header("Authorization", format!("Bearer {TOKEN}"))
             .header("Waxwing-Operator", OPERATOR);
-        let answer = self.web.send(request, admin).await.ok()?;
+        let answer = self.client.send(request, admin).await.ok()?;
         (answer.status == 200).then(|| answer.json())
     }
 }
--- a/crates/scenario/src/demo/booking.rs
+++ b/crates/scenario/src/demo/booking.rs
@@ -1,15 +1,15 @@
 //! Ordinary calls: a stock question that may be repeated, a lorry booking that may not.
 
 use crate::address::Addresses;
-use crate::ask::PlainCall;
 use crate::caller::Caller;
+use crate::demo::output;
 use crate::demo::report::Report;
-use crate::demo::screen;
 use crate::error::Error;
 use crate::reply::Outcome;
+use crate::requests::PlainCall;
 
 /// The unique part of the booking's key.
-pub(super) const BOOKING: &str = "booking-1";
+pub(super) const BOOKING_KEY: &str = "booking-1";
 const LORRY: &str = r#"{"mill":"osijek","lorry":7,"tons":12}"#;
 
 /// Sends both, and repeats the booking's key at another instance.
@@ -18,7 +18,7 @@
     addresses: &Addresses,
     report: &mut Report,
 ) -> Result<(), Error> {
-    screen::title("Ordinary calls: a stock question, a lorry booking");
+    output::print_title("Ordinary calls: a stock question, a lorry booking");
     let first = addresses.first();
     let stock = caller
         .call(&first.address, &PlainCall::new("stock", "mills/osijek"))
@@ -29,7 +29,7 @@
         matches!(stock, Outcome::Answered { .. }),
     );
 
-    let key = first.key(BOOKING);
+    let key = first.key(BOOKING_KEY);
     let book = PlainCall::with_once("booking", "lorries", LORRY, &key);
     let booked = caller.call(&first.address, &book).await?;
     show(&first.instance, "booking", &booked);
@@ -64,9 +64,11 @@
             before,
         } => {
             let before = if *before { " (answered before)" } else { "" };
-            screen::line(&format!("{what} at {instance}: {status}{before} {body}"));
+            output::print_line(&format!("{what} at {instance}: {status}{before} {body}"));
+        }
+        Outcome::Refused(refusal) => {
+            output::print_line(&format!("{what} at {instance}: {refusal}"))
         }
-        Outcome::Refused(refusal) => screen::line(&format!("{what} at {instance}: {refusal}")),
     }
 }
 
--- a/crates/scenario/src/demo/draft.rs
+++ b/crates/scenario/src/demo/draft.rs
@@ -1,12 +1,12 @@
 //! Drafts of the language model, streamed.
 
 use crate::address::Addresses;
-use crate::ask::Ask;
 use crate::caller::Caller;
 use crate::demo::MODEL;
+use crate::demo::output;
 use crate::demo::report::Report;
-use crate::demo::screen;
 use crate::error::Error;
+use crate::requests::Completion;
 use crate::stream::Event;
 use crate::stream::Stream;
 
@@ -16,7 +16,7 @@
 
 /// Text of a stream and how it ended.
 #[derive(Debug)]
-pub(super) struct Read {
+pub(super) struct ReadResult {
     pub(super) text: String,
     pub(super) end: Event,
 }
@@ -27,16 +27,19 @@
     addresses: &Addresses,
     report: &mut Report,
 ) -> Result<(), Error> {
-    screen::title("Drafts: streamed completions, one through each instance");
+    output::print_title("Drafts: streamed completions, one through each instance");
     for (number, address) in (1..).zip(&addresses.addresses) {
         let prompt = prompt(number);
-        let ask =
-            Ask::new(MODEL, &prompt, MAX_TOKENS).with_key(&address.key(&format!("draft-{number}")));
-        let mut stream = caller.complete(&address.address, &ask).await?.stream()?;
-        screen::part(&format!("   {}:", address.instance));
-        let read = read(&mut stream, u64::MAX).await;
-        screen::part("\n");
-        let whole = complete(&prompt, MAX_TOKENS, &read);
+        let completion = Completion::new(MODEL, &prompt, MAX_TOKENS)
+            .with_key(&address.key(&format!("draft-{number}")));
+        let mut stream = caller
+            .complete(&address.address, &completion)
+            .await?
+            .stream()?;
+        output::print(&format!("   {}:", address.instance));
+        let read = read_tokens(&mut stream, u64::MAX).await;
+        output::print("\n");
+        let whole = is_complete(&prompt, MAX_TOKENS, &read);
         report.check(&format!("draft {number} is whole and in order"), whole);
     }
     repeat(caller, addresses, report).await
@@ -47,34 +50,37 @@
     let Some(last) = addresses.addresses.last() else {
         return Ok(());
     };
-    screen::title("Repeat: the key of draft 1 again, at another instance");
+    output::print_title("Repeat: the key of draft 1 again, at another instance");
     let prompt = prompt(1);
-    let ask = Ask::new(MODEL, &prompt, MAX_TOKENS).with_key(&addresses.key(0, FIRST));
-    let mut stream = caller.complete(&last.address, &ask).await?.stream()?;
-    screen::part(&format!("   {}:", last.instance));
-    let read = read(&mut stream, u64::MAX).await;
-    screen::part("\n");
+    let completion = Completion::new(MODEL, &prompt, MAX_TOKENS).with_key(&addresses.key(0, FIRST));
+    let mut stream = caller
+        .complete(&last.address, &completion)
+        .await?
+        .stream()?;
+    output::print(&format!("   {}:", last.instance));
+    let read = read_tokens(&mut stream, u64::MAX).await;
+    output::print("\n");
     report.check(
         "the repeat gives the same whole answer",
-        complete(&prompt, MAX_TOKENS, &read),
+        is_complete(&prompt, MAX_TOKENS, &read),
     );
     Ok(())
 }
 
 /// Reads and prints up to `most` tokens.
-pub(super) async fn read(stream: &mut Stream, most: u64) -> Read {
+pub(super) async fn read_tokens(stream: &mut Stream, most: u64) -> ReadResult {
     let mut text = String::new();
     loop {
         match stream.next().await {
             Event::Head(_) => {}
             Event::Tokens(tokens) => {
-                screen::part(&tokens.text);
+                output::print(&tokens.text);
                 text.push_str(&tokens.text);
             }
-            end => return Read { text, end },
+            end => return ReadResult { text, end },
         }
         if stream.offset() >= most {
-            return Read {
+            return ReadResult {
                 text,
                 end: Event::Cut,
             };
@@ -83,7 +89,7 @@
 }
 
 /// Whether `read` is the whole answer to `prompt`.
-pub(super) fn complete(prompt: &str, max_tokens: u32, read: &Read) -> bool {
+pub(super) fn is_complete(prompt: &str, max_tokens: u32, read: &ReadResult) -> bool {
     let expected = fake::text::expected(prompt, max_tokens as usize);
     read.end == Event::Done(expected.len() as u64) && read.text == expected.concat()
 }
--- a/crates/scenario/src/demo/failure.rs
+++ b/crates/scenario/src/demo/failure.rs
@@ -5,14 +5,14 @@
 use serde_json::Value;
 
 use crate::address::Addresses;
-use crate::ask::Ask;
 use crate::caller::Caller;
 use crate::demo::MODEL;
 use crate::demo::draft;
+use crate::demo::output;
 use crate::demo::report::Report;
-use crate::demo::screen;
 use crate::error::Error;
 use crate::fleet::Fleet;
+use crate::requests::Completion;
 use crate::stream::Event;
 use crate::stream::Head;
 
@@ -28,7 +28,7 @@
 /// Tokens read before the daemon is killed.
 const BEFORE_KILL: u64 = 30;
 /// Longest wait for a planned stop.
-const STOP_LIMIT: Duration = Duration::from_secs(40);
+const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Drains a replica and shows that it gets no new work.
 pub(super) async fn drain(
@@ -37,17 +37,17 @@
     addresses: &Addresses,
     report: &mut Report,
 ) -> Result<(), Error> {
-    screen::title("Drain: `waxwing drain replica decode-1`");
-    screen::block(&fleet.waxwing(&["drain", "replica", DRAINED]).await?);
+    output::print_title("Drain: `waxwing drain replica decode-1`");
+    output::print_lines(&fleet.run_waxwing(&["drain", "replica", DRAINED]).await?);
     let before = decodes(fleet).await?;
     for number in 0..DRAFTS {
         let address = &addresses.addresses[number as usize % addresses.addresses.len()];
-        let ask = Ask::new(MODEL, &format!("Ration change {number}"), DRAFT_TOKENS);
+        let completion = Completion::new(MODEL, &format!("Ration change {number}"), DRAFT_TOKENS);
         let rest = caller
-            .complete(&address.address, &ask)
+            .complete(&address.address, &completion)
             .await?
             .stream()?
-            .finish()
+            .read_to_end()
             .await;
         report.check(
             &format!("draft through {} is answered", address.instance),
@@ -56,7 +56,7 @@
     }
     let after = decodes(fleet).await?;
     report.check("the draining replica got none of them", before == after);
-    screen::block(&fleet.waxwing(&["undrain", "replica", DRAINED]).await?);
+    output::print_lines(&fleet.run_waxwing(&["undrain", "replica", DRAINED]).await?);
     Ok(())
 }
 
@@ -71,16 +71,16 @@
     addresses: &Addresses,
     report: &mut Report,
 ) -> Result<(), Error> {
-    screen::title("Death of a daemon in the middle of a stream");
+    output::print_title("Death of a daemon in the middle of a stream");
     let prompt = "Draft a delivery note for the co-op of Vinkovci, all farms.";
-    let ask = Ask::new(MODEL, prompt, LONG_TOKENS);
+    let completion = Completion::new(MODEL, prompt, LONG_TOKENS);
     let killed = fleet.daemon(KILLED)?.caller.clone();
-    let mut stream = caller.complete(&killed, &ask).await?.stream()?;
-    screen::part(&format!("   {KILLED}:"));
-    let mut read = draft::read(&mut stream, BEFORE_KILL).await;
+    let mut stream = caller.complete(&killed, &completion).await?.stream()?;
+    output::print(&format!("   {KILLED}:"));
+    let mut read = draft::read_tokens(&mut stream, BEFORE_KILL).await;
     let (offset, head) = (stream.offset(), stream.head().cloned());
     fleet.kill(KILLED).await?;
-    screen::part(&format!("\n   {KILLED} was killed after {offset} tokens\n"));
+    output::print(&format!("\n   {KILLED} was killed after {offset} tokens\n"));
     let Some(Head { resume, .. }) = head else {
         report.check("the stream began with a resume token", false);
         return Ok(());
@@ -94,13 +94,13 @@
             .resume(&other.address, &resume, offset)
             .await?
             .stream()?;
-        screen::part(&format!("   {}:", other.instance));
-        let rest = draft::read(&mut stream, u64::MAX).await;
-        screen::part("\n");
+        output::print(&format!("   {}:", other.instance));
+        let rest = draft::read_tokens(&mut stream, u64::MAX).await;
+        output::print("\n");
         read.text.push_str(&rest.text);
         read.end = rest.end;
     }
-    let whole = draft::complete(prompt, LONG_TOKENS, &read);
+    let whole = draft::is_complete(prompt, LONG_TOKENS, &read);
     report.check(
         "both parts make the whole answer, no token twice or missing",
         whole,
@@ -110,7 +110,7 @@
 
 /// Stops the remaining daemons as planned.
 pub(super) async fn stop(fleet: &mut Fleet, report: &mut Report) -> Result<(), Error> {
-    screen::title("Planned stop of the remaining daemons (SIGTERM)");
+    output::print_title("Planned stop of the remaining daemons (SIGTERM)");
     let names: Vec<String> = fleet
         .plan()
         .daemons
@@ -122,7 +122,7 @@
         fleet.terminate(name)?;
     }
     for name in &left {
-        let ended = fleet.wait(name, STOP_LIMIT).await;
+        let ended = fleet.wait_for_exit(name, STOP_TIMEOUT).await;
         let graceful = ended.is_ok_and(|status| status.success());
         report.check(&format!("{name} ended with exit code 0"), graceful);
     }
--- a/crates/scenario/src/demo/mod.rs
+++ b/crates/scenario/src/demo/mod.rs
@@ -4,8 +4,8 @@
 mod booking;
 mod draft;
 mod failure;
+mod output;
 mod report;
-mod screen;
 pub mod stay;
 mod summary;
 
@@ -26,7 +26,7 @@
 /// How long callers may keep addresses; a planned stop lasts a multiple of it.
 const ADDRESS_TTL_MS: u64 = 2_000;
 /// Data centres, one daemon in each.
-const ZONES: [&str; 3] = ["osijek-a", "vinkovci-b", "dakovo-c"];
+const DATA_CENTRES: [&str; 3] = ["osijek-a", "vinkovci-b", "dakovo-c"];
 /// The model.
 const MODEL: &str = "ration";
 /// The pool of plain applications.
@@ -39,24 +39,26 @@
 /// What kept it from running to its end.
 pub async fn run() -> Result<bool, Error> {
     let mut report = Report::new();
-    screen::title("Start: a platform, model engines and applications (stand-ins), three daemons");
+    output::print_title(
+        "Start: a platform, model engines and applications (stand-ins), three daemons",
+    );
     let mut fleet = Fleet::start(plan()).await?;
     list(&fleet);
 
-    screen::title("Table: `waxwing table apply`");
-    screen::block(&fleet.apply(TABLE).await?);
-    fleet.ready().await?;
+    output::print_title("Table: `waxwing table apply`");
+    output::print_lines(&fleet.apply(TABLE).await?);
+    fleet.wait_until_ready().await?;
 
     let caller = Caller::new(CUSTOMER);
-    screen::title("Addresses: ask any instance which to use");
+    output::print_title("Addresses: ask any instance which to use");
     let addresses = addresses(&fleet, &caller).await?;
 
     draft::run(&caller, &addresses, &mut report).await?;
     booking::run(&caller, &addresses, &mut report).await?;
     failure::drain(&fleet, &caller, &addresses, &mut report).await?;
-    screen::title("Explain: why was the first draft placed as it was?");
-    let explained = fleet.waxwing(&["explain", draft::FIRST]).await?;
-    screen::block(&explained);
+    output::print_title("Explain: why was the first draft placed as it was?");
+    let explained = fleet.run_waxwing(&["explain", draft::FIRST]).await?;
+    output::print_lines(&explained);
     report.check(
         "a decision is explained for the first draft",
         explained.contains(draft::FIRST),
@@ -73,32 +75,50 @@
         address_ttl_ms: ADDRESS_TTL_MS,
         ..Timing::default()
     };
-    let daemons = (1..).zip(ZONES);
-    let plan = daemons.fold(Plan::new().with_timing(timing), |plan, (number, zone)| {
-        plan.with_daemon(&format!("entry-{number}"), zone)
-    });
-    (1..).zip(ZONES).fold(plan, |plan, (number, zone)| {
-        let name = |kind: &str| format!("{kind}-{number}");
-        plan.with_replica(Replica::new(&name("prefill"), zone, MODEL, Role::Prefill))
-            .with_replica(Replica::new(&name("decode"), zone, MODEL, Role::Decode))
-            .with_replica(Replica::new(&name("ordering"), zone, ORDERING, Role::Plain))
-    })
+    let daemons = (1..).zip(DATA_CENTRES);
+    let plan = daemons.fold(
+        Plan::new().with_timing(timing),
+        |plan, (number, data_centre)| plan.with_daemon(&format!("entry-{number}"), data_centre),
+    );
+    (1..)
+        .zip(DATA_CENTRES)
+        .fold(plan, |plan, (number, data_centre)| {
+            let name = |kind: &str| format!("{kind}-{number}");
+            plan.with_replica(Replica::new(
+                &name("prefill"),
+                data_centre,
+                MODEL,
+                Role::Prefill,
+            ))
+            .with_replica(Replica::new(
+                &name("decode"),
+                data_centre,
+                MODEL,
+                Role::Decode,
+            ))
+            .with_replica(Replica::new(
+                &name("ordering"),
+                data_centre,
+                ORDERING,
+                Role::Plain,
+            ))
+        })
 }
 
 fn list(fleet: &Fleet) {
     for daemon in &fleet.plan().daemons {
         let listen = &fleet.daemons[&daemon.name];
-        screen::line(&format!(
+        output::print_line(&format!(
             "{} in {}: callers {}, admin {}",
             daemon.name, daemon.data_centre, listen.caller, listen.admin
         ));
     }
     for replica in &fleet.plan().replicas {
-        screen::line(&format!(
+        output::print_line(&format!(
             "{} in {}: {} of {}, {} slots",
             replica.name,
             replica.data_centre,
-            replica.role.word(),
+            replica.role.as_str(),
             replica.service,
             replica.slots
         ));
@@ -107,9 +127,9 @@
 
 async fn addresses(fleet: &Fleet, caller: &Caller) -> Result<Addresses, Error> {
     let asked = &fleet.daemon("entry-1")?.caller;
-    let addresses = caller.addresses(asked, Some(ZONES[0])).await?;
+    let addresses = caller.addresses(asked, Some(DATA_CENTRES[0])).await?;
     for address in &addresses.addresses {
-        screen::line(&format!(
+        output::print_line(&format!(
             "{} ({}, {}), weight {}, keys begin with {}",
             address.address,
             address.instance,
@@ -118,6 +138,6 @@
             address.key_prefix
         ));
     }
-    screen::line(&format!("keep this for {} ms", addresses.ttl_ms));
+    output::print_line(&format!("keep this for {} ms", addresses.ttl_ms));
     Ok(addresses)
 }
--- a/crates/scenario/src/demo/report.rs
+++ b/crates/scenario/src/demo/report.rs
@@ -1,6 +1,6 @@
 //! Which claims of the demo held.
 
-use crate::demo::screen;
+use crate::demo::output;
 
 /// Claims checked.
 #[derive(Debug, Default)]
@@ -19,10 +19,10 @@
     pub(super) fn check(&mut self, claim: &str, holds: bool) {
         if holds {
             self.held += 1;
-            screen::line(&format!("[ok] {claim}"));
+            output::print_line(&format!("[ok] {claim}"));
         } else {
             self.broken.push(claim.to_owned());
-            screen::line(&format!("[NOT SO] {claim}"));
+            output::print_line(&format!("[NOT SO] {claim}"));
         }
     }
 
@@ -34,7 +34,7 @@
             self.broken.len()
         );
         for claim in &self.broken {
-            screen::line(&format!("not so: {claim}"));
+            output::print_line(&format!("not so: {claim}"));
         }
         self.broken.is_empty()
     }
--- a/crates/scenario/src/demo/stay.rs
+++ b/crates/scenario/src/demo/stay.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use crate::demo::TABLE;
+use crate::demo::output;
 use crate::demo::plan;
-use crate::demo::screen;
 use crate::error::Error;
 use crate::fleet::Fleet;
 use crate::settings::OPERATOR;
@@ -21,11 +21,11 @@
 pub async fn start(file: &Path) -> Result<Fleet, Error> {
     let mut fleet = Fleet::start(plan()).await?;
     fleet.apply(TABLE).await?;
-    fleet.ready().await?;
+    fleet.wait_until_ready().await?;
     fs::write(file, variables(&fleet))
         .map_err(|cause| Error::io("write", file.display(), cause))?;
-    screen::title("The fleet runs until you press Ctrl-C");
-    screen::line(&format!("in another terminal: . {}", file.display()));
+    output::print_title("The fleet runs until you press Ctrl-C");
+    output::print_line(&format!("in another terminal: . {}", file.display()));
     Ok(fleet)
 }
 
--- a/crates/scenario/src/demo/summary.rs
+++ b/crates/scenario/src/demo/summary.rs
@@ -6,30 +6,30 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::demo::booking::BOOKING;
+use crate::demo::booking::BOOKING_KEY;
+use crate::demo::output;
 use crate::demo::report::Report;
-use crate::demo::screen;
 use crate::error::Error;
 use crate::fleet::Fleet;
 use crate::plan::Replica;
 use crate::plan::Role;
 
 /// Longest wait until no engine holds memory of a request that is gone.
-const RELEASE_LIMIT: Duration = Duration::from_secs(30);
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Prints the counts of every stand-in and checks them.
 pub(super) async fn run(fleet: &Fleet, report: &mut Report) -> Result<(), Error> {
-    screen::title("Summary: what the stand-ins counted");
-    let released = released(fleet).await?;
+    output::print_title("Summary: what the stand-ins counted");
+    let released = release_time(fleet).await?;
     let mut bookings = 0;
     for replica in &fleet.plan().replicas {
         let record = fleet.record(&replica.name).await?;
-        screen::line(&describe(replica, &record));
-        bookings += runs(&record);
+        output::print_line(&describe(replica, &record));
+        bookings += booking_runs(&record);
     }
     let platform = fleet.record("platform").await?;
-    screen::line(&format!("platform: {platform}"));
+    output::print_line(&format!("platform: {platform}"));
     report.check("the booking ran exactly once", bookings == 1);
     match released {
         Some(after) => report.check(
@@ -58,27 +58,27 @@
 }
 
 /// Runs of the booking at one application.
-fn runs(record: &Value) -> u64 {
+fn booking_runs(record: &Value) -> u64 {
     let Some(runs) = record["runs"].as_object() else {
         return 0;
     };
-    let of_booking = runs.iter().filter(|(key, _)| key.ends_with(BOOKING));
+    let of_booking = runs.iter().filter(|(key, _)| key.ends_with(BOOKING_KEY));
     of_booking.filter_map(|(_, count)| count.as_u64()).sum()
 }
 
 /// How long it took until no engine held anything; `None` if one still does.
-async fn released(fleet: &Fleet) -> Result<Option<Duration>, Error> {
+async fn release_time(fleet: &Fleet) -> Result<Option<Duration>, Error> {
     let start = Instant::now();
-    while start.elapsed() < RELEASE_LIMIT {
-        if held(fleet).await? == 0 {
+    while start.elapsed() < RELEASE_TIMEOUT {
+        if held_count(fleet).await? == 0 {
             return Ok(Some(start.elapsed()));
         }
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(None)
 }
 
-async fn held(fleet: &Fleet) -> Result<usize, Error> {
+async fn held_count(fleet: &Fleet) -> Result<usize, Error> {
     let mut held = 0;
     let replicas = &fleet.plan().replicas;
     for replica in replicas
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 pub enum Error {
     /// A program of this workspace has not been built.
-    Missing {
+    MissingProgram {
         /// Where it was looked for.
         program: PathBuf,
     },
@@ -29,26 +29,26 @@
         log: String,
     },
     /// Something did not happen in time.
-    Late {
+    Timeout {
         /// What was waited for.
         step: &'static str,
         /// Of whom.
         peer: String,
     },
     /// A name that the plan does not hold.
-    Unknown {
+    UnknownName {
         /// The name.
         name: String,
     },
     /// A file that is not a scenario.
-    Script {
+    InvalidScript {
         /// The file.
         file: PathBuf,
         /// What is wrong with it.
         cause: String,
     },
     /// An expectation of a scenario that was not met.
-    Unmet {
+    ExpectationFailed {
         /// Number of the step, from 1; 0 for what must hold in every scenario.
         step: usize,
         /// What was expected, and what was found.
@@ -64,7 +64,7 @@
         cause: String,
     },
     /// A call got an answer that is not the expected one.
-    Answer {
+    UnexpectedAnswer {
         /// Method and path.
         step: String,
         /// Address called.
@@ -90,7 +90,7 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Missing { program } => write!(
+            Self::MissingProgram { program } => write!(
                 f,
                 "{} does not exist; build every program first: cargo build --workspace \
                  (with --release if this one was)",
@@ -98,13 +98,13 @@
             ),
             Self::Io { step, peer, cause } => write!(f, "{step} {peer}: {cause}"),
             Self::Exited { name, log } => write!(f, "{name} has ended; its last lines:\n{log}"),
-            Self::Late { step, peer } => write!(f, "{step} {peer}: not in time"),
-            Self::Unknown { name } => write!(f, "the plan holds nothing named {name}"),
-            Self::Script { file, cause } => write!(f, "{}: {cause}", file.display()),
-            Self::Unmet { step: 0, found } => write!(f, "at the end: {found}"),
-            Self::Unmet { step, found } => write!(f, "step {step}: {found}"),
+            Self::Timeout { step, peer } => write!(f, "{step} {peer}: not in time"),
+            Self::UnknownName { name } => write!(f, "the plan holds nothing named {name}"),
+            Self::InvalidScript { file, cause } => write!(f, "{}: {cause}", file.display()),
+            Self::ExpectationFailed { step: 0, found } => write!(f, "at the end: {found}"),
+            Self::ExpectationFailed { step, found } => write!(f, "step {step}: {found}"),
             Self::Http { step, peer, cause } => write!(f, "{step} at {peer}: {cause}"),
-            Self::Answer {
+            Self::UnexpectedAnswer {
                 step,
                 peer,
                 status,
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -15,9 +15,9 @@
 //!     .with_link("entry-1", "entry-2");
 //! let mut fleet = Fleet::start(plan).await?;
 //! fleet.apply("- {service: ration, class: default, pool: ration}").await?;
-//! fleet.ready().await?;
+//! fleet.wait_until_ready().await?;
 //! fleet.pause("entry-1")?;
-//! fleet.wake("entry-1")?;
+//! fleet.unpause("entry-1")?;
 //! println!("{}", fleet.record("decode-1").await?);
 //! # Ok(())
 //! # }
@@ -39,27 +39,27 @@
 use tokio::time::sleep;
 
 use crate::error::Error;
+use crate::http_client::HttpClient;
 use crate::list::List;
 use crate::plan::Plan;
 use crate::process::Process;
-use crate::process::START_LIMIT;
+use crate::process::START_TIMEOUT;
 use crate::programs;
 use crate::settings::Listen;
-use crate::web::Web;
 
 /// Pause between two looks at something awaited.
-pub(crate) const LOOK_EVERY: Duration = Duration::from_millis(20);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Running daemons and stand-ins.
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) plan: Plan,
-    pub(crate) web: Web,
+    pub(crate) client: HttpClient,
     pub(crate) programs: PathBuf,
     pub(crate) list: List,
     pub(crate) daemons: BTreeMap<String, Listen>,
     /// Addresses of the platform, the replicas and the forwarder's control port.
-    pub(crate) backs: BTreeMap<String, String>,
+    pub(crate) backends: BTreeMap<String, String>,
     /// Address of each link's entrance, by both names.
     pub(crate) links: BTreeMap<(String, String), String>,
     /// Declared before the folder, so that the processes end before it is removed.
@@ -71,18 +71,18 @@
     /// Starts all that `plan` names and waits until each daemon has read the table (the empty one)
     /// and sees all the others.
     ///
-    /// The table has no rows yet: [`Fleet::apply`] some, then wait for [`Fleet::ready`].
+    /// The table has no rows yet: [`Fleet::apply`] some, then wait for [`Fleet::wait_until_ready`].
     ///
     /// # Errors
     ///
-    /// [`Error::Missing`] if a program has not been built; [`Error::Exited`] with its last lines if
-    /// a process ends; [`Error::Late`] if one doesn't come up in time.
+    /// [`Error::MissingProgram`] if a program has not been built; [`Error::Exited`] with its last lines if
+    /// a process ends; [`Error::Timeout`] if one doesn't come up in time.
     pub async fn start(plan: Plan) -> Result<Self, Error> {
         let mut fleet = Self::with_plan(plan)?;
-        fleet.start_backs().await?;
-        fleet.publish().await?;
+        fleet.start_backends().await?;
+        fleet.publish_list().await?;
         fleet.start_daemons().await?;
-        fleet.settled().await?;
+        fleet.wait_until_settled().await?;
         Ok(fleet)
     }
 
@@ -93,11 +93,11 @@
             .map_err(|cause| Error::io("make", "a temporary folder", cause))?;
         Ok(Self {
             plan,
-            web: Web::new(),
-            programs: programs::programs()?,
+            client: HttpClient::new(),
+            programs: programs::program_folder()?,
             list: List::default(),
             daemons: BTreeMap::new(),
-            backs: BTreeMap::new(),
+            backends: BTreeMap::new(),
             links: BTreeMap::new(),
             processes: BTreeMap::new(),
             folder,
@@ -113,9 +113,9 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`].
+    /// [`Error::UnknownName`].
     pub fn daemon(&self, name: &str) -> Result<&Listen, Error> {
-        self.daemons.get(name).ok_or_else(|| Error::Unknown {
+        self.daemons.get(name).ok_or_else(|| Error::UnknownName {
             name: name.to_owned(),
         })
     }
@@ -124,10 +124,10 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`].
-    pub fn back(&self, name: &str) -> Result<&str, Error> {
-        let found = self.backs.get(name).map(String::as_str);
-        found.ok_or_else(|| Error::Unknown {
+    /// [`Error::UnknownName`].
+    pub fn backend_address(&self, name: &str) -> Result<&str, Error> {
+        let found = self.backends.get(name).map(String::as_str);
+        found.ok_or_else(|| Error::UnknownName {
             name: name.to_owned(),
         })
     }
@@ -136,21 +136,23 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`].
+    /// [`Error::UnknownName`].
     pub fn process(&mut self, name: &str) -> Result<&mut Process, Error> {
-        self.processes.get_mut(name).ok_or_else(|| Error::Unknown {
-            name: name.to_owned(),
-        })
+        self.processes
+            .get_mut(name)
+            .ok_or_else(|| Error::UnknownName {
+                name: name.to_owned(),
+            })
     }
 
     /// What the process `name` has written so far: for a daemon, its log lines.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`].
+    /// [`Error::UnknownName`].
     pub fn log(&self, name: &str) -> Result<String, Error> {
         let found = self.processes.get(name).map(Process::log);
-        found.ok_or_else(|| Error::Unknown {
+        found.ok_or_else(|| Error::UnknownName {
             name: name.to_owned(),
         })
     }
@@ -164,17 +166,17 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] or [`Error::Io`].
+    /// [`Error::UnknownName`] or [`Error::Io`].
     pub async fn kill(&mut self, name: &str) -> Result<(), Error> {
         self.process(name)?.signal(Signal::KILL)?;
-        self.wait(name, START_LIMIT).await.map(drop)
+        self.wait_for_exit(name, START_TIMEOUT).await.map(drop)
     }
 
     /// Asks `name` for a planned stop (`SIGTERM`) and returns at once.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] or [`Error::Io`].
+    /// [`Error::UnknownName`] or [`Error::Io`].
     pub fn terminate(&mut self, name: &str) -> Result<(), Error> {
         self.process(name)?.signal(Signal::TERM)
     }
@@ -183,7 +185,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] or [`Error::Io`].
+    /// [`Error::UnknownName`] or [`Error::Io`].
     pub fn pause(&mut self, name: &str) -> Result<(), Error> {
         self.process(name)?.signal(Signal::STOP)
     }
@@ -192,8 +194,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] or [`Error::Io`].
-    pub fn wake(&mut self, name: &str) -> Result<(), Error> {
+    /// [`Error::UnknownName`] or [`Error::Io`].
+    pub fn unpause(&mut self, name: &str) -> Result<(), Error> {
         self.process(name)?.signal(Signal::CONT)
     }
 
@@ -201,19 +203,23 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Late`] after `limit`; [`Error::Unknown`] or [`Error::Io`].
-    pub async fn wait(&mut self, name: &str, limit: Duration) -> Result<ExitStatus, Error> {
+    /// [`Error::Timeout`] after `limit`; [`Error::UnknownName`] or [`Error::Io`].
+    pub async fn wait_for_exit(
+        &mut self,
+        name: &str,
+        limit: Duration,
+    ) -> Result<ExitStatus, Error> {
         let end = Instant::now() + limit;
         loop {
-            match self.process(name)?.exit()? {
+            match self.process(name)?.exit_status()? {
                 Some(status) => return Ok(status),
                 None if Instant::now() > end => {
-                    return Err(Error::Late {
+                    return Err(Error::Timeout {
                         step: "end",
                         peer: name.to_owned(),
                     });
                 }
-                None => sleep(LOOK_EVERY).await,
+                None => sleep(POLL_INTERVAL).await,
             }
         }
     }
@@ -222,7 +228,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Fleet::start`], and [`Error::Unknown`].
+    /// As [`Fleet::start`], and [`Error::UnknownName`].
     pub async fn restart(&mut self, name: &str) -> Result<(), Error> {
         self.kill(name).await?;
         self.launch(name).await
@@ -232,12 +238,12 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Late`], or [`Error::Exited`] if a daemon ends meanwhile.
-    pub async fn ready(&mut self) -> Result<(), Error> {
+    /// [`Error::Timeout`], or [`Error::Exited`] if a daemon ends meanwhile.
+    pub async fn wait_until_ready(&mut self) -> Result<(), Error> {
         let names: Vec<String> = self.daemons.keys().cloned().collect();
         for name in names {
-            if self.process(&name)?.exit()?.is_none() {
-                self.ready_one(&name).await?;
+            if self.process(&name)?.exit_status()?.is_none() {
+                self.wait_until_daemon_ready(&name).await?;
             }
         }
         Ok(())
@@ -247,21 +253,21 @@
     ///
     /// # Errors
     ///
-    /// As [`Fleet::ready`], and [`Error::Unknown`].
-    pub async fn ready_one(&mut self, name: &str) -> Result<(), Error> {
+    /// As [`Fleet::wait_until_ready`], and [`Error::UnknownName`].
+    pub async fn wait_until_daemon_ready(&mut self, name: &str) -> Result<(), Error> {
         let admin = self.daemon(name)?.admin.clone();
-        let end = Instant::now() + START_LIMIT;
+        let end = Instant::now() + START_TIMEOUT;
         loop {
-            self.process(name)?.check()?;
-            match self.web.get(&admin, "/health").await {
+            self.process(name)?.check_running()?;
+            match self.client.get(&admin, "/health").await {
                 Ok(answer) if answer.status == 200 => return Ok(()),
                 _ if Instant::now() > end => {
-                    return Err(Error::Late {
+                    return Err(Error::Timeout {
                         step: "become ready",
                         peer: name.to_owned(),
                     });
                 }
-                _ => sleep(LOOK_EVERY).await,
+                _ => sleep(POLL_INTERVAL).await,
             }
         }
     }
@@ -276,7 +282,7 @@
         let file = self.folder.path().join("table.yaml");
         fs::write(&file, yaml).map_err(|cause| Error::io("write", file.display(), cause))?;
         let file = file.display().to_string();
-        self.waxwing(&["table", "apply", &file, "--wait", "20"])
+        self.run_waxwing(&["table", "apply", &file, "--wait", "20"])
             .await
     }
 }
--- a/crates/scenario/src/web.rs
+++ b/crates/scenario/src/http_client.rs
@@ -19,11 +19,11 @@
 
 /// An HTTP client that never reuses a connection, hence never resends.
 #[derive(Clone)]
-pub struct Web {
+pub struct HttpClient {
     client: Client,
 }
 
-impl std::fmt::Debug for Web {
+impl std::fmt::Debug for HttpClient {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Web").finish_non_exhaustive()
     }
@@ -52,7 +52,7 @@
     }
 }
 
-impl Web {
+impl HttpClient {
     /// A client.
     ///
     /// # Panics
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A request to `path` at `address`, to be completed and given to [`Web::open`].
+    /// A request to `path` at `address`, to be completed and given to [`HttpClient::open`].
     pub fn request(&self, method: Method, address: &str, path: &str) -> RequestBuilder<Client> {
         self.client
             .request(method, format!("http://{address}{path}"))
@@ -88,7 +88,7 @@
         request.send().await.map_err(|cause| Error::Http {
             step,
             peer: address.to_owned(),
-            cause: chain(&cause),
+            cause: error_chain(&cause),
         })
     }
 
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] or [`Error::Answer`].
+    /// [`Error::Http`] or [`Error::UnexpectedAnswer`].
     pub async fn get_json(&self, address: &str, path: &str) -> Result<Value, Error> {
         let answer = self.get(address, path).await?;
         expect_ok(answer, format!("GET {path}"), address)
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] or [`Error::Answer`].
+    /// [`Error::Http`] or [`Error::UnexpectedAnswer`].
     pub async fn post_json(&self, address: &str, path: &str, body: &Value) -> Result<Value, Error> {
         let request = self.request(Method::POST, address, path).json(body);
         let answer = self.send(request, address).await?;
@@ -139,7 +139,7 @@
     }
 }
 
-impl Default for Web {
+impl Default for HttpClient {
     fn default() -> Self {
         Self::new()
     }
@@ -155,7 +155,7 @@
     let bytes = body.into_bytes().await.map_err(|cause| Error::Http {
         step,
         peer: address.to_owned(),
-        cause: chain(&cause),
+        cause: error_chain(&cause),
     })?;
     Ok(Answer {
         status: head.status.as_u16(),
@@ -166,7 +166,7 @@
 
 fn expect_ok(answer: Answer, step: String, address: &str) -> Result<Value, Error> {
     if answer.status != http::StatusCode::OK.as_u16() {
-        return Err(Error::Answer {
+        return Err(Error::UnexpectedAnswer {
             step,
             peer: address.to_owned(),
             status: answer.status,
@@ -177,7 +177,7 @@
 }
 
 /// An error with its causes in one line.
-pub(crate) fn chain(error: &dyn std::error::Error) -> String {
+pub(crate) fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(inner) = cause {
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,23 +1,23 @@
 //! Scripted failure scenarios and the demo fleet.
 
 pub mod address;
-pub mod ask;
 pub mod caller;
 mod command;
 mod control;
 pub mod demo;
 pub mod error;
 pub mod fleet;
+pub mod http_client;
 pub mod list;
 pub mod plan;
-pub mod play;
 pub mod port;
 pub mod process;
 mod programs;
 pub mod refusal;
 pub mod reply;
+pub mod requests;
+pub mod runner;
 pub mod script;
 pub mod settings;
 mod start;
 pub mod stream;
-pub mod web;
--- a/crates/scenario/src/plan.rs
+++ b/crates/scenario/src/plan.rs
@@ -96,7 +96,7 @@
 
 impl Role {
     /// The word used in the platform's list and on the stand-ins' command lines.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Prefill => "prefill",
             Self::Decode => "decode",
--- a/crates/scenario/src/port.rs
+++ b/crates/scenario/src/port.rs
@@ -15,7 +15,7 @@
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
 /// An address `127.0.0.1:port` that nobody listens on.
-pub fn free() -> String {
+pub fn free_address() -> String {
     loop {
         let count = NEXT.fetch_add(1, Ordering::Relaxed);
         let offset = std::process::id().wrapping_mul(STRIDE).wrapping_add(count);
--- a/crates/scenario/src/process.rs
+++ b/crates/scenario/src/process.rs
@@ -16,7 +16,7 @@
 use crate::error::Error;
 
 /// Longest wait for a process to listen or to become ready.
-pub const START_LIMIT: Duration = Duration::from_secs(20);
+pub const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Lines of output that an error shows.
 const TAIL_LINES: usize = 12;
@@ -34,10 +34,10 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Missing`] if the program has not been built, [`Error::Io`] if it cannot be started.
+    /// [`Error::MissingProgram`] if the program has not been built, [`Error::Io`] if it cannot be started.
     pub fn start(name: &str, program: &Path, args: &[String], log: &Path) -> Result<Self, Error> {
         if !program.exists() {
-            return Err(Error::Missing {
+            return Err(Error::MissingProgram {
                 program: program.to_owned(),
             });
         }
@@ -69,7 +69,7 @@
     ///
     /// [`Error::Io`] if the system refuses.
     pub fn signal(&mut self, signal: Signal) -> Result<(), Error> {
-        if self.exit()?.is_some() {
+        if self.exit_status()?.is_some() {
             return Ok(());
         }
         let Some(pid) = Pid::from_raw(self.child.id().cast_signed()) else {
@@ -84,7 +84,7 @@
     /// # Errors
     ///
     /// [`Error::Io`] if the system refuses.
-    pub fn exit(&mut self) -> Result<Option<ExitStatus>, Error> {
+    pub fn exit_status(&mut self) -> Result<Option<ExitStatus>, Error> {
         self.child
             .try_wait()
             .map_err(|cause| Error::io("wait for", &self.name, cause))
@@ -102,12 +102,12 @@
     /// # Errors
     ///
     /// Also [`Error::Io`] if the system refuses.
-    pub fn check(&mut self) -> Result<(), Error> {
-        match self.exit()? {
+    pub fn check_running(&mut self) -> Result<(), Error> {
+        match self.exit_status()? {
             None => Ok(()),
             Some(_) => Err(Error::Exited {
                 name: self.name.clone(),
-                log: tail(&self.log()),
+                log: last_lines(&self.log()),
             }),
         }
     }
@@ -121,7 +121,7 @@
     }
 }
 
-fn tail(text: &str) -> String {
+fn last_lines(text: &str) -> String {
     let lines: Vec<&str> = text.lines().collect();
     lines[lines.len().saturating_sub(TAIL_LINES)..].join("\n")
 }
--- a/crates/scenario/src/programs.rs
+++ b/crates/scenario/src/programs.rs
@@ -6,7 +6,7 @@
 use crate::error::Error;
 
 /// The folder that holds the workspace's programs: that of the running one.
-pub(crate) fn programs() -> Result<PathBuf, Error> {
+pub(crate) fn program_folder() -> Result<PathBuf, Error> {
     let program =
         std::env::current_exe().map_err(|cause| Error::io("find", "the running program", cause))?;
     let folder = program.parent().map(PathBuf::from).unwrap_or_default();
--- a/crates/scenario/src/reply.rs
+++ b/crates/scenario/src/reply.rs
@@ -18,11 +18,11 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Answer`] with the refusal.
+    /// [`Error::UnexpectedAnswer`] with the refusal.
     pub fn stream(self) -> Result<Stream, Error> {
         match self {
             Self::Stream(stream) => Ok(stream),
-            Self::Refused(refusal) => Err(Error::Answer {
+            Self::Refused(refusal) => Err(Error::UnexpectedAnswer {
                 step: "expect a stream".to_owned(),
                 peer: "the system".to_owned(),
                 status: refusal.status,
--- a/crates/scenario/src/ask.rs
+++ b/crates/scenario/src/requests.rs
@@ -4,7 +4,7 @@
 
 /// A language-model request.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct Completion {
     /// The table's service.
     pub model: String,
     /// The prompt.
@@ -15,7 +15,7 @@
     pub key: Option<String>,
 }
 
-impl Ask {
+impl Completion {
     /// A request without a key.
     pub fn new(model: &str, prompt: &str, max_tokens: u32) -> Self {
         Self {
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/runner.rs
@@ -1,16 +1,16 @@
 //! Carries out scenarios with real daemons and stand-ins.
 
-mod act;
-pub mod book;
+pub mod address_cache;
 mod check;
 pub mod connection;
 pub mod decisions;
-mod edition;
 mod edits;
-pub mod promise;
+pub mod invariants;
+pub mod record_collector;
 pub mod request;
+mod steps;
+mod submitted_edit;
 mod wait;
-pub mod witness;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,38 +27,38 @@
 
 use crate::error::Error;
 use crate::fleet::Fleet;
-use crate::play::book::Book;
-use crate::play::decisions::Line;
-use crate::play::edition::Edition;
-use crate::play::request::Request;
-use crate::play::witness::Witness;
+use crate::runner::address_cache::AddressCache;
+use crate::runner::decisions::DecisionLine;
+use crate::runner::record_collector::RecordCollector;
+use crate::runner::request::Request;
+use crate::runner::submitted_edit::SubmittedEdit;
 use crate::script::Script;
 use crate::script::start::Start;
 use crate::script::step::Step;
 
 /// Longest wait where a scenario names none.
-pub const LIMIT: Duration = Duration::from_secs(30);
+pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause between two looks at something awaited.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Pause between two attempts to put the first table in force.
-const APPLY_EVERY: Duration = Duration::from_millis(300);
+const APPLY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// A scenario in progress.
 #[derive(Debug)]
-pub struct Play {
+pub struct Runner {
     name: String,
     start: Start,
     fleet: Fleet,
-    witness: Witness,
-    book: Book,
+    collector: RecordCollector,
+    address_cache: AddressCache,
     requests: BTreeMap<String, Request>,
-    editions: BTreeMap<String, Edition>,
+    submitted_edits: BTreeMap<String, SubmittedEdit>,
     /// Daemons that were ended or cut off, whose connections may be lost.
-    disturbed: BTreeSet<String>,
+    disrupted: BTreeSet<String>,
     /// When planned stops were asked for.
-    stopped: BTreeMap<String, Instant>,
+    stop_times: BTreeMap<String, Instant>,
     /// When replicas were marked to drain, in milliseconds of the Unix clock.
-    drained: BTreeMap<String, u64>,
+    drain_times: BTreeMap<String, u64>,
     step: usize,
 }
 
@@ -66,72 +66,72 @@
 ///
 /// # Errors
 ///
-/// [`Error::Unmet`] for an expectation, else what hindered the scenario.
+/// [`Error::ExpectationFailed`] for an expectation, else what hindered the scenario.
 pub async fn run(name: &str, script: Script, keep: &Path) -> Result<(), Error> {
     let fleet = Fleet::start(script.start.plan()).await?;
-    let mut play = Play::new(name, script.start, fleet);
-    let played = play.all(&script.table, script.steps).await;
-    if played.is_err() {
-        play.keep_logs(&keep.join(name));
+    let mut runner = Runner::new(name, script.start, fleet);
+    let result = runner.execute_all(&script.table, script.steps).await;
+    if result.is_err() {
+        runner.keep_logs(&keep.join(name));
     }
-    played
+    result
 }
 
-impl Play {
+impl Runner {
     fn new(name: &str, start: Start, fleet: Fleet) -> Self {
         let names = start.replicas.iter().map(|replica| replica.name.clone());
         let addresses = names.filter_map(|name| {
-            let address = fleet.back(&name).ok()?.to_owned();
+            let address = fleet.backend_address(&name).ok()?.to_owned();
             Some((name, address))
         });
-        let witness = Witness::new(addresses.collect());
+        let collector = RecordCollector::new(addresses.collect());
         let callers = start.daemons.iter().filter_map(|name| {
             let address = fleet.daemon(name).ok()?.caller.clone();
             Some((name.clone(), address))
         });
-        let book = Book::new(callers.collect());
+        let address_cache = AddressCache::new(callers.collect());
         Self {
             name: name.to_owned(),
             start,
             fleet,
-            witness,
-            book,
+            collector,
+            address_cache,
             requests: BTreeMap::new(),
-            editions: BTreeMap::new(),
-            disturbed: BTreeSet::new(),
-            stopped: BTreeMap::new(),
-            drained: BTreeMap::new(),
+            submitted_edits: BTreeMap::new(),
+            disrupted: BTreeSet::new(),
+            stop_times: BTreeMap::new(),
+            drain_times: BTreeMap::new(),
             step: 0,
         }
     }
 
-    async fn all(&mut self, table: &[Value], steps: Vec<Step>) -> Result<(), Error> {
+    async fn execute_all(&mut self, table: &[Value], steps: Vec<Step>) -> Result<(), Error> {
         self.apply(table).await?;
-        self.fleet.ready().await?;
+        self.fleet.wait_until_ready().await?;
         for (index, step) in steps.into_iter().enumerate() {
             self.step = index + 1;
-            self.act(step).await?;
+            self.execute(step).await?;
         }
         self.step = 0;
-        self.keep_promises().await
+        self.check_invariants().await
     }
 
     /// Puts `table` in force. Daemons that have just started reject edits until they have met.
     async fn apply(&self, table: &[Value]) -> Result<(), Error> {
         let rows = serde_norway::to_string(table).unwrap_or_default();
-        let end = Instant::now() + LIMIT;
+        let end = Instant::now() + DEFAULT_TIMEOUT;
         loop {
             match self.fleet.apply(&rows).await {
                 Ok(_) => return Ok(()),
                 Err(cause) if Instant::now() > end => return Err(cause),
-                Err(_) => sleep(APPLY_EVERY).await,
+                Err(_) => sleep(APPLY_INTERVAL).await,
             }
         }
     }
 
     /// An expectation that was not met.
-    fn unmet(&self, found: impl fmt::Display) -> Error {
-        Error::Unmet {
+    fn failure(&self, found: impl fmt::Display) -> Error {
+        Error::ExpectationFailed {
             step: self.step,
             found: found.to_string(),
         }
@@ -139,16 +139,20 @@
 
     /// Fails with `found` unless `met`.
     fn ensure(&self, met: bool, found: impl fmt::Display) -> Result<(), Error> {
-        if met { Ok(()) } else { Err(self.unmet(found)) }
+        if met {
+            Ok(())
+        } else {
+            Err(self.failure(found))
+        }
     }
 
     /// Prints a figure.
-    fn measured(&self, what: &str, seconds: f64) {
+    fn print_measurement(&self, what: &str, seconds: f64) {
         println!("measured {}: {what}: {seconds:.2} s", self.name);
     }
 
     /// Names of the requests that `name` stands for: itself, or all of its number.
-    fn named(&self, name: &str) -> Result<Vec<String>, Error> {
+    fn matching_requests(&self, name: &str) -> Result<Vec<String>, Error> {
         let numbered = format!("{name}-");
         let same = |other: &String| {
             let number = other.strip_prefix(&numbered);
@@ -166,11 +170,11 @@
 
     fn request(&self, name: &str) -> Result<&Request, Error> {
         let found = self.requests.get(name);
-        found.ok_or_else(|| self.unmet(format!("no request is named {name}")))
+        found.ok_or_else(|| self.failure(format!("no request is named {name}")))
     }
 
     /// Decision lines of the daemon `name`.
-    fn lines(&self, name: &str) -> Vec<Line> {
+    fn decision_lines(&self, name: &str) -> Vec<DecisionLine> {
         decisions::read(&self.fleet.log(name).unwrap_or_default())
     }
 
@@ -180,7 +184,7 @@
     }
 
     /// The daemons `named`; all if none is.
-    fn some_daemons(&self, named: &[String]) -> Vec<String> {
+    fn daemons_or_all(&self, named: &[String]) -> Vec<String> {
         if named.is_empty() {
             self.daemons()
         } else {
@@ -191,7 +195,7 @@
     fn keep_logs(&self, folder: &Path) {
         // Best effort: the scenario has failed already.
         drop(fs::create_dir_all(folder));
-        let replicas = self.witness.names();
+        let replicas = self.collector.replica_names();
         for name in self.daemons().into_iter().chain(replicas) {
             drop(fs::copy(
                 self.fleet.log_file(&name),
--- a/crates/scenario/src/play/book.rs
+++ b/crates/scenario/src/runner/address_cache.rs
@@ -14,13 +14,13 @@
 
 /// Address answers of all daemons, shared by all callers of a scenario.
 #[derive(Debug, Clone)]
-pub struct Book {
+pub struct AddressCache {
     /// Addresses for callers, by daemon.
     daemons: BTreeMap<String, String>,
     answers: Arc<Mutex<BTreeMap<String, (Instant, Addresses)>>>,
 }
 
-impl Book {
+impl AddressCache {
     /// No answers yet.
     pub fn new(daemons: BTreeMap<String, String>) -> Self {
         Self {
@@ -35,11 +35,11 @@
     /// # Errors
     ///
     /// What was wrong with the last answer.
-    pub async fn find(&self, asked: &str, wanted: &str) -> Result<Address, String> {
-        let others = self.daemons.keys().filter(|name| *name != asked);
+    pub async fn find(&self, target: &str, wanted: &str) -> Result<Address, String> {
+        let others = self.daemons.keys().filter(|name| *name != target);
         let mut fault = String::new();
-        for name in std::iter::once(asked).chain(others.map(String::as_str)) {
-            match self.ask(name).await {
+        for name in std::iter::once(target).chain(others.map(String::as_str)) {
+            match self.lookup(name).await {
                 Ok(answer) => {
                     let named = answer.of(wanted).unwrap_or_else(|| answer.first());
                     return Ok(named.clone());
@@ -51,14 +51,14 @@
     }
 
     /// The name of the daemon at `address`.
-    pub fn name(&self, address: &str) -> String {
+    pub fn daemon_name(&self, address: &str) -> String {
         let mut named = self.daemons.iter();
         let found = named.find(|(_, other)| *other == address);
         found.map_or_else(|| address.to_owned(), |(name, _)| name.clone())
     }
 
-    async fn ask(&self, daemon: &str) -> Result<Addresses, String> {
-        if let Some(answer) = self.kept(daemon) {
+    async fn lookup(&self, daemon: &str) -> Result<Addresses, String> {
+        if let Some(answer) = self.cached(daemon) {
             return Ok(answer);
         }
         let Some(address) = self.daemons.get(daemon) else {
@@ -72,7 +72,7 @@
         Ok(answer)
     }
 
-    fn kept(&self, daemon: &str) -> Option<Addresses> {
+    fn cached(&self, daemon: &str) -> Option<Addresses> {
         let answers = self.answers.lock().unwrap_or_else(PoisonError::into_inner);
         let (until, answer) = answers.get(daemon)?;
         (Instant::now() < *until).then(|| answer.clone())
--- a/crates/scenario/src/play/check.rs
+++ b/crates/scenario/src/runner/check.rs
@@ -7,14 +7,14 @@
 use tokio::time::sleep;
 
 use crate::error::Error;
-use crate::play::LOOK_EVERY;
-use crate::play::Play;
-use crate::play::connection::Connection;
-use crate::play::connection::End;
-use crate::play::decisions;
-use crate::play::decisions::Line;
-use crate::play::seconds;
-use crate::play::unix_ms;
+use crate::runner::POLL_INTERVAL;
+use crate::runner::Runner;
+use crate::runner::connection::Connection;
+use crate::runner::connection::End;
+use crate::runner::decisions;
+use crate::runner::decisions::DecisionLine;
+use crate::runner::seconds;
+use crate::runner::unix_ms;
 use crate::script::expect::AtMost;
 use crate::script::expect::Decisions;
 use crate::script::expect::Drained;
@@ -28,7 +28,7 @@
 use crate::script::expect::Runs;
 use crate::script::expect::Verdicts;
 
-impl Play {
+impl Runner {
     pub(super) async fn check(&mut self, expect: Expect) -> Result<(), Error> {
         match expect {
             Expect::Outcome(outcome) => self.check_outcome(&outcome).await,
@@ -52,7 +52,7 @@
 
     async fn check_outcome(&self, outcome: &Outcome) -> Result<(), Error> {
         self.wait_ends(&outcome.of, outcome.connection).await?;
-        let names = self.named(&outcome.of)?;
+        let names = self.matching_requests(&outcome.of)?;
         let least = outcome.least.unwrap_or(names.len());
         let mut right = 0;
         let mut wrong = Vec::new();
@@ -61,14 +61,14 @@
             let connections = &self.request(&name)?.connections;
             let index = outcome.connection.unwrap_or(connections.len()) - 1;
             let Some(connection) = connections.get(index) else {
-                return Err(self.unmet(format!("{name} has no connection {}", index + 1)));
+                return Err(self.failure(format!("{name} has no connection {}", index + 1)));
             };
             let Some(ended) = connection.ended() else {
                 wrong.push(format!("{name}: still open"));
                 continue;
             };
             slowest = slowest.max(ended.at.saturating_duration_since(connection.opened));
-            if outcome.is.iter().any(|word| ended.end.is(word)) {
+            if outcome.is.iter().any(|word| ended.end.matches(word)) {
                 right += 1;
             } else {
                 wrong.push(format!("{name}: {:?}", ended.end));
@@ -81,7 +81,7 @@
 
     fn check_slowest(&self, outcome: &Outcome, slowest: Duration) -> Result<(), Error> {
         let what = format!("slowest end of {} ({})", outcome.of, outcome.is.join(", "));
-        self.measured(&what, slowest.as_secs_f64());
+        self.print_measurement(&what, slowest.as_secs_f64());
         let met = outcome
             .within
             .is_none_or(|within| slowest <= seconds(within));
@@ -90,7 +90,7 @@
 
     async fn check_whole(&self, name: &str) -> Result<(), Error> {
         self.wait_end(name).await?;
-        for name in self.named(name)? {
+        for name in self.matching_requests(name)? {
             let request = self.request(&name)?;
             let ended = request.connections.last().and_then(Connection::ended);
             let whole = match ended.as_ref().map(|ended| &ended.end) {
@@ -105,13 +105,13 @@
     }
 
     async fn check_runs(&self, runs: &Runs) -> Result<(), Error> {
-        let counted = self.witness.all_runs().await;
-        let lines: Vec<Line> = self
+        let counted = self.collector.all_runs().await;
+        let lines: Vec<DecisionLine> = self
             .daemons()
             .iter()
-            .flat_map(|daemon| self.lines(daemon))
+            .flat_map(|daemon| self.decision_lines(daemon))
             .collect();
-        for name in self.named(&runs.of)? {
+        for name in self.matching_requests(&runs.of)? {
             let key = self
                 .request(&name)?
                 .key
@@ -137,7 +137,7 @@
         loop {
             let mut held = Vec::new();
             for name in engines {
-                let handles = self.witness.held(name).await.unwrap_or_default();
+                let handles = self.collector.held(name).await.unwrap_or_default();
                 held.extend(
                     handles
                         .into_iter()
@@ -146,54 +146,57 @@
             }
             if held.is_empty() {
                 let what = format!("release of {}", engines.join(", "));
-                self.measured(&what, start.elapsed().as_secs_f64());
+                self.print_measurement(&what, start.elapsed().as_secs_f64());
                 return Ok(());
             }
             self.ensure(start.elapsed() < limit, format!("still held: {held:?}"))?;
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn check_exit(&mut self, exit: &Exit) -> Result<(), Error> {
-        let status = self.fleet.wait(&exit.of, seconds(exit.within)).await?;
+        let status = self
+            .fleet
+            .wait_for_exit(&exit.of, seconds(exit.within))
+            .await?;
         let code = status.code();
         self.ensure(
             code == Some(exit.code),
             format!("{} ended with {status}", exit.of),
         )?;
-        let asked = self.stopped.get(&exit.of);
-        let Some(asked) = asked else {
+        let target = self.stop_times.get(&exit.of);
+        let Some(target) = target else {
             return Ok(());
         };
-        let took = asked.elapsed();
-        self.measured(&format!("planned stop of {}", exit.of), took.as_secs_f64());
+        let took = target.elapsed();
+        self.print_measurement(&format!("planned stop of {}", exit.of), took.as_secs_f64());
         let found = format!("{} ended after {took:?}", exit.of);
         self.ensure(took >= seconds(exit.not_before), found)
     }
 
     async fn check_force(&self, force: &InForce) -> Result<(), Error> {
-        let Some(edition) = self.editions.get(&force.edit) else {
-            return Err(self.unmet(format!("no edit is named {}", force.edit)));
+        let Some(submitted) = self.submitted_edits.get(&force.edit) else {
+            return Err(self.failure(format!("no edit is named {}", force.edit)));
         };
-        let daemons = self.some_daemons(&force.at);
+        let daemons = self.daemons_or_all(&force.at);
         let limit = (force.within * 1_000.0) as u64;
         loop {
-            let passed = unix_ms().saturating_sub(edition.unix_ms);
+            let passed = unix_ms().saturating_sub(submitted.unix_ms);
             let mut behind = Vec::new();
             for daemon in &daemons {
                 let table = self.table_at(daemon).await;
                 let generation = table.map_or(0, |table| table.generation);
-                if generation < edition.generation {
+                if generation < submitted.generation {
                     behind.push(format!("{daemon}: {generation}"));
                 }
             }
             if behind.is_empty() {
                 let what = format!("edit {} in force at {}", force.edit, daemons.join(", "));
-                self.measured(&what, passed as f64 / 1_000.0);
+                self.print_measurement(&what, passed as f64 / 1_000.0);
                 return Ok(());
             }
             self.ensure(passed < limit, format!("after {passed} ms: {behind:?}"))?;
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -201,11 +204,11 @@
         let mut found = Vec::new();
         let mut texts = Vec::new();
         for name in &verdicts.of {
-            let Some(edition) = self.editions.get(name) else {
-                return Err(self.unmet(format!("no edit is named {name}")));
+            let Some(submitted) = self.submitted_edits.get(name) else {
+                return Err(self.failure(format!("no edit is named {name}")));
             };
-            found.push(edition.verdict.clone());
-            texts.push(&edition.text);
+            found.push(submitted.verdict.clone());
+            texts.push(&submitted.text);
         }
         found.sort_unstable();
         self.ensure(found == verdicts.are, format!("verdicts are {texts:?}"))
@@ -215,27 +218,27 @@
         let admin = self.fleet.daemon(&expected.at)?.admin.clone();
         let start = Instant::now();
         loop {
-            let status = self.fleet.web.get(&admin, "/health").await?.status;
+            let status = self.fleet.client.get(&admin, "/health").await?.status;
             if status != http::StatusCode::OK {
                 let what = format!("{} no longer decides", expected.at);
-                self.measured(&what, start.elapsed().as_secs_f64());
+                self.print_measurement(&what, start.elapsed().as_secs_f64());
                 return Ok(());
             }
             let passed = start.elapsed();
             let found = format!("{} still decides after {passed:?}", expected.at);
             self.ensure(passed < seconds(expected.within), found)?;
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn check_drained(&self, drained: &Drained) -> Result<(), Error> {
-        let Some(marked) = self.drained.get(&drained.at).copied() else {
-            return Err(self.unmet(format!("{} was not marked", drained.at)));
+        let Some(marked) = self.drain_times.get(&drained.at).copied() else {
+            return Err(self.failure(format!("{} was not marked", drained.at)));
         };
-        let record = self.witness.record(&drained.at).await.unwrap_or_default();
+        let record = self.collector.record(&drained.at).await.unwrap_or_default();
         let last = record["last_new_work_ms"].as_u64().unwrap_or(0);
         let late = last.saturating_sub(marked) as f64 / 1_000.0;
-        self.measured(
+        self.print_measurement(
             &format!("last new work at {} after its mark", drained.at),
             late,
         );
@@ -246,8 +249,10 @@
     }
 
     fn check_decisions(&self, expected: &Decisions) -> Result<(), Error> {
-        let daemons = self.some_daemons(&expected.at);
-        let lines = daemons.iter().flat_map(|daemon| self.lines(daemon));
+        let daemons = self.daemons_or_all(&expected.at);
+        let lines = daemons
+            .iter()
+            .flat_map(|daemon| self.decision_lines(daemon));
         let count = lines.filter(|line| line.step == expected.step).count();
         let met = count >= expected.least && expected.most.is_none_or(|most| count <= most);
         self.ensure(met, format!("{count} decisions `{}`", expected.step))
@@ -257,8 +262,8 @@
         let end = Instant::now() + seconds(limit.seconds);
         let mut peak = 0;
         while Instant::now() < end {
-            peak = peak.max(self.witness.decoding(&limit.at).await);
-            sleep(LOOK_EVERY).await;
+            peak = peak.max(self.collector.decoding_count(&limit.at).await);
+            sleep(POLL_INTERVAL).await;
         }
         println!("measured {}: peak at {}: {peak}", self.name, limit.at);
         let met = peak >= limit.least && peak <= limit.most;
@@ -267,7 +272,7 @@
 
     fn check_keeper(&self, expected: &Keeper) -> Result<(), Error> {
         let pool = Pool::new(&expected.of).to_string();
-        let lines = self.lines(&expected.is);
+        let lines = self.decision_lines(&expected.is);
         let latest = lines
             .iter()
             .rfind(|line| line.is_keeper(&expected.of) || line.is_keeper(&pool));
@@ -278,7 +283,7 @@
     async fn check_row(&self, expected: &Row) -> Result<(), Error> {
         let table = self.table_at(&expected.at).await?;
         let Some(row) = table.rows.iter().find(|row| row.key() == expected.key) else {
-            return Err(self.unmet(format!("no row {}", expected.key)));
+            return Err(self.failure(format!("no row {}", expected.key)));
         };
         let json = serde_json::to_value(row).unwrap_or_default();
         for (column, value) in &expected.has {
--- a/crates/scenario/src/play/connection.rs
+++ b/crates/scenario/src/runner/connection.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Connection {
     /// The daemon it was meant for.
-    pub asked: String,
+    pub target: String,
     /// Tokens that its caller said to have.
     pub offset: u64,
     /// When it was opened.
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Progress {
     /// The daemon it led to, if that was not the one asked for.
-    pub elsewhere: Option<String>,
+    pub redirected_to: Option<String>,
     /// Head of the stream.
     pub head: Option<Head>,
     /// Tokens received.
@@ -81,7 +81,7 @@
 
 impl End {
     /// The word by which scenarios name it.
-    pub fn word(&self) -> &str {
+    pub fn as_str(&self) -> &str {
         match self {
             Self::Answered { before: false, .. } => "answered",
             Self::Answered { before: true, .. } => "answered_before",
@@ -94,12 +94,12 @@
     }
 
     /// Whether `word` names it, with or without the reason of a refusal.
-    pub fn is(&self, word: &str) -> bool {
+    pub fn matches(&self, word: &str) -> bool {
         let full = match self {
             Self::Refused(refusal) => format!("{}/{}", refusal.outcome, refusal.reason),
-            _ => self.word().to_owned(),
+            _ => self.as_str().to_owned(),
         };
-        word == self.word() || word == full
+        word == self.as_str() || word == full
     }
 
     /// Whether the caller was told that no byte of its request reached a back end.
@@ -111,8 +111,8 @@
 impl Connection {
     /// The daemon it leads to.
     pub fn daemon(&self) -> String {
-        let elsewhere = self.progress.borrow().elsewhere.clone();
-        elsewhere.unwrap_or_else(|| self.asked.clone())
+        let redirected_to = self.progress.borrow().redirected_to.clone();
+        redirected_to.unwrap_or_else(|| self.target.clone())
     }
 
     /// How it ended, if it has.
@@ -128,7 +128,7 @@
     }
 
     /// Waits until `test` holds of what came.
-    pub async fn reach(&self, limit: Duration, test: impl Fn(&Progress) -> bool) -> bool {
+    pub async fn wait_until(&self, limit: Duration, test: impl Fn(&Progress) -> bool) -> bool {
         let mut progress = self.progress.clone();
         let reached = tokio::time::timeout(limit, progress.wait_for(|now| test(now))).await;
         matches!(reached, Ok(Ok(_)))
@@ -152,7 +152,7 @@
     pub fn redirect(&self, daemon: &str) {
         let daemon = daemon.to_owned();
         self.progress
-            .send_modify(|now| now.elsewhere = Some(daemon));
+            .send_modify(|now| now.redirected_to = Some(daemon));
     }
 
     /// Notes the end.
@@ -166,7 +166,7 @@
     pub async fn read(&self, reply: Result<Reply, Error>) -> End {
         match reply {
             Ok(Reply::Stream(stream)) => self.stream(stream).await,
-            Ok(Reply::Refused(refusal)) => refused(refusal),
+            Ok(Reply::Refused(refusal)) => refused_end(refusal),
             Err(cause) => End::Lost(cause.to_string()),
         }
     }
@@ -186,7 +186,7 @@
                 }),
                 Event::Done(tokens) => return End::Done(tokens),
                 Event::Superseded => return End::Superseded,
-                Event::Failed(refusal) => return refused(refusal),
+                Event::Failed(refusal) => return refused_end(refusal),
                 Event::Cut => return End::Cut,
             }
         }
@@ -194,16 +194,16 @@
 }
 
 /// The end of a plain call.
-pub fn called(outcome: Result<Outcome, Error>) -> End {
+pub fn call_end(outcome: Result<Outcome, Error>) -> End {
     match outcome {
         Ok(Outcome::Answered { before, body, .. }) => End::Answered { before, body },
-        Ok(Outcome::Refused(refusal)) => refused(refusal),
+        Ok(Outcome::Refused(refusal)) => refused_end(refusal),
         Err(cause) => End::Lost(cause.to_string()),
     }
 }
 
 /// An answer without a known outcome is not the system's.
-fn refused(refusal: Refusal) -> End {
+fn refused_end(refusal: Refusal) -> End {
     match refusal.outcome.as_str() {
         "" => End::Lost(format!("answer without an outcome: {refusal}")),
         _ => End::Refused(refusal),
--- a/crates/scenario/src/play/decisions.rs
+++ b/crates/scenario/src/runner/decisions.rs
@@ -16,7 +16,7 @@
 
 /// A decision line.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Line {
+pub struct DecisionLine {
     /// Customer and key, or a handle.
     pub request: String,
     /// Kind of decision.
@@ -32,7 +32,7 @@
     pub unix_ms: u64,
 }
 
-impl Line {
+impl DecisionLine {
     /// Whether the table governs the decision.
     pub fn is_governed(&self) -> bool {
         GOVERNED.contains(&self.step.as_str())
@@ -60,7 +60,7 @@
 /// # Panics
 ///
 /// If one can't be read: its checks would pass unseen otherwise.
-pub fn read(log: &str) -> Vec<Line> {
+pub fn read(log: &str) -> Vec<DecisionLine> {
     log.lines()
         .filter(|line| line.contains(KIND) && line.ends_with('}'))
         .map(|line| serde_json::from_str(line).unwrap_or_else(|e| panic!("{e} in {line}")))
@@ -74,8 +74,10 @@
 }
 
 /// Handles of all attempts at the request with `key`.
-pub fn handles(lines: &[Line], key: &str) -> Vec<String> {
+pub fn handles(lines: &[DecisionLine], key: &str) -> Vec<String> {
     let suffix = format!("/{key}");
     let own = lines.iter().filter(|line| line.request.ends_with(&suffix));
-    own.filter_map(Line::handle).map(str::to_owned).collect()
+    own.filter_map(DecisionLine::handle)
+        .map(str::to_owned)
+        .collect()
 }
--- a/crates/scenario/src/play/edits.rs
+++ b/crates/scenario/src/runner/edits.rs
@@ -11,16 +11,16 @@
 use tokio::task::JoinSet;
 
 use crate::error::Error;
-use crate::play::Play;
-use crate::play::edition::Edition;
-use crate::play::unix_ms;
+use crate::http_client::Answer;
+use crate::http_client::HttpClient;
+use crate::runner::Runner;
+use crate::runner::submitted_edit::SubmittedEdit;
+use crate::runner::unix_ms;
 use crate::script::step;
 use crate::settings::OPERATOR;
 use crate::settings::TOKEN;
-use crate::web::Answer;
-use crate::web::Web;
 
-impl Play {
+impl Runner {
     pub(super) async fn edit(&mut self, edit: step::Edit) -> Result<(), Error> {
         self.race(vec![edit]).await
     }
@@ -31,16 +31,16 @@
         for step in edits {
             let edit = self.prepare(&step).await?;
             let admin = self.fleet.daemon(&step.via)?.admin.clone();
-            let web = self.fleet.web.clone();
-            sent.spawn(async move { (step, submit(&web, &admin, edit).await) });
+            let client = self.fleet.client.clone();
+            sent.spawn(async move { (step, submit(&client, &admin, edit).await) });
         }
         while let Some(joined) = sent.join_next().await {
-            let (step, edition) = joined.map_err(|cause| self.unmet(cause))?;
+            let (step, submitted) = joined.map_err(|cause| self.failure(cause))?;
             let drains = step.drain.iter().cloned();
-            self.drained
-                .extend(drains.map(|name| (name, edition.unix_ms)));
-            println!("edit {} of {}: {}", step.name, self.name, edition.text);
-            self.editions.insert(step.name, edition);
+            self.drain_times
+                .extend(drains.map(|name| (name, submitted.unix_ms)));
+            println!("edit {} of {}: {}", step.name, self.name, submitted.text);
+            self.submitted_edits.insert(step.name, submitted);
         }
         Ok(())
     }
@@ -48,10 +48,10 @@
     async fn prepare(&self, step: &step::Edit) -> Result<Edit, Error> {
         if let Some(former) = &step.again {
             let found = self
-                .editions
+                .submitted_edits
                 .get(former)
-                .map(|edition| edition.edit.clone());
-            return found.ok_or_else(|| self.unmet(format!("no edit is named {former}")));
+                .map(|submitted| submitted.edit.clone());
+            return found.ok_or_else(|| self.failure(format!("no edit is named {former}")));
         }
         let table = self.table_at(&step.via).await?;
         let id = format!("{}-{}", self.name, step.name);
@@ -59,9 +59,9 @@
         for (key, columns) in &step.set {
             let base = table.rows.iter().find(|row| row.key() == *key);
             let Some(base) = base else {
-                return Err(self.unmet(format!("the table has no row {key}")));
+                return Err(self.failure(format!("the table has no row {key}")));
             };
-            let row = changed(base, columns).map_err(|cause| self.unmet(cause))?;
+            let row = changed(base, columns).map_err(|cause| self.failure(cause))?;
             edit = edit.with_change(Change::Put {
                 row,
                 base: Some(base.clone()),
@@ -78,12 +78,12 @@
         let admin = self.fleet.daemon(daemon)?.admin.clone();
         let request = self
             .fleet
-            .web
+            .client
             .request(Method::GET, &admin, "/v1/table")
             .header("Authorization", format!("Bearer {TOKEN}"))
             .header("Waxwing-Operator", OPERATOR);
-        let answer = self.fleet.web.send(request, &admin).await?;
-        serde_json::from_str(&answer.body).map_err(|_| Error::Answer {
+        let answer = self.fleet.client.send(request, &admin).await?;
+        serde_json::from_str(&answer.body).map_err(|_| Error::UnexpectedAnswer {
             step: "GET /v1/table".to_owned(),
             peer: daemon.to_owned(),
             status: answer.status,
@@ -104,18 +104,18 @@
     serde_json::from_value(row)
 }
 
-async fn submit(web: &Web, admin: &str, edit: Edit) -> Edition {
-    let request = web
+async fn submit(client: &HttpClient, admin: &str, edit: Edit) -> SubmittedEdit {
+    let request = client
         .request(Method::POST, admin, "/v1/table/edits")
         .header("Authorization", format!("Bearer {TOKEN}"))
         .header("Waxwing-Operator", OPERATOR)
         .json(&json!(edit));
-    let answer = web.send(request, admin).await;
+    let answer = client.send(request, admin).await;
     let (verdict, text, generation) = match answer {
         Ok(answer) => read(&answer),
         Err(cause) => ("lost".to_owned(), cause.to_string(), 0),
     };
-    Edition {
+    SubmittedEdit {
         edit,
         verdict,
         text,
--- a/crates/scenario/src/play/promise.rs
+++ b/crates/scenario/src/runner/invariants.rs
@@ -8,49 +8,49 @@
 use tokio::time::sleep;
 
 use crate::error::Error;
-use crate::play::LOOK_EVERY;
-use crate::play::Play;
-use crate::play::connection::Connection;
-use crate::play::connection::End;
-use crate::play::decisions;
-use crate::play::decisions::Line;
-use crate::play::request::Request;
+use crate::runner::POLL_INTERVAL;
+use crate::runner::Runner;
+use crate::runner::connection::Connection;
+use crate::runner::connection::End;
+use crate::runner::decisions;
+use crate::runner::decisions::DecisionLine;
+use crate::runner::request::Request;
 
 /// Time in which engines must have released everything once all callers are gone. The stated bound
 /// is the callers' grace, the orphan grace and a few inspections: less than half of it.
-const RELEASE_LIMIT: Duration = Duration::from_secs(15);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time after an accepted edit from which no decision may be made under the older table. The stated
 /// bound is the lease.
-const FORCE_LIMIT_MS: u64 = 6_000;
+const MAX_STALE_DECISION_MS: u64 = 6_000;
 
-impl Play {
+impl Runner {
     /// Checks what must hold in every scenario.
-    pub(super) async fn keep_promises(&mut self) -> Result<(), Error> {
+    pub(super) async fn check_invariants(&mut self) -> Result<(), Error> {
         for request in self.requests.values() {
             for connection in &request.connections {
                 connection.task.abort();
             }
         }
-        let engines = self.witness.names();
-        self.check_released(&engines, RELEASE_LIMIT).await?;
+        let engines = self.collector.replica_names();
+        self.check_released(&engines, RELEASE_TIMEOUT).await?;
         self.check_idle().await?;
-        let runs = self.witness.all_runs().await;
-        let logs: BTreeMap<String, Vec<Line>> = self
+        let runs = self.collector.all_runs().await;
+        let logs: BTreeMap<String, Vec<DecisionLine>> = self
             .daemons()
             .into_iter()
-            .map(|name| (name.clone(), self.lines(&name)))
+            .map(|name| (name.clone(), self.decision_lines(&name)))
             .collect();
-        let lines: Vec<Line> = logs.values().flatten().cloned().collect();
+        let lines: Vec<DecisionLine> = logs.values().flatten().cloned().collect();
         for (name, request) in &self.requests {
             let faults = [
-                self.lost(request),
+                self.lost_connection(request),
                 tokens_fault(request),
                 repeated_answer(request),
-                doubled(request, &runs),
+                repeated_run(request, &runs),
                 false_refusal(request, &runs, &lines),
             ];
             if let Some(fault) = faults.into_iter().flatten().next() {
-                return Err(self.unmet(format!("{name}: {fault}")));
+                return Err(self.failure(format!("{name}: {fault}")));
             }
         }
         for (name, lines) in &logs {
@@ -61,28 +61,28 @@
 
     /// Daemons, too, forget requests that are gone: no request, no hold, no place stays taken.
     async fn check_idle(&self) -> Result<(), Error> {
-        let end = Instant::now() + RELEASE_LIMIT;
+        let end = Instant::now() + RELEASE_TIMEOUT;
         for daemon in self.daemons() {
             let admin = self.fleet.daemon(&daemon)?.admin.clone();
             loop {
-                let status = self.fleet.as_operator(&admin, "/v1/status").await;
+                let status = self.fleet.get_as_operator(&admin, "/v1/status").await;
                 let status = status.unwrap_or_default();
                 if is_idle(&status) {
                     break;
                 }
                 self.ensure(Instant::now() < end, format!("{daemon} keeps {status}"))?;
-                sleep(LOOK_EVERY).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
     /// A connection that was lost although nothing happened to its daemon.
-    fn lost(&self, request: &Request) -> Option<String> {
+    fn lost_connection(&self, request: &Request) -> Option<String> {
         let lost = request.connections.iter().find(|connection| {
             let ended = connection.ended();
             let lost = ended.is_some_and(|ended| matches!(ended.end, End::Cut | End::Lost(_)));
-            lost && !self.disturbed.contains(&connection.daemon())
+            lost && !self.disrupted.contains(&connection.daemon())
         })?;
         Some(format!(
             "{} lost the connection: {:?}",
@@ -92,7 +92,7 @@
     }
 
     /// The generation of a daemon's decisions never goes down.
-    fn check_generations(&self, daemon: &str, lines: &[Line]) -> Result<(), Error> {
+    fn check_generations(&self, daemon: &str, lines: &[DecisionLine]) -> Result<(), Error> {
         let mut highest = 0;
         for line in lines.iter().filter(|line| line.is_governed()) {
             let found = format!("{daemon} decided under {} after {highest}", line.generation);
@@ -103,23 +103,23 @@
     }
 
     /// Soon after an edit was accepted nothing is decided under the older table.
-    fn check_edits(&self, lines: &[Line]) -> Result<(), Error> {
+    fn check_edits(&self, lines: &[DecisionLine]) -> Result<(), Error> {
         let accepted = self
-            .editions
+            .submitted_edits
             .iter()
-            .filter(|(_, edition)| edition.generation > 0);
-        for (name, edition) in accepted {
+            .filter(|(_, submitted)| submitted.generation > 0);
+        for (name, submitted) in accepted {
             let older = lines
                 .iter()
-                .filter(|line| line.is_governed() && line.generation < edition.generation);
+                .filter(|line| line.is_governed() && line.generation < submitted.generation);
             let last = older.map(|line| line.unix_ms).max().unwrap_or(0);
-            let late = last.saturating_sub(edition.unix_ms);
-            self.measured(
+            let late = last.saturating_sub(submitted.unix_ms);
+            self.print_measurement(
                 &format!("last decision under the table before edit {name}, after its acceptance"),
                 late as f64 / 1_000.0,
             );
             let found = format!("{late} ms after edit {name} an older table was in force");
-            self.ensure(late < FORCE_LIMIT_MS, found)?;
+            self.ensure(late < MAX_STALE_DECISION_MS, found)?;
         }
         Ok(())
     }
@@ -171,7 +171,7 @@
         ended.is_some_and(|ended| matches!(ended.end, End::Done(_) | End::Answered { .. }))
     };
     let answered: Vec<&Connection> = request.connections.iter().filter(whole).collect();
-    if request.ask.model.is_none() {
+    if request.spec.model.is_none() {
         return first_answers(&answered);
     }
     let twice = answered.iter().enumerate().find_map(|(index, one)| {
@@ -192,7 +192,7 @@
 }
 
 /// A non-repeatable call that ran twice.
-fn doubled(request: &Request, runs: &BTreeMap<String, u64>) -> Option<String> {
+fn repeated_run(request: &Request, runs: &BTreeMap<String, u64>) -> Option<String> {
     let key = request.key.borrow().clone()?;
     let count = runs.get(&key).copied().unwrap_or(0);
     let answers = request.connections.iter().filter_map(Connection::ended);
@@ -202,14 +202,14 @@
     });
     let run = later.filter_map(|body: Value| body["run"].as_u64()).max();
     let most = count.max(run.unwrap_or(0));
-    (request.ask.once && most > 1).then(|| format!("ran {most} times"))
+    (request.spec.once && most > 1).then(|| format!("ran {most} times"))
 }
 
 /// A *not run* of which a stand-in knows better.
 fn false_refusal(
     request: &Request,
     runs: &BTreeMap<String, u64>,
-    lines: &[Line],
+    lines: &[DecisionLine],
 ) -> Option<String> {
     let key = request.key.borrow().clone()?;
     let ended: Vec<_> = request.connections.iter().map(Connection::ended).collect();
--- a/crates/scenario/src/play/witness.rs
+++ b/crates/scenario/src/runner/record_collector.rs
@@ -6,34 +6,34 @@
 use serde_json::Value;
 use tokio::time::timeout;
 
-use crate::web::Web;
+use crate::http_client::HttpClient;
 
 /// A stand-in that does not answer in this time is passed over.
-const LIMIT: Duration = Duration::from_secs(2);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
 const RECORD: &str = "/control/record";
 
 /// Asks stand-ins for their records, and keeps those of stand-ins that end.
 #[derive(Debug, Clone)]
-pub struct Witness {
-    web: Web,
+pub struct RecordCollector {
+    client: HttpClient,
     /// Addresses by name.
     replicas: BTreeMap<String, String>,
     /// Runs that stand-ins counted before they ended.
     former: BTreeMap<String, u64>,
 }
 
-impl Witness {
+impl RecordCollector {
     /// A witness of `replicas`, addresses by name.
     pub fn new(replicas: BTreeMap<String, String>) -> Self {
         Self {
-            web: Web::new(),
+            client: HttpClient::new(),
             replicas,
             former: BTreeMap::new(),
         }
     }
 
     /// Keeps what `name` counted, because it is about to end.
-    pub async fn keep(&mut self, name: &str) {
+    pub async fn save_counts(&mut self, name: &str) {
         let Some(record) = self.record(name).await else {
             return;
         };
@@ -45,7 +45,7 @@
     /// The record of a replica; `None` if it does not answer.
     pub async fn record(&self, name: &str) -> Option<Value> {
         let address = self.replicas.get(name)?;
-        let answer = timeout(LIMIT, self.web.get_json(address, RECORD)).await;
+        let answer = timeout(RECORD_TIMEOUT, self.client.get_json(address, RECORD)).await;
         answer.ok()?.ok()
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Attempts that the engine `name` has in `phase`, or calls that an application has begun.
-    pub async fn work(&self, name: &str, phase: Option<&str>) -> u64 {
+    pub async fn work_count(&self, name: &str, phase: Option<&str>) -> u64 {
         let Some(phase) = phase else {
             let record = self.record(name).await.unwrap_or_default();
             return record["total"].as_u64().unwrap_or(0);
@@ -85,7 +85,7 @@
     }
 
     /// Attempts that the engine `name` transfers or decodes.
-    pub async fn decoding(&self, name: &str) -> u64 {
+    pub async fn decoding_count(&self, name: &str) -> u64 {
         let phases = self.phases(name).await;
         let taken = |phase: &&String| matches!(phase.as_str(), "import" | "decode");
         phases.iter().filter(taken).count() as u64
@@ -96,7 +96,7 @@
         let Some(address) = self.replicas.get(name) else {
             return Vec::new();
         };
-        let state = timeout(LIMIT, self.web.get_json(address, "/v1/state")).await;
+        let state = timeout(RECORD_TIMEOUT, self.client.get_json(address, "/v1/state")).await;
         let state = state.ok().and_then(Result::ok).unwrap_or_default();
         let works = state["works"].as_array().cloned().unwrap_or_default();
         let phases = works.iter().filter_map(|work| work["phase"].as_str());
@@ -104,7 +104,7 @@
     }
 
     /// Names of all replicas.
-    pub fn names(&self) -> Vec<String> {
+    pub fn replica_names(&self) -> Vec<String> {
         self.replicas.keys().cloned().collect()
     }
 }
--- a/crates/scenario/src/play/request.rs
+++ b/crates/scenario/src/runner/request.rs
@@ -9,33 +9,33 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use crate::ask::Ask;
-use crate::ask::PlainCall;
 use crate::caller::Caller;
-use crate::play::book::Book;
-use crate::play::connection;
-use crate::play::connection::Connection;
-use crate::play::connection::End;
-use crate::play::connection::Recorder;
-use crate::play::witness::Witness;
+use crate::requests::Completion;
+use crate::requests::PlainCall;
+use crate::runner::address_cache::AddressCache;
+use crate::runner::connection;
+use crate::runner::connection::Connection;
+use crate::runner::connection::End;
+use crate::runner::connection::Recorder;
+use crate::runner::record_collector::RecordCollector;
 use crate::script::step::Model;
 use crate::script::step::Send;
 
 /// Reason of a refusal that names the one instance to go to.
 const OTHER_RUNNER: &str = "other_runner";
 /// Longest wait for the key of a request.
-const KEY_LIMIT: Duration = Duration::from_secs(10);
+const KEY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A request.
 #[derive(Debug)]
 pub struct Request {
     /// What was asked for.
-    pub ask: Arc<Send>,
+    pub spec: Arc<Send>,
     /// Unique part of the key.
     pub unique: String,
     /// The key, once an address answer gave its prefix.
     pub key: watch::Receiver<Option<String>>,
-    issue: Arc<watch::Sender<Option<String>>>,
+    key_sender: Arc<watch::Sender<Option<String>>>,
     /// Its connections, oldest first.
     pub connections: Vec<Connection>,
 }
@@ -53,7 +53,7 @@
 
 /// A resume token and what is said with it.
 #[derive(Debug)]
-pub struct Claim {
+pub struct ResumeClaim {
     /// The token.
     pub token: String,
     /// Tokens the caller says it has.
@@ -64,14 +64,14 @@
 
 impl Request {
     /// A request that was not sent yet.
-    pub fn new(ask: Arc<Send>, unique: String) -> Self {
-        let (issue, key) = watch::channel(None);
-        let issue = Arc::new(issue);
+    pub fn new(spec: Arc<Send>, unique: String) -> Self {
+        let (key_sender, key) = watch::channel(None);
+        let key_sender = Arc::new(key_sender);
         Self {
-            ask,
+            spec,
             unique,
             key,
-            issue,
+            key_sender,
             connections: Vec::new(),
         }
     }
@@ -85,7 +85,7 @@
 
     /// The tokens of the whole answer; none for plain calls.
     pub fn expected(&self) -> Vec<String> {
-        self.ask.model.map_or_else(Vec::new, |model| {
+        self.spec.model.map_or_else(Vec::new, |model| {
             text::expected(&self.prompt(model), model.tokens as usize)
         })
     }
@@ -103,21 +103,24 @@
     }
 
     /// Opens a connection that presents the whole request under its key.
-    pub fn open(&mut self, route: Route, book: Book, witness: Witness) {
+    pub fn open(&mut self, route: Route, address_cache: AddressCache, collector: RecordCollector) {
         let (recorder, progress) = Recorder::new();
-        let call = Call {
-            caller: Caller::new(&self.ask.customer).with_class(&self.ask.class),
-            ask: Arc::clone(&self.ask),
-            prompt: self.ask.model.map(|model| self.prompt(model)),
+        let call = RequestTask {
+            caller: Caller::new(&self.spec.customer).with_class(&self.spec.class),
+            spec: Arc::clone(&self.spec),
+            prompt: self.spec.model.map(|model| self.prompt(model)),
             unique: self.unique.clone(),
-            issued: self.connections.is_empty().then(|| Arc::clone(&self.issue)),
+            key_sender: self
+                .connections
+                .is_empty()
+                .then(|| Arc::clone(&self.key_sender)),
             key: self.key.clone(),
-            book,
+            address_cache,
         };
-        let (asked, opened) = (route.daemon.clone(), Instant::now() + route.pause);
-        let task = tokio::spawn(call.run(route, recorder, witness));
+        let (target, opened) = (route.daemon.clone(), Instant::now() + route.pause);
+        let task = tokio::spawn(call.run(route, recorder, collector));
         self.connections.push(Connection {
-            asked,
+            target,
             offset: 0,
             opened,
             progress,
@@ -126,17 +129,17 @@
     }
 
     /// Opens a connection that presents a resume token.
-    pub fn resume(&mut self, route: Route, claim: Claim) {
+    pub fn resume(&mut self, route: Route, claim: ResumeClaim) {
         let (recorder, progress) = Recorder::new();
-        let caller = Caller::new(&claim.customer).with_class(&self.ask.class);
-        let (asked, offset) = (route.daemon.clone(), claim.offset);
+        let caller = Caller::new(&claim.customer).with_class(&self.spec.class);
+        let (target, offset) = (route.daemon.clone(), claim.offset);
         let task = tokio::spawn(async move {
             let reply = caller.resume(&route.address, &claim.token, offset).await;
             let end = recorder.read(reply).await;
             recorder.end(end, None);
         });
         self.connections.push(Connection {
-            asked,
+            target,
             offset,
             opened: Instant::now(),
             progress,
@@ -156,40 +159,42 @@
 
 /// What a connection needs to present the whole request.
 #[derive(Debug)]
-struct Call {
+struct RequestTask {
     caller: Caller,
-    ask: Arc<Send>,
+    spec: Arc<Send>,
     prompt: Option<String>,
     unique: String,
     /// Where the key is published by the first connection.
-    issued: Option<Arc<watch::Sender<Option<String>>>>,
+    key_sender: Option<Arc<watch::Sender<Option<String>>>>,
     key: watch::Receiver<Option<String>>,
-    book: Book,
+    address_cache: AddressCache,
 }
 
-impl Call {
-    async fn run(self, route: Route, recorder: Recorder, witness: Witness) {
+impl RequestTask {
+    async fn run(self, route: Route, recorder: Recorder, collector: RecordCollector) {
         sleep(route.pause).await;
         let (address, key) = match self.key(&route, &recorder).await {
             Ok(found) => found,
             Err(cause) => return recorder.end(End::Lost(cause), None),
         };
         let mut end = self.send(&address, &key, &recorder).await;
-        if let Some(address) = self.elsewhere(&end) {
-            recorder.redirect(&self.book.name(&address));
+        if let Some(address) = self.redirected_to(&end) {
+            recorder.redirect(&self.address_cache.daemon_name(&address));
             end = self.send(&address, &key, &recorder).await;
         }
         let mut runs = None;
         if end.is_not_run() {
-            runs = Some(witness.runs(&key).await);
+            runs = Some(collector.runs(&key).await);
         }
         recorder.end(end, runs);
     }
 
     /// Where a repeat is told to go.
-    fn elsewhere(&self, end: &End) -> Option<String> {
+    fn redirected_to(&self, end: &End) -> Option<String> {
         match end {
-            End::Refused(refusal) if self.issued.is_none() && refusal.reason == OTHER_RUNNER => {
+            End::Refused(refusal)
+                if self.key_sender.is_none() && refusal.reason == OTHER_RUNNER =>
+            {
                 refusal.addresses.first().cloned()
             }
             _ => None,
@@ -197,35 +202,35 @@
     }
 
     async fn send(&self, address: &str, key: &str, recorder: &Recorder) -> End {
-        match (&self.prompt, self.ask.model) {
+        match (&self.prompt, self.spec.model) {
             (Some(prompt), Some(model)) => {
-                let ask = Ask::new(&self.ask.service, prompt, model.tokens).with_key(key);
+                let spec = Completion::new(&self.spec.service, prompt, model.tokens).with_key(key);
                 recorder
-                    .read(self.caller.complete(address, &ask).await)
+                    .read(self.caller.complete(address, &spec).await)
                     .await
             }
-            _ => connection::called(self.caller.call(address, &self.plain(key)).await),
+            _ => connection::call_end(self.caller.call(address, &self.plain(key)).await),
         }
     }
 
     fn plain(&self, key: &str) -> PlainCall {
-        if self.ask.once {
-            return PlainCall::with_once(&self.ask.service, "orders", "{}", key);
+        if self.spec.once {
+            return PlainCall::with_once(&self.spec.service, "orders", "{}", key);
         }
-        PlainCall::new(&self.ask.service, "orders").with_key(key)
+        PlainCall::new(&self.spec.service, "orders").with_key(key)
     }
 
     /// Where to connect, and the key: from an address answer for the first connection, which goes
     /// elsewhere if its daemon leaves; as said and the same for every later one.
     async fn key(&self, route: &Route, recorder: &Recorder) -> Result<(String, String), String> {
-        let Some(issued) = &self.issued else {
+        let Some(key_sender) = &self.key_sender else {
             return Ok((route.address.clone(), self.known_key().await?));
         };
-        let (daemon, book) = (&route.daemon, &self.book);
-        let runner = self.ask.key_of.as_ref().unwrap_or(daemon);
-        let named = book.find(daemon, runner).await?;
+        let (daemon, address_cache) = (&route.daemon, &self.address_cache);
+        let runner = self.spec.key_of.as_ref().unwrap_or(daemon);
+        let named = address_cache.find(daemon, runner).await?;
         let key = named.key(&self.unique);
-        issued.send_replace(Some(key.clone()));
+        key_sender.send_replace(Some(key.clone()));
         if runner != daemon {
             return Ok((route.address.clone(), key));
         }
@@ -235,7 +240,7 @@
 
     async fn known_key(&self) -> Result<String, String> {
         let mut key = self.key.clone();
-        let known = timeout(KEY_LIMIT, key.wait_for(Option::is_some)).await;
+        let known = timeout(KEY_TIMEOUT, key.wait_for(Option::is_some)).await;
         let known = known.ok().and_then(Result::ok).and_then(|key| key.clone());
         known.ok_or_else(|| "the first connection got no key".to_owned())
     }
--- a/crates/scenario/src/play/act.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -8,12 +8,12 @@
 
 use crate::error::Error;
 use crate::list::State;
-use crate::play::Play;
-use crate::play::request::Claim;
-use crate::play::request::Request;
-use crate::play::request::Route;
-use crate::play::seconds;
-use crate::play::unix_ms;
+use crate::runner::Runner;
+use crate::runner::request::Request;
+use crate::runner::request::ResumeClaim;
+use crate::runner::request::Route;
+use crate::runner::seconds;
+use crate::runner::unix_ms;
 use crate::script::start::Between;
 use crate::script::step::Resume;
 use crate::script::step::Retry;
@@ -21,9 +21,9 @@
 use crate::script::step::Slow;
 use crate::script::step::Step;
 
-impl Play {
+impl Runner {
     /// Carries out one step.
-    pub(super) async fn act(&mut self, step: Step) -> Result<(), Error> {
+    pub(super) async fn execute(&mut self, step: Step) -> Result<(), Error> {
         match step {
             Step::Send(send) => self.send(&send),
             Step::Retry(retry) => self.retry(&retry),
@@ -31,7 +31,7 @@
             Step::Cancel(name) => self.cancel(&name),
             Step::Kill(name) => self.kill(&name).await,
             Step::Freeze(name) => self.freeze(&name),
-            Step::Wake(name) => self.fleet.wake(&name),
+            Step::Wake(name) => self.fleet.unpause(&name),
             Step::Stop(name) => self.stop(&name),
             Step::Restart(name) => self.restart(&name).await,
             Step::Cut(links) => self.link(&links, "cut", 0).await,
@@ -39,12 +39,12 @@
             Step::Slow(slow) => self.slow(slow).await,
             Step::Repeat(links) => self.link(&links, "repeat", 0).await,
             Step::Mend(links) => self.link(&links, "pass", 0).await,
-            Step::Fault(fault) => self.fleet.fault(&fault.at, &fault.mode, fault.ms).await,
+            Step::Fault(fault) => self.fleet.set_fault(&fault.at, &fault.mode, fault.ms).await,
             Step::Edit(edit) => self.edit(edit).await,
             Step::Race(edits) => self.race(edits).await,
             Step::Mark(name) => self.mark(&name).await,
-            Step::Unlist(name) => self.fleet.unlist(&name).await,
-            Step::LagMs(ms) => self.fleet.lag(ms).await,
+            Step::Unlist(name) => self.fleet.remove_from_list(&name).await,
+            Step::LagMs(ms) => self.fleet.set_list_lag(ms).await,
             Step::Wait(wait) => self.wait(wait).await,
             Step::Sleep(time) => {
                 sleep(seconds(time)).await;
@@ -55,7 +55,7 @@
     }
 
     fn send(&mut self, send: &Send) -> Result<(), Error> {
-        let ask = Arc::new(send.clone());
+        let spec = Arc::new(send.clone());
         for index in 0..send.count.unwrap_or(1) {
             let name = match send.count {
                 Some(_) => format!("{}-{}", send.name, index + 1),
@@ -65,8 +65,8 @@
             let pause = Duration::from_millis(send.every_ms) * index;
             let route = self.route(daemon, pause)?;
             let unique = format!("{}-{name}", self.name);
-            let mut request = Request::new(Arc::clone(&ask), unique);
-            request.open(route, self.book.clone(), self.witness.clone());
+            let mut request = Request::new(Arc::clone(&spec), unique);
+            request.open(route, self.address_cache.clone(), self.collector.clone());
             let former = self.requests.insert(name.clone(), request);
             self.ensure(former.is_none(), format!("two requests are named {name}"))?;
         }
@@ -83,10 +83,10 @@
 
     fn retry(&mut self, retry: &Retry) -> Result<(), Error> {
         let route = self.route(&retry.via, Duration::ZERO)?;
-        let (book, witness) = (self.book.clone(), self.witness.clone());
+        let (address_cache, collector) = (self.address_cache.clone(), self.collector.clone());
         self.request(&retry.request)?;
         if let Some(request) = self.requests.get_mut(&retry.request) {
-            request.open(route, book, witness);
+            request.open(route, address_cache, collector);
         }
         Ok(())
     }
@@ -95,15 +95,15 @@
         let route = self.route(&resume.via, Duration::ZERO)?;
         let request = self.request(&resume.request)?;
         let Some(token) = request.token() else {
-            return Err(self.unmet(format!("{} has no resume token yet", resume.request)));
+            return Err(self.failure(format!("{} has no resume token yet", resume.request)));
         };
         let token = if resume.damaged {
             damaged(&token)
         } else {
             token
         };
-        let customer = resume.customer.as_ref().unwrap_or(&request.ask.customer);
-        let claim = Claim {
+        let customer = resume.customer.as_ref().unwrap_or(&request.spec.customer);
+        let claim = ResumeClaim {
             token,
             offset: resume.offset.unwrap_or_else(|| request.tokens()),
             customer: customer.clone(),
@@ -115,7 +115,7 @@
     }
 
     fn cancel(&mut self, name: &str) -> Result<(), Error> {
-        for name in self.named(name)? {
+        for name in self.matching_requests(name)? {
             for connection in &self.requests[&name].connections {
                 connection.task.abort();
             }
@@ -124,30 +124,30 @@
     }
 
     async fn kill(&mut self, name: &str) -> Result<(), Error> {
-        self.disturbed.insert(name.to_owned());
-        self.witness.keep(name).await;
+        self.disrupted.insert(name.to_owned());
+        self.collector.save_counts(name).await;
         self.fleet.kill(name).await
     }
 
     fn freeze(&mut self, name: &str) -> Result<(), Error> {
-        self.disturbed.insert(name.to_owned());
+        self.disrupted.insert(name.to_owned());
         self.fleet.pause(name)
     }
 
     fn stop(&mut self, name: &str) -> Result<(), Error> {
-        self.stopped.insert(name.to_owned(), Instant::now());
+        self.stop_times.insert(name.to_owned(), Instant::now());
         self.fleet.terminate(name)
     }
 
     async fn restart(&mut self, name: &str) -> Result<(), Error> {
-        self.disturbed.insert(name.to_owned());
-        self.witness.keep(name).await;
+        self.disrupted.insert(name.to_owned());
+        self.collector.save_counts(name).await;
         self.fleet.restart(name).await
     }
 
     async fn link(&self, links: &Between, mode: &str, ms: u64) -> Result<(), Error> {
         for (from, to) in self.start.routes(links) {
-            self.fleet.link(&from, &to, mode, ms).await?;
+            self.fleet.set_link_mode(&from, &to, mode, ms).await?;
         }
         Ok(())
     }
@@ -161,8 +161,8 @@
     }
 
     async fn mark(&mut self, name: &str) -> Result<(), Error> {
-        self.fleet.mark(name, State::Leaving).await?;
-        self.drained.insert(name.to_owned(), unix_ms());
+        self.fleet.set_list_state(name, State::Leaving).await?;
+        self.drain_times.insert(name.to_owned(), unix_ms());
         Ok(())
     }
 }
--- a/crates/scenario/src/play/edition.rs
+++ b/crates/scenario/src/runner/submitted_edit.rs
@@ -4,7 +4,7 @@
 
 /// An edit that was sent, with its verdict.
 #[derive(Debug, Clone)]
-pub(super) struct Edition {
+pub(super) struct SubmittedEdit {
     pub(super) edit: Edit,
     /// `accepted`, `repeated`, `conflict`, `rejected`, `undecided` or `lost`.
     pub(super) verdict: String,
--- a/crates/scenario/src/play/wait.rs
+++ b/crates/scenario/src/runner/wait.rs
@@ -4,33 +4,35 @@
 use tokio::time::sleep;
 
 use crate::error::Error;
-use crate::play::LIMIT;
-use crate::play::LOOK_EVERY;
-use crate::play::Play;
-use crate::play::connection::Connection;
+use crate::runner::DEFAULT_TIMEOUT;
+use crate::runner::POLL_INTERVAL;
+use crate::runner::Runner;
+use crate::runner::connection::Connection;
 use crate::script::step::Tokens;
 use crate::script::step::Wait;
 use crate::script::step::Work;
 
-impl Play {
+impl Runner {
     pub(super) async fn wait(&mut self, wait: Wait) -> Result<(), Error> {
         match wait {
             Wait::Head(name) => self.wait_head(&name).await,
             Wait::Tokens(tokens) => self.wait_tokens(&tokens).await,
             Wait::End(name) => self.wait_end(&name).await,
             Wait::Work(work) => self.wait_work(&work).await,
-            Wait::Ready(name) => self.fleet.ready_one(&name).await,
+            Wait::Ready(name) => self.fleet.wait_until_daemon_ready(&name).await,
         }
     }
 
     async fn wait_head(&self, name: &str) -> Result<(), Error> {
-        for name in self.named(name)? {
+        for name in self.matching_requests(name)? {
             let request = self.request(&name)?;
             let Some(connection) = request.connections.last() else {
                 continue;
             };
             let came = connection
-                .reach(LIMIT, |now| now.head.is_some() || now.end.is_some())
+                .wait_until(DEFAULT_TIMEOUT, |now| {
+                    now.head.is_some() || now.end.is_some()
+                })
                 .await;
             let head = connection.progress.borrow().head.is_some();
             let end = connection.ended();
@@ -41,7 +43,7 @@
 
     async fn wait_tokens(&self, tokens: &Tokens) -> Result<(), Error> {
         let request = self.request(&tokens.of)?;
-        let end = Instant::now() + LIMIT;
+        let end = Instant::now() + DEFAULT_TIMEOUT;
         let whole = request.expected().len() as u64;
         let count = tokens
             .left
@@ -52,7 +54,7 @@
             let late = Instant::now() > end || ended.is_some();
             let found = format!("{name} got {} tokens, and {ended:?}", request.tokens());
             self.ensure(!late, found)?;
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -64,16 +66,16 @@
 
     /// Waits for the end of connection `number`, or else the latest, of each request named.
     pub(super) async fn wait_ends(&self, name: &str, number: Option<usize>) -> Result<(), Error> {
-        for name in self.named(name)? {
+        for name in self.matching_requests(name)? {
             let connections = &self.request(&name)?.connections;
             let index = number.unwrap_or(connections.len()) - 1;
             let Some(connection) = connections.get(index) else {
-                return Err(self.unmet(format!("{name} has no connection {}", index + 1)));
+                return Err(self.failure(format!("{name} has no connection {}", index + 1)));
             };
             // The last of a number of requests starts much later than the step that sends them.
             let pause = connection.opened.saturating_duration_since(Instant::now());
             let ended = connection
-                .reach(pause + LIMIT * 3, |now| now.end.is_some())
+                .wait_until(pause + DEFAULT_TIMEOUT * 3, |now| now.end.is_some())
                 .await;
             self.ensure(ended, format!("{name} got no end"))?;
         }
@@ -81,15 +83,18 @@
     }
 
     async fn wait_work(&self, work: &Work) -> Result<(), Error> {
-        let end = Instant::now() + LIMIT;
+        let end = Instant::now() + DEFAULT_TIMEOUT;
         loop {
-            let count = self.witness.work(&work.at, work.phase.as_deref()).await;
+            let count = self
+                .collector
+                .work_count(&work.at, work.phase.as_deref())
+                .await;
             if count >= work.count {
                 return Ok(());
             }
             let found = format!("{} has {count} in {:?}", work.at, work.phase);
             self.ensure(Instant::now() < end, found)?;
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -42,11 +42,11 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Io`] if there is no such file, [`Error::Script`] if it is not a scenario.
+    /// [`Error::Io`] if there is no such file, [`Error::InvalidScript`] if it is not a scenario.
     pub fn read(file: &Path) -> Result<Self, Error> {
         let text =
             fs::read_to_string(file).map_err(|cause| Error::io("read", file.display(), cause))?;
-        serde_norway::from_str(&text).map_err(|cause| Error::Script {
+        serde_norway::from_str(&text).map_err(|cause| Error::InvalidScript {
             file: file.to_owned(),
             cause: cause.to_string(),
         })
--- a/crates/scenario/src/start.rs
+++ b/crates/scenario/src/start.rs
@@ -17,7 +17,7 @@
 use crate::plan::Role;
 use crate::port;
 use crate::process::Process;
-use crate::process::START_LIMIT;
+use crate::process::START_TIMEOUT;
 use crate::settings::Listen;
 use crate::settings::Seed;
 use crate::settings::Settings;
@@ -31,24 +31,25 @@
 const FAKE_APPLICATION: &str = "fake-app";
 const FAKE_LINK: &str = "fake-link";
 /// Pause between two attempts to connect to a process that starts.
-const CONNECT_EVERY: std::time::Duration = std::time::Duration::from_millis(10);
+const CONNECT_INTERVAL: std::time::Duration = std::time::Duration::from_millis(10);
 
 impl Fleet {
     /// Starts the platform, the replicas and the forwarder.
-    pub(crate) async fn start_backs(&mut self) -> Result<(), Error> {
-        self.backs.insert(PLATFORM.to_owned(), port::free());
+    pub(crate) async fn start_backends(&mut self) -> Result<(), Error> {
+        self.backends
+            .insert(PLATFORM.to_owned(), port::free_address());
         self.launch(PLATFORM).await?;
         for replica in self.plan.replicas.clone() {
-            let address = port::free();
-            self.backs.insert(replica.name.clone(), address.clone());
+            let address = port::free_address();
+            self.backends.insert(replica.name.clone(), address.clone());
             self.launch(&replica.name).await?;
-            self.list.replicas.push(listed(&replica, address));
+            self.list.replicas.push(list_entry(&replica, address));
         }
         for daemon in self.plan.daemons.clone() {
             let listen = Listen {
-                caller: port::free(),
-                peer: port::free(),
-                admin: port::free(),
+                caller: port::free_address(),
+                peer: port::free_address(),
+                admin: port::free_address(),
             };
             self.list.instances.push(list::Instance {
                 name: daemon.name.clone(),
@@ -67,12 +68,13 @@
             return Ok(());
         }
         for link in self.plan.links.clone() {
-            let entrance = port::free();
+            let link_address = port::free_address();
             let view = self.list.views.entry(link.from.clone()).or_default();
-            view.insert(link.to.clone(), entrance.clone());
-            self.links.insert((link.from, link.to), entrance);
+            view.insert(link.to.clone(), link_address.clone());
+            self.links.insert((link.from, link.to), link_address);
         }
-        self.backs.insert(FORWARDER.to_owned(), port::free());
+        self.backends
+            .insert(FORWARDER.to_owned(), port::free_address());
         self.launch(FORWARDER).await
     }
 
@@ -98,22 +100,22 @@
         drop(self.processes.remove(name));
         let process = Process::start(name, &self.programs.join(program), &args, &log)?;
         self.processes.insert(name.to_owned(), process);
-        self.listening(name, &address).await
+        self.wait_until_listening(name, &address).await
     }
 
-    async fn listening(&mut self, name: &str, address: &str) -> Result<(), Error> {
-        let end = Instant::now() + START_LIMIT;
+    async fn wait_until_listening(&mut self, name: &str, address: &str) -> Result<(), Error> {
+        let end = Instant::now() + START_TIMEOUT;
         loop {
-            self.process(name)?.check()?;
+            self.process(name)?.check_running()?;
             match TcpStream::connect(address).await {
                 Ok(_) => return Ok(()),
                 Err(_) if Instant::now() > end => {
-                    return Err(Error::Late {
+                    return Err(Error::Timeout {
                         step: "listen",
                         peer: name.to_owned(),
                     });
                 }
-                Err(_) => sleep(CONNECT_EVERY).await,
+                Err(_) => sleep(CONNECT_INTERVAL).await,
             }
         }
     }
@@ -128,7 +130,7 @@
                 listen.admin.clone(),
             ));
         }
-        let address = self.back(name)?.to_owned();
+        let address = self.backend_address(name)?.to_owned();
         let mut args = vec!["--listen".to_owned(), address.clone()];
         let replica = self
             .plan
@@ -142,7 +144,7 @@
             }
             None => FAKE_PLATFORM,
             Some(replica) => {
-                args.extend(arguments(replica));
+                args.extend(stand_in_arguments(replica));
                 match replica.role {
                     Role::Plain => FAKE_APPLICATION,
                     Role::Prefill | Role::Decode => FAKE_ENGINE,
@@ -153,10 +155,10 @@
     }
 
     fn routes(&self) -> Vec<String> {
-        let targets = self.links.iter().filter_map(|((_, to), entrance)| {
-            let port = entrance.rsplit_once(':')?.1;
+        let targets = self.links.iter().filter_map(|((_, to), link_address)| {
+            let port = link_address.rsplit_once(':')?.1;
             let peer = self.daemons.get(to).map(|listen| &listen.peer);
-            let target = peer.or_else(|| self.backs.get(to))?;
+            let target = peer.or_else(|| self.backends.get(to))?;
             Some(format!("--route={port}={target}"))
         });
         targets.collect()
@@ -165,11 +167,11 @@
     fn write_settings(&self, daemon: &Daemon) -> Result<(), Error> {
         let name = &daemon.name;
         let listen = self.daemon(name)?;
-        let platform = self.seen_by(name, PLATFORM, self.back(PLATFORM)?);
+        let platform = self.address_seen_by(name, PLATFORM, self.backend_address(PLATFORM)?);
         let others = self.daemons.iter().filter(|(other, _)| *other != name);
         let seeds = others.map(|(other, listen)| Seed {
             name: other.clone(),
-            address: self.seen_by(name, other, &listen.peer),
+            address: self.address_seen_by(name, other, &listen.peer),
         });
         let settings = Settings::new(name, &daemon.data_centre, listen, &platform)
             .with_seeds(seeds.collect())
@@ -179,30 +181,30 @@
         fs::write(&file, text).map_err(|cause| Error::io("write", file.display(), cause))
     }
 
-    /// The address at which `asker` reaches `name`: a link's entrance, or else `address`.
-    fn seen_by(&self, asker: &str, name: &str, address: &str) -> String {
-        let link = self.links.get(&(asker.to_owned(), name.to_owned()));
+    /// The address at which `requester` reaches `name`: a link's entrance, or else `address`.
+    fn address_seen_by(&self, requester: &str, name: &str, address: &str) -> String {
+        let link = self.links.get(&(requester.to_owned(), name.to_owned()));
         link.cloned().unwrap_or_else(|| address.to_owned())
     }
 }
 
-fn listed(replica: &Replica, address: String) -> list::Replica {
+fn list_entry(replica: &Replica, address: String) -> list::Replica {
     list::Replica {
         name: replica.name.clone(),
         data_centre: replica.data_centre.clone(),
         address,
         service: replica.service.clone(),
-        role: replica.role.word().to_owned(),
+        role: replica.role.as_str().to_owned(),
         slots: replica.slots,
         fences: replica.fences,
         state: State::Live,
     }
 }
 
-fn arguments(replica: &Replica) -> Vec<String> {
+fn stand_in_arguments(replica: &Replica) -> Vec<String> {
     let mut args = vec![format!("--slots={}", replica.slots)];
     if replica.role != Role::Plain {
-        args.push(format!("--role={}", replica.role.word()));
+        args.push(format!("--role={}", replica.role.as_str()));
         args.push(format!("--name={}", replica.name));
         args.push(format!("--fences={}", replica.fences));
     }
--- a/crates/scenario/src/stream.rs
+++ b/crates/scenario/src/stream.rs
@@ -117,14 +117,14 @@
             let Ok(Some(event)) = self.reader.read().await else {
                 return Event::Cut;
             };
-            if let Some(event) = self.take(&event) {
+            if let Some(event) = self.parse_event(&event) {
                 return event;
             }
         }
     }
 
     /// Reads to the end.
-    pub async fn finish(mut self) -> Rest {
+    pub async fn read_to_end(mut self) -> Rest {
         let mut rest = Rest {
             text: String::new(),
             tokens: 0,
@@ -152,7 +152,7 @@
     }
 
     /// The event, unless it is of an unknown kind or can't be read.
-    fn take(&mut self, event: &SseEvent) -> Option<Event> {
+    fn parse_event(&mut self, event: &SseEvent) -> Option<Event> {
         let data = event.data().unwrap_or_default();
         match event.event() {
             "head" => {
--- a/crates/scenario/tests/fleet.rs
+++ b/crates/scenario/tests/fleet.rs
@@ -43,20 +43,26 @@
 async fn killed_daemon_comes_back_at_its_address() {
     let mut fleet = Fleet::start(plan()).await.unwrap();
     fleet.apply(TABLE).await.unwrap();
-    fleet.ready().await.unwrap();
+    fleet.wait_until_ready().await.unwrap();
     let before = fleet.process(ENTRY).unwrap().id();
     fleet.restart(ENTRY).await.unwrap();
-    fleet.ready_one(ENTRY).await.unwrap();
+    fleet.wait_until_daemon_ready(ENTRY).await.unwrap();
     assert_ne!(before, fleet.process(ENTRY).unwrap().id());
 }
 
 #[tokio::test]
 async fn links_and_faults_reach_the_stand_ins() {
     let fleet = Fleet::start(plan()).await.unwrap();
-    fleet.link(ENTRY, PLATFORM, "cut", 0).await.unwrap();
-    fleet.link(ENTRY, PLATFORM, "pass", 0).await.unwrap();
-    fleet.fault(DECODE, "stall", 0).await.unwrap();
+    fleet
+        .set_link_mode(ENTRY, PLATFORM, "cut", 0)
+        .await
+        .unwrap();
+    fleet
+        .set_link_mode(ENTRY, PLATFORM, "pass", 0)
+        .await
+        .unwrap();
+    fleet.set_fault(DECODE, "stall", 0).await.unwrap();
     assert_eq!(fleet.record(DECODE).await.unwrap()["decodes"], 0);
-    let unknown = fleet.link("entry-2", PLATFORM, "cut", 0).await;
-    assert!(matches!(unknown, Err(Error::Unknown { .. })));
+    let unknown = fleet.set_link_mode("entry-2", PLATFORM, "cut", 0).await;
+    assert!(matches!(unknown, Err(Error::UnknownName { .. })));
 }
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -11,7 +11,7 @@
 
 use rstest::rstest;
 use scenario::error::Error;
-use scenario::play;
+use scenario::runner;
 use scenario::script::Script;
 use tokio::sync::Semaphore;
 
@@ -24,7 +24,7 @@
 /// A pause of the host from which daemons take themselves for paused.
 const PAUSE: Duration = Duration::from_secs(1);
 /// Pause between two looks at the clock.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 static TURNS: Semaphore = Semaphore::const_new(AT_ONCE);
 
@@ -52,7 +52,7 @@
 async fn run(file: &Path) -> Result<(), Error> {
     let name = file.file_stem().and_then(|name| name.to_str());
     let script = Script::read(file)?;
-    play::run(name.unwrap_or("scenario"), script, Path::new(KEEP)).await
+    runner::run(name.unwrap_or("scenario"), script, Path::new(KEEP)).await
 }
 
 /// Counts pauses of this process, and so most likely of the host, until the value is dropped.
@@ -62,7 +62,7 @@
     thread::spawn(move || {
         let mut last = Instant::now();
         while let Some(pauses) = counted.upgrade() {
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(POLL_INTERVAL);
             if last.elapsed() > PAUSE {
                 pauses.fetch_add(1, Ordering::Relaxed);
             }
