--- a/crates/scenario/src/address.rs
+++ b/crates/scenario/src/address.rs
@@ -1,11 +1,11 @@
-//! Addresses for callers, and the keys that go with them.
+//! Addresses for callers and the idempotency keys that belong to them.
 
 use serde::Deserialize;
 
-/// Answer of `GET /v1/addresses`.
+/// Response of `GET /v1/addresses`.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Addresses {
-    /// How long the answer may be kept.
+    /// Time for which the response may be cached.
     pub ttl_ms: u64,
     /// Addresses to use, nearest first.
     pub addresses: Vec<Address>,
@@ -22,39 +22,39 @@
     pub data_centre: String,
     /// Relative weight.
     pub weight: u32,
-    /// Start of the keys for requests sent there first.
+    /// Prefix of the keys of requests that are first sent there.
     pub key_prefix: String,
 }
 
 impl Addresses {
-    /// The nearest address.
+    /// Returns the nearest address.
     ///
     /// # Panics
     ///
-    /// If the answer holds none.
+    /// Panics if the response has no address.
     pub fn first(&self) -> &Address {
         &self.addresses[0]
     }
 
-    /// The address of `instance`.
+    /// Returns the address of `instance`.
     pub fn of(&self, instance: &str) -> Option<&Address> {
         self.addresses
             .iter()
             .find(|address| address.instance == instance)
     }
 
-    /// A key for a request sent to address number `index` first; `unique` must be new.
+    /// Returns a key for a request first sent to address number `index`. `unique` must be new.
     ///
     /// # Panics
     ///
-    /// If there is no such address.
+    /// Panics if there is no such address.
     pub fn key(&self, index: usize, unique: &str) -> String {
         self.addresses[index].key(unique)
     }
 }
 
 impl Address {
-    /// A key for a request sent here first; `unique` must be new.
+    /// Returns a key for a request first sent here. `unique` must be new.
     pub fn key(&self, unique: &str) -> String {
         format!("{}{unique}", self.key_prefix)
     }
--- a/crates/scenario/src/bin/demo.rs
+++ b/crates/scenario/src/bin/demo.rs
@@ -1,4 +1,5 @@
-//! Starts a small fleet on loopback, sends real requests through it, and shows what happened.
+//! Runs the demo: starts a small fleet on loopback, sends requests through it, and prints the
+//! results.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -9,8 +10,8 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-const BRIEF: &str = "Usage: demo [--stay FILE]";
-const USAGE: u8 = 2;
+const USAGE_LINE: &str = "Usage: demo [--stay FILE]";
+const EXIT_USAGE: u8 = 2;
 
 #[tokio::main]
 async fn main() -> ExitCode {
@@ -18,19 +19,19 @@
     options.optopt(
         "",
         "stay",
-        "only start the fleet, and write shell variables to FILE",
+        "only start the fleet and write shell variables to FILE",
         "FILE",
     );
     options.optflag("h", "help", "print this help");
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) if matches.free.is_empty() => matches,
         _ => {
-            eprintln!("{}", options.usage(BRIEF));
-            return USAGE.into();
+            eprintln!("{}", options.usage(USAGE_LINE));
+            return EXIT_USAGE.into();
         }
     };
     if matches.opt_present("help") {
-        println!("{}", options.usage(BRIEF));
+        println!("{}", options.usage(USAGE_LINE));
         return ExitCode::SUCCESS;
     }
     let ended = match matches.opt_str("stay") {
@@ -47,23 +48,23 @@
     }
 }
 
-/// Keeps the fleet until the process is asked to end.
+/// Keeps the fleet running until a termination signal.
 async fn stay(file: &Path) -> Result<bool, Error> {
     let fleet = demo::stay::start(file).await?;
-    asked_to_end().await;
+    termination_signal().await;
     drop(fleet);
     Ok(true)
 }
 
-/// Drops `work`, and with it the fleet and its processes, when the process is asked to end.
+/// Runs `work`. A termination signal drops it, and with it the fleet and its processes.
 async fn interruptible(work: impl Future<Output = Result<bool, Error>>) -> Result<bool, Error> {
     tokio::select! {
         ended = work => ended,
-        () = asked_to_end() => Ok(false),
+        () = termination_signal() => Ok(false),
     }
 }
 
-async fn asked_to_end() {
+async fn termination_signal() {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return drop(tokio::signal::ctrl_c().await);
     };
--- a/crates/scenario/src/caller.rs
+++ b/crates/scenario/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the system: asks for addresses, sends requests, reads streams, resumes them.
+//! A caller of the system: fetches addresses, sends requests, and reads and resumes streams.
 //!
 //! ```no_run
 //! # async fn example(address: &str) -> Result<(), scenario::error::Error> {
@@ -35,18 +35,18 @@
 use crate::requests::PlainCall;
 use crate::stream::Stream;
 
-/// Caller class if none is chosen.
+/// Caller class that is used if none is set.
 pub const DEFAULT_CLASS: &str = "default";
-/// Header that tells the outcome.
+/// Header with the outcome of a call.
 const OUTCOME: &str = "Waxwing-Outcome";
-/// Value of [`OUTCOME`] for an answer of the application.
+/// Value of [`OUTCOME`] for an answer from the application.
 const ANSWERED: &str = "answered";
-/// Value of [`OUTCOME`] for an answer that an earlier request with the same key had.
+/// Value of [`OUTCOME`] for an answer already given to an earlier request with the same key.
 const ANSWERED_BEFORE: &str = "answered_before";
 const COMPLETIONS: &str = "/v1/completions";
 const RESUME: &str = "/v1/resume";
 
-/// One customer's caller.
+/// A caller of one customer.
 #[derive(Debug, Clone)]
 pub struct Caller {
     client: HttpClient,
@@ -55,7 +55,7 @@
 }
 
 impl Caller {
-    /// A caller of `customer` in the default class.
+    /// Creates a caller of `customer` in the default class.
     pub fn new(customer: &str) -> Self {
         Self {
             client: HttpClient::new(),
@@ -64,18 +64,19 @@
         }
     }
 
-    /// The same in another class of the table.
+    /// Sets the caller class.
     #[must_use]
     pub fn with_class(mut self, class: &str) -> Self {
         class.clone_into(&mut self.class);
         self
     }
 
-    /// Asks the instance at `address` which addresses to use.
+    /// Fetches the addresses to use from the instance at `address`.
     ///
     /// # Errors
     ///
-    /// [`Error::Http`], or [`Error::UnexpectedAnswer`] if the answer has no address or can't be read.
+    /// [`Error::Http`], or [`Error::UnexpectedAnswer`] if the response has no address or cannot be
+    /// parsed.
     pub async fn addresses(
         &self,
         address: &str,
@@ -100,9 +101,13 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] if the connection is lost before the head of the answer.
+    /// [`Error::Http`] if the connection is lost before the response headers.
     pub async fn complete(&self, address: &str, completion: &Completion) -> Result<Reply, Error> {
-        let body = json!({ "model": completion.model, "prompt": completion.prompt, "max_tokens": completion.max_tokens });
+        let body = json!({
+            "model": completion.model,
+            "prompt": completion.prompt,
+            "max_tokens": completion.max_tokens,
+        });
         let request = self.request(
             Method::POST,
             address,
@@ -113,11 +118,11 @@
         read_reply(response, address, COMPLETIONS, 0).await
     }
 
-    /// Reads the rest of a stream from `offset` tokens on, at any instance.
+    /// Resumes a stream after `offset` tokens, at any instance.
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] if the connection is lost before the head of the answer.
+    /// [`Error::Http`] if the connection is lost before the response headers.
     pub async fn resume(&self, address: &str, token: &str, offset: u64) -> Result<Reply, Error> {
         let request = self
             .request(Method::POST, address, RESUME, None)
@@ -131,7 +136,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] if the connection is lost before the end of the answer.
+    /// [`Error::Http`] if the connection is lost before the end of the response.
     pub async fn call(&self, address: &str, call: &PlainCall) -> Result<Outcome, Error> {
         let path = format!("/v1/call/{}/{}", call.service, call.path);
         let mut request = self.request(call.method.clone(), address, &path, call.key.as_deref());
@@ -182,7 +187,8 @@
     )))
 }
 
-/// An application's own errors are answers; the outcome header tells them from refusals.
+/// Converts a response. Errors of the application count as answers; the outcome header
+/// distinguishes them from refusals.
 fn read_outcome(answer: Answer) -> Outcome {
     let header = answer.header(OUTCOME).unwrap_or_default();
     if header != ANSWERED && header != ANSWERED_BEFORE {
--- a/crates/scenario/src/command.rs
+++ b/crates/scenario/src/command.rs
@@ -1,4 +1,4 @@
-//! The operators' command, run against a fleet.
+//! Runs the operators' command `waxwing` against a fleet.
 
 use std::ffi::OsStr;
 use std::process::Command;
@@ -11,11 +11,11 @@
 const COMMAND: &str = "waxwing";
 
 impl Fleet {
-    /// Runs the operators' command against all daemons of the fleet; gives what it printed.
+    /// Runs `waxwing` with the admin addresses of all daemons and returns its standard output.
     ///
     /// # Errors
     ///
-    /// [`Error::Exited`] with the command's output unless it exits with 0.
+    /// [`Error::Exited`] with the output if the exit code is not 0.
     pub async fn run_waxwing<S: AsRef<OsStr>>(&self, args: &[S]) -> Result<String, Error> {
         let program = self.programs.join(COMMAND);
         if !program.exists() {
--- a/crates/scenario/src/control.rs
+++ b/crates/scenario/src/control.rs
@@ -1,4 +1,4 @@
-//! Control of the stand-ins of a fleet: records, faults, links and the platform's list.
+//! Controls the stand-ins of a fleet: records, faults, links and the platform's list.
 
 use http::Method;
 use serde_json::Value;
@@ -17,7 +17,7 @@
 use crate::start;
 
 impl Fleet {
-    /// What the stand-in `name` has counted (`GET /control/record`).
+    /// Returns the counters of the stand-in `name` (`GET /control/record`).
     ///
     /// # Errors
     ///
@@ -41,12 +41,12 @@
             .map(drop)
     }
 
-    /// Sets the mode of the planned link from `from` to `to`: `pass`, `cut`, `hang`, `delay` or
-    /// `repeat`.
+    /// Sets the mode of the link from `from` to `to`: `pass`, `cut`, `hang`, `delay` or `repeat`.
     ///
     /// # Errors
     ///
-    /// [`Error::UnknownName`] if the plan has no such link, [`Error::Http`] or [`Error::UnexpectedAnswer`].
+    /// [`Error::UnknownName`] if the plan has no such link, [`Error::Http`] or
+    /// [`Error::UnexpectedAnswer`].
     pub async fn set_link_mode(
         &self,
         from: &str,
@@ -72,7 +72,7 @@
             .map(drop)
     }
 
-    /// Marks an instance or replica on the platform's list.
+    /// Sets the state of an instance or replica on the platform's list.
     ///
     /// # Errors
     ///
@@ -86,7 +86,7 @@
         self.publish_list().await
     }
 
-    /// Takes an instance or replica off the platform's list.
+    /// Removes an instance or replica from the platform's list.
     ///
     /// # Errors
     ///
@@ -100,7 +100,7 @@
         self.publish_list().await
     }
 
-    /// How late changes of the platform's list show from now on.
+    /// Sets the lag, in milliseconds, after which changes of the platform's list become visible.
     ///
     /// # Errors
     ///
@@ -110,7 +110,7 @@
         self.publish_list().await
     }
 
-    /// Gives the list to the platform.
+    /// Sends the list to the platform.
     pub(crate) async fn publish_list(&self) -> Result<(), Error> {
         let body = serde_json::to_value(&self.list).unwrap_or_default();
         self.client
@@ -119,7 +119,7 @@
             .map(drop)
     }
 
-    /// Waits until every daemon has read the table and sees all the others.
+    /// Waits until every daemon has read the table and sees all others as alive.
     pub(crate) async fn wait_until_settled(&self) -> Result<(), Error> {
         let end = Instant::now() + START_TIMEOUT;
         for (name, listen) in &self.daemons {
@@ -147,7 +147,8 @@
         table.is_some() && alive.is_some_and(|alive| alive.count() >= others)
     }
 
-    /// What `path` of an admin address answers the operator, if that is 200.
+    /// Returns the response of `path` at an admin address as JSON, or `None` unless its status is
+    /// 200.
     pub(crate) async fn get_as_operator(&self, admin: &str, path: &str) -> Option<Value> {
         let request = self
             .client
--- a/crates/scenario/src/demo/booking.rs
+++ b/crates/scenario/src/demo/booking.rs
@@ -1,4 +1,4 @@
-//! Ordinary calls: a stock question that may be repeated, a lorry booking that may not.
+//! Ordinary calls: a repeatable stock query and a lorry booking that is not repeatable.
 
 use crate::address::Addresses;
 use crate::caller::Caller;
@@ -8,17 +8,17 @@
 use crate::reply::Outcome;
 use crate::requests::PlainCall;
 
-/// The unique part of the booking's key.
+/// Unique part of the booking's key.
 pub(super) const BOOKING_KEY: &str = "booking-1";
 const LORRY: &str = r#"{"mill":"osijek","lorry":7,"tons":12}"#;
 
-/// Sends both, and repeats the booking's key at another instance.
+/// Sends both calls, and repeats the booking at another instance with the same key.
 pub(super) async fn run(
     caller: &Caller,
     addresses: &Addresses,
     report: &mut Report,
 ) -> Result<(), Error> {
-    output::print_title("Ordinary calls: a stock question, a lorry booking");
+    output::title("Ordinary calls: a stock question, a lorry booking");
     let first = addresses.first();
     let stock = caller
         .call(&first.address, &PlainCall::new("stock", "mills/osijek"))
@@ -64,11 +64,9 @@
             before,
         } => {
             let before = if *before { " (answered before)" } else { "" };
-            output::print_line(&format!("{what} at {instance}: {status}{before} {body}"));
-        }
-        Outcome::Refused(refusal) => {
-            output::print_line(&format!("{what} at {instance}: {refusal}"))
+            output::line(&format!("{what} at {instance}: {status}{before} {body}"));
         }
+        Outcome::Refused(refusal) => output::line(&format!("{what} at {instance}: {refusal}")),
     }
 }
 
--- a/crates/scenario/src/demo/draft.rs
+++ b/crates/scenario/src/demo/draft.rs
@@ -1,4 +1,4 @@
-//! Drafts of the language model, streamed.
+//! Streamed drafts of the language model.
 
 use crate::address::Addresses;
 use crate::caller::Caller;
@@ -10,24 +10,24 @@
 use crate::stream::Event;
 use crate::stream::Stream;
 
-/// The unique part of the first draft's key.
+/// Unique part of the first draft's key.
 pub(super) const FIRST: &str = "draft-1";
 const MAX_TOKENS: u32 = 24;
 
-/// Text of a stream and how it ended.
+/// Text of a stream and its last event.
 #[derive(Debug)]
 pub(super) struct ReadResult {
     pub(super) text: String,
     pub(super) end: Event,
 }
 
-/// Sends one draft through each address, and repeats the first one.
+/// Sends one draft through each address and repeats the first one.
 pub(super) async fn run(
     caller: &Caller,
     addresses: &Addresses,
     report: &mut Report,
 ) -> Result<(), Error> {
-    output::print_title("Drafts: streamed completions, one through each instance");
+    output::title("Drafts: streamed completions, one through each instance");
     for (number, address) in (1..).zip(&addresses.addresses) {
         let prompt = prompt(number);
         let completion = Completion::new(MODEL, &prompt, MAX_TOKENS)
@@ -45,12 +45,12 @@
     repeat(caller, addresses, report).await
 }
 
-/// Repeats the key of the first draft at the last address.
+/// Repeats the first draft at the last address with the same key.
 async fn repeat(caller: &Caller, addresses: &Addresses, report: &mut Report) -> Result<(), Error> {
     let Some(last) = addresses.addresses.last() else {
         return Ok(());
     };
-    output::print_title("Repeat: the key of draft 1 again, at another instance");
+    output::title("Repeat: the key of draft 1 again, at another instance");
     let prompt = prompt(1);
     let completion = Completion::new(MODEL, &prompt, MAX_TOKENS).with_key(&addresses.key(0, FIRST));
     let mut stream = caller
@@ -88,7 +88,7 @@
     }
 }
 
-/// Whether `read` is the whole answer to `prompt`.
+/// Returns whether `read` is the complete answer to `prompt`.
 pub(super) fn is_complete(prompt: &str, max_tokens: u32, read: &ReadResult) -> bool {
     let expected = fake::text::expected(prompt, max_tokens as usize);
     read.end == Event::Done(expected.len() as u64) && read.text == expected.concat()
--- a/crates/scenario/src/demo/failure.rs
+++ b/crates/scenario/src/demo/failure.rs
@@ -1,4 +1,4 @@
-//! A replica that drains, a daemon that dies in the middle of a stream, planned stops.
+//! Failures: draining a replica, killing a daemon during a stream, and planned stops.
 
 use std::time::Duration;
 
@@ -16,29 +16,29 @@
 use crate::stream::Event;
 use crate::stream::Head;
 
-/// The replica that is drained.
+/// Replica to drain.
 const DRAINED: &str = "decode-1";
-/// Drafts sent after the mark is in force.
+/// Number of drafts sent after the drain is in force.
 const DRAFTS: u32 = 6;
 const DRAFT_TOKENS: u32 = 8;
-/// The daemon that is killed.
+/// Daemon to kill.
 const KILLED: &str = "entry-1";
-/// Length asked for in the draft that outlives its daemon.
+/// Maximum number of tokens of the draft whose daemon is killed.
 const LONG_TOKENS: u32 = 160;
 /// Tokens read before the daemon is killed.
 const BEFORE_KILL: u64 = 30;
-/// Longest wait for a planned stop.
+/// Maximum wait for a planned stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Drains a replica and shows that it gets no new work.
+/// Drains a replica and checks that it gets no new work.
 pub(super) async fn drain(
     fleet: &Fleet,
     caller: &Caller,
     addresses: &Addresses,
     report: &mut Report,
 ) -> Result<(), Error> {
-    output::print_title("Drain: `waxwing drain replica decode-1`");
-    output::print_lines(&fleet.run_waxwing(&["drain", "replica", DRAINED]).await?);
+    output::title("Drain: `waxwing drain replica decode-1`");
+    output::lines(&fleet.run_waxwing(&["drain", "replica", DRAINED]).await?);
     let before = decodes(fleet).await?;
     for number in 0..DRAFTS {
         let address = &addresses.addresses[number as usize % addresses.addresses.len()];
@@ -56,7 +56,7 @@
     }
     let after = decodes(fleet).await?;
     report.check("the draining replica got none of them", before == after);
-    output::print_lines(&fleet.run_waxwing(&["undrain", "replica", DRAINED]).await?);
+    output::lines(&fleet.run_waxwing(&["undrain", "replica", DRAINED]).await?);
     Ok(())
 }
 
@@ -64,14 +64,14 @@
     Ok(fleet.record(DRAINED).await?["decodes"].clone())
 }
 
-/// Kills a daemon in the middle of a stream and reads the rest at another.
+/// Kills a daemon during a stream and reads the rest at another one.
 pub(super) async fn resume(
     fleet: &mut Fleet,
     caller: &Caller,
     addresses: &Addresses,
     report: &mut Report,
 ) -> Result<(), Error> {
-    output::print_title("Death of a daemon in the middle of a stream");
+    output::title("Death of a daemon in the middle of a stream");
     let prompt = "Draft a delivery note for the co-op of Vinkovci, all farms.";
     let completion = Completion::new(MODEL, prompt, LONG_TOKENS);
     let killed = fleet.daemon(KILLED)?.caller.clone();
@@ -108,9 +108,9 @@
     Ok(())
 }
 
-/// Stops the remaining daemons as planned.
+/// Stops the remaining daemons with `SIGTERM`.
 pub(super) async fn stop(fleet: &mut Fleet, report: &mut Report) -> Result<(), Error> {
-    output::print_title("Planned stop of the remaining daemons (SIGTERM)");
+    output::title("Planned stop of the remaining daemons (SIGTERM)");
     let names: Vec<String> = fleet
         .plan()
         .daemons
--- a/crates/scenario/src/demo/mod.rs
+++ b/crates/scenario/src/demo/mod.rs
@@ -1,5 +1,5 @@
-//! The demo: a small fleet on loopback, real requests through it, and a summary of what the
-//! stand-ins counted.
+//! The demo: starts a small fleet on loopback, sends requests through it, and summarizes the
+//! counters of the stand-ins.
 
 mod booking;
 mod draft;
@@ -19,46 +19,44 @@
 use crate::plan::Role;
 use crate::plan::Timing;
 
-/// The table that the demo applies.
+/// Table that the demo applies.
 const TABLE: &str = include_str!("../../../../docs/tables/krmiva.yaml");
-/// The customer of all requests.
+/// Customer of all requests.
 const CUSTOMER: &str = "krmiva";
-/// How long callers may keep addresses; a planned stop lasts a multiple of it.
+/// Time for which callers may cache addresses; a planned stop takes a multiple of it.
 const ADDRESS_TTL_MS: u64 = 2_000;
 /// Data centres, one daemon in each.
 const DATA_CENTRES: [&str; 3] = ["osijek-a", "vinkovci-b", "dakovo-c"];
-/// The model.
+/// Service of the language model.
 const MODEL: &str = "ration";
-/// The pool of plain applications.
+/// Pool of plain applications.
 const ORDERING: &str = "ordering";
 
-/// Runs the demo; whether everything was as promised.
+/// Runs the demo and returns whether all checks passed.
 ///
 /// # Errors
 ///
-/// What kept it from running to its end.
+/// Returns the error that stopped the demo.
 pub async fn run() -> Result<bool, Error> {
     let mut report = Report::new();
-    output::print_title(
-        "Start: a platform, model engines and applications (stand-ins), three daemons",
-    );
+    output::title("Start: a platform, model engines and applications (stand-ins), three daemons");
     let mut fleet = Fleet::start(plan()).await?;
     list(&fleet);
 
-    output::print_title("Table: `waxwing table apply`");
-    output::print_lines(&fleet.apply(TABLE).await?);
+    output::title("Table: `waxwing table apply`");
+    output::lines(&fleet.apply(TABLE).await?);
     fleet.wait_until_ready().await?;
 
     let caller = Caller::new(CUSTOMER);
-    output::print_title("Addresses: ask any instance which to use");
+    output::title("Addresses: ask any instance which to use");
     let addresses = addresses(&fleet, &caller).await?;
 
     draft::run(&caller, &addresses, &mut report).await?;
     booking::run(&caller, &addresses, &mut report).await?;
     failure::drain(&fleet, &caller, &addresses, &mut report).await?;
-    output::print_title("Explain: why was the first draft placed as it was?");
+    output::title("Explain: why was the first draft placed as it was?");
     let explained = fleet.run_waxwing(&["explain", draft::FIRST]).await?;
-    output::print_lines(&explained);
+    output::lines(&explained);
     report.check(
         "a decision is explained for the first draft",
         explained.contains(draft::FIRST),
@@ -108,13 +106,13 @@
 fn list(fleet: &Fleet) {
     for daemon in &fleet.plan().daemons {
         let listen = &fleet.daemons[&daemon.name];
-        output::print_line(&format!(
+        output::line(&format!(
             "{} in {}: callers {}, admin {}",
             daemon.name, daemon.data_centre, listen.caller, listen.admin
         ));
     }
     for replica in &fleet.plan().replicas {
-        output::print_line(&format!(
+        output::line(&format!(
             "{} in {}: {} of {}, {} slots",
             replica.name,
             replica.data_centre,
@@ -129,7 +127,7 @@
     let asked = &fleet.daemon("entry-1")?.caller;
     let addresses = caller.addresses(asked, Some(DATA_CENTRES[0])).await?;
     for address in &addresses.addresses {
-        output::print_line(&format!(
+        output::line(&format!(
             "{} ({}, {}), weight {}, keys begin with {}",
             address.address,
             address.instance,
@@ -138,6 +136,6 @@
             address.key_prefix
         ));
     }
-    output::print_line(&format!("keep this for {} ms", addresses.ttl_ms));
+    output::line(&format!("keep this for {} ms", addresses.ttl_ms));
     Ok(addresses)
 }
--- a/crates/scenario/src/demo/output.rs
+++ b/crates/scenario/src/demo/output.rs
@@ -1,27 +1,27 @@
-//! What the demo prints.
+//! Prints the output of the demo.
 
 use std::io;
 use std::io::Write;
 
-/// Prints the title of a part.
-pub(super) fn print_title(text: &str) {
+/// Prints the title of a section.
+pub(super) fn title(text: &str) {
     print(&format!("\n== {text}\n"));
 }
 
 /// Prints a line.
-pub(super) fn print_line(text: &str) {
+pub(super) fn line(text: &str) {
     print(&format!("   {text}\n"));
 }
 
-/// Prints text of several lines.
-pub(super) fn print_lines(text: &str) {
-    text.lines().for_each(print_line);
+/// Prints several lines.
+pub(super) fn lines(text: &str) {
+    text.lines().for_each(line);
 }
 
-/// Prints a part of a line at once.
+/// Prints text without a line break and flushes it.
 pub(super) fn print(text: &str) {
     let mut stdout = io::stdout();
-    // A closed standard output leaves nobody to tell.
+    // Errors are ignored: standard output may be closed.
     drop(
         stdout
             .write_all(text.as_bytes())
--- a/crates/scenario/src/demo/report.rs
+++ b/crates/scenario/src/demo/report.rs
@@ -1,8 +1,8 @@
-//! Which claims of the demo held.
+//! Records which checks of the demo passed.
 
 use crate::demo::output;
 
-/// Claims checked.
+/// Results of the checks.
 #[derive(Debug, Default)]
 pub(super) struct Report {
     held: usize,
@@ -10,23 +10,23 @@
 }
 
 impl Report {
-    /// Without checks so far.
+    /// Creates an empty report.
     pub(super) fn new() -> Self {
         Self::default()
     }
 
-    /// Prints whether `claim` holds, and remembers it.
+    /// Prints and records whether `claim` holds.
     pub(super) fn check(&mut self, claim: &str, holds: bool) {
         if holds {
             self.held += 1;
-            output::print_line(&format!("[ok] {claim}"));
+            output::line(&format!("[ok] {claim}"));
         } else {
             self.broken.push(claim.to_owned());
-            output::print_line(&format!("[NOT SO] {claim}"));
+            output::line(&format!("[NOT SO] {claim}"));
         }
     }
 
-    /// Prints the result; whether all checks held.
+    /// Prints the result and returns whether all checks passed.
     pub(super) fn finish(self) -> bool {
         println!(
             "\n== Result: {} checks held, {} did not",
@@ -34,7 +34,7 @@
             self.broken.len()
         );
         for claim in &self.broken {
-            output::print_line(&format!("not so: {claim}"));
+            output::line(&format!("not so: {claim}"));
         }
         self.broken.is_empty()
     }
--- a/crates/scenario/src/demo/stay.rs
+++ b/crates/scenario/src/demo/stay.rs
@@ -1,4 +1,4 @@
-//! The fleet of the demo, kept running for an operator to try commands on.
+//! Keeps the fleet of the demo running, for operators to try commands.
 
 use std::fs;
 use std::path::Path;
@@ -17,15 +17,15 @@
 ///
 /// # Errors
 ///
-/// What kept it from starting.
+/// Returns the error that prevented the start.
 pub async fn start(file: &Path) -> Result<Fleet, Error> {
     let mut fleet = Fleet::start(plan()).await?;
     fleet.apply(TABLE).await?;
     fleet.wait_until_ready().await?;
     fs::write(file, variables(&fleet))
         .map_err(|cause| Error::io("write", file.display(), cause))?;
-    output::print_title("The fleet runs until you press Ctrl-C");
-    output::print_line(&format!("in another terminal: . {}", file.display()));
+    output::title("The fleet runs until you press Ctrl-C");
+    output::line(&format!("in another terminal: . {}", file.display()));
     Ok(fleet)
 }
 
--- a/crates/scenario/src/demo/summary.rs
+++ b/crates/scenario/src/demo/summary.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins counted.
+//! Prints and checks the counters of the stand-ins.
 
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
 use crate::plan::Replica;
 use crate::plan::Role;
 
-/// Longest wait until no engine holds memory of a request that is gone.
+/// Maximum wait until no engine holds memory of a finished request.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Prints the counts of every stand-in and checks them.
+/// Prints and checks the counters of every stand-in.
 pub(super) async fn run(fleet: &Fleet, report: &mut Report) -> Result<(), Error> {
-    output::print_title("Summary: what the stand-ins counted");
+    output::title("Summary: what the stand-ins counted");
     let released = release_time(fleet).await?;
     let mut bookings = 0;
     for replica in &fleet.plan().replicas {
         let record = fleet.record(&replica.name).await?;
-        output::print_line(&describe(replica, &record));
+        output::line(&describe(replica, &record));
         bookings += booking_runs(&record);
     }
     let platform = fleet.record("platform").await?;
-    output::print_line(&format!("platform: {platform}"));
+    output::line(&format!("platform: {platform}"));
     report.check("the booking ran exactly once", bookings == 1);
     match released {
         Some(after) => report.check(
@@ -57,7 +57,7 @@
     format!("{}: {}", replica.name, parts.join(", "))
 }
 
-/// Runs of the booking at one application.
+/// Returns the runs of the booking at one application.
 fn booking_runs(record: &Value) -> u64 {
     let Some(runs) = record["runs"].as_object() else {
         return 0;
@@ -66,7 +66,7 @@
     of_booking.filter_map(|(_, count)| count.as_u64()).sum()
 }
 
-/// How long it took until no engine held anything; `None` if one still does.
+/// Returns the time until no engine held anything, or `None` if one still does.
 async fn release_time(fleet: &Fleet) -> Result<Option<Duration>, Error> {
     let start = Instant::now();
     while start.elapsed() < RELEASE_TIMEOUT {
--- a/crates/scenario/src/error.rs
+++ b/crates/scenario/src/error.rs
@@ -1,73 +1,73 @@
-//! What can go wrong while a fleet is started, driven or called.
+//! Errors of starting, controlling or calling a fleet.
 
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// A failure of a fleet or of a call, with the step and the peer.
+/// An error of a fleet or of a call, with the step and the peer.
 #[derive(Debug)]
 pub enum Error {
     /// A program of this workspace has not been built.
     MissingProgram {
-        /// Where it was looked for.
+        /// Expected path.
         program: PathBuf,
     },
     /// A file or process operation failed.
     Io {
-        /// What was being done.
+        /// Operation.
         step: &'static str,
-        /// File or process.
+        /// File or process concerned.
         peer: String,
-        /// The system's answer.
+        /// Error of the operating system.
         cause: io::Error,
     },
-    /// A process ended while it was still needed.
+    /// A process exited unexpectedly or with an error.
     Exited {
-        /// Its name in the plan.
+        /// Name of the process.
         name: String,
-        /// The last lines it wrote.
+        /// Last lines of its output.
         log: String,
     },
-    /// Something did not happen in time.
+    /// An event did not happen in time.
     Timeout {
-        /// What was waited for.
+        /// Awaited event.
         step: &'static str,
-        /// Of whom.
+        /// Process concerned.
         peer: String,
     },
-    /// A name that the plan does not hold.
+    /// A name that is not in the plan.
     UnknownName {
         /// The name.
         name: String,
     },
-    /// A file that is not a scenario.
+    /// A file that is not a valid scenario.
     InvalidScript {
         /// The file.
         file: PathBuf,
-        /// What is wrong with it.
+        /// Parse error.
         cause: String,
     },
-    /// An expectation of a scenario that was not met.
+    /// An expectation of a scenario was not met.
     ExpectationFailed {
-        /// Number of the step, from 1; 0 for what must hold in every scenario.
+        /// Number of the step, from 1; 0 for the checks at the end of every scenario.
         step: usize,
-        /// What was expected, and what was found.
+        /// Description of the mismatch.
         found: String,
     },
-    /// A call got no answer, or lost it half-way.
+    /// A call got no response, or only a part of it.
     Http {
         /// Method and path.
         step: String,
-        /// Address called.
+        /// Address of the peer.
         peer: String,
-        /// What the client library says.
+        /// Error of the HTTP library.
         cause: String,
     },
-    /// A call got an answer that is not the expected one.
+    /// A call got an unexpected response.
     UnexpectedAnswer {
         /// Method and path.
         step: String,
-        /// Address called.
+        /// Address of the peer.
         peer: String,
         /// Status code.
         status: u16,
@@ -77,7 +77,7 @@
 }
 
 impl Error {
-    /// An [`Error::Io`] while `step` was done on `peer`.
+    /// Creates an [`Error::Io`] for operation `step` on `peer`.
     pub(crate) fn io(step: &'static str, peer: impl fmt::Display, cause: io::Error) -> Self {
         Self::Io {
             step,
@@ -92,14 +92,16 @@
         match self {
             Self::MissingProgram { program } => write!(
                 f,
-                "{} does not exist; build every program first: cargo build --workspace \
-                 (with --release if this one was)",
+                "{} does not exist; build all programs first: cargo build --workspace \
+                 (with --release if this program was)",
                 program.display()
             ),
             Self::Io { step, peer, cause } => write!(f, "{step} {peer}: {cause}"),
-            Self::Exited { name, log } => write!(f, "{name} has ended; its last lines:\n{log}"),
-            Self::Timeout { step, peer } => write!(f, "{step} {peer}: not in time"),
-            Self::UnknownName { name } => write!(f, "the plan holds nothing named {name}"),
+            Self::Exited { name, log } => {
+                write!(f, "{name} exited; last lines of its output:\n{log}")
+            }
+            Self::Timeout { step, peer } => write!(f, "{peer} did not {step} in time"),
+            Self::UnknownName { name } => write!(f, "the plan has no entry named {name}"),
             Self::InvalidScript { file, cause } => write!(f, "{}: {cause}", file.display()),
             Self::ExpectationFailed { step: 0, found } => write!(f, "at the end: {found}"),
             Self::ExpectationFailed { step, found } => write!(f, "step {step}: {found}"),
@@ -110,7 +112,7 @@
                 status,
                 body,
             } => {
-                write!(f, "{step} at {peer}: unexpected answer {status}: {body}")
+                write!(f, "{step} at {peer}: unexpected status {status}: {body}")
             }
         }
     }
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real daemons and stand-ins, as child processes on loopback.
+//! A fleet of daemons and stand-ins, run as child processes on the loopback address.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), scenario::error::Error> {
@@ -23,9 +23,9 @@
 //! # }
 //! ```
 //!
-//! All programs are taken from the folder of the running program, so the workspace must have been
-//! built with the same profile. Dropping the fleet kills exactly the processes it started, by id,
-//! and removes its temporary folder.
+//! All programs are taken from the folder of the running program, so the workspace must be built
+//! with the same profile. Dropping the fleet kills only the processes that it started, by id, and
+//! removes its temporary folder.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -47,7 +47,7 @@
 use crate::programs;
 use crate::settings::Listen;
 
-/// Pause between two looks at something awaited.
+/// Interval between two checks of an awaited condition.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Running daemons and stand-ins.
@@ -60,23 +60,23 @@
     pub(crate) daemons: BTreeMap<String, Listen>,
     /// Addresses of the platform, the replicas and the forwarder's control port.
     pub(crate) backends: BTreeMap<String, String>,
-    /// Address of each link's entrance, by both names.
+    /// Listening address of each link, by the names of both ends.
     pub(crate) links: BTreeMap<(String, String), String>,
-    /// Declared before the folder, so that the processes end before it is removed.
+    /// Declared before `folder`, so that the processes are killed before it is removed.
     pub(crate) processes: BTreeMap<String, Process>,
     pub(crate) folder: TempDir,
 }
 
 impl Fleet {
-    /// Starts all that `plan` names and waits until each daemon has read the table (the empty one)
-    /// and sees all the others.
+    /// Starts everything in `plan` and waits until each daemon has read the (empty) table and sees
+    /// all others.
     ///
-    /// The table has no rows yet: [`Fleet::apply`] some, then wait for [`Fleet::wait_until_ready`].
+    /// The table has no rows yet: call [`Fleet::apply`], then [`Fleet::wait_until_ready`].
     ///
     /// # Errors
     ///
-    /// [`Error::MissingProgram`] if a program has not been built; [`Error::Exited`] with its last lines if
-    /// a process ends; [`Error::Timeout`] if one doesn't come up in time.
+    /// [`Error::MissingProgram`] if a program has not been built; [`Error::Exited`] with its last
+    /// lines if a process exits; [`Error::Timeout`] if one does not listen in time.
     pub async fn start(plan: Plan) -> Result<Self, Error> {
         let mut fleet = Self::with_plan(plan)?;
         fleet.start_backends().await?;
@@ -104,12 +104,12 @@
         })
     }
 
-    /// The plan it was started from.
+    /// Returns the plan that it was started from.
     pub const fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Addresses of the daemon `name`.
+    /// Returns the addresses of the daemon `name`.
     ///
     /// # Errors
     ///
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Address of the platform ([`PLATFORM`]) or of a replica.
+    /// Returns the address of the platform ([`PLATFORM`]) or of a replica.
     ///
     /// # Errors
     ///
@@ -132,7 +132,7 @@
         })
     }
 
-    /// The process `name`: a daemon, a replica, or the platform.
+    /// Returns the process `name`: a daemon, a replica, or the platform.
     ///
     /// # Errors
     ///
@@ -145,7 +145,7 @@
             })
     }
 
-    /// What the process `name` has written so far: for a daemon, its log lines.
+    /// Returns the output of the process `name` so far: for a daemon, its log lines.
     ///
     /// # Errors
     ///
@@ -157,12 +157,12 @@
         })
     }
 
-    /// The file that the process `name` writes its log lines to.
+    /// Returns the file with the output of the process `name`.
     pub fn log_file(&self, name: &str) -> PathBuf {
         self.folder.path().join(format!("{name}.log"))
     }
 
-    /// Ends `name` without notice (`SIGKILL`) and reaps it.
+    /// Kills `name` (`SIGKILL`) and reaps it.
     ///
     /// # Errors
     ///
@@ -172,7 +172,7 @@
         self.wait_for_exit(name, START_TIMEOUT).await.map(drop)
     }
 
-    /// Asks `name` for a planned stop (`SIGTERM`) and returns at once.
+    /// Requests a planned stop of `name` (`SIGTERM`) without waiting for it.
     ///
     /// # Errors
     ///
@@ -181,7 +181,7 @@
         self.process(name)?.signal(Signal::TERM)
     }
 
-    /// Stops `name` where it stands (`SIGSTOP`).
+    /// Pauses `name` (`SIGSTOP`).
     ///
     /// # Errors
     ///
@@ -190,7 +190,7 @@
         self.process(name)?.signal(Signal::STOP)
     }
 
-    /// Lets `name` go on after [`Fleet::pause`] (`SIGCONT`).
+    /// Continues `name` after [`Fleet::pause`] (`SIGCONT`).
     ///
     /// # Errors
     ///
@@ -199,7 +199,7 @@
         self.process(name)?.signal(Signal::CONT)
     }
 
-    /// Waits until `name` has ended.
+    /// Waits until `name` has exited.
     ///
     /// # Errors
     ///
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Starts `name` again with the same addresses and settings, ending it first if it runs.
+    /// Restarts `name` with the same addresses and settings, killing it first if it runs.
     ///
     /// # Errors
     ///
@@ -238,7 +238,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Timeout`], or [`Error::Exited`] if a daemon ends meanwhile.
+    /// [`Error::Timeout`], or [`Error::Exited`] if a daemon exits meanwhile.
     pub async fn wait_until_ready(&mut self) -> Result<(), Error> {
         let names: Vec<String> = self.daemons.keys().cloned().collect();
         for name in names {
@@ -272,12 +272,12 @@
         }
     }
 
-    /// Replaces the rows of the table by `yaml` through `waxwing table apply`, and waits until the
-    /// edit is in force.
+    /// Replaces the rows of the table by `yaml` (`waxwing table apply`), and waits until the edit
+    /// is in force.
     ///
     /// # Errors
     ///
-    /// [`Error::Exited`] with the command's output unless it exits with 0.
+    /// [`Error::Exited`] with the output if the exit code is not 0.
     pub async fn apply(&self, yaml: &str) -> Result<String, Error> {
         let file = self.folder.path().join("table.yaml");
         fs::write(&file, yaml).map_err(|cause| Error::io("write", file.display(), cause))?;
--- a/crates/scenario/src/http_client.rs
+++ b/crates/scenario/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client: one connection a call, JSON in and out.
+//! A small HTTP client for JSON that uses one connection per call.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 
 use crate::error::Error;
 
-/// Longest wait for a connection.
+/// Maximum wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for the head of an answer.
+/// Maximum wait for the response headers.
 const REQUEST_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// An HTTP client that never reuses a connection, hence never resends.
+/// An HTTP client that never reuses a connection and therefore never resends a request.
 #[derive(Clone)]
 pub struct HttpClient {
     client: Client,
@@ -29,7 +29,7 @@
     }
 }
 
-/// An answer read to its end.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// Status code.
@@ -41,23 +41,23 @@
 }
 
 impl Answer {
-    /// The header `name`, if present and readable.
+    /// Returns the header `name`, if it is present and valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The body as JSON; `null` if it is none.
+    /// Returns the body as JSON, or `null` if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
     }
 }
 
 impl HttpClient {
-    /// A client.
+    /// Creates a client.
     ///
     /// # Panics
     ///
-    /// If the client library refuses its fixed settings, which is a fault of this module.
+    /// Panics if the HTTP library rejects the fixed settings, which would be a bug of this module.
     pub fn new() -> Self {
         let mut builder = Client::builder();
         builder.set_connect_timeout(CONNECT_TIMEOUT);
@@ -68,17 +68,17 @@
         }
     }
 
-    /// A request to `path` at `address`, to be completed and given to [`HttpClient::open`].
+    /// Creates a request to `path` at `address`, to be passed to [`HttpClient::open`].
     pub fn request(&self, method: Method, address: &str, path: &str) -> RequestBuilder<Client> {
         self.client
             .request(method, format!("http://{address}{path}"))
     }
 
-    /// Sends a request and returns as soon as the head of the answer is there.
+    /// Sends a request and returns when the response headers have arrived.
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] if no head came.
+    /// [`Error::Http`] if no headers arrive.
     pub async fn open(
         &self,
         request: RequestBuilder<Client>,
@@ -92,11 +92,11 @@
         })
     }
 
-    /// Sends a request and reads the answer to its end.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] if the answer did not come in full.
+    /// [`Error::Http`] if the response is incomplete.
     pub async fn send(
         &self,
         request: RequestBuilder<Client>,
@@ -107,17 +107,17 @@
         read(response, step, address).await
     }
 
-    /// `GET path`, any status.
+    /// Sends `GET path` and accepts any status.
     ///
     /// # Errors
     ///
-    /// [`Error::Http`] if the answer did not come in full.
+    /// [`Error::Http`] if the response is incomplete.
     pub async fn get(&self, address: &str, path: &str) -> Result<Answer, Error> {
         self.send(self.request(Method::GET, address, path), address)
             .await
     }
 
-    /// `GET path`, which must answer 200 with JSON.
+    /// Sends `GET path` and returns the JSON body of a 200 response.
     ///
     /// # Errors
     ///
@@ -127,7 +127,7 @@
         expect_ok(answer, format!("GET {path}"), address)
     }
 
-    /// `POST path` with JSON, which must answer 200.
+    /// Sends `POST path` with JSON and returns the JSON body of a 200 response.
     ///
     /// # Errors
     ///
@@ -145,7 +145,7 @@
     }
 }
 
-/// Reads an answer to its end.
+/// Reads a complete response.
 pub(crate) async fn read(
     response: Response<Body>,
     step: String,
@@ -176,7 +176,7 @@
     Ok(answer.json())
 }
 
-/// An error with its causes in one line.
+/// Formats an error and its causes in one line.
 pub(crate) fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,4 +1,4 @@
-//! Scripted failure scenarios and the demo fleet.
+//! Runs scripted failure scenarios and the demo against a fleet of real processes.
 
 pub mod address;
 pub mod caller;
--- a/crates/scenario/src/list.rs
+++ b/crates/scenario/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances and replicas, as the stand-in takes it.
+//! The platform's list of instances and replicas, in the format of the stand-in.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,9 @@
     pub instances: Vec<Instance>,
     /// Backend servers.
     pub replicas: Vec<Replica>,
-    /// Addresses that one asker is given in place of the usual ones: asker, name, address.
+    /// Addresses that replace the usual ones for a requester, by requester and name.
     pub views: BTreeMap<String, BTreeMap<String, String>>,
-    /// How late a change of the list shows.
+    /// Lag in milliseconds after which a change of the list becomes visible.
     pub lag_ms: u64,
 }
 
@@ -28,7 +28,7 @@
     pub peer: String,
     /// Address for callers.
     pub caller: String,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub state: State,
 }
 
@@ -45,26 +45,26 @@
     pub service: String,
     /// `prefill`, `decode` or `plain`.
     pub role: String,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it refuses lower fencing numbers.
     pub fences: bool,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub state: State,
 }
 
-/// Whether the platform takes an entry away.
+/// Whether the platform removes an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Stays.
+    /// In service.
     Live,
-    /// Is marked as leaving.
+    /// Marked as leaving.
     Leaving,
 }
 
 impl List {
-    /// Sets the state of the entry `name`; whether there is one.
+    /// Sets the state of the entry `name`. Returns whether it exists.
     pub fn mark(&mut self, name: &str, state: State) -> bool {
         let instances = self
             .instances
@@ -75,15 +75,15 @@
             .iter_mut()
             .map(|entry| (&entry.name, &mut entry.state));
         match instances.chain(replicas).find(|(entry, _)| *entry == name) {
-            Some((_, place)) => {
-                *place = state;
+            Some((_, current)) => {
+                *current = state;
                 true
             }
             None => false,
         }
     }
 
-    /// Removes the entry `name`; whether there was one.
+    /// Removes the entry `name`. Returns whether it existed.
     pub fn remove(&mut self, name: &str) -> bool {
         let before = self.instances.len() + self.replicas.len();
         self.instances.retain(|entry| entry.name != name);
--- a/crates/scenario/src/plan.rs
+++ b/crates/scenario/src/plan.rs
@@ -1,15 +1,15 @@
-//! What a fleet consists of.
+//! Describes the processes of a fleet and the links between them.
 
-/// Daemons, replicas and links to start. Everything is named; names are unique over the plan.
+/// Daemons, replicas and links to start. All names in a plan are unique.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
     /// Entry daemons.
     pub daemons: Vec<Daemon>,
     /// Model engines and plain applications.
     pub replicas: Vec<Replica>,
-    /// Routes that lead through a controllable forwarder.
+    /// Routes that pass through a controllable forwarder.
     pub links: Vec<Link>,
-    /// Settings of the daemons that tests shorten.
+    /// Time settings of the daemons.
     pub timing: Timing,
 }
 
@@ -31,20 +31,20 @@
     pub data_centre: String,
     /// The model or plain application it serves.
     pub service: String,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it refuses lower fencing numbers.
     pub fences: bool,
-    /// Further arguments for the stand-in program.
+    /// Additional arguments of the stand-in program.
     pub args: Vec<String>,
 }
 
-/// What a replica does.
+/// Role of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Computes prompts.
+    /// Prefills prompts.
     Prefill,
     /// Generates tokens.
     Decode,
@@ -52,32 +52,32 @@
     Plain,
 }
 
-/// A route from a daemon to another daemon, to a replica, or to the platform, which can be cut.
+/// A controllable route from a daemon to another daemon, to a replica, or to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Link {
     /// The daemon that connects.
     pub from: String,
-    /// Whom it connects to; [`PLATFORM`] names the platform.
+    /// Name of the target; [`PLATFORM`] is the platform.
     pub to: String,
 }
 
-/// The platform's name in a [`Link`] and in the fleet's calls.
+/// Name of the platform in a [`Link`] and in methods of the fleet.
 pub const PLATFORM: &str = "platform";
 
 /// Times in the daemons' settings, in milliseconds unless the name says otherwise.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
-    /// How long a table may be decided by without proof that it is the newest.
+    /// Time for which a table may be used without proof that it is the newest.
     pub lease_ms: u64,
-    /// How long keys are remembered, in seconds.
+    /// Time for which keys are remembered, in seconds.
     pub window_s: u64,
-    /// How long callers may keep an address answer.
+    /// Time for which callers may cache addresses.
     pub address_ttl_ms: u64,
-    /// How long an attempt may be without a live owner.
+    /// Time for which an attempt may run without a live owner.
     pub orphan_grace_ms: u64,
-    /// Time between two inspections of a replica.
+    /// Interval between two inspections of a replica.
     pub inspect_ms: u64,
-    /// Time between two reads of the store.
+    /// Interval between two reads of the store.
     pub poll_ms: u64,
 }
 
@@ -95,7 +95,7 @@
 }
 
 impl Role {
-    /// The word used in the platform's list and on the stand-ins' command lines.
+    /// Returns the name used in the platform's list and on command lines of stand-ins.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Prefill => "prefill",
@@ -106,7 +106,7 @@
 }
 
 impl Replica {
-    /// A replica with the slots usual for its role, which checks fencing numbers.
+    /// Creates a replica with the default slots of its role, which enforces fencing numbers.
     pub fn new(name: &str, data_centre: &str, service: &str, role: Role) -> Self {
         let slots = match role {
             Role::Prefill => 8,
@@ -124,21 +124,21 @@
         }
     }
 
-    /// The same with `slots` slots.
+    /// Sets the number of slots.
     #[must_use]
     pub const fn with_slots(mut self, slots: u32) -> Self {
         self.slots = slots;
         self
     }
 
-    /// The same, checking fencing numbers or ignoring them.
+    /// Sets whether fencing numbers are enforced.
     #[must_use]
     pub const fn with_fences(mut self, fences: bool) -> Self {
         self.fences = fences;
         self
     }
 
-    /// The same with a further argument for the stand-in program.
+    /// Adds an argument of the stand-in program.
     #[must_use]
     pub fn with_arg(mut self, arg: &str) -> Self {
         self.args.push(arg.to_owned());
@@ -147,12 +147,12 @@
 }
 
 impl Plan {
-    /// A plan with nothing but the platform.
+    /// Creates a plan with only the platform.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The same with a daemon.
+    /// Adds a daemon.
     #[must_use]
     pub fn with_daemon(mut self, name: &str, data_centre: &str) -> Self {
         self.daemons.push(Daemon {
@@ -162,14 +162,14 @@
         self
     }
 
-    /// The same with a replica.
+    /// Adds a replica.
     #[must_use]
     pub fn with_replica(mut self, replica: Replica) -> Self {
         self.replicas.push(replica);
         self
     }
 
-    /// The same with a controllable route from daemon `from` to `to`.
+    /// Adds a controllable route from daemon `from` to `to`.
     #[must_use]
     pub fn with_link(mut self, from: &str, to: &str) -> Self {
         self.links.push(Link {
@@ -179,7 +179,7 @@
         self
     }
 
-    /// The same with other times in the daemons' settings.
+    /// Sets the time settings of the daemons.
     #[must_use]
     pub const fn with_timing(mut self, timing: Timing) -> Self {
         self.timing = timing;
--- a/crates/scenario/src/port.rs
+++ b/crates/scenario/src/port.rs
@@ -1,20 +1,20 @@
-//! Free ports on the loopback address.
+//! Selects free ports of the loopback address.
 
 use std::net::Ipv4Addr;
 use std::net::TcpListener;
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
-/// First port given out. Ports up to [`LAST`] lie below the range that the system takes for
-/// outgoing connections, so that none of those can occupy a port between choice and use.
+/// First port to select. Ports up to [`LAST`] are below the ephemeral range, so no outgoing
+/// connection can occupy a port between its selection and its use.
 const FIRST: u32 = 10_000;
 const LAST: u32 = 32_000;
-/// Distance between the first ports of two test processes with neighbouring ids.
+/// Distance between the first ports of processes with consecutive ids.
 const STRIDE: u32 = 191;
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
-/// An address `127.0.0.1:port` that nobody listens on.
+/// Returns an address `127.0.0.1:port` on which nothing listens.
 pub fn free_address() -> String {
     loop {
         let count = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/scenario/src/process.rs
+++ b/crates/scenario/src/process.rs
@@ -1,4 +1,4 @@
-//! A child process, its output in a file.
+//! A child process whose output goes to a file.
 
 use std::fs;
 use std::fs::File;
@@ -15,13 +15,13 @@
 
 use crate::error::Error;
 
-/// Longest wait for a process to listen or to become ready.
+/// Maximum wait until a process listens or becomes ready.
 pub const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Lines of output that an error shows.
+/// Lines of output included in an error.
 const TAIL_LINES: usize = 12;
 
-/// A running child. Dropping it kills exactly this process and reaps it.
+/// A child process. Dropping it kills and reaps only this process.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -34,7 +34,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::MissingProgram`] if the program has not been built, [`Error::Io`] if it cannot be started.
+    /// [`Error::MissingProgram`] if the program has not been built, [`Error::Io`] if it cannot be
+    /// started.
     pub fn start(name: &str, program: &Path, args: &[String], log: &Path) -> Result<Self, Error> {
         if !program.exists() {
             return Err(Error::MissingProgram {
@@ -58,16 +59,16 @@
         })
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends `signal`; nothing happens if the process has ended.
+    /// Sends `signal`, unless the process has exited.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`] if the system refuses.
+    /// [`Error::Io`] if the system call fails.
     pub fn signal(&mut self, signal: Signal) -> Result<(), Error> {
         if self.exit_status()?.is_some() {
             return Ok(());
@@ -79,29 +80,29 @@
             .map_err(|cause| Error::io("signal", &self.name, cause.into()))
     }
 
-    /// How it ended; `None` while it runs.
+    /// Returns the exit status, or `None` while it runs.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`] if the system refuses.
+    /// [`Error::Io`] if the system call fails.
     pub fn exit_status(&mut self) -> Result<Option<ExitStatus>, Error> {
         self.child
             .try_wait()
             .map_err(|cause| Error::io("wait for", &self.name, cause))
     }
 
-    /// Its output up to now.
+    /// Returns the output so far.
     pub fn log(&self) -> String {
         fs::read(&self.log)
             .map(|bytes| String::from_utf8_lossy(&bytes).into_owned())
             .unwrap_or_default()
     }
 
-    /// An [`Error::Exited`] with its last lines if it has ended.
+    /// Returns [`Error::Exited`] with the last lines of output if the process has exited.
     ///
     /// # Errors
     ///
-    /// Also [`Error::Io`] if the system refuses.
+    /// Also [`Error::Io`] if the system call fails.
     pub fn check_running(&mut self) -> Result<(), Error> {
         match self.exit_status()? {
             None => Ok(()),
@@ -115,7 +116,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // A process that has already been reaped leaves nothing to kill; both calls then fail.
+        // Both calls fail if the process has already been reaped.
         drop(self.child.kill());
         drop(self.child.wait());
     }
--- a/crates/scenario/src/refusal.rs
+++ b/crates/scenario/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Requests that were not answered.
+//! Refusals of requests.
 
 use serde::Deserialize;
 
@@ -7,13 +7,13 @@
 pub struct Refusal {
     /// Status code.
     pub status: u16,
-    /// `not_run`, `unknown` or `failed`; empty if the answer is not the system's.
+    /// `not_run`, `unknown` or `failed`; empty if the response is not from a daemon.
     pub outcome: String,
-    /// Why.
+    /// Reason.
     pub reason: String,
-    /// When to come back.
+    /// Time after which to retry.
     pub retry_after_ms: Option<u64>,
-    /// Where to come back.
+    /// Addresses at which to retry.
     pub addresses: Vec<String>,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl Refusal {
-    /// Reads the body of a refusal.
+    /// Parses the body of a refusal.
     pub(crate) fn with_body(status: u16, text: &str) -> Self {
         let body: RefusalBody = serde_json::from_str(text).unwrap_or_default();
         Self {
--- a/crates/scenario/src/reply.rs
+++ b/crates/scenario/src/reply.rs
@@ -1,20 +1,20 @@
-//! What comes of a request.
+//! Results of requests.
 
 use crate::error::Error;
 use crate::refusal::Refusal;
 use crate::stream::Stream;
 
-/// What came of a language-model request.
+/// Result of a language-model request.
 #[derive(Debug)]
 pub enum Reply {
-    /// Tokens follow.
+    /// A stream of tokens.
     Stream(Stream),
-    /// No answer.
+    /// The request was refused.
     Refused(Refusal),
 }
 
 impl Reply {
-    /// The stream, where a refusal is not expected.
+    /// Returns the stream, or the refusal as an error.
     ///
     /// # Errors
     ///
@@ -32,18 +32,18 @@
     }
 }
 
-/// What came of a call to a plain application.
+/// Result of a call to a plain application.
 #[derive(Debug, Clone)]
 pub enum Outcome {
-    /// The application's answer.
+    /// The application answered.
     Answered {
         /// Status code of the application.
         status: u16,
         /// Its body.
         body: String,
-        /// Whether an earlier request with the same key had this answer.
+        /// Whether an earlier request with the same key already got this answer.
         before: bool,
     },
-    /// No answer.
+    /// The request was refused.
     Refused(Refusal),
 }
--- a/crates/scenario/src/requests.rs
+++ b/crates/scenario/src/requests.rs
@@ -1,22 +1,22 @@
-//! What a caller asks.
+//! Requests of callers.
 
 use http::Method;
 
 /// A language-model request.
 #[derive(Debug, Clone)]
 pub struct Completion {
-    /// The table's service.
+    /// Service in the table.
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Most tokens wanted.
+    /// Maximum number of tokens.
     pub max_tokens: u32,
     /// Idempotency key.
     pub key: Option<String>,
 }
 
 impl Completion {
-    /// A request without a key.
+    /// Creates a request without a key.
     pub fn new(model: &str, prompt: &str, max_tokens: u32) -> Self {
         Self {
             model: model.to_owned(),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The same with a key.
+    /// Sets the key.
     #[must_use]
     pub fn with_key(mut self, key: &str) -> Self {
         self.key = Some(key.to_owned());
@@ -37,22 +37,22 @@
 /// A call to a plain application.
 #[derive(Debug, Clone)]
 pub struct PlainCall {
-    /// The table's service.
+    /// Service in the table.
     pub service: String,
     /// Path at the application, without a leading slash.
     pub path: String,
     /// Method.
     pub method: Method,
-    /// Body, passed on as it is.
+    /// Body, forwarded unchanged.
     pub body: String,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Whether a repeat is harmless.
+    /// Whether the call may be repeated.
     pub repeatable: bool,
 }
 
 impl PlainCall {
-    /// A repeatable `GET`.
+    /// Creates a repeatable `GET`.
     pub fn new(service: &str, path: &str) -> Self {
         Self {
             service: service.to_owned(),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A `POST` with `body` that must run at most once, under `key`.
+    /// Creates a `POST` with `body` and `key` that must run at most once.
     pub fn with_once(service: &str, path: &str, body: &str, key: &str) -> Self {
         Self {
             method: Method::POST,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The same with a key.
+    /// Sets the key.
     #[must_use]
     pub fn with_key(mut self, key: &str) -> Self {
         self.key = Some(key.to_owned());
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -1,4 +1,4 @@
-//! Carries out scenarios with real daemons and stand-ins.
+//! Executes scenarios with real daemons and stand-ins.
 
 pub mod address_cache;
 mod check;
@@ -36,11 +36,11 @@
 use crate::script::start::Start;
 use crate::script::step::Step;
 
-/// Longest wait where a scenario names none.
+/// Maximum wait where a scenario sets none.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause between two looks at something awaited.
+/// Interval between two checks of an awaited condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Pause between two attempts to put the first table in force.
+/// Interval between two attempts to apply the initial table.
 const APPLY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// A scenario in progress.
@@ -53,20 +53,21 @@
     address_cache: AddressCache,
     requests: BTreeMap<String, Request>,
     submitted_edits: BTreeMap<String, SubmittedEdit>,
-    /// Daemons that were ended or cut off, whose connections may be lost.
+    /// Processes that were killed, paused or restarted, whose connections may be lost.
     disrupted: BTreeSet<String>,
-    /// When planned stops were asked for.
+    /// When planned stops were requested.
     stop_times: BTreeMap<String, Instant>,
-    /// When replicas were marked to drain, in milliseconds of the Unix clock.
+    /// When replicas were marked to drain, in milliseconds since the Unix epoch.
     drain_times: BTreeMap<String, u64>,
     step: usize,
 }
 
-/// Carries out `script`; on failure the logs of all processes are kept in the folder `keep`.
+/// Executes `script`. On failure, the logs of all processes are copied to the folder `keep`.
 ///
 /// # Errors
 ///
-/// [`Error::ExpectationFailed`] for an expectation, else what hindered the scenario.
+/// [`Error::ExpectationFailed`] if an expectation is not met, else the error that stopped the
+/// scenario.
 pub async fn run(name: &str, script: Script, keep: &Path) -> Result<(), Error> {
     let fleet = Fleet::start(script.start.plan()).await?;
     let mut runner = Runner::new(name, script.start, fleet);
@@ -116,7 +117,7 @@
         self.check_invariants().await
     }
 
-    /// Puts `table` in force. Daemons that have just started reject edits until they have met.
+    /// Applies `table`. Daemons that have just started reject edits until they see each other.
     async fn apply(&self, table: &[Value]) -> Result<(), Error> {
         let rows = serde_norway::to_string(table).unwrap_or_default();
         let end = Instant::now() + DEFAULT_TIMEOUT;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// An expectation that was not met.
+    /// Creates the error of an expectation that was not met.
     fn failure(&self, found: impl fmt::Display) -> Error {
         Error::ExpectationFailed {
             step: self.step,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Fails with `found` unless `met`.
+    /// Returns an error with `found` unless `met`.
     fn ensure(&self, met: bool, found: impl fmt::Display) -> Result<(), Error> {
         if met {
             Ok(())
@@ -146,12 +147,12 @@
         }
     }
 
-    /// Prints a figure.
+    /// Prints a measured time.
     fn print_measurement(&self, what: &str, seconds: f64) {
         println!("measured {}: {what}: {seconds:.2} s", self.name);
     }
 
-    /// Names of the requests that `name` stands for: itself, or all of its number.
+    /// Returns the names of the requests that `name` refers to: itself, or all numbered ones.
     fn matching_requests(&self, name: &str) -> Result<Vec<String>, Error> {
         let numbered = format!("{name}-");
         let same = |other: &String| {
@@ -173,17 +174,17 @@
         found.ok_or_else(|| self.failure(format!("no request is named {name}")))
     }
 
-    /// Decision lines of the daemon `name`.
+    /// Returns the decision lines of the daemon `name`.
     fn decision_lines(&self, name: &str) -> Vec<DecisionLine> {
         decisions::read(&self.fleet.log(name).unwrap_or_default())
     }
 
-    /// Names of all daemons.
+    /// Returns the names of all daemons.
     fn daemons(&self) -> Vec<String> {
         self.start.daemons.clone()
     }
 
-    /// The daemons `named`; all if none is.
+    /// Returns the daemons `named`, or all if it is empty.
     fn daemons_or_all(&self, named: &[String]) -> Vec<String> {
         if named.is_empty() {
             self.daemons()
@@ -193,7 +194,7 @@
     }
 
     fn keep_logs(&self, folder: &Path) {
-        // Best effort: the scenario has failed already.
+        // Best effort: the scenario has already failed.
         drop(fs::create_dir_all(folder));
         let replicas = self.collector.replica_names();
         for name in self.daemons().into_iter().chain(replicas) {
@@ -206,13 +207,13 @@
     }
 }
 
-/// Milliseconds of the Unix clock.
+/// Returns the time since the Unix epoch in milliseconds.
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-/// A time given in seconds.
+/// Converts seconds to a duration.
 fn seconds(value: f64) -> Duration {
     Duration::from_secs_f64(value)
 }
--- a/crates/scenario/src/runner/address_cache.rs
+++ b/crates/scenario/src/runner/address_cache.rs
@@ -1,4 +1,4 @@
-//! Where callers connect: answers to "which address", kept for their time to live.
+//! Caches the addresses for callers for their time to live.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::address::Addresses;
 use crate::caller::Caller;
 
-/// Address answers of all daemons, shared by all callers of a scenario.
+/// Address responses of all daemons, shared by all callers of a scenario.
 #[derive(Debug, Clone)]
 pub struct AddressCache {
     /// Addresses for callers, by daemon.
@@ -21,7 +21,7 @@
 }
 
 impl AddressCache {
-    /// No answers yet.
+    /// Creates an empty cache.
     pub fn new(daemons: BTreeMap<String, String>) -> Self {
         Self {
             daemons,
@@ -29,12 +29,12 @@
         }
     }
 
-    /// The address of `wanted`, or another one if `wanted` leaves or can't be reached: `asked` is
-    /// asked first, then the other daemons.
+    /// Returns the address of `wanted`, or another one if `wanted` is not listed because it is
+    /// leaving or unreachable. Asks the daemon `target` first, then the others.
     ///
     /// # Errors
     ///
-    /// What was wrong with the last answer.
+    /// Returns the error of the last daemon if all fail.
     pub async fn find(&self, target: &str, wanted: &str) -> Result<Address, String> {
         let others = self.daemons.keys().filter(|name| *name != target);
         let mut fault = String::new();
@@ -50,7 +50,7 @@
         Err(fault)
     }
 
-    /// The name of the daemon at `address`.
+    /// Returns the name of the daemon at `address`.
     pub fn daemon_name(&self, address: &str) -> String {
         let mut named = self.daemons.iter();
         let found = named.find(|(_, other)| *other == address);
--- a/crates/scenario/src/runner/check.rs
+++ b/crates/scenario/src/runner/check.rs
@@ -1,4 +1,4 @@
-//! The expectations of a page.
+//! Checks the expectations of a scenario.
 
 use std::time::Duration;
 
@@ -127,7 +127,7 @@
         Ok(())
     }
 
-    /// Waits until none of `engines` that answers holds anything.
+    /// Waits until no engine that answers holds any slot or KV cache.
     pub(super) async fn check_released(
         &self,
         engines: &[String],
--- a/crates/scenario/src/runner/connection.rs
+++ b/crates/scenario/src/runner/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller for one request.
+//! A connection of a caller for one request.
 
 use std::time::Duration;
 
@@ -17,32 +17,32 @@
 /// A connection, read in the background.
 #[derive(Debug)]
 pub struct Connection {
-    /// The daemon it was meant for.
+    /// Daemon that was to be contacted.
     pub target: String,
-    /// Tokens that its caller said to have.
+    /// Number of tokens that the caller claimed to have.
     pub offset: u64,
     /// When it was opened.
     pub opened: Instant,
-    /// What came so far.
+    /// Data received so far.
     pub progress: watch::Receiver<Progress>,
     /// The reading task.
     pub task: JoinHandle<()>,
 }
 
-/// What came over a connection.
+/// Data received over a connection.
 #[derive(Debug, Clone, Default)]
 pub struct Progress {
-    /// The daemon it led to, if that was not the one asked for.
+    /// Daemon that was contacted, if it is not the target.
     pub redirected_to: Option<String>,
     /// Head of the stream.
     pub head: Option<Head>,
-    /// Tokens received.
+    /// Number of tokens received.
     pub tokens: u64,
     /// Their text.
     pub text: String,
-    /// Runs of tokens that did not begin where the last one ended.
+    /// Runs of tokens that do not start where the previous one ended.
     pub gaps: Vec<String>,
-    /// How it ended.
+    /// How the connection ended.
     pub end: Option<Ended>,
 }
 
@@ -53,7 +53,7 @@
     pub end: End,
     /// When.
     pub at: Instant,
-    /// Runs of the request that the applications had counted by then, if it said *not run*.
+    /// Runs of the request counted by the stand-ins at that time, if the result was *not run*.
     pub runs: Option<u64>,
 }
 
@@ -62,25 +62,25 @@
 pub enum End {
     /// A plain answer.
     Answered {
-        /// Whether it was given before.
+        /// Whether it was already given before.
         before: bool,
         /// Its body.
         body: String,
     },
-    /// The last token has come.
+    /// The last token has arrived.
     Done(u64),
-    /// Another connection reads the answer.
+    /// Another connection has taken over the stream.
     Superseded,
     /// A typed refusal.
     Refused(Refusal),
-    /// The connection was lost after the head of a stream.
+    /// The connection was lost after the head of the stream.
     Cut,
     /// The connection was lost before any answer.
     Lost(String),
 }
 
 impl End {
-    /// The word by which scenarios name it.
+    /// Returns the name used in scenarios.
     pub fn as_str(&self) -> &str {
         match self {
             Self::Answered { before: false, .. } => "answered",
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Whether `word` names it, with or without the reason of a refusal.
+    /// Returns whether `word` names it, with or without the reason of a refusal.
     pub fn matches(&self, word: &str) -> bool {
         let full = match self {
             Self::Refused(refusal) => format!("{}/{}", refusal.outcome, refusal.reason),
@@ -102,32 +102,32 @@
         word == self.as_str() || word == full
     }
 
-    /// Whether the caller was told that no byte of its request reached a back end.
+    /// Returns whether the response said that no byte of the request reached a backend server.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::Refused(refusal) if refusal.outcome == "not_run")
     }
 }
 
 impl Connection {
-    /// The daemon it leads to.
+    /// Returns the daemon that it is connected to.
     pub fn daemon(&self) -> String {
         let redirected_to = self.progress.borrow().redirected_to.clone();
         redirected_to.unwrap_or_else(|| self.target.clone())
     }
 
-    /// How it ended, if it has.
+    /// Returns how it ended, if it has.
     pub fn ended(&self) -> Option<Ended> {
         self.progress.borrow().end.clone()
     }
 
-    /// Whether it and `other` were open at the same moment.
+    /// Returns whether it and `other` were open at the same time.
     pub fn overlaps(&self, other: &Self) -> bool {
         let opened_before_end =
             |one: &Self, two: &Self| two.ended().is_none_or(|ended| one.opened < ended.at);
         opened_before_end(self, other) && opened_before_end(other, self)
     }
 
-    /// Waits until `test` holds of what came.
+    /// Waits until the received data meets `test`. Returns `false` after `limit`.
     pub async fn wait_until(&self, limit: Duration, test: impl Fn(&Progress) -> bool) -> bool {
         let mut progress = self.progress.clone();
         let reached = tokio::time::timeout(limit, progress.wait_for(|now| test(now))).await;
@@ -135,34 +135,34 @@
     }
 }
 
-/// Writes down what comes over a connection.
+/// Records the data received over a connection.
 #[derive(Debug)]
 pub struct Recorder {
     progress: watch::Sender<Progress>,
 }
 
 impl Recorder {
-    /// A recorder and what it records.
+    /// Creates a recorder and the receiver of its records.
     pub fn new() -> (Self, watch::Receiver<Progress>) {
         let (progress, receiver) = watch::channel(Progress::default());
         (Self { progress }, receiver)
     }
 
-    /// Notes that the connection leads to `daemon`.
+    /// Records that the connection goes to `daemon`.
     pub fn redirect(&self, daemon: &str) {
         let daemon = daemon.to_owned();
         self.progress
             .send_modify(|now| now.redirected_to = Some(daemon));
     }
 
-    /// Notes the end.
+    /// Records the end.
     pub fn end(&self, end: End, runs: Option<u64>) {
         let at = Instant::now();
         self.progress
             .send_modify(|now| now.end = Some(Ended { end, at, runs }));
     }
 
-    /// Reads an answer to its end.
+    /// Reads a reply to its end.
     pub async fn read(&self, reply: Result<Reply, Error>) -> End {
         match reply {
             Ok(Reply::Stream(stream)) => self.stream(stream).await,
@@ -193,7 +193,7 @@
     }
 }
 
-/// The end of a plain call.
+/// Converts the result of a plain call.
 pub fn call_end(outcome: Result<Outcome, Error>) -> End {
     match outcome {
         Ok(Outcome::Answered { before, body, .. }) => End::Answered { before, body },
@@ -202,7 +202,7 @@
     }
 }
 
-/// An answer without a known outcome is not the system's.
+/// Converts a refusal. A response without an outcome is not from a daemon and counts as lost.
 fn refused_end(refusal: Refusal) -> End {
     match refusal.outcome.as_str() {
         "" => End::Lost(format!("answer without an outcome: {refusal}")),
--- a/crates/scenario/src/runner/decisions.rs
+++ b/crates/scenario/src/runner/decisions.rs
@@ -1,17 +1,17 @@
-//! Decision lines in the logs of the daemons.
+//! Parses the decision lines in the logs of daemons.
 
 use chrono::DateTime;
 use serde::Deserialize;
 use serde::Deserializer;
 use serde::de::Error;
 
-/// What only decision lines hold.
+/// Text that occurs only in decision lines.
 const KIND: &str = r#""kind":"decision""#;
-/// Kinds of decisions that the table governs.
+/// Kinds of decisions that depend on the table.
 const GOVERNED: [&str; 2] = ["admit", "place"];
-/// Word before the handle in the reasons and choices of attempts.
+/// Text before the handle in the reasons and choices of attempts.
 const ATTEMPT: &str = "attempt ";
-/// Reason of the lines that name a pool's keeper.
+/// Reason of the lines that name the keeper of a pool.
 const KEEPER: &str = "keeper of the pool";
 
 /// A decision line.
@@ -21,29 +21,29 @@
     pub request: String,
     /// Kind of decision.
     pub step: String,
-    /// What was chosen.
+    /// Chosen option.
     pub choice: String,
-    /// Why.
+    /// Reason for the choice.
     pub reason: String,
     /// Table generation.
     pub generation: u64,
-    /// When, in milliseconds of the Unix clock.
+    /// Time in milliseconds since the Unix epoch.
     #[serde(rename = "time", deserialize_with = "unix_ms")]
     pub unix_ms: u64,
 }
 
 impl DecisionLine {
-    /// Whether the table governs the decision.
+    /// Returns whether the decision depends on the table.
     pub fn is_governed(&self) -> bool {
         GOVERNED.contains(&self.step.as_str())
     }
 
-    /// Whether it names the keeper of `pool`.
+    /// Returns whether it names the keeper of `pool`.
     pub fn is_keeper(&self, pool: &str) -> bool {
         self.request == pool && self.reason == KEEPER
     }
 
-    /// The handle of an attempt that begins with this line.
+    /// Returns the handle of the attempt that starts with this line.
     fn handle(&self) -> Option<&str> {
         let text = match self.step.as_str() {
             "admit" => &self.reason,
@@ -55,11 +55,11 @@
     }
 }
 
-/// The decision lines of a log, oldest first.
+/// Returns the decision lines of a log, oldest first.
 ///
 /// # Panics
 ///
-/// If one can't be read: its checks would pass unseen otherwise.
+/// Panics if a line cannot be parsed; otherwise checks would pass without having seen it.
 pub fn read(log: &str) -> Vec<DecisionLine> {
     log.lines()
         .filter(|line| line.contains(KIND) && line.ends_with('}'))
@@ -73,7 +73,7 @@
     Ok(time.timestamp_millis().cast_unsigned())
 }
 
-/// Handles of all attempts at the request with `key`.
+/// Returns the handles of all attempts at the request with `key`.
 pub fn handles(lines: &[DecisionLine], key: &str) -> Vec<String> {
     let suffix = format!("/{key}");
     let own = lines.iter().filter(|line| line.request.ends_with(&suffix));
--- a/crates/scenario/src/runner/edits.rs
+++ b/crates/scenario/src/runner/edits.rs
@@ -1,4 +1,4 @@
-//! Operators' edits.
+//! Submits edits of operators.
 
 use http::Method;
 use serde_json::Value;
@@ -25,7 +25,7 @@
         self.race(vec![edit]).await
     }
 
-    /// Sends all `edits` at the same moment, each based on the table before.
+    /// Sends all `edits` concurrently, each based on the table before.
     pub(super) async fn race(&mut self, edits: Vec<step::Edit>) -> Result<(), Error> {
         let mut sent = JoinSet::new();
         for step in edits {
@@ -73,7 +73,7 @@
         Ok(edit)
     }
 
-    /// The table in force at a daemon.
+    /// Returns the table in force at a daemon.
     pub(super) async fn table_at(&self, daemon: &str) -> Result<Table, Error> {
         let admin = self.fleet.daemon(daemon)?.admin.clone();
         let request = self
@@ -92,7 +92,7 @@
     }
 }
 
-/// `base` with other `columns`.
+/// Returns `base` with `columns` replaced.
 fn changed(
     base: &Row,
     columns: &std::collections::BTreeMap<String, serde_norway::Value>,
--- a/crates/scenario/src/runner/invariants.rs
+++ b/crates/scenario/src/runner/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold in every scenario, whatever it is about.
+//! Checks the invariants that must hold at the end of every scenario.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 use crate::runner::decisions::DecisionLine;
 use crate::runner::request::Request;
 
-/// Time in which engines must have released everything once all callers are gone. The stated bound
-/// is the callers' grace, the orphan grace and a few inspections: less than half of it.
+/// Time within which engines must release everything after all callers have disconnected. The
+/// documented bound (callers' grace, orphan grace and a few inspections) is less than half of it.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Time after an accepted edit from which no decision may be made under the older table. The stated
-/// bound is the lease.
+/// Time after the acceptance of an edit from which no decision may use an older table. The
+/// documented bound is the lease.
 const MAX_STALE_DECISION_MS: u64 = 6_000;
 
 impl Runner {
-    /// Checks what must hold in every scenario.
+    /// Checks all invariants.
     pub(super) async fn check_invariants(&mut self) -> Result<(), Error> {
         for request in self.requests.values() {
             for connection in &request.connections {
@@ -59,7 +59,7 @@
         self.check_edits(&lines)
     }
 
-    /// Daemons, too, forget requests that are gone: no request, no hold, no place stays taken.
+    /// Waits until no daemon has open requests, holds, or placed or waiting generations.
     async fn check_idle(&self) -> Result<(), Error> {
         let end = Instant::now() + RELEASE_TIMEOUT;
         for daemon in self.daemons() {
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// A connection that was lost although nothing happened to its daemon.
+    /// Reports a connection that was lost although its daemon was not disrupted.
     fn lost_connection(&self, request: &Request) -> Option<String> {
         let lost = request.connections.iter().find(|connection| {
             let ended = connection.ended();
@@ -91,7 +91,7 @@
         ))
     }
 
-    /// The generation of a daemon's decisions never goes down.
+    /// Checks that the generation of a daemon's decisions never decreases.
     fn check_generations(&self, daemon: &str, lines: &[DecisionLine]) -> Result<(), Error> {
         let mut highest = 0;
         for line in lines.iter().filter(|line| line.is_governed()) {
@@ -102,7 +102,8 @@
         Ok(())
     }
 
-    /// Soon after an edit was accepted nothing is decided under the older table.
+    /// Checks that no decision uses an older table for longer than the limit after an edit is
+    /// accepted.
     fn check_edits(&self, lines: &[DecisionLine]) -> Result<(), Error> {
         let accepted = self
             .submitted_edits
@@ -125,7 +126,7 @@
     }
 }
 
-/// Whether a daemon's status shows nothing in progress; true if it does not answer.
+/// Returns whether a daemon's status shows nothing in progress; true if it does not answer.
 fn is_idle(status: &Value) -> bool {
     let none = |value: &Value| value.as_u64().unwrap_or(0) == 0;
     let pools = status["pools"].as_array().cloned().unwrap_or_default();
@@ -135,7 +136,7 @@
     none(&status["open"]) && none(&status["holds"]) && empty
 }
 
-/// Tokens that are not the request's own, or not in their order, or an end that is not the whole.
+/// Reports tokens that are wrong or out of order, or an incomplete answer marked as done.
 fn tokens_fault(request: &Request) -> Option<String> {
     let expected = request.expected();
     request
@@ -164,7 +165,7 @@
     }
 }
 
-/// The whole answer given to two connections at the same time.
+/// Reports a complete answer given to two connections at the same time.
 fn repeated_answer(request: &Request) -> Option<String> {
     let whole = |connection: &&Connection| {
         let ended = connection.ended();
@@ -181,7 +182,7 @@
     twice.map(|other| format!("answered twice, the second time by {}", other.daemon()))
 }
 
-/// An application's answer may be told again, but only marked as such.
+/// Reports an application's answer that was given again without being marked as repeated.
 fn first_answers(answered: &[&Connection]) -> Option<String> {
     let first = answered.iter().filter(|connection| {
         let ended = connection.ended();
@@ -191,7 +192,7 @@
     (count > 1).then(|| format!("{count} first answers"))
 }
 
-/// A non-repeatable call that ran twice.
+/// Reports a call that ran twice although it is not repeatable.
 fn repeated_run(request: &Request, runs: &BTreeMap<String, u64>) -> Option<String> {
     let key = request.key.borrow().clone()?;
     let count = runs.get(&key).copied().unwrap_or(0);
@@ -205,7 +206,7 @@
     (request.spec.once && most > 1).then(|| format!("ran {most} times"))
 }
 
-/// A *not run* of which a stand-in knows better.
+/// Reports a *not run* refusal of a request that did run, according to a stand-in.
 fn false_refusal(
     request: &Request,
     runs: &BTreeMap<String, u64>,
--- a/crates/scenario/src/runner/record_collector.rs
+++ b/crates/scenario/src/runner/record_collector.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins counted.
+//! Reads the counters of stand-ins.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,22 +8,22 @@
 
 use crate::http_client::HttpClient;
 
-/// A stand-in that does not answer in this time is passed over.
+/// Maximum wait for a stand-in; one that does not answer is skipped.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
 const RECORD: &str = "/control/record";
 
-/// Asks stand-ins for their records, and keeps those of stand-ins that end.
+/// Fetches the records of stand-ins, and keeps the counts of those that are killed.
 #[derive(Debug, Clone)]
 pub struct RecordCollector {
     client: HttpClient,
     /// Addresses by name.
     replicas: BTreeMap<String, String>,
-    /// Runs that stand-ins counted before they ended.
+    /// Runs counted by stand-ins before they were killed.
     former: BTreeMap<String, u64>,
 }
 
 impl RecordCollector {
-    /// A witness of `replicas`, addresses by name.
+    /// Creates a collector for `replicas`, addresses by name.
     pub fn new(replicas: BTreeMap<String, String>) -> Self {
         Self {
             client: HttpClient::new(),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Keeps what `name` counted, because it is about to end.
+    /// Saves the counts of `name`, which is about to be killed.
     pub async fn save_counts(&mut self, name: &str) {
         let Some(record) = self.record(name).await else {
             return;
@@ -42,14 +42,14 @@
         }
     }
 
-    /// The record of a replica; `None` if it does not answer.
+    /// Returns the record of a replica, or `None` if it does not answer.
     pub async fn record(&self, name: &str) -> Option<Value> {
         let address = self.replicas.get(name)?;
         let answer = timeout(RECORD_TIMEOUT, self.client.get_json(address, RECORD)).await;
         answer.ok()?.ok()
     }
 
-    /// Runs of everything, by key or handle, over all replicas.
+    /// Returns the runs over all replicas, by key or handle.
     pub async fn all_runs(&self) -> BTreeMap<String, u64> {
         let mut all = self.former.clone();
         for name in self.replicas.keys() {
@@ -61,12 +61,13 @@
         all
     }
 
-    /// Runs of a key.
+    /// Returns the runs of a key.
     pub async fn runs(&self, key: &str) -> u64 {
         self.all_runs().await.get(key).copied().unwrap_or(0)
     }
 
-    /// Handles that the engine `name` holds memory for; `None` if it does not answer.
+    /// Returns the handles for which the engine `name` holds memory, or `None` if it does not
+    /// answer.
     pub async fn held(&self, name: &str) -> Option<Vec<String>> {
         let record = self.record(name).await?;
         let held = record["held"].as_array().cloned().unwrap_or_default();
@@ -74,7 +75,8 @@
         Some(handles.collect())
     }
 
-    /// Attempts that the engine `name` has in `phase`, or calls that an application has begun.
+    /// Returns the number of attempts in `phase` at the engine `name`, or of calls started by an
+    /// application.
     pub async fn work_count(&self, name: &str, phase: Option<&str>) -> u64 {
         let Some(phase) = phase else {
             let record = self.record(name).await.unwrap_or_default();
@@ -84,14 +86,14 @@
         phases.iter().filter(|other| *other == phase).count() as u64
     }
 
-    /// Attempts that the engine `name` transfers or decodes.
+    /// Returns the number of attempts that the engine `name` imports or decodes.
     pub async fn decoding_count(&self, name: &str) -> u64 {
         let phases = self.phases(name).await;
         let taken = |phase: &&String| matches!(phase.as_str(), "import" | "decode");
         phases.iter().filter(taken).count() as u64
     }
 
-    /// The phase of each attempt at the engine `name`.
+    /// Returns the phase of each attempt at the engine `name`.
     async fn phases(&self, name: &str) -> Vec<String> {
         let Some(address) = self.replicas.get(name) else {
             return Vec::new();
@@ -103,7 +105,7 @@
         phases.map(str::to_owned).collect()
     }
 
-    /// Names of all replicas.
+    /// Returns the names of all replicas.
     pub fn replica_names(&self) -> Vec<String> {
         self.replicas.keys().cloned().collect()
     }
--- a/crates/scenario/src/runner/request.rs
+++ b/crates/scenario/src/runner/request.rs
@@ -1,4 +1,4 @@
-//! A request of a scenario with all its connections.
+//! A request of a scenario and its connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,26 +21,26 @@
 use crate::script::step::Model;
 use crate::script::step::Send;
 
-/// Reason of a refusal that names the one instance to go to.
+/// Reason of a refusal that names the instance to use instead.
 const OTHER_RUNNER: &str = "other_runner";
-/// Longest wait for the key of a request.
+/// Maximum wait for the key of a request.
 const KEY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A request.
 #[derive(Debug)]
 pub struct Request {
-    /// What was asked for.
+    /// The step that sends it.
     pub spec: Arc<Send>,
     /// Unique part of the key.
     pub unique: String,
-    /// The key, once an address answer gave its prefix.
+    /// The key, known once an address response gives its prefix.
     pub key: watch::Receiver<Option<String>>,
     key_sender: Arc<watch::Sender<Option<String>>>,
     /// Its connections, oldest first.
     pub connections: Vec<Connection>,
 }
 
-/// Where a connection leads, and after what pause.
+/// Target of a connection, with a delay.
 #[derive(Debug)]
 pub struct Route {
     /// The daemon.
@@ -51,19 +51,19 @@
     pub pause: Duration,
 }
 
-/// A resume token and what is said with it.
+/// A resume token and the data sent with it.
 #[derive(Debug)]
 pub struct ResumeClaim {
     /// The token.
     pub token: String,
-    /// Tokens the caller says it has.
+    /// Number of tokens that the caller claims to have.
     pub offset: u64,
-    /// Who presents it.
+    /// Customer that presents it.
     pub customer: String,
 }
 
 impl Request {
-    /// A request that was not sent yet.
+    /// Creates a request that has not been sent.
     pub fn new(spec: Arc<Send>, unique: String) -> Self {
         let (key_sender, key) = watch::channel(None);
         let key_sender = Arc::new(key_sender);
@@ -76,33 +76,33 @@
         }
     }
 
-    /// The prompt; no other request has the same.
+    /// Returns the prompt, which is unique to the request.
     pub fn prompt(&self, model: Model) -> String {
         let words = (0..model.prompt).map(|index| format!("farm{index}"));
         let words: Vec<String> = words.collect();
         format!("{} {}", self.unique, words.join(" "))
     }
 
-    /// The tokens of the whole answer; none for plain calls.
+    /// Returns the tokens of the complete answer; none for plain calls.
     pub fn expected(&self) -> Vec<String> {
         self.spec.model.map_or_else(Vec::new, |model| {
             text::expected(&self.prompt(model), model.tokens as usize)
         })
     }
 
-    /// Tokens received so far by the latest connection, with those before it.
+    /// Returns the number of tokens received so far over all connections.
     pub fn tokens(&self) -> u64 {
         self.connections.iter().map(reached).max().unwrap_or(0)
     }
 
-    /// The latest resume token.
+    /// Returns the latest resume token.
     pub fn token(&self) -> Option<String> {
         let heads = self.connections.iter().rev();
         let mut heads = heads.filter_map(|connection| connection.progress.borrow().head.clone());
         heads.next().map(|head| head.resume)
     }
 
-    /// Opens a connection that presents the whole request under its key.
+    /// Opens a connection that sends the request with its key.
     pub fn open(&mut self, route: Route, address_cache: AddressCache, collector: RecordCollector) {
         let (recorder, progress) = Recorder::new();
         let call = RequestTask {
@@ -148,7 +148,7 @@
     }
 }
 
-/// Tokens that the caller has after `connection`.
+/// Returns the number of tokens that the caller has after `connection`.
 fn reached(connection: &Connection) -> u64 {
     let tokens = connection.progress.borrow().tokens;
     match tokens {
@@ -157,14 +157,14 @@
     }
 }
 
-/// What a connection needs to present the whole request.
+/// The task that sends the request over a connection.
 #[derive(Debug)]
 struct RequestTask {
     caller: Caller,
     spec: Arc<Send>,
     prompt: Option<String>,
     unique: String,
-    /// Where the key is published by the first connection.
+    /// Publishes the key; only the first connection has it.
     key_sender: Option<Arc<watch::Sender<Option<String>>>>,
     key: watch::Receiver<Option<String>>,
     address_cache: AddressCache,
@@ -189,7 +189,7 @@
         recorder.end(end, runs);
     }
 
-    /// Where a repeat is told to go.
+    /// Returns the address to which a repeat is redirected.
     fn redirected_to(&self, end: &End) -> Option<String> {
         match end {
             End::Refused(refusal)
@@ -220,8 +220,9 @@
         PlainCall::new(&self.spec.service, "orders").with_key(key)
     }
 
-    /// Where to connect, and the key: from an address answer for the first connection, which goes
-    /// elsewhere if its daemon leaves; as said and the same for every later one.
+    /// Returns the address and the key. The first connection takes both from an address response,
+    /// which names another instance if its daemon is leaving; later ones use the route and the
+    /// same key.
     async fn key(&self, route: &Route, recorder: &Recorder) -> Result<(String, String), String> {
         let Some(key_sender) = &self.key_sender else {
             return Ok((route.address.clone(), self.known_key().await?));
--- a/crates/scenario/src/runner/steps.rs
+++ b/crates/scenario/src/runner/steps.rs
@@ -1,4 +1,4 @@
-//! The steps that bring something about.
+//! Executes the steps of a scenario.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use crate::script::step::Step;
 
 impl Runner {
-    /// Carries out one step.
+    /// Executes one step.
     pub(super) async fn execute(&mut self, step: Step) -> Result<(), Error> {
         match step {
             Step::Send(send) => self.send(&send),
@@ -167,7 +167,7 @@
     }
 }
 
-/// The token with a character in its middle changed.
+/// Returns the token with its middle character changed.
 fn damaged(token: &str) -> String {
     let middle = token.len() / 2;
     let other = if token[middle..].starts_with('A') {
--- a/crates/scenario/src/runner/submitted_edit.rs
+++ b/crates/scenario/src/runner/submitted_edit.rs
@@ -1,17 +1,17 @@
-//! An operator's edit and what came of it.
+//! A submitted edit of an operator and its result.
 
 use table::edit::Edit;
 
-/// An edit that was sent, with its verdict.
+/// An edit with its verdict.
 #[derive(Debug, Clone)]
 pub(super) struct SubmittedEdit {
     pub(super) edit: Edit,
     /// `accepted`, `repeated`, `conflict`, `rejected`, `undecided` or `lost`.
     pub(super) verdict: String,
-    /// The answer's text.
+    /// Status and body of the response.
     pub(super) text: String,
-    /// Generation, if accepted.
+    /// Generation if accepted, else 0.
     pub(super) generation: u64,
-    /// When the verdict came, in milliseconds of the Unix clock.
+    /// When the verdict arrived, in milliseconds since the Unix epoch.
     pub(super) unix_ms: u64,
 }
--- a/crates/scenario/src/runner/wait.rs
+++ b/crates/scenario/src/runner/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for something to happen.
+//! Waits for the events that a scenario names.
 
 use tokio::time::Instant;
 use tokio::time::sleep;
@@ -72,7 +72,7 @@
             let Some(connection) = connections.get(index) else {
                 return Err(self.failure(format!("{name} has no connection {}", index + 1)));
             };
-            // The last of a number of requests starts much later than the step that sends them.
+            // Of several requests with a pause in between, the last starts long after the step.
             let pause = connection.opened.saturating_duration_since(Instant::now());
             let ended = connection
                 .wait_until(pause + DEFAULT_TIMEOUT * 3, |now| now.end.is_some())
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,8 +1,8 @@
-//! The test language: a scenario is a page of YAML.
+//! The format of scenarios, which are YAML files.
 //!
-//! It says what is promised and what fails, what is started under which table, and then step by
-//! step what happens and what is expected. the module `play` carries it out. Beside the expectations
-//! of a page, `play::promise` checks at the end of each what must hold in all of them.
+//! A scenario names the promise and the failure, the processes to start, the initial table, and a
+//! list of actions and expectations. The module `runner` executes it; at the end of each scenario,
+//! `runner::invariants` checks what must hold in all of them.
 
 pub mod expect;
 pub mod start;
@@ -23,16 +23,16 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// What must hold.
+    /// Property under test.
     pub promise: String,
-    /// What goes wrong.
+    /// Failure under which it must hold.
     pub failure: String,
-    /// What is started.
+    /// Processes to start.
     #[serde(with = "singleton_map_recursive")]
     pub start: Start,
-    /// Rows of the table that is in force before the first step.
+    /// Rows of the table in force before the first step.
     pub table: Vec<Value>,
-    /// What happens and what is expected, in order.
+    /// Actions and expectations, in order.
     #[serde(with = "singleton_map_recursive")]
     pub steps: Vec<Step>,
 }
--- a/crates/scenario/src/script/expect.rs
+++ b/crates/scenario/src/script/expect.rs
@@ -1,83 +1,83 @@
-//! Expectations of a scenario.
+//! Types of the expectations in a scenario.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde_norway::Value;
 
-/// What must be true now or soon.
+/// A condition that must hold now or within a time limit.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expect {
-    /// The end of a request's latest connection is one of those named.
+    /// A request's latest connection ends in one of the listed ways.
     Outcome(Outcome),
-    /// Every request of this name was answered: the last token has come, and none is missing.
+    /// Every request of this name got the complete answer, with no token missing.
     Whole(String),
-    /// Runs of a request at the stand-ins.
+    /// Number of runs of a request at the stand-ins.
     Runs(Runs),
-    /// Engines hold nothing more.
+    /// Engines hold nothing.
     Released(Released),
-    /// A process ends by itself.
+    /// A process exits.
     Exit(Exit),
-    /// An edit is in force at all running daemons, or at those named.
+    /// An edit is in force at all running daemons, or at the listed ones.
     InForce(InForce),
     /// Verdicts of edits, in any order.
     Verdicts(Verdicts),
-    /// A daemon does not decide.
+    /// A daemon is not ready and makes no decisions.
     NotReady(NotReady),
-    /// A replica gets no new work after a drain.
+    /// A draining replica gets no new work.
     Drained(Drained),
-    /// Lines of a daemon's decision log.
+    /// Number of decision lines in the logs of daemons.
     Decisions(Decisions),
-    /// A replica never has more attempts in progress than this, for some time.
+    /// A replica does not exceed a number of concurrent attempts during some time.
     AtMost(AtMost),
-    /// A pool's keeper, which is the same in every run.
+    /// The keeper of a pool, which is the same in every run.
     Keeper(Keeper),
-    /// A row as a daemon has it in force.
+    /// A row of the table in force at a daemon.
     Row(Row),
 }
 
-/// Ends that are right.
+/// Permitted ends of a connection.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outcome {
-    /// The request, or the name of several.
+    /// The request, or the common name of several.
     pub of: String,
-    /// Words: `answered`, `answered_before`, `done`, `superseded`, `cut`, `lost`, `not_run`,
+    /// Any of `answered`, `answered_before`, `done`, `superseded`, `cut`, `lost`, `not_run`,
     /// `unknown`, `failed`, or a refusal with its reason as `not_run/bad_token`.
     pub is: Vec<String>,
-    /// Counted from the first; the latest connection if left out.
+    /// Number of the connection, from 1; by default, the latest.
     pub connection: Option<usize>,
-    /// Longest time from sending to the end, in seconds.
+    /// Maximum time from sending to the end, in seconds.
     pub within: Option<f64>,
-    /// How many of several must end so; all if left out.
+    /// Minimum number of requests that must end so; by default, all.
     pub least: Option<usize>,
 }
 
-/// Runs at the stand-ins.
+/// Bounds on the runs at the stand-ins.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Runs {
-    /// The request, or the name of several; each is counted for itself.
+    /// The request, or the common name of several, which are counted separately.
     pub of: String,
-    /// Least.
+    /// Minimum.
     #[serde(default)]
     pub least: u64,
-    /// Most.
+    /// Maximum.
     pub most: u64,
 }
 
-/// Held memory.
+/// Release of slots and KV caches.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Released {
     /// Engines.
     pub at: Vec<String>,
-    /// Longest time from now, in seconds.
+    /// Maximum time from now, in seconds.
     pub within: f64,
 }
 
-/// End of a process.
+/// Exit of a process.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Exit {
@@ -85,23 +85,23 @@
     pub of: String,
     /// Exit code.
     pub code: i32,
-    /// Longest time from now, in seconds.
+    /// Maximum time from now, in seconds.
     pub within: f64,
-    /// Shortest time from the request to stop, in seconds.
+    /// Minimum time from the request to stop, in seconds.
     #[serde(default)]
     pub not_before: f64,
 }
 
-/// Reach of an edit.
+/// Rollout of an edit.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InForce {
     /// The edit.
     pub edit: String,
-    /// Daemons; all if left out.
+    /// Daemons; by default, all.
     #[serde(default)]
     pub at: Vec<String>,
-    /// Longest time from its verdict, in seconds.
+    /// Maximum time from its verdict, in seconds.
     pub within: f64,
 }
 
@@ -115,39 +115,40 @@
     pub are: Vec<String>,
 }
 
-/// A daemon that must not decide.
+/// A daemon that must stop making decisions.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NotReady {
     /// The daemon.
     pub at: String,
-    /// Longest time from now, in seconds.
+    /// Maximum time from now, in seconds.
     pub within: f64,
 }
 
-/// A drained replica.
+/// A draining replica.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drained {
     /// The replica.
     pub at: String,
-    /// Longest time from the verdict of the edit or the mark on the list, in seconds.
+    /// Maximum time from the verdict of the edit or the mark on the list to the last new work, in
+    /// seconds.
     pub within: f64,
 }
 
-/// Decision lines.
+/// Bounds on the number of decision lines.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Decisions {
-    /// Daemons; all if left out.
+    /// Daemons; by default, all.
     #[serde(default)]
     pub at: Vec<String>,
     /// Kind of decision.
     pub step: String,
-    /// Least number, over all the daemons.
+    /// Minimum over all the daemons.
     #[serde(default)]
     pub least: usize,
-    /// Most.
+    /// Maximum.
     pub most: Option<usize>,
 }
 
@@ -159,7 +160,7 @@
     pub at: String,
     /// `service/class/pool`.
     pub key: String,
-    /// Columns that it must have.
+    /// Required values, by column.
     pub has: BTreeMap<String, Value>,
 }
 
@@ -173,16 +174,16 @@
     pub is: String,
 }
 
-/// A limit on what a replica does at once.
+/// A limit on the concurrent attempts of a replica.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AtMost {
     /// The replica.
     pub at: String,
-    /// Most attempts in transfer or decode.
+    /// Maximum number of attempts in transfer or decode.
     pub most: u64,
-    /// The peak must reach this, or the limit shows nothing.
+    /// Minimum peak; below it, the check would prove nothing about the limit.
     pub least: u64,
-    /// How long it is watched, in seconds.
+    /// Observation time in seconds.
     pub seconds: f64,
 }
--- a/crates/scenario/src/script/start.rs
+++ b/crates/scenario/src/script/start.rs
@@ -1,4 +1,4 @@
-//! What a scenario starts.
+//! Types of the processes and links that a scenario starts.
 
 use serde::Deserialize;
 
@@ -6,18 +6,18 @@
 use crate::plan::Plan;
 use crate::plan::Timing;
 
-/// Data centres that daemons and replicas are spread over.
+/// Data centres over which daemons and replicas are spread.
 const DATA_CENTRES: [&str; 3] = ["osijek-a", "vinkovci-b", "dakovo-c"];
 
 /// Daemons, stand-ins and the links between them.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Start {
-    /// Names of the daemons; they are spread over the data centres in turn.
+    /// Names of the daemons, which are assigned to the data centres in turn.
     pub daemons: Vec<String>,
     /// Backend servers.
     pub replicas: Vec<Replica>,
-    /// Routes that lead through the forwarder, so that they can be cut.
+    /// Routes that pass through the forwarder and can be cut.
     #[serde(default)]
     pub links: Vec<Between>,
     /// Times in the daemons' settings.
@@ -33,23 +33,23 @@
     pub name: String,
     /// The model or plain application.
     pub service: String,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: Option<u32>,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it refuses lower fencing numbers.
     #[serde(default = "yes")]
     pub fences: bool,
-    /// Further arguments for the stand-in program.
+    /// Additional arguments of the stand-in program.
     #[serde(default)]
     pub args: Vec<String>,
 }
 
-/// What a replica does.
+/// Role of a replica.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Computes prompts.
+    /// Prefills prompts.
     Prefill,
     /// Generates tokens.
     Decode,
@@ -57,7 +57,7 @@
     Plain,
 }
 
-/// All routes, in both directions, between one party and some others.
+/// All routes, in both directions, between one daemon and other processes.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Between {
@@ -67,7 +67,7 @@
     pub and: Vec<String>,
 }
 
-/// Times that differ from the scenarios' usual ones, in milliseconds.
+/// Times that differ from the defaults of scenarios, in milliseconds unless named otherwise.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Times {
@@ -82,7 +82,7 @@
 }
 
 impl Start {
-    /// The fleet to start.
+    /// Returns the plan of the fleet.
     pub fn plan(&self) -> Plan {
         let mut plan = Plan::new().with_timing(self.timing.timing());
         for (index, name) in self.daemons.iter().enumerate() {
@@ -97,7 +97,7 @@
         plan
     }
 
-    /// The routes of `link` that daemons use.
+    /// Returns the routes of `link` that start at a daemon.
     pub fn routes(&self, link: &Between) -> Vec<(String, String)> {
         let near = &link.between;
         let there = link.and.iter().map(|far| (near.clone(), far.clone()));
@@ -126,7 +126,7 @@
 }
 
 impl Times {
-    /// The times of the daemons: shorter than usual, so that scenarios are quick.
+    /// Returns the times of the daemons, shorter than the defaults to keep scenarios short.
     fn timing(&self) -> Timing {
         let usual = Timing::default();
         Timing {
--- a/crates/scenario/src/script/step.rs
+++ b/crates/scenario/src/script/step.rs
@@ -1,4 +1,4 @@
-//! Steps of a scenario.
+//! Types of the steps in a scenario.
 
 use std::collections::BTreeMap;
 
@@ -12,51 +12,51 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    /// Sends a request, or several, and goes on at once.
+    /// Sends one or more requests without waiting for them.
     Send(Send),
-    /// Sends a request again under the same key.
+    /// Sends a request again with the same key.
     Retry(Retry),
-    /// Presents the resume token of a request.
+    /// Resumes a request with its resume token.
     Resume(Resume),
-    /// The caller of a request goes away.
+    /// Closes all connections of a request.
     Cancel(String),
-    /// Ends a process without notice.
+    /// Kills a process.
     Kill(String),
-    /// Stops a process where it stands.
+    /// Pauses a process.
     Freeze(String),
-    /// Lets a frozen process go on.
+    /// Continues a paused process.
     Wake(String),
-    /// Asks a daemon for a planned stop.
+    /// Requests a planned stop of a daemon.
     Stop(String),
-    /// Starts a process again, ending it first if it runs.
+    /// Restarts a process, killing it first if it runs.
     Restart(String),
     /// Cuts links: connections are closed.
     Cut(Between),
-    /// Holds links up: connections stay open, nothing passes.
+    /// Stalls links: connections stay open, but nothing passes.
     Hang(Between),
-    /// Delays what passes over links.
+    /// Delays the bytes on links.
     Slow(Slow),
-    /// Has links send each answer a second time, where the next one on the connection is due.
+    /// Makes links send each answer a second time, in place of the next one on the connection.
     Repeat(Between),
-    /// Puts links in order again.
+    /// Restores links.
     Mend(Between),
     /// Sets a fault of a stand-in.
     Fault(Fault),
-    /// An operator's edit; the step ends with its verdict.
+    /// Submits an edit of an operator and waits for the verdict.
     Edit(Edit),
-    /// Edits sent at the same moment, all based on the table before.
+    /// Submits edits concurrently, all based on the table before.
     Race(Vec<Edit>),
     /// Marks an entry of the platform's list as leaving.
     Mark(String),
-    /// Takes an entry off the platform's list.
+    /// Removes an entry from the platform's list.
     Unlist(String),
-    /// How late changes of the platform's list show.
+    /// Sets the lag after which changes of the platform's list become visible.
     LagMs(u64),
-    /// Waits for something to happen.
+    /// Waits for an event.
     Wait(Wait),
-    /// Lets time pass, in seconds.
+    /// Sleeps for a number of seconds.
     Sleep(f64),
-    /// What must be true now or soon.
+    /// Checks a condition.
     Expect(Expect),
 }
 
@@ -64,13 +64,13 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Send {
-    /// Name by which other steps speak of it; numbered from 1 if `count` is given.
+    /// Name used by other steps; a number from 1 is appended if `count` is given.
     pub name: String,
-    /// The table's service.
+    /// Service in the table.
     pub service: String,
-    /// Where it is sent, in turn.
+    /// Daemons to which requests are sent in turn.
     pub via: Vec<String>,
-    /// Whose key it carries; the daemon it is sent to if left out.
+    /// Daemon whose key prefix is used; by default, the one it is sent to.
     pub key_of: Option<String>,
     /// The customer.
     #[serde(default = "customer")]
@@ -78,14 +78,14 @@
     /// The caller class.
     #[serde(default = "class")]
     pub class: String,
-    /// For language-model requests: words of the prompt and most tokens wanted.
+    /// Size of a language-model request; absent for plain calls.
     pub model: Option<Model>,
-    /// Marks a call as non-repeatable.
+    /// Marks a call as not repeatable.
     #[serde(default)]
     pub once: bool,
-    /// How many are sent.
+    /// Number of requests.
     pub count: Option<u32>,
-    /// Time between two of them.
+    /// Interval between two requests.
     #[serde(default)]
     pub every_ms: u64,
 }
@@ -94,40 +94,40 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Words of the prompt.
+    /// Number of words in the prompt.
     pub prompt: usize,
-    /// Most tokens wanted; the answer has at least half of them.
+    /// Maximum number of tokens; the answer has at least half of them.
     pub tokens: u32,
 }
 
-/// A repeat under the same key, which goes once to another instance if it is told to.
+/// A repeat with the same key, which follows one redirect to another instance.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retry {
     /// The request.
     pub request: String,
-    /// Where it is sent.
+    /// Daemon to which it is sent.
     pub via: String,
 }
 
-/// A resume token presented.
+/// A resume of a request.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resume {
     /// The request.
     pub request: String,
-    /// Where it is presented.
+    /// Daemon to which it is sent.
     pub via: String,
-    /// Tokens the caller says it has; those it has got if left out.
+    /// Number of tokens that the caller claims to have; by default, the number received.
     pub offset: Option<u64>,
-    /// Who presents it; the caller itself if left out.
+    /// Customer that presents it; by default, that of the request.
     pub customer: Option<String>,
-    /// Whether the token is damaged first.
+    /// Whether the token is corrupted first.
     #[serde(default)]
     pub damaged: bool,
 }
 
-/// Links that become slow.
+/// Links to slow down.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slow {
@@ -147,7 +147,7 @@
     pub at: String,
     /// The mode, as in `docs/PROTOCOLS.md`.
     pub mode: String,
-    /// Its time.
+    /// Time parameter of the mode, in milliseconds.
     #[serde(default)]
     pub ms: u64,
 }
@@ -156,9 +156,9 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// Name by which other steps speak of it.
+    /// Name used by other steps.
     pub name: String,
-    /// The instance it is sent to.
+    /// Daemon to which it is sent.
     pub via: String,
     /// Columns to change, by `service/class/pool`.
     #[serde(default)]
@@ -166,11 +166,11 @@
     /// Replicas to drain.
     #[serde(default)]
     pub drain: Vec<String>,
-    /// Sends this earlier edit again, as it was.
+    /// Earlier edit to send again unchanged.
     pub again: Option<String>,
 }
 
-/// Something to wait for.
+/// An event to wait for.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Wait {
@@ -180,7 +180,7 @@
     Tokens(Tokens),
     /// The end of the latest connection of each request of this name.
     End(String),
-    /// Work that a replica has or had.
+    /// Attempts or calls at a replica.
     Work(Work),
     /// A daemon is ready.
     Ready(String),
@@ -192,22 +192,22 @@
 pub struct Tokens {
     /// The request.
     pub of: String,
-    /// How many.
+    /// Minimum number.
     #[serde(default)]
     pub count: u64,
-    /// How many are still to come, in place of a count.
+    /// Maximum number of missing tokens, in place of `count`.
     pub left: Option<u64>,
 }
 
-/// Work to wait for.
+/// Attempts or calls to wait for.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Work {
     /// The replica.
     pub at: String,
-    /// At an engine, the phase that an attempt must be in now; calls ever begun at an application.
+    /// Phase of the attempts, at an engine; absent for calls started by an application.
     pub phase: Option<String>,
-    /// How many.
+    /// Minimum number.
     pub count: u64,
 }
 
--- a/crates/scenario/src/settings.rs
+++ b/crates/scenario/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a daemon, as YAML.
+//! The YAML settings file of a daemon.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,25 @@
 
 use crate::plan::Timing;
 
-/// Name of the operator that every daemon of a fleet knows.
+/// Name of the operator in the settings of every daemon.
 pub const OPERATOR: &str = "ana";
-/// That operator's token.
+/// Token of [`OPERATOR`].
 pub const TOKEN: &str = "demo-token-of-the-operator";
-/// The secret that all daemons of a fleet share.
+/// Secret shared by all daemons of a fleet.
 const SECRET: &str = "demo-secret-of-the-fleet";
 
 /// Addresses of a daemon, each `ip:port`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Listen {
-    /// Where callers connect.
+    /// Address for callers.
     pub caller: String,
-    /// Where other daemons connect.
+    /// Address for other daemons.
     pub peer: String,
-    /// Where operators and metrics scrapers connect.
+    /// Address for operators and metrics scrapers.
     pub admin: String,
 }
 
-/// Settings as `waxwingd` reads them.
+/// Settings in the format of `waxwingd`.
 #[derive(Debug, Serialize)]
 pub(crate) struct Settings<'a> {
     name: &'a str,
@@ -37,7 +37,7 @@
     timing: TimingFields,
 }
 
-/// Another daemon to start from.
+/// A daemon to contact at the start.
 #[derive(Debug, Serialize)]
 pub(crate) struct Seed {
     /// Its name.
@@ -57,7 +57,7 @@
 }
 
 impl<'a> Settings<'a> {
-    /// Settings of the daemon `name`.
+    /// Creates the settings of the daemon `name`.
     pub(crate) fn new(
         name: &'a str,
         data_centre: &'a str,
@@ -76,13 +76,13 @@
         }
     }
 
-    /// The same with `seeds`.
+    /// Sets the seeds.
     pub(crate) fn with_seeds(mut self, seeds: Vec<Seed>) -> Self {
         self.seeds = seeds;
         self
     }
 
-    /// The same with `timing`.
+    /// Sets the times.
     pub(crate) fn with_timing(mut self, timing: Timing) -> Self {
         self.timing = timing.into();
         self
--- a/crates/scenario/src/start.rs
+++ b/crates/scenario/src/start.rs
@@ -1,4 +1,4 @@
-//! How the processes of a fleet are started.
+//! Starts the processes of a fleet.
 
 use std::fs;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
 use crate::settings::Seed;
 use crate::settings::Settings;
 
-/// Name of the forwarder's process; it carries all links of a plan.
+/// Name of the forwarder process, which serves all links of a plan.
 pub(crate) const FORWARDER: &str = "forwarder";
 
 const DAEMON: &str = "waxwingd";
@@ -30,7 +30,7 @@
 const FAKE_ENGINE: &str = "fake-engine";
 const FAKE_APPLICATION: &str = "fake-app";
 const FAKE_LINK: &str = "fake-link";
-/// Pause between two attempts to connect to a process that starts.
+/// Interval between two attempts to connect to a starting process.
 const CONNECT_INTERVAL: std::time::Duration = std::time::Duration::from_millis(10);
 
 impl Fleet {
@@ -87,16 +87,17 @@
         Ok(())
     }
 
-    /// The file with the settings of the daemon `name`.
+    /// Returns the settings file of the daemon `name`.
     pub fn settings_file(&self, name: &str) -> PathBuf {
         self.folder.path().join(format!("{name}.yaml"))
     }
 
-    /// Starts the process `name` with what has been decided for it, and waits until it listens.
+    /// Starts the process `name` with its assigned addresses and settings, and waits until it
+    /// listens.
     pub(crate) async fn launch(&mut self, name: &str) -> Result<(), Error> {
         let (program, args, address) = self.command(name)?;
         let log = self.log_file(name);
-        // A process that runs under this name is dropped, hence ended, before the new one starts.
+        // Dropping the former process of this name kills it before the new one starts.
         drop(self.processes.remove(name));
         let process = Process::start(name, &self.programs.join(program), &args, &log)?;
         self.processes.insert(name.to_owned(), process);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Program, arguments and listening address of the process `name`.
+    /// Returns the program, arguments and listening address of the process `name`.
     fn command(&self, name: &str) -> Result<(&'static str, Vec<String>, String), Error> {
         if let Some(listen) = self.daemons.get(name) {
             let file = self.settings_file(name).display().to_string();
@@ -181,7 +182,7 @@
         fs::write(&file, text).map_err(|cause| Error::io("write", file.display(), cause))
     }
 
-    /// The address at which `requester` reaches `name`: a link's entrance, or else `address`.
+    /// Returns the address at which `requester` reaches `name`: that of a link, or `address`.
     fn address_seen_by(&self, requester: &str, name: &str, address: &str) -> String {
         let link = self.links.get(&(requester.to_owned(), name.to_owned()));
         link.cloned().unwrap_or_else(|| address.to_owned())
--- a/crates/scenario/src/stream.rs
+++ b/crates/scenario/src/stream.rs
@@ -1,4 +1,4 @@
-//! A streamed answer as a caller reads it.
+//! A streamed answer, read by a caller.
 
 use serde::Deserialize;
 use volo_http::body::Body;
@@ -26,12 +26,12 @@
     }
 }
 
-/// First event of a stream.
+/// The first event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Head {
-    /// The handle of the attempt.
+    /// Handle of the attempt.
     pub request: String,
-    /// Token by which any instance gives the rest.
+    /// Token to resume the stream at any instance.
     pub resume: String,
 }
 
@@ -40,39 +40,39 @@
 pub enum Event {
     /// The head; see also [`Stream::head`].
     Head(Head),
-    /// Tokens in their order.
+    /// Tokens in order.
     Tokens(Tokens),
-    /// The end; the number of tokens of the whole answer.
+    /// The end of the answer, with its total number of tokens.
     Done(u64),
-    /// A newer connection reads the answer.
+    /// A newer connection has taken over the stream.
     Superseded,
     /// The answer will not be completed.
     Failed(Refusal),
-    /// The connection was lost; resume at another instance.
+    /// The connection was lost; the stream can be resumed at another instance.
     Cut,
 }
 
 /// A run of tokens.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Tokens {
-    /// Tokens before this run.
+    /// Number of tokens before this run.
     pub offset: u64,
-    /// Tokens of this run.
+    /// Number of tokens in this run.
     pub count: u64,
     /// Their text.
     pub text: String,
 }
 
-/// All that a stream gave from some point on.
+/// The remainder of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rest {
     /// The text.
     pub text: String,
-    /// Tokens received, counted.
+    /// Number of tokens received.
     pub tokens: u64,
     /// The last event.
     pub end: Event,
-    /// Faults of the order of tokens: a run that does not begin where the last one ended.
+    /// Runs of tokens that do not start where the previous one ended.
     pub gaps: Vec<String>,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl Stream {
-    /// Reads `response`, of which the caller has `offset` tokens.
+    /// Opens the stream of `response`, which starts after `offset` tokens.
     pub(crate) fn open(
         response: Response<Body>,
         offset: u64,
@@ -100,18 +100,18 @@
         })
     }
 
-    /// The head, once it was read.
+    /// Returns the head, if it has been read.
     pub const fn head(&self) -> Option<&Head> {
         self.head.as_ref()
     }
 
-    /// Tokens received so far, with those before a resume.
+    /// Returns the number of tokens so far, including those before a resume.
     pub const fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// The next event. After [`Event::Done`], [`Event::Superseded`], [`Event::Failed`] and
-    /// [`Event::Cut`] nothing follows.
+    /// Returns the next event. [`Event::Done`], [`Event::Superseded`], [`Event::Failed`] and
+    /// [`Event::Cut`] are final.
     pub async fn next(&mut self) -> Event {
         loop {
             let Ok(Some(event)) = self.reader.read().await else {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Reads to the end.
+    /// Reads the stream to its end.
     pub async fn read_to_end(mut self) -> Rest {
         let mut rest = Rest {
             text: String::new(),
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The event, unless it is of an unknown kind or can't be read.
+    /// Parses an event. Returns `None` if its kind is unknown or its data is invalid.
     fn parse_event(&mut self, event: &SseEvent) -> Option<Event> {
         let data = event.data().unwrap_or_default();
         match event.event() {
--- a/crates/scenario/tests/fleet.rs
+++ b/crates/scenario/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet starts, is driven and ends exactly its own processes.
+//! Starts and controls a fleet, and checks that it ends only its own processes.
 
 use std::path::Path;
 
@@ -21,7 +21,7 @@
         .with_link(ENTRY, PLATFORM)
 }
 
-fn runs(id: u32) -> bool {
+fn is_running(id: u32) -> bool {
     Path::new(&format!("/proc/{id}")).exists()
 }
 
@@ -31,16 +31,16 @@
     let names = [PLATFORM, ENTRY, "entry-2", DECODE];
     let ids = names.map(|name| fleet.process(name).unwrap().id());
     let settings = fleet.settings_file(ENTRY);
-    assert!(ids.iter().all(|id| runs(*id)) && settings.exists());
-    // A stopped process must end, too.
+    assert!(ids.iter().all(|id| is_running(*id)) && settings.exists());
+    // A paused process must be killed as well.
     fleet.pause(DECODE).unwrap();
     drop(fleet);
-    assert!(!ids.iter().any(|id| runs(*id)));
+    assert!(!ids.iter().any(|id| is_running(*id)));
     assert!(!settings.exists());
 }
 
 #[tokio::test]
-async fn killed_daemon_comes_back_at_its_address() {
+async fn restarted_daemon_keeps_its_address() {
     let mut fleet = Fleet::start(plan()).await.unwrap();
     fleet.apply(TABLE).await.unwrap();
     fleet.wait_until_ready().await.unwrap();
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn links_and_faults_reach_the_stand_ins() {
+async fn link_modes_and_faults_reach_the_stand_ins() {
     let fleet = Fleet::start(plan()).await.unwrap();
     fleet
         .set_link_mode(ENTRY, PLATFORM, "cut", 0)
--- a/crates/scenario/tests/operators.rs
+++ b/crates/scenario/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The commands of the operators' page, run as they are written.
+//! Runs the commands of the operators' page as written.
 
 use std::fs;
 use std::os::unix::fs::symlink;
@@ -10,7 +10,7 @@
 const PAGE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATIONS.md");
 const DOCS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs");
 
-/// The contents of all blocks marked `sh`.
+/// Returns the contents of all code blocks marked `sh`.
 fn blocks(page: &str) -> Vec<String> {
     let starts = page.split("```sh\n").skip(1);
     starts
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_command_of_the_page_does_what_it_says() {
+async fn all_commands_of_the_page_succeed() {
     let folder = tempfile::tempdir().unwrap();
     let variables = folder.path().join("waxwing.env");
     let fleet = demo::stay::start(&variables).await.unwrap();
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Every file of `scenarios/` is a test.
+//! Runs every file of `scenarios/` as a test.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -15,30 +15,33 @@
 use scenario::script::Script;
 use tokio::sync::Semaphore;
 
-/// Scenarios that run at once; each has ten to twenty processes.
-const AT_ONCE: usize = 3;
-/// Logs of scenarios that failed.
-const KEEP: &str = concat!(env!("CARGO_TARGET_TMPDIR"), "/scenarios");
-/// How often a scenario is carried out again because the host was paused meanwhile.
+/// Number of concurrent scenarios; each has ten to twenty processes.
+const MAX_CONCURRENT: usize = 3;
+/// Folder for the logs of failed scenarios.
+const LOG_FOLDER: &str = concat!(env!("CARGO_TARGET_TMPDIR"), "/scenarios");
+/// How often a scenario is repeated because the host paused during it.
 const REPEATS: usize = 2;
-/// A pause of the host from which daemons take themselves for paused.
+/// Pause of the host from which daemons detect that they were suspended.
 const PAUSE: Duration = Duration::from_secs(1);
-/// Pause between two looks at the clock.
+/// Interval between two checks of the clock.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-static TURNS: Semaphore = Semaphore::const_new(AT_ONCE);
+static PERMITS: Semaphore = Semaphore::const_new(MAX_CONCURRENT);
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn holds(#[files("scenarios/*.yaml")] file: PathBuf) {
-    let _turn = TURNS.acquire().await.expect("the semaphore stays open");
+async fn scenario_passes(#[files("scenarios/*.yaml")] file: PathBuf) {
+    let _permit = PERMITS
+        .acquire()
+        .await
+        .expect("the semaphore is never closed");
     for repeat in 0..=REPEATS {
-        let pauses = pauses();
+        let pauses = count_pauses();
         let Err(error) = run(&file).await else {
             return;
         };
-        // A page that names no pause of the daemons is not carried out as written if the host
-        // itself stood still; without such a pause every failure counts.
+        // A pause of the host also pauses the daemons, so the scenario did not run as written.
+        // Without such a pause, every failure counts.
         let paused = pauses.load(Ordering::Relaxed);
         let excused = paused > 0 && repeat < REPEATS;
         assert!(excused, "{}: {error}", file.display());
@@ -52,11 +55,12 @@
 async fn run(file: &Path) -> Result<(), Error> {
     let name = file.file_stem().and_then(|name| name.to_str());
     let script = Script::read(file)?;
-    runner::run(name.unwrap_or("scenario"), script, Path::new(KEEP)).await
+    runner::run(name.unwrap_or("scenario"), script, Path::new(LOG_FOLDER)).await
 }
 
-/// Counts pauses of this process, and so most likely of the host, until the value is dropped.
-fn pauses() -> Arc<AtomicU64> {
+/// Counts pauses of this process, which are most likely pauses of the host, until the returned
+/// value is dropped.
+fn count_pauses() -> Arc<AtomicU64> {
     let pauses = Arc::new(AtomicU64::new(0));
     let counted = Arc::downgrade(&pauses);
     thread::spawn(move || {
