--- a/crates/scenario/src/demo/failure.rs
+++ b/crates/scenario/src/demo/failure.rs
@@ -71,7 +71,7 @@
     addresses: &Addresses,
     report: &mut Report,
 ) -> Result<(), Error> {
-    output::title("Death of a daemon in the middle of a stream");
+    output::title("Kill a daemon in the middle of a stream");
     let prompt = "Draft a delivery note for the co-op of Vinkovci, all farms.";
     let completion = Completion::new(MODEL, prompt, LONG_TOKENS);
     let killed = fleet.daemon(KILLED)?.caller.clone();
--- a/crates/scenario/src/demo/mod.rs
+++ b/crates/scenario/src/demo/mod.rs
@@ -48,7 +48,7 @@
     fleet.wait_until_ready().await?;
 
     let caller = Caller::new(CUSTOMER);
-    output::title("Addresses: ask any instance which to use");
+    output::title("Addresses: any instance lists those to use");
     let addresses = addresses(&fleet, &caller).await?;
 
     draft::run(&caller, &addresses, &mut report).await?;
@@ -136,6 +136,6 @@
             address.key_prefix
         ));
     }
-    output::line(&format!("keep this for {} ms", addresses.ttl_ms));
+    output::line(&format!("valid for {} ms", addresses.ttl_ms));
     Ok(addresses)
 }
--- a/crates/scenario/src/demo/report.rs
+++ b/crates/scenario/src/demo/report.rs
@@ -22,7 +22,7 @@
             output::line(&format!("[ok] {claim}"));
         } else {
             self.broken.push(claim.to_owned());
-            output::line(&format!("[NOT SO] {claim}"));
+            output::line(&format!("[FAILED] {claim}"));
         }
     }
 
@@ -34,7 +34,7 @@
             self.broken.len()
         );
         for claim in &self.broken {
-            output::line(&format!("not so: {claim}"));
+            output::line(&format!("failed: {claim}"));
         }
         self.broken.is_empty()
     }
--- a/crates/scenario/src/runner/check.rs
+++ b/crates/scenario/src/runner/check.rs
@@ -74,7 +74,10 @@
                 wrong.push(format!("{name}: {:?}", ended.end));
             }
         }
-        let found = format!("{} should be {:?}: {wrong:?}", outcome.of, outcome.is);
+        let found = format!(
+            "expected {} to end as {:?}, got {wrong:?}",
+            outcome.of, outcome.is
+        );
         self.ensure(right >= least, found)?;
         self.check_slowest(outcome, slowest)
     }
@@ -99,7 +102,10 @@
                 _ => false,
             };
             let tokens = request.tokens();
-            self.ensure(whole, format!("{name} got {tokens} tokens, then {ended:?}"))?;
+            self.ensure(
+                whole,
+                format!("{name} is incomplete: {tokens} tokens, then {ended:?}"),
+            )?;
         }
         Ok(())
     }
@@ -162,7 +168,7 @@
         let code = status.code();
         self.ensure(
             code == Some(exit.code),
-            format!("{} ended with {status}", exit.of),
+            format!("{} exited with {status}", exit.of),
         )?;
         let target = self.stop_times.get(&exit.of);
         let Some(target) = target else {
@@ -170,7 +176,7 @@
         };
         let took = target.elapsed();
         self.print_measurement(&format!("planned stop of {}", exit.of), took.as_secs_f64());
-        let found = format!("{} ended after {took:?}", exit.of);
+        let found = format!("{} exited too early, after {took:?}", exit.of);
         self.ensure(took >= seconds(exit.not_before), found)
     }
 
@@ -195,7 +201,10 @@
                 self.print_measurement(&what, passed as f64 / 1_000.0);
                 return Ok(());
             }
-            self.ensure(passed < limit, format!("after {passed} ms: {behind:?}"))?;
+            self.ensure(
+                passed < limit,
+                format!("not in force after {passed} ms: {behind:?}"),
+            )?;
             sleep(POLL_INTERVAL).await;
         }
     }
@@ -225,7 +234,7 @@
                 return Ok(());
             }
             let passed = start.elapsed();
-            let found = format!("{} still decides after {passed:?}", expected.at);
+            let found = format!("{} is still ready after {passed:?}", expected.at);
             self.ensure(passed < seconds(expected.within), found)?;
             sleep(POLL_INTERVAL).await;
         }
@@ -233,7 +242,7 @@
 
     async fn check_drained(&self, drained: &Drained) -> Result<(), Error> {
         let Some(marked) = self.drain_times.get(&drained.at).copied() else {
-            return Err(self.failure(format!("{} was not marked", drained.at)));
+            return Err(self.failure(format!("{} was not marked to drain", drained.at)));
         };
         let record = self.collector.record(&drained.at).await.unwrap_or_default();
         let last = record["last_new_work_ms"].as_u64().unwrap_or(0);
@@ -267,7 +276,7 @@
         }
         println!("measured {}: peak at {}: {peak}", self.name, limit.at);
         let met = peak >= limit.least && peak <= limit.most;
-        self.ensure(met, format!("{} had {peak} at once", limit.at))
+        self.ensure(met, format!("{} had a peak of {peak} attempts", limit.at))
     }
 
     fn check_keeper(&self, expected: &Keeper) -> Result<(), Error> {
--- a/crates/scenario/src/runner/invariants.rs
+++ b/crates/scenario/src/runner/invariants.rs
@@ -70,7 +70,10 @@
                 if is_idle(&status) {
                     break;
                 }
-                self.ensure(Instant::now() < end, format!("{daemon} keeps {status}"))?;
+                self.ensure(
+                    Instant::now() < end,
+                    format!("{daemon} is not idle: {status}"),
+                )?;
                 sleep(POLL_INTERVAL).await;
             }
         }
@@ -95,7 +98,10 @@
     fn check_generations(&self, daemon: &str, lines: &[DecisionLine]) -> Result<(), Error> {
         let mut highest = 0;
         for line in lines.iter().filter(|line| line.is_governed()) {
-            let found = format!("{daemon} decided under {} after {highest}", line.generation);
+            let found = format!(
+                "{daemon} used generation {} after {highest}",
+                line.generation
+            );
             self.ensure(line.generation >= highest, found)?;
             highest = line.generation;
         }
@@ -119,7 +125,7 @@
                 &format!("last decision under the table before edit {name}, after its acceptance"),
                 late as f64 / 1_000.0,
             );
-            let found = format!("{late} ms after edit {name} an older table was in force");
+            let found = format!("an older table was used {late} ms after edit {name} was accepted");
             self.ensure(late < MAX_STALE_DECISION_MS, found)?;
         }
         Ok(())
@@ -153,13 +159,13 @@
     let whole = expected.len() as u64;
     let reached = connection.offset + progress.tokens;
     match progress.end.map(|ended| ended.end) {
-        _ if !progress.gaps.is_empty() => Some(format!("out of order: {:?}", progress.gaps)),
+        _ if !progress.gaps.is_empty() => Some(format!("tokens out of order: {:?}", progress.gaps)),
         _ if progress.text != own => Some(format!(
-            "tokens from {first} are not its own: {}",
+            "wrong tokens from offset {first}: {}",
             progress.text
         )),
         Some(End::Done(tokens)) if tokens != whole || reached != whole => Some(format!(
-            "done with {tokens} tokens after {reached}, and {whole} are right"
+            "done event says {tokens} tokens, received {reached}, expected {whole}"
         )),
         _ => None,
     }
@@ -179,7 +185,12 @@
         let others = &answered[index + 1..];
         others.iter().find(|other| one.overlaps(other))
     });
-    twice.map(|other| format!("answered twice, the second time by {}", other.daemon()))
+    twice.map(|other| {
+        format!(
+            "two complete answers at the same time, the second from {}",
+            other.daemon()
+        )
+    })
 }
 
 /// Reports an application's answer that was given again without being marked as repeated.
@@ -189,7 +200,7 @@
         ended.is_some_and(|ended| matches!(ended.end, End::Answered { before: false, .. }))
     });
     let count = first.count();
-    (count > 1).then(|| format!("{count} first answers"))
+    (count > 1).then(|| format!("{count} answers not marked as repeated"))
 }
 
 /// Reports a call that ran twice although it is not repeatable.
@@ -203,7 +214,7 @@
     });
     let run = later.filter_map(|body: Value| body["run"].as_u64()).max();
     let most = count.max(run.unwrap_or(0));
-    (request.spec.once && most > 1).then(|| format!("ran {most} times"))
+    (request.spec.once && most > 1).then(|| format!("ran {most} times, but is not repeatable"))
 }
 
 /// Reports a *not run* refusal of a request that did run, according to a stand-in.
@@ -222,7 +233,7 @@
     for (index, ended) in ended.iter().enumerate() {
         let then = ended.as_ref().and_then(|ended| ended.runs).unwrap_or(0);
         if then > 0 && alone(index) {
-            return Some(format!("`not run` was said after {then} runs"));
+            return Some(format!("refused as `not_run` after {then} runs"));
         }
     }
     let all = ended
@@ -231,5 +242,5 @@
     let handles = decisions::handles(lines, &key);
     let names = handles.iter().chain(std::iter::once(&key));
     let ran: Vec<&String> = names.filter(|name| runs.contains_key(*name)).collect();
-    (all && !ran.is_empty()).then(|| format!("`not run` was said of {ran:?}, which ran"))
+    (all && !ran.is_empty()).then(|| format!("refused as `not_run`, but these ran: {ran:?}"))
 }
--- a/crates/scenario/src/runner/request.rs
+++ b/crates/scenario/src/runner/request.rs
@@ -105,7 +105,7 @@
     /// Opens a connection that sends the request with its key.
     pub fn open(&mut self, route: Route, address_cache: AddressCache, collector: RecordCollector) {
         let (recorder, progress) = Recorder::new();
-        let call = RequestTask {
+        let request_task = RequestTask {
             caller: Caller::new(&self.spec.customer).with_class(&self.spec.class),
             spec: Arc::clone(&self.spec),
             prompt: self.spec.model.map(|model| self.prompt(model)),
@@ -118,7 +118,7 @@
             address_cache,
         };
         let (target, opened) = (route.daemon.clone(), Instant::now() + route.pause);
-        let task = tokio::spawn(call.run(route, recorder, collector));
+        let task = tokio::spawn(request_task.run(route, recorder, collector));
         self.connections.push(Connection {
             target,
             offset: 0,
@@ -204,9 +204,10 @@
     async fn send(&self, address: &str, key: &str, recorder: &Recorder) -> End {
         match (&self.prompt, self.spec.model) {
             (Some(prompt), Some(model)) => {
-                let spec = Completion::new(&self.spec.service, prompt, model.tokens).with_key(key);
+                let completion =
+                    Completion::new(&self.spec.service, prompt, model.tokens).with_key(key);
                 recorder
-                    .read(self.caller.complete(address, &spec).await)
+                    .read(self.caller.complete(address, &completion).await)
                     .await
             }
             _ => connection::call_end(self.caller.call(address, &self.plain(key)).await),
@@ -228,11 +229,11 @@
             return Ok((route.address.clone(), self.known_key().await?));
         };
         let (daemon, address_cache) = (&route.daemon, &self.address_cache);
-        let runner = self.spec.key_of.as_ref().unwrap_or(daemon);
-        let named = address_cache.find(daemon, runner).await?;
+        let key_daemon = self.spec.key_of.as_ref().unwrap_or(daemon);
+        let named = address_cache.find(daemon, key_daemon).await?;
         let key = named.key(&self.unique);
         key_sender.send_replace(Some(key.clone()));
-        if runner != daemon {
+        if key_daemon != daemon {
             return Ok((route.address.clone(), key));
         }
         recorder.redirect(&named.instance);
--- a/crates/scenario/src/runner/wait.rs
+++ b/crates/scenario/src/runner/wait.rs
@@ -36,7 +36,10 @@
                 .await;
             let head = connection.progress.borrow().head.is_some();
             let end = connection.ended();
-            self.ensure(came && head, format!("{name} got no head, but {end:?}"))?;
+            self.ensure(
+                came && head,
+                format!("{name} got no head; its end is {end:?}"),
+            )?;
         }
         Ok(())
     }
@@ -52,7 +55,10 @@
             let name = &tokens.of;
             let ended = request.connections.last().and_then(Connection::ended);
             let late = Instant::now() > end || ended.is_some();
-            let found = format!("{name} got {} tokens, and {ended:?}", request.tokens());
+            let found = format!(
+                "{name} got only {} tokens; its end is {ended:?}",
+                request.tokens()
+            );
             self.ensure(!late, found)?;
             sleep(POLL_INTERVAL).await;
         }
@@ -77,7 +83,7 @@
             let ended = connection
                 .wait_until(pause + DEFAULT_TIMEOUT * 3, |now| now.end.is_some())
                 .await;
-            self.ensure(ended, format!("{name} got no end"))?;
+            self.ensure(ended, format!("{name} did not end in time"))?;
         }
         Ok(())
     }
@@ -92,7 +98,10 @@
             if count >= work.count {
                 return Ok(());
             }
-            let found = format!("{} has {count} in {:?}", work.at, work.phase);
+            let found = format!(
+                "{} has only {count} attempts or calls in phase {:?}",
+                work.at, work.phase
+            );
             self.ensure(Instant::now() < end, found)?;
             sleep(POLL_INTERVAL).await;
         }
