--- a/crates/bench/src/arms.rs
+++ b/crates/bench/src/arms.rs
@@ -17,13 +17,13 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use scenario::ask::Ask;
-use scenario::ask::PlainCall;
 use scenario::caller::Caller;
+use scenario::http_client::HttpClient;
 use scenario::reply::Outcome;
 use scenario::reply::Reply;
+use scenario::requests::Completion;
+use scenario::requests::PlainCall;
 use scenario::stream::Event;
-use scenario::web::Web;
 
 use crate::cluster;
 use crate::load::Sample;
@@ -76,7 +76,7 @@
     /// Sends one language-model request for `tokens` tokens.
     pub async fn model(&self, number: u64, prompt: &str, tokens: u32) -> Option<Sample> {
         let started = Instant::now();
-        let request = Ask::new(cluster::MODEL, prompt, tokens);
+        let request = Completion::new(cluster::MODEL, prompt, tokens);
         let reply = self
             .caller
             .complete(self.address(number), &request)
@@ -111,7 +111,7 @@
     decodes: Arc<Vec<SocketAddr>>,
     applications: Arc<Vec<String>>,
     client: Client,
-    web: Web,
+    web: HttpClient,
     owner: Incarnation,
 }
 
@@ -129,7 +129,7 @@
             decodes: Arc::new(parse(decodes)),
             applications: Arc::new(applications),
             client: Client::new(),
-            web: Web::new(),
+            web: HttpClient::new(),
             owner: Incarnation(rand::random::<u64>() ^ seed),
         }
     }
--- a/crates/fake/src/application.rs
+++ b/crates/fake/src/application.rs
@@ -1,4 +1,4 @@
-//! A plain application: nothing protects it against a call that arrives twice.
+//! A plain application. It runs a call again each time that it arrives; nothing deduplicates.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -19,14 +19,14 @@
 use crate::web;
 use crate::web::Call;
 
-/// Knobs of the application.
+/// Settings of the application.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Calls it runs at once; more wait.
+    /// Maximum number of concurrent calls; further calls wait.
     pub slots: usize,
-    /// How long one call runs.
+    /// Duration of one call.
     pub service: Duration,
-    /// How late its load report is.
+    /// Lag of the load report.
     pub load_lag: Duration,
 }
 
@@ -40,16 +40,16 @@
     }
 }
 
-/// What goes wrong on purpose.
+/// Injected fault.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Mode {
-    /// Nothing.
+    /// No fault.
     #[default]
     Ok,
     /// Calls run longer.
     Slow,
-    /// Calls run, and the connection closes without an answer.
+    /// Calls run, but the connection closes without a response.
     Lose,
     /// Calls are refused with status 503 and do not run.
     Refuse,
@@ -82,22 +82,22 @@
 }
 
 impl Application {
-    /// An application with `settings`.
+    /// Creates an application with `settings`.
     pub fn new(settings: Settings) -> Self {
         let slots = Semaphore::new(settings.slots);
         Self {
             settings,
-            boot: web::boot(),
+            boot: web::random_boot_id(),
             slots,
             record: Mutex::default(),
         }
     }
 
-    /// Serves at `listener`.
+    /// Serves connections accepted by `listener`.
     ///
     /// # Errors
     ///
-    /// An error of the listener.
+    /// Returns an error if the listener fails.
     pub async fn serve(self, listener: TcpListener) -> std::io::Result<()> {
         let application = Arc::new(self);
         web::serve(listener, move |call| Arc::clone(&application).answer(call)).await
@@ -113,7 +113,7 @@
     }
 
     fn state(&self) -> Response {
-        let running = self.record().reported(self.settings.load_lag);
+        let running = self.record().load_before(self.settings.load_lag);
         web::ok(&json!({ "boot": self.boot, "slots": self.settings.slots, "running": running }))
     }
 
@@ -133,7 +133,7 @@
                 self.record().fault = fault;
                 web::status(StatusCode::OK)
             }
-            Err(malformed) => malformed.response(),
+            Err(invalid) => invalid.response(),
         }
     }
 
@@ -142,28 +142,28 @@
         if fault.mode == Mode::Refuse {
             return web::status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        // The call runs on when its caller goes away, as in a real application.
-        let work = tokio::spawn(self.work(call, fault));
+        // The call continues after its caller disconnects, as in a real application.
+        let work = tokio::spawn(self.execute(call, fault));
         match work.await {
             Ok(answer) => answer,
             Err(_) => web::status(StatusCode::INTERNAL_SERVER_ERROR),
         }
     }
 
-    async fn work(self: Arc<Self>, call: Call, fault: Fault) -> Response {
+    async fn execute(self: Arc<Self>, call: Call, fault: Fault) -> Response {
         let Ok(_slot) = self.slots.acquire().await else {
             return web::status(StatusCode::SERVICE_UNAVAILABLE);
         };
-        let key = key(&call);
-        let run = self.record().begin(&key);
+        let key = call_key(&call);
+        let run = self.record().start_run(&key);
         let extra = match fault.mode {
             Mode::Slow => Duration::from_millis(fault.ms),
             _ => Duration::ZERO,
         };
         tokio::time::sleep(self.settings.service + extra).await;
-        self.record().end();
+        self.record().end_run();
         match fault.mode {
-            Mode::Lose => web::dropped(),
+            Mode::Lose => web::close_connection(),
             _ => web::ok(&json!({
                 "key": key,
                 "run": run,
@@ -174,35 +174,35 @@
     }
 
     fn record(&self) -> MutexGuard<'_, Record> {
-        self.record.lock().expect("no holder of the lock panics")
+        self.record.lock().expect("lock is not poisoned")
     }
 }
 
 impl Record {
-    fn begin(&mut self, key: &str) -> u64 {
+    fn start_run(&mut self, key: &str) -> u64 {
         self.total += 1;
         self.last_new_work_ms = web::unix_ms();
-        self.note_load(self.running + 1);
+        self.record_load(self.running + 1);
         let runs = self.runs.entry(key.to_owned()).or_default();
         *runs += 1;
         *runs
     }
 
-    fn end(&mut self) {
-        self.note_load(self.running - 1);
+    fn end_run(&mut self) {
+        self.record_load(self.running - 1);
     }
 
-    fn note_load(&mut self, running: usize) {
-        const KEPT: usize = 100_000;
+    fn record_load(&mut self, running: usize) {
+        const MAX_SAMPLES: usize = 100_000;
         self.running = running;
         self.loads.push_back((Instant::now(), running));
-        if self.loads.len() > KEPT {
+        if self.loads.len() > MAX_SAMPLES {
             self.loads.pop_front();
         }
     }
 
-    /// The load as it was `lag` ago.
-    fn reported(&mut self, lag: Duration) -> usize {
+    /// Returns the load `lag` ago.
+    fn load_before(&mut self, lag: Duration) -> usize {
         while self.loads.get(1).is_some_and(|(at, _)| at.elapsed() >= lag) {
             self.loads.pop_front();
         }
@@ -213,8 +213,8 @@
     }
 }
 
-/// The idempotency key of a call, or else the handle of its attempt.
-fn key(call: &Call) -> String {
+/// Returns the idempotency key of a call, or the handle of its attempt if it has no key.
+fn call_key(call: &Call) -> String {
     ["Idempotency-Key", "Waxwing-Call"]
         .iter()
         .find_map(|name| call.headers.get(*name)?.to_str().ok())
@@ -222,11 +222,11 @@
         .to_owned()
 }
 
-/// Starts an application in this process and tells its address.
+/// Starts an application in this process and returns its address.
 ///
 /// # Errors
 ///
-/// An error of binding.
+/// Returns an error if `listen` cannot be bound.
 pub async fn start(settings: Settings, listen: SocketAddr) -> std::io::Result<SocketAddr> {
     let listener = web::bind(listen).await?;
     let address = listener.local_addr()?;
--- a/crates/fake/src/engine/mod.rs
+++ b/crates/fake/src/engine/mod.rs
@@ -1,9 +1,10 @@
-//! A model engine: prefill one at a time, decode in a continuous batch.
+//! A model engine that runs prefills one at a time and decodes in a continuous batch.
 //!
-//! Text depends on the prompt alone ([`crate::text`]); all the rest that a router has to cope with
-//! is real: slots, queues, results that expire, transfers over a shared link, readers that come
-//! and go, fencing numbers, and reports that lag.
+//! The generated text depends only on the prompt ([`crate::text`]). Everything that a router has to
+//! handle is modelled: slots, queues, results that expire, transfers over a shared link, readers
+//! that detach and attach, fencing numbers, and delayed reports.
 
+mod attempt;
 mod cache;
 mod decode;
 mod export;
@@ -14,7 +15,6 @@
 mod prefill;
 mod settings;
 mod stream;
-mod work;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,6 +33,7 @@
 use volo_http::client::Client;
 use volo_http::response::Response;
 
+use self::attempt::Reason;
 use self::inner::Inner;
 use self::inner::Mode;
 use self::message::Claim;
@@ -41,7 +42,6 @@
 pub use self::settings::ParseError;
 pub use self::settings::Role;
 pub use self::settings::Settings;
-use self::work::Reason;
 use crate::web;
 use crate::web::Call;
 
@@ -73,11 +73,11 @@
 }
 
 impl Engine {
-    /// An engine with `settings`.
+    /// Creates an engine with `settings`.
     pub fn new(settings: Settings) -> Self {
         let (fault, _) = watch::channel(Mode::Ok);
         Self {
-            boot: web::boot(),
+            boot: web::random_boot_id(),
             inner: Mutex::new(Inner::new(&settings)),
             fault,
             queued: Notify::new(),
@@ -88,11 +88,11 @@
         }
     }
 
-    /// Serves at `listener`.
+    /// Serves connections accepted by `listener`.
     ///
     /// # Errors
     ///
-    /// An error of the listener.
+    /// Returns an error if the listener fails.
     pub async fn serve(self, listener: TcpListener) -> std::io::Result<()> {
         let engine = Arc::new(self);
         tokio::spawn(Arc::clone(&engine).run_prefills());
@@ -120,7 +120,7 @@
     fn cancel(&self, call: &Call) -> Response {
         let claim: Claim = match call.json() {
             Ok(claim) => claim,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let mut inner = self.inner();
         if let Err(refusal) = inner.fences.cancel(&claim) {
@@ -134,7 +134,7 @@
     fn order(&self, call: &Call) -> Response {
         let order: Order = match call.json() {
             Ok(order) => order,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let mut inner = self.inner();
         if self.settings.fences && order.fence < inner.order.fence {
@@ -165,15 +165,15 @@
         let events = inner.cache.events(after, self.settings.event_lag);
         let last_seq = events.last().map_or(after, |event| event.seq);
         let works: Vec<Value> = inner
-            .works
+            .attempts
             .iter()
-            .map(|(handle, work)| {
+            .map(|(handle, attempt)| {
                 json!({
                     "handle": handle.to_string(),
-                    "owner": work.owner,
-                    "fence": work.fence,
-                    "phase": work.phase,
-                    "held_ms": work.since.elapsed().as_millis() as u64,
+                    "owner": attempt.owner,
+                    "fence": attempt.fence,
+                    "phase": attempt.phase,
+                    "held_ms": attempt.since.elapsed().as_millis() as u64,
                 })
             })
             .collect();
@@ -196,7 +196,7 @@
 
     fn record(&self) -> Response {
         let inner = self.inner();
-        let holding = inner.works.iter().filter(|(_, work)| work.holds());
+        let holding = inner.attempts.iter().filter(|(_, attempt)| attempt.holds());
         let held: Vec<String> = holding.map(|(handle, _)| handle.to_string()).collect();
         let mut record = json!(inner.record);
         record["boot"] = Value::from(self.boot);
@@ -207,7 +207,7 @@
     fn set_fault(self: &Arc<Self>, call: &Call) -> Response {
         let fault: Fault = match call.json() {
             Ok(fault) => fault,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let number = self.set_mode(fault.mode);
         if fault.ms > 0 {
@@ -217,7 +217,7 @@
         web::status(StatusCode::OK)
     }
 
-    /// Sets a fault and numbers it.
+    /// Sets the fault mode and returns the number of this change.
     fn set_mode(&self, mode: Mode) -> u64 {
         let mut inner = self.inner();
         inner.mode = mode;
@@ -226,7 +226,7 @@
         inner.fault
     }
 
-    /// Ends fault `number` after `span`, unless another was set since.
+    /// Clears fault `number` after `span`, unless another was set since.
     async fn end_fault(self: Arc<Self>, number: u64, span: Duration) {
         tokio::time::sleep(span).await;
         if self.inner().fault == number {
@@ -234,23 +234,23 @@
         }
     }
 
-    /// Waits while the engine has the fault `mode`.
+    /// Waits until the fault mode is not `mode`.
     async fn wait_while(&self, mode: Mode) {
         let mut fault = self.fault.subscribe();
-        // The sender lives as long as the engine, so that waiting can only end well.
+        // The engine owns the sender, so the wait cannot fail.
         let _ended = fault.wait_for(|present| *present != mode).await;
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no holder of the lock panics")
+        self.inner.lock().expect("lock is not poisoned")
     }
 }
 
-/// Starts an engine in this process and tells its address.
+/// Starts an engine in this process and returns its address.
 ///
 /// # Errors
 ///
-/// An error of binding.
+/// Returns an error if `listen` cannot be bound.
 pub async fn start(settings: Settings, listen: SocketAddr) -> std::io::Result<SocketAddr> {
     let listener = web::bind(listen).await?;
     let address = listener.local_addr()?;
--- a/crates/fake/src/engine/stream.rs
+++ b/crates/fake/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! Readers of a stream.
+//! Streams the tokens of an attempt to a reader.
 
 use bytes::Bytes;
 use serde_json::Value;
@@ -7,15 +7,15 @@
 use tokio::sync::watch;
 use volo_http::response::Response;
 
-use super::work::Progress;
-use super::work::Text;
-use super::work::Work;
+use super::attempt::Attempt;
+use super::attempt::Progress;
+use super::attempt::Text;
 use crate::web;
 
-/// Pieces that wait for a slow reader.
-const PIECES: usize = 16;
+/// Chunks buffered for a slow reader.
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// One reader of one attempt.
+/// A reader of one attempt.
 #[derive(Debug)]
 pub(super) struct Reader {
     number: u64,
@@ -25,32 +25,32 @@
 }
 
 impl Reader {
-    /// The present reader of `work`, which begins at token `offset`.
-    pub(super) fn new(work: &Work, offset: usize) -> Self {
-        let progress = work.progress.subscribe();
+    /// Creates the current reader of `attempt`, starting at token `offset`.
+    pub(super) fn new(attempt: &Attempt, offset: usize) -> Self {
+        let progress = attempt.progress.subscribe();
         let number = progress.borrow().reader;
         Self {
             number,
             next: offset,
-            text: Text::clone(&work.text),
+            text: Text::clone(&attempt.text),
             progress,
         }
     }
 
-    /// The streamed answer.
+    /// Returns the streaming response.
     pub(super) fn response(self) -> Response {
-        let (sender, receiver) = mpsc::channel(PIECES);
+        let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         tokio::spawn(self.run(sender));
         web::streaming(receiver)
     }
 
     async fn run(mut self, out: mpsc::Sender<Bytes>) {
-        let mut told_ready = false;
+        let mut ready_sent = false;
         loop {
             let now = *self.progress.borrow_and_update();
             let mut lines = Vec::new();
-            if now.ready && !told_ready {
-                told_ready = true;
+            if now.ready && !ready_sent {
+                ready_sent = true;
                 push(&mut lines, &json!({ "imported": true }));
             }
             let ended = match now.end {
--- a/crates/fake/src/link/mod.rs
+++ b/crates/fake/src/link/mod.rs
@@ -1,7 +1,7 @@
-//! A TCP forwarder that can be cut, held up or delayed, or sends answers twice.
+//! A TCP forwarder that can close, stall or delay connections, or send answers twice.
 
-mod answer;
 mod forward;
+mod last_answer;
 mod route;
 
 use std::collections::HashMap;
@@ -28,7 +28,7 @@
 use crate::web;
 use crate::web::Call;
 
-/// Wait after a connection could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Deserialize)]
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug)]
-struct Path {
+struct RouteState {
     target: SocketAddr,
     connections: Arc<AtomicU64>,
     state: watch::Sender<State>,
@@ -49,45 +49,45 @@
 /// The forwarder.
 #[derive(Debug)]
 pub struct Link {
-    paths: HashMap<u16, Path>,
+    routes: HashMap<u16, RouteState>,
 }
 
 impl Link {
-    /// A forwarder of `routes`, which are open at `ip` when this returns.
+    /// Opens the ports of `routes` at `ip` and starts to forward.
     ///
     /// # Errors
     ///
-    /// An error of binding.
+    /// Returns an error if an address cannot be bound.
     pub async fn bind(ip: IpAddr, routes: &[Route]) -> io::Result<Self> {
-        let mut paths = HashMap::new();
+        let mut states = HashMap::new();
         for route in routes {
-            let entrance = TcpListener::bind((ip, route.port)).await?;
-            let port = entrance.local_addr()?.port();
+            let listener = TcpListener::bind((ip, route.port)).await?;
+            let port = listener.local_addr()?.port();
             let (state, _) = watch::channel(State::default());
             let connections = Arc::new(AtomicU64::new(0));
             tokio::spawn(accept(
-                entrance,
+                listener,
                 route.target,
                 state.clone(),
                 Arc::clone(&connections),
             ));
-            paths.insert(
+            states.insert(
                 port,
-                Path {
+                RouteState {
                     target: route.target,
                     connections,
                     state,
                 },
             );
         }
-        Ok(Self { paths })
+        Ok(Self { routes: states })
     }
 
-    /// Serves the control calls at `listener`.
+    /// Serves the control API at `listener`.
     ///
     /// # Errors
     ///
-    /// An error of the listener.
+    /// Returns an error if the listener fails.
     pub async fn serve(self, listener: TcpListener) -> io::Result<()> {
         let link = Arc::new(self);
         web::serve(listener, move |call| {
@@ -106,30 +106,30 @@
     }
 
     fn record(&self) -> Response {
-        let entry = |(port, path): (&u16, &Path)| {
+        let entry = |(port, route): (&u16, &RouteState)| {
             json!({
                 "port": port,
-                "target": path.target,
-                "mode": path.state.borrow().mode,
-                "connections": path.connections.load(Ordering::Relaxed),
+                "target": route.target,
+                "mode": route.state.borrow().mode,
+                "connections": route.connections.load(Ordering::Relaxed),
             })
         };
-        let routes: Vec<_> = self.paths.iter().map(entry).collect();
+        let routes: Vec<_> = self.routes.iter().map(entry).collect();
         web::ok(&json!({ "routes": routes }))
     }
 
     fn change(&self, call: &Call) -> Response {
         let change: Change = match call.json() {
             Ok(change) => change,
-            Err(malformed) => return malformed.response(),
+            Err(invalid) => return invalid.response(),
         };
         let state = State {
             mode: change.mode,
             delay: Duration::from_millis(change.ms),
         };
-        match self.paths.get(&change.port) {
-            Some(path) => {
-                path.state.send_replace(state);
+        match self.routes.get(&change.port) {
+            Some(route) => {
+                route.state.send_replace(state);
                 web::status(StatusCode::OK)
             }
             None => web::status(StatusCode::NOT_FOUND),
@@ -138,28 +138,28 @@
 }
 
 async fn accept(
-    entrance: TcpListener,
+    listener: TcpListener,
     target: SocketAddr,
     state: watch::Sender<State>,
     connections: Arc<AtomicU64>,
 ) {
     loop {
-        match entrance.accept().await {
+        match listener.accept().await {
             Ok((near, _)) => {
                 connections.fetch_add(1, Ordering::Relaxed);
                 tokio::spawn(forward(near, target, state.subscribe()));
             }
-            // Out of file descriptors, most likely: connections that end free some.
+            // Usually out of file descriptors; connections that close free some.
             Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
 }
 
-/// Starts a forwarder in this process and tells its control address.
+/// Starts a forwarder in this process and returns its control address.
 ///
 /// # Errors
 ///
-/// An error of binding.
+/// Returns an error if an address cannot be bound.
 pub async fn start(routes: &[Route], listen: SocketAddr) -> io::Result<SocketAddr> {
     let listener = web::bind(listen).await?;
     let address = listener.local_addr()?;
--- a/crates/fake/src/platform/inner.rs
+++ b/crates/fake/src/platform/inner.rs
@@ -1,4 +1,4 @@
-//! The state of the platform, behind one lock.
+//! Mutable state of the platform, guarded by one lock.
 
 use std::collections::HashMap;
 
@@ -18,7 +18,7 @@
 use crate::web;
 use crate::web::Call;
 
-/// Counts of what happened.
+/// Counters reported by `GET /control/record`.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub(super) struct Record {
     pub(super) reads: u64,
@@ -27,15 +27,15 @@
     pub(super) refused: u64,
 }
 
-/// What is asked of a rate limit.
+/// Kind of call; each has a rate limit of its own.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Kind {
+pub(super) enum CallKind {
     Read,
     Write,
     Weight,
 }
 
-/// All that changes.
+/// Mutable state.
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) rows: Rows,
@@ -50,7 +50,7 @@
 }
 
 impl Inner {
-    /// The state of a platform that has just started.
+    /// Creates the state of a platform that has just started.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             rows: Rows::default(),
@@ -65,23 +65,23 @@
         }
     }
 
-    /// Counts a call; the answer to give if it exceeds its rate.
-    pub(super) fn refuse(&mut self, kind: Kind) -> Option<Response> {
+    /// Counts a call. Returns a 429 response if it exceeds its rate.
+    pub(super) fn check_rate(&mut self, kind: CallKind) -> Option<Response> {
         let taken = match kind {
-            Kind::Read => self.reads.take(),
-            Kind::Write => self.writes.take(),
-            Kind::Weight => self.weight_calls.take(),
+            CallKind::Read => self.reads.try_acquire(),
+            CallKind::Write => self.writes.try_acquire(),
+            CallKind::Weight => self.weight_calls.try_acquire(),
         };
         match (taken, kind) {
-            (true, Kind::Write) => self.record.writes += 1,
-            (true, Kind::Read | Kind::Weight) => self.record.reads += 1,
+            (true, CallKind::Write) => self.record.writes += 1,
+            (true, CallKind::Read | CallKind::Weight) => self.record.reads += 1,
             (false, _) => self.record.refused += 1,
         }
-        (!taken).then(too_many)
+        (!taken).then(too_many_requests)
     }
 }
 
-fn too_many() -> Response {
+fn too_many_requests() -> Response {
     let mut answer = web::status(StatusCode::TOO_MANY_REQUESTS);
     answer
         .headers_mut()
@@ -89,8 +89,12 @@
     answer
 }
 
-/// Stores or fetches an object.
-pub(super) fn keep(objects: &mut HashMap<String, Bytes>, call: &Call, name: String) -> Response {
+/// Stores an object on `PUT`, otherwise returns it.
+pub(super) fn put_or_get(
+    objects: &mut HashMap<String, Bytes>,
+    call: &Call,
+    name: String,
+) -> Response {
     if call.method == Method::PUT {
         objects.insert(name, call.body.clone());
         return web::status(StatusCode::OK);
--- a/crates/fake/src/platform/rows.rs
+++ b/crates/fake/src/platform/rows.rs
@@ -1,11 +1,11 @@
-//! Rows with versions, and transactions on them.
+//! Versioned rows and transactions on them.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A row as it is answered; an absent one has version 0 and no value.
+/// A row in a response. An absent row has version 0 and no value.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Row {
     key: String,
@@ -13,7 +13,7 @@
     version: u64,
 }
 
-/// A version that a row must have.
+/// A required version of a row.
 #[derive(Debug, Deserialize)]
 struct Requirement {
     key: String,
@@ -41,30 +41,30 @@
 }
 
 impl Txn {
-    /// Whether it changes anything.
+    /// Returns whether it writes any row.
     pub(super) fn writes(&self) -> bool {
         !self.write.is_empty()
     }
 }
 
 #[derive(Debug, Clone)]
-struct Cell {
+struct StoredRow {
     value: String,
     version: u64,
 }
 
 /// All rows.
 ///
-/// Versions come from one counter, so that a row that is deleted and made again never gets a
-/// version it had before.
+/// All versions come from one counter, so a row that is deleted and created again never repeats a
+/// version.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Rows {
-    cells: BTreeMap<String, Cell>,
+    stored: BTreeMap<String, StoredRow>,
     version: u64,
 }
 
 impl Rows {
-    /// Carries out a transaction; the error holds the rows whose requirement failed.
+    /// Executes a transaction. The error holds the rows that do not meet a requirement.
     pub(super) fn transact(&mut self, txn: &Txn) -> Result<Vec<Row>, Vec<Row>> {
         let failed: Vec<Row> = txn
             .require
@@ -82,9 +82,9 @@
         Ok(read.chain(scanned).collect())
     }
 
-    /// All rows whose key begins with `prefix`, in order.
+    /// Returns all rows whose key begins with `prefix`, in key order.
     pub(super) fn scan(&self, prefix: &str) -> Vec<Row> {
-        self.cells
+        self.stored
             .range(prefix.to_owned()..)
             .take_while(|(key, _)| key.starts_with(prefix))
             .map(|(key, _)| self.row(key))
@@ -98,25 +98,25 @@
         for Write { key, value } in writes {
             match value {
                 Some(value) => {
-                    let cell = Cell {
+                    let row = StoredRow {
                         value: value.clone(),
                         version: self.version,
                     };
-                    self.cells.insert(key.clone(), cell);
+                    self.stored.insert(key.clone(), row);
                 }
                 None => {
-                    self.cells.remove(key);
+                    self.stored.remove(key);
                 }
             }
         }
     }
 
     fn row(&self, key: &str) -> Row {
-        let cell = self.cells.get(key);
+        let row = self.stored.get(key);
         Row {
             key: key.to_owned(),
-            value: cell.map(|cell| cell.value.clone()),
-            version: cell.map_or(0, |cell| cell.version),
+            value: row.map(|row| row.value.clone()),
+            version: row.map_or(0, |row| row.version),
         }
     }
 }
--- a/crates/scenario/src/play/book.rs
+++ b/crates/scenario/src/runner/address_cache.rs
@@ -1,4 +1,4 @@
-//! Where callers connect: answers to "which address", kept for their time to live.
+//! Caches the addresses for callers for their time to live.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,16 +12,16 @@
 use crate::address::Addresses;
 use crate::caller::Caller;
 
-/// Address answers of all daemons, shared by all callers of a scenario.
+/// Address responses of all daemons, shared by all callers of a scenario.
 #[derive(Debug, Clone)]
-pub struct Book {
+pub struct AddressCache {
     /// Addresses for callers, by daemon.
     daemons: BTreeMap<String, String>,
     answers: Arc<Mutex<BTreeMap<String, (Instant, Addresses)>>>,
 }
 
-impl Book {
-    /// No answers yet.
+impl AddressCache {
+    /// Creates an empty cache.
     pub fn new(daemons: BTreeMap<String, String>) -> Self {
         Self {
             daemons,
@@ -29,17 +29,17 @@
         }
     }
 
-    /// The address of `wanted`, or another one if `wanted` leaves or can't be reached: `asked` is
-    /// asked first, then the other daemons.
+    /// Returns the address of `wanted`, or another one if `wanted` is not listed because it is
+    /// leaving or unreachable. Asks the daemon `target` first, then the others.
     ///
     /// # Errors
     ///
-    /// What was wrong with the last answer.
-    pub async fn find(&self, asked: &str, wanted: &str) -> Result<Address, String> {
-        let others = self.daemons.keys().filter(|name| *name != asked);
+    /// Returns the error of the last daemon if all fail.
+    pub async fn find(&self, target: &str, wanted: &str) -> Result<Address, String> {
+        let others = self.daemons.keys().filter(|name| *name != target);
         let mut fault = String::new();
-        for name in std::iter::once(asked).chain(others.map(String::as_str)) {
-            match self.ask(name).await {
+        for name in std::iter::once(target).chain(others.map(String::as_str)) {
+            match self.lookup(name).await {
                 Ok(answer) => {
                     let named = answer.of(wanted).unwrap_or_else(|| answer.first());
                     return Ok(named.clone());
@@ -50,15 +50,15 @@
         Err(fault)
     }
 
-    /// The name of the daemon at `address`.
-    pub fn name(&self, address: &str) -> String {
+    /// Returns the name of the daemon at `address`.
+    pub fn daemon_name(&self, address: &str) -> String {
         let mut named = self.daemons.iter();
         let found = named.find(|(_, other)| *other == address);
         found.map_or_else(|| address.to_owned(), |(name, _)| name.clone())
     }
 
-    async fn ask(&self, daemon: &str) -> Result<Addresses, String> {
-        if let Some(answer) = self.kept(daemon) {
+    async fn lookup(&self, daemon: &str) -> Result<Addresses, String> {
+        if let Some(answer) = self.cached(daemon) {
             return Ok(answer);
         }
         let Some(address) = self.daemons.get(daemon) else {
@@ -72,7 +72,7 @@
         Ok(answer)
     }
 
-    fn kept(&self, daemon: &str) -> Option<Addresses> {
+    fn cached(&self, daemon: &str) -> Option<Addresses> {
         let answers = self.answers.lock().unwrap_or_else(PoisonError::into_inner);
         let (until, answer) = answers.get(daemon)?;
         (Instant::now() < *until).then(|| answer.clone())
--- a/crates/scenario/src/play/promise.rs
+++ b/crates/scenario/src/runner/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold in every scenario, whatever it is about.
+//! Checks the invariants that must hold at the end of every scenario.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,49 +8,49 @@
 use tokio::time::sleep;
 
 use crate::error::Error;
-use crate::play::LOOK_EVERY;
-use crate::play::Play;
-use crate::play::connection::Connection;
-use crate::play::connection::End;
-use crate::play::decisions;
-use crate::play::decisions::Line;
-use crate::play::request::Request;
-
-/// Time in which engines must have released everything once all callers are gone. The stated bound
-/// is the callers' grace, the orphan grace and a few inspections: less than half of it.
-const RELEASE_LIMIT: Duration = Duration::from_secs(15);
-/// Time after an accepted edit from which no decision may be made under the older table. The stated
-/// bound is the lease.
-const FORCE_LIMIT_MS: u64 = 6_000;
-
-impl Play {
-    /// Checks what must hold in every scenario.
-    pub(super) async fn keep_promises(&mut self) -> Result<(), Error> {
+use crate::runner::POLL_INTERVAL;
+use crate::runner::Runner;
+use crate::runner::connection::Connection;
+use crate::runner::connection::End;
+use crate::runner::decisions;
+use crate::runner::decisions::DecisionLine;
+use crate::runner::request::Request;
+
+/// Time within which engines must release everything after all callers have disconnected. The
+/// documented bound (callers' grace, orphan grace and a few inspections) is less than half of it.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time after the acceptance of an edit from which no decision may use an older table. The
+/// documented bound is the lease.
+const MAX_STALE_DECISION_MS: u64 = 6_000;
+
+impl Runner {
+    /// Checks all invariants.
+    pub(super) async fn check_invariants(&mut self) -> Result<(), Error> {
         for request in self.requests.values() {
             for connection in &request.connections {
                 connection.task.abort();
             }
         }
-        let engines = self.witness.names();
-        self.check_released(&engines, RELEASE_LIMIT).await?;
+        let engines = self.collector.replica_names();
+        self.check_released(&engines, RELEASE_TIMEOUT).await?;
         self.check_idle().await?;
-        let runs = self.witness.all_runs().await;
-        let logs: BTreeMap<String, Vec<Line>> = self
+        let runs = self.collector.all_runs().await;
+        let logs: BTreeMap<String, Vec<DecisionLine>> = self
             .daemons()
             .into_iter()
-            .map(|name| (name.clone(), self.lines(&name)))
+            .map(|name| (name.clone(), self.decision_lines(&name)))
             .collect();
-        let lines: Vec<Line> = logs.values().flatten().cloned().collect();
+        let lines: Vec<DecisionLine> = logs.values().flatten().cloned().collect();
         for (name, request) in &self.requests {
             let faults = [
-                self.lost(request),
+                self.lost_connection(request),
                 tokens_fault(request),
                 repeated_answer(request),
-                doubled(request, &runs),
+                repeated_run(request, &runs),
                 false_refusal(request, &runs, &lines),
             ];
             if let Some(fault) = faults.into_iter().flatten().next() {
-                return Err(self.unmet(format!("{name}: {fault}")));
+                return Err(self.failure(format!("{name}: {fault}")));
             }
         }
         for (name, lines) in &logs {
@@ -59,30 +59,33 @@
         self.check_edits(&lines)
     }
 
-    /// Daemons, too, forget requests that are gone: no request, no hold, no place stays taken.
+    /// Waits until no daemon has open requests, holds, or placed or waiting generations.
     async fn check_idle(&self) -> Result<(), Error> {
-        let end = Instant::now() + RELEASE_LIMIT;
+        let end = Instant::now() + RELEASE_TIMEOUT;
         for daemon in self.daemons() {
             let admin = self.fleet.daemon(&daemon)?.admin.clone();
             loop {
-                let status = self.fleet.as_operator(&admin, "/v1/status").await;
+                let status = self.fleet.get_as_operator(&admin, "/v1/status").await;
                 let status = status.unwrap_or_default();
                 if is_idle(&status) {
                     break;
                 }
-                self.ensure(Instant::now() < end, format!("{daemon} keeps {status}"))?;
-                sleep(LOOK_EVERY).await;
+                self.ensure(
+                    Instant::now() < end,
+                    format!("{daemon} is not idle: {status}"),
+                )?;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// A connection that was lost although nothing happened to its daemon.
-    fn lost(&self, request: &Request) -> Option<String> {
+    /// Reports a connection that was lost although its daemon was not disrupted.
+    fn lost_connection(&self, request: &Request) -> Option<String> {
         let lost = request.connections.iter().find(|connection| {
             let ended = connection.ended();
             let lost = ended.is_some_and(|ended| matches!(ended.end, End::Cut | End::Lost(_)));
-            lost && !self.disturbed.contains(&connection.daemon())
+            lost && !self.disrupted.contains(&connection.daemon())
         })?;
         Some(format!(
             "{} lost the connection: {:?}",
@@ -91,41 +94,45 @@
         ))
     }
 
-    /// The generation of a daemon's decisions never goes down.
-    fn check_generations(&self, daemon: &str, lines: &[Line]) -> Result<(), Error> {
+    /// Checks that the generation of a daemon's decisions never decreases.
+    fn check_generations(&self, daemon: &str, lines: &[DecisionLine]) -> Result<(), Error> {
         let mut highest = 0;
         for line in lines.iter().filter(|line| line.is_governed()) {
-            let found = format!("{daemon} decided under {} after {highest}", line.generation);
+            let found = format!(
+                "{daemon} used generation {} after {highest}",
+                line.generation
+            );
             self.ensure(line.generation >= highest, found)?;
             highest = line.generation;
         }
         Ok(())
     }
 
-    /// Soon after an edit was accepted nothing is decided under the older table.
-    fn check_edits(&self, lines: &[Line]) -> Result<(), Error> {
+    /// Checks that no decision uses an older table for longer than the limit after an edit is
+    /// accepted.
+    fn check_edits(&self, lines: &[DecisionLine]) -> Result<(), Error> {
         let accepted = self
-            .editions
+            .submitted_edits
             .iter()
-            .filter(|(_, edition)| edition.generation > 0);
-        for (name, edition) in accepted {
+            .filter(|(_, submitted)| submitted.generation > 0);
+        for (name, submitted) in accepted {
             let older = lines
                 .iter()
-                .filter(|line| line.is_governed() && line.generation < edition.generation);
+                .filter(|line| line.is_governed() && line.generation < submitted.generation);
             let last = older.map(|line| line.unix_ms).max().unwrap_or(0);
-            let late = last.saturating_sub(edition.unix_ms);
-            self.measured(
+            let late = last.saturating_sub(submitted.unix_ms);
+            self.print_measurement(
                 &format!("last decision under the table before edit {name}, after its acceptance"),
                 late as f64 / 1_000.0,
             );
-            let found = format!("{late} ms after edit {name} an older table was in force");
-            self.ensure(late < FORCE_LIMIT_MS, found)?;
+            let found = format!("an older table was used {late} ms after edit {name} was accepted");
+            self.ensure(late < MAX_STALE_DECISION_MS, found)?;
         }
         Ok(())
     }
 }
 
-/// Whether a daemon's status shows nothing in progress; true if it does not answer.
+/// Returns whether a daemon's status shows nothing in progress; true if it does not answer.
 fn is_idle(status: &Value) -> bool {
     let none = |value: &Value| value.as_u64().unwrap_or(0) == 0;
     let pools = status["pools"].as_array().cloned().unwrap_or_default();
@@ -135,7 +142,7 @@
     none(&status["open"]) && none(&status["holds"]) && empty
 }
 
-/// Tokens that are not the request's own, or not in their order, or an end that is not the whole.
+/// Reports tokens that are wrong or out of order, or an incomplete answer marked as done.
 fn tokens_fault(request: &Request) -> Option<String> {
     let expected = request.expected();
     request
@@ -152,47 +159,52 @@
     let whole = expected.len() as u64;
     let reached = connection.offset + progress.tokens;
     match progress.end.map(|ended| ended.end) {
-        _ if !progress.gaps.is_empty() => Some(format!("out of order: {:?}", progress.gaps)),
+        _ if !progress.gaps.is_empty() => Some(format!("tokens out of order: {:?}", progress.gaps)),
         _ if progress.text != own => Some(format!(
-            "tokens from {first} are not its own: {}",
+            "wrong tokens from offset {first}: {}",
             progress.text
         )),
         Some(End::Done(tokens)) if tokens != whole || reached != whole => Some(format!(
-            "done with {tokens} tokens after {reached}, and {whole} are right"
+            "done event says {tokens} tokens, received {reached}, expected {whole}"
         )),
         _ => None,
     }
 }
 
-/// The whole answer given to two connections at the same time.
+/// Reports a complete answer given to two connections at the same time.
 fn repeated_answer(request: &Request) -> Option<String> {
     let whole = |connection: &&Connection| {
         let ended = connection.ended();
         ended.is_some_and(|ended| matches!(ended.end, End::Done(_) | End::Answered { .. }))
     };
     let answered: Vec<&Connection> = request.connections.iter().filter(whole).collect();
-    if request.ask.model.is_none() {
+    if request.spec.model.is_none() {
         return first_answers(&answered);
     }
     let twice = answered.iter().enumerate().find_map(|(index, one)| {
         let others = &answered[index + 1..];
         others.iter().find(|other| one.overlaps(other))
     });
-    twice.map(|other| format!("answered twice, the second time by {}", other.daemon()))
+    twice.map(|other| {
+        format!(
+            "two complete answers at the same time, the second from {}",
+            other.daemon()
+        )
+    })
 }
 
-/// An application's answer may be told again, but only marked as such.
+/// Reports an application's answer that was given again without being marked as repeated.
 fn first_answers(answered: &[&Connection]) -> Option<String> {
     let first = answered.iter().filter(|connection| {
         let ended = connection.ended();
         ended.is_some_and(|ended| matches!(ended.end, End::Answered { before: false, .. }))
     });
     let count = first.count();
-    (count > 1).then(|| format!("{count} first answers"))
+    (count > 1).then(|| format!("{count} answers not marked as repeated"))
 }
 
-/// A non-repeatable call that ran twice.
-fn doubled(request: &Request, runs: &BTreeMap<String, u64>) -> Option<String> {
+/// Reports a call that ran twice although it is not repeatable.
+fn repeated_run(request: &Request, runs: &BTreeMap<String, u64>) -> Option<String> {
     let key = request.key.borrow().clone()?;
     let count = runs.get(&key).copied().unwrap_or(0);
     let answers = request.connections.iter().filter_map(Connection::ended);
@@ -202,14 +214,14 @@
     });
     let run = later.filter_map(|body: Value| body["run"].as_u64()).max();
     let most = count.max(run.unwrap_or(0));
-    (request.ask.once && most > 1).then(|| format!("ran {most} times"))
+    (request.spec.once && most > 1).then(|| format!("ran {most} times, but is not repeatable"))
 }
 
-/// A *not run* of which a stand-in knows better.
+/// Reports a *not run* refusal of a request that did run, according to a stand-in.
 fn false_refusal(
     request: &Request,
     runs: &BTreeMap<String, u64>,
-    lines: &[Line],
+    lines: &[DecisionLine],
 ) -> Option<String> {
     let key = request.key.borrow().clone()?;
     let ended: Vec<_> = request.connections.iter().map(Connection::ended).collect();
@@ -221,7 +233,7 @@
     for (index, ended) in ended.iter().enumerate() {
         let then = ended.as_ref().and_then(|ended| ended.runs).unwrap_or(0);
         if then > 0 && alone(index) {
-            return Some(format!("`not run` was said after {then} runs"));
+            return Some(format!("refused as `not_run` after {then} runs"));
         }
     }
     let all = ended
@@ -230,5 +242,5 @@
     let handles = decisions::handles(lines, &key);
     let names = handles.iter().chain(std::iter::once(&key));
     let ran: Vec<&String> = names.filter(|name| runs.contains_key(*name)).collect();
-    (all && !ran.is_empty()).then(|| format!("`not run` was said of {ran:?}, which ran"))
+    (all && !ran.is_empty()).then(|| format!("refused as `not_run`, but these ran: {ran:?}"))
 }
--- a/crates/scenario/tests/fleet.rs
+++ b/crates/scenario/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet starts, is driven and ends exactly its own processes.
+//! Starts and controls a fleet, and checks that it ends only its own processes.
 
 use std::path::Path;
 
@@ -21,7 +21,7 @@
         .with_link(ENTRY, PLATFORM)
 }
 
-fn runs(id: u32) -> bool {
+fn is_running(id: u32) -> bool {
     Path::new(&format!("/proc/{id}")).exists()
 }
 
@@ -31,32 +31,38 @@
     let names = [PLATFORM, ENTRY, "entry-2", DECODE];
     let ids = names.map(|name| fleet.process(name).unwrap().id());
     let settings = fleet.settings_file(ENTRY);
-    assert!(ids.iter().all(|id| runs(*id)) && settings.exists());
-    // A stopped process must end, too.
+    assert!(ids.iter().all(|id| is_running(*id)) && settings.exists());
+    // A paused process must be killed as well.
     fleet.pause(DECODE).unwrap();
     drop(fleet);
-    assert!(!ids.iter().any(|id| runs(*id)));
+    assert!(!ids.iter().any(|id| is_running(*id)));
     assert!(!settings.exists());
 }
 
 #[tokio::test]
-async fn killed_daemon_comes_back_at_its_address() {
+async fn restarted_daemon_keeps_its_address() {
     let mut fleet = Fleet::start(plan()).await.unwrap();
     fleet.apply(TABLE).await.unwrap();
-    fleet.ready().await.unwrap();
+    fleet.wait_until_ready().await.unwrap();
     let before = fleet.process(ENTRY).unwrap().id();
     fleet.restart(ENTRY).await.unwrap();
-    fleet.ready_one(ENTRY).await.unwrap();
+    fleet.wait_until_daemon_ready(ENTRY).await.unwrap();
     assert_ne!(before, fleet.process(ENTRY).unwrap().id());
 }
 
 #[tokio::test]
-async fn links_and_faults_reach_the_stand_ins() {
+async fn link_modes_and_faults_reach_the_stand_ins() {
     let fleet = Fleet::start(plan()).await.unwrap();
-    fleet.link(ENTRY, PLATFORM, "cut", 0).await.unwrap();
-    fleet.link(ENTRY, PLATFORM, "pass", 0).await.unwrap();
-    fleet.fault(DECODE, "stall", 0).await.unwrap();
+    fleet
+        .set_link_mode(ENTRY, PLATFORM, "cut", 0)
+        .await
+        .unwrap();
+    fleet
+        .set_link_mode(ENTRY, PLATFORM, "pass", 0)
+        .await
+        .unwrap();
+    fleet.set_fault(DECODE, "stall", 0).await.unwrap();
     assert_eq!(fleet.record(DECODE).await.unwrap()["decodes"], 0);
-    let unknown = fleet.link("entry-2", PLATFORM, "cut", 0).await;
-    assert!(matches!(unknown, Err(Error::Unknown { .. })));
+    let unknown = fleet.set_link_mode("entry-2", PLATFORM, "cut", 0).await;
+    assert!(matches!(unknown, Err(Error::UnknownName { .. })));
 }
