--- a/crates/gateway/src/quarantine/announce.rs
+++ b/crates/gateway/src/quarantine/announce.rs
@@ -11,9 +11,11 @@
 use crate::gossip;
 use crate::shared::Shared;
 
-/// When a record is sent, counted from when it was added: datagrams may be lost, and all daemons
-/// must know of a request that is retried some seconds later. A record with a single end is sent in
-/// the first round only: when many replicas end together, thousands of harmless requests have one.
+/// When a record is sent, counted from when this daemon last changed it because a replica ended
+/// under the request or served it; each such change starts the rounds again. There are several
+/// rounds because datagrams may be lost, and all daemons must know of a request that is retried
+/// some seconds later. A record with a single end is sent in the first round only: when many
+/// replicas end together, thousands of harmless requests have one.
 const ROUNDS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(250),
--- a/crates/gateway/src/quota/client.rs
+++ b/crates/gateway/src/quota/client.rs
@@ -26,7 +26,9 @@
 /// Time for which an unresponsive daemon is not asked again; each attempt would delay its request
 /// by [`ANSWER_TIMEOUT`].
 const SILENT_PERIOD: Duration = Duration::from_secs(1);
-/// Time after which a late answer is ignored and the units that it grants are not refunded.
+/// Minimum time for which an unanswered quota request is kept; older ones are removed when another
+/// is sent. Units granted by an answer that arrives after [`ANSWER_TIMEOUT`] are refunded while its
+/// request is kept; after that, the answer is ignored and the units are not refunded.
 const PENDING_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A decision on a quota, with its source.
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -280,7 +280,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Bytes, Error> {
         let sent = self.send(request).await;
-        // The link is held until the body is read; dropping it closes the connection.
+        // The connection stays open until the body is read; dropping `_link` closes it.
         let (answer, _link) = sent.map_err(|failure| match failure {
             Failure::Refused { cause }
             | Failure::Unreachable { cause }
--- a/crates/gateway/tests/gateway/quarantine.rs
+++ b/crates/gateway/tests/gateway/quarantine.rs
@@ -1,6 +1,7 @@
 //! Guards against a request under which every replica ends that runs it. Its callers send it again and again, with new
 //! ids and through different daemons; unless the daemons remember the replicas that ended and share what they saw, each
-//! attempt ends one more replica.
+//! attempt ends one more replica. Before they did, each replica that began to run the request ended within 0.12 s, and
+//! nine ended within 14 s, six of them after three had ended under the same request.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
--- a/crates/gateway/tests/gateway/second_answers.rs
+++ b/crates/gateway/tests/gateway/second_answers.rs
@@ -1,6 +1,8 @@
 //! Guards against taking the second answer to a request for the answer to the next one on the same connection. A prefill
 //! replica answers some requests twice, the second time when the answer to the next prefill is due. Unless the request id
 //! in its answers is checked, each generation from then on uses the KV cache of the one before it, and all look answered.
+//! With one answer in ten doubled, three daemons continued a generation from the KV cache of another request 159 times
+//! in 20 runs of five seconds, at least once in each run; no plain call got the answer to another one.
 //! The log line `read` shows the fault by a `cache` that the line before names too, with `exchanges_before` above 0.
 
 use std::collections::HashSet;
