--- a/crates/call/src/error.rs
+++ b/crates/call/src/error.rs
@@ -68,7 +68,7 @@
                 step, peer, status, ..
             } => write!(f, "{step} was refused by {peer} with status {status}"),
             Self::Malformed { step, peer, cause } => {
-                write!(f, "{step}: unreadable answer from {peer}: {cause}")
+                write!(f, "{step}: unreadable answer of {peer}: {cause}")
             }
         }
     }
--- a/crates/table/src/error.rs
+++ b/crates/table/src/error.rs
@@ -191,7 +191,7 @@
                 location,
                 first: None,
             } => {
-                write!(f, "{location}: the key occurs twice; remove one of the two")
+                write!(f, "{location}: the key stands twice; keep one of the two")
             }
             Self::TooManyRows { rows } => {
                 write!(f, "table: {rows} rows; use at most {}", Table::MAX_ROWS)
@@ -199,7 +199,7 @@
             Self::TooLong { bytes, max } => {
                 write!(f, "file: {bytes} bytes; use at most {max}")
             }
-            Self::NoChanges => write!(f, "edit: it contains no changes"),
+            Self::NoChanges => write!(f, "edit: no change; nothing is left to apply"),
         }
     }
 }
--- a/crates/table/src/storage.rs
+++ b/crates/table/src/storage.rs
@@ -167,7 +167,7 @@
     let row: Row =
         serde_json::from_str(&record.value).map_err(|error| corrupt(record, &error.to_string()))?;
     if row_key(&row) != record.key {
-        return Err(corrupt(record, "the key does not match the row"));
+        return Err(corrupt(record, "the row has another key"));
     }
     Ok(row)
 }
@@ -175,7 +175,7 @@
 fn drain_target(record: &Record, rest: &str) -> Result<DrainTarget, Error> {
     let parts = rest.split_once('/');
     let target = parts.and_then(|(kind, name)| DrainTarget::from_kind(kind, name));
-    target.ok_or_else(|| corrupt(record, "the key names neither an instance nor a replica"))
+    target.ok_or_else(|| corrupt(record, "neither an instance nor a replica"))
 }
 
 pub(crate) fn corrupt(record: &Record, reason: &str) -> Error {
